--- /dev/null
+++ b/cmd/shaleyard/interface_process_test.go
@@ -0,0 +1,259 @@
+package main
+
+import (
+	"fmt"
+	"io"
+	"maps"
+	"net"
+	"net/http"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"regexp"
+	"slices"
+	"strings"
+	"sync"
+	"syscall"
+	"testing"
+	"time"
+
+	"github.com/google/go-cmp/cmp"
+
+	"shaleyard/internal/admin"
+	"shaleyard/internal/lifecycle"
+	"shaleyard/internal/nettest"
+)
+
+// The program reads these environment variables and no others; an error on one names it.
+func TestEnvironmentVariables(t *testing.T) {
+	file := filepath.Join(t.TempDir(), "config.json")
+	if err := os.WriteFile(file, []byte(fullEdgeConfig), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	read := map[string]bool{}
+	for _, c := range []struct{ name, value, says string }{
+		{"EDGE_CONFIG", "", "EDGE_CONFIG: not set"},
+		{"EDGE_CONFIG", file + "x", "EDGE_CONFIG: "},
+		{"EDGE_NAME", "n2", "EDGE_NAME: "},
+		{"EDGE_LISTEN", "127.0.0.1:9", "EDGE_LISTEN: "},
+		{"EDGE_FD", "2", "EDGE_FD: "},
+		{"EDGE_OPERATOR", "nowhere", `"nowhere" is no address`},
+		{"SHALEYARD_CONFIG", file + "x", "SHALEYARD_CONFIG: "},
+	} {
+		environment := map[string]string{"EDGE_CONFIG": file, "EDGE_FD": "none"}
+		environment[c.name] = c.value
+		err := run(func(name string) string {
+			read[name] = true
+			return environment[name]
+		}, io.Discard)
+		if err == nil || !strings.Contains(err.Error(), c.says) {
+			t.Errorf("%s=%q: %v, want %q", c.name, c.value, err, c.says)
+		}
+	}
+	want := []string{"EDGE_CONFIG", "EDGE_FD", "EDGE_LISTEN", "EDGE_NAME", "EDGE_OPERATOR", "SHALEYARD_CONFIG"}
+	if got := slices.Sorted(maps.Keys(read)); !slices.Equal(got, want) {
+		t.Errorf("the program reads %q, want %q", got, want)
+	}
+	t.Setenv("SHALEYARD_CONFIG", file+"y")
+	var out strings.Builder
+	if status := command([]string{"plan", "--settings", file}, &out, &out); status != 2 || !strings.Contains(out.String(), file+"y") {
+		t.Errorf("plan with SHALEYARD_CONFIG: status %d, %s", status, out.String())
+	}
+}
+
+// The words and flags of the command line, with the exit status of each.
+func TestCommandLine(t *testing.T) {
+	for _, c := range []struct {
+		line   string
+		status int
+	}{
+		{"check ../../deploy/shaleyard.toml", 0}, {"check nosuch.toml", 2}, {"check", 2}, {"check a b", 2}, {"serve", 2},
+		{"plan", 2}, {"plan -h", 0}, {"plan --settings nosuch.json", 2}, {"plan --nosuch", 2}, {"-h", 0}, {"--help", 0}, {"--nosuch", 2},
+	} {
+		if got := command(strings.Fields(c.line), io.Discard, io.Discard); got != c.status {
+			t.Errorf("shaleyard %s: status %d, want %d", c.line, got, c.status)
+		}
+	}
+	var help strings.Builder
+	command([]string{"plan", "-h"}, io.Discard, &help)
+	var flags []string
+	for _, match := range regexp.MustCompile(`(?m)^  -(\S+)`).FindAllStringSubmatch(help.String(), -1) {
+		flags = append(flags, match[1])
+	}
+	if want := []string{"config", "json", "lost", "settings"}; !slices.Equal(flags, want) {
+		t.Errorf("flags of plan: %q, want %q", flags, want)
+	}
+}
+
+// recordingProcess is a process behind the operators' address; it notes what it is told.
+type recordingProcess struct {
+	mu             sync.Mutex
+	ready, resumes bool
+	told           []string
+}
+
+func (p *recordingProcess) note(format string, a ...any) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.told = append(p.told, fmt.Sprintf(format, a...))
+}
+
+// take returns what the process was told since the last call.
+func (p *recordingProcess) take() []string {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	told := p.told
+	p.told = nil
+	return told
+}
+
+// Ready implements admin.Process.
+func (p *recordingProcess) Ready() (bool, string) { return p.ready, "the reason" }
+
+// Drain implements admin.Process.
+func (p *recordingProcess) Drain() { p.note("drain") }
+
+// Resume implements admin.Process.
+func (p *recordingProcess) Resume() bool {
+	p.note("resume")
+	return p.resumes
+}
+
+// Called implements admin.Process.
+func (p *recordingProcess) Called(method, path string, status int) {
+	p.note("logged %s %s %d", method, path, status)
+}
+
+// operatorCall makes one call of an address and describes its answer.
+func operatorCall(t *testing.T, address, method, path string) string {
+	t.Helper()
+	request, err := http.NewRequest(method, "http://"+address+path, nil)
+	if err != nil {
+		t.Fatal(err)
+	}
+	caller := http.Client{Timeout: 10 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
+	answer, err := caller.Do(request)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer answer.Body.Close()
+	body, err := io.ReadAll(answer.Body)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return fmt.Sprintf("%s %s: %d %q", method, path, answer.StatusCode, body)
+}
+
+// Each HTTP call of the operators' address: method, path, status, body, and what the process is told.
+func TestHTTPCalls(t *testing.T) {
+	var rows strings.Builder
+	for _, can := range []bool{true, false} {
+		process := &recordingProcess{ready: can, resumes: can}
+		server, err := admin.Listen("127.0.0.1:0", 8, process)
+		if err != nil {
+			t.Fatal(err)
+		}
+		defer server.Close()
+		go server.Serve()
+		fmt.Fprintf(&rows, "ready, and can resume: %v\n", can)
+		for _, path := range []string{"/healthcheck", "/healthcheck/fail", "/healthcheck/ok", "/healthcheck/", "/"} {
+			for _, method := range []string{http.MethodGet, http.MethodHead, http.MethodPut, http.MethodPost, http.MethodDelete} {
+				answer := operatorCall(t, server.Address(), method, path)
+				fmt.Fprintf(&rows, "%s %q\n", answer, process.take())
+			}
+		}
+	}
+	wantGolden(t, "http.txt", rows.String())
+}
+
+// failedStart runs the program, which can't start, and returns its exit status and what it wrote.
+func failedStart(t *testing.T, environment ...string) (status int, wrote string) {
+	t.Helper()
+	cmd := exec.Command(os.Args[0])
+	cmd.Env = append(append(os.Environ(), childLimit+"=256", "GORACE=atexit_sleep_ms=0"), environment...)
+	out, err := cmd.CombinedOutput()
+	if cmd.ProcessState == nil {
+		t.Fatal(err)
+	}
+	return cmd.ProcessState.ExitCode(), string(out)
+}
+
+// The exit status of a start that fails: 2 for the operators' file, 1 for everything else.
+func TestExitStatusesOfAFailedStart(t *testing.T) {
+	taken, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer taken.Close()
+	folder := t.TempDir()
+	write := func(name, text string) string {
+		t.Helper()
+		path := filepath.Join(folder, name)
+		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
+			t.Fatal(err)
+		}
+		return path
+	}
+	document := func(listen, operator string) string {
+		return fmt.Sprintf(`{"name":"n1","listen":%q,"feed":"127.0.0.1:1","operator":%q,"seed":"1",
+			"limits":{"cores":1,"memory_mb":192,"sockets":256},"settings":%s}`, listen, operator, settings)
+	}
+	inUse := taken.Addr().String()
+	for _, c := range []struct {
+		name, environment string
+		status            int
+		says              string
+	}{
+		{"no configuration", "EDGE_CONFIG=", 1, "shaleyard: EDGE_CONFIG: not set"},
+		{"no such configuration", "EDGE_CONFIG=" + filepath.Join(folder, "nosuch"), 1, "shaleyard: EDGE_CONFIG: "},
+		{"a bad configuration", "EDGE_CONFIG=" + write("bad.json", "{"), 1, "shaleyard: config: "},
+		{"clients' address in use", "EDGE_CONFIG=" + write("listen.json", document(inUse, "")), 1, "in use"},
+		{"operators' address in use", "EDGE_CONFIG=" + write("operator.json", document("127.0.0.1:0", inUse)), 1, "in use"},
+		{"no such operators' file", "SHALEYARD_CONFIG=" + filepath.Join(folder, "nosuch"), 2, "shaleyard: SHALEYARD_CONFIG: "},
+		{"a bad operators' file", "SHALEYARD_CONFIG=" + write("bad.toml", "[list]\nhaste = 1\n"), 2, "shaleyard: SHALEYARD_CONFIG: "},
+	} {
+		if status, wrote := failedStart(t, c.environment); status != c.status || !strings.Contains(wrote, c.says) {
+			t.Errorf("%s: status %d, want %d with %q:\n%s", c.name, status, c.status, c.says, wrote)
+		}
+	}
+}
+
+// The names of the process's states are the body of a GET of /healthcheck that is answered 503, and stand in the log.
+func TestNamesOfProcessStates(t *testing.T) {
+	var names []string
+	for state := range lifecycle.Ended + 1 {
+		names = append(names, state.String())
+	}
+	want := []string{"starting", "ready", "draining", "drained", "stopping", "closing", "ended"}
+	if diff := cmp.Diff(want, names); diff != "" {
+		t.Errorf("(-want +got):\n%s", diff)
+	}
+}
+
+// SIGUSR1 has the process write its latest events, SIGHUP has it read its configuration anew, and SIGTERM and SIGINT end
+// it with status 0. The operators' address takes calls.
+func TestSignals(t *testing.T) {
+	for _, end := range []syscall.Signal{syscall.SIGTERM, syscall.SIGINT} {
+		o := operate(t)
+		o.signal(syscall.SIGUSR1)
+		o.logged(`"cause":"SIGUSR1"`)
+		o.site.feed = nettest.Listen(t)
+		o.child.configure(o.site.config(256))
+		o.signal(syscall.SIGHUP)
+		if got := o.site.feed.Accept().Line(); got != "SUB 1" {
+			t.Errorf("behind SIGHUP the new address was asked %q", got)
+		}
+		if got, want := operatorCall(t, o.operators, http.MethodPut, "/healthcheck/fail"), `PUT /healthcheck/fail: 200 ""`; got != want {
+			t.Errorf("%s, want %s", got, want)
+		}
+		if got := o.status(http.MethodGet, "/healthcheck"); got != http.StatusServiceUnavailable {
+			t.Errorf("behind a drain GET /healthcheck: %d, want 503", got)
+		}
+		o.signal(end)
+		for o.lines.Scan() {
+		}
+		if err := o.Wait(); err != nil || o.ProcessState.ExitCode() != 0 {
+			t.Errorf("%v: %v, want status 0", end, err)
+		}
+	}
+}
--- /dev/null
+++ b/cmd/shaleyard/interface_test.go
@@ -0,0 +1,368 @@
+package main
+
+import (
+	"bytes"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"os"
+	"path/filepath"
+	"reflect"
+	"slices"
+	"strings"
+	"testing"
+
+	"github.com/google/go-cmp/cmp"
+	"github.com/pelletier/go-toml/v2"
+
+	"shaleyard/internal/config"
+	"shaleyard/internal/siteplan"
+	"shaleyard/rules"
+)
+
+// The tests of this file and of interface_process_test.go hold the names that other programs and operators rely on:
+// keys of files, environment variables, command line flags, HTTP calls, signals and exit statuses. No Go name has a
+// part in them, so that they hold the same through every renaming. A difference is a change of an interface.
+
+// wantGolden compares a text with a file in testdata/golden; with -update it writes the file.
+func wantGolden(t *testing.T, name, got string) {
+	t.Helper()
+	path := filepath.Join("testdata", "golden", name)
+	if *updatePlans {
+		if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
+			t.Fatal(err)
+		}
+		if err := os.WriteFile(path, []byte(got), 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+	want, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if diff := cmp.Diff(string(want), got); diff != "" {
+		t.Errorf("%s (-want +got):\n%s", path, diff)
+	}
+}
+
+// joinKey appends a name to the path of a key.
+func joinKey(path, name string) string {
+	if path == "" {
+		return name
+	}
+	return path + "." + name
+}
+
+// typeKeys lists the keys that a type is read from, each with the kind of its value, as the struct tags of the given
+// format name them. A field without a tag is listed as such, as a renaming of it would change its key.
+func typeKeys(of reflect.Type, format, path string) []string {
+	if of == reflect.TypeFor[json.RawMessage]() {
+		return []string{path + " any"}
+	}
+	switch of.Kind() {
+	case reflect.Pointer:
+		return typeKeys(of.Elem(), format, path)
+	case reflect.Slice, reflect.Array:
+		return typeKeys(of.Elem(), format, path+"[]")
+	case reflect.Map:
+		return typeKeys(of.Elem(), format, joinKey(path, "*"))
+	case reflect.Struct:
+		var keys []string
+		for i := range of.NumField() {
+			field := of.Field(i)
+			if !field.IsExported() {
+				continue
+			}
+			name, _, _ := strings.Cut(field.Tag.Get(format), ",")
+			if name == "" {
+				name = "(no tag) " + field.Name
+			}
+			keys = append(keys, typeKeys(field.Type, format, joinKey(path, name))...)
+		}
+		return keys
+	case reflect.String:
+		return []string{path + " string"}
+	case reflect.Bool:
+		return []string{path + " bool"}
+	default:
+		return []string{path + " number"}
+	}
+}
+
+// documentKeys lists the keys of a decoded document in the form of typeKeys.
+func documentKeys(value any, path string) []string {
+	var keys []string
+	switch value := value.(type) {
+	case map[string]any:
+		for name, inner := range value {
+			keys = append(keys, documentKeys(inner, joinKey(path, name))...)
+		}
+	case []any:
+		for _, inner := range value {
+			keys = append(keys, documentKeys(inner, path+"[]")...)
+		}
+	case string:
+		keys = append(keys, path+" string")
+	case bool:
+		keys = append(keys, path+" bool")
+	default:
+		keys = append(keys, path+" number")
+	}
+	return keys
+}
+
+// keyList is the text of a golden list of keys: sorted, each once, one a line.
+func keyList(keys []string) string {
+	slices.Sort(keys)
+	return strings.Join(slices.Compact(keys), "\n") + "\n"
+}
+
+// decodeJSON reads a document without loss of digits.
+func decodeJSON(t *testing.T, text []byte) any {
+	t.Helper()
+	decoder := json.NewDecoder(bytes.NewReader(text))
+	decoder.UseNumber()
+	var document any
+	if err := decoder.Decode(&document); err != nil {
+		t.Fatal(err)
+	}
+	return document
+}
+
+// fullSettings holds every key of the settings that the decision module reads.
+const fullSettings = `{"balancers":3,"me":2,"zone":1,"quantum":2000000,"registryMode":"automatic","weights":"rough",
+ "dcs":["hub","here"],"kinds":["edge","parent","origin"],
+ "services":[{"name":"media","aim":5000000001,"aimStretch":1.5,"deadline":5000000002,"worth":2.5,"lateWorth":0.5,
+   "effect":"idempotency_key","group":"all","dedupWindow":700000000,"streaming":true}],
+ "ceilings":{"cancel":true,"maxAttempts":6,"maxRetryAfter":500000001,"openCap":301,"peerMessages":true,"probes":true,
+   "retryAfter":true,"secondCopies":true},
+ "familyInfo":{"bypassAllowed":true,"classFresh":[1000000001],"staleFor":[1000000002],"staleEarns":[0.25],"passOn":[true],
+   "flowKbPerS":1000.5,"feedKbPerS":[2000.5],"transitPrice":0.125,"mergesFills":true,"rootFallMultiple":2.5,
+   "originBears":1000000003,"masterKind":2,"secondTierKind":1,"parentColdFrom":0.375,"parentRamp":1000000004,
+   "parentFallMultiple":3.5,"purgeTakes":1000000005,"purgeSlack":1000000006,"lateral":"location","notesGiven":"all",
+   "seatsByZone":[4],"hubByZone":[5]},
+ "guarantees":{"askWithin":1000000007,"cold":1000000008,"coldFrom":0.625,"drainGrace":1000000009,"fall":1000000010,
+   "graceToAnswer":1000000011,"tipMultiple":4.5},
+ "report":{"fields":["active"],"via":"inline"}}`
+
+// The settings have exactly the keys of the golden list: by their tags, in a document with all of them, and written again.
+func TestKeysOfSettings(t *testing.T) {
+	keys := keyList(typeKeys(reflect.TypeFor[rules.Settings](), "json", ""))
+	wantGolden(t, "settings.keys", keys)
+	document := decodeJSON(t, []byte(fullSettings))
+	if diff := cmp.Diff(keys, keyList(documentKeys(document, ""))); diff != "" {
+		t.Errorf("keys of the document (-by tags +document):\n%s", diff)
+	}
+
+	var settings rules.Settings
+	decoder := json.NewDecoder(strings.NewReader(fullSettings))
+	decoder.DisallowUnknownFields()
+	if err := decoder.Decode(&settings); err != nil {
+		t.Fatal(err)
+	}
+	text, err := json.Marshal(settings)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if diff := cmp.Diff(document, decodeJSON(t, text)); diff != "" {
+		t.Errorf("read and written again (-want +got):\n%s", diff)
+	}
+}
+
+// fullOperatorFile holds every key of the operators' file; * stands for the name of a site or a class.
+const fullOperatorFile = `
+[list]
+heed_ms = 2100.5
+purge_ms = 510.5
+start_ms = 110.5
+late_ms = 7100.5
+call_ms = 520.5
+retry_ms = 111.5
+silence_ms = 1400.5
+wait_ms = 2200.5
+[pause]
+limit_ms = 90.5
+settle_ms = 31.5
+[log]
+level = "warn"
+counters_every_ms = 4900.5
+[plan]
+usual_load = 0.61
+hits = 0.71
+parent_hits = 0.62
+origin = 41.5
+order = ["media", "pages"]
+move_per_s = 0.26
+stay_ms = 510.5
+follow = true
+[plan.carries]
+"*" = 40.5
+[plan.shares]
+"*" = 0.5
+[plan.work_ms]
+"*" = 200.5
+[[plan.pin]]
+lost = "west"
+from = "edge-1"
+to = "east"
+share = 0.7
+[[plan.forbid]]
+lost = "west"
+to = "middle"
+`
+
+// decodeTOML reads a document into maps.
+func decodeTOML(t *testing.T, text []byte) map[string]any {
+	t.Helper()
+	var document map[string]any
+	if err := toml.Unmarshal(text, &document); err != nil {
+		t.Fatal(err)
+	}
+	return document
+}
+
+// The operators' file has exactly the keys of the golden list: by their tags, in a file with all of them, and written again.
+func TestKeysOfOperatorsFile(t *testing.T) {
+	keys := keyList(typeKeys(reflect.TypeFor[config.Operator](), "toml", ""))
+	wantGolden(t, "operators-file.keys", keys)
+	document := decodeTOML(t, []byte(fullOperatorFile))
+	if diff := cmp.Diff(keys, keyList(documentKeys(document, ""))); diff != "" {
+		t.Errorf("keys of the document (-by tags +document):\n%s", diff)
+	}
+
+	operator, err := config.ParseOperator("full.toml", []byte(fullOperatorFile))
+	if err != nil {
+		t.Fatal(err)
+	}
+	text, err := toml.Marshal(operator)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if diff := cmp.Diff(document, decodeTOML(t, text)); diff != "" {
+		t.Errorf("read and written again (-want +got):\n%s", diff)
+	}
+}
+
+// What `shaleyard check` prints of the operators' file that is deployed, and of one with every key.
+func TestOutputOfCheck(t *testing.T) {
+	full := filepath.Join(t.TempDir(), "full.toml")
+	if err := os.WriteFile(full, []byte(fullOperatorFile), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	for name, path := range map[string]string{"check-deploy.txt": "../../deploy/shaleyard.toml", "check-full.txt": full} {
+		var out, errs strings.Builder
+		if status := command([]string{"check", path}, &out, &errs); status != 0 || errs.Len() > 0 {
+			t.Errorf("check %s: status %d, %s", path, status, errs.String())
+		}
+		wantGolden(t, name, out.String())
+	}
+}
+
+// What `shaleyard plan --json` prints is read by programs.
+func TestKeysOfPlan(t *testing.T) {
+	wantGolden(t, "plan-json.keys", keyList(typeKeys(reflect.TypeFor[[]siteplan.Plan](), "json", "")))
+}
+
+// fullEdgeConfig holds every key of EDGE_CONFIG outside the settings, and those of the settings that sockets need.
+const fullEdgeConfig = `{"name":"n1","listen":"127.0.0.1:0","feed":"127.0.0.1:1","operator":"127.0.0.1:2","seed":"1f",
+ "limits":{"cores":1.5,"memory_mb":192,"sockets":200},
+ "known":{"n":1,"events":[{"n":1,"members":{"index":1,"snapshot":true,"endpoints":[]}}]},
+ "settings":{"dcs":["here"],"kinds":["edge"],"services":[{"name":"media"}],
+   "ceilings":{"connectTimeout":1300000000,"keepalive":8000000000,"streamsPerConn":17}}}`
+
+// edgeConfigKeys are those keys.
+var edgeConfigKeys = []string{"name", "listen", "feed", "operator", "seed", "limits", "limits.cores", "limits.memory_mb",
+	"limits.sockets", "known", "known.n", "known.events", "settings", "settings.ceilings.connectTimeout",
+	"settings.ceilings.keepalive", "settings.ceilings.streamsPerConn"}
+
+// changedDocument is fullEdgeConfig with the value of a key changed, or without the key where the value is nil.
+func changedDocument(t *testing.T, key string, value any) []byte {
+	t.Helper()
+	document := decodeJSON(t, []byte(fullEdgeConfig))
+	inner, names := document, strings.Split(key, ".")
+	for _, name := range names[:len(names)-1] {
+		inner = inner.(map[string]any)[name]
+	}
+	last := names[len(names)-1]
+	if _, ok := inner.(map[string]any)[last]; !ok {
+		t.Fatalf("the document has no key %s", key)
+	}
+	if value == nil {
+		delete(inner.(map[string]any), last)
+	} else {
+		inner.(map[string]any)[last] = value
+	}
+	text, err := json.Marshal(document)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return text
+}
+
+// Each key of EDGE_CONFIG has its effect: without it the configuration is another or none, and where its value has a
+// wrong type the error spells it.
+func TestKeysOfEdgeConfig(t *testing.T) {
+	full, err := config.Parse([]byte(fullEdgeConfig), 1024)
+	if err != nil {
+		t.Fatal(err)
+	}
+	limits := &full.Limits
+	got := fmt.Sprintln(full.Name, full.Listen, full.Feed, full.Operator, full.Seed, full.Known.N, len(full.Known.Events),
+		limits.Cores, limits.MemoryBytes, limits.Descriptors, limits.ConnectTimeout, limits.PeerIdle, limits.StreamsPerConn)
+	if want := "n1 127.0.0.1:0 127.0.0.1:1 127.0.0.1:2 31 1 1 1.5 150994944 200 1.3s 6s 17\n"; got != want {
+		t.Errorf("read as %s, want %s", got, want)
+	}
+	for _, key := range edgeConfigKeys {
+		without, err := config.Parse(changedDocument(t, key, nil), 1024)
+		if err == nil && reflect.DeepEqual(without, full) {
+			t.Errorf("without %s the configuration is the same", key)
+		}
+		var wrong any = []any{}
+		if key == "known.events" {
+			wrong = map[string]any{}
+		}
+		_, err = config.Parse(changedDocument(t, key, wrong), 1024)
+		spelt := strings.TrimPrefix(key, "settings.")
+		if err == nil || !strings.Contains(err.Error(), spelt) {
+			t.Errorf("%s of a wrong type: %v, want an error that spells it", key, err)
+		}
+	}
+	if diff := cmp.Diff("events[] any\nn number\n", keyList(typeKeys(reflect.TypeFor[config.Known](), "json", ""))); diff != "" {
+		t.Errorf("known (-want +got):\n%s", diff)
+	}
+}
+
+// Each key of the control feed's events, which EDGE_CONFIG's known.events holds, too, is spelt by the error on a value of
+// a wrong type.
+func TestKeysOfControlFeed(t *testing.T) {
+	file := filepath.Join(t.TempDir(), "config.json")
+	for key, event := range map[string]string{
+		"n":                          `{"n":[]}`,
+		"members":                    `{"n":1,"members":[]}`,
+		"members.index":              `{"n":1,"members":{"index":[]}}`,
+		"members.snapshot":           `{"n":1,"members":{"snapshot":[]}}`,
+		"members.endpoints":          `{"n":1,"members":{"endpoints":{}}}`,
+		"members.endpoints.name":     `{"n":1,"members":{"endpoints":[{"name":[]}]}}`,
+		"members.endpoints.address":  `{"n":1,"members":{"endpoints":[{"address":[]}]}}`,
+		"members.endpoints.zone":     `{"n":1,"members":{"endpoints":[{"zone":[]}]}}`,
+		"members.endpoints.type":     `{"n":1,"members":{"endpoints":[{"type":[]}]}}`,
+		"members.endpoints.group":    `{"n":1,"members":{"endpoints":[{"group":[]}]}}`,
+		"members.endpoints.status":   `{"n":1,"members":{"endpoints":[{"status":[]}]}}`,
+		"members.endpoints.weight":   `{"n":1,"members":{"endpoints":[{"weight":[]}]}}`,
+		"members.endpoints.since_ms": `{"n":1,"members":{"endpoints":[{"since_ms":[]}]}}`,
+		"purge":                      `{"n":1,"purge":[]}`,
+		"purge.key":                  `{"n":1,"purge":{"key":[]}}`,
+		"purge.group":                `{"n":1,"purge":{"group":[]}}`,
+		"purge.at":                   `{"n":1,"purge":{"at":[]}}`,
+	} {
+		text := fmt.Sprintf(`{"settings":%s,"known":{"n":1,"events":[%s]}}`, fullSettings, event)
+		if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
+			t.Fatal(err)
+		}
+		_, _, err := siteOf(file)
+		var wrongType *json.UnmarshalTypeError
+		if !errors.As(err, &wrongType) || wrongType.Field != key {
+			t.Errorf("%s of a wrong type: %v, want an error that spells it", key, err)
+		}
+	}
+}
--- /dev/null
+++ b/cmd/simhost/golden_test.go
@@ -0,0 +1,292 @@
+package main
+
+import (
+	"encoding/json"
+	"flag"
+	"fmt"
+	"os"
+	"runtime"
+	"slices"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+)
+
+// The golden test plays seeded event sequences through serve, in the bytes of the simulator's protocol alone, and
+// compares a hash of each sequence's replies with testdata/golden/router.txt. A change that leaves the decisions alone
+// leaves every hash alone. Texts of log actions are counted but not hashed, as they may change.
+
+var updateGolden = flag.Bool("update", false, "write testdata/golden/router.txt")
+
+const (
+	goldenFile       = "testdata/golden/router.txt"
+	seedsPerFamily   = 10
+	mostDifferences  = 10 // sequences that a failure prints
+	baseSettingsText = `{
+	"balancers": 3, "quantum": 2000000, "registryMode": "automatic", "weights": "nominal", "zone": 2, "me": 0,
+	"dcs": ["hub-a", "hub-b", "here", "there"], "kinds": ["edge", "parent", "origin"],
+	"services": [
+		{"name": "big", "aim": 500000000, "aimStretch": 1.5, "deadline": 4000000000, "worth": 2, "lateWorth": 0.25,
+			"effect": "read_like", "group": "all"},
+		{"name": "small", "aim": 250000000, "aimStretch": 1, "deadline": 2000000000, "worth": 1,
+			"effect": "read_like", "group": "all"},
+		{"name": "zoned", "aim": 400000000, "deadline": 2000000000, "worth": 3, "effect": "idempotency_key",
+			"group": "zone", "dedupWindow": 1000000000},
+		{"name": "unsafe", "aim": 400000000, "deadline": 2000000000, "worth": 3, "effect": "non_idempotent"},
+		{"name": "celled", "aim": 300000000, "deadline": 1500000000, "worth": 1, "effect": "idempotency_key",
+			"group": "cell", "dedupWindow": 600000000},
+		{"name": "keyed", "aim": 300000000, "deadline": 1500000000, "worth": 1, "effect": "idempotency_key",
+			"group": "all", "dedupWindow": 800000000}],
+	"ceilings": {"cancel": true, "maxAttempts": 5, "maxRetryAfter": 500000000},
+	"report": {"fields": [], "via": "off"},
+	"familyInfo": {"bypassAllowed": true, "classFresh": [0, 8000000000, 0, 0, 0, 0],
+		"staleFor": [0, 10000000000, 0, 0, 0, 0], "staleEarns": [1, 0.5, 1, 1, 1, 1],
+		"passOn": [false, false, false, true, false, true], "flowKbPerS": 4000, "transitPrice": 0.06,
+		"feedKbPerS": [0, 0, 90000, 60000], "mergesFills": true, "masterKind": 2, "secondTierKind": 1,
+		"parentColdFrom": 0.1, "parentRamp": 15000000000, "parentFallMultiple": 2, "purgeTakes": 6000000000,
+		"purgeSlack": 300000000, "lateral": "location", "notesGiven": "all", "seatsByZone": [0, 0, 2, 1],
+		"hubByZone": [0, 1, 0, 1]},
+	"guarantees": {"askWithin": 10000000000, "cold": 12000000000, "coldFrom": 0.2, "drainGrace": 1000000000,
+		"fall": 1000000000, "graceToAnswer": 8000000, "tipMultiple": 3}}`
+)
+
+// override sets one key of the settings, named by its path.
+type override struct {
+	path  string
+	value any
+}
+
+// goldenFamily is a set of sequences with like settings.
+type goldenFamily struct {
+	name      string
+	overrides []override
+	faults    []string // drawn from for each sequence; empty: all kinds
+	options   worldOptions
+}
+
+var goldenFamilies = []goldenFamily{
+	{name: "plain"},
+	{name: "calm", faults: []string{"burst", "relist"}},
+	{name: "notes-hit", overrides: []override{{"familyInfo.notesGiven", "hit"}}},
+	{name: "notes-off", overrides: []override{{"familyInfo.notesGiven", "off"}}},
+	{name: "second-copies", overrides: []override{{"ceilings.secondCopies", true}},
+		faults: []string{"hang", "hang", "slow", "crash", "lose-answers"}},
+	{name: "second-copies-notes-off", overrides: []override{{"ceilings.secondCopies", true},
+		{"familyInfo.notesGiven", "off"}}, faults: []string{"hang", "lose-answers", "origin-slow", "burst"}},
+	{name: "no-cancel", overrides: []override{{"ceilings.cancel", false}}},
+	{name: "retry-after", overrides: []override{{"ceilings.retryAfter", true}},
+		faults: []string{"refuse", "burst", "lose-own-site", "origin-fails"}},
+	{name: "peers", overrides: []override{{"ceilings.peerMessages", true}, {"familyInfo.lateral", "any"}},
+		faults: []string{"lose-hubs", "lose-hubs", "purge", "crash"}, options: worldOptions{peerZones: true}},
+	{name: "peers-of-one-zone", overrides: []override{{"ceilings.peerMessages", true}, {"familyInfo.lateral", "any"}},
+		faults: []string{"lose-hubs", "restart-router", "crash"}},
+	{name: "lateral-off", overrides: []override{{"familyInfo.lateral", "off"}}},
+	{name: "lateral-any", overrides: []override{{"familyInfo.lateral", "any"}}},
+	{name: "reports-inline", overrides: []override{{"report.via", "inline"},
+		{"report.fields", []string{"load", "queue", "pace", "hits"}}}, options: worldOptions{reportFields: 4}},
+	{name: "reports-on-probe", overrides: []override{{"report.via", "on_probe"}, {"ceilings.probes", true},
+		{"report.fields", []string{"load"}}}, options: worldOptions{reportFields: 1}},
+	{name: "weights-rough", overrides: []override{{"weights", "rough"}}, options: worldOptions{unevenWeights: true}},
+	{name: "weights-live", overrides: []override{{"weights", "live"}}, options: worldOptions{unevenWeights: true}},
+	{name: "weights-off", overrides: []override{{"weights", "off"}}},
+	{name: "separate-fills", overrides: []override{{"familyInfo.mergesFills", false}}},
+	{name: "separate-fills-crowded", overrides: []override{{"familyInfo.mergesFills", false}},
+		faults:  []string{"origin-slow", "origin-fails", "burst", "purge", "newcomer"},
+		options: worldOptions{crowded: true}},
+	{name: "no-parents", overrides: []override{{"familyInfo.secondTierKind", -1}},
+		options: worldOptions{withoutParents: true}},
+	{name: "no-parents-peers", overrides: []override{{"familyInfo.secondTierKind", -1}, {"ceilings.peerMessages", true},
+		{"familyInfo.lateral", "any"}}, options: worldOptions{withoutParents: true, peerZones: true}},
+	{name: "no-bypass", overrides: []override{{"familyInfo.bypassAllowed", false}}},
+	{name: "one-attempt", overrides: []override{{"ceilings.maxAttempts", 1}}},
+	{name: "two-attempts", overrides: []override{{"ceilings.maxAttempts", 2}, {"ceilings.retryAfter", true}}},
+	{name: "cold", faults: []string{"newcomer", "newcomer", "crash", "restart-zone", "burst"},
+		options: worldOptions{coldStart: true}},
+	{name: "cold-unsized", overrides: []override{{"weights", "off"}},
+		faults: []string{"newcomer", "newcomer", "crash", "restart-zone"}, options: worldOptions{coldStart: true}},
+	{name: "purges", faults: []string{"purge", "purge-group", "purge", "purge-group", "crash"}},
+	{name: "sites-lost", faults: []string{"lose-hubs", "lose-hub", "lose-own-site", "restart-zone", "delist-zone"}},
+	{name: "cut-off", overrides: []override{{"ceilings.retryAfter", true}},
+		faults: []string{"silence-all", "lose-own-site"}},
+	{name: "origin", faults: []string{"origin-slow", "origin-fails", "burst"}, options: worldOptions{crowded: true}},
+	{name: "stale", overrides: []override{{"familyInfo.classFresh", []int64{2e9, 3e9, 0, 0, 0, 0}},
+		{"familyInfo.staleFor", []int64{6e9, 9e9, 0, 0, 0, 0}}},
+		faults: []string{"origin-slow", "origin-fails", "purge", "burst"}, options: worldOptions{crowded: true}},
+	{name: "crowded", faults: []string{"burst", "refuse", "slow", "burst"}, options: worldOptions{crowded: true}},
+	{name: "subscribed", overrides: []override{{"registryMode", "subscribe"}},
+		faults: []string{"fail-list", "relist", "drain", "crash"}},
+	{name: "sizes-untold", overrides: []override{{"familyInfo.flowKbPerS", 0}}},
+	{name: "streaming", overrides: []override{{"services.0.streaming", true}, {"services.1.streaming", true}},
+		options: worldOptions{streams: true}},
+	{name: "lists-left-out", overrides: []override{{"familyInfo.classFresh", nil}, {"familyInfo.staleFor", nil},
+		{"familyInfo.staleEarns", nil}, {"familyInfo.passOn", nil}, {"familyInfo.hubByZone", nil},
+		{"familyInfo.feedKbPerS", nil}}},
+	{name: "tiles", overrides: []override{{"weights", "off"}, {"familyInfo.notesGiven", "hit"},
+		{"familyInfo.lateral", "off"}, {"services.0.aim", 350e6}, {"services.0.deadline", 1600e6},
+		{"guarantees.drainGrace", 800e6}, {"guarantees.fall", 1500e6}, {"guarantees.tipMultiple", 4},
+		{"balancers", 4}}},
+	{name: "all-allowed", overrides: []override{{"ceilings.secondCopies", true}, {"ceilings.retryAfter", true},
+		{"ceilings.peerMessages", true}, {"familyInfo.lateral", "any"}, {"report.via", "inline"},
+		{"report.fields", []string{"load", "queue"}}}, options: worldOptions{reportFields: 2, peerZones: true}},
+}
+
+// badSettings are refused at the start of an instance.
+var badSettings = []struct {
+	name      string
+	overrides []override
+}{
+	{"no-classes", []override{{"services", []any{}}}},
+	{"zone-unknown", []override{{"zone", 4}}},
+	{"no-attempts", []override{{"ceilings.maxAttempts", 0}}},
+	{"no-aim", []override{{"services.1.aim", 0}}},
+	{"no-deadline", []override{{"services.1.deadline", 0}}},
+	{"window-negative", []override{{"services.2.dedupWindow", -1}}},
+	{"fall-negative", []override{{"guarantees.fall", -1}}},
+	{"hub-unknown", []override{{"familyInfo.hubByZone", []int{0, 1, 9, 1}}}},
+	{"classes-missing", []override{{"familyInfo.classFresh", []int{0}}}},
+	{"fresh-negative", []override{{"familyInfo.classFresh", []int{0, -1, 0, 0, 0, 0}}}},
+	{"stale-negative", []override{{"familyInfo.staleFor", []int{0, -1, 0, 0, 0, 0}}}},
+	{"name-not-text", []override{{"weights", 7}}},
+}
+
+// settingsDocument is settings text that overrides can be laid over.
+type settingsDocument map[string]any
+
+func newSettingsDocument(overrides []override) settingsDocument {
+	var document settingsDocument
+	if err := json.Unmarshal([]byte(baseSettingsText), &document); err != nil {
+		panic(err)
+	}
+	for _, o := range overrides {
+		document.set(o)
+	}
+	return document
+}
+
+func (d settingsDocument) set(o override) {
+	keys := strings.Split(o.path, ".")
+	var at any = map[string]any(d)
+	for _, key := range keys[:len(keys)-1] {
+		switch node := at.(type) {
+		case map[string]any:
+			at = node[key]
+		case []any:
+			at = node[key[0]-'0']
+		}
+	}
+	object := at.(map[string]any)
+	last := keys[len(keys)-1]
+	if o.value == nil {
+		delete(object, last)
+		return
+	}
+	object[last] = o.value
+}
+
+func (d settingsDocument) text() []byte {
+	text, err := json.Marshal(d)
+	if err != nil {
+		panic(err)
+	}
+	return text
+}
+
+// goldenSequence is one line of the golden file.
+type goldenSequence struct {
+	name string
+	play func() (replyDigest, error)
+}
+
+func goldenSequences() (sequences []goldenSequence) {
+	for familyIndex, family := range goldenFamilies {
+		for n := range seedsPerFamily {
+			seed := uint64(1000*(familyIndex+1) + n)
+			sequences = append(sequences, goldenSequence{
+				name: fmt.Sprintf("%s/%d", family.name, n),
+				play: func() (replyDigest, error) { return playWorld(family, seed) },
+			})
+		}
+	}
+	for _, bad := range badSettings {
+		sequences = append(sequences, goldenSequence{
+			name: "settings/" + bad.name,
+			play: func() (replyDigest, error) { return playBadSettings(bad.overrides) },
+		})
+	}
+	return sequences
+}
+
+func TestGoldenRouter(t *testing.T) {
+	began := time.Now()
+	got := playAll(t, goldenSequences())
+	t.Logf("%d sequences in %v", len(got), time.Since(began).Round(time.Millisecond))
+	if *updateGolden {
+		if err := os.WriteFile(goldenFile, []byte(strings.Join(got, "\n")+"\n"), 0o644); err != nil {
+			t.Fatal(err)
+		}
+		return
+	}
+	text, err := os.ReadFile(goldenFile)
+	if err != nil {
+		t.Fatal(err)
+	}
+	want := strings.Split(strings.TrimSuffix(string(text), "\n"), "\n")
+	if len(got) != len(want) {
+		t.Errorf("%d sequences, the file has %d", len(got), len(want))
+	}
+	differences := 0
+	for i := range min(len(got), len(want)) {
+		if got[i] == want[i] {
+			continue
+		}
+		if differences++; differences <= mostDifferences {
+			t.Errorf("got  %s\nwant %s", got[i], want[i])
+		}
+	}
+	if differences > 0 {
+		t.Errorf("%d of %d sequences differ", differences, len(want))
+	}
+}
+
+// playAll plays the sequences, several at once, and returns their lines in order.
+func playAll(t *testing.T, sequences []goldenSequence) []string {
+	t.Helper()
+	lines := make([]string, len(sequences))
+	failures := make([]error, len(sequences))
+	indices := make(chan int)
+	var workers sync.WaitGroup
+	for range min(4, runtime.GOMAXPROCS(0)) {
+		workers.Go(func() {
+			for i := range indices {
+				digest, err := sequences[i].play()
+				lines[i], failures[i] = sequences[i].name+" "+digest.String(), err
+			}
+		})
+	}
+	for i := range sequences {
+		indices <- i
+	}
+	close(indices)
+	workers.Wait()
+	for i, err := range failures {
+		if err != nil {
+			t.Errorf("%s: %v", sequences[i].name, err)
+		}
+	}
+	if t.Failed() {
+		t.FailNow()
+	}
+	return lines
+}
+
+func TestGoldenNamesAreUnique(t *testing.T) {
+	var names []string
+	for _, s := range goldenSequences() {
+		names = append(names, s.name)
+	}
+	slices.Sort(names)
+	if unique := slices.Compact(slices.Clone(names)); len(unique) != len(names) {
+		t.Errorf("%d names, %d of them different", len(names), len(unique))
+	}
+}
--- /dev/null
+++ b/cmd/simhost/golden_wire_test.go
@@ -0,0 +1,259 @@
+package main
+
+import (
+	"crypto/sha256"
+	"encoding/binary"
+	"errors"
+	"fmt"
+	"hash"
+	"io"
+	"math"
+)
+
+// Codes of the simulator's protocol, as its pages give them. They stand here a second time on purpose: the golden test
+// must notice when the program's own change.
+const (
+	eventRequest     = 16
+	eventAnswer      = 17
+	eventStarted     = 18
+	eventExpired     = 19
+	eventTimer       = 20
+	eventMembers     = 21
+	eventKilled      = 22
+	eventPeerMessage = 23
+	eventMemberBank  = 24
+	eventPurge       = 25
+	eventProbeResult = 26
+	eventBorn        = 27
+
+	actionForward     = 16
+	actionSetTimer    = 17
+	actionSnapshot    = 18
+	actionLog         = 19
+	actionCancel      = 20
+	actionFetch       = 21
+	actionSubscribe   = 22
+	actionFail        = 23
+	actionProbe       = 24
+	actionPeerMessage = 25
+	actionCrash       = 26
+	actionCloseIdle   = 27
+	actionRefuse      = 28
+
+	resultOK            = 100
+	resultMiss          = 101
+	resultErrored       = 301
+	resultRefused       = 302
+	resultTimedOut      = 303
+	resultConnectFailed = 304
+	resultReset         = 305
+	resultCancelled     = 306
+	resultAbandoned     = 307
+
+	noteNone            = 0
+	noteHit             = 1
+	noteFilled          = 2
+	noteFilledByOrigin  = 3
+	noteJoined          = 4
+	noteStale           = 5
+	noteSourceRefused   = 6
+	noteSourceUnreached = 7
+	noteSourceLacks     = 8
+	noteNoFillSlot      = 9
+	noteOriginFailed    = 10
+
+	listChanges = 0
+	listFull    = 1
+	listCached  = 2
+	listFailed  = 3
+
+	memberDraining = 0
+	memberGone     = 1
+	memberReady    = 2
+
+	flagRepeat = 2
+	flagWrite  = 4
+
+	fetchOnlyHeldBySource = 2
+	fetchRenew            = 8
+
+	everyPeer = math.MaxUint32
+)
+
+// hostAddress is an address and port, six bytes on the wire.
+type hostAddress uint64
+
+// appendFields appends values in their wire form.
+func appendFields(b []byte, fields ...any) []byte {
+	for _, field := range fields {
+		switch v := field.(type) {
+		case uint8:
+			b = append(b, v)
+		case uint16:
+			b = binary.BigEndian.AppendUint16(b, v)
+		case uint32:
+			b = binary.BigEndian.AppendUint32(b, v)
+		case uint64:
+			b = binary.BigEndian.AppendUint64(b, v)
+		case int64:
+			b = binary.BigEndian.AppendUint64(b, uint64(v))
+		case float32:
+			b = binary.BigEndian.AppendUint32(b, math.Float32bits(v))
+		case hostAddress:
+			b = binary.BigEndian.AppendUint16(b, uint16(v>>32))
+			b = binary.BigEndian.AppendUint32(b, uint32(v))
+		case []byte:
+			b = append(b, v...)
+		default:
+			panic(fmt.Sprintf("no wire form for %T", field))
+		}
+	}
+	return b
+}
+
+// batchBuilder collects the records of one batch.
+type batchBuilder struct {
+	body  []byte
+	count uint32
+}
+
+func (b *batchBuilder) add(code byte, fields ...any) {
+	start := len(b.body)
+	b.body = append(b.body, code, 0, 0, 0, 0)
+	b.body = appendFields(b.body, fields...)
+	binary.BigEndian.PutUint32(b.body[start+1:], uint32(len(b.body)-start-5))
+	b.count++
+}
+
+// take returns the batch's bytes and starts the next one.
+func (b *batchBuilder) take(number uint32, clock int64) []byte {
+	batch := appendFields(nil, number, b.count, uint32(len(b.body)), clock, b.body)
+	b.body, b.count = b.body[:0], 0
+	return batch
+}
+
+// replyAction is one action of a reply. Its body begins behind the instance.
+type replyAction struct {
+	code     byte
+	instance uint16
+	body     []byte
+}
+
+// unsigned takes a number of some bytes off the body.
+func (a *replyAction) unsigned(size int) (v uint64) {
+	for _, octet := range a.body[:size] {
+		v = v<<8 | uint64(octet)
+	}
+	a.body = a.body[size:]
+	return v
+}
+
+func (a *replyAction) requestID() uint32    { return uint32(a.unsigned(4)) }
+func (a *replyAction) nanoseconds() int64   { return int64(a.unsigned(8)) }
+func (a *replyAction) host() hostAddress    { return hostAddress(a.unsigned(6)) }
+func (a *replyAction) text() []byte         { return a.body[2 : 2+a.unsignedAt(0)] }
+func (a *replyAction) unsignedAt(i int) int { return int(binary.BigEndian.Uint16(a.body[i:])) }
+
+// replyDigest sums up all replies of a sequence.
+type replyDigest struct {
+	actions, logs, crashes int
+	hash                   hash.Hash
+}
+
+func newReplyDigest() replyDigest { return replyDigest{hash: sha256.New()} }
+
+func (d replyDigest) String() string {
+	if d.hash == nil {
+		return "not played"
+	}
+	return fmt.Sprintf("actions=%d logs=%d crashes=%d sha256=%x", d.actions, d.logs, d.crashes, d.hash.Sum(nil)[:12])
+}
+
+// add takes in one action. Of texts meant for people only the place counts.
+func (d *replyDigest) add(a replyAction, whole []byte) {
+	d.actions++
+	switch a.code {
+	case actionLog:
+		d.logs++
+	case actionCrash:
+		d.crashes++
+	default:
+		d.hash.Write(whole)
+		return
+	}
+	d.hash.Write(appendFields(nil, a.code, a.instance))
+}
+
+// routerProcess is a running serve.
+type routerProcess struct {
+	input  *io.PipeWriter
+	output *io.PipeReader
+	number uint32
+	digest replyDigest
+}
+
+func startRouterProcess() *routerProcess {
+	inputReader, inputWriter := io.Pipe()
+	outputReader, outputWriter := io.Pipe()
+	go func() {
+		err := serve(inputReader, outputWriter)
+		inputReader.CloseWithError(errors.New("serve has returned"))
+		outputWriter.CloseWithError(err)
+	}()
+	return &routerProcess{input: inputWriter, output: outputReader, digest: newReplyDigest()}
+}
+
+// stop ends the input and waits for serve to return.
+func (p *routerProcess) stop() error {
+	p.input.Close()
+	rest, err := io.ReadAll(p.output)
+	if err == nil && len(rest) > 0 {
+		err = fmt.Errorf("%d bytes behind the last reply", len(rest))
+	}
+	return err
+}
+
+// exchange sends a batch and returns the actions of its reply.
+func (p *routerProcess) exchange(b *batchBuilder, clock int64) ([]replyAction, error) {
+	p.number++
+	if _, err := p.input.Write(b.take(p.number, clock)); err != nil {
+		return nil, err
+	}
+	var header [8]byte
+	if _, err := io.ReadFull(p.output, header[:]); err != nil {
+		return nil, fmt.Errorf("header of reply %d: %w", p.number, err)
+	}
+	if number := binary.BigEndian.Uint32(header[:]); number != p.number {
+		return nil, fmt.Errorf("reply %d to batch %d", number, p.number)
+	}
+	body := make([]byte, binary.BigEndian.Uint32(header[4:]))
+	if _, err := io.ReadFull(p.output, body); err != nil {
+		return nil, fmt.Errorf("reply %d: %w", p.number, err)
+	}
+	p.digest.hash.Write(header[:4])
+	var actions []replyAction
+	for len(body) > 0 {
+		end := 5 + int(binary.BigEndian.Uint32(body[1:]))
+		action := replyAction{code: body[0], instance: binary.BigEndian.Uint16(body[5:]), body: body[7:end]}
+		p.digest.add(action, body[:end])
+		actions = append(actions, action)
+		body = body[end:]
+	}
+	return actions, nil
+}
+
+// playBadSettings starts an instance with settings that can't work, and gives it a timer.
+func playBadSettings(overrides []override) (replyDigest, error) {
+	process := startRouterProcess()
+	var batch batchBuilder
+	text := newSettingsDocument(overrides).text()
+	batch.add(eventBorn, uint16(7), uint64(1), uint32(len(text)), text)
+	batch.add(eventTimer, uint16(7), uint64(0))
+	if _, err := process.exchange(&batch, 1e9); err != nil {
+		return process.digest, err
+	}
+	if process.digest.crashes != 1 {
+		return process.digest, errors.New("the settings were taken")
+	}
+	return process.digest, process.stop()
+}
--- /dev/null
+++ b/internal/clients/golden_test.go
@@ -0,0 +1,400 @@
+package clients
+
+import (
+	"bytes"
+	"crypto/sha256"
+	"encoding/binary"
+	"encoding/hex"
+	"flag"
+	"fmt"
+	"math"
+	"os"
+	"path/filepath"
+	"slices"
+	"strconv"
+	"strings"
+	"testing"
+	"time"
+
+	"shaleyard/internal/buffer"
+	"shaleyard/internal/config"
+	"shaleyard/internal/director"
+	"shaleyard/rules"
+)
+
+// The golden files hold the client protocol as this package speaks it: the bytes of every kind of answer, and what is made
+// of every form of a message that clients may send, malformed ones included. They name things as the protocol does, so that
+// no Go name can change them.
+
+var updateGolden = flag.Bool("update", false, "write the golden files of the client protocol")
+
+// checkGolden compares text with a golden file, or writes the file under -update.
+func checkGolden(t *testing.T, name, text string) {
+	t.Helper()
+	path := filepath.Join("testdata", "golden", name)
+	if *updateGolden {
+		if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
+			t.Fatal(err)
+		}
+		if err := os.WriteFile(path, []byte(text), 0o644); err != nil {
+			t.Fatal(err)
+		}
+		return
+	}
+	want, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if text == string(want) {
+		return
+	}
+	gotLines, wantLines := strings.Split(text, "\n"), strings.Split(string(want), "\n")
+	for i := range min(len(gotLines), len(wantLines)) {
+		if gotLines[i] != wantLines[i] {
+			t.Fatalf("%s:%d differs:\n got %s\nwant %s", path, i+1, gotLines[i], wantLines[i])
+		}
+	}
+	t.Fatalf("%s: %d lines, want %d", path, len(gotLines), len(wantLines))
+}
+
+// goldenTranscript collects what happens as lines of text.
+type goldenTranscript struct{ strings.Builder }
+
+func (g *goldenTranscript) line(format string, args ...any) { fmt.Fprintf(g, format+"\n", args...) }
+
+// goldenBytes is the hexadecimal form of bytes; long ones are shortened to their ends and a digest.
+func goldenBytes(b []byte) string {
+	const longest, end = 1024, 64
+	if len(b) <= longest {
+		return hex.EncodeToString(b)
+	}
+	return fmt.Sprintf("%x..%x length=%d sha256=%x", b[:end], b[len(b)-end:], len(b), sha256.Sum256(b))
+}
+
+// goldenSocket is a connection that writes down what it is told to do.
+type goldenSocket struct{ transcript *goldenTranscript }
+
+func (s *goldenSocket) Writev(pieces [][]byte) (int, error) {
+	whole := bytes.Join(pieces, nil)
+	s.transcript.line("  sent %s", goldenBytes(whole))
+	return len(whole), nil
+}
+
+func (s *goldenSocket) OutboundBuffered() int { return 0 }
+func (s *goldenSocket) Unacknowledged() int   { return 0 }
+
+func (s *goldenSocket) CloseWrite() error {
+	s.transcript.line("  half-closed")
+	return nil
+}
+
+func (s *goldenSocket) Close() error {
+	s.transcript.line("  closed")
+	return nil
+}
+
+// goldenHandler writes down the requests that it is handed, and keeps them for an answer.
+type goldenHandler struct {
+	transcript *goldenTranscript
+	full       bool
+	repliers   []director.Replier
+	tokens     []uint64
+	ending     bool              // the connection ends: what is given up with it comes in any order
+	givenUp    []director.Handle // while it does
+}
+
+func (h *goldenHandler) Submit(q director.Request, r director.Replier, token uint64) (director.Handle, bool) {
+	if h.full {
+		return 0, false
+	}
+	var body []byte
+	for _, segment := range q.Body.Segments(nil) {
+		body = append(body, segment...)
+	}
+	h.transcript.line("  request seqid=%d service=%q class=%d ref=%q lookup=%q as-number=%016x chunk=%q as-number=%d tag=%d "+
+		"room=%s known=%q replay=%q allow=%dms body=%s", int32(uint32(token)), q.Service, q.Class, q.Ref, q.Object, q.Key, q.Part,
+		q.PartNo, q.Group, strconv.FormatFloat(q.SizeKB, 'g', -1, 64), q.Known, q.IdempotencyKey,
+		q.Allow/time.Millisecond, goldenBytes(body))
+	q.Body.Release()
+	h.repliers, h.tokens = append(h.repliers, r), append(h.tokens, token)
+	return director.Handle(len(h.tokens)), true
+}
+
+func (h *goldenHandler) Withdraw(request director.Handle) {
+	if h.ending {
+		h.givenUp = append(h.givenUp, request)
+		return
+	}
+	h.transcript.line("  given up: request %d", request)
+}
+
+func (h *goldenHandler) Curtail(request director.Handle, _ rules.Time) {
+	h.transcript.line("  shortened: request %d", request)
+}
+
+// goldenOptions are what differs between the servers of the cases.
+type goldenOptions struct {
+	buffers  int // in the pool, of 4096 bytes; 0: enough
+	notReady bool
+	full     bool          // no request is taken
+	cooldown time.Duration // of local rejections; 0: the settings allow none
+}
+
+// goldenConnection is a connection of a server of its own, the transcript of which begins with its name.
+type goldenConnection struct {
+	t          *testing.T
+	transcript goldenTranscript
+	handler    goldenHandler
+	server     *Server
+	connection *Session
+	pool       *buffer.Pool
+	timers     director.Agenda
+}
+
+func newGoldenConnection(t *testing.T, options goldenOptions) *goldenConnection {
+	t.Helper()
+	if options.buffers == 0 {
+		options.buffers = 200
+	}
+	g := &goldenConnection{t: t, pool: buffer.NewPool(4096, options.buffers)}
+	g.handler = goldenHandler{transcript: &g.transcript, full: options.full}
+	limits := &config.Limits{ClientConns: 4, ClientOpen: 3, RequestFrame: 60_000, RequestBody: 48_000, RequestFields: 16,
+		ClientBacklog: 1 << 20, TotalBacklog: 1 << 24, ClientIdle: 30 * time.Second, ClientMessage: 2 * time.Second,
+		ClientKeeps: 5 * time.Second, ClientLinger: time.Second, ClientLingers: 4, LingerBytes: 1 << 20,
+		FlushCheck: 10 * time.Millisecond, PartGrace: time.Second, ClientStuck: time.Second, LongestAllow: time.Minute,
+		RefuseFor: options.cooldown}
+	settings := &rules.Settings{Services: []rules.Class{{Name: "pages"}, {Name: "media"}}}
+	settings.Ceilings.RetryAfter, settings.Ceilings.MaxRetryAfter = options.cooldown > 0, time.Minute
+	g.server = NewServer(limits, settings, g.pool, &g.handler, &g.timers, func() rules.Time { return 1000 * time.Second })
+	g.server.Ready = func() bool { return !options.notReady }
+	g.server.Rejected = func(error) { g.transcript.line("  protocol error") }
+	g.connection = g.server.Accept(&goldenSocket{transcript: &g.transcript})
+	return g
+}
+
+// receive hands the stream over in pieces of a size.
+func (g *goldenConnection) receive(stream string, size int) {
+	g.t.Helper()
+	for rest := []byte(stream); len(rest) > 0; {
+		n := min(size, len(rest))
+		if err := g.connection.Data(rest[:n]); err != nil {
+			g.transcript.line("  refused by the event loop's handler")
+		}
+		rest = rest[n:]
+	}
+}
+
+// reply answers a request, counted from 0 in the order in which they came, with a body or without (nil).
+func (g *goldenConnection) reply(request int, answer director.Answer, body []byte) {
+	g.t.Helper()
+	if body != nil {
+		chain := g.pool.Chain()
+		if err := chain.Append(body); err != nil {
+			g.t.Fatal(err)
+		}
+		defer chain.Release()
+		answer.Body = &chain
+	}
+	g.handler.repliers[request].Reply(g.handler.tokens[request], answer)
+}
+
+// end is the transcript, with what the connection's end adds to it.
+func (g *goldenConnection) end() string {
+	g.t.Helper()
+	g.transcript.line("  the client closes")
+	g.handler.ending = true
+	g.connection.Closed()
+	slices.Sort(g.handler.givenUp)
+	for _, request := range g.handler.givenUp {
+		g.transcript.line("  given up: request %d", request)
+	}
+	if n := g.pool.Lent(); n != 0 {
+		g.t.Errorf("%d buffers left in use", n)
+	}
+	return g.transcript.String()
+}
+
+// goldenFrame puts a payload into a frame.
+func goldenFrame(payload string) string {
+	return string(binary.BigEndian.AppendUint32(nil, uint32(len(payload)))) + payload
+}
+
+func goldenInt32(n int32) string { return string(binary.BigEndian.AppendUint32(nil, uint32(n))) }
+
+func goldenString(s string) string { return goldenInt32(int32(len(s))) + s }
+
+// goldenMessage is the payload of a message; arguments hold the fields of its struct, with the stop byte.
+func goldenMessage(kind byte, name string, seqid int32, arguments string) string {
+	return "\x80\x01\x00" + string([]byte{kind}) + goldenString(name) + goldenInt32(seqid) + arguments
+}
+
+// goldenMap is field 1 of submit, from names and values in turn.
+func goldenMap(words ...string) string {
+	var b strings.Builder
+	b.WriteString("\x0d\x00\x01\x0b\x0b" + goldenInt32(int32(len(words)/2)))
+	for _, word := range words {
+		b.WriteString(goldenString(word))
+	}
+	return b.String()
+}
+
+// goldenBody is field 2 of submit.
+func goldenBody(body string) string { return "\x0b\x00\x02" + goldenString(body) }
+
+// goldenFields are the fields of a request with some replaced, or left out where the value is "-".
+func goldenFields(changes ...string) []string {
+	fields := []string{"service", "media", "ref", "9b1f03aa5c7e2d41", "allow", "1500", "lookup", "7f3a9c21e0b4d655",
+		"chunk", "3", "tag", "17", "room", "412.5", "known", "4be0c1927d55a6f3", "replay", "5c0f6e1a2b3d4c59"}
+	for i := 0; i < len(changes); i += 2 {
+		for j := 0; j < len(fields); j += 2 {
+			if fields[j] != changes[i] {
+				continue
+			}
+			if changes[i+1] == "-" {
+				fields = append(fields[:j], fields[j+2:]...)
+			} else {
+				fields[j+1] = changes[i+1]
+			}
+			break
+		}
+	}
+	return fields
+}
+
+// goldenSubmit is the frame of a submit.
+func goldenSubmit(seqid int32, body string, fields ...string) string {
+	return goldenFrame(goldenMessage(1, "submit", seqid, goldenMap(fields...)+goldenBody(body)+"\x00"))
+}
+
+func goldenPattern(n int) []byte {
+	b := make([]byte, n)
+	for i := range b {
+		b[i] = byte(i*7 + i>>8)
+	}
+	return b
+}
+
+// TestGoldenAnswers compares the bytes of every kind of answer.
+func TestGoldenAnswers(t *testing.T) {
+	served := director.Answer{Verdict: director.Served}
+	same := director.Answer{Verdict: director.Served, Same: true}
+	failed := director.Answer{Verdict: director.Failed}
+	rejected := func(after time.Duration) director.Answer {
+		return director.Answer{Verdict: director.Refused, RetryAfter: after}
+	}
+	var all strings.Builder
+	for _, c := range []struct {
+		name   string
+		answer director.Answer
+		body   []byte
+	}{
+		{"served without a body", served, nil},
+		{"served, empty body", served, []byte{}},
+		{"served, one byte", served, []byte{0}},
+		{"served, body of a buffer", served, goldenPattern(4096)},
+		{"served, body of a buffer and a byte", served, goldenPattern(4097)},
+		{"served, body of several buffers", served, goldenPattern(10_000)},
+		{"served, the largest object", served, goldenPattern(240_000)},
+		{"served, binary body", served, []byte("\x00\xff\r\n\x80\x01\x00\x02")},
+		{"served from the client's copy", same, nil},
+		{"served from the client's copy, with a body that is not passed on", same, goldenPattern(300)},
+		{"rejected without cooldown", rejected(0), nil},
+		{"rejected, cooldown below zero", rejected(-time.Second), nil},
+		{"rejected, cooldown 1 ns", rejected(1), nil},
+		{"rejected, cooldown 1 ms", rejected(time.Millisecond), nil},
+		{"rejected, cooldown 1 ms and 1 ns", rejected(time.Millisecond + 1), nil},
+		{"rejected, cooldown 1.5 s", rejected(1500 * time.Millisecond), nil},
+		{"rejected, cooldown 1 h", rejected(time.Hour), nil},
+		{"failed", failed, nil},
+		{"failed, with a body that is not passed on", failed, goldenPattern(10)},
+		{"rejected, with a body that is not passed on", rejected(time.Second), goldenPattern(10)},
+	} {
+		for _, seqid := range []int32{1, 0x01020304, math.MaxInt32, -1, 0} {
+			g := newGoldenConnection(t, goldenOptions{})
+			g.transcript.line("%s, seqid %d", c.name, seqid)
+			g.receive(goldenSubmit(seqid, "", goldenFields()...), 1<<20)
+			g.reply(0, c.answer, c.body)
+			all.WriteString(g.end())
+		}
+	}
+	all.WriteString(goldenOrders(t))
+	all.WriteString(goldenHeartbeats(t))
+	all.WriteString(goldenLocalRejections(t))
+	checkGolden(t, "answers.txt", all.String())
+}
+
+// goldenOrders holds answers that come in another order than their requests, twice, or for nobody.
+func goldenOrders(t *testing.T) string {
+	t.Helper()
+	served := director.Answer{Verdict: director.Served}
+	g := newGoldenConnection(t, goldenOptions{})
+	g.transcript.line("answers in another order, one of them again, one behind its revoke, one behind the end")
+	for seqid := range int32(3) {
+		g.receive(goldenSubmit(seqid+1, "", goldenFields()...), 1<<20)
+	}
+	g.reply(2, served, []byte("third"))
+	g.reply(0, director.Answer{Verdict: director.Failed}, nil)
+	g.reply(0, served, []byte("first again"))
+	g.receive(goldenFrame(goldenMessage(4, "revoke", 9, "\x08\x00\x01"+goldenInt32(2)+"\x00")), 1<<20)
+	g.reply(1, served, []byte("revoked"))
+	g.receive(goldenSubmit(4, "", goldenFields()...), 1<<20)
+	text := g.end()
+	g.transcript.Reset()
+	g.reply(3, served, []byte("behind the end"))
+	return text + g.transcript.String()
+}
+
+func goldenHeartbeats(t *testing.T) string {
+	t.Helper()
+	var all strings.Builder
+	for _, notReady := range []bool{false, true} {
+		for _, arguments := range []string{"\x02\x00\x01\x00\x00", "\x02\x00\x01\x01\x00", "\x00", ""} {
+			for _, seqid := range []int32{1, 77, math.MaxInt32, -5} {
+				g := newGoldenConnection(t, goldenOptions{notReady: notReady})
+				g.transcript.line("heartbeat with arguments %x, seqid %d, ready %v", arguments, seqid, !notReady)
+				g.receive(goldenFrame(goldenMessage(1, "heartbeat", seqid, arguments)), 1<<20)
+				all.WriteString(g.end())
+			}
+		}
+	}
+	g := newGoldenConnection(t, goldenOptions{})
+	g.transcript.line("heartbeats as the state changes, one behind a graceful close")
+	heartbeat := func(seqid int32) { g.receive(goldenFrame(goldenMessage(1, "heartbeat", seqid, "\x00")), 1<<20) }
+	heartbeat(1)
+	g.server.Ready = func() bool { return false }
+	heartbeat(2)
+	g.server.Ready = func() bool { return true }
+	heartbeat(3)
+	g.server.Part()
+	heartbeat(4)
+	g.server.Stay()
+	all.WriteString(g.end())
+	return all.String()
+}
+
+// goldenLocalRejections holds the rejections of requests that were handed to nobody.
+func goldenLocalRejections(t *testing.T) string {
+	t.Helper()
+	var all strings.Builder
+	for _, cooldown := range []time.Duration{0, time.Millisecond, 700 * time.Millisecond, 2 * time.Minute} {
+		for _, c := range []struct {
+			name    string
+			options goldenOptions
+			body    string
+			count   int32
+		}{
+			{"too many open on the connection", goldenOptions{}, "", 4},
+			{"no request is taken", goldenOptions{full: true}, "body", 1},
+			{"no buffer for the body", goldenOptions{buffers: 1}, strings.Repeat("b", 5000), 1},
+		} {
+			c.options.cooldown = cooldown
+			g := newGoldenConnection(t, c.options)
+			g.transcript.line("%s, cooldown %d ms", c.name, cooldown/time.Millisecond)
+			for seqid := range c.count {
+				g.receive(goldenSubmit(seqid+1, c.body, goldenFields()...), 1<<20)
+			}
+			all.WriteString(g.end())
+		}
+	}
+	return all.String()
+}
