--- a/cmd/shaleyard/anyorder_test.go
+++ b/cmd/shaleyard/anyorder_test.go
@@ -20,7 +20,7 @@
 	"shaleyard/internal/loop"
 	"shaleyard/internal/nettest"
 	"shaleyard/internal/pacing"
-	"shaleyard/rules"
+	"shaleyard/routing"
 )
 
 // chaos is clients, director and caches put together without sockets, on a clock of its own, among peers that do
@@ -30,7 +30,7 @@
 	t      *testing.T
 	seed   uint64
 	rng    *rand.Rand
-	clock  rules.Time
+	clock  routing.Time
 	agenda director.Agenda
 	d      *director.Director
 	f      *caches.Fleet
@@ -42,10 +42,10 @@
 	clients []*clientEnd
 	closing []func() // closes that the loop carries out later
 	asked   map[string]*asked
-	states  map[string]rules.State
+	states  map[string]routing.State
 	single  bool // no second copies are allowed
 	held    bool
-	last    rules.Time // when all is to be answered; 0: it goes on
+	last    routing.Time // when all is to be answered; 0: it goes on
 	refs    int
 	served  int
 	log     []string
@@ -56,12 +56,12 @@
 	class   string
 	by      *clientEnd
 	seq     int32
-	due     rules.Time               // when an answer is owed at the latest
-	gone    bool                     // revoked, or its client has gone
-	over    bool                     // answered
-	mayRun  int                      // attempts that may have run
-	firstAt rules.Time               // when the first of those was written
-	out     map[*cacheEnd]rules.Time // attempts out, and until when: what calls them off takes its way
+	due     routing.Time               // when an answer is owed at the latest
+	gone    bool                       // revoked, or its client has gone
+	over    bool                       // answered
+	mayRun  int                        // attempts that may have run
+	firstAt routing.Time               // when the first of those was written
+	out     map[*cacheEnd]routing.Time // attempts out, and until when: what calls them off takes its way
 }
 
 type cacheEnd struct {
@@ -128,9 +128,9 @@
 		c.failf("%s was begun though its client had gone", ref)
 	case a.over:
 		c.failf("%s was begun though it was answered", ref)
-	case c.states[e.name] != rules.Ready:
+	case c.states[e.name] != routing.Ready:
 		c.failf("%s went to %s, which is %v", ref, e.name, c.states[e.name])
-	case up != "" && c.states[up] != rules.Ready:
+	case up != "" && c.states[up] != routing.Ready:
 		c.failf("%s has source %s, which is %v", ref, up, c.states[up])
 	case a.class == "pay" && a.mayRun > 0:
 		c.failf("%s was sent again though it may have run", ref)
@@ -249,14 +249,14 @@
 
 func newChaos(t *testing.T, seed uint64) *chaos {
 	c := &chaos{t: t, seed: seed, rng: rand.New(rand.NewPCG(seed, 1)), clock: 1000 * time.Second,
-		pool: buffer.NewPool(1024, 512), asked: map[string]*asked{}, states: map[string]rules.State{}}
-	s := &rules.Settings{Balancers: 1, Zones: []string{"hub", "here"}, Zone: 1, Kinds: []string{"edge", "parent", "origin"},
-		Services: []rules.Class{{Name: "read", Aim: 300 * time.Millisecond, Deadline: 2 * time.Second, Effect: "read_like", Group: "all"},
+		pool: buffer.NewPool(1024, 512), asked: map[string]*asked{}, states: map[string]routing.State{}}
+	s := &routing.Settings{Balancers: 1, Zones: []string{"hub", "here"}, Zone: 1, Kinds: []string{"edge", "parent", "origin"},
+		Services: []routing.Class{{Name: "read", Aim: 300 * time.Millisecond, Deadline: 2 * time.Second, Effect: "read_like", Group: "all"},
 			{Name: "pay", Aim: 300 * time.Millisecond, Deadline: 2 * time.Second, Effect: "non_idempotent", Group: "all"},
 			{Name: "keyed", Aim: 300 * time.Millisecond, Deadline: 2 * time.Second, Effect: "idempotency_key", Group: "all",
 				DedupWindow: 700 * time.Millisecond}},
-		Ceilings: rules.Ceilings{Cancel: true, MaxAttempts: 6, SecondCopies: true, RetryAfter: true, MaxRetryAfter: 500 * time.Millisecond},
-		Family: rules.Tiers{PassOn: []bool{false, true, true}, MasterKind: 2, SecondTierKind: 1, NotesGiven: "all", Lateral: "location",
+		Ceilings: routing.Ceilings{Cancel: true, MaxAttempts: 6, SecondCopies: true, RetryAfter: true, MaxRetryAfter: 500 * time.Millisecond},
+		Family: routing.Tiers{PassOn: []bool{false, true, true}, MasterKind: 2, SecondTierKind: 1, NotesGiven: "all", Lateral: "location",
 			FlowKBPerS: 1000}}
 	l := &config.Limits{OpenRequests: 200, Overdue: 25 * time.Millisecond, ClientConns: 6, ClientOpen: 8, RequestFrame: 4096,
 		RequestBody: 1000, RequestFields: 16, ClientBacklog: 100_000, TotalBacklog: 1 << 20, ClientMessage: 2 * time.Second,
@@ -264,7 +264,7 @@
 		LingerBytes: 1 << 20, FlushCheck: 10 * time.Millisecond, PartGrace: 50 * time.Millisecond, LongestAllow: time.Minute,
 		PeerConns: 16, DialRoom: 4, ConnsPerPeer: 3, StreamsPerConn: 4, ConnectTimeout: time.Second, PeerIdle: 3 * time.Second,
 		PeerKeepLeast: 50 * time.Millisecond, PeerSilence: time.Second, PeerGhost: 5 * time.Second, AnswerBody: 2000, AnswerFields: 500}
-	now := func() rules.Time { return c.clock }
+	now := func() routing.Time { return c.clock }
 	if c.single = seed%3 == 0; c.single {
 		s.Ceilings.SecondCopies = false
 	}
@@ -277,14 +277,14 @@
 	c.d.Admission = pacing.NewAdmission(seed)
 	c.s = clients.NewServer(l, s, c.pool, c.d, &c.agenda, now)
 	for _, n := range []string{"c1", "c2", "c3", "p1", "o"} {
-		c.list(n, rules.Ready, 0)
+		c.list(n, routing.Ready, 0)
 	}
 	return c
 }
 
 // list tells of a member.
-func (c *chaos) list(name string, state rules.State, started rules.Time) {
-	m := director.Member{Name: name, Address: "at-" + name, Member: rules.Member{Zone: 1, State: state, Weight: 8, Started: started}}
+func (c *chaos) list(name string, state routing.State, started routing.Time) {
+	m := director.Member{Name: name, Address: "at-" + name, Member: routing.Member{Zone: 1, State: state, Weight: 8, Started: started}}
 	switch name[0] {
 	case 'p':
 		m.Zone, m.Kind = 0, 1
@@ -360,9 +360,9 @@
 	case n < 72 && hasEnd:
 		c.answer(end)
 	case n < 75:
-		c.list([]string{"c1", "c2", "c3", "p1"}[c.rng.IntN(4)], []rules.State{rules.Draining, rules.Gone, rules.Ready, rules.Ready}[c.rng.IntN(4)], 0)
+		c.list([]string{"c1", "c2", "c3", "p1"}[c.rng.IntN(4)], []routing.State{routing.Draining, routing.Gone, routing.Ready, routing.Ready}[c.rng.IntN(4)], 0)
 	case n < 76:
-		c.list([]string{"c1", "c2", "c3", "p1"}[c.rng.IntN(4)], rules.Ready, c.clock)
+		c.list([]string{"c1", "c2", "c3", "p1"}[c.rng.IntN(4)], routing.Ready, c.clock)
 	case n < 77:
 		c.d.Purge(director.Purge{Object: uint64(1 + c.rng.IntN(20)), Made: c.clock})
 	case n < 78 && !c.held:
@@ -414,7 +414,7 @@
 	e.seq++
 	ref, class := fmt.Sprintf("%016x", c.refs), []string{"read", "read", "pay", "keyed"}[c.rng.IntN(4)]
 	allow := 100 + c.rng.IntN(1900)
-	a := &asked{out: map[*cacheEnd]rules.Time{}, class: class, by: e, seq: e.seq, due: c.clock + time.Duration(allow)*time.Millisecond + 30*time.Millisecond}
+	a := &asked{out: map[*cacheEnd]routing.Time{}, class: class, by: e, seq: e.seq, due: c.clock + time.Duration(allow)*time.Millisecond + 30*time.Millisecond}
 	if c.last != 0 {
 		a.due = max(min(a.due, c.last+30*time.Millisecond), c.clock+time.Millisecond)
 	}
--- a/cmd/shaleyard/interface_test.go
+++ b/cmd/shaleyard/interface_test.go
@@ -17,7 +17,7 @@
 
 	"shaleyard/internal/config"
 	"shaleyard/internal/siteplan"
-	"shaleyard/rules"
+	"shaleyard/routing"
 )
 
 // The tests of this file and of interface_process_test.go hold the names that other programs and operators rely on:
@@ -147,14 +147,14 @@
 
 // The settings have exactly the keys of the golden list: by their tags, in a document with all of them, and written again.
 func TestKeysOfSettings(t *testing.T) {
-	keys := keyList(typeKeys(reflect.TypeFor[rules.Settings](), "json", ""))
+	keys := keyList(typeKeys(reflect.TypeFor[routing.Settings](), "json", ""))
 	wantGolden(t, "settings.keys", keys)
 	document := decodeJSON(t, []byte(fullSettings))
 	if diff := cmp.Diff(keys, keyList(documentKeys(document, ""))); diff != "" {
 		t.Errorf("keys of the document (-by tags +document):\n%s", diff)
 	}
 
-	var settings rules.Settings
+	var settings routing.Settings
 	decoder := json.NewDecoder(strings.NewReader(fullSettings))
 	decoder.DisallowUnknownFields()
 	if err := decoder.Decode(&settings); err != nil {
--- a/cmd/shaleyard/life.go
+++ b/cmd/shaleyard/life.go
@@ -8,7 +8,7 @@
 	"shaleyard/internal/config"
 	"shaleyard/internal/lifecycle"
 	"shaleyard/internal/loop"
-	"shaleyard/rules"
+	"shaleyard/routing"
 )
 
 // spans are the times of drains and stops.
@@ -54,7 +54,7 @@
 // closed tells whether work is refused, and until when the client may as well stay away. It is where the process is being
 // emptied. And where what the list service has to tell is to be known first: until each director's own turn to call, so that
 // clients don't come back in step.
-func (p *program) closed() (until rules.Time, closed bool) {
+func (p *program) closed() (until routing.Time, closed bool) {
 	now := p.now()
 	if !p.life.Policy(now).TakeWork {
 		return now + p.limits.RefuseFor, true
--- a/cmd/shaleyard/plan.go
+++ b/cmd/shaleyard/plan.go
@@ -19,7 +19,7 @@
 	"shaleyard/internal/pacing"
 	"shaleyard/internal/siteplan"
 	"shaleyard/internal/strict"
-	"shaleyard/rules"
+	"shaleyard/routing"
 )
 
 // planCommand prints what is done when sites are lost, worked out from a director's configuration (or its settings
@@ -79,7 +79,7 @@
 	return nil
 }
 
-func newPlanner(s *rules.Settings, members []rules.Member, w siteplan.Wishes) (*siteplan.Planner, error) {
+func newPlanner(s *routing.Settings, members []routing.Member, w siteplan.Wishes) (*siteplan.Planner, error) {
 	t, err := siteplan.From(s, members, w)
 	if err != nil {
 		return nil, err
@@ -88,7 +88,7 @@
 }
 
 // siteOf reads the settings, and the servers that the configuration knows.
-func siteOf(path string) (*rules.Settings, []rules.Member, error) {
+func siteOf(path string) (*routing.Settings, []routing.Member, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return nil, nil, err
@@ -103,7 +103,7 @@
 	if len(whole.Settings) == 0 {
 		whole.Settings = text
 	}
-	s := &rules.Settings{}
+	s := &routing.Settings{}
 	if err := json.Unmarshal(whole.Settings, s); err != nil {
 		return nil, nil, fmt.Errorf("%s: settings: %w", path, err)
 	}
@@ -112,7 +112,7 @@
 	}
 	known := &listed{}
 	f := feed.New(&config.Limits{Members: 4096}, s, "", pacing.NewListCalls(pacing.ListBounds{Directors: 1, Call: time.Second,
-		Heed: 2 * time.Second, Late: 7 * time.Second}, 0), nil, known, &director.Agenda{}, func() rules.Time { return 0 }, zap.NewNop())
+		Heed: 2 * time.Second, Late: 7 * time.Second}, 0), nil, known, &director.Agenda{}, func() routing.Time { return 0 }, zap.NewNop())
 	if err := f.Replay(whole.Known); err != nil {
 		return nil, nil, fmt.Errorf("%s: known: %w", path, err)
 	}
@@ -134,7 +134,7 @@
 }
 
 // members are the servers as the decision module knows them.
-func (l *listed) members() (members []rules.Member) {
+func (l *listed) members() (members []routing.Member) {
 	for _, m := range l.list {
 		members = append(members, m.Member)
 	}
--- a/cmd/shaleyard/program.go
+++ b/cmd/shaleyard/program.go
@@ -22,7 +22,7 @@
 	"shaleyard/internal/pacing"
 	"shaleyard/internal/siteplan"
 	"shaleyard/internal/siteview"
-	"shaleyard/rules"
+	"shaleyard/routing"
 )
 
 // program is the parts, put together.
@@ -31,14 +31,14 @@
 	config   *config.Config
 	limits   *config.Limits
 	agenda   director.Agenda
-	now      func() rules.Time
+	now      func() routing.Time
 	pool     *buffer.Pool
 	director *director.Director
 	clients  *clients.Server
 	fleet    *caches.Fleet
 	feed     *feed.Follower
 	loop     *loop.Loop
-	started  rules.Time
+	started  routing.Time
 	life     *lifecycle.Machine
 	tending  director.Entry // the next look at what is left of a drain or a stop
 	admin    *admin.Server  // operators' calls; nil: none
@@ -52,7 +52,7 @@
 
 	longPause bool // the pause that is settling
 
-	rejectLogAt rules.Time // no line on a rejected connection before
+	rejectLogAt routing.Time // no line on a rejected connection before
 }
 
 func assemble(c *config.Config, wishes siteplan.Wishes, logger *zap.Logger) (*program, error) {
--- a/cmd/shaleyard/stories_test.go
+++ b/cmd/shaleyard/stories_test.go
@@ -20,7 +20,7 @@
 	"shaleyard/internal/lifecycle"
 	"shaleyard/internal/nettest"
 	"shaleyard/internal/siteplan"
-	"shaleyard/rules"
+	"shaleyard/routing"
 )
 
 // site is a program under test between scripted peers: a feed, a cache and the origin.
@@ -527,7 +527,7 @@
 
 func TestRejectionsAreLoggedSparingly(t *testing.T) {
 	var text strings.Builder
-	p := &program{log: newLogger(&text, "", "n1"), now: func() rules.Time { return time.Hour }} // a clock that stands
+	p := &program{log: newLogger(&text, "", "n1"), now: func() routing.Time { return time.Hour }} // a clock that stands
 	for range 100 {
 		p.reject(io.ErrUnexpectedEOF)
 	}
--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -13,7 +13,7 @@
 	"shaleyard/internal/siteplan"
 	"shaleyard/internal/siteview"
 	"shaleyard/internal/wire"
-	"shaleyard/rules"
+	"shaleyard/routing"
 )
 
 const bufferSize = 1 << 20
@@ -28,7 +28,7 @@
 // serve answers batches until the input ends.
 func serve(in io.Reader, out io.Writer) error {
 	batches := wire.NewReader(bufio.NewReaderSize(in, bufferSize))
-	routers := map[uint16]*rules.Router{}
+	routers := map[uint16]*routing.Router{}
 	var reply wire.Reply
 	for {
 		b, err := batches.Next()
@@ -53,17 +53,17 @@
 }
 
 // handle gives one event to its instance. A panic or unusable settings become a Crash.
-func handle(routers map[uint16]*rules.Router, now rules.Time, rec wire.Record) (actions []rules.Action) {
+func handle(routers map[uint16]*routing.Router, now routing.Time, rec wire.Record) (actions []routing.Action) {
 	defer func() {
 		if p := recover(); p != nil {
-			actions = []rules.Action{wire.Crash{Text: fmt.Sprint("panic: ", p)}}
+			actions = []routing.Action{wire.Crash{Text: fmt.Sprint("panic: ", p)}}
 		}
 	}()
 	switch e := rec.Event.(type) {
 	case wire.Born:
 		r, err := born(e)
 		if err != nil {
-			return []rules.Action{wire.Crash{Text: err.Error()}}
+			return []routing.Action{wire.Crash{Text: err.Error()}}
 		}
 		routers[rec.Instance] = r
 		return nil
@@ -77,12 +77,12 @@
 	return nil
 }
 
-func born(b wire.Born) (*rules.Router, error) {
-	var s rules.Settings
+func born(b wire.Born) (*routing.Router, error) {
+	var s routing.Settings
 	if err := json.Unmarshal(b.Settings, &s); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	r, err := rules.New(s, b.Seed)
+	r, err := routing.New(s, b.Seed)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/caches/answers.go
+++ b/internal/caches/answers.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"shaleyard/internal/director"
-	"shaleyard/rules"
+	"shaleyard/routing"
 )
 
 // What comes in: answers and load reports.
@@ -51,9 +51,9 @@
 	if err != nil {
 		f.Counters.BadAnswer++
 		a.body.Release()
-		e = director.Ending{Result: rules.Errored}
+		e = director.Ending{Result: routing.Errored}
 	}
-	if e.Result != rules.OK {
+	if e.Result != routing.OK {
 		c.ghost(k.id) // a request that was served does not come again
 	}
 	f.ender.Ended(k.h, e)
@@ -61,13 +61,13 @@
 }
 
 var (
-	words = map[string]rules.Result{"OK": rules.OK, "SAME": rules.OK, "MISS": rules.Miss,
-		"BUSY": rules.Refused, "ERR": rules.Errored, "VOID": rules.Moot}
-	notes = map[string]rules.Note{"HIT": rules.NoteHit, "MISS": rules.NoteFilled,
-		"MISS_ORIGIN": rules.NoteFilledByOrigin, "COLLAPSED": rules.NoteJoined, "STALE": rules.NoteStale,
-		"UP_BUSY": rules.NoteSourceRefused, "UP_DOWN": rules.NoteSourceUnreached,
-		"UP_MISS": rules.NoteSourceLacks, "NO_FILL": rules.NoteNoFillSlot,
-		"ORIGIN_ERR": rules.NoteOriginFailed}
+	words = map[string]routing.Result{"OK": routing.OK, "SAME": routing.OK, "MISS": routing.Miss,
+		"BUSY": routing.Refused, "ERR": routing.Errored, "VOID": routing.Moot}
+	notes = map[string]routing.Note{"HIT": routing.NoteHit, "MISS": routing.NoteFilled,
+		"MISS_ORIGIN": routing.NoteFilledByOrigin, "COLLAPSED": routing.NoteJoined, "STALE": routing.NoteStale,
+		"UP_BUSY": routing.NoteSourceRefused, "UP_DOWN": routing.NoteSourceUnreached,
+		"UP_MISS": routing.NoteSourceLacks, "NO_FILL": routing.NoteNoFillSlot,
+		"ORIGIN_ERR": routing.NoteOriginFailed}
 	// reportWords are the wire's words for load figures that the settings name otherwise.
 	reportWords = map[string]string{"active": "inflight", "waiting": "queue", "cpu": "util",
 		"avg_ms": "latency_ms", "rps": "qps", "err_rps": "eps"}
--- a/internal/caches/caches.go
+++ b/internal/caches/caches.go
@@ -14,7 +14,7 @@
 	"shaleyard/internal/director"
 	"shaleyard/internal/loop"
 	"shaleyard/internal/pacing"
-	"shaleyard/rules"
+	"shaleyard/routing"
 )
 
 // Ender takes the ends of attempts; it is the director.
@@ -42,10 +42,10 @@
 	dialer loop.Dialer
 	ender  Ender
 	agenda *director.Agenda
-	now    func() rules.Time
+	now    func() routing.Time
 	log    *zap.Logger
 	rng    *rand.Rand
-	peers  map[rules.Host]*peer
+	peers  map[routing.Host]*peer
 	calls  map[director.Handle]*call
 	conns  *director.Table[*conn]
 	idle   pacing.Idle // for how long an idle connection is used again
@@ -57,16 +57,16 @@
 
 // peer is a member under its name. A new one at an old address is another peer, with connections of its own.
 type peer struct {
-	host    rules.Host
+	host    routing.Host
 	name    string
 	address string
-	started rules.Time
+	started routing.Time
 	conns   []*conn
 	pace    pacing.Conns
 	left    bool
-	ended   rules.Time     // when it last ended a connection
+	ended   routing.Time   // when it last ended a connection
 	crossed director.Entry // a request was lost to that, as far as is known: its lesson is drawn a moment later
-	logAt   rules.Time     // no line on it before
+	logAt   routing.Time   // no line on it before
 }
 
 // call is an attempt on a connection.
@@ -74,20 +74,20 @@
 	h       director.Handle
 	id      string
 	c       *conn
-	at      rules.Time
-	gap     rules.Time // for how long its connection had been idle
-	redials int        // dials that were reset under it
+	at      routing.Time
+	gap     routing.Time // for how long its connection had been idle
+	redials int          // dials that were reset under it
 	written bool
-	known   string     // tag of the client's copy; "": none
-	before  rules.Time // not to be written later; 0: any time
-	frame   func()     // writes it, once the connection is up
+	known   string       // tag of the client's copy; "": none
+	before  routing.Time // not to be written later; 0: any time
+	frame   func()       // writes it, once the connection is up
 }
 
 // NewFleet returns a fleet without members. Attempts' ends go to the ender.
-func NewFleet(l *config.Limits, s *rules.Settings, pool *buffer.Pool, d loop.Dialer, e Ender, a *director.Agenda,
-	now func() rules.Time, log *zap.Logger, seed uint64) *Fleet {
+func NewFleet(l *config.Limits, s *routing.Settings, pool *buffer.Pool, d loop.Dialer, e Ender, a *director.Agenda,
+	now func() routing.Time, log *zap.Logger, seed uint64) *Fleet {
 	return &Fleet{rng: rand.New(rand.NewPCG(seed, 4)), limits: l, fields: s.Report.Fields, pool: pool, dialer: d, ender: e, agenda: a, now: now, log: log,
-		idle: pacing.NewIdle(l.PeerKeepLeast, l.PeerIdle), peers: map[rules.Host]*peer{}, calls: map[director.Handle]*call{},
+		idle: pacing.NewIdle(l.PeerKeepLeast, l.PeerIdle), peers: map[routing.Host]*peer{}, calls: map[director.Handle]*call{},
 		conns: director.NewTable[*conn](l.PeerConns)}
 }
 
@@ -104,7 +104,7 @@
 
 // Join takes a member in, or learns of its new address or life. What is open to an old life is closed: its
 // process is gone, and a vanished machine would never say so.
-func (f *Fleet) Join(host rules.Host, name, address string, started rules.Time) {
+func (f *Fleet) Join(host routing.Host, name, address string, started routing.Time) {
 	p := f.peers[host]
 	if p == nil {
 		p = &peer{host: host, name: name, address: address, started: started, pace: pacing.NewConns(f.rng)}
@@ -131,7 +131,7 @@
 }
 
 // Leave lets a member that has gone finish what it has and then closes its connections.
-func (f *Fleet) Leave(host rules.Host) {
+func (f *Fleet) Leave(host routing.Host) {
 	p := f.peers[host]
 	if p == nil {
 		return
@@ -147,17 +147,17 @@
 }
 
 // Send starts an attempt on a connection that has room, or on a new one.
-func (f *Fleet) Send(h director.Handle, to rules.Host, q director.Call) {
+func (f *Fleet) Send(h director.Handle, to routing.Host, q director.Call) {
 	p := f.peers[to]
 	if p == nil {
 		f.Counters.NoPeer++
-		f.ender.Ended(h, director.Ending{Result: rules.ConnectFailed})
+		f.ender.Ended(h, director.Ending{Result: routing.ConnectFailed})
 		return
 	}
 	c := f.pick(p, q.Request.Ref, q.Once)
 	if c == nil {
 		f.Counters.NoDescriptors++ // our shortage: it never ran, and says nothing of the peer
-		f.ender.Ended(h, director.Ending{Result: rules.Moot})
+		f.ender.Ended(h, director.Ending{Result: routing.Moot})
 		return
 	}
 	k := &call{h: h, id: q.Request.Ref, at: f.now(), known: q.Request.Known, before: q.Before}
@@ -263,7 +263,7 @@
 	if !f.room() {
 		return nil
 	}
-	c := &conn{f: f, p: p, open: map[string]*call{}, ghosts: map[string]rules.Time{}}
+	c := &conn{f: f, p: p, open: map[string]*call{}, ghosts: map[string]routing.Time{}}
 	c.parser = parser{pool: f.pool, mostFields: f.limits.AnswerFields, mostBody: f.limits.AnswerBody}
 	h, ok := f.conns.Add(c)
 	if !ok {
--- a/internal/caches/caches_test.go
+++ b/internal/caches/caches_test.go
@@ -16,16 +16,16 @@
 	"shaleyard/internal/director"
 	"shaleyard/internal/loop"
 	"shaleyard/internal/nettest"
-	"shaleyard/rules"
+	"shaleyard/routing"
 )
 
 // bench is a fleet on scripted dials, with a clock that the test moves.
 type bench struct {
 	f      *Fleet
 	agenda director.Agenda
-	clock  rules.Time
+	clock  routing.Time
 	dials  []loop.Stream
-	ends   map[director.Handle]rules.Result
+	ends   map[director.Handle]routing.Result
 }
 
 func (b *bench) Dial(_ string, _ time.Duration, s loop.Stream) { b.dials = append(b.dials, s) }
@@ -35,12 +35,12 @@
 }
 
 func newBench() *bench {
-	b := &bench{clock: 1000 * time.Second, ends: map[director.Handle]rules.Result{}}
+	b := &bench{clock: 1000 * time.Second, ends: map[director.Handle]routing.Result{}}
 	l := &config.Limits{PeerConns: 8, StreamsPerConn: 2, PeerIdle: 10 * time.Second, PeerKeepLeast: 50 * time.Millisecond,
 		PeerCrossing: 50 * time.Millisecond, PeerGhost: 5 * time.Second, PeerSilence: time.Second,
 		AnswerBody: 100, AnswerFields: 100}
-	s := &rules.Settings{Report: rules.ReportSettings{Fields: []string{"active", "x1"}}}
-	b.f = NewFleet(l, s, buffer.NewPool(64, 64), b, b, &b.agenda, func() rules.Time { return b.clock }, zap.NewNop(), 1)
+	s := &routing.Settings{Report: routing.ReportSettings{Fields: []string{"active", "x1"}}}
+	b.f = NewFleet(l, s, buffer.NewPool(64, 64), b, b, &b.agenda, func() routing.Time { return b.clock }, zap.NewNop(), 1)
 	b.f.Join(1, "c1", "a", 0)
 	return b
 }
@@ -50,7 +50,7 @@
 		Patience: time.Second})
 }
 
-func (b *bench) want(t *testing.T, ends map[director.Handle]rules.Result) {
+func (b *bench) want(t *testing.T, ends map[director.Handle]routing.Result) {
 	t.Helper()
 	if d := cmp.Diff(ends, b.ends); d != "" {
 		t.Error(d)
@@ -65,9 +65,9 @@
 		call director.Call
 		want string
 	}{
-		{director.Call{Request: &r, Up: "s-1", Keep: 2, How: rules.JoinFill | rules.Renew, MaxAge: 8999 * time.Microsecond},
+		{director.Call{Request: &r, Up: "s-1", Keep: 2, How: routing.JoinFill | routing.Renew, MaxAge: 8999 * time.Microsecond},
 			"sort=media,asset=7f3a,slice=3,patience=1500,up=s-1,store=2,cap=8,do=share+swr,inm=k"},
-		{director.Call{Request: &r, How: rules.SourceHolds, MaxAge: 1},
+		{director.Call{Request: &r, How: routing.SourceHolds, MaxAge: 1},
 			"sort=media,asset=7f3a,slice=3,patience=1500,cap=1,do=peek,inm=k"},
 		{director.Call{Request: &keyed, Up: "s-1"}, "sort=media,asset=7f3a,slice=3,patience=1500,op=5c0f,up=s-1,inm=k"},
 	} {
@@ -86,7 +86,7 @@
 	b.dials[1].Opened(&nettest.Link{})
 	b.dials[1].Closed()
 	b.f.Send(3, 99, director.Call{Request: &director.Request{Ref: "r3"}})
-	b.want(t, map[director.Handle]rules.Result{1: rules.ConnectFailed, 2: rules.Reset, 3: rules.ConnectFailed})
+	b.want(t, map[director.Handle]routing.Result{1: routing.ConnectFailed, 2: routing.Reset, 3: routing.ConnectFailed})
 	if n := b.f.Conns(); n != 0 {
 		t.Errorf("%d connections left", n)
 	}
@@ -125,9 +125,9 @@
 	}
 	b.dials[1].Opened(&nettest.Link{})
 	b.dials[0].Data([]byte(bulk("r1", "OK", "n=HIT", "late")))
-	b.want(t, map[director.Handle]rules.Result{})
+	b.want(t, map[director.Handle]routing.Result{})
 	b.dials[1].Data([]byte(bulk("r1", "MISS", "-", "")))
-	b.want(t, map[director.Handle]rules.Result{2: rules.Miss})
+	b.want(t, map[director.Handle]routing.Result{2: routing.Miss})
 }
 
 // Attempts share a connection only where the peer's share is used up, as one spoilt answer ends all on it. What
@@ -140,7 +140,7 @@
 	b.dials[0].Opened(&nettest.Link{})
 	b.send(2, "r2")
 	b.dials[1].Failed(errors.New("refused"))
-	b.want(t, map[director.Handle]rules.Result{})
+	b.want(t, map[director.Handle]routing.Result{})
 	if b.f.calls[2].c != b.dials[0] || b.f.Counters.Moved != 1 {
 		t.Error("the attempt behind a failed dial is not on the connection that works")
 	}
@@ -265,10 +265,10 @@
 	b := newBench()
 	b.send(1, "r1")
 	for i := range 3 {
-		b.want(t, map[director.Handle]rules.Result{})
+		b.want(t, map[director.Handle]routing.Result{})
 		b.dials[i].Failed(fmt.Errorf("connect: %w", syscall.ECONNRESET))
 	}
-	b.want(t, map[director.Handle]rules.Result{1: rules.ConnectFailed})
+	b.want(t, map[director.Handle]routing.Result{1: routing.ConnectFailed})
 	if len(b.dials) != 3 {
 		t.Errorf("%d dials, want 3", len(b.dials))
 	}
@@ -326,7 +326,7 @@
 	l := &nettest.Link{}
 	b.dials[0].Opened(l)
 	b.f.Join(1, "c1", "a", b.clock+1)
-	b.want(t, map[director.Handle]rules.Result{1: rules.Reset})
+	b.want(t, map[director.Handle]routing.Result{1: routing.Reset})
 	b.send(2, "r2")
 	if len(b.dials) != 2 || !l.Closed {
 		t.Errorf("%d dials, old connection closed: %v", len(b.dials), l.Closed)
@@ -334,7 +334,7 @@
 	b.f.Leave(1)
 	b.dials[1].Opened(&nettest.Link{})
 	b.dials[1].Data([]byte(bulk("r2", "OK", "-", "x")))
-	b.want(t, map[director.Handle]rules.Result{1: rules.Reset, 2: rules.OK})
+	b.want(t, map[director.Handle]routing.Result{1: routing.Reset, 2: routing.OK})
 	if n := b.f.Conns(); n != 0 {
 		t.Errorf("%d connections to a member that has gone", n)
 	}
@@ -354,7 +354,7 @@
 	if l.Closed {
 		t.Error("a connection to the new life was closed")
 	}
-	b.want(t, map[director.Handle]rules.Result{})
+	b.want(t, map[director.Handle]routing.Result{})
 }
 
 func TestBadAnswerFailsItsAttempt(t *testing.T) {
@@ -364,7 +364,7 @@
 	b.dials[0].Opened(&nettest.Link{})
 	b.dials[0].Data([]byte(bulk("r1", "SAME", "-", ""))) // no copy of the client was passed on
 	b.dials[0].Data([]byte(bulk("r2", "OK", "n=NEVER", "x")))
-	b.want(t, map[director.Handle]rules.Result{1: rules.Errored, 2: rules.Errored})
+	b.want(t, map[director.Handle]routing.Result{1: routing.Errored, 2: routing.Errored})
 }
 
 // A dial holds two descriptors until it has joined the loop. Accept ends the engine when they run out.
@@ -376,7 +376,7 @@
 	if len(b.dials) != 4 {
 		t.Errorf("%d dials, want 4", len(b.dials))
 	}
-	b.want(t, map[director.Handle]rules.Result{9: rules.Moot}) // our shortage, not the peer's failure
+	b.want(t, map[director.Handle]routing.Result{9: routing.Moot}) // our shortage, not the peer's failure
 	b.dials[0].Failed(errors.New("refused"))
 	b.dials[1].Opened(&nettest.Link{})
 	b.dials[1].Closed()
--- a/internal/caches/conn.go
+++ b/internal/caches/conn.go
@@ -10,7 +10,7 @@
 
 	"shaleyard/internal/director"
 	"shaleyard/internal/loop"
-	"shaleyard/rules"
+	"shaleyard/routing"
 )
 
 // One connection to a peer: its phases, its dial, how it ends and what that teaches.
@@ -35,14 +35,14 @@
 	link   loop.Conn
 	parser parser
 	open   map[string]*call
-	line   []*call               // wait until it is up
-	ghosts map[string]rules.Time // ids given up here, or answered other than well: another answer may still come
-	since  rules.Time            // when it was opened
-	asked  rules.Time            // first write since something was heard; 0: nothing is owed
-	used   rules.Time            // when it last took an attempt
-	rested rules.Time            // since when it has nothing open
-	spoilt bool                  // closed by us for what came on it
-	served int                   // answers that came
+	line   []*call                 // wait until it is up
+	ghosts map[string]routing.Time // ids given up here, or answered other than well: another answer may still come
+	since  routing.Time            // when it was opened
+	asked  routing.Time            // first write since something was heard; 0: nothing is owed
+	used   routing.Time            // when it last took an attempt
+	rested routing.Time            // since when it has nothing open
+	spoilt bool                    // closed by us for what came on it
+	served int                     // answers that came
 	idle   director.Entry
 }
 
@@ -171,8 +171,8 @@
 }
 
 // shortages are the results of attempts whose dial failed, by what we ourselves lacked.
-var shortages = map[loop.Shortage]rules.Result{loop.NoShortage: rules.ConnectFailed, loop.NoSocket: rules.NoSocket,
-	loop.NoWay: rules.NoWay}
+var shortages = map[loop.Shortage]routing.Result{loop.NoShortage: routing.ConnectFailed, loop.NoSocket: routing.NoSocket,
+	loop.NoWay: routing.NoWay}
 
 // Failed is the other end of a dial: nothing that waited for it has run. What failed for our own want of descriptors, ports
 // or routes is no evidence against the peer.
@@ -183,7 +183,7 @@
 	line := c.line
 	c.line = nil
 	result := shortages[loop.ShortageOf(err)]
-	if result == rules.ConnectFailed {
+	if result == routing.ConnectFailed {
 		c.p.pace.Failed(c.f.now(), len(c.p.conns)-c.p.opening())
 	} else {
 		c.f.Counters.OwnShortages++
@@ -247,7 +247,7 @@
 			c.p.pace.Failed(c.f.now(), len(c.p.conns)-c.p.opening()-1)
 		}
 	}
-	c.gone(rules.Reset)
+	c.gone(routing.Reset)
 }
 
 // crossed learns from a connection that was reset under the first request after it had been idle: a peer, or what lies
@@ -274,17 +274,17 @@
 }
 
 // lost ends a connection whose socket has failed under a write.
-func (c *conn) lost() { c.gone(rules.Reset) }
+func (c *conn) lost() { c.gone(routing.Reset) }
 
 // shut closes a connection from our side; what is open on it is given up.
 func (c *conn) shut() {
 	if link := c.link; link != nil && c.phase != closed {
 		link.Close()
 	}
-	c.gone(rules.Reset)
+	c.gone(routing.Reset)
 }
 
-func (c *conn) gone(result rules.Result) {
+func (c *conn) gone(result routing.Result) {
 	if c.phase == closed {
 		return
 	}
@@ -292,8 +292,8 @@
 	f := c.f
 	for _, k := range c.open {
 		r := result
-		if !k.written && r == rules.Reset {
-			r = rules.ConnectFailed
+		if !k.written && r == routing.Reset {
+			r = routing.ConnectFailed
 		}
 		f.drop(k)
 		f.ender.Ended(k.h, director.Ending{Result: r})
--- a/internal/caches/crossings_test.go
+++ b/internal/caches/crossings_test.go
@@ -7,7 +7,7 @@
 
 	"shaleyard/internal/director"
 	"shaleyard/internal/nettest"
-	"shaleyard/rules"
+	"shaleyard/routing"
 )
 
 // What waits for a dial and is taken back is never written, however late the dial comes up; what was written goes on.
@@ -29,7 +29,7 @@
 		t.Errorf("%d bytes on the first connection, %d on the second; want some and none", up.Text.Len(), late.Text.Len())
 	}
 	b.dials[0].Data([]byte(bulk("r1", "OK", "-", "x")))
-	b.want(t, map[director.Handle]rules.Result{1: rules.OK})
+	b.want(t, map[director.Handle]routing.Result{1: routing.OK})
 }
 
 // While all is held, a dial that comes up, and one that fails beside a connection that works, write nothing: what
@@ -69,9 +69,9 @@
 		if got := l.Text.Len() > 0; got != c.sent {
 			t.Errorf("dial up after %v: written %v, want %v", c.after, got, c.sent)
 		}
-		want := map[director.Handle]rules.Result{}
+		want := map[director.Handle]routing.Result{}
 		if !c.sent {
-			want[1] = rules.Moot
+			want[1] = routing.Moot
 		}
 		b.want(t, want)
 	}
@@ -92,7 +92,7 @@
 	}
 	b.dials[1].Opened(&nettest.Link{})
 	b.dials[0].Data([]byte(bulk("r1", "BUSY", "-", ""))) // the copy
-	b.want(t, map[director.Handle]rules.Result{1: rules.Refused, 2: rules.OK})
+	b.want(t, map[director.Handle]routing.Result{1: routing.Refused, 2: routing.OK})
 	b.clock += b.f.limits.PeerGhost + 1
 	b.dials[1].Data([]byte(bulk("r1", "BUSY", "-", "")))
 	b.send(4, "r1")
@@ -152,13 +152,13 @@
 
 // A copy is called current only where the cache names the copy that the client has.
 func TestCurrentMeansTheClientsOwnCopy(t *testing.T) {
-	for fields, want := range map[string]rules.Result{"rev=tag1,since=1": rules.OK, "rev=tag2,since=1": rules.Errored,
-		"since=1": rules.Errored, "-": rules.Errored} {
+	for fields, want := range map[string]routing.Result{"rev=tag1,since=1": routing.OK, "rev=tag2,since=1": routing.Errored,
+		"since=1": routing.Errored, "-": routing.Errored} {
 		b := newBench()
 		b.f.Send(1, 1, director.Call{Request: &director.Request{Ref: "r1", Known: "tag1"}, Patience: time.Second})
 		b.dials[0].Opened(&nettest.Link{})
 		b.dials[0].Data([]byte(bulk("r1", "SAME", fields, "")))
-		b.want(t, map[director.Handle]rules.Result{1: want})
+		b.want(t, map[director.Handle]routing.Result{1: want})
 	}
 }
 
--- a/internal/caches/golden_test.go
+++ b/internal/caches/golden_test.go
@@ -21,7 +21,7 @@
 	"shaleyard/internal/director"
 	"shaleyard/internal/loop"
 	"shaleyard/internal/nettest"
-	"shaleyard/rules"
+	"shaleyard/routing"
 )
 
 // The golden files hold what the package sends and how it reads what it is sent, in the protocol's own words and in
@@ -29,32 +29,32 @@
 
 var updateGolden = flag.Bool("update", false, "write the golden files in testdata/golden")
 
-var goldenResults = map[rules.Result]string{
-	rules.OK:            "ok",
-	rules.Errored:       "error",
-	rules.Refused:       "busy",
-	rules.TimedOut:      "timed-out",
-	rules.ConnectFailed: "connect-failed",
-	rules.Reset:         "reset",
-	rules.Cancelled:     "cancelled",
-	rules.Moot:          "never-ran",
-	rules.Miss:          "miss",
-	rules.NoSocket:      "no-socket",
-	rules.NoWay:         "no-way",
-}
-
-var goldenNotes = map[rules.Note]string{
-	rules.NoNote:              "none",
-	rules.NoteHit:             "hit",
-	rules.NoteFilled:          "filled",
-	rules.NoteFilledByOrigin:  "filled-by-origin",
-	rules.NoteJoined:          "coalesced",
-	rules.NoteStale:           "stale",
-	rules.NoteSourceRefused:   "source-busy",
-	rules.NoteSourceUnreached: "source-down",
-	rules.NoteSourceLacks:     "source-miss",
-	rules.NoteNoFillSlot:      "no-fill-slot",
-	rules.NoteOriginFailed:    "origin-error",
+var goldenResults = map[routing.Result]string{
+	routing.OK:            "ok",
+	routing.Errored:       "error",
+	routing.Refused:       "busy",
+	routing.TimedOut:      "timed-out",
+	routing.ConnectFailed: "connect-failed",
+	routing.Reset:         "reset",
+	routing.Cancelled:     "cancelled",
+	routing.Moot:          "never-ran",
+	routing.Miss:          "miss",
+	routing.NoSocket:      "no-socket",
+	routing.NoWay:         "no-way",
+}
+
+var goldenNotes = map[routing.Note]string{
+	routing.NoNote:              "none",
+	routing.NoteHit:             "hit",
+	routing.NoteFilled:          "filled",
+	routing.NoteFilledByOrigin:  "filled-by-origin",
+	routing.NoteJoined:          "coalesced",
+	routing.NoteStale:           "stale",
+	routing.NoteSourceRefused:   "source-busy",
+	routing.NoteSourceUnreached: "source-down",
+	routing.NoteSourceLacks:     "source-miss",
+	routing.NoteNoFillSlot:      "no-fill-slot",
+	routing.NoteOriginFailed:    "origin-error",
 }
 
 // wireRecorder is one set of pools on scripted dials. It records each result of an attempt as text.
@@ -62,7 +62,7 @@
 	pools   *Fleet
 	timers  director.Agenda
 	buffers *buffer.Pool
-	now     rules.Time
+	now     routing.Time
 	dials   []loop.Stream
 	results []string
 }
@@ -80,11 +80,11 @@
 		AnswerBody:     64,
 		AnswerFields:   200,
 	}
-	settings := &rules.Settings{Report: rules.ReportSettings{
+	settings := &routing.Settings{Report: routing.ReportSettings{
 		Fields: []string{"active", "waiting", "cpu", "avg_ms", "rps", "err_rps", "x1", "inflight"},
 	}}
 	recorder.pools = NewFleet(limits, settings, recorder.buffers, recorder, recorder, &recorder.timers,
-		func() rules.Time { return recorder.now }, zap.NewNop(), 1)
+		func() routing.Time { return recorder.now }, zap.NewNop(), 1)
 	recorder.pools.Join(1, "c1", "a", 0)
 	return recorder
 }
@@ -202,10 +202,10 @@
 	return []requestCase{
 		{"plain", "", func(*director.Call, *director.Request) {}},
 		{"source", "", func(call *director.Call, _ *director.Request) { call.Up = "s-00c41f7a" }},
-		{"share", "", func(call *director.Call, _ *director.Request) { call.How = rules.JoinFill }},
-		{"peek", "", func(call *director.Call, _ *director.Request) { call.How = rules.SourceHolds }},
-		{"pass", "", func(call *director.Call, _ *director.Request) { call.How = rules.ParentNoStore }},
-		{"swr", "", func(call *director.Call, _ *director.Request) { call.How = rules.Renew }},
+		{"share", "", func(call *director.Call, _ *director.Request) { call.How = routing.JoinFill }},
+		{"peek", "", func(call *director.Call, _ *director.Request) { call.How = routing.SourceHolds }},
+		{"pass", "", func(call *director.Call, _ *director.Request) { call.How = routing.ParentNoStore }},
+		{"swr", "", func(call *director.Call, _ *director.Request) { call.How = routing.Renew }},
 		{"client's tag", "", func(_ *director.Call, request *director.Request) { request.Known = "4be0c1927d55a6f3" }},
 		{"idempotency key", "", func(_ *director.Call, request *director.Request) { request.IdempotencyKey = "5c0f" }},
 		{"must not run twice", "", func(call *director.Call, _ *director.Request) { call.Once = true }},
@@ -229,7 +229,7 @@
 	}
 	for switches := range 16 {
 		add(fmt.Sprintf("switches %04b", switches), func(call *director.Call, _ *director.Request) {
-			call.Up, call.How = "s-1", rules.How(switches)
+			call.Up, call.How = "s-1", routing.How(switches)
 		})
 	}
 	for _, age := range []time.Duration{0, 1, 999 * time.Microsecond, time.Millisecond, 8999 * time.Microsecond, time.Hour} {
--- a/internal/caches/requests.go
+++ b/internal/caches/requests.go
@@ -5,17 +5,17 @@
 	"time"
 
 	"shaleyard/internal/director"
-	"shaleyard/rules"
+	"shaleyard/routing"
 )
 
 // What goes out: requests and their fields.
 
 // write puts an attempt on its connection. From here on it may run.
-func (f *Fleet) write(k *call, q director.Call, until rules.Time) {
+func (f *Fleet) write(k *call, q director.Call, until routing.Time) {
 	if k.before != 0 && f.now() >= k.before {
 		f.Counters.Expired++
 		f.drop(k)
-		f.ender.Ended(k.h, director.Ending{Result: rules.Moot}) // it never ran
+		f.ender.Ended(k.h, director.Ending{Result: routing.Moot}) // it never ran
 		k.c.rest()
 		return
 	}
--- a/internal/clients/clients.go
+++ b/internal/clients/clients.go
@@ -10,14 +10,14 @@
 	"shaleyard/internal/director"
 	"shaleyard/internal/flight"
 	"shaleyard/internal/loop"
-	"shaleyard/rules"
+	"shaleyard/routing"
 )
 
 // Taker takes requests; it is the director.
 type Taker interface {
 	Submit(q director.Request, r director.Replier, token uint64) (director.Handle, bool)
 	Withdraw(director.Handle)
-	Curtail(h director.Handle, giveUp rules.Time)
+	Curtail(h director.Handle, giveUp routing.Time)
 }
 
 // Counters count what clients sent and were answered.
@@ -46,7 +46,7 @@
 	pool    *buffer.Pool
 	taker   Taker
 	agenda  *director.Agenda
-	now     func() rules.Time
+	now     func() routing.Time
 	classes map[string]int
 	conns   *director.Table[*Session]
 	lingers []*Session // eldest first; they are not among conns
@@ -62,8 +62,8 @@
 }
 
 // NewServer returns a server that hands requests of the settings' classes to the taker.
-func NewServer(l *config.Limits, s *rules.Settings, pool *buffer.Pool, t Taker, a *director.Agenda,
-	now func() rules.Time) *Server {
+func NewServer(l *config.Limits, s *routing.Settings, pool *buffer.Pool, t Taker, a *director.Agenda,
+	now func() routing.Time) *Server {
 	classes := map[string]int{}
 	for i, c := range s.Services {
 		classes[c.Name] = i
@@ -169,7 +169,7 @@
 // Curtail bounds the time of those who hold their connections open while the program is to be emptied: whose client has sent
 // a message since a time gets its answers by another, and once that has come, who has long taken nothing of what is left for
 // it is cut off.
-func (s *Server) Curtail(since, by rules.Time) {
+func (s *Server) Curtail(since, by routing.Time) {
 	now := s.now()
 	var stuck []*Session
 	s.conns.All(func(_ director.Handle, x *Session) bool {
--- a/internal/clients/clients_test.go
+++ b/internal/clients/clients_test.go
@@ -11,20 +11,20 @@
 	"shaleyard/internal/config"
 	"shaleyard/internal/director"
 	"shaleyard/internal/nettest"
-	"shaleyard/rules"
+	"shaleyard/routing"
 )
 
 // bench is a server that hands requests to the test.
 type bench struct {
 	s         *Server
 	agenda    director.Agenda
-	clock     rules.Time
+	clock     routing.Time
 	pool      *buffer.Pool
 	taken     []director.Request
 	tokens    []uint64
 	replier   director.Replier
 	withdrawn int
-	curtailed map[director.Handle]rules.Time
+	curtailed map[director.Handle]routing.Time
 	full      bool
 	rejected  int
 	within    func() // what comes while Submit runs
@@ -40,7 +40,7 @@
 	}
 	return director.Handle(len(b.taken)), true
 }
-func (b *bench) Curtail(h director.Handle, giveUp rules.Time) { b.curtailed[h] = giveUp }
+func (b *bench) Curtail(h director.Handle, giveUp routing.Time) { b.curtailed[h] = giveUp }
 
 func (b *bench) Withdraw(h director.Handle) {
 	if h != 0 {
@@ -49,12 +49,12 @@
 }
 
 func newBench() *bench {
-	b := &bench{clock: 1000 * time.Second, pool: buffer.NewPool(64, 64), curtailed: map[director.Handle]rules.Time{}}
+	b := &bench{clock: 1000 * time.Second, pool: buffer.NewPool(64, 64), curtailed: map[director.Handle]routing.Time{}}
 	l := &config.Limits{ClientConns: 5, ClientOpen: 2, RequestFrame: 4096, RequestBody: 100, RequestFields: 16,
 		ClientBacklog: 10_000, TotalBacklog: 15_000, ClientIdle: 30 * time.Second, ClientMessage: 2 * time.Second,
 		ClientKeeps: 5 * time.Second, LongestAllow: time.Minute}
-	s := &rules.Settings{Services: []rules.Class{{Name: "pages"}, {Name: "media"}}}
-	b.s = NewServer(l, s, b.pool, b, &b.agenda, func() rules.Time { return b.clock })
+	s := &routing.Settings{Services: []routing.Class{{Name: "pages"}, {Name: "media"}}}
+	b.s = NewServer(l, s, b.pool, b, &b.agenda, func() routing.Time { return b.clock })
 	b.s.Rejected = func(error) { b.rejected++ }
 	return b
 }
--- a/internal/clients/golden_test.go
+++ b/internal/clients/golden_test.go
@@ -19,7 +19,7 @@
 	"shaleyard/internal/buffer"
 	"shaleyard/internal/config"
 	"shaleyard/internal/director"
-	"shaleyard/rules"
+	"shaleyard/routing"
 )
 
 // The golden files hold the client protocol as this package speaks it: the bytes of every kind of answer, and what is made
@@ -128,7 +128,7 @@
 	h.transcript.line("  given up: request %d", request)
 }
 
-func (h *goldenHandler) Curtail(request director.Handle, _ rules.Time) {
+func (h *goldenHandler) Curtail(request director.Handle, _ routing.Time) {
 	h.transcript.line("  shortened: request %d", request)
 }
 
@@ -163,9 +163,9 @@
 		ClientKeeps: 5 * time.Second, ClientLinger: time.Second, ClientLingers: 4, LingerBytes: 1 << 20,
 		FlushCheck: 10 * time.Millisecond, PartGrace: time.Second, ClientStuck: time.Second, LongestAllow: time.Minute,
 		RefuseFor: options.cooldown}
-	settings := &rules.Settings{Services: []rules.Class{{Name: "pages"}, {Name: "media"}}}
+	settings := &routing.Settings{Services: []routing.Class{{Name: "pages"}, {Name: "media"}}}
 	settings.Ceilings.RetryAfter, settings.Ceilings.MaxRetryAfter = options.cooldown > 0, time.Minute
-	g.server = NewServer(limits, settings, g.pool, &g.handler, &g.timers, func() rules.Time { return 1000 * time.Second })
+	g.server = NewServer(limits, settings, g.pool, &g.handler, &g.timers, func() routing.Time { return 1000 * time.Second })
 	g.server.Ready = func() bool { return !options.notReady }
 	g.server.Rejected = func(error) { g.transcript.line("  protocol error") }
 	g.connection = g.server.Accept(&goldenSocket{transcript: &g.transcript})
--- a/internal/clients/session.go
+++ b/internal/clients/session.go
@@ -7,7 +7,7 @@
 	"shaleyard/internal/director"
 	"shaleyard/internal/flight"
 	"shaleyard/internal/loop"
-	"shaleyard/rules"
+	"shaleyard/routing"
 )
 
 // One client connection: its phases and how it ends.
@@ -35,13 +35,13 @@
 	got     buffer.Chain
 	open    map[int32]director.Handle
 	idle    director.Entry
-	lastUse rules.Time // when it last brought a whole message or was answered
-	heard   rules.Time // when it last brought a whole message
-	unread  int        // bytes that its client had not taken when that last changed, as seen by Curtail
-	moved   rules.Time // and when that was
-	begun   rules.Time // when the frame under way, or for the first one the connection, began; 0: none is owed
-	spoke   bool       // a whole message has come
-	dropped int        // bytes read and not looked at
+	lastUse routing.Time // when it last brought a whole message or was answered
+	heard   routing.Time // when it last brought a whole message
+	unread  int          // bytes that its client had not taken when that last changed, as seen by Curtail
+	moved   routing.Time // and when that was
+	begun   routing.Time // when the frame under way, or for the first one the connection, began; 0: none is owed
+	spoke   bool         // a whole message has come
+	dropped int          // bytes read and not looked at
 }
 
 // busy tells whether an answer is owed, or not yet passed on whole: a close would lose it.
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -6,21 +6,21 @@
 import (
 	"time"
 
-	"shaleyard/rules"
+	"shaleyard/routing"
 )
 
 // Clock is the one clock of a process: monotonic, and counted from the Unix epoch as the wall clock told it at the start.
 // It is safe for concurrent use.
 type Clock struct {
-	start time.Time  // holds a monotonic reading
-	epoch rules.Time // Unix time of start
+	start time.Time    // holds a monotonic reading
+	epoch routing.Time // Unix time of start
 }
 
 // New returns a clock that starts now.
 func New() *Clock {
 	start := time.Now()
-	return &Clock{start: start, epoch: rules.Time(start.UnixNano())}
+	return &Clock{start: start, epoch: routing.Time(start.UnixNano())}
 }
 
 // Now is the time. It never goes back, and runs on at the same pace whatever happens to the wall clock.
-func (c *Clock) Now() rules.Time { return c.epoch + time.Since(c.start) }
+func (c *Clock) Now() routing.Time { return c.epoch + time.Since(c.start) }
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -6,7 +6,7 @@
 
 	"pgregory.net/rapid"
 
-	"shaleyard/rules"
+	"shaleyard/routing"
 )
 
 // Whatever the difference of the clocks, however late events come, and however the peer's clock is set meanwhile: no event
@@ -15,19 +15,19 @@
 func TestPeerStampsAreNeverTakenForOlder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		hour := int64(time.Hour)
-		difference := rules.Time(rapid.Int64Range(-2*hour, 2*hour).Draw(t, "difference"))
-		now := rules.Time(1_764_576_000 * time.Second)
+		difference := routing.Time(rapid.Int64Range(-2*hour, 2*hour).Draw(t, "difference"))
+		now := routing.Time(1_764_576_000 * time.Second)
 		var p Peer
 		for range rapid.IntRange(1, 40).Draw(t, "events") {
-			now += rules.Time(rapid.Int64Range(0, int64(2*time.Second)).Draw(t, "pause"))
+			now += routing.Time(rapid.Int64Range(0, int64(2*time.Second)).Draw(t, "pause"))
 			if rapid.IntRange(0, 9).Draw(t, "step") == 0 { // back by an hour or by seconds, or forward
-				difference += rules.Time(rapid.SampledFrom([]int64{hour, int64(5 * time.Second), -hour, -int64(5 * time.Second)}).Draw(t, "by"))
+				difference += routing.Time(rapid.SampledFrom([]int64{hour, int64(5 * time.Second), -hour, -int64(5 * time.Second)}).Draw(t, "by"))
 			}
-			delay := rules.Time(rapid.Int64Range(0, int64(500*time.Millisecond)).Draw(t, "delay"))
+			delay := routing.Time(rapid.Int64Range(0, int64(500*time.Millisecond)).Draw(t, "delay"))
 			made := now - delay
 			stamp := made - difference
 			p.Observe(stamp, now)
-			if at := p.Local(stamp); at < made-rules.Time(stepBack) {
+			if at := p.Local(stamp); at < made-routing.Time(stepBack) {
 				t.Fatalf("an event of %v ago is taken for one of %v ago", delay, now-at)
 			} else if at > now {
 				t.Fatalf("an event is taken for one of the future, by %v", at-now)
@@ -39,9 +39,9 @@
 // A list of what was missed comes at once: the age of each event follows from the stamps alone, also where our own wall
 // clock was an hour off at the start.
 func TestPeerStampsOfABacklogKeepTheirDistances(t *testing.T) {
-	now := rules.Time(1_764_576_000*time.Second) + time.Hour
+	now := routing.Time(1_764_576_000*time.Second) + time.Hour
 	var p Peer
-	stamps := []rules.Time{}
+	stamps := []routing.Time{}
 	for _, ago := range []time.Duration{time.Minute, 30 * time.Second, 100 * time.Millisecond} {
 		stamp := now - time.Hour - ago
 		stamps = append(stamps, stamp)
--- a/internal/clock/peer.go
+++ b/internal/clock/peer.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"shaleyard/rules"
+	"shaleyard/routing"
 )
 
 const (
@@ -22,22 +22,22 @@
 // The zero Peer has seen no stamp and takes both clocks for the same.
 type Peer struct {
 	seen   bool
-	offset rules.Time // ours less the peer's, at most
-	at     rules.Time // when offset was learnt
-	latest rules.Time // the peer's latest stamp
+	offset routing.Time // ours less the peer's, at most
+	at     routing.Time // when offset was learnt
+	latest routing.Time // the peer's latest stamp
 }
 
 // Observe learns from a stamp that the peer has put on something that had happened by now.
-func (p *Peer) Observe(stamp, now rules.Time) {
+func (p *Peer) Observe(stamp, now routing.Time) {
 	past := now - stamp
 	if !p.seen || stamp < p.latest-stepBack {
 		p.seen, p.offset, p.at, p.latest = true, past, now, stamp
 		return
 	}
 	p.latest = max(p.latest, stamp)
-	p.offset = min(past, p.offset+rules.Time(float64(now-p.at)*drift))
+	p.offset = min(past, p.offset+routing.Time(float64(now-p.at)*drift))
 	p.at = now
 }
 
 // Local is the time on our clock at which the peer's clock showed a stamp.
-func (p *Peer) Local(stamp rules.Time) rules.Time { return stamp + p.offset }
+func (p *Peer) Local(stamp routing.Time) routing.Time { return stamp + p.offset }
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -13,7 +13,7 @@
 	"strconv"
 	"time"
 
-	"shaleyard/rules"
+	"shaleyard/routing"
 )
 
 // Config is what EDGE_CONFIG holds, checked.
@@ -24,7 +24,7 @@
 	Operator string // where operators call; "": nowhere
 	Seed     uint64
 	Known    Known
-	Settings rules.Settings
+	Settings routing.Settings
 	Limits   Limits
 
 	Inherited int // descriptor of a listening socket that was handed down; 0: none
@@ -245,7 +245,7 @@
 
 // fill derives the limits. Of the memory, a third may hold bodies in buffers, a sixth what clients have not
 // read; the rest is for the program and the collector's headroom.
-func fill(d document, t transport, s *rules.Settings) Limits {
+func fill(d document, t transport, s *routing.Settings) Limits {
 	memory := int(d.Limits.MemoryMB * (1 << 20))
 	sockets := int(d.Limits.Sockets)
 	longest := time.Duration(0)
--- a/internal/director/agenda.go
+++ b/internal/director/agenda.go
@@ -3,7 +3,7 @@
 import (
 	"container/heap"
 
-	"shaleyard/rules"
+	"shaleyard/routing"
 )
 
 // Agenda is the one ordered structure in which all deadlines hang: those of requests and attempts, the
@@ -12,7 +12,7 @@
 
 // Entry is a deadline in an Agenda. Its zero value is in none.
 type Entry struct {
-	at    rules.Time
+	at    routing.Time
 	order uint64
 	index int // place in the heap, counted from 1; 0: not in it
 	run   func()
@@ -50,7 +50,7 @@
 func (e *Entry) Pending() bool { return e.index > 0 }
 
 // Set puts e in at a time, or moves it there; run is called once when that time has come.
-func (a *Agenda) Set(e *Entry, at rules.Time, run func()) {
+func (a *Agenda) Set(e *Entry, at routing.Time, run func()) {
 	a.Drop(e)
 	a.q.order++
 	e.at, e.order, e.run = at, a.q.order, run
@@ -58,7 +58,7 @@
 }
 
 // At puts a new entry in.
-func (a *Agenda) At(at rules.Time, run func()) { a.Set(&Entry{}, at, run) }
+func (a *Agenda) At(at routing.Time, run func()) { a.Set(&Entry{}, at, run) }
 
 // Drop takes e out, if it is in.
 func (a *Agenda) Drop(e *Entry) {
@@ -68,7 +68,7 @@
 }
 
 // Next is the time of the earliest entry.
-func (a *Agenda) Next() (rules.Time, bool) {
+func (a *Agenda) Next() (routing.Time, bool) {
 	if len(a.q.list) == 0 {
 		return 0, false
 	}
@@ -77,7 +77,7 @@
 
 // Run runs what is due. What is set meanwhile waits for the next Run, so that a deadline that sets itself
 // again for now can't hold the loop.
-func (a *Agenda) Run(now rules.Time) {
+func (a *Agenda) Run(now routing.Time) {
 	last := a.q.order
 	for len(a.q.list) > 0 && a.q.list[0].at <= now && a.q.list[0].order <= last {
 		heap.Pop(&a.q).(*Entry).run()
--- a/internal/director/attempts.go
+++ b/internal/director/attempts.go
@@ -4,7 +4,7 @@
 	"time"
 
 	"shaleyard/internal/flight"
-	"shaleyard/rules"
+	"shaleyard/routing"
 )
 
 // Attempts: how they are sent, given up and ended.
@@ -12,9 +12,9 @@
 type attempt struct {
 	req      Handle
 	no       int
-	host, up rules.Host // up: the source; 0: none
-	sent     rules.Time
-	until    rules.Time // when it is given up
+	host, up routing.Host // up: the source; 0: none
+	sent     routing.Time
+	until    routing.Time // when it is given up
 	deadline Entry
 }
 
@@ -41,11 +41,11 @@
 	}
 	d.Counters.Recalled++
 	r, _ := d.requests.Get(a.req)
-	d.close(h, a, r, Ending{Result: rules.Moot})
+	d.close(h, a, r, Ending{Result: routing.Moot})
 }
 
 // send starts an attempt. One for a request that is over never leaves.
-func (d *Director) send(id uint32, host, up rules.Host, timeout time.Duration, c Call) {
+func (d *Director) send(id uint32, host, up routing.Host, timeout time.Duration, c Call) {
 	r, ok := d.requests.Get(Handle(id))
 	if !ok {
 		d.Counters.UnknownActions++
@@ -64,7 +64,7 @@
 	}
 	if !ok {
 		d.Counters.Moot++
-		d.outcome(r, a, Ending{Result: rules.Moot})
+		d.outcome(r, a, Ending{Result: routing.Moot})
 		return
 	}
 	d.Counters.Attempts++
@@ -92,9 +92,9 @@
 func (d *Director) limit(h Handle, a *attempt, r *request) {
 	d.agenda.Set(&a.deadline, a.until, func() {
 		d.Counters.TimedOut++
-		result := rules.TimedOut
+		result := routing.TimedOut
 		if !d.peers.Stop(h) {
-			result = rules.ConnectFailed // nothing of it was written: it never ran
+			result = routing.ConnectFailed // nothing of it was written: it never ran
 		}
 		d.close(h, a, r, Ending{Result: result})
 	})
@@ -111,9 +111,9 @@
 		return
 	}
 	d.Counters.Cancelled++
-	result := rules.Cancelled
+	result := routing.Cancelled
 	if !d.peers.Stop(h) {
-		result = rules.Moot
+		result = routing.Moot
 	}
 	d.close(h, a, r, Ending{Result: result})
 }
@@ -139,7 +139,7 @@
 	d.record(flight.AttemptEnded, a, flight.Reason(e.Result.String()))
 	d.Counters.Results[e.Result]++
 	d.Counters.Notes[e.Note]++
-	if e.Result == rules.OK && !r.over {
+	if e.Result == routing.OK && !r.over {
 		d.answer(r, Answer{Verdict: Served, Same: e.Same, Body: &e.Body, Why: served})
 		e.Body.Release()
 		d.outcome(r, a, e)
@@ -151,10 +151,10 @@
 
 // outcome tells the router how an attempt ended, and for the request's last one frees its slot behind it.
 func (d *Director) outcome(r *request, a *attempt, e Ending) {
-	o := rules.Outcome{ID: uint32(r.handle), Attempt: a.no, Host: a.host, Result: e.Result,
+	o := routing.Outcome{ID: uint32(r.handle), Attempt: a.no, Host: a.host, Result: e.Result,
 		After: d.now() - a.sent, Settled: r.over, Note: e.Note, Waited: e.Waited, Report: e.Report}
 	ev := event{ev: o}
-	if e.Result == rules.OK && r.over {
+	if e.Result == routing.OK && r.over {
 		ev.last = r
 	}
 	d.post(ev)
--- a/internal/director/counters.go
+++ b/internal/director/counters.go
@@ -3,7 +3,7 @@
 import (
 	"encoding/json"
 
-	"shaleyard/rules"
+	"shaleyard/routing"
 )
 
 // Counters of what passed through.
@@ -21,25 +21,25 @@
 }
 
 // Results count the ends of attempts by kind.
-type Results [rules.Results]uint64
+type Results [routing.Results]uint64
 
 // MarshalJSON names the kinds.
 func (r Results) MarshalJSON() ([]byte, error) {
 	named := map[string]uint64{}
 	for result, n := range r {
-		named[rules.Result(result).String()] = n
+		named[routing.Result(result).String()] = n
 	}
 	return json.Marshal(named)
 }
 
 // Notes count what the ends of attempts told of their fills.
-type Notes [rules.NoteOriginFailed + 1]uint64
+type Notes [routing.NoteOriginFailed + 1]uint64
 
 // MarshalJSON names the notes.
 func (n Notes) MarshalJSON() ([]byte, error) {
-	return json.Marshal(map[string]uint64{"none": n[rules.NoNote], "hit": n[rules.NoteHit],
-		"filled": n[rules.NoteFilled], "filled_by_origin": n[rules.NoteFilledByOrigin],
-		"joined": n[rules.NoteJoined], "stale": n[rules.NoteStale], "source_refused": n[rules.NoteSourceRefused],
-		"source_unreached": n[rules.NoteSourceUnreached], "source_lacks": n[rules.NoteSourceLacks],
-		"no_fill_slot": n[rules.NoteNoFillSlot], "origin_failed": n[rules.NoteOriginFailed]})
+	return json.Marshal(map[string]uint64{"none": n[routing.NoNote], "hit": n[routing.NoteHit],
+		"filled": n[routing.NoteFilled], "filled_by_origin": n[routing.NoteFilledByOrigin],
+		"joined": n[routing.NoteJoined], "stale": n[routing.NoteStale], "source_refused": n[routing.NoteSourceRefused],
+		"source_unreached": n[routing.NoteSourceUnreached], "source_lacks": n[routing.NoteSourceLacks],
+		"no_fill_slot": n[routing.NoteNoFillSlot], "origin_failed": n[routing.NoteOriginFailed]})
 }
--- a/internal/director/crossings_test.go
+++ b/internal/director/crossings_test.go
@@ -4,7 +4,7 @@
 	"testing"
 	"time"
 
-	"shaleyard/rules"
+	"shaleyard/routing"
 )
 
 // waiting is a bench on which a read waits for its connection to c1, filled from the origin or not.
@@ -19,8 +19,8 @@
 	return b
 }
 
-func entry(name string, s rules.State, started time.Duration) Member {
-	return Member{Name: name, Member: rules.Member{Zone: 1, State: s, Weight: 4, Started: started}}
+func entry(name string, s routing.State, started time.Duration) Member {
+	return Member{Name: name, Member: routing.Member{Zone: 1, State: s, Weight: 4, Started: started}}
 }
 
 // A dial may come up late, past what the rules leave: so news that overtake an attempt take it back while nothing of it
@@ -31,19 +31,19 @@
 		news func(*bench)
 		back bool
 	}{
-		{"target drains", func(b *bench) { b.d.Members(false, 2, []Member{entry("c1", rules.Draining, 0)}) }, true},
-		{"target has gone", func(b *bench) { b.d.Members(false, 2, []Member{entry("c1", rules.Gone, 0)}) }, true},
-		{"target has started anew", func(b *bench) { b.d.Members(false, 2, []Member{entry("c1", rules.Ready, b.clock)}) }, true},
+		{"target drains", func(b *bench) { b.d.Members(false, 2, []Member{entry("c1", routing.Draining, 0)}) }, true},
+		{"target has gone", func(b *bench) { b.d.Members(false, 2, []Member{entry("c1", routing.Gone, 0)}) }, true},
+		{"target has started anew", func(b *bench) { b.d.Members(false, 2, []Member{entry("c1", routing.Ready, b.clock)}) }, true},
 		{"target is not in a whole list", func(b *bench) {
-			b.d.Members(true, 2, []Member{entry("c2", rules.Ready, 0)})
+			b.d.Members(true, 2, []Member{entry("c2", routing.Ready, 0)})
 		}, true},
 		{"source drains", func(b *bench) {
-			b.d.Members(false, 2, []Member{{Name: "o", Member: rules.Member{Zone: 0, Kind: 2, State: rules.Draining, Weight: 4}}})
+			b.d.Members(false, 2, []Member{{Name: "o", Member: routing.Member{Zone: 0, Kind: 2, State: routing.Draining, Weight: 4}}})
 		}, true},
 		{"object is purged", func(b *bench) { b.d.Purge(Purge{Object: 7, Made: b.clock}) }, true},
 		{"group is purged", func(b *bench) { b.d.Purge(Purge{Made: b.clock}) }, true},
 		{"another object is purged", func(b *bench) { b.d.Purge(Purge{Object: 8, Made: b.clock}) }, false},
-		{"another cache drains", func(b *bench) { b.d.Members(false, 2, []Member{entry("c2", rules.Draining, 0)}) }, false},
+		{"another cache drains", func(b *bench) { b.d.Members(false, 2, []Member{entry("c2", routing.Draining, 0)}) }, false},
 	} {
 		for _, unwritten := range []bool{true, false} {
 			b := waiting(t, unwritten)
@@ -99,7 +99,7 @@
 // As the program ends, all is answered by a time, also what waits for caches that hang, and what is still taken.
 func TestEverythingIsAnsweredByTheEnd(t *testing.T) {
 	b := newBench(t)
-	b.d.Members(false, 2, []Member{entry("c2", rules.Ready, 0)})
+	b.d.Members(false, 2, []Member{entry("c2", routing.Ready, 0)})
 	b.submit(0)
 	b.submit(1)
 	b.pass(100 * time.Millisecond)
--- a/internal/director/director.go
+++ b/internal/director/director.go
@@ -15,14 +15,14 @@
 	"shaleyard/internal/flight"
 	"shaleyard/internal/pacing"
 	"shaleyard/internal/siteview"
-	"shaleyard/rules"
+	"shaleyard/routing"
 )
 
 // Director drives one router.
 type Director struct {
 	Counters Counters
 	// Closed, where set, tells that work is refused for now, and until when a client may stay away.
-	Closed func() (until rules.Time, closed bool)
+	Closed func() (until routing.Time, closed bool)
 	// Look, where set, notices whether the process has just stood still, and calls Hold if so.
 	Look func()
 	// Flight keeps what happens to requests and attempts; nil: nothing is kept.
@@ -30,18 +30,18 @@
 	// Admission, where set, is the pace at which work is taken after a start or a pause.
 	Admission *pacing.Admission
 
-	router   *rules.Router
-	settings *rules.Settings
+	router   *routing.Router
+	settings *routing.Settings
 	limits   *config.Limits
 	peers    Peers
 	agenda   *Agenda
-	now      func() rules.Time
+	now      func() routing.Time
 	log      *zap.Logger
 
 	requests *Table[*request]
 	attempts *Table[*attempt]
-	names    map[rules.Host]member
-	last     rules.Time // when all is to be answered, as the program ends; 0: it goes on
+	names    map[routing.Host]member
+	last     routing.Time // when all is to be answered, as the program ends; 0: it goes on
 	queue    []event
 	busy     bool
 	held     bool          // only news are taken; all else waits in the queue
@@ -51,7 +51,7 @@
 // member is what is kept of an entry of the list.
 type member struct {
 	name    string
-	started rules.Time
+	started routing.Time
 }
 
 type request struct {
@@ -59,9 +59,9 @@
 	handle  Handle
 	reply   Replier
 	token   uint64
-	giveUp  rules.Time
+	giveUp  routing.Time
 	overdue Entry
-	since   rules.Time     // when it was taken
+	since   routing.Time   // when it was taken
 	let     bool           // let in by the admission, which hears of its end
 	next    int            // number of the next attempt
 	out     map[int]Handle // attempts out by number
@@ -70,20 +70,20 @@
 
 // event is a router's event, and the request whose slot is free once the router has seen it.
 type event struct {
-	ev   rules.Event
+	ev   routing.Event
 	last *request
 }
 
 // New returns a director for the settings, within the limits.
-func New(s *rules.Settings, seed uint64, l *config.Limits, agenda *Agenda, now func() rules.Time,
+func New(s *routing.Settings, seed uint64, l *config.Limits, agenda *Agenda, now func() routing.Time,
 	log *zap.Logger) (*Director, error) {
-	r, err := rules.New(*s, seed)
+	r, err := routing.New(*s, seed)
 	if err != nil {
 		return nil, err
 	}
 	return &Director{router: r, settings: s, limits: l, agenda: agenda, now: now, log: log,
 		requests: NewTable[*request](l.OpenRequests), attempts: NewTable[*attempt](maxSlots),
-		names: map[rules.Host]member{}}, nil
+		names: map[routing.Host]member{}}, nil
 }
 
 // Follow sets what is done when whole sites are lost; it comes before the first event.
@@ -127,13 +127,13 @@
 	r.let = true
 	d.guard(r)
 	write := q.Class < len(d.settings.Family.PassOn) && d.settings.Family.PassOn[q.Class]
-	d.post(event{ev: rules.Request{ID: uint32(h), Class: q.Class, Object: q.Key, Part: q.PartNo,
+	d.post(event{ev: routing.Request{ID: uint32(h), Class: q.Class, Object: q.Key, Part: q.PartNo,
 		Group: q.Group, GiveUpAt: r.giveUp, SizeKB: q.SizeKB, Write: write}})
 	return h, true
 }
 
 // admit tells whether a request is taken, and if not, for how long its client may as well stay away.
-func (d *Director) admit(now rules.Time, class int) (wait time.Duration, why flight.Reason, ok bool) {
+func (d *Director) admit(now routing.Time, class int) (wait time.Duration, why flight.Reason, ok bool) {
 	if d.Closed != nil {
 		if until, closed := d.Closed(); closed {
 			d.Counters.Closed++
@@ -164,7 +164,7 @@
 		d.Counters.Overdue++
 		d.log.Error("request overdue: failed by the guard", zap.String("ref", r.Ref))
 		d.answer(r, Answer{Verdict: Failed, Why: overdue})
-		d.post(event{rules.Expired{ID: uint32(r.handle)}, r})
+		d.post(event{routing.Expired{ID: uint32(r.handle)}, r})
 	})
 }
 
@@ -180,12 +180,12 @@
 	for _, out := range r.out {
 		d.takeBack(out)
 	}
-	d.post(event{rules.Expired{ID: uint32(h)}, r})
+	d.post(event{routing.Expired{ID: uint32(h)}, r})
 }
 
 // EndBy has everything answered by a time, as the program ends soon after: what is in hand, and what is still
 // taken. Who waits longer than that for a cache that hangs would be left without an answer.
-func (d *Director) EndBy(last rules.Time) {
+func (d *Director) EndBy(last routing.Time) {
 	d.last = last
 	var open []Handle
 	d.requests.All(func(h Handle, _ *request) bool {
@@ -198,7 +198,7 @@
 }
 
 // Curtail has a request answered by a time, where it would be given up later.
-func (d *Director) Curtail(h Handle, giveUp rules.Time) {
+func (d *Director) Curtail(h Handle, giveUp routing.Time) {
 	r, ok := d.requests.Get(h)
 	if !ok || r.over || r.giveUp <= giveUp {
 		return
@@ -211,7 +211,7 @@
 			d.limit(out, a, r)
 		}
 	}
-	d.post(event{ev: rules.Curtail{ID: uint32(h), GiveUpAt: giveUp}})
+	d.post(event{ev: routing.Curtail{ID: uint32(h), GiveUpAt: giveUp}})
 }
 
 // post hands events to the router one after another. An action can bring the next event before it returns
@@ -261,27 +261,27 @@
 	d.queue, d.busy = d.queue[:0], false
 }
 
-func (d *Director) act(action rules.Action) {
+func (d *Director) act(action routing.Action) {
 	switch a := action.(type) {
-	case rules.Fetch:
+	case routing.Fetch:
 		up := a.Source
 		if up == a.Host {
 			up = 0
 		}
 		d.send(a.ID, a.Host, up, a.Timeout, Call{Keep: a.Keep, How: a.How, MaxAge: a.MaxAge, Before: a.Before})
-	case rules.Forward:
+	case routing.Forward:
 		d.send(a.ID, a.Host, 0, a.Timeout, Call{Before: a.Before})
-	case rules.Cancel:
+	case routing.Cancel:
 		if r, ok := d.requests.Get(Handle(a.ID)); ok {
 			d.cancel(r, a.Attempt)
 		}
-	case rules.Refuse:
+	case routing.Refuse:
 		d.end(a.ID, Answer{Verdict: Refused, RetryAfter: a.RetryAfter, Why: flight.Reason(a.Why)})
-	case rules.Fail:
+	case routing.Fail:
 		d.end(a.ID, Answer{Verdict: Failed, Why: flight.Reason(a.Why)})
-	case rules.SetTimer:
-		d.agenda.At(a.At, func() { d.post(event{ev: rules.Timer{Token: a.Token}}) })
-	case rules.Log:
+	case routing.SetTimer:
+		d.agenda.At(a.At, func() { d.post(event{ev: routing.Timer{Token: a.Token}}) })
+	case routing.Log:
 		d.log.Info(a.Text)
 	default: // probes, peer messages and discovery calls: this deployment has none of them
 		d.Counters.UnknownActions++
@@ -296,7 +296,7 @@
 	}
 	d.answer(r, a)
 	// The router may still call off attempts of the request in this round, so its slot is freed behind it.
-	d.post(event{rules.Expired{ID: id}, r})
+	d.post(event{routing.Expired{ID: id}, r})
 }
 
 // answer gives the client its one answer.
--- a/internal/director/director_test.go
+++ b/internal/director/director_test.go
@@ -10,7 +10,7 @@
 	"shaleyard/internal/buffer"
 	"shaleyard/internal/config"
 	"shaleyard/internal/pacing"
-	"shaleyard/rules"
+	"shaleyard/routing"
 )
 
 // bench is a director among scripted peers, with a clock that the test moves.
@@ -18,7 +18,7 @@
 	t       *testing.T
 	d       *Director
 	agenda  Agenda
-	clock   rules.Time
+	clock   routing.Time
 	pool    *buffer.Pool
 	sent    []sent
 	written bool // what Stop tells
@@ -31,22 +31,22 @@
 
 type sent struct {
 	h    Handle
-	to   rules.Host
+	to   routing.Host
 	call Call
 }
 
-func (b *bench) Send(h Handle, to rules.Host, c Call) {
+func (b *bench) Send(h Handle, to routing.Host, c Call) {
 	b.sent = append(b.sent, sent{h, to, c})
 	if b.onSend != nil {
 		b.onSend(h)
 	}
 }
-func (b *bench) Stop(h Handle) bool                          { b.stopped = append(b.stopped, h); return b.written }
-func (b *bench) Recall(h Handle) bool                        { return b.recall != nil && b.recall(h) }
-func (b *bench) Hold()                                       { b.held = true }
-func (b *bench) Release()                                    { b.held = false }
-func (b *bench) Join(rules.Host, string, string, rules.Time) {}
-func (b *bench) Leave(rules.Host)                            {}
+func (b *bench) Stop(h Handle) bool                              { b.stopped = append(b.stopped, h); return b.written }
+func (b *bench) Recall(h Handle) bool                            { return b.recall != nil && b.recall(h) }
+func (b *bench) Hold()                                           { b.held = true }
+func (b *bench) Release()                                        { b.held = false }
+func (b *bench) Join(routing.Host, string, string, routing.Time) {}
+func (b *bench) Leave(routing.Host)                              {}
 func (b *bench) Reply(_ uint64, a Answer) {
 	s := []string{"served", "refused", "failed"}[a.Verdict]
 	if a.Body != nil {
@@ -60,21 +60,21 @@
 func newBench(t *testing.T) *bench {
 	t.Helper()
 	b := &bench{t: t, clock: 1000 * time.Second, pool: buffer.NewPool(64, 8), written: true}
-	s := &rules.Settings{Balancers: 1, Zones: []string{"hub", "here"}, Zone: 1, Kinds: []string{"edge", "up", "origin"},
-		Services: []rules.Class{{Name: "read", Aim: time.Second, Deadline: 4 * time.Second, Effect: "read_like"},
+	s := &routing.Settings{Balancers: 1, Zones: []string{"hub", "here"}, Zone: 1, Kinds: []string{"edge", "up", "origin"},
+		Services: []routing.Class{{Name: "read", Aim: time.Second, Deadline: 4 * time.Second, Effect: "read_like"},
 			{Name: "pay", Aim: time.Second, Deadline: 4 * time.Second, Effect: "non_idempotent"}},
-		Ceilings: rules.Ceilings{Cancel: true, MaxAttempts: 3},
-		Family: rules.Tiers{PassOn: []bool{false, true}, MergesFills: true, MasterKind: 2, SecondTierKind: 1,
+		Ceilings: routing.Ceilings{Cancel: true, MaxAttempts: 3},
+		Family: routing.Tiers{PassOn: []bool{false, true}, MergesFills: true, MasterKind: 2, SecondTierKind: 1,
 			NotesGiven: "all"}}
 	var err error
-	b.d, err = New(s, 1, &config.Limits{OpenRequests: 8, Overdue: 25 * time.Millisecond}, &b.agenda, func() rules.Time { return b.clock }, zap.NewNop())
+	b.d, err = New(s, 1, &config.Limits{OpenRequests: 8, Overdue: 25 * time.Millisecond}, &b.agenda, func() routing.Time { return b.clock }, zap.NewNop())
 	if err != nil {
 		t.Fatal(err)
 	}
 	b.d.Attach(b)
 	b.d.Members(true, 1, []Member{
-		{Name: "c1", Member: rules.Member{Zone: 1, Kind: 0, State: rules.Ready, Weight: 4}},
-		{Name: "o", Member: rules.Member{Zone: 0, Kind: 2, State: rules.Ready, Weight: 4}}})
+		{Name: "c1", Member: routing.Member{Zone: 1, Kind: 0, State: routing.Ready, Weight: 4}},
+		{Name: "o", Member: routing.Member{Zone: 0, Kind: 2, State: routing.Ready, Weight: 4}}})
 	return b
 }
 
@@ -115,10 +115,10 @@
 	b.submit(0)
 	body := b.pool.Chain()
 	body.Append([]byte("bytes"))
-	b.d.Ended(b.sent[0].h, Ending{Result: rules.OK, Note: rules.NoteHit, Body: body})
+	b.d.Ended(b.sent[0].h, Ending{Result: routing.OK, Note: routing.NoteHit, Body: body})
 	late := b.pool.Chain()
 	late.Append([]byte("late"))
-	b.d.Ended(b.sent[0].h, Ending{Result: rules.OK, Body: late})
+	b.d.Ended(b.sent[0].h, Ending{Result: routing.OK, Body: late})
 	b.pass(5 * time.Second)
 	b.want("served bytes")
 }
@@ -127,7 +127,7 @@
 // actions, as their list is valid only until then.
 func TestEndWithinSendIsQueued(t *testing.T) {
 	b := newBench(t)
-	b.onSend = func(h Handle) { b.d.Ended(h, Ending{Result: rules.ConnectFailed}) }
+	b.onSend = func(h Handle) { b.d.Ended(h, Ending{Result: routing.ConnectFailed}) }
 	b.submit(1)
 	b.pass(5 * time.Second)
 	b.want("refused")
@@ -198,13 +198,13 @@
 		t.Fatalf("sent to %v while held", b.sent)
 	}
 	b.d.Members(false, 2, []Member{
-		{Name: "c1", Member: rules.Member{Zone: 1, Kind: 0, State: rules.Draining, Weight: 4}},
-		{Name: "c2", Member: rules.Member{Zone: 1, Kind: 0, State: rules.Ready, Weight: 4}}})
+		{Name: "c1", Member: routing.Member{Zone: 1, Kind: 0, State: routing.Draining, Weight: 4}},
+		{Name: "c2", Member: routing.Member{Zone: 1, Kind: 0, State: routing.Ready, Weight: 4}}})
 	b.d.Release(true)
 	if len(b.sent) != 1 || b.sent[0].to != hostOf("c2") {
 		t.Fatalf("sent %v, want one to the cache that is ready", b.sent)
 	}
-	b.d.Ended(b.sent[0].h, Ending{Result: rules.OK, Note: rules.NoteHit})
+	b.d.Ended(b.sent[0].h, Ending{Result: routing.OK, Note: routing.NoteHit})
 	b.want("served")
 }
 
@@ -212,7 +212,7 @@
 func TestClosedDirectorRefusesAtOnce(t *testing.T) {
 	b := newBench(t)
 	closed := true
-	b.d.Closed = func() (rules.Time, bool) { return b.clock + time.Second, closed }
+	b.d.Closed = func() (routing.Time, bool) { return b.clock + time.Second, closed }
 	b.submit(1)
 	if len(b.sent) != 0 || b.d.Counters.Closed != 1 {
 		t.Errorf("sent %v, %d refused as closed", b.sent, b.d.Counters.Closed)
@@ -247,7 +247,7 @@
 		t.Error("a repayment was refused")
 	}
 	for _, s := range b.sent {
-		b.d.Ended(s.h, Ending{Result: rules.OK, Note: rules.NoteHit})
+		b.d.Ended(s.h, Ending{Result: routing.OK, Note: routing.NoteHit})
 	}
 	if b.d.Open() != 0 {
 		t.Fatalf("%d still in hand", b.d.Open())
--- a/internal/director/news.go
+++ b/internal/director/news.go
@@ -5,7 +5,7 @@
 
 	"go.uber.org/zap"
 
-	"shaleyard/rules"
+	"shaleyard/routing"
 )
 
 // What the list of servers tells: members and purges.
@@ -15,11 +15,11 @@
 // Members takes a change of the list of servers; full: what is not in it has gone.
 func (d *Director) Members(full bool, version uint64, list []Member) {
 	d.Counters.MemberEvents++
-	m := rules.Members{Kind: rules.Delta, Version: version}
-	seen := map[rules.Host]bool{}
-	left := map[rules.Host]bool{} // draining, gone, or with a new life
+	m := routing.Members{Kind: routing.Delta, Version: version}
+	seen := map[routing.Host]bool{}
+	left := map[routing.Host]bool{} // draining, gone, or with a new life
 	if full {
-		m.Kind = rules.Full
+		m.Kind = routing.Full
 	}
 	for i, e := range list {
 		d.Counters.MemberEntries++
@@ -29,8 +29,8 @@
 		e.Host = hostOf(e.Name)
 		seen[e.Host] = true
 		m.List = append(m.List, e.Member)
-		left[e.Host] = e.State != rules.Ready || d.names[e.Host] != member{e.Name, e.Started}
-		if e.State == rules.Gone {
+		left[e.Host] = e.State != routing.Ready || d.names[e.Host] != member{e.Name, e.Started}
+		if e.State == routing.Gone {
 			delete(d.names, e.Host)
 			continue
 		}
@@ -42,7 +42,7 @@
 		return left[a.host] || left[a.up] || full && (!seen[a.host] || a.up != 0 && !seen[a.up])
 	})
 	for _, e := range m.List {
-		if e.State == rules.Gone {
+		if e.State == routing.Gone {
 			d.peers.Leave(e.Host)
 		}
 	}
@@ -59,7 +59,7 @@
 // Purge takes a purge. How old it is follows from when it was made on our clock: a stamp of the feed's says nothing here.
 func (d *Director) Purge(p Purge) {
 	d.Counters.PurgeEvents++
-	d.news(rules.Purge{Age: max(0, d.now()-p.Made), Group: p.Group, Object: p.Object})
+	d.news(routing.Purge{Age: max(0, d.now()-p.Made), Group: p.Group, Object: p.Object})
 	d.recall(func(_ *attempt, r *request) bool {
 		return r.Key == p.Object || p.Object == 0 && r.Group == p.Group
 	})
@@ -68,15 +68,15 @@
 // hostOf turns a member's name into the module's address. It hangs on the name alone: all directors must
 // rank the same, a process that restarts under its name stays the same server, and a new one at an old
 // address is another.
-func hostOf(name string) rules.Host {
+func hostOf(name string) routing.Host {
 	h := fnv.New64a()
 	h.Write([]byte(name))
 	v := h.Sum64()
-	return rules.Host((v ^ v>>48) & (1<<48 - 1))
+	return routing.Host((v ^ v>>48) & (1<<48 - 1))
 }
 
 // news gives the router what the list service tells, also while all else is held.
-func (d *Director) news(ev rules.Event) {
+func (d *Director) news(ev routing.Event) {
 	if d.busy || !d.held {
 		d.post(event{ev: ev})
 		return
--- a/internal/director/types.go
+++ b/internal/director/types.go
@@ -5,7 +5,7 @@
 
 	"shaleyard/internal/buffer"
 	"shaleyard/internal/flight"
-	"shaleyard/rules"
+	"shaleyard/routing"
 )
 
 // What fronts, peers and the list of servers hand in and are handed.
@@ -64,16 +64,16 @@
 	Patience time.Duration
 	Up       string // name of the source; "": no fill
 	Keep     uint8
-	How      rules.How
+	How      routing.How
 	MaxAge   time.Duration
-	Once     bool       // must not run twice
-	Before   rules.Time // not to be written later: it would be a repeat outside its window; 0: any time
+	Once     bool         // must not run twice
+	Before   routing.Time // not to be written later: it would be a repeat outside its window; 0: any time
 }
 
 // Peers reaches caches, parents and the origin. Each Send is followed by one Director.Ended, unless Stop, or a
 // Recall that succeeds, comes before it.
 type Peers interface {
-	Send(attempt Handle, to rules.Host, c Call)
+	Send(attempt Handle, to routing.Host, c Call)
 	// Stop gives an attempt up and tells whether any of it may have been written.
 	Stop(attempt Handle) (written bool)
 	// Recall gives an attempt up of which nothing has been written; one that may have been goes on (false).
@@ -81,14 +81,14 @@
 	// Hold keeps what has not been written from being written, until Release.
 	Hold()
 	Release()
-	Join(host rules.Host, name, address string, started rules.Time)
-	Leave(host rules.Host)
+	Join(host routing.Host, name, address string, started routing.Time)
+	Leave(host routing.Host)
 }
 
 // Ending is how an attempt ended, as a peer reported it.
 type Ending struct {
-	Result rules.Result
-	Note   rules.Note
+	Result routing.Result
+	Note   routing.Note
 	Waited time.Duration
 	Report []float32
 	Same   bool
@@ -97,15 +97,15 @@
 
 // Member is an entry of the list of servers as the control feed gives it.
 type Member struct {
-	Name, Address string
-	SinceMS       int64 // Started as the feed stamped it, Unix milliseconds; 0: none
-	rules.Member        // without Host
+	Name, Address  string
+	SinceMS        int64 // Started as the feed stamped it, Unix milliseconds; 0: none
+	routing.Member       // without Host
 }
 
 // Purge is a purge of an object, or with Object 0 of a group.
 type Purge struct {
 	Object uint64
 	Group  int
-	Stamp  rules.Time // when it was made, as the feed stamped it
-	Made   rules.Time // when it was made, on our clock
+	Stamp  routing.Time // when it was made, as the feed stamped it
+	Made   routing.Time // when it was made, on our clock
 }
--- a/internal/feed/feed.go
+++ b/internal/feed/feed.go
@@ -22,7 +22,7 @@
 	"shaleyard/internal/director"
 	"shaleyard/internal/loop"
 	"shaleyard/internal/pacing"
-	"shaleyard/rules"
+	"shaleyard/routing"
 )
 
 // Sink takes the feed's news; it is the director.
@@ -62,7 +62,7 @@
 	dialer  loop.Dialer
 	sink    Sink
 	agenda  *director.Agenda
-	now     func() rules.Time
+	now     func() routing.Time
 	zones   map[string]int
 	kinds   map[string]int
 	calls   *pacing.ListCalls
@@ -74,11 +74,11 @@
 	behind  int        // streams in a row whose numbers were behind ours
 	replay  bool       // after a new start of the numbers, until the service's last event is reached
 	reached bool
-	heard   rules.Time // the last line that could be used
-	callAt  rules.Time // when the next call is made
-	stream  *stream    // the one that is up and followed; nil: none
-	next    *stream    // the one that is being dialled; nil: none
-	moving  bool       // the operators have named another service, and it is not up yet
+	heard   routing.Time // the last line that could be used
+	callAt  routing.Time // when the next call is made
+	stream  *stream      // the one that is up and followed; nil: none
+	next    *stream      // the one that is being dialled; nil: none
+	moving  bool         // the operators have named another service, and it is not up yet
 	silence director.Entry
 	again   director.Entry // the next dial
 	log     *zap.Logger
@@ -86,9 +86,9 @@
 
 // state is what the list last told of a member, also of one that has gone.
 type state struct {
-	state   rules.State
-	sinceMS int64      // when it was started late, on the service's clock; 0: it was not
-	started rules.Time // the same on our clock
+	state   routing.State
+	sinceMS int64        // when it was started late, on the service's clock; 0: it was not
+	started routing.Time // the same on our clock
 }
 
 // behindMost is the number of streams in a row, each given FeedSilence to catch up, after which numbers that are
@@ -98,8 +98,8 @@
 const behindMost = 5
 
 // New returns a follower of the feed at the address, for the settings' zones and kinds.
-func New(l *config.Limits, s *rules.Settings, address string, calls *pacing.ListCalls, d loop.Dialer, sink Sink,
-	a *director.Agenda, now func() rules.Time, log *zap.Logger) *Follower {
+func New(l *config.Limits, s *routing.Settings, address string, calls *pacing.ListCalls, d loop.Dialer, sink Sink,
+	a *director.Agenda, now func() routing.Time, log *zap.Logger) *Follower {
 	f := &Follower{limits: l, address: address, calls: calls, dialer: d, sink: sink, agenda: a, now: now,
 		zones: map[string]int{}, kinds: map[string]int{}, list: map[string]state{}, log: log}
 	for i, z := range s.Zones {
@@ -147,7 +147,7 @@
 }
 
 // CallAt is when the latest call was made, or will be.
-func (f *Follower) CallAt() rules.Time { return f.callAt }
+func (f *Follower) CallAt() routing.Time { return f.callAt }
 
 // dial opens a stream. One that is up, because the operators have named another service, is followed until the new
 // one is: what is told meanwhile counts as told, and the new service may be down or slow.
@@ -167,7 +167,7 @@
 func (f *Follower) Reached() bool { return f.reached }
 
 // Heard is when the feed's last line came that could be used; 0: none has.
-func (f *Follower) Heard() rules.Time { return f.heard }
+func (f *Follower) Heard() routing.Time { return f.heard }
 
 // retry gives a stream, or a dial that has failed, up and calls again in its time. A stream that ends while the next
 // one is being dialled is replaced by that.
@@ -441,9 +441,9 @@
 	kept := list[:0]
 	for _, e := range list {
 		known, ok := f.list[e.Name]
-		if f.replay && ok && known.state != rules.Ready && e.State == rules.Ready && e.SinceMS <= known.sinceMS {
+		if f.replay && ok && known.state != routing.Ready && e.State == routing.Ready && e.SinceMS <= known.sinceMS {
 			f.Counters.KeptDrains++
-			if known.state == rules.Gone {
+			if known.state == routing.Gone {
 				continue
 			}
 			e.State = known.state
@@ -455,7 +455,7 @@
 	}
 	for _, e := range kept {
 		if len(f.list) >= 2*f.limits.Members {
-			maps.DeleteFunc(f.list, func(_ string, s state) bool { return s.state == rules.Gone })
+			maps.DeleteFunc(f.list, func(_ string, s state) bool { return s.state == routing.Gone })
 		}
 		f.list[e.Name] = state{e.State, e.SinceMS, e.Started}
 	}
@@ -492,24 +492,24 @@
 		d.Weight, d.Cell, d.Started = e.Weight, e.Group, f.startedAt(e)
 		switch e.Status {
 		case "ready":
-			d.State = rules.Ready
+			d.State = routing.Ready
 		case "draining":
-			d.State = rules.Draining
+			d.State = routing.Draining
 		case "gone":
-			d.State = rules.Gone
+			d.State = routing.Gone
 		default:
 			return nil, fmt.Errorf("endpoints[%d].status: %.40q", i, e.Status)
 		}
 		if e.Name == "" || len(e.Name) > 64 || bytes.ContainsAny([]byte(e.Name), ",=\r\n ") {
 			return nil, fmt.Errorf("endpoints[%d].name: %.40q", i, e.Name)
 		}
-		if _, err := netip.ParseAddrPort(e.Address); err != nil && d.State != rules.Gone {
+		if _, err := netip.ParseAddrPort(e.Address); err != nil && d.State != routing.Gone {
 			return nil, fmt.Errorf("endpoints[%d].address: %.40q", i, e.Address)
 		}
 		var zone, kind bool
 		d.Zone, zone = f.zones[e.Zone]
 		d.Kind, kind = f.kinds[e.Type]
-		if d.State != rules.Gone && (!zone || !kind) {
+		if d.State != routing.Gone && (!zone || !kind) {
 			f.Counters.SkippedEntries++ // of a place or kind that the settings do not know: nothing goes there
 			continue
 		}
@@ -520,18 +520,18 @@
 
 // startedAt is when a member was started late, on our clock; 0: it was not. The same start keeps the same time, whatever is
 // learnt of the service's clock meanwhile: another time would be another life of the member.
-func (f *Follower) startedAt(e endpoint) rules.Time {
+func (f *Follower) startedAt(e endpoint) routing.Time {
 	if e.SinceMS == 0 {
 		return 0
 	}
 	if known, ok := f.list[e.Name]; ok && known.sinceMS == e.SinceMS {
 		return known.started
 	}
-	return f.service.Local(rules.Time(e.SinceMS) * rules.Time(time.Millisecond))
+	return f.service.Local(routing.Time(e.SinceMS) * routing.Time(time.Millisecond))
 }
 
 // stamp is when the purge was made, on the service's clock.
-func (p *purge) stamp() rules.Time { return rules.Time(p.At) * rules.Time(time.Millisecond) }
+func (p *purge) stamp() routing.Time { return routing.Time(p.At) * routing.Time(time.Millisecond) }
 
 func (f *Follower) purge(p *purge) error {
 	told := director.Purge{Stamp: p.stamp(), Made: f.service.Local(p.stamp())}
--- a/internal/feed/feed_test.go
+++ b/internal/feed/feed_test.go
@@ -17,17 +17,17 @@
 	"shaleyard/internal/loop"
 	"shaleyard/internal/nettest"
 	"shaleyard/internal/pacing"
-	"shaleyard/rules"
+	"shaleyard/routing"
 )
 
 // bench is a follower on scripted dials, with a clock that the test moves.
 type bench struct {
 	f      *Follower
 	agenda director.Agenda
-	clock  rules.Time
+	clock  routing.Time
 	dials  []loop.Stream
 	told   []string
-	made   []rules.Time // of purges, on the follower's clock
+	made   []routing.Time // of purges, on the follower's clock
 }
 
 func (b *bench) Dial(_ string, _ time.Duration, s loop.Stream) { b.dials = append(b.dials, s) }
@@ -47,10 +47,10 @@
 	b := &bench{clock: 1000 * time.Second}
 	l := &config.Limits{FeedLine: 1000, FeedSilence: 1300 * time.Millisecond, FeedRetry: 100 * time.Millisecond,
 		Members: 2}
-	s := &rules.Settings{Zones: []string{"west", "here"}, Kinds: []string{"small", "origin"}}
+	s := &routing.Settings{Zones: []string{"west", "here"}, Kinds: []string{"small", "origin"}}
 	calls := pacing.NewListCalls(pacing.ListBounds{Directors: directors, Me: 200, Heed: 2 * time.Second,
 		Purge: 500 * time.Millisecond, Late: 7 * time.Second, Silence: l.FeedSilence, Call: 500 * time.Millisecond, Least: l.FeedRetry}, 1)
-	b.f = New(l, s, "a", calls, b, b, &b.agenda, func() rules.Time { return b.clock }, zap.NewNop())
+	b.f = New(l, s, "a", calls, b, b, &b.agenda, func() routing.Time { return b.clock }, zap.NewNop())
 	return b
 }
 
--- a/internal/feed/young_test.go
+++ b/internal/feed/young_test.go
@@ -16,7 +16,7 @@
 	"shaleyard/internal/loop"
 	"shaleyard/internal/nettest"
 	"shaleyard/internal/pacing"
-	"shaleyard/rules"
+	"shaleyard/routing"
 )
 
 // Figures of the pages: when what a stream would have told counts as told, and how much later it must be heeded.
@@ -25,7 +25,7 @@
 	toldStop  = 4 * time.Second
 	toldLate  = 7 * time.Second
 	heedSlack = 50 * time.Millisecond
-	never     = rules.Time(1 << 62)
+	never     = routing.Time(1 << 62)
 )
 
 // reading is one way to read the pages on when a purge counts as told.
@@ -59,8 +59,8 @@
 // missed is a purge that was not told at once.
 type missed struct {
 	n         int
-	published rules.Time
-	told      [readings]rules.Time
+	published routing.Time
+	told      [readings]routing.Time
 	asked     bool
 }
 
@@ -74,7 +74,7 @@
 
 // happening is one event of a sequence.
 type happening struct {
-	at   rules.Time
+	at   routing.Time
 	text string
 }
 
@@ -94,23 +94,23 @@
 // judge notes when each purge counts as told, and when it is heard.
 type judge struct {
 	missed []missed
-	fault  rules.Time  // when what the last fault left untold counts as told
-	first  rules.Time  // likewise the first one since all was told
-	out    bool        // a fault has come since
-	log    []happening // since all was told
+	fault  routing.Time // when what the last fault left untold counts as told
+	first  routing.Time // likewise the first one since all was told
+	out    bool         // a fault has come since
+	log    []happening  // since all was told
 	worst  [readings]worst
 }
 
-func (j *judge) note(now rules.Time, text string) { j.log = append(j.log, happening{now, text}) }
+func (j *judge) note(now routing.Time, text string) { j.log = append(j.log, happening{now, text}) }
 
 // story is what led to the hearing of a purge.
-func (j *judge) story(now rules.Time, m missed, r reading) []happening {
+func (j *judge) story(now routing.Time, m missed, r reading) []happening {
 	return append(j.log[:len(j.log):len(j.log)],
 		happening{now, fmt.Sprintf("hears the purge of %.3f, told at %.3f", m.published.Seconds(), m.told[r].Seconds())})
 }
 
 // faulty notes a break or a stop.
-func (j *judge) faulty(now rules.Time, allowed time.Duration) {
+func (j *judge) faulty(now routing.Time, allowed time.Duration) {
 	j.fault = now + allowed
 	for i := range j.missed {
 		if m := &j.missed[i]; now < m.told[fresh] {
@@ -123,14 +123,14 @@
 }
 
 // miss notes a purge that no stream tells as it is published.
-func (j *judge) miss(now rules.Time, n int) {
+func (j *judge) miss(now routing.Time, n int) {
 	m := missed{n: n, published: now}
-	m.told = [readings]rules.Time{max(now, j.fault), max(now, j.first), max(now, j.fault), now + toldLate}
+	m.told = [readings]routing.Time{max(now, j.fault), max(now, j.first), max(now, j.fault), now + toldLate}
 	j.missed = append(j.missed, m)
 }
 
 // ask notes a subscription.
-func (j *judge) ask(now rules.Time) {
+func (j *judge) ask(now routing.Time) {
 	for i := range j.missed {
 		if m := &j.missed[i]; !m.asked {
 			m.asked = true
@@ -140,7 +140,7 @@
 }
 
 // hear notes that the follower has handed the oldest missed purge on.
-func (j *judge) hear(now rules.Time, heed time.Duration) {
+func (j *judge) hear(now routing.Time, heed time.Duration) {
 	m := j.missed[0]
 	j.missed = j.missed[1:]
 	for r := range readings {
@@ -170,7 +170,7 @@
 	f       *Follower
 	agenda  director.Agenda
 	limits  config.Limits
-	clock   rules.Time
+	clock   routing.Time
 	rng     *rand.Rand
 	judge   judge
 	events  int // published
@@ -207,7 +207,7 @@
 	l := &v.limits
 	calls := pacing.NewListCalls(pacing.ListBounds{Directors: directors, Me: v.rng.IntN(directors), Heed: l.FeedHeed, Purge: l.FeedPurge,
 		Late: l.FeedLate, Silence: l.FeedSilence, Call: l.FeedCall, Least: l.FeedRetry}, seed)
-	v.f = New(l, &rules.Settings{}, "a", calls, v, v, &v.agenda, func() rules.Time { return v.clock }, zap.NewNop())
+	v.f = New(l, &routing.Settings{}, "a", calls, v, v, &v.agenda, func() routing.Time { return v.clock }, zap.NewNop())
 	for i := range v.odds {
 		v.odds[i] = []float64{0.05, 0.3, 0.6, 0.95}[v.rng.IntN(4)]
 	}
@@ -222,7 +222,7 @@
 func (v *flapper) Members(bool, uint64, []director.Member) {}
 
 // Purge implements Sink.
-func (v *flapper) Purge(p director.Purge) { v.heard = int(p.Stamp / rules.Time(time.Millisecond)) }
+func (v *flapper) Purge(p director.Purge) { v.heard = int(p.Stamp / routing.Time(time.Millisecond)) }
 
 // draw is one draw against the run's odds.
 func (v *flapper) draw(i int) bool {
--- a/internal/flight/flight.go
+++ b/internal/flight/flight.go
@@ -5,7 +5,7 @@
 import (
 	"go.uber.org/zap/zapcore"
 
-	"shaleyard/rules"
+	"shaleyard/routing"
 )
 
 // Kind is what has happened.
@@ -34,14 +34,14 @@
 
 // Event is one thing that has happened. What does not apply is 0.
 type Event struct {
-	At      rules.Time
+	At      routing.Time
 	Kind    Kind
 	Reason  Reason
-	Conn    uint64     // the client's connection, counted from 1
-	Request uint32     // handle of the request
-	Attempt int        // its number within the request, from 0: a higher one is a retry or a second copy
-	Host    rules.Host // whom it was sent to
-	Count   int        // open requests of a connection, bytes dropped on it
+	Conn    uint64       // the client's connection, counted from 1
+	Request uint32       // handle of the request
+	Attempt int          // its number within the request, from 0: a higher one is a retry or a second copy
+	Host    routing.Host // whom it was sent to
+	Count   int          // open requests of a connection, bytes dropped on it
 }
 
 // MarshalLogObject implements zapcore.ObjectMarshaler.
--- a/internal/lifecycle/lifecycle.go
+++ b/internal/lifecycle/lifecycle.go
@@ -7,7 +7,7 @@
 	"fmt"
 	"sync"
 
-	"shaleyard/rules"
+	"shaleyard/routing"
 )
 
 // State is where a process is in its life.
@@ -52,22 +52,22 @@
 type Change struct {
 	From, To State
 	Cause    Cause
-	At       rules.Time
+	At       routing.Time
 }
 
 // Spans are the times of drains and stops, each counted from when it was asked for.
 type Spans struct {
 	// DrainNotice is the time that the front takes to hear of a drain: until then a client whose connection were ended
 	// would come back.
-	DrainNotice rules.Time
+	DrainNotice routing.Time
 	// DrainWork is the time for which work is taken on connections that were open as the drain began.
-	DrainWork rules.Time
+	DrainWork routing.Time
 	// DrainEnd is the time by which connections are to be ended on which clients go on sending, or read nothing.
-	DrainEnd rules.Time
+	DrainEnd routing.Time
 	// StopWork is the time for which work is taken on behind a stop.
-	StopWork rules.Time
+	StopWork routing.Time
 	// StopEnd is the time by which a stop is over, whatever is left.
-	StopEnd rules.Time
+	StopEnd routing.Time
 }
 
 // Machine is the state of one process. It is safe for concurrent use.
@@ -80,8 +80,8 @@
 
 	mu      sync.Mutex
 	state   State
-	reached bool       // the list of servers was
-	since   rules.Time // when the drain or the stop was asked for
+	reached bool         // the list of servers was
+	since   routing.Time // when the drain or the stop was asked for
 }
 
 // New returns a process that starts. Shared says that its listener was handed down, so that others may hold it.
@@ -95,7 +95,7 @@
 }
 
 // move changes the state; it is the one place that does. The caller holds the lock.
-func (m *Machine) move(to State, cause Cause, now rules.Time) {
+func (m *Machine) move(to State, cause Cause, now routing.Time) {
 	from := m.state
 	if from == to {
 		return
@@ -107,7 +107,7 @@
 }
 
 // ReachList says that the list of servers was reached, or has been waited for long enough.
-func (m *Machine) ReachList(now rules.Time) {
+func (m *Machine) ReachList(now routing.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.reached = true
@@ -117,7 +117,7 @@
 }
 
 // Drain asks to empty the process. Asked again it changes nothing: the times count from the first time.
-func (m *Machine) Drain(now rules.Time) {
+func (m *Machine) Drain(now routing.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.state <= Ready {
@@ -127,7 +127,7 @@
 }
 
 // TakeBack ends a drain; false: the process is stopping.
-func (m *Machine) TakeBack(now rules.Time) bool {
+func (m *Machine) TakeBack(now routing.Time) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	switch {
@@ -143,7 +143,7 @@
 }
 
 // Stop asks for a planned stop; false: it was asked for before.
-func (m *Machine) Stop(now rules.Time) bool {
+func (m *Machine) Stop(now routing.Time) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.state >= Stopping {
@@ -155,7 +155,7 @@
 }
 
 // Pass lets time pass. Held is what the process still holds for clients: requests and connections.
-func (m *Machine) Pass(now rules.Time, held int) State {
+func (m *Machine) Pass(now routing.Time, held int) State {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	switch past := now - m.since; {
@@ -183,10 +183,10 @@
 }
 
 // Curtail says that requests on connections on which a message has come since a time are to be answered by another.
-type Curtail struct{ Since, By rules.Time }
+type Curtail struct{ Since, By routing.Time }
 
 // Policy is what the present state allows.
-func (m *Machine) Policy(now rules.Time) Policy {
+func (m *Machine) Policy(now routing.Time) Policy {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	past := now - m.since
--- a/internal/lifecycle/lifecycle_test.go
+++ b/internal/lifecycle/lifecycle_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"shaleyard/rules"
+	"shaleyard/routing"
 )
 
 var spans = Spans{DrainNotice: 500 * time.Millisecond, DrainWork: 1500 * time.Millisecond, DrainEnd: 3200 * time.Millisecond,
@@ -14,12 +14,12 @@
 // event is one thing that can happen to a process.
 type event struct {
 	name string
-	do   func(m *Machine, now rules.Time)
+	do   func(m *Machine, now routing.Time)
 }
 
 // held says how much the process holds while time passes.
-func passes(held int) func(m *Machine, now rules.Time) {
-	return func(m *Machine, now rules.Time) { m.Pass(now, held) }
+func passes(held int) func(m *Machine, now routing.Time) {
+	return func(m *Machine, now routing.Time) { m.Pass(now, held) }
 }
 
 // Every order of events, up to six of them with any of three times between, keeps what must hold in each state.
@@ -27,8 +27,8 @@
 	events := []event{
 		{"list reached", (*Machine).ReachList},
 		{"drain", (*Machine).Drain},
-		{"taken back", func(m *Machine, now rules.Time) { m.TakeBack(now) }},
-		{"stop", func(m *Machine, now rules.Time) { m.Stop(now) }},
+		{"taken back", func(m *Machine, now routing.Time) { m.TakeBack(now) }},
+		{"stop", func(m *Machine, now routing.Time) { m.Stop(now) }},
 		{"time passes, busy", passes(1)},
 		{"time passes, empty", passes(0)},
 	}
@@ -53,10 +53,10 @@
 // model is what has been asked of a process, apart from the states.
 type model struct {
 	reached, drained, stopped bool
-	since                     rules.Time
+	since                     routing.Time
 }
 
-func (w *model) take(name string, now rules.Time) {
+func (w *model) take(name string, now routing.Time) {
 	switch name {
 	case "list reached":
 		w.reached = true
@@ -76,7 +76,7 @@
 func play(t *testing.T, shared bool, step time.Duration, sequence []event) {
 	t.Helper()
 	m, w := New(spans, shared), model{}
-	last, now := Starting, rules.Time(0)
+	last, now := Starting, routing.Time(0)
 	var story string
 	m.Changed = func(c Change) {
 		if c.From != last || c.To == c.From || (c.From >= Stopping && c.To < c.From) {
@@ -94,7 +94,7 @@
 }
 
 // check holds the policy against what has been asked of the process.
-func check(t *testing.T, story string, m *Machine, w model, now rules.Time, shared bool) {
+func check(t *testing.T, story string, m *Machine, w model, now routing.Time, shared bool) {
 	t.Helper()
 	p, state, past := m.Policy(now), m.State(), now-w.since
 	switch {
@@ -124,11 +124,11 @@
 	for _, held := range []int{0, 1} {
 		m := New(spans, false)
 		m.Stop(0)
-		var at rules.Time
+		var at routing.Time
 		for m.Pass(at, held) != Ended {
 			at += 5 * time.Millisecond
 		}
-		want := map[int]rules.Time{0: spans.StopWork + 5*time.Millisecond, 1: spans.StopEnd}[held]
+		want := map[int]routing.Time{0: spans.StopWork + 5*time.Millisecond, 1: spans.StopEnd}[held]
 		if at != want {
 			t.Errorf("%d held: ended at %v, want %v", held, at, want)
 		}
--- a/internal/loop/loop.go
+++ b/internal/loop/loop.go
@@ -35,7 +35,7 @@
 
 	"shaleyard/internal/director"
 	"shaleyard/internal/listen"
-	"shaleyard/rules"
+	"shaleyard/routing"
 )
 
 // Conn is a connection as its owner sees it. A write never blocks; what the socket does not take at once is
@@ -118,18 +118,18 @@
 	AcceptFailed func(error)
 
 	Agenda *director.Agenda
-	Now    func() rules.Time
+	Now    func() routing.Time
 
 	listener *listen.Listener
 
 	eng   gnet.Engine
 	el    gnet.EventLoop
 	bell  net.Conn
-	armed rules.Time
+	armed routing.Time
 	alarm *time.Timer
-	seen  rules.Time   // when the loop last looked at the world
+	seen  routing.Time // when the loop last looked at the world
 	ran   atomic.Int64 // the same, for other goroutines
-	rests rules.Time   // until when deadlines wait behind a pause; 0: they don't
+	rests routing.Time // until when deadlines wait behind a pause; 0: they don't
 	mu    sync.Mutex
 	ended bool
 	err   error
@@ -339,7 +339,7 @@
 func (l *Loop) Look() { l.wake() }
 
 // Ran is when the loop last ran. It may be called from any goroutine.
-func (l *Loop) Ran() rules.Time { return rules.Time(l.ran.Load()) }
+func (l *Loop) Ran() routing.Time { return routing.Time(l.ran.Load()) }
 
 // arm sets the alarm for the earliest deadline, or for the end of a rest.
 func (l *Loop) arm() {
--- a/internal/siteplan/advice.go
+++ b/internal/siteplan/advice.go
@@ -4,13 +4,13 @@
 	"slices"
 
 	"shaleyard/internal/siteview"
-	"shaleyard/rules"
+	"shaleyard/routing"
 )
 
 // Adviser turns plans into what a director's view of the sites asks for. It makes a planner for what the sites carry,
 // and a new one when that has changed.
 type Adviser struct {
-	s       *rules.Settings
+	s       *routing.Settings
 	w       Wishes
 	carries []float64
 	planner *Planner
@@ -21,7 +21,7 @@
 // NewAdviser checks what can be checked of the wishes before any server is known: an error names the key. What a site
 // carries is known later; a pin that can't hold then is told to refused, once for each such state of the fleet, and
 // there is no advice: the director goes on as without a plan.
-func NewAdviser(s *rules.Settings, w Wishes, refused func(error)) (*Adviser, error) {
+func NewAdviser(s *routing.Settings, w Wishes, refused func(error)) (*Adviser, error) {
 	a := &Adviser{s: s, w: w, refused: refused}
 	enough := make([]float64, len(s.Zones))
 	for i := range enough {
@@ -36,7 +36,7 @@
 }
 
 // members stand for all servers of each zone.
-func (a *Adviser) members(carries []float64) (list []rules.Member) {
+func (a *Adviser) members(carries []float64) (list []routing.Member) {
 	f := &a.s.Family
 	cache := 0 // the first kind that is neither a parent nor the origin
 	for cache == f.MasterKind || cache == f.SecondTierKind {
@@ -47,7 +47,7 @@
 		if z < len(f.SeatsByZone) && f.SeatsByZone[z] > 0 {
 			kind = cache
 		}
-		list = append(list, rules.Member{Zone: z, Kind: kind, State: rules.Ready, Weight: c})
+		list = append(list, routing.Member{Zone: z, Kind: kind, State: routing.Ready, Weight: c})
 	}
 	return list
 }
--- a/internal/siteplan/advice_test.go
+++ b/internal/siteplan/advice_test.go
@@ -5,15 +5,15 @@
 	"strings"
 	"testing"
 
-	"shaleyard/rules"
+	"shaleyard/routing"
 )
 
 // settings are those of a director of branch edge-1, with three hubs.
-func settings() *rules.Settings {
-	return &rules.Settings{Zones: []string{"west", "middle", "east", "edge-1", "edge-2"}, Zone: 3,
-		Services: []rules.Class{{Name: "media", Worth: 2, Effect: "read_like"}, {Name: "pages", Worth: 1, Effect: "read_like"},
+func settings() *routing.Settings {
+	return &routing.Settings{Zones: []string{"west", "middle", "east", "edge-1", "edge-2"}, Zone: 3,
+		Services: []routing.Class{{Name: "media", Worth: 2, Effect: "read_like"}, {Name: "pages", Worth: 1, Effect: "read_like"},
 			{Name: "pay", Worth: 3, Effect: "non_idempotent"}},
-		Family: rules.Tiers{MasterKind: 2, SecondTierKind: 1, SeatsByZone: []int{0, 0, 0, 4, 4}, HubByZone: []int{0, 1, 2, 0, 1},
+		Family: routing.Tiers{MasterKind: 2, SecondTierKind: 1, SeatsByZone: []int{0, 0, 0, 4, 4}, HubByZone: []int{0, 1, 2, 0, 1},
 			PassOn: []bool{false, false, true}}}
 }
 
--- a/internal/siteplan/topology.go
+++ b/internal/siteplan/topology.go
@@ -13,7 +13,7 @@
 	"slices"
 	"time"
 
-	"shaleyard/rules"
+	"shaleyard/routing"
 )
 
 // Site is a branch or a hub. Capacities are in transfers: answers that can be sent at once at the full pace of one.
@@ -72,7 +72,7 @@
 
 // From takes the topology from a director's settings and the list of servers that it knows. Draining and gone
 // servers carry nothing.
-func From(s *rules.Settings, members []rules.Member, w Wishes) (*Topology, error) {
+func From(s *routing.Settings, members []routing.Member, w Wishes) (*Topology, error) {
 	f, g := &s.Family, &s.Guarantees
 	t := &Topology{Bypass: f.BypassAllowed, Load: cmp.Or(w.UsualLoad, usualLoad),
 		Hits: cmp.Or(w.Hits, usualHits), ParentHits: cmp.Or(w.ParentHits, parentHits), Origin: w.Origin,
@@ -86,7 +86,7 @@
 		}
 		seen[m.Zone] = true
 		hubs[m.Zone] = hubs[m.Zone] || m.Kind == f.SecondTierKind
-		if m.State == rules.Ready {
+		if m.State == routing.Ready {
 			carries[m.Zone] += m.Weight
 		}
 	}
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -9,7 +9,7 @@
 	"io"
 	"math"
 
-	"shaleyard/rules"
+	"shaleyard/routing"
 )
 
 // Codes of events.
@@ -53,9 +53,9 @@
 	maxText   = 1<<16 - 1
 )
 
-var results = map[uint16]rules.Result{
-	100: rules.OK, 101: rules.Miss, 301: rules.Errored, 302: rules.Refused, 303: rules.TimedOut,
-	304: rules.ConnectFailed, 305: rules.Reset, 306: rules.Cancelled, 307: rules.Moot,
+var results = map[uint16]routing.Result{
+	100: routing.OK, 101: routing.Miss, 301: routing.Errored, 302: routing.Refused, 303: routing.TimedOut,
+	304: routing.ConnectFailed, 305: routing.Reset, 306: routing.Cancelled, 307: routing.Moot,
 }
 
 // Born starts an instance.
@@ -79,7 +79,7 @@
 // Batch is one batch of events.
 type Batch struct {
 	Number  uint32
-	Clock   rules.Time
+	Clock   routing.Time
 	Records []Record
 }
 
@@ -87,7 +87,7 @@
 type Reader struct {
 	r     io.Reader
 	buf   []byte
-	banks [banks][]rules.Member
+	banks [banks][]routing.Member
 }
 
 // NewReader returns a Reader on r.
@@ -102,7 +102,7 @@
 		}
 		return nil, fmt.Errorf("batch header: %w", err)
 	}
-	b := &Batch{Number: binary.BigEndian.Uint32(h[:]), Clock: rules.Time(binary.BigEndian.Uint64(h[12:]))}
+	b := &Batch{Number: binary.BigEndian.Uint32(h[:]), Clock: routing.Time(binary.BigEndian.Uint64(h[12:]))}
 	count, size := binary.BigEndian.Uint32(h[4:]), binary.BigEndian.Uint32(h[8:])
 	if size > maxBatch || uint64(count)*5 > uint64(size) {
 		return nil, fmt.Errorf("batch %d: %d records in %d bytes", b.Number, count, size)
@@ -158,40 +158,40 @@
 	case evCrashNow:
 		rec.Event = Killed{}
 	case evDirectory:
-		m := rules.Members{Kind: rules.ListKind(f.u8()), Version: f.u64()}
+		m := routing.Members{Kind: routing.ListKind(f.u8()), Version: f.u64()}
 		bank := f.u16()
-		if m.Kind > rules.Failed || (bank >= banks && m.Kind != rules.Failed) {
+		if m.Kind > routing.Failed || (bank >= banks && m.Kind != routing.Failed) {
 			f.fail("list kind %d, bank %d", m.Kind, bank)
-		} else if m.Kind != rules.Failed {
+		} else if m.Kind != routing.Failed {
 			m.List = r.banks[bank]
 		}
 		rec.Event = m
 	case evInbound:
-		q := rules.Request{ID: f.u32(), Class: int(f.u16()), Tenant: int(f.u16()), Object: f.u64(),
+		q := routing.Request{ID: f.u32(), Class: int(f.u16()), Tenant: int(f.u16()), Object: f.u64(),
 			GiveUpAt: f.time(), SizeKB: f.f32(), Group: int(f.f32()), Part: int(f.f32())}
 		flags := f.u16()
 		q.Repeat, q.Write = flags&2 != 0, flags&4 != 0
 		rec.Event = q
 	case evFirst:
-		rec.Event = rules.Started{ID: f.u32(), Attempt: int(f.u16()), Host: f.host(), After: f.time()}
+		rec.Event = routing.Started{ID: f.u32(), Attempt: int(f.u16()), Host: f.host(), After: f.time()}
 	case evAnswer:
-		rec.Event = rules.Outcome{ID: f.u32(), Attempt: int(f.u16()), Host: f.host(), Result: f.result(),
-			After: f.time(), Settled: f.u8() != 0, Note: rules.Note(f.u32()), Waited: f.time(),
+		rec.Event = routing.Outcome{ID: f.u32(), Attempt: int(f.u16()), Host: f.host(), Result: f.result(),
+			After: f.time(), Settled: f.u8() != 0, Note: routing.Note(f.u32()), Waited: f.time(),
 			Report: f.report()}
 	case evExpired:
-		rec.Event = rules.Expired{ID: f.u32()}
+		rec.Event = routing.Expired{ID: f.u32()}
 	case evWake:
-		rec.Event = rules.Timer{Token: f.u64()}
+		rec.Event = routing.Timer{Token: f.u64()}
 	case evStatus:
 		after := f.time()
 		res := f.result()
-		rec.Event = rules.ProbeResult{After: after, Result: res, Host: f.host(), Report: f.report()}
+		rec.Event = routing.ProbeResult{After: after, Result: res, Host: f.host(), Report: f.report()}
 	case evDatagram:
-		m := rules.PeerMessage{From: f.u32()}
+		m := routing.PeerMessage{From: f.u32()}
 		m.Data = append([]byte(nil), f.bytes(int(f.u16()))...)
 		rec.Event = m
 	case evVoided:
-		rec.Event = rules.Purge{Age: f.time(), Group: int(f.u16()), Object: f.u64()}
+		rec.Event = routing.Purge{Age: f.time(), Group: int(f.u16()), Object: f.u64()}
 	default:
 		f.fail("unknown code")
 	}
@@ -227,13 +227,13 @@
 	return v
 }
 
-func (f *fields) u8() uint8        { return uint8(f.uint(1)) }
-func (f *fields) u16() uint16      { return uint16(f.uint(2)) }
-func (f *fields) u32() uint32      { return uint32(f.uint(4)) }
-func (f *fields) u64() uint64      { return f.uint(8) }
-func (f *fields) time() rules.Time { return rules.Time(f.uint(8)) }
-func (f *fields) host() rules.Host { return rules.Host(f.uint(6)) }
-func (f *fields) f32() float64     { return float64(math.Float32frombits(f.u32())) }
+func (f *fields) u8() uint8          { return uint8(f.uint(1)) }
+func (f *fields) u16() uint16        { return uint16(f.uint(2)) }
+func (f *fields) u32() uint32        { return uint32(f.uint(4)) }
+func (f *fields) u64() uint64        { return f.uint(8) }
+func (f *fields) time() routing.Time { return routing.Time(f.uint(8)) }
+func (f *fields) host() routing.Host { return routing.Host(f.uint(6)) }
+func (f *fields) f32() float64       { return float64(math.Float32frombits(f.u32())) }
 func (f *fields) report() []float32 {
 	n := int(f.u8())
 	if n == 0 || f.err != nil {
@@ -246,7 +246,7 @@
 	return v
 }
 
-func (f *fields) result() rules.Result {
+func (f *fields) result() routing.Result {
 	code := f.u16()
 	r, ok := results[code]
 	if !ok {
@@ -255,19 +255,19 @@
 	return r
 }
 
-func (f *fields) members() []rules.Member {
+func (f *fields) members() []routing.Member {
 	n := int(f.u32())
 	if f.err != nil || n > len(f.p)/memberLen {
 		f.fail("list is cut short")
 		return nil
 	}
-	list := make([]rules.Member, n)
+	list := make([]routing.Member, n)
 	for i := range list {
 		m := &list[i]
 		m.Host, m.Zone, m.Kind = f.host(), int(f.u16()), int(f.u8())
-		m.State, m.Started = rules.State(f.u8()), f.time()
+		m.State, m.Started = routing.State(f.u8()), f.time()
 		m.Weight, m.Cell = f.f32(), int(f.u16())
-		if m.State > rules.Ready {
+		if m.State > routing.Ready {
 			f.fail("member state %d", m.State)
 		}
 	}
@@ -289,12 +289,12 @@
 	return w.buf
 }
 
-func (w *Reply) u8(v uint8)        { w.buf = append(w.buf, v) }
-func (w *Reply) u16(v uint16)      { w.buf = binary.BigEndian.AppendUint16(w.buf, v) }
-func (w *Reply) u32(v uint32)      { w.buf = binary.BigEndian.AppendUint32(w.buf, v) }
-func (w *Reply) u64(v uint64)      { w.buf = binary.BigEndian.AppendUint64(w.buf, v) }
-func (w *Reply) time(t rules.Time) { w.u64(uint64(t)) }
-func (w *Reply) host(h rules.Host) { w.u16(uint16(h >> 32)); w.u32(uint32(h)) }
+func (w *Reply) u8(v uint8)          { w.buf = append(w.buf, v) }
+func (w *Reply) u16(v uint16)        { w.buf = binary.BigEndian.AppendUint16(w.buf, v) }
+func (w *Reply) u32(v uint32)        { w.buf = binary.BigEndian.AppendUint32(w.buf, v) }
+func (w *Reply) u64(v uint64)        { w.buf = binary.BigEndian.AppendUint64(w.buf, v) }
+func (w *Reply) time(t routing.Time) { w.u64(uint64(t)) }
+func (w *Reply) host(h routing.Host) { w.u16(uint16(h >> 32)); w.u32(uint32(h)) }
 func (w *Reply) text(s []byte) {
 	s = s[:min(len(s), maxText)]
 	w.u16(uint16(len(s)))
@@ -308,12 +308,12 @@
 	w.u16(instance)
 	code := byte(0)
 	switch a := action.(type) {
-	case rules.Forward:
+	case routing.Forward:
 		code = acForward
 		w.u32(a.ID)
 		w.time(a.Timeout)
 		w.host(a.Host)
-	case rules.Fetch:
+	case routing.Fetch:
 		code = acPullVia
 		w.u32(a.ID)
 		w.u8(uint8(a.How))
@@ -322,41 +322,41 @@
 		w.host(a.Source)
 		w.host(a.Host)
 		w.time(a.MaxAge)
-	case rules.Cancel:
+	case routing.Cancel:
 		code = acUndo
 		w.u32(a.ID)
 		w.u16(uint16(a.Attempt))
-	case rules.Refuse:
+	case routing.Refuse:
 		code = acShed
 		w.u32(a.ID)
 		w.time(a.RetryAfter)
-	case rules.Fail:
+	case routing.Fail:
 		code = acFailure
 		w.u32(a.ID)
-	case rules.SetTimer:
+	case routing.SetTimer:
 		code = acSleep
 		w.u64(a.Token)
 		w.time(a.At)
-	case rules.Probe:
+	case routing.Probe:
 		code = acPoll
 		w.host(a.Host)
-	case rules.CloseIdle:
+	case routing.CloseIdle:
 		code = acFreeLinks
 		w.host(a.Host)
-	case rules.Tell:
+	case routing.Tell:
 		code = acSay
 		w.u32(a.To)
 		w.text(a.Data)
-	case rules.Subscribe:
+	case routing.Subscribe:
 		code = acListen
 		on := uint8(0)
 		if a.On {
 			on = 1
 		}
 		w.u8(on)
-	case rules.Snapshot:
+	case routing.Snapshot:
 		code = acSnapshot
-	case rules.Log:
+	case routing.Log:
 		code = acLog
 		w.text([]byte(a.Text))
 	case Crash:
--- a/rules/api.go
+++ b/routing/api.go
@@ -3,7 +3,7 @@
 //
 // This file is the interface: settings, events and actions. The router is in router.go, what it remembers in state.go,
 // and each kind of decision in a file of its own.
-package rules
+package routing
 
 import "time"
 
--- a/rules/outcomes.go
+++ b/routing/outcomes.go
@@ -1,4 +1,4 @@
-package rules
+package routing
 
 import (
 	"math"
