--- a/cmd/shaleyard/anyorder_test.go
+++ b/cmd/shaleyard/anyorder_test.go
@@ -14,9 +14,9 @@
 
 	"shaleyard/internal/buffer"
 	"shaleyard/internal/caches"
-	"shaleyard/internal/clients"
 	"shaleyard/internal/config"
 	"shaleyard/internal/director"
+	"shaleyard/internal/downstream"
 	"shaleyard/internal/loop"
 	"shaleyard/internal/nettest"
 	"shaleyard/internal/pacing"
@@ -34,7 +34,7 @@
 	agenda director.Agenda
 	d      *director.Director
 	f      *caches.Fleet
-	s      *clients.Server
+	s      *downstream.Server
 	pool   *buffer.Pool
 
 	dials   []*cacheEnd
@@ -275,7 +275,7 @@
 	c.f = caches.NewFleet(l, s, c.pool, c, c.d, &c.agenda, now, zap.NewNop(), seed)
 	c.d.Attach(c.f)
 	c.d.Admission = pacing.NewAdmission(seed)
-	c.s = clients.NewServer(l, s, c.pool, c.d, &c.agenda, now)
+	c.s = downstream.NewServer(l, s, c.pool, c.d, &c.agenda, now)
 	for _, n := range []string{"c1", "c2", "c3", "p1", "o"} {
 		c.list(n, routing.Ready, 0)
 	}
--- a/cmd/shaleyard/program.go
+++ b/cmd/shaleyard/program.go
@@ -11,10 +11,10 @@
 	"shaleyard/internal/admin"
 	"shaleyard/internal/buffer"
 	"shaleyard/internal/caches"
-	"shaleyard/internal/clients"
 	"shaleyard/internal/clock"
 	"shaleyard/internal/config"
 	"shaleyard/internal/director"
+	"shaleyard/internal/downstream"
 	"shaleyard/internal/feed"
 	"shaleyard/internal/flight"
 	"shaleyard/internal/lifecycle"
@@ -34,7 +34,7 @@
 	now      func() routing.Time
 	pool     *buffer.Pool
 	director *director.Director
-	clients  *clients.Server
+	clients  *downstream.Server
 	fleet    *caches.Fleet
 	feed     *feed.Follower
 	loop     *loop.Loop
@@ -82,7 +82,7 @@
 	}
 	p.director.Follow(follow)
 	p.director.Closed, p.director.Look = p.closed, p.loop.Look
-	p.clients = clients.NewServer(l, s, p.pool, p.director, &p.agenda, p.now)
+	p.clients = downstream.NewServer(l, s, p.pool, p.director, &p.agenda, p.now)
 	p.clients.Ready, p.clients.Rejected = p.ready, p.reject
 	p.flight = flight.NewRecorder(l.FlightEvents)
 	p.director.Flight, p.clients.Flight = p.flight, p.flight
--- a/internal/clients/clients.go
+++ b/internal/downstream/clients.go
@@ -1,6 +1,6 @@
 // Package clients speaks with clients: Thrift calls in frames, in the strict binary protocol. It takes
 // requests off connections, hands them to the director and writes one answer for each.
-package clients
+package downstream
 
 import (
 	"time"
--- a/internal/clients/requests.go
+++ b/internal/downstream/requests.go
@@ -1,4 +1,4 @@
-package clients
+package downstream
 
 import (
 	"encoding/binary"
