--- a/cmd/shaleyard/anyorder_test.go
+++ b/cmd/shaleyard/anyorder_test.go
@@ -13,13 +13,13 @@
 	"go.uber.org/zap"
 
 	"shaleyard/internal/buffer"
-	"shaleyard/internal/caches"
 	"shaleyard/internal/config"
 	"shaleyard/internal/director"
 	"shaleyard/internal/downstream"
 	"shaleyard/internal/loop"
 	"shaleyard/internal/nettest"
 	"shaleyard/internal/pacing"
+	"shaleyard/internal/upstream"
 	"shaleyard/routing"
 )
 
@@ -33,7 +33,7 @@
 	clock  routing.Time
 	agenda director.Agenda
 	d      *director.Director
-	f      *caches.Fleet
+	f      *upstream.Fleet
 	s      *downstream.Server
 	pool   *buffer.Pool
 
@@ -272,7 +272,7 @@
 	if c.d, err = director.New(s, seed, l, &c.agenda, now, zap.NewNop()); err != nil {
 		t.Fatal(err)
 	}
-	c.f = caches.NewFleet(l, s, c.pool, c, c.d, &c.agenda, now, zap.NewNop(), seed)
+	c.f = upstream.NewFleet(l, s, c.pool, c, c.d, &c.agenda, now, zap.NewNop(), seed)
 	c.d.Attach(c.f)
 	c.d.Admission = pacing.NewAdmission(seed)
 	c.s = downstream.NewServer(l, s, c.pool, c.d, &c.agenda, now)
--- a/cmd/shaleyard/program.go
+++ b/cmd/shaleyard/program.go
@@ -10,7 +10,6 @@
 
 	"shaleyard/internal/admin"
 	"shaleyard/internal/buffer"
-	"shaleyard/internal/caches"
 	"shaleyard/internal/clock"
 	"shaleyard/internal/config"
 	"shaleyard/internal/director"
@@ -22,6 +21,7 @@
 	"shaleyard/internal/pacing"
 	"shaleyard/internal/siteplan"
 	"shaleyard/internal/siteview"
+	"shaleyard/internal/upstream"
 	"shaleyard/routing"
 )
 
@@ -35,7 +35,7 @@
 	pool     *buffer.Pool
 	director *director.Director
 	clients  *downstream.Server
-	fleet    *caches.Fleet
+	fleet    *upstream.Fleet
 	feed     *feed.Follower
 	loop     *loop.Loop
 	started  routing.Time
@@ -68,7 +68,7 @@
 	p.loop = &loop.Loop{Agenda: &p.agenda, Now: p.now, Front: front{p}, Logf: p.log.Sugar().Warnf,
 		Rejected: p.reject, Inherited: c.Inherited, AcceptFailed: p.acceptFailed, PauseLimit: l.PauseLimit, Settle: l.PauseSettle,
 		Paused: p.paused, Settled: p.settled}
-	p.fleet = caches.NewFleet(l, s, p.pool, p.loop, p.director, &p.agenda, p.now, p.log, c.Seed)
+	p.fleet = upstream.NewFleet(l, s, p.pool, p.loop, p.director, &p.agenda, p.now, p.log, c.Seed)
 	p.director.Attach(p.fleet)
 	p.director.Admission = pacing.NewAdmission(c.Seed)
 	// A plan that can't be made must not keep the director from starting: it goes on as without one.
--- a/internal/caches/caches.go
+++ b/internal/upstream/caches.go
@@ -1,6 +1,6 @@
 // Package caches speaks with caches, parents and the origin: RESP arrays over connections that carry many
 // attempts each. It opens connections as they are needed and tells exactly how each attempt ended.
-package caches
+package upstream
 
 import (
 	"math/rand/v2"
--- a/internal/caches/resp_test.go
+++ b/internal/upstream/resp_test.go
@@ -1,4 +1,4 @@
-package caches
+package upstream
 
 import (
 	"fmt"
