--- a/cmd/shaleyard/program.go
+++ b/cmd/shaleyard/program.go
@@ -13,8 +13,8 @@
 	"shaleyard/internal/clock"
 	"shaleyard/internal/config"
 	"shaleyard/internal/director"
+	"shaleyard/internal/discovery"
 	"shaleyard/internal/downstream"
-	"shaleyard/internal/feed"
 	"shaleyard/internal/flight"
 	"shaleyard/internal/lifecycle"
 	"shaleyard/internal/loop"
@@ -36,7 +36,7 @@
 	director *director.Director
 	clients  *downstream.Server
 	fleet    *upstream.Fleet
-	feed     *feed.Follower
+	feed     *discovery.Follower
 	loop     *loop.Loop
 	started  routing.Time
 	life     *lifecycle.Machine
@@ -90,7 +90,7 @@
 	p.life.Changed = p.changed
 	calls := pacing.NewListCalls(pacing.ListBounds{Directors: s.Balancers, Me: int(s.Me), Heed: l.FeedHeed,
 		Purge: l.FeedPurge, Start: l.FeedStart, Late: l.FeedLate, Silence: l.FeedSilence, Call: l.FeedCall, Least: l.FeedRetry}, c.Seed)
-	p.feed = feed.New(l, s, c.Feed, calls, p.loop, p.director, &p.agenda, p.now, p.log)
+	p.feed = discovery.New(l, s, c.Feed, calls, p.loop, p.director, &p.agenda, p.now, p.log)
 	p.feed.Reach = p.reachList
 	return p, nil
 }
--- a/internal/feed/feed.go
+++ b/internal/discovery/feed.go
@@ -1,7 +1,7 @@
 // Package feed follows the control feed: numbered events on a TCP stream, one JSON object a line, that tell
 // of members and purges. It resumes behind the last event it has after every loss, at the pace that
 // internal/pacing gives.
-package feed
+package discovery
 
 import (
 	"bytes"
--- a/internal/feed/stamps_test.go
+++ b/internal/discovery/stamps_test.go
@@ -1,4 +1,4 @@
-package feed
+package discovery
 
 import (
 	"encoding/json"
