--- a/cmd/shaleyard/anyorder_test.go
+++ b/cmd/shaleyard/anyorder_test.go
@@ -18,7 +18,7 @@
 	"shaleyard/internal/downstream"
 	"shaleyard/internal/loop"
 	"shaleyard/internal/nettest"
-	"shaleyard/internal/pacing"
+	"shaleyard/internal/overload"
 	"shaleyard/internal/upstream"
 	"shaleyard/routing"
 )
@@ -274,7 +274,7 @@
 	}
 	c.f = upstream.NewFleet(l, s, c.pool, c, c.d, &c.agenda, now, zap.NewNop(), seed)
 	c.d.Attach(c.f)
-	c.d.Admission = pacing.NewAdmission(seed)
+	c.d.Admission = overload.NewAdmission(seed)
 	c.s = downstream.NewServer(l, s, c.pool, c.d, &c.agenda, now)
 	for _, n := range []string{"c1", "c2", "c3", "p1", "o"} {
 		c.list(n, routing.Ready, 0)
--- a/cmd/shaleyard/plan.go
+++ b/cmd/shaleyard/plan.go
@@ -16,7 +16,7 @@
 	"shaleyard/internal/config"
 	"shaleyard/internal/director"
 	"shaleyard/internal/discovery"
-	"shaleyard/internal/pacing"
+	"shaleyard/internal/overload"
 	"shaleyard/internal/siteplan"
 	"shaleyard/internal/strict"
 	"shaleyard/routing"
@@ -111,7 +111,7 @@
 		return nil, nil, fmt.Errorf("%s: no services or no zones (dcs) in it", path)
 	}
 	known := &listed{}
-	f := discovery.New(&config.Limits{Members: 4096}, s, "", pacing.NewListCalls(pacing.ListBounds{Directors: 1, Call: time.Second,
+	f := discovery.New(&config.Limits{Members: 4096}, s, "", overload.NewListCalls(overload.ListBounds{Directors: 1, Call: time.Second,
 		Heed: 2 * time.Second, Late: 7 * time.Second}, 0), nil, known, &director.Agenda{}, func() routing.Time { return 0 }, zap.NewNop())
 	if err := f.Replay(whole.Known); err != nil {
 		return nil, nil, fmt.Errorf("%s: known: %w", path, err)
--- a/cmd/shaleyard/program.go
+++ b/cmd/shaleyard/program.go
@@ -18,7 +18,7 @@
 	"shaleyard/internal/flight"
 	"shaleyard/internal/lifecycle"
 	"shaleyard/internal/loop"
-	"shaleyard/internal/pacing"
+	"shaleyard/internal/overload"
 	"shaleyard/internal/siteplan"
 	"shaleyard/internal/siteview"
 	"shaleyard/internal/upstream"
@@ -70,7 +70,7 @@
 		Paused: p.paused, Settled: p.settled}
 	p.fleet = upstream.NewFleet(l, s, p.pool, p.loop, p.director, &p.agenda, p.now, p.log, c.Seed)
 	p.director.Attach(p.fleet)
-	p.director.Admission = pacing.NewAdmission(c.Seed)
+	p.director.Admission = overload.NewAdmission(c.Seed)
 	// A plan that can't be made must not keep the director from starting: it goes on as without one.
 	advice, err := siteplan.NewAdviser(s, wishes, func(err error) { p.log.Warn("no plan for lost sites", zap.Error(err)) })
 	follow := siteview.Options{Rate: wishes.MovePerS, Stay: time.Duration(wishes.StayMS * float64(time.Millisecond)),
@@ -88,7 +88,7 @@
 	p.director.Flight, p.clients.Flight = p.flight, p.flight
 	p.life = lifecycle.New(spans(l, c.Inherited != 0), c.Inherited != 0)
 	p.life.Changed = p.changed
-	calls := pacing.NewListCalls(pacing.ListBounds{Directors: s.Balancers, Me: int(s.Me), Heed: l.FeedHeed,
+	calls := overload.NewListCalls(overload.ListBounds{Directors: s.Balancers, Me: int(s.Me), Heed: l.FeedHeed,
 		Purge: l.FeedPurge, Start: l.FeedStart, Late: l.FeedLate, Silence: l.FeedSilence, Call: l.FeedCall, Least: l.FeedRetry}, c.Seed)
 	p.feed = discovery.New(l, s, c.Feed, calls, p.loop, p.director, &p.agenda, p.now, p.log)
 	p.feed.Reach = p.reachList
--- a/internal/director/director.go
+++ b/internal/director/director.go
@@ -13,7 +13,7 @@
 
 	"shaleyard/internal/config"
 	"shaleyard/internal/flight"
-	"shaleyard/internal/pacing"
+	"shaleyard/internal/overload"
 	"shaleyard/internal/siteview"
 	"shaleyard/routing"
 )
@@ -28,7 +28,7 @@
 	// Flight keeps what happens to requests and attempts; nil: nothing is kept.
 	Flight *flight.Recorder
 	// Admission, where set, is the pace at which work is taken after a start or a pause.
-	Admission *pacing.Admission
+	Admission *overload.Admission
 
 	router   *routing.Router
 	settings *routing.Settings
--- a/internal/director/director_test.go
+++ b/internal/director/director_test.go
@@ -9,7 +9,7 @@
 
 	"shaleyard/internal/buffer"
 	"shaleyard/internal/config"
-	"shaleyard/internal/pacing"
+	"shaleyard/internal/overload"
 	"shaleyard/routing"
 )
 
@@ -231,7 +231,7 @@
 	b := newBench(t)
 	b.d.limits.OpenRequests, b.d.requests = 100, NewTable[*request](100)
 	b.d.settings.Ceilings.RetryAfter, b.d.settings.Ceilings.MaxRetryAfter = true, time.Second
-	b.d.Admission = pacing.NewAdmission(1)
+	b.d.Admission = overload.NewAdmission(1)
 	for range 40 {
 		b.submit(0)
 	}
--- a/internal/discovery/feed.go
+++ b/internal/discovery/feed.go
@@ -21,7 +21,7 @@
 	"shaleyard/internal/config"
 	"shaleyard/internal/director"
 	"shaleyard/internal/loop"
-	"shaleyard/internal/pacing"
+	"shaleyard/internal/overload"
 	"shaleyard/routing"
 )
 
@@ -40,13 +40,13 @@
 }
 
 // Ends count the ends of calls by kind.
-type Ends [pacing.Silent + 1]uint64
+type Ends [overload.Silent + 1]uint64
 
 // MarshalJSON names the kinds.
 func (e Ends) MarshalJSON() ([]byte, error) {
 	m := map[string]uint64{}
 	for i, n := range e {
-		m[pacing.End(i).String()] = n
+		m[overload.End(i).String()] = n
 	}
 	return json.Marshal(m)
 }
@@ -65,7 +65,7 @@
 	now     func() routing.Time
 	zones   map[string]int
 	kinds   map[string]int
-	calls   *pacing.ListCalls
+	calls   *overload.ListCalls
 	moveTo  string // address to go over to with the next dial; "": none
 	last    uint64 // number of the last event taken
 	index   uint64 // the latest list's version
@@ -98,7 +98,7 @@
 const behindMost = 5
 
 // New returns a follower of the feed at the address, for the settings' zones and kinds.
-func New(l *config.Limits, s *routing.Settings, address string, calls *pacing.ListCalls, d loop.Dialer, sink Sink,
+func New(l *config.Limits, s *routing.Settings, address string, calls *overload.ListCalls, d loop.Dialer, sink Sink,
 	a *director.Agenda, now func() routing.Time, log *zap.Logger) *Follower {
 	f := &Follower{limits: l, address: address, calls: calls, dialer: d, sink: sink, agenda: a, now: now,
 		zones: map[string]int{}, kinds: map[string]int{}, list: map[string]state{}, log: log}
@@ -171,7 +171,7 @@
 
 // retry gives a stream, or a dial that has failed, up and calls again in its time. A stream that ends while the next
 // one is being dialled is replaced by that.
-func (f *Follower) retry(s *stream, e pacing.End) {
+func (f *Follower) retry(s *stream, e overload.End) {
 	switch s {
 	case f.stream:
 		f.stream = nil
@@ -264,7 +264,7 @@
 	}
 	sub := strconv.AppendUint([]byte("SUB "), from, 10)
 	if _, err := c.Writev([][]byte{append(sub, '\n')}); err != nil {
-		f.retry(s, pacing.Unfit)
+		f.retry(s, overload.Unfit)
 	}
 	if first && f.Reach != nil {
 		f.Reach()
@@ -276,10 +276,10 @@
 func (s *stream) Failed(err error) {
 	s.f.Counters.ConnectsFailed++
 	if errors.Is(err, syscall.ECONNREFUSED) || errors.Is(err, syscall.ECONNRESET) {
-		s.f.retry(s, pacing.Refused)
+		s.f.retry(s, overload.Refused)
 		return
 	}
-	s.f.retry(s, pacing.TimedOut)
+	s.f.retry(s, overload.TimedOut)
 }
 
 // Closed calls again. What the feed has to tell counts as told while it is down, so a stream that was good is
@@ -292,22 +292,22 @@
 }
 
 // broken is what the end of the stream means, by itself or for a line that can't be used: it was good until then, or not.
-func (s *stream) broken() pacing.End {
+func (s *stream) broken() overload.End {
 	if s.spoke {
-		return pacing.Broke
+		return overload.Broke
 	}
-	return pacing.Unfit
+	return overload.Unfit
 }
 
 // silent is what silence on the stream means.
-func (s *stream) silent() pacing.End {
+func (s *stream) silent() overload.End {
 	switch {
 	case s.behind:
-		return pacing.Unfit
+		return overload.Unfit
 	case s.spoke:
-		return pacing.Silent
+		return overload.Silent
 	}
-	return pacing.TimedOut
+	return overload.TimedOut
 }
 
 // Data takes whole lines. A line that can't be used closes the stream, and the next one starts behind the
--- a/internal/discovery/feed_test.go
+++ b/internal/discovery/feed_test.go
@@ -16,7 +16,7 @@
 	"shaleyard/internal/director"
 	"shaleyard/internal/loop"
 	"shaleyard/internal/nettest"
-	"shaleyard/internal/pacing"
+	"shaleyard/internal/overload"
 	"shaleyard/routing"
 )
 
@@ -48,7 +48,7 @@
 	l := &config.Limits{FeedLine: 1000, FeedSilence: 1300 * time.Millisecond, FeedRetry: 100 * time.Millisecond,
 		Members: 2}
 	s := &routing.Settings{Zones: []string{"west", "here"}, Kinds: []string{"small", "origin"}}
-	calls := pacing.NewListCalls(pacing.ListBounds{Directors: directors, Me: 200, Heed: 2 * time.Second,
+	calls := overload.NewListCalls(overload.ListBounds{Directors: directors, Me: 200, Heed: 2 * time.Second,
 		Purge: 500 * time.Millisecond, Late: 7 * time.Second, Silence: l.FeedSilence, Call: 500 * time.Millisecond, Least: l.FeedRetry}, 1)
 	b.f = New(l, s, "a", calls, b, b, &b.agenda, func() routing.Time { return b.clock }, zap.NewNop())
 	return b
@@ -340,7 +340,7 @@
 	if got := b.open().Text.String(); got != "SUB 0\n" || len(b.told) != 0 {
 		t.Errorf("resumed with %q, told %v", got, b.told)
 	}
-	if b.f.Counters.Ends[pacing.Unfit] != 1 {
+	if b.f.Counters.Ends[overload.Unfit] != 1 {
 		t.Errorf("ends %v, want one unfit", b.f.Counters.Ends)
 	}
 }
@@ -351,7 +351,7 @@
 	l := b.open()
 	b.dials[0].Data([]byte(ready[:len(ready)/2]))
 	b.pass(1300 * time.Millisecond)
-	if !l.Closed || b.f.Counters.Ends[pacing.TimedOut] != 1 {
+	if !l.Closed || b.f.Counters.Ends[overload.TimedOut] != 1 {
 		t.Errorf("closed %v, ends %v, want one timed out", l.Closed, b.f.Counters.Ends)
 	}
 }
--- a/internal/discovery/young_test.go
+++ b/internal/discovery/young_test.go
@@ -15,7 +15,7 @@
 	"shaleyard/internal/director"
 	"shaleyard/internal/loop"
 	"shaleyard/internal/nettest"
-	"shaleyard/internal/pacing"
+	"shaleyard/internal/overload"
 	"shaleyard/routing"
 )
 
@@ -205,7 +205,7 @@
 		ConnectTimeout: time.Second, FeedHeed: 2 * time.Second, FeedPurge: 500 * time.Millisecond, FeedCall: 500 * time.Millisecond,
 		FeedLate: toldLate}
 	l := &v.limits
-	calls := pacing.NewListCalls(pacing.ListBounds{Directors: directors, Me: v.rng.IntN(directors), Heed: l.FeedHeed, Purge: l.FeedPurge,
+	calls := overload.NewListCalls(overload.ListBounds{Directors: directors, Me: v.rng.IntN(directors), Heed: l.FeedHeed, Purge: l.FeedPurge,
 		Late: l.FeedLate, Silence: l.FeedSilence, Call: l.FeedCall, Least: l.FeedRetry}, seed)
 	v.f = New(l, &routing.Settings{}, "a", calls, v, v, &v.agenda, func() routing.Time { return v.clock }, zap.NewNop())
 	for i := range v.odds {
--- a/internal/pacing/limit.go
+++ b/internal/overload/limit.go
@@ -1,4 +1,4 @@
-package pacing
+package overload
 
 import (
 	"math"
--- a/internal/pacing/list.go
+++ b/internal/overload/list.go
@@ -3,7 +3,7 @@
 // no I/O and reads no clock: time and random numbers are handed in. Directors don't talk to each other, so that
 // what hundreds of them do together must follow from what each one knows alone: its number, the size of the
 // fleet, its seed and what came of its own calls.
-package pacing
+package overload
 
 import (
 	"math"
--- a/internal/upstream/caches.go
+++ b/internal/upstream/caches.go
@@ -13,7 +13,7 @@
 	"shaleyard/internal/config"
 	"shaleyard/internal/director"
 	"shaleyard/internal/loop"
-	"shaleyard/internal/pacing"
+	"shaleyard/internal/overload"
 	"shaleyard/routing"
 )
 
@@ -48,9 +48,9 @@
 	peers  map[routing.Host]*peer
 	calls  map[director.Handle]*call
 	conns  *director.Table[*conn]
-	idle   pacing.Idle // for how long an idle connection is used again
-	files  int         // descriptors in use: two while a dial is handed to the loop, then one
-	held   bool        // nothing is written, until Release
+	idle   overload.Idle // for how long an idle connection is used again
+	files  int           // descriptors in use: two while a dial is handed to the loop, then one
+	held   bool          // nothing is written, until Release
 	head   []byte
 	iov    [][]byte
 }
@@ -62,7 +62,7 @@
 	address string
 	started routing.Time
 	conns   []*conn
-	pace    pacing.Conns
+	pace    overload.Conns
 	left    bool
 	ended   routing.Time   // when it last ended a connection
 	crossed director.Entry // a request was lost to that, as far as is known: its lesson is drawn a moment later
@@ -87,7 +87,7 @@
 func NewFleet(l *config.Limits, s *routing.Settings, pool *buffer.Pool, d loop.Dialer, e Ender, a *director.Agenda,
 	now func() routing.Time, log *zap.Logger, seed uint64) *Fleet {
 	return &Fleet{rng: rand.New(rand.NewPCG(seed, 4)), limits: l, fields: s.Report.Fields, pool: pool, dialer: d, ender: e, agenda: a, now: now, log: log,
-		idle: pacing.NewIdle(l.PeerKeepLeast, l.PeerIdle), peers: map[routing.Host]*peer{}, calls: map[director.Handle]*call{},
+		idle: overload.NewIdle(l.PeerKeepLeast, l.PeerIdle), peers: map[routing.Host]*peer{}, calls: map[director.Handle]*call{},
 		conns: director.NewTable[*conn](l.PeerConns)}
 }
 
@@ -107,7 +107,7 @@
 func (f *Fleet) Join(host routing.Host, name, address string, started routing.Time) {
 	p := f.peers[host]
 	if p == nil {
-		p = &peer{host: host, name: name, address: address, started: started, pace: pacing.NewConns(f.rng)}
+		p = &peer{host: host, name: name, address: address, started: started, pace: overload.NewConns(f.rng)}
 		p.pace.Started(started)
 		f.peers[host] = p
 		return
--- a/routing/ejection.go
+++ b/routing/ejection.go
@@ -3,7 +3,7 @@
 import (
 	"slices"
 
-	"shaleyard/internal/pacing"
+	"shaleyard/internal/overload"
 )
 
 // Servers that are out of use, and the single requests that look whether they are back.
@@ -33,7 +33,7 @@
 
 func (d *Router) readmit(s *server) {
 	d.log("readmit %x after %v", uint64(s.Host), d.now-s.ejectedAt)
-	s.ejected, s.missed, s.backoff = false, pacing.Streak{}, 0
+	s.ejected, s.missed, s.backoff = false, overload.Streak{}, 0
 	for _, o := range d.like(s) { // what was lost together often comes back so
 		o.until = min(o.until, d.now)
 	}
--- a/routing/outcomes.go
+++ b/routing/outcomes.go
@@ -4,7 +4,7 @@
 	"math"
 	"slices"
 
-	"shaleyard/internal/pacing"
+	"shaleyard/internal/overload"
 )
 
 // What the end of an attempt means for its request and for what is believed of servers.
@@ -79,7 +79,7 @@
 		return true // no other server can be reached either
 	case Miss:
 		if r.looked = r.looked || (src == nil && o.Note == NoteJoined); o.Note != NoteJoined {
-			r.looks = pacing.LooksMost // none fills it: it may be filled at once
+			r.looks = overload.LooksMost // none fills it: it may be filled at once
 		}
 		return src == nil && r.looked && !a.look && !r.shut
 	}
@@ -162,7 +162,7 @@
 		}
 	case untold, o.Note == NoteSourceRefused, o.Note == NoteSourceLacks, o.Note == NoteOriginFailed,
 		o.Note >= NoteFilled && o.Note <= NoteJoined:
-		src.missed, src.spoke = pacing.Streak{}, d.now
+		src.missed, src.spoke = overload.Streak{}, d.now
 		src.seen.Answered(d.now)
 		if src.ejected {
 			d.readmit(src)
--- a/routing/router.go
+++ b/routing/router.go
@@ -5,7 +5,7 @@
 	"math/rand/v2"
 	"time"
 
-	"shaleyard/internal/pacing"
+	"shaleyard/internal/overload"
 	"shaleyard/internal/siteview"
 )
 
@@ -20,12 +20,12 @@
 	d := &Router{s: s, rng: rand.New(rand.NewPCG(seed, 1)), servers: map[Host]*server{},
 		reqs: map[uint32]*request{}, tries: map[uint64]*attempt{},
 		cur: map[objectPart]*entry{}, prev: map[objectPart]*entry{},
-		purges: map[purgeKey]purge{}, shield: pacing.NewShield(s.Balancers),
+		purges: map[purgeKey]purge{}, shield: overload.NewShield(s.Balancers),
 		sites: siteview.New(siteview.Config{Names: s.Zones, Own: s.Zone, Hub: s.Family.HubByZone[s.Zone]})}
 	for _, c := range s.Services { // sending is a part of the aim, or nothing would be in time
 		aim := c.Aim.Seconds()
 		d.slowest = max(d.slowest, aim)
-		d.classes = append(d.classes, classStats{pacing.Guess(aim * guessWork), pacing.Guess(aim)})
+		d.classes = append(d.classes, classStats{overload.Guess(aim * guessWork), overload.Guess(aim)})
 	}
 	return d, nil
 }
--- a/routing/rules_test.go
+++ b/routing/rules_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"shaleyard/internal/pacing"
+	"shaleyard/internal/overload"
 )
 
 func simpleWorld(t *testing.T, change func(*Settings)) *world {
@@ -451,7 +451,7 @@
 func TestBeyondTheFillLimitAsksForWhatIsHeld(t *testing.T) {
 	w := simpleWorld(t, nil)
 	for _, s := range w.r.upper {
-		s.from.limit = pacing.NewLimit(w.r.now, 1e-9)
+		s.from.limit = overload.NewLimit(w.r.now, 1e-9)
 	}
 	w.answer = func(w *world, o *open, n int) (Result, Note, time.Duration) {
 		if o.Object == 42 {
@@ -703,11 +703,11 @@
 		},
 		"cold target": func() func() {
 			edgeA.cold, edgeA.spent = w.now, usedUp(w.now)
-			return func() { edgeA.cold, edgeA.spent = 0, pacing.Bucket{} }
+			return func() { edgeA.cold, edgeA.spent = 0, overload.Bucket{} }
 		},
 		"cold source": func() func() {
 			par.cold, par.spent = w.now, usedUp(w.now)
-			return func() { par.cold, par.spent = 0, pacing.Bucket{} }
+			return func() { par.cold, par.spent = 0, overload.Bucket{} }
 		},
 	} {
 		undo := f()
@@ -857,7 +857,7 @@
 	if s.to.load > 1e-9 {
 		t.Errorf("%.1f s of fills count on the cache", s.to.load)
 	}
-	s.to.limit, s.to.load = pacing.NewLimit(w.r.now, 4), 4
+	s.to.limit, s.to.load = overload.NewLimit(w.r.now, 4), 4
 	n := len(w.sent)
 	if w.read(2, 42, 0); len(w.sent) != n+1 || w.sent[n].Host != s.Host {
 		t.Errorf("a hit was held back: %+v", w.sent[n:])
@@ -971,7 +971,7 @@
 	w := simpleWorld(t, nil)
 	w.read(1, 42, 0)
 	first := w.r.servers[w.sent[0].Source]
-	first.from.limit, first.from.load = pacing.NewLimit(w.r.now, 1), 1
+	first.from.limit, first.from.load = overload.NewLimit(w.r.now, 1), 1
 	w.purge(Purge{Object: 42}) // so that it is a likely fill again
 	w.read(2, 42, 0)
 	if f := w.sent[1]; f.Source == first.Host || w.members[f.Source].Kind != 1 || f.Host != w.sent[0].Host {
@@ -986,7 +986,7 @@
 	for _, allowed := range []bool{true, false} {
 		w := simpleWorld(t, func(s *Settings) { s.Family.BypassAllowed = allowed })
 		for _, s := range w.r.caches {
-			s.to.limit, s.to.load = pacing.NewLimit(w.r.now, 1), 1
+			s.to.limit, s.to.load = overload.NewLimit(w.r.now, 1), 1
 		}
 		w.read(1, 42, 0)
 		if straight := len(w.sent) == 1 && w.members[w.sent[0].Host].Kind == 1; straight != allowed {
@@ -1079,7 +1079,7 @@
 	}{
 		{"lost", func(*world, *request) {}, 0, copiesEach},
 		{"silent way", func(_ *world, r *request) { way(r).good = 0 }, 0, 0},
-		{"crowd", func(w *world, r *request) { r.tries[0].target.to.limit = pacing.NewLimit(w.r.now, 1e-6) }, 0, 0},
+		{"crowd", func(w *world, r *request) { r.tries[0].target.to.limit = overload.NewLimit(w.r.now, 1e-6) }, 0, 0},
 		{"none saved up", func(w *world, _ *request) { w.r.copies = 0 }, 0, 0},
 		{"unsafe", func(*world, *request) {}, 3, 0},
 	} {
@@ -1185,7 +1185,7 @@
 		w.r.rank(w.r.caches, 42)
 		first, next := w.r.caches[0], w.r.caches[1]
 		for i, c := range w.r.caches {
-			c.to.limit = pacing.NewLimit(w.r.now, 8)
+			c.to.limit = overload.NewLimit(w.r.now, 8)
 			if c.to.load = 8; i == 1 {
 				c.to.load = tc.load
 			}
@@ -1326,7 +1326,7 @@
 func TestLimitsSpareWhatOnlyTheOriginCanDo(t *testing.T) {
 	w := simpleWorld(t, nil)
 	o := w.r.servers[hostOrigin]
-	o.from.limit, o.from.load = pacing.NewLimit(w.r.now, 0.1), 5
+	o.from.limit, o.from.load = overload.NewLimit(w.r.now, 0.1), 5
 	n := len(w.acts)
 	w.read(1, 42, 2)
 	for _, a := range w.acts[n:] {
@@ -1338,7 +1338,7 @@
 }
 
 // usedUp is a cold budget of which much more has been spent than it has.
-func usedUp(now Time) (b pacing.Bucket) {
+func usedUp(now Time) (b overload.Bucket) {
 	b.Spent(now, 0)
 	b.Spend(1e3)
 	return b
--- a/routing/state.go
+++ b/routing/state.go
@@ -4,7 +4,7 @@
 	"math/rand/v2"
 	"time"
 
-	"shaleyard/internal/pacing"
+	"shaleyard/internal/overload"
 	"shaleyard/internal/siteview"
 )
 
@@ -37,27 +37,27 @@
 	ejected, looking   bool             // out of use; a look is out
 	ejectedAt, until   Time             // ejected: since when; no look before
 	void               Time             // what the table says of its holdings from before is void
-	missed             pacing.Streak    // fills from it that failed since its last sign of life
+	missed             overload.Streak  // fills from it that failed since its last sign of life
 	heard, spoke       Time             // its last answer as target, and as source
 	backoff            time.Duration
 	pace               float64 // logarithm of answer times over what they should be, a running mean
 	seats              float64 // routers that may send to it
 	coldFrom, multiple float64 // share of its capacity at a cold start; times of it at which it falls over
 	ramp               time.Duration
-	cold               Time          // start of a cold life, as listed or as supposed; 0: warm
-	sending            float64       // seconds of sending out at it as target
-	spent              pacing.Bucket // seconds of sending: cold budget in use
-	carried            float64       // and lately done for us
+	cold               Time            // start of a cold life, as listed or as supposed; 0: warm
+	sending            float64         // seconds of sending out at it as target
+	spent              overload.Bucket // seconds of sending: cold budget in use
+	carried            float64         // and lately done for us
 	carriedAt          Time
 }
 
 // side is a server in one of its two parts, as target or as source.
 type side struct {
 	out   []*attempt
-	late  pacing.Seen  // its latest hit was late, or has failed
-	good  Time         // when the latest attempt was sent that came in time, over the whole way
-	load  float64      // seconds of sending out and bound for it: hits for a target, likely fills for a source
-	limit pacing.Limit // of that
+	late  overload.Seen  // its latest hit was late, or has failed
+	good  Time           // when the latest attempt was sent that came in time, over the whole way
+	load  float64        // seconds of sending out and bound for it: hits for a target, likely fills for a source
+	limit overload.Limit // of that
 }
 
 // attempt is one try of a request.
@@ -123,7 +123,7 @@
 type purge struct{ made, told Time }
 
 // classStats are running means of a class, seconds: sending time, and time to an answer.
-type classStats struct{ work, latency pacing.Mean }
+type classStats struct{ work, latency overload.Mean }
 
 // Router decides for one instance. It is not safe for concurrent use.
 type Router struct {
@@ -139,17 +139,17 @@
 	cur, prev     map[objectPart]*entry // the table's two generations
 	purges        map[purgeKey]purge
 	classes       []classStats
-	slowest       float64     // the longest aim, in seconds: what a call may take while none was seen
-	pace          float64     // of the fastest of our caches
-	copies        float64     // second copies that may be sent
-	waited        pacing.Mean // seconds that fills by the origin wait for their first byte, a running mean
+	slowest       float64       // the longest aim, in seconds: what a call may take while none was seen
+	pace          float64       // of the fastest of our caches
+	copies        float64       // second copies that may be sent
+	waited        overload.Mean // seconds that fills by the origin wait for their first byte, a running mean
 	started       bool
 	turned, swept Time
 	logAt         Time
-	asking        []*request     // waiting for far masters
-	shield        *pacing.Shield // of the origin, against fills
-	repeats       pacing.Repeats // what further attempts may still be made
-	firsts        pacing.Firsts  // whether a likely miss first asks for what is held
-	sites         *siteview.View // how whole sites fare
-	notZero       bool           // a lower-numbered router of our location was heard of
+	asking        []*request       // waiting for far masters
+	shield        *overload.Shield // of the origin, against fills
+	repeats       overload.Repeats // what further attempts may still be made
+	firsts        overload.Firsts  // whether a likely miss first asks for what is held
+	sites         *siteview.View   // how whole sites fare
+	notZero       bool             // a lower-numbered router of our location was heard of
 }
