--- a/cmd/shaleyard/program.go
+++ b/cmd/shaleyard/program.go
@@ -19,8 +19,8 @@
 	"shaleyard/internal/lifecycle"
 	"shaleyard/internal/loop"
 	"shaleyard/internal/overload"
+	"shaleyard/internal/sitehealth"
 	"shaleyard/internal/siteplan"
-	"shaleyard/internal/siteview"
 	"shaleyard/internal/upstream"
 	"shaleyard/routing"
 )
@@ -73,7 +73,7 @@
 	p.director.Admission = overload.NewAdmission(c.Seed)
 	// A plan that can't be made must not keep the director from starting: it goes on as without one.
 	advice, err := siteplan.NewAdviser(s, wishes, func(err error) { p.log.Warn("no plan for lost sites", zap.Error(err)) })
-	follow := siteview.Options{Rate: wishes.MovePerS, Stay: time.Duration(wishes.StayMS * float64(time.Millisecond)),
+	follow := sitehealth.Options{Rate: wishes.MovePerS, Stay: time.Duration(wishes.StayMS * float64(time.Millisecond)),
 		Deaf: func() bool { return p.feed.Reached() && p.now()-p.feed.Heard() > p.limits.FeedSilence }}
 	if err != nil {
 		p.log.Warn("no plan for lost sites", zap.Error(err))
--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -10,8 +10,8 @@
 	"io"
 	"os"
 
+	"shaleyard/internal/sitehealth"
 	"shaleyard/internal/siteplan"
-	"shaleyard/internal/siteview"
 	"shaleyard/internal/wire"
 	"shaleyard/routing"
 )
@@ -87,7 +87,7 @@
 		return nil, err
 	}
 	if a, err := siteplan.NewAdviser(&s, siteplan.Wishes{}, nil); err == nil {
-		r.Follow(siteview.Options{Plan: a.Advise}) // as the real director does without an operators' file
+		r.Follow(sitehealth.Options{Plan: a.Advise}) // as the real director does without an operators' file
 	}
 	return r, nil
 }
--- a/internal/director/director.go
+++ b/internal/director/director.go
@@ -14,7 +14,7 @@
 	"shaleyard/internal/config"
 	"shaleyard/internal/flight"
 	"shaleyard/internal/overload"
-	"shaleyard/internal/siteview"
+	"shaleyard/internal/sitehealth"
 	"shaleyard/routing"
 )
 
@@ -87,10 +87,10 @@
 }
 
 // Follow sets what is done when whole sites are lost; it comes before the first event.
-func (d *Director) Follow(o siteview.Options) { d.router.Follow(o) }
+func (d *Director) Follow(o sitehealth.Options) { d.router.Follow(o) }
 
 // Sites counts what was seen of whole sites.
-func (d *Director) Sites() siteview.Counters { return d.router.Sites() }
+func (d *Director) Sites() sitehealth.Counters { return d.router.Sites() }
 
 // Attach names the peers; it comes before the first event.
 func (d *Director) Attach(p Peers) { d.peers = p }
--- a/internal/siteview/view.go
+++ b/internal/sitehealth/view.go
@@ -3,7 +3,7 @@
 // site together is enough to tell a site that is lost from a server that is.
 //
 // It does no I/O, has no clock and draws nothing: the same evidence gives the same states.
-package siteview
+package sitehealth
 
 import (
 	"cmp"
--- a/internal/siteview/view_test.go
+++ b/internal/sitehealth/view_test.go
@@ -1,4 +1,4 @@
-package siteview
+package sitehealth
 
 import (
 	"fmt"
--- a/internal/siteplan/advice.go
+++ b/internal/siteplan/advice.go
@@ -3,7 +3,7 @@
 import (
 	"slices"
 
-	"shaleyard/internal/siteview"
+	"shaleyard/internal/sitehealth"
 	"shaleyard/routing"
 )
 
@@ -53,7 +53,7 @@
 }
 
 // Advise is a siteview.Plan.
-func (a *Adviser) Advise(lost []int, carries []float64) (advice siteview.Advice) {
+func (a *Adviser) Advise(lost []int, carries []float64) (advice sitehealth.Advice) {
 	if !slices.Equal(carries, a.carries) {
 		a.carries = slices.Clone(carries)
 		t, err := From(a.s, a.members(carries), a.w)
--- a/routing/router.go
+++ b/routing/router.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"shaleyard/internal/overload"
-	"shaleyard/internal/siteview"
+	"shaleyard/internal/sitehealth"
 )
 
 // The router takes one event at a time and answers with actions.
@@ -21,7 +21,7 @@
 		reqs: map[uint32]*request{}, tries: map[uint64]*attempt{},
 		cur: map[objectPart]*entry{}, prev: map[objectPart]*entry{},
 		purges: map[purgeKey]purge{}, shield: overload.NewShield(s.Balancers),
-		sites: siteview.New(siteview.Config{Names: s.Zones, Own: s.Zone, Hub: s.Family.HubByZone[s.Zone]})}
+		sites: sitehealth.New(sitehealth.Config{Names: s.Zones, Own: s.Zone, Hub: s.Family.HubByZone[s.Zone]})}
 	for _, c := range s.Services { // sending is a part of the aim, or nothing would be in time
 		aim := c.Aim.Seconds()
 		d.slowest = max(d.slowest, aim)
--- a/routing/settings.go
+++ b/routing/settings.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"time"
 
-	"shaleyard/internal/siteview"
+	"shaleyard/internal/sitehealth"
 )
 
 // validate names the first field that cannot work. What is not here may hold anything: a word that is not known counts as
@@ -80,13 +80,13 @@
 }
 
 // Follow sets what is done when whole sites are lost. It comes before the first event.
-func (d *Router) Follow(o siteview.Options) { d.sites.Options = o }
+func (d *Router) Follow(o sitehealth.Options) { d.sites.Options = o }
 
 // changed logs a change of a site's state: each has a line of its own, with its evidence.
-func (d *Router) changed(c siteview.Change) { d.do(Log{Text: c.String()}) }
+func (d *Router) changed(c sitehealth.Change) { d.do(Log{Text: c.String()}) }
 
 // Sites counts what was seen of whole sites.
-func (d *Router) Sites() siteview.Counters { return d.sites.Counters }
+func (d *Router) Sites() sitehealth.Counters { return d.sites.Counters }
 
 // fill gives lists that were left out their full length, with zeros.
 func (s *Settings) fill() {
--- a/routing/settings_test.go
+++ b/routing/settings_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"shaleyard/internal/siteview"
+	"shaleyard/internal/sitehealth"
 )
 
 // leaves calls f for each value of a document that holds no others, with its path and a way to replace it.
@@ -120,7 +120,7 @@
 		var r *Router
 		if err == nil {
 			if r, err = New(s, 1); err == nil {
-				r.Follow(siteview.Options{})
+				r.Follow(sitehealth.Options{})
 				use(r, len(s.Services))
 				return
 			}
--- a/routing/sites_test.go
+++ b/routing/sites_test.go
@@ -4,7 +4,7 @@
 	"testing"
 	"time"
 
-	"shaleyard/internal/siteview"
+	"shaleyard/internal/sitehealth"
 )
 
 // threeHubs is simpleWorld with hubs of two parents each, in zones 0, 2 and 3, of which zone 0 is ours.
@@ -41,8 +41,8 @@
 // A lost hub's fills are shared as the plan says; looks go there first, and it has them back once it answers.
 func TestLostHubIsReplacedByPlan(t *testing.T) {
 	w := threeHubs(t)
-	w.r.Follow(siteview.Options{Plan: func([]int, []float64) siteview.Advice {
-		return siteview.Advice{Hubs: []float64{0, 0, 0.75, 0.25}}
+	w.r.Follow(sitehealth.Options{Plan: func([]int, []float64) sitehealth.Advice {
+		return sitehealth.Advice{Hubs: []float64{0, 0, 0.75, 0.25}}
 	}})
 	down := false
 	w.answer = func(w *world, o *open, n int) (Result, Note, time.Duration) {
--- a/routing/state.go
+++ b/routing/state.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"shaleyard/internal/overload"
-	"shaleyard/internal/siteview"
+	"shaleyard/internal/sitehealth"
 )
 
 // Types of what a router remembers. Nothing is computed or decided here.
@@ -29,16 +29,16 @@
 type server struct {
 	Member
 	role               role
-	sized              bool             // its weight stands for its capacity in transfers
-	listed             bool             // in the list and not gone
-	seen               *siteview.Member // what its site makes of it
-	score              float64          // rank: by hash and weight, best highest
-	to, from           side             // with it as target, and as source
-	ejected, looking   bool             // out of use; a look is out
-	ejectedAt, until   Time             // ejected: since when; no look before
-	void               Time             // what the table says of its holdings from before is void
-	missed             overload.Streak  // fills from it that failed since its last sign of life
-	heard, spoke       Time             // its last answer as target, and as source
+	sized              bool               // its weight stands for its capacity in transfers
+	listed             bool               // in the list and not gone
+	seen               *sitehealth.Member // what its site makes of it
+	score              float64            // rank: by hash and weight, best highest
+	to, from           side               // with it as target, and as source
+	ejected, looking   bool               // out of use; a look is out
+	ejectedAt, until   Time               // ejected: since when; no look before
+	void               Time               // what the table says of its holdings from before is void
+	missed             overload.Streak    // fills from it that failed since its last sign of life
+	heard, spoke       Time               // its last answer as target, and as source
 	backoff            time.Duration
 	pace               float64 // logarithm of answer times over what they should be, a running mean
 	seats              float64 // routers that may send to it
@@ -150,6 +150,6 @@
 	shield        *overload.Shield // of the origin, against fills
 	repeats       overload.Repeats // what further attempts may still be made
 	firsts        overload.Firsts  // whether a likely miss first asks for what is held
-	sites         *siteview.View   // how whole sites fare
+	sites         *sitehealth.View // how whole sites fare
 	notZero       bool             // a lower-numbered router of our location was heard of
 }
