--- a/cmd/shaleyard/interface_test.go
+++ b/cmd/shaleyard/interface_test.go
@@ -16,7 +16,7 @@
 	"github.com/pelletier/go-toml/v2"
 
 	"shaleyard/internal/config"
-	"shaleyard/internal/siteplan"
+	"shaleyard/internal/failover"
 	"shaleyard/routing"
 )
 
@@ -260,7 +260,7 @@
 
 // What `shaleyard plan --json` prints is read by programs.
 func TestKeysOfPlan(t *testing.T) {
-	wantGolden(t, "plan-json.keys", keyList(typeKeys(reflect.TypeFor[[]siteplan.Plan](), "json", "")))
+	wantGolden(t, "plan-json.keys", keyList(typeKeys(reflect.TypeFor[[]failover.Plan](), "json", "")))
 }
 
 // fullEdgeConfig holds every key of EDGE_CONFIG outside the settings, and those of the settings that sockets need.
--- a/cmd/shaleyard/plan.go
+++ b/cmd/shaleyard/plan.go
@@ -16,8 +16,8 @@
 	"shaleyard/internal/config"
 	"shaleyard/internal/director"
 	"shaleyard/internal/discovery"
+	"shaleyard/internal/failover"
 	"shaleyard/internal/overload"
-	"shaleyard/internal/siteplan"
 	"shaleyard/internal/strict"
 	"shaleyard/routing"
 )
@@ -53,7 +53,7 @@
 		return err
 	}
 	planner, err := newPlanner(s, members, o.Plan)
-	var wish *siteplan.WishError
+	var wish *failover.WishError
 	if errors.As(err, &wish) {
 		return fmt.Errorf("%s:%d: %w", *operator, strict.Line(wishes, wish.Key), err)
 	}
@@ -66,7 +66,7 @@
 		if err != nil {
 			return err
 		}
-		plans = []*siteplan.Plan{plan}
+		plans = []*failover.Plan{plan}
 	}
 	if *asJSON {
 		e := json.NewEncoder(out)
@@ -79,12 +79,12 @@
 	return nil
 }
 
-func newPlanner(s *routing.Settings, members []routing.Member, w siteplan.Wishes) (*siteplan.Planner, error) {
-	t, err := siteplan.From(s, members, w)
+func newPlanner(s *routing.Settings, members []routing.Member, w failover.Wishes) (*failover.Planner, error) {
+	t, err := failover.From(s, members, w)
 	if err != nil {
 		return nil, err
 	}
-	return siteplan.NewPlanner(t, w)
+	return failover.NewPlanner(t, w)
 }
 
 // siteOf reads the settings, and the servers that the configuration knows.
--- a/cmd/shaleyard/program.go
+++ b/cmd/shaleyard/program.go
@@ -15,12 +15,12 @@
 	"shaleyard/internal/director"
 	"shaleyard/internal/discovery"
 	"shaleyard/internal/downstream"
+	"shaleyard/internal/failover"
 	"shaleyard/internal/flight"
 	"shaleyard/internal/lifecycle"
 	"shaleyard/internal/loop"
 	"shaleyard/internal/overload"
 	"shaleyard/internal/sitehealth"
-	"shaleyard/internal/siteplan"
 	"shaleyard/internal/upstream"
 	"shaleyard/routing"
 )
@@ -55,7 +55,7 @@
 	rejectLogAt routing.Time // no line on a rejected connection before
 }
 
-func assemble(c *config.Config, wishes siteplan.Wishes, logger *zap.Logger) (*program, error) {
+func assemble(c *config.Config, wishes failover.Wishes, logger *zap.Logger) (*program, error) {
 	p := &program{log: logger, config: c, limits: &c.Limits, now: clock.New().Now,
 		acceptLog: rate.Sometimes{Interval: time.Second}}
 	l, s := p.limits, &c.Settings
@@ -72,7 +72,7 @@
 	p.director.Attach(p.fleet)
 	p.director.Admission = overload.NewAdmission(c.Seed)
 	// A plan that can't be made must not keep the director from starting: it goes on as without one.
-	advice, err := siteplan.NewAdviser(s, wishes, func(err error) { p.log.Warn("no plan for lost sites", zap.Error(err)) })
+	advice, err := failover.NewAdviser(s, wishes, func(err error) { p.log.Warn("no plan for lost sites", zap.Error(err)) })
 	follow := sitehealth.Options{Rate: wishes.MovePerS, Stay: time.Duration(wishes.StayMS * float64(time.Millisecond)),
 		Deaf: func() bool { return p.feed.Reached() && p.now()-p.feed.Heard() > p.limits.FeedSilence }}
 	if err != nil {
--- a/cmd/shaleyard/stories_test.go
+++ b/cmd/shaleyard/stories_test.go
@@ -17,9 +17,9 @@
 	"github.com/google/go-cmp/cmp"
 
 	"shaleyard/internal/config"
+	"shaleyard/internal/failover"
 	"shaleyard/internal/lifecycle"
 	"shaleyard/internal/nettest"
-	"shaleyard/internal/siteplan"
 	"shaleyard/routing"
 )
 
@@ -71,9 +71,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for text, wishes := range map[string]siteplan.Wishes{
+	for text, wishes := range map[string]failover.Wishes{
 		"":                       {},
-		"plan.forbid[0].lost":    {Forbids: []siteplan.Forbid{{Lost: "moon", To: "hub"}}},
+		"plan.forbid[0].lost":    {Forbids: []failover.Forbid{{Lost: "moon", To: "hub"}}},
 		"plan.shares: the class": {Shares: map[string]float64{"media": 0.2, "repayment": 0.2}},
 	} {
 		var log strings.Builder
@@ -99,7 +99,7 @@
 	if change != nil {
 		change(&c.Limits)
 	}
-	if s.p, err = assemble(c, siteplan.Wishes{}, newLogger(logTo, "", c.Name)); err != nil {
+	if s.p, err = assemble(c, failover.Wishes{}, newLogger(logTo, "", c.Name)); err != nil {
 		t.Fatal(err)
 	}
 	if err := s.p.feed.Replay(c.Known); err != nil {
--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -10,8 +10,8 @@
 	"io"
 	"os"
 
+	"shaleyard/internal/failover"
 	"shaleyard/internal/sitehealth"
-	"shaleyard/internal/siteplan"
 	"shaleyard/internal/wire"
 	"shaleyard/routing"
 )
@@ -86,7 +86,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if a, err := siteplan.NewAdviser(&s, siteplan.Wishes{}, nil); err == nil {
+	if a, err := failover.NewAdviser(&s, failover.Wishes{}, nil); err == nil {
 		r.Follow(sitehealth.Options{Plan: a.Advise}) // as the real director does without an operators' file
 	}
 	return r, nil
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -6,7 +6,7 @@
 	"os"
 	"time"
 
-	"shaleyard/internal/siteplan"
+	"shaleyard/internal/failover"
 	"shaleyard/internal/strict"
 )
 
@@ -17,7 +17,7 @@
 	Pause OperatorPause `toml:"pause"`
 	Log   OperatorLog   `toml:"log"`
 
-	Plan siteplan.Wishes `toml:"plan"` // for the loss of whole sites
+	Plan failover.Wishes `toml:"plan"` // for the loss of whole sites
 }
 
 // OperatorList sets the pace of calls of the list service. Times are milliseconds.
@@ -64,7 +64,7 @@
 			return nil, fmt.Errorf("%s:%d: %s: %v is not within %v and %v", file, strict.Line(text, b.key), b.key, *b.value, b.low, b.high)
 		}
 	}
-	var wish *siteplan.WishError
+	var wish *failover.WishError
 	if err := o.Plan.CheckRanges(); errors.As(err, &wish) {
 		return nil, fmt.Errorf("%s:%d: %w", file, strict.Line(text, wish.Key), err)
 	}
--- a/internal/siteplan/plan.go
+++ b/internal/failover/plan.go
@@ -1,4 +1,4 @@
-package siteplan
+package failover
 
 import (
 	"cmp"
--- a/internal/siteplan/topology.go
+++ b/internal/failover/topology.go
@@ -3,7 +3,7 @@
 //
 // A plan follows from the settings, the list of servers and the operators' wishes alone, so that hundreds of directors
 // that can't talk to each other come to the same one. Nothing here does I/O or knows a clock, and nothing is random.
-package siteplan
+package failover
 
 import (
 	"cmp"
