--- a/cmd/shaleyard/anyorder_test.go
+++ b/cmd/shaleyard/anyorder_test.go
@@ -16,7 +16,7 @@
 	"shaleyard/internal/config"
 	"shaleyard/internal/director"
 	"shaleyard/internal/downstream"
-	"shaleyard/internal/loop"
+	"shaleyard/internal/eventloop"
 	"shaleyard/internal/nettest"
 	"shaleyard/internal/overload"
 	"shaleyard/internal/upstream"
@@ -68,7 +68,7 @@
 	nettest.Link
 	c       *chaos
 	name    string
-	stream  loop.Stream
+	stream  eventloop.Stream
 	waiting []string // refs asked and not answered
 	done    []string // refs answered, of which a second copy may come
 	rest    string   // of an answer under way
@@ -79,7 +79,7 @@
 type clientEnd struct {
 	nettest.Link
 	c     *chaos
-	x     loop.Session
+	x     eventloop.Session
 	seq   int32
 	open  map[int32]*asked
 	ended bool
@@ -97,7 +97,7 @@
 }
 
 // Dial implements loop.Dialer.
-func (c *chaos) Dial(address string, _ time.Duration, s loop.Stream) {
+func (c *chaos) Dial(address string, _ time.Duration, s eventloop.Stream) {
 	c.dials = append(c.dials, &cacheEnd{c: c, name: strings.TrimPrefix(address, "at-"), stream: s})
 }
 
--- a/cmd/shaleyard/life.go
+++ b/cmd/shaleyard/life.go
@@ -6,8 +6,8 @@
 	"go.uber.org/zap"
 
 	"shaleyard/internal/config"
+	"shaleyard/internal/eventloop"
 	"shaleyard/internal/lifecycle"
-	"shaleyard/internal/loop"
 	"shaleyard/routing"
 )
 
@@ -25,7 +25,7 @@
 type front struct{ p *program }
 
 // Accept implements loop.Front.
-func (f front) Accept(c loop.Conn) loop.Session {
+func (f front) Accept(c eventloop.Conn) eventloop.Session {
 	if f.p.life.State() == lifecycle.Ended {
 		return nil
 	}
--- a/cmd/shaleyard/program.go
+++ b/cmd/shaleyard/program.go
@@ -15,10 +15,10 @@
 	"shaleyard/internal/director"
 	"shaleyard/internal/discovery"
 	"shaleyard/internal/downstream"
+	"shaleyard/internal/eventloop"
 	"shaleyard/internal/failover"
 	"shaleyard/internal/flight"
 	"shaleyard/internal/lifecycle"
-	"shaleyard/internal/loop"
 	"shaleyard/internal/overload"
 	"shaleyard/internal/sitehealth"
 	"shaleyard/internal/upstream"
@@ -37,7 +37,7 @@
 	clients  *downstream.Server
 	fleet    *upstream.Fleet
 	feed     *discovery.Follower
-	loop     *loop.Loop
+	loop     *eventloop.Loop
 	started  routing.Time
 	life     *lifecycle.Machine
 	tending  director.Entry // the next look at what is left of a drain or a stop
@@ -65,7 +65,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	p.loop = &loop.Loop{Agenda: &p.agenda, Now: p.now, Front: front{p}, Logf: p.log.Sugar().Warnf,
+	p.loop = &eventloop.Loop{Agenda: &p.agenda, Now: p.now, Front: front{p}, Logf: p.log.Sugar().Warnf,
 		Rejected: p.reject, Inherited: c.Inherited, AcceptFailed: p.acceptFailed, PauseLimit: l.PauseLimit, Settle: l.PauseSettle,
 		Paused: p.paused, Settled: p.settled}
 	p.fleet = upstream.NewFleet(l, s, p.pool, p.loop, p.director, &p.agenda, p.now, p.log, c.Seed)
--- a/internal/discovery/feed.go
+++ b/internal/discovery/feed.go
@@ -20,7 +20,7 @@
 	"shaleyard/internal/clock"
 	"shaleyard/internal/config"
 	"shaleyard/internal/director"
-	"shaleyard/internal/loop"
+	"shaleyard/internal/eventloop"
 	"shaleyard/internal/overload"
 	"shaleyard/routing"
 )
@@ -59,7 +59,7 @@
 
 	limits  *config.Limits
 	address string
-	dialer  loop.Dialer
+	dialer  eventloop.Dialer
 	sink    Sink
 	agenda  *director.Agenda
 	now     func() routing.Time
@@ -98,7 +98,7 @@
 const behindMost = 5
 
 // New returns a follower of the feed at the address, for the settings' zones and kinds.
-func New(l *config.Limits, s *routing.Settings, address string, calls *overload.ListCalls, d loop.Dialer, sink Sink,
+func New(l *config.Limits, s *routing.Settings, address string, calls *overload.ListCalls, d eventloop.Dialer, sink Sink,
 	a *director.Agenda, now func() routing.Time, log *zap.Logger) *Follower {
 	f := &Follower{limits: l, address: address, calls: calls, dialer: d, sink: sink, agenda: a, now: now,
 		zones: map[string]int{}, kinds: map[string]int{}, list: map[string]state{}, log: log}
@@ -234,14 +234,14 @@
 // stream is one connection to the feed.
 type stream struct {
 	f      *Follower
-	link   loop.Conn
+	link   eventloop.Conn
 	line   []byte
 	spoke  bool // a good line has come
 	behind bool // its numbers were behind ours when last it told them
 	anew   bool // asked for everything: its first event takes the place of all that we have
 }
 
-func (s *stream) Opened(c loop.Conn) {
+func (s *stream) Opened(c eventloop.Conn) {
 	f := s.f
 	if f.next != s {
 		c.Close()
--- a/internal/discovery/feed_test.go
+++ b/internal/discovery/feed_test.go
@@ -14,7 +14,7 @@
 
 	"shaleyard/internal/config"
 	"shaleyard/internal/director"
-	"shaleyard/internal/loop"
+	"shaleyard/internal/eventloop"
 	"shaleyard/internal/nettest"
 	"shaleyard/internal/overload"
 	"shaleyard/routing"
@@ -25,12 +25,12 @@
 	f      *Follower
 	agenda director.Agenda
 	clock  routing.Time
-	dials  []loop.Stream
+	dials  []eventloop.Stream
 	told   []string
 	made   []routing.Time // of purges, on the follower's clock
 }
 
-func (b *bench) Dial(_ string, _ time.Duration, s loop.Stream) { b.dials = append(b.dials, s) }
+func (b *bench) Dial(_ string, _ time.Duration, s eventloop.Stream) { b.dials = append(b.dials, s) }
 func (b *bench) Members(full bool, version uint64, list []director.Member) {
 	for _, m := range list {
 		b.told = append(b.told, strings.TrimSpace(fmt.Sprintln(full, version, m.Name, m.Address, m.Zone, m.Kind, m.State, m.Started)))
--- a/internal/discovery/young_test.go
+++ b/internal/discovery/young_test.go
@@ -13,7 +13,7 @@
 
 	"shaleyard/internal/config"
 	"shaleyard/internal/director"
-	"shaleyard/internal/loop"
+	"shaleyard/internal/eventloop"
 	"shaleyard/internal/nettest"
 	"shaleyard/internal/overload"
 	"shaleyard/routing"
@@ -234,7 +234,7 @@
 }
 
 // Dial implements loop.Dialer: it draws what becomes of the call.
-func (v *flapper) Dial(_ string, timeout time.Duration, to loop.Stream) {
+func (v *flapper) Dial(_ string, timeout time.Duration, to eventloop.Stream) {
 	s := to.(*stream)
 	v.spent++
 	v.judge.note(v.clock, "call")
--- a/internal/downstream/clients.go
+++ b/internal/downstream/clients.go
@@ -8,8 +8,8 @@
 	"shaleyard/internal/buffer"
 	"shaleyard/internal/config"
 	"shaleyard/internal/director"
+	"shaleyard/internal/eventloop"
 	"shaleyard/internal/flight"
-	"shaleyard/internal/loop"
 	"shaleyard/routing"
 )
 
@@ -79,7 +79,7 @@
 
 // Accept takes a connection in. Where clients hold all that they may, another has to go for it, or nil is
 // returned.
-func (s *Server) Accept(c loop.Conn) *Session {
+func (s *Server) Accept(c eventloop.Conn) *Session {
 	if s.conns.Len() >= s.limits.ClientConns {
 		s.evict()
 	}
--- a/internal/downstream/session.go
+++ b/internal/downstream/session.go
@@ -5,8 +5,8 @@
 
 	"shaleyard/internal/buffer"
 	"shaleyard/internal/director"
+	"shaleyard/internal/eventloop"
 	"shaleyard/internal/flight"
-	"shaleyard/internal/loop"
 	"shaleyard/routing"
 )
 
@@ -26,7 +26,7 @@
 // Session is one client connection.
 type Session struct {
 	s       *Server
-	c       loop.Conn
+	c       eventloop.Conn
 	id      uint64 // counted from 1, for the log
 	phase   phase
 	handle  director.Handle
--- a/internal/loop/loop.go
+++ b/internal/eventloop/loop.go
@@ -17,7 +17,7 @@
 //   - An accept that fails ends the engine, with all that it holds. So the engine has no listener of its own for
 //     clients (it wants one address, and is given a UDP socket on loopback, on which nothing is accepted): accept.go.
 //   - A connection for which epoll_ctl fails is closed, without a call of OnOpen or an error.
-package loop
+package eventloop
 
 import (
 	"context"
--- a/internal/loop/shortage.go
+++ b/internal/eventloop/shortage.go
@@ -1,4 +1,4 @@
-package loop
+package eventloop
 
 import (
 	"errors"
--- a/internal/upstream/caches.go
+++ b/internal/upstream/caches.go
@@ -12,7 +12,7 @@
 	"shaleyard/internal/buffer"
 	"shaleyard/internal/config"
 	"shaleyard/internal/director"
-	"shaleyard/internal/loop"
+	"shaleyard/internal/eventloop"
 	"shaleyard/internal/overload"
 	"shaleyard/routing"
 )
@@ -39,7 +39,7 @@
 	limits *config.Limits
 	fields []string // of load reports, by the settings' names
 	pool   *buffer.Pool
-	dialer loop.Dialer
+	dialer eventloop.Dialer
 	ender  Ender
 	agenda *director.Agenda
 	now    func() routing.Time
@@ -84,7 +84,7 @@
 }
 
 // NewFleet returns a fleet without members. Attempts' ends go to the ender.
-func NewFleet(l *config.Limits, s *routing.Settings, pool *buffer.Pool, d loop.Dialer, e Ender, a *director.Agenda,
+func NewFleet(l *config.Limits, s *routing.Settings, pool *buffer.Pool, d eventloop.Dialer, e Ender, a *director.Agenda,
 	now func() routing.Time, log *zap.Logger, seed uint64) *Fleet {
 	return &Fleet{rng: rand.New(rand.NewPCG(seed, 4)), limits: l, fields: s.Report.Fields, pool: pool, dialer: d, ender: e, agenda: a, now: now, log: log,
 		idle: overload.NewIdle(l.PeerKeepLeast, l.PeerIdle), peers: map[routing.Host]*peer{}, calls: map[director.Handle]*call{},
--- a/internal/upstream/caches_test.go
+++ b/internal/upstream/caches_test.go
@@ -14,7 +14,7 @@
 	"shaleyard/internal/buffer"
 	"shaleyard/internal/config"
 	"shaleyard/internal/director"
-	"shaleyard/internal/loop"
+	"shaleyard/internal/eventloop"
 	"shaleyard/internal/nettest"
 	"shaleyard/routing"
 )
@@ -24,11 +24,11 @@
 	f      *Fleet
 	agenda director.Agenda
 	clock  routing.Time
-	dials  []loop.Stream
+	dials  []eventloop.Stream
 	ends   map[director.Handle]routing.Result
 }
 
-func (b *bench) Dial(_ string, _ time.Duration, s loop.Stream) { b.dials = append(b.dials, s) }
+func (b *bench) Dial(_ string, _ time.Duration, s eventloop.Stream) { b.dials = append(b.dials, s) }
 func (b *bench) Ended(h director.Handle, e director.Ending) {
 	b.ends[h] = e.Result
 	e.Body.Release()
@@ -177,13 +177,13 @@
 func TestIdleTimeIsLearntFromResets(t *testing.T) {
 	for _, c := range []struct {
 		idle time.Duration
-		end  func(loop.Stream)
+		end  func(eventloop.Stream)
 		want bool // that a connection idle for as long is used again
 	}{
-		{300 * time.Millisecond, func(s loop.Stream) { s.Closed() }, false},
-		{300 * time.Millisecond, func(s loop.Stream) { s.Data([]byte("noise")); s.Closed() }, true},
-		{300 * time.Millisecond, func(s loop.Stream) { s.Data([]byte(bulk("r2", "OK", "-", "x"))); s.Closed() }, true},
-		{0, func(s loop.Stream) { s.Closed() }, true},
+		{300 * time.Millisecond, func(s eventloop.Stream) { s.Closed() }, false},
+		{300 * time.Millisecond, func(s eventloop.Stream) { s.Data([]byte("noise")); s.Closed() }, true},
+		{300 * time.Millisecond, func(s eventloop.Stream) { s.Data([]byte(bulk("r2", "OK", "-", "x"))); s.Closed() }, true},
+		{0, func(s eventloop.Stream) { s.Closed() }, true},
 	} {
 		b := newBench()
 		b.f.limits.ConnsPerPeer = 4
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -9,7 +9,7 @@
 	"go.uber.org/zap"
 
 	"shaleyard/internal/director"
-	"shaleyard/internal/loop"
+	"shaleyard/internal/eventloop"
 	"shaleyard/routing"
 )
 
@@ -32,7 +32,7 @@
 	p      *peer
 	phase  phase
 	handle director.Handle
-	link   loop.Conn
+	link   eventloop.Conn
 	parser parser
 	open   map[string]*call
 	line   []*call                 // wait until it is up
@@ -155,7 +155,7 @@
 }
 
 // Opened is the end of a dial.
-func (c *conn) Opened(link loop.Conn) {
+func (c *conn) Opened(link eventloop.Conn) {
 	c.f.files--
 	c.link, c.since, c.rested = link, c.f.now(), c.f.now()
 	c.move(up)
@@ -171,8 +171,8 @@
 }
 
 // shortages are the results of attempts whose dial failed, by what we ourselves lacked.
-var shortages = map[loop.Shortage]routing.Result{loop.NoShortage: routing.ConnectFailed, loop.NoSocket: routing.NoSocket,
-	loop.NoWay: routing.NoWay}
+var shortages = map[eventloop.Shortage]routing.Result{eventloop.NoShortage: routing.ConnectFailed, eventloop.NoSocket: routing.NoSocket,
+	eventloop.NoWay: routing.NoWay}
 
 // Failed is the other end of a dial: nothing that waited for it has run. What failed for our own want of descriptors, ports
 // or routes is no evidence against the peer.
@@ -182,7 +182,7 @@
 	c.f.note(c.p, "connect failed", zap.Int("attempts_waiting", len(c.open)), zap.NamedError("cause", err))
 	line := c.line
 	c.line = nil
-	result := shortages[loop.ShortageOf(err)]
+	result := shortages[eventloop.ShortageOf(err)]
 	if result == routing.ConnectFailed {
 		c.p.pace.Failed(c.f.now(), len(c.p.conns)-c.p.opening())
 	} else {
--- a/internal/upstream/golden_test.go
+++ b/internal/upstream/golden_test.go
@@ -19,7 +19,7 @@
 	"shaleyard/internal/buffer"
 	"shaleyard/internal/config"
 	"shaleyard/internal/director"
-	"shaleyard/internal/loop"
+	"shaleyard/internal/eventloop"
 	"shaleyard/internal/nettest"
 	"shaleyard/routing"
 )
@@ -63,7 +63,7 @@
 	timers  director.Agenda
 	buffers *buffer.Pool
 	now     routing.Time
-	dials   []loop.Stream
+	dials   []eventloop.Stream
 	results []string
 }
 
@@ -90,7 +90,7 @@
 }
 
 // Dial implements loop.Dialer.
-func (r *wireRecorder) Dial(_ string, _ time.Duration, stream loop.Stream) {
+func (r *wireRecorder) Dial(_ string, _ time.Duration, stream eventloop.Stream) {
 	r.dials = append(r.dials, stream)
 }
 
@@ -111,7 +111,7 @@
 }
 
 // deliver hands bytes to a connection in pieces of one size, as the event loop does: an error ends the connection.
-func (r *wireRecorder) deliver(stream loop.Stream, text string, size int) (failed bool) {
+func (r *wireRecorder) deliver(stream eventloop.Stream, text string, size int) (failed bool) {
 	for len(text) > 0 {
 		piece := min(size, len(text))
 		if err := stream.Data([]byte(text[:piece])); err != nil {
@@ -125,7 +125,7 @@
 
 // lose ends a connection. All that is in flight on it is lost together, in no particular order: it is recorded in that
 // of the attempts.
-func (r *wireRecorder) lose(stream loop.Stream) {
+func (r *wireRecorder) lose(stream eventloop.Stream) {
 	before := len(r.results)
 	stream.Closed()
 	slices.Sort(r.results[before:])
