--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -11,7 +11,7 @@
 	"sync"
 	"time"
 
-	"shaleyard/internal/listen"
+	"shaleyard/internal/listener"
 )
 
 // Paths of the calls.
@@ -42,7 +42,7 @@
 // Server answers operators' calls.
 type Server struct {
 	process  Process
-	listener *listen.Listener
+	listener *listener.Listener
 	http     *http.Server
 	most     int // connections held at once
 
@@ -53,7 +53,7 @@
 // Listen opens the operators' address for a process; of connections at most so many are held at once, and the eldest goes
 // for a new one.
 func Listen(address string, most int, process Process) (*Server, error) {
-	l, err := listen.Open(address)
+	l, err := listener.Open(address)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/eventloop/accept.go
+++ b/internal/eventloop/accept.go
@@ -8,7 +8,7 @@
 
 	"golang.org/x/sys/unix"
 
-	"shaleyard/internal/listen"
+	"shaleyard/internal/listener"
 )
 
 // arrival carries an accepted connection to OnOpen.
@@ -19,9 +19,9 @@
 
 // listen opens the listener, or takes over the inherited one.
 func (l *Loop) listen(address string) error {
-	open := func() (*listen.Listener, error) { return listen.Open(address) }
+	open := func() (*listener.Listener, error) { return listener.Open(address) }
 	if l.Inherited != 0 {
-		open = func() (*listen.Listener, error) { return listen.Inherit(l.Inherited, address) }
+		open = func() (*listener.Listener, error) { return listener.Inherit(l.Inherited, address) }
 	}
 	listener, err := open()
 	if err != nil {
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -34,7 +34,7 @@
 	"golang.org/x/sys/unix"
 
 	"shaleyard/internal/director"
-	"shaleyard/internal/listen"
+	"shaleyard/internal/listener"
 	"shaleyard/routing"
 )
 
@@ -120,7 +120,7 @@
 	Agenda *director.Agenda
 	Now    func() routing.Time
 
-	listener *listen.Listener
+	listener *listener.Listener
 
 	eng   gnet.Engine
 	el    gnet.EventLoop
--- a/internal/listen/listen.go
+++ b/internal/listener/listen.go
@@ -1,7 +1,7 @@
 // Package listen opens listening sockets, or takes over inherited ones, and accepts on them without ever giving up: an
 // accept that fails for a moment, for want of descriptors, buffers or memory or because the network is down, is tried
 // again.
-package listen
+package listener
 
 import (
 	"context"
--- a/internal/listen/listen_test.go
+++ b/internal/listener/listen_test.go
@@ -1,4 +1,4 @@
-package listen
+package listener
 
 import (
 	"errors"
