--- a/cmd/shaleyard/program.go
+++ b/cmd/shaleyard/program.go
@@ -17,7 +17,7 @@
 	"shaleyard/internal/downstream"
 	"shaleyard/internal/eventloop"
 	"shaleyard/internal/failover"
-	"shaleyard/internal/flight"
+	"shaleyard/internal/flightrecorder"
 	"shaleyard/internal/lifecycle"
 	"shaleyard/internal/overload"
 	"shaleyard/internal/sitehealth"
@@ -42,7 +42,7 @@
 	life     *lifecycle.Machine
 	tending  director.Entry // the next look at what is left of a drain or a stop
 	admin    *admin.Server  // operators' calls; nil: none
-	flight   *flight.Recorder
+	flight   *flightrecorder.Recorder
 	rejected uint64
 
 	reloads, reloadsFailed, pauses uint64
@@ -84,7 +84,7 @@
 	p.director.Closed, p.director.Look = p.closed, p.loop.Look
 	p.clients = downstream.NewServer(l, s, p.pool, p.director, &p.agenda, p.now)
 	p.clients.Ready, p.clients.Rejected = p.ready, p.reject
-	p.flight = flight.NewRecorder(l.FlightEvents)
+	p.flight = flightrecorder.NewRecorder(l.FlightEvents)
 	p.director.Flight, p.clients.Flight = p.flight, p.flight
 	p.life = lifecycle.New(spans(l, c.Inherited != 0), c.Inherited != 0)
 	p.life.Changed = p.changed
--- a/internal/director/attempts.go
+++ b/internal/director/attempts.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"shaleyard/internal/flight"
+	"shaleyard/internal/flightrecorder"
 	"shaleyard/routing"
 )
 
@@ -68,7 +68,7 @@
 		return
 	}
 	d.Counters.Attempts++
-	d.record(flight.AttemptSent, a, "")
+	d.record(flightrecorder.AttemptSent, a, "")
 	r.out[a.no] = h
 	d.limit(h, a, r)
 	c.Request, c.Patience = &r.Request, a.until-now
@@ -80,8 +80,8 @@
 }
 
 // record keeps what happens to an attempt.
-func (d *Director) record(kind flight.Kind, a *attempt, why flight.Reason) {
-	d.Flight.Record(flight.Event{At: d.now(), Kind: kind, Reason: why, Request: uint32(a.req), Attempt: a.no, Host: a.host})
+func (d *Director) record(kind flightrecorder.Kind, a *attempt, why flightrecorder.Reason) {
+	d.Flight.Record(flightrecorder.Event{At: d.now(), Kind: kind, Reason: why, Request: uint32(a.req), Attempt: a.no, Host: a.host})
 }
 
 // repeatable tells whether what may have run may be sent again at all. An effect that is not known counts as one that
@@ -136,7 +136,7 @@
 	d.attempts.Remove(h)
 	delete(r.out, a.no)
 	d.Counters.Ended++
-	d.record(flight.AttemptEnded, a, flight.Reason(e.Result.String()))
+	d.record(flightrecorder.AttemptEnded, a, flightrecorder.Reason(e.Result.String()))
 	d.Counters.Results[e.Result]++
 	d.Counters.Notes[e.Note]++
 	if e.Result == routing.OK && !r.over {
--- a/internal/director/director.go
+++ b/internal/director/director.go
@@ -12,7 +12,7 @@
 	"go.uber.org/zap"
 
 	"shaleyard/internal/config"
-	"shaleyard/internal/flight"
+	"shaleyard/internal/flightrecorder"
 	"shaleyard/internal/overload"
 	"shaleyard/internal/sitehealth"
 	"shaleyard/routing"
@@ -26,7 +26,7 @@
 	// Look, where set, notices whether the process has just stood still, and calls Hold if so.
 	Look func()
 	// Flight keeps what happens to requests and attempts; nil: nothing is kept.
-	Flight *flight.Recorder
+	Flight *flightrecorder.Recorder
 	// Admission, where set, is the pace at which work is taken after a start or a pause.
 	Admission *overload.Admission
 
@@ -114,7 +114,7 @@
 		r.giveUp = min(r.giveUp, max(d.last, now))
 	}
 	d.Counters.Taken++
-	d.Flight.Record(flight.Event{At: now, Kind: flight.RequestTaken, Conn: q.Conn, Request: uint32(h)})
+	d.Flight.Record(flightrecorder.Event{At: now, Kind: flightrecorder.RequestTaken, Conn: q.Conn, Request: uint32(h)})
 	wait, why, ok := d.admit(now, q.Class)
 	if ok && r.giveUp <= now {
 		wait, why, ok = d.limits.RefuseFor, readTooLate, false
@@ -133,7 +133,7 @@
 }
 
 // admit tells whether a request is taken, and if not, for how long its client may as well stay away.
-func (d *Director) admit(now routing.Time, class int) (wait time.Duration, why flight.Reason, ok bool) {
+func (d *Director) admit(now routing.Time, class int) (wait time.Duration, why flightrecorder.Reason, ok bool) {
 	if d.Closed != nil {
 		if until, closed := d.Closed(); closed {
 			d.Counters.Closed++
@@ -276,9 +276,9 @@
 			d.cancel(r, a.Attempt)
 		}
 	case routing.Refuse:
-		d.end(a.ID, Answer{Verdict: Refused, RetryAfter: a.RetryAfter, Why: flight.Reason(a.Why)})
+		d.end(a.ID, Answer{Verdict: Refused, RetryAfter: a.RetryAfter, Why: flightrecorder.Reason(a.Why)})
 	case routing.Fail:
-		d.end(a.ID, Answer{Verdict: Failed, Why: flight.Reason(a.Why)})
+		d.end(a.ID, Answer{Verdict: Failed, Why: flightrecorder.Reason(a.Why)})
 	case routing.SetTimer:
 		d.agenda.At(a.At, func() { d.post(event{ev: routing.Timer{Token: a.Token}}) })
 	case routing.Log:
@@ -317,8 +317,8 @@
 }
 
 // finish ends a request, for a reason.
-func (d *Director) finish(r *request, why flight.Reason) {
-	d.Flight.Record(flight.Event{At: d.now(), Kind: flight.RequestEnded, Reason: why, Conn: r.Conn, Request: uint32(r.handle)})
+func (d *Director) finish(r *request, why flightrecorder.Reason) {
+	d.Flight.Record(flightrecorder.Event{At: d.now(), Kind: flightrecorder.RequestEnded, Reason: why, Conn: r.Conn, Request: uint32(r.handle)})
 	r.over = true
 	d.agenda.Drop(&r.overdue)
 }
--- a/internal/director/types.go
+++ b/internal/director/types.go
@@ -4,7 +4,7 @@
 	"time"
 
 	"shaleyard/internal/buffer"
-	"shaleyard/internal/flight"
+	"shaleyard/internal/flightrecorder"
 	"shaleyard/routing"
 )
 
@@ -38,20 +38,20 @@
 // Answer is the one final answer to a request.
 type Answer struct {
 	Verdict    Verdict
-	Same       bool          // the client's copy is the one
-	RetryAfter time.Duration // on a refusal; 0: no advice
-	Body       *buffer.Chain // nil: none; valid during the call
-	Why        flight.Reason // for the log
+	Same       bool                  // the client's copy is the one
+	RetryAfter time.Duration         // on a refusal; 0: no advice
+	Body       *buffer.Chain         // nil: none; valid during the call
+	Why        flightrecorder.Reason // for the log
 }
 
 // Why requests end, where neither an answer nor the router says so.
 const (
-	served      flight.Reason = "served"
-	withdrawn   flight.Reason = "the client no longer waits"
-	overdue     flight.Reason = "overdue: failed by the guard"
-	noWorkTaken flight.Reason = "no work is taken"
-	readTooLate flight.Reason = "its time may have been over when it was read"
-	notAdmitted flight.Reason = "too much is in hand behind a start or a pause"
+	served      flightrecorder.Reason = "served"
+	withdrawn   flightrecorder.Reason = "the client no longer waits"
+	overdue     flightrecorder.Reason = "overdue: failed by the guard"
+	noWorkTaken flightrecorder.Reason = "no work is taken"
+	readTooLate flightrecorder.Reason = "its time may have been over when it was read"
+	notAdmitted flightrecorder.Reason = "too much is in hand behind a start or a pause"
 )
 
 // Replier takes the answer to a request that it has submitted under a token. It is called once, unless the
--- a/internal/downstream/answers.go
+++ b/internal/downstream/answers.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"shaleyard/internal/director"
-	"shaleyard/internal/flight"
+	"shaleyard/internal/flightrecorder"
 )
 
 // What goes out, and the bounds of what clients leave unread.
@@ -55,8 +55,8 @@
 }
 
 // turnAway refuses a request that the director has not seen.
-func (x *Session) turnAway(seq int32, why flight.Reason) {
-	x.s.Flight.Record(flight.Event{At: x.s.now(), Kind: flight.RequestRefused, Conn: x.id, Reason: why})
+func (x *Session) turnAway(seq int32, why flightrecorder.Reason) {
+	x.s.Flight.Record(flightrecorder.Event{At: x.s.now(), Kind: flightrecorder.RequestRefused, Conn: x.id, Reason: why})
 	x.refuse(seq, x.s.cooldown)
 }
 
--- a/internal/downstream/clients.go
+++ b/internal/downstream/clients.go
@@ -9,7 +9,7 @@
 	"shaleyard/internal/config"
 	"shaleyard/internal/director"
 	"shaleyard/internal/eventloop"
-	"shaleyard/internal/flight"
+	"shaleyard/internal/flightrecorder"
 	"shaleyard/routing"
 )
 
@@ -40,7 +40,7 @@
 	// Rejected is told why nothing more is taken from a connection.
 	Rejected func(reason error)
 	// Flight keeps what happens to connections and requests; nil: nothing is kept.
-	Flight *flight.Recorder
+	Flight *flightrecorder.Recorder
 
 	limits  *config.Limits
 	pool    *buffer.Pool
@@ -88,12 +88,12 @@
 	h, ok := s.conns.Add(x)
 	if !ok {
 		s.Counters.TurnedAway++
-		s.Flight.Record(flight.Event{At: s.now(), Kind: flight.ConnClosed, Conn: x.id, Reason: turnedAway})
+		s.Flight.Record(flightrecorder.Event{At: s.now(), Kind: flightrecorder.ConnClosed, Conn: x.id, Reason: turnedAway})
 		return nil
 	}
 	s.Counters.Accepted++
 	x.handle, x.lastUse, x.begun = h, s.now(), s.now()
-	s.Flight.Record(flight.Event{At: x.begun, Kind: flight.ConnOpened, Conn: x.id})
+	s.Flight.Record(flightrecorder.Event{At: x.begun, Kind: flightrecorder.ConnOpened, Conn: x.id})
 	x.watch()
 	s.trim()
 	return x
--- a/internal/downstream/requests.go
+++ b/internal/downstream/requests.go
@@ -10,7 +10,7 @@
 
 	"shaleyard/internal/buffer"
 	"shaleyard/internal/director"
-	"shaleyard/internal/flight"
+	"shaleyard/internal/flightrecorder"
 )
 
 // What comes in: frames, messages and the fields of requests.
@@ -32,7 +32,7 @@
 		x.shut(tooMuchDropped)
 		return nil
 	}
-	x.s.Flight.Record(flight.Event{At: x.s.now(), Kind: flight.ConnEnding, Conn: x.id, Reason: bytesDropped, Count: len(p)})
+	x.s.Flight.Record(flightrecorder.Event{At: x.s.now(), Kind: flightrecorder.ConnEnding, Conn: x.id, Reason: bytesDropped, Count: len(p)})
 	return nil
 }
 
@@ -169,7 +169,7 @@
 		return nil
 	case err != nil:
 		c.BadFields++
-		x.s.Flight.Record(flight.Event{At: x.s.now(), Kind: flight.RequestRefused, Conn: x.id, Reason: badFields})
+		x.s.Flight.Record(flightrecorder.Event{At: x.s.now(), Kind: flightrecorder.RequestRefused, Conn: x.id, Reason: badFields})
 		x.write(x.s.out.application(m.name, m.seq, appProtocolError, err.Error()))
 		return nil
 	case len(x.open) >= x.s.limits.ClientOpen:
--- a/internal/downstream/session.go
+++ b/internal/downstream/session.go
@@ -6,7 +6,7 @@
 	"shaleyard/internal/buffer"
 	"shaleyard/internal/director"
 	"shaleyard/internal/eventloop"
-	"shaleyard/internal/flight"
+	"shaleyard/internal/flightrecorder"
 	"shaleyard/routing"
 )
 
@@ -51,7 +51,7 @@
 func (x *Session) midway() bool { return x.want != 0 || len(x.head) > 0 }
 
 // move takes the session on to a later phase, for a reason; it is the one place where the phase changes.
-func (x *Session) move(to phase, why flight.Reason) {
+func (x *Session) move(to phase, why flightrecorder.Reason) {
 	if to <= x.phase {
 		return
 	}
@@ -89,16 +89,16 @@
 }
 
 // record keeps a change of phase.
-func (x *Session) record(to phase, why flight.Reason) {
-	e := flight.Event{At: x.s.now(), Kind: flight.ConnEnding, Conn: x.id, Reason: why, Count: len(x.open)}
+func (x *Session) record(to phase, why flightrecorder.Reason) {
+	e := flightrecorder.Event{At: x.s.now(), Kind: flightrecorder.ConnEnding, Conn: x.id, Reason: why, Count: len(x.open)}
 	if to == closed {
-		e.Kind = flight.ConnClosed
+		e.Kind = flightrecorder.ConnClosed
 	}
 	x.s.Flight.Record(e)
 }
 
 // finish takes nothing more from the connection, and ends it once what is owed has gone out: a close would lose that.
-func (x *Session) finish(why flight.Reason) {
+func (x *Session) finish(why flightrecorder.Reason) {
 	if x.busy() {
 		x.move(failing, why)
 		return
@@ -120,7 +120,7 @@
 }
 
 // shut closes the connection and frees its place at once. What the client has not read may be lost with it.
-func (x *Session) shut(why flight.Reason) {
+func (x *Session) shut(why flightrecorder.Reason) {
 	x.move(closed, why)
 	x.c.Close()
 }
@@ -136,7 +136,7 @@
 }
 
 // cut ends a linger at once.
-func (x *Session) cut(why flight.Reason) {
+func (x *Session) cut(why flightrecorder.Reason) {
 	x.s.Counters.LingersCut++
 	x.shut(why)
 }
--- a/internal/flight/flight.go
+++ b/internal/flightrecorder/flight.go
@@ -1,6 +1,6 @@
 // Package flight keeps the latest events of a process in memory, in a bounded ring, and writes them out when somebody asks
 // what has happened. Recording costs a copy of a few words: nothing is formatted until it is wanted.
-package flight
+package flightrecorder
 
 import (
 	"go.uber.org/zap/zapcore"
--- a/internal/flight/flight_test.go
+++ b/internal/flightrecorder/flight_test.go
@@ -1,4 +1,4 @@
-package flight
+package flightrecorder
 
 import (
 	"testing"
