--- a/cmd/shaleyard/plan.go
+++ b/cmd/shaleyard/plan.go
@@ -18,7 +18,7 @@
 	"shaleyard/internal/discovery"
 	"shaleyard/internal/failover"
 	"shaleyard/internal/overload"
-	"shaleyard/internal/strict"
+	"shaleyard/internal/strictconfig"
 	"shaleyard/routing"
 )
 
@@ -55,7 +55,7 @@
 	planner, err := newPlanner(s, members, o.Plan)
 	var wish *failover.WishError
 	if errors.As(err, &wish) {
-		return fmt.Errorf("%s:%d: %w", *operator, strict.Line(wishes, wish.Key), err)
+		return fmt.Errorf("%s:%d: %w", *operator, strictconfig.Line(wishes, wish.Key), err)
 	}
 	if err != nil {
 		return err
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"shaleyard/internal/failover"
-	"shaleyard/internal/strict"
+	"shaleyard/internal/strictconfig"
 )
 
 // Operator is the operators' own file, deploy/shaleyard.toml: what an installation sets beside the configuration
@@ -56,22 +56,22 @@
 // ParseOperator checks the text of an operators' file; its name is for errors.
 func ParseOperator(file string, text []byte) (*Operator, error) {
 	o := &Operator{}
-	if err := strict.Decode(file, text, o); err != nil {
+	if err := strictconfig.Decode(file, text, o); err != nil {
 		return nil, err
 	}
 	for _, b := range o.bounds() {
 		if *b.value != 0 && !(*b.value >= b.low && *b.value <= b.high) {
-			return nil, fmt.Errorf("%s:%d: %s: %v is not within %v and %v", file, strict.Line(text, b.key), b.key, *b.value, b.low, b.high)
+			return nil, fmt.Errorf("%s:%d: %s: %v is not within %v and %v", file, strictconfig.Line(text, b.key), b.key, *b.value, b.low, b.high)
 		}
 	}
 	var wish *failover.WishError
 	if err := o.Plan.CheckRanges(); errors.As(err, &wish) {
-		return nil, fmt.Errorf("%s:%d: %w", file, strict.Line(text, wish.Key), err)
+		return nil, fmt.Errorf("%s:%d: %w", file, strictconfig.Line(text, wish.Key), err)
 	}
 	switch o.Log.Level {
 	case "", "debug", "info", "warn", "error":
 	default:
-		return nil, fmt.Errorf("%s:%d: log.level: %q is none of debug, info, warn, error", file, strict.Line(text, "log.level"), o.Log.Level)
+		return nil, fmt.Errorf("%s:%d: log.level: %q is none of debug, info, warn, error", file, strictconfig.Line(text, "log.level"), o.Log.Level)
 	}
 	// The times of the list hang together: a call that takes as long as its news may be late leaves no time to
 	// spread it over.
@@ -79,11 +79,11 @@
 	o.Apply(&l)
 	if l.FeedCall >= l.FeedHeed {
 		return nil, fmt.Errorf("%s:%d: list.call_ms: a call of %v leaves nothing of the %v to heed a drain", file,
-			strict.Line(text, "list.call_ms"), l.FeedCall, l.FeedHeed)
+			strictconfig.Line(text, "list.call_ms"), l.FeedCall, l.FeedHeed)
 	}
 	if l.FeedLate < l.FeedHeed {
 		return nil, fmt.Errorf("%s:%d: list.late_ms: %v is less than the %v to heed a drain", file,
-			strict.Line(text, "list.late_ms"), l.FeedLate, l.FeedHeed)
+			strictconfig.Line(text, "list.late_ms"), l.FeedLate, l.FeedHeed)
 	}
 	return o, nil
 }
--- a/internal/lab/experiment.go
+++ b/internal/lab/experiment.go
@@ -8,7 +8,7 @@
 	"strings"
 
 	"shaleyard/internal/labcheck"
-	"shaleyard/internal/strict"
+	"shaleyard/internal/strictconfig"
 )
 
 // Experiment is a script: a fleet, what it stands between, what is broken when, and what must hold.
@@ -134,11 +134,11 @@
 			Joins: true},
 		Origin:  OriginSpec{PerSecond: 400, LatencyMS: 30},
 		Clients: ClientSpec{PerSecond: 200, Objects: 400, Zipf: 1.1, Repayments: 0.1, Tries: 3, TransferMS: 20, LeaveMS: 50}}
-	if err := strict.Decode(file, text, x); err != nil {
+	if err := strictconfig.Decode(file, text, x); err != nil {
 		return nil, err
 	}
 	if key, why := x.check(); key != "" {
-		return nil, fmt.Errorf("%s:%d: %s: %s", file, strict.Line(text, key), key, why)
+		return nil, fmt.Errorf("%s:%d: %s: %s", file, strictconfig.Line(text, key), key, why)
 	}
 	return x, nil
 }
--- a/internal/strict/strict.go
+++ b/internal/strictconfig/strict.go
@@ -1,6 +1,6 @@
 // Package strict reads TOML files of which nothing may be passed over: the operators' file and the laboratory's
 // experiments. Its errors name the file, the line and the key.
-package strict
+package strictconfig
 
 import (
 	"bytes"
