--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -11,8 +11,8 @@
 	"os"
 
 	"shaleyard/internal/failover"
+	"shaleyard/internal/simwire"
 	"shaleyard/internal/sitehealth"
-	"shaleyard/internal/wire"
 	"shaleyard/routing"
 )
 
@@ -27,9 +27,9 @@
 
 // serve answers batches until the input ends.
 func serve(in io.Reader, out io.Writer) error {
-	batches := wire.NewReader(bufio.NewReaderSize(in, bufferSize))
+	batches := simwire.NewReader(bufio.NewReaderSize(in, bufferSize))
 	routers := map[uint16]*routing.Router{}
-	var reply wire.Reply
+	var reply simwire.Reply
 	for {
 		b, err := batches.Next()
 		if errors.Is(err, io.EOF) {
@@ -53,21 +53,21 @@
 }
 
 // handle gives one event to its instance. A panic or unusable settings become a Crash.
-func handle(routers map[uint16]*routing.Router, now routing.Time, rec wire.Record) (actions []routing.Action) {
+func handle(routers map[uint16]*routing.Router, now routing.Time, rec simwire.Record) (actions []routing.Action) {
 	defer func() {
 		if p := recover(); p != nil {
-			actions = []routing.Action{wire.Crash{Text: fmt.Sprint("panic: ", p)}}
+			actions = []routing.Action{simwire.Crash{Text: fmt.Sprint("panic: ", p)}}
 		}
 	}()
 	switch e := rec.Event.(type) {
-	case wire.Born:
+	case simwire.Born:
 		r, err := born(e)
 		if err != nil {
-			return []routing.Action{wire.Crash{Text: err.Error()}}
+			return []routing.Action{simwire.Crash{Text: err.Error()}}
 		}
 		routers[rec.Instance] = r
 		return nil
-	case wire.Killed:
+	case simwire.Killed:
 		delete(routers, rec.Instance)
 		return nil
 	}
@@ -77,7 +77,7 @@
 	return nil
 }
 
-func born(b wire.Born) (*routing.Router, error) {
+func born(b simwire.Born) (*routing.Router, error) {
 	var s routing.Settings
 	if err := json.Unmarshal(b.Settings, &s); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
--- a/internal/wire/wire.go
+++ b/internal/simwire/wire.go
@@ -1,6 +1,6 @@
 // Package wire is the codec of the simulator's wire: batches of events in, replies of actions out.
 // Numbers are big-endian and unpadded. It holds no decision.
-package wire
+package simwire
 
 import (
 	"encoding/binary"
--- a/internal/wire/wire_test.go
+++ b/internal/simwire/wire_test.go
@@ -1,4 +1,4 @@
-package wire
+package simwire
 
 import (
 	"bytes"
