--- a/cmd/yardlab/main.go
+++ b/cmd/yardlab/main.go
@@ -19,8 +19,8 @@
 	"github.com/alecthomas/kong"
 	"go.uber.org/zap"
 
-	"shaleyard/internal/lab"
 	"shaleyard/internal/labcheck"
+	"shaleyard/internal/testbed"
 )
 
 // Exit codes.
@@ -104,7 +104,7 @@
 
 // Run plays the experiment, and the baseline after it.
 func (c *runCommand) Run(o *console) error {
-	x, err := lab.Load(c.File)
+	x, err := testbed.Load(c.File)
 	if err != nil {
 		return err
 	}
@@ -169,7 +169,7 @@
 	return nil
 }
 
-func play(ctx context.Context, x *lab.Experiment, binary, dir string, logger *zap.Logger) (*labcheck.Verdict, error) {
+func play(ctx context.Context, x *testbed.Experiment, binary, dir string, logger *zap.Logger) (*labcheck.Verdict, error) {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return nil, err
 	}
@@ -177,7 +177,7 @@
 		logger.Info("playing", zap.String("experiment", x.Name), zap.String("binary", binary), zap.Float64("at_s", at),
 			zap.Float64("of_s", x.Seconds))
 	}
-	if err := lab.Run(ctx, x, lab.Options{Binary: binary, Dir: dir, Progress: progress}); err != nil {
+	if err := testbed.Run(ctx, x, testbed.Options{Binary: binary, Dir: dir, Progress: progress}); err != nil {
 		return nil, err
 	}
 	return check(filepath.Join(dir, "record.jsonl"))
@@ -231,7 +231,7 @@
 	}
 	slices.Sort(files)
 	for _, f := range files {
-		x, err := lab.Load(f)
+		x, err := testbed.Load(f)
 		if err != nil {
 			return err
 		}
--- a/internal/lab/record.go
+++ b/internal/testbed/record.go
@@ -2,7 +2,7 @@
 // talk to (the list service, caches, parents, the origin, clients), breaks what lies between them by a script,
 // and writes all that crosses the stand-ins into one record. internal/labcheck judges the record; it shares no
 // code with this package or with the program.
-package lab
+package testbed
 
 import (
 	"bufio"
--- a/internal/lab/sites.go
+++ b/internal/testbed/sites.go
@@ -1,4 +1,4 @@
-package lab
+package testbed
 
 import (
 	"fmt"
