--- a/cmd/yardlab/main.go
+++ b/cmd/yardlab/main.go
@@ -19,7 +19,7 @@
 	"github.com/alecthomas/kong"
 	"go.uber.org/zap"
 
-	"shaleyard/internal/labcheck"
+	"shaleyard/internal/checker"
 	"shaleyard/internal/testbed"
 )
 
@@ -97,7 +97,7 @@
 	Seed       uint64             `json:"seed"`
 	Directors  int                `json:"directors"`
 	Verdict    string             `json:"verdict"`
-	Broken     []labcheck.Broken  `json:"broken"`
+	Broken     []checker.Broken   `json:"broken"`
 	Figures    map[string]float64 `json:"figures"`
 	Baseline   map[string]float64 `json:"baseline,omitempty"`
 }
@@ -142,7 +142,7 @@
 		return err
 	}
 	r := result{Experiment: x.Name, Seed: x.Seed, Directors: x.Directors, Figures: v.Figures}
-	r.Broken = append([]labcheck.Broken{}, v.Broken...)
+	r.Broken = append([]checker.Broken{}, v.Broken...)
 	if c.Baseline != "" {
 		b, err := play(ctx, x, c.Baseline, filepath.Join(c.Out, "baseline"), logger)
 		if err != nil {
@@ -169,7 +169,7 @@
 	return nil
 }
 
-func play(ctx context.Context, x *testbed.Experiment, binary, dir string, logger *zap.Logger) (*labcheck.Verdict, error) {
+func play(ctx context.Context, x *testbed.Experiment, binary, dir string, logger *zap.Logger) (*checker.Verdict, error) {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return nil, err
 	}
@@ -183,13 +183,13 @@
 	return check(filepath.Join(dir, "record.jsonl"))
 }
 
-func check(path string) (*labcheck.Verdict, error) {
+func check(path string) (*checker.Verdict, error) {
 	f, err := os.Open(path)
 	if err != nil {
 		return nil, err
 	}
 	defer f.Close()
-	v, err := labcheck.Check(f)
+	v, err := checker.Check(f)
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
@@ -198,7 +198,7 @@
 
 func print(w io.Writer, r *result) {
 	fmt.Fprintf(w, "%s, seed %d, %d directors: %s\n", r.Experiment, r.Seed, r.Directors, r.Verdict)
-	for _, n := range labcheck.FigureNames {
+	for _, n := range checker.FigureNames {
 		fmt.Fprintf(w, "  %-28s %10.3f", n, r.Figures[n])
 		if r.Baseline != nil {
 			fmt.Fprintf(w, "   baseline %10.3f", r.Baseline[n])
--- a/cmd/yardlab/main_test.go
+++ b/cmd/yardlab/main_test.go
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	"shaleyard/internal/labcheck"
+	"shaleyard/internal/checker"
 )
 
 func write(t *testing.T, name, text string) string {
@@ -97,7 +97,7 @@
 		Experiment, Verdict string
 		Seed                uint64
 		Directors           int
-		Broken              []labcheck.Broken
+		Broken              []checker.Broken
 		Figures, Baseline   map[string]float64
 	}
 	if err := json.Unmarshal(text, &r); err != nil {
--- a/internal/labcheck/check.go
+++ b/internal/checker/check.go
@@ -1,7 +1,7 @@
 // Package labcheck judges the record of a laboratory run by the rules of the protocol page, and reads the figures
 // off it. It knows the record's lines and nothing else: it shares no code with the program, nor with the stand-ins
 // that wrote the record.
-package labcheck
+package checker
 
 import (
 	"bufio"
--- a/internal/labcheck/sites_test.go
+++ b/internal/checker/sites_test.go
@@ -1,4 +1,4 @@
-package labcheck
+package checker
 
 import (
 	"fmt"
--- a/internal/testbed/experiment.go
+++ b/internal/testbed/experiment.go
@@ -7,7 +7,7 @@
 	"slices"
 	"strings"
 
-	"shaleyard/internal/labcheck"
+	"shaleyard/internal/checker"
 	"shaleyard/internal/strictconfig"
 )
 
@@ -210,7 +210,7 @@
 		return "list.begin", fmt.Sprintf("%q is no state of the service", b)
 	}
 	for i, b := range x.Bounds {
-		if !slices.Contains(labcheck.FigureNames, b.Figure) {
+		if !slices.Contains(checker.FigureNames, b.Figure) {
 			return fmt.Sprintf("bound[%d].figure", i), fmt.Sprintf("%q is no figure", b.Figure)
 		}
 	}
@@ -243,11 +243,11 @@
 }
 
 // Judge holds figures against the experiment's bounds; those that need a baseline count only where there is one.
-func (x *Experiment) Judge(figures, baseline map[string]float64) (broken []labcheck.Broken) {
+func (x *Experiment) Judge(figures, baseline map[string]float64) (broken []checker.Broken) {
 	for _, b := range x.Bounds {
 		got := figures[b.Figure]
 		say := func(format string, a ...any) {
-			broken = append(broken, labcheck.Broken{Rule: "bound", Who: b.Figure, Detail: fmt.Sprintf(format, a...)})
+			broken = append(broken, checker.Broken{Rule: "bound", Who: b.Figure, Detail: fmt.Sprintf(format, a...)})
 		}
 		if b.Most != nil && got > *b.Most {
 			say("%.3f, %.3f at most", got, *b.Most)
--- a/internal/testbed/fleet_test.go
+++ b/internal/testbed/fleet_test.go
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	"shaleyard/internal/labcheck"
+	"shaleyard/internal/checker"
 )
 
 // program builds the director once; each experiment starts it in numbers.
@@ -68,7 +68,7 @@
 					t.Fatal(err)
 				}
 				defer f.Close()
-				v, err := labcheck.Check(f)
+				v, err := checker.Check(f)
 				if err != nil {
 					t.Fatal(err)
 				}
