--- a/cmd/yardlab/main_test.go
+++ b/cmd/testbed/main_test.go
@@ -81,7 +81,7 @@
 // up, leaves no process.
 func TestRunsEndWhatTheyStart(t *testing.T) {
 	bin := t.TempDir()
-	build := exec.Command("go", "build", "-o", bin+"/", "shaleyard/cmd/yardlab", "shaleyard/cmd/shaleyard")
+	build := exec.Command("go", "build", "-o", bin+"/", "shaleyard/cmd/testbed", "shaleyard/cmd/shaleyard")
 	if out, err := build.CombinedOutput(); err != nil {
 		t.Fatalf("%v: %s", err, out)
 	}
@@ -110,7 +110,7 @@
 	long := write(t, "long.toml", "directors = 4\nseconds = 300.0\n")
 	for _, s := range []syscall.Signal{syscall.SIGINT, syscall.SIGKILL} {
 		dir := t.TempDir()
-		lab := exec.Command(filepath.Join(bin, "yardlab"), "run", long, "--binary", director, "--out", dir)
+		lab := exec.Command(filepath.Join(bin, "testbed"), "run", long, "--binary", director, "--out", dir)
 		if err := lab.Start(); err != nil {
 			t.Fatal(err)
 		}
