--- a/cmd/testbed/main.go
+++ b/cmd/testbed/main.go
@@ -241,7 +241,7 @@
 }
 
 type checkCommand struct {
-	Record string `arg:"" type:"existingfile"`
+	Record string `arg:"" name:"record" type:"existingfile"`
 }
 
 // Run judges a record.
--- a/internal/checker/check.go
+++ b/internal/checker/check.go
@@ -28,12 +28,27 @@
 
 // line is a line of the record. Times are milliseconds.
 type line struct {
-	MS                                                      float64
-	Kind, Who, What, Director, Ref, Class, Object, Up, Site string
-	N                                                       int
-	Value, Work, Since, Allow, Weight, Ramp, Fall, Multiple float64
-	ColdFrom                                                float64 `json:"cold_from"`
-	Again                                                   bool
+	MS       float64 `json:"ms"`
+	Kind     string  `json:"kind"`
+	Who      string  `json:"who"`
+	What     string  `json:"what"`
+	Director string  `json:"director"`
+	Ref      string  `json:"ref"`
+	Class    string  `json:"class"`
+	Object   string  `json:"object"`
+	Up       string  `json:"up"`
+	Site     string  `json:"site"`
+	N        int     `json:"n"`
+	Value    float64 `json:"value"`
+	Work     float64 `json:"work"`
+	Since    float64 `json:"since"`
+	Allow    float64 `json:"allow"`
+	Weight   float64 `json:"weight"`
+	Ramp     float64 `json:"ramp"`
+	Fall     float64 `json:"fall"`
+	Multiple float64 `json:"multiple"`
+	ColdFrom float64 `json:"cold_from"`
+	Again    bool    `json:"again"`
 }
 
 // Figures of the rules, in milliseconds (protocol page): every limit is 50 ms longer on sockets.
