--- a/cmd/shaleyard/anyorder_test.go
+++ b/cmd/shaleyard/anyorder_test.go
@@ -293,7 +293,7 @@
 	}
 	c.note("%s is %v", name, state)
 	c.states[name] = state
-	c.d.Members(false, 1, []director.Member{m})
+	c.d.UpdateEndpoints(false, 1, []director.Member{m})
 }
 
 func pickOf[T any](c *chaos, of []T, fits func(T) bool) (v T, ok bool) {
--- a/cmd/shaleyard/plan.go
+++ b/cmd/shaleyard/plan.go
@@ -123,7 +123,7 @@
 type listed struct{ list []director.Member }
 
 // Members takes a change of the list.
-func (l *listed) Members(full bool, _ uint64, list []director.Member) {
+func (l *listed) UpdateEndpoints(full bool, _ uint64, list []director.Member) {
 	if full {
 		l.list = l.list[:0]
 	}
--- a/internal/director/attempts.go
+++ b/internal/director/attempts.go
@@ -36,7 +36,7 @@
 // takeBack gives an attempt up if nothing of it has been written: it never ran.
 func (d *Director) takeBack(h Handle) {
 	a, ok := d.attempts.Get(h)
-	if !ok || !d.peers.Recall(h) {
+	if !ok || !d.peers.CancelIfUnwritten(h) {
 		return
 	}
 	d.Counters.Recalled++
@@ -93,7 +93,7 @@
 	d.agenda.Set(&a.deadline, a.until, func() {
 		d.Counters.TimedOut++
 		result := routing.TimedOut
-		if !d.peers.Stop(h) {
+		if !d.peers.Cancel(h) {
 			result = routing.ConnectFailed // nothing of it was written: it never ran
 		}
 		d.close(h, a, r, Ending{Result: result})
@@ -112,14 +112,14 @@
 	}
 	d.Counters.Cancelled++
 	result := routing.Cancelled
-	if !d.peers.Stop(h) {
+	if !d.peers.Cancel(h) {
 		result = routing.Moot
 	}
 	d.close(h, a, r, Ending{Result: result})
 }
 
 // Ended takes the end of an attempt from its peer. One that has ended before is dropped.
-func (d *Director) Ended(h Handle, e Ending) {
+func (d *Director) AttemptEnded(h Handle, e Ending) {
 	a, ok := d.attempts.Get(h)
 	if !ok {
 		d.Counters.LateEnds++
--- a/internal/director/crossings_test.go
+++ b/internal/director/crossings_test.go
@@ -31,19 +31,19 @@
 		news func(*bench)
 		back bool
 	}{
-		{"target drains", func(b *bench) { b.d.Members(false, 2, []Member{entry("c1", routing.Draining, 0)}) }, true},
-		{"target has gone", func(b *bench) { b.d.Members(false, 2, []Member{entry("c1", routing.Gone, 0)}) }, true},
-		{"target has started anew", func(b *bench) { b.d.Members(false, 2, []Member{entry("c1", routing.Ready, b.clock)}) }, true},
+		{"target drains", func(b *bench) { b.d.UpdateEndpoints(false, 2, []Member{entry("c1", routing.Draining, 0)}) }, true},
+		{"target has gone", func(b *bench) { b.d.UpdateEndpoints(false, 2, []Member{entry("c1", routing.Gone, 0)}) }, true},
+		{"target has started anew", func(b *bench) { b.d.UpdateEndpoints(false, 2, []Member{entry("c1", routing.Ready, b.clock)}) }, true},
 		{"target is not in a whole list", func(b *bench) {
-			b.d.Members(true, 2, []Member{entry("c2", routing.Ready, 0)})
+			b.d.UpdateEndpoints(true, 2, []Member{entry("c2", routing.Ready, 0)})
 		}, true},
 		{"source drains", func(b *bench) {
-			b.d.Members(false, 2, []Member{{Name: "o", Member: routing.Member{Zone: 0, Kind: 2, State: routing.Draining, Weight: 4}}})
+			b.d.UpdateEndpoints(false, 2, []Member{{Name: "o", Member: routing.Member{Zone: 0, Kind: 2, State: routing.Draining, Weight: 4}}})
 		}, true},
 		{"object is purged", func(b *bench) { b.d.Purge(Purge{Object: 7, Made: b.clock}) }, true},
 		{"group is purged", func(b *bench) { b.d.Purge(Purge{Made: b.clock}) }, true},
 		{"another object is purged", func(b *bench) { b.d.Purge(Purge{Object: 8, Made: b.clock}) }, false},
-		{"another cache drains", func(b *bench) { b.d.Members(false, 2, []Member{entry("c2", routing.Draining, 0)}) }, false},
+		{"another cache drains", func(b *bench) { b.d.UpdateEndpoints(false, 2, []Member{entry("c2", routing.Draining, 0)}) }, false},
 	} {
 		for _, unwritten := range []bool{true, false} {
 			b := waiting(t, unwritten)
@@ -85,7 +85,7 @@
 	if !b.held {
 		t.Error("the peers are not held")
 	}
-	b.d.Withdraw(h)
+	b.d.Cancel(h)
 	if len(back) != 1 || back[0] != b.sent[0].h {
 		t.Errorf("taken back %v, want the one that waits", back)
 	}
@@ -99,7 +99,7 @@
 // As the program ends, all is answered by a time, also what waits for caches that hang, and what is still taken.
 func TestEverythingIsAnsweredByTheEnd(t *testing.T) {
 	b := newBench(t)
-	b.d.Members(false, 2, []Member{entry("c2", routing.Ready, 0)})
+	b.d.UpdateEndpoints(false, 2, []Member{entry("c2", routing.Ready, 0)})
 	b.submit(0)
 	b.submit(1)
 	b.pass(100 * time.Millisecond)
--- a/internal/director/director.go
+++ b/internal/director/director.go
@@ -170,7 +170,7 @@
 
 // Withdraw ends a request whose client no longer waits: no answer is owed. What waits to be written for it is
 // taken back at once, also while all else is held: the client has gone, and nothing may be begun for it.
-func (d *Director) Withdraw(h Handle) {
+func (d *Director) Cancel(h Handle) {
 	r, ok := d.requests.Get(h)
 	if !ok || r.over {
 		return
@@ -193,12 +193,12 @@
 		return true
 	})
 	for _, h := range open {
-		d.Curtail(h, last)
+		d.ShortenDeadline(h, last)
 	}
 }
 
 // Curtail has a request answered by a time, where it would be given up later.
-func (d *Director) Curtail(h Handle, giveUp routing.Time) {
+func (d *Director) ShortenDeadline(h Handle, giveUp routing.Time) {
 	r, ok := d.requests.Get(h)
 	if !ok || r.over || r.giveUp <= giveUp {
 		return
@@ -230,7 +230,7 @@
 func (d *Director) Hold(pause time.Duration) {
 	d.held = true
 	d.unread = max(d.unread, pause)
-	d.peers.Hold()
+	d.peers.SuspendWrites()
 }
 
 // Release takes up what was held. Behind a long pause what comes from now on is let in as after a start.
@@ -242,7 +242,7 @@
 	if !d.busy {
 		d.drain()
 	}
-	d.peers.Release()
+	d.peers.ResumeWrites()
 }
 
 // drain hands the queue to the router.
--- a/internal/director/director_test.go
+++ b/internal/director/director_test.go
@@ -41,12 +41,12 @@
 		b.onSend(h)
 	}
 }
-func (b *bench) Stop(h Handle) bool                              { b.stopped = append(b.stopped, h); return b.written }
-func (b *bench) Recall(h Handle) bool                            { return b.recall != nil && b.recall(h) }
-func (b *bench) Hold()                                           { b.held = true }
-func (b *bench) Release()                                        { b.held = false }
-func (b *bench) Join(routing.Host, string, string, routing.Time) {}
-func (b *bench) Leave(routing.Host)                              {}
+func (b *bench) Cancel(h Handle) bool                                      { b.stopped = append(b.stopped, h); return b.written }
+func (b *bench) CancelIfUnwritten(h Handle) bool                           { return b.recall != nil && b.recall(h) }
+func (b *bench) SuspendWrites()                                            { b.held = true }
+func (b *bench) ResumeWrites()                                             { b.held = false }
+func (b *bench) UpdateEndpoint(routing.Host, string, string, routing.Time) {}
+func (b *bench) RemoveEndpoint(routing.Host)                               {}
 func (b *bench) Reply(_ uint64, a Answer) {
 	s := []string{"served", "refused", "failed"}[a.Verdict]
 	if a.Body != nil {
@@ -72,7 +72,7 @@
 		t.Fatal(err)
 	}
 	b.d.Attach(b)
-	b.d.Members(true, 1, []Member{
+	b.d.UpdateEndpoints(true, 1, []Member{
 		{Name: "c1", Member: routing.Member{Zone: 1, Kind: 0, State: routing.Ready, Weight: 4}},
 		{Name: "o", Member: routing.Member{Zone: 0, Kind: 2, State: routing.Ready, Weight: 4}}})
 	return b
@@ -115,10 +115,10 @@
 	b.submit(0)
 	body := b.pool.Chain()
 	body.Append([]byte("bytes"))
-	b.d.Ended(b.sent[0].h, Ending{Result: routing.OK, Note: routing.NoteHit, Body: body})
+	b.d.AttemptEnded(b.sent[0].h, Ending{Result: routing.OK, Note: routing.NoteHit, Body: body})
 	late := b.pool.Chain()
 	late.Append([]byte("late"))
-	b.d.Ended(b.sent[0].h, Ending{Result: routing.OK, Body: late})
+	b.d.AttemptEnded(b.sent[0].h, Ending{Result: routing.OK, Body: late})
 	b.pass(5 * time.Second)
 	b.want("served bytes")
 }
@@ -127,7 +127,7 @@
 // actions, as their list is valid only until then.
 func TestEndWithinSendIsQueued(t *testing.T) {
 	b := newBench(t)
-	b.onSend = func(h Handle) { b.d.Ended(h, Ending{Result: routing.ConnectFailed}) }
+	b.onSend = func(h Handle) { b.d.AttemptEnded(h, Ending{Result: routing.ConnectFailed}) }
 	b.submit(1)
 	b.pass(5 * time.Second)
 	b.want("refused")
@@ -157,8 +157,8 @@
 func TestWithdrawCallsOffAttempts(t *testing.T) {
 	b := newBench(t)
 	h := b.submit(0)
-	b.d.Withdraw(h)
-	b.d.Withdraw(h)
+	b.d.Cancel(h)
+	b.d.Cancel(h)
 	if d := cmp.Diff([]Handle{b.sent[0].h}, b.stopped); d != "" {
 		t.Error(d)
 	}
@@ -197,14 +197,14 @@
 	if len(b.sent) != 0 {
 		t.Fatalf("sent to %v while held", b.sent)
 	}
-	b.d.Members(false, 2, []Member{
+	b.d.UpdateEndpoints(false, 2, []Member{
 		{Name: "c1", Member: routing.Member{Zone: 1, Kind: 0, State: routing.Draining, Weight: 4}},
 		{Name: "c2", Member: routing.Member{Zone: 1, Kind: 0, State: routing.Ready, Weight: 4}}})
 	b.d.Release(true)
 	if len(b.sent) != 1 || b.sent[0].to != hostOf("c2") {
 		t.Fatalf("sent %v, want one to the cache that is ready", b.sent)
 	}
-	b.d.Ended(b.sent[0].h, Ending{Result: routing.OK, Note: routing.NoteHit})
+	b.d.AttemptEnded(b.sent[0].h, Ending{Result: routing.OK, Note: routing.NoteHit})
 	b.want("served")
 }
 
@@ -247,7 +247,7 @@
 		t.Error("a repayment was refused")
 	}
 	for _, s := range b.sent {
-		b.d.Ended(s.h, Ending{Result: routing.OK, Note: routing.NoteHit})
+		b.d.AttemptEnded(s.h, Ending{Result: routing.OK, Note: routing.NoteHit})
 	}
 	if b.d.Open() != 0 {
 		t.Fatalf("%d still in hand", b.d.Open())
--- a/internal/director/news.go
+++ b/internal/director/news.go
@@ -13,7 +13,7 @@
 const mostLogged = 8 // entries of one event
 
 // Members takes a change of the list of servers; full: what is not in it has gone.
-func (d *Director) Members(full bool, version uint64, list []Member) {
+func (d *Director) UpdateEndpoints(full bool, version uint64, list []Member) {
 	d.Counters.MemberEvents++
 	m := routing.Members{Kind: routing.Delta, Version: version}
 	seen := map[routing.Host]bool{}
@@ -35,7 +35,7 @@
 			continue
 		}
 		d.names[e.Host] = member{e.Name, e.Started}
-		d.peers.Join(e.Host, e.Name, e.Address, e.Started)
+		d.peers.UpdateEndpoint(e.Host, e.Name, e.Address, e.Started)
 	}
 	d.news(m)
 	d.recall(func(a *attempt, _ *request) bool {
@@ -43,14 +43,14 @@
 	})
 	for _, e := range m.List {
 		if e.State == routing.Gone {
-			d.peers.Leave(e.Host)
+			d.peers.RemoveEndpoint(e.Host)
 		}
 	}
 	if full {
 		for h := range d.names {
 			if !seen[h] {
 				delete(d.names, h)
-				d.peers.Leave(h)
+				d.peers.RemoveEndpoint(h)
 			}
 		}
 	}
--- a/internal/director/types.go
+++ b/internal/director/types.go
@@ -75,14 +75,14 @@
 type Peers interface {
 	Send(attempt Handle, to routing.Host, c Call)
 	// Stop gives an attempt up and tells whether any of it may have been written.
-	Stop(attempt Handle) (written bool)
+	Cancel(attempt Handle) (written bool)
 	// Recall gives an attempt up of which nothing has been written; one that may have been goes on (false).
-	Recall(attempt Handle) bool
+	CancelIfUnwritten(attempt Handle) bool
 	// Hold keeps what has not been written from being written, until Release.
-	Hold()
-	Release()
-	Join(host routing.Host, name, address string, started routing.Time)
-	Leave(host routing.Host)
+	SuspendWrites()
+	ResumeWrites()
+	UpdateEndpoint(host routing.Host, name, address string, started routing.Time)
+	RemoveEndpoint(host routing.Host)
 }
 
 // Ending is how an attempt ended, as a peer reported it.
--- a/internal/discovery/feed.go
+++ b/internal/discovery/feed.go
@@ -27,7 +27,7 @@
 
 // Sink takes the feed's news; it is the director.
 type Sink interface {
-	Members(full bool, version uint64, list []director.Member)
+	UpdateEndpoints(full bool, version uint64, list []director.Member)
 	Purge(director.Purge)
 }
 
@@ -460,7 +460,7 @@
 		f.list[e.Name] = state{e.State, e.SinceMS, e.Started}
 	}
 	f.index = max(f.index, m.Index)
-	f.sink.Members(full, m.Index, kept)
+	f.sink.UpdateEndpoints(full, m.Index, kept)
 }
 
 // alive takes a line with only the last number. One that is behind ours comes from a service that lags, or was
--- a/internal/discovery/feed_test.go
+++ b/internal/discovery/feed_test.go
@@ -31,7 +31,7 @@
 }
 
 func (b *bench) Dial(_ string, _ time.Duration, s eventloop.Stream) { b.dials = append(b.dials, s) }
-func (b *bench) Members(full bool, version uint64, list []director.Member) {
+func (b *bench) UpdateEndpoints(full bool, version uint64, list []director.Member) {
 	for _, m := range list {
 		b.told = append(b.told, strings.TrimSpace(fmt.Sprintln(full, version, m.Name, m.Address, m.Zone, m.Kind, m.State, m.Started)))
 	}
--- a/internal/discovery/young_test.go
+++ b/internal/discovery/young_test.go
@@ -219,7 +219,7 @@
 }
 
 // Members implements Sink.
-func (v *flapper) Members(bool, uint64, []director.Member) {}
+func (v *flapper) UpdateEndpoints(bool, uint64, []director.Member) {}
 
 // Purge implements Sink.
 func (v *flapper) Purge(p director.Purge) { v.heard = int(p.Stamp / routing.Time(time.Millisecond)) }
--- a/internal/downstream/clients.go
+++ b/internal/downstream/clients.go
@@ -16,8 +16,8 @@
 // Taker takes requests; it is the director.
 type Taker interface {
 	Submit(q director.Request, r director.Replier, token uint64) (director.Handle, bool)
-	Withdraw(director.Handle)
-	Curtail(h director.Handle, giveUp routing.Time)
+	Cancel(director.Handle)
+	ShortenDeadline(h director.Handle, giveUp routing.Time)
 }
 
 // Counters count what clients sent and were answered.
@@ -181,7 +181,7 @@
 		}
 		if x.heard >= since {
 			for _, h := range x.open {
-				s.taker.Curtail(h, by)
+				s.taker.ShortenDeadline(h, by)
 			}
 		}
 		return true
--- a/internal/downstream/clients_test.go
+++ b/internal/downstream/clients_test.go
@@ -40,9 +40,9 @@
 	}
 	return director.Handle(len(b.taken)), true
 }
-func (b *bench) Curtail(h director.Handle, giveUp routing.Time) { b.curtailed[h] = giveUp }
+func (b *bench) ShortenDeadline(h director.Handle, giveUp routing.Time) { b.curtailed[h] = giveUp }
 
-func (b *bench) Withdraw(h director.Handle) {
+func (b *bench) Cancel(h director.Handle) {
 	if h != 0 {
 		b.withdrawn++
 	}
--- a/internal/downstream/golden_test.go
+++ b/internal/downstream/golden_test.go
@@ -120,7 +120,7 @@
 	return director.Handle(len(h.tokens)), true
 }
 
-func (h *goldenHandler) Withdraw(request director.Handle) {
+func (h *goldenHandler) Cancel(request director.Handle) {
 	if h.ending {
 		h.givenUp = append(h.givenUp, request)
 		return
@@ -128,7 +128,7 @@
 	h.transcript.line("  given up: request %d", request)
 }
 
-func (h *goldenHandler) Curtail(request director.Handle, _ routing.Time) {
+func (h *goldenHandler) ShortenDeadline(request director.Handle, _ routing.Time) {
 	h.transcript.line("  shortened: request %d", request)
 }
 
--- a/internal/downstream/requests.go
+++ b/internal/downstream/requests.go
@@ -125,7 +125,7 @@
 		}
 		if h, ok := x.open[seq]; ok {
 			delete(x.open, seq)
-			x.s.taker.Withdraw(h)
+			x.s.taker.Cancel(h)
 		}
 	case m.name == "heartbeat" && m.kind == msgCall:
 		c.Heartbeats++
@@ -194,7 +194,7 @@
 	if _, still := x.open[m.seq]; still {
 		x.open[m.seq] = h
 	} else if x.phase == closed { // it died under an answer to another request: it could not withdraw this one
-		x.s.taker.Withdraw(h)
+		x.s.taker.Cancel(h)
 	}
 	return nil
 }
--- a/internal/downstream/session.go
+++ b/internal/downstream/session.go
@@ -83,7 +83,7 @@
 		s.agenda.Drop(&x.idle)
 		for seq, h := range x.open {
 			delete(x.open, seq)
-			s.taker.Withdraw(h)
+			s.taker.Cancel(h)
 		}
 	}
 }
--- a/internal/upstream/answers.go
+++ b/internal/upstream/answers.go
@@ -56,7 +56,7 @@
 	if e.Result != routing.OK {
 		c.ghost(k.id) // a request that was served does not come again
 	}
-	f.ender.Ended(k.h, e)
+	f.ender.AttemptEnded(k.h, e)
 	c.rest()
 }
 
--- a/internal/upstream/caches.go
+++ b/internal/upstream/caches.go
@@ -19,7 +19,7 @@
 
 // Ender takes the ends of attempts; it is the director.
 type Ender interface {
-	Ended(director.Handle, director.Ending)
+	AttemptEnded(director.Handle, director.Ending)
 }
 
 // Counters count what passed between the director and its peers.
@@ -104,7 +104,7 @@
 
 // Join takes a member in, or learns of its new address or life. What is open to an old life is closed: its
 // process is gone, and a vanished machine would never say so.
-func (f *Fleet) Join(host routing.Host, name, address string, started routing.Time) {
+func (f *Fleet) UpdateEndpoint(host routing.Host, name, address string, started routing.Time) {
 	p := f.peers[host]
 	if p == nil {
 		p = &peer{host: host, name: name, address: address, started: started, pace: overload.NewConns(f.rng)}
@@ -131,7 +131,7 @@
 }
 
 // Leave lets a member that has gone finish what it has and then closes its connections.
-func (f *Fleet) Leave(host routing.Host) {
+func (f *Fleet) RemoveEndpoint(host routing.Host) {
 	p := f.peers[host]
 	if p == nil {
 		return
@@ -151,13 +151,13 @@
 	p := f.peers[to]
 	if p == nil {
 		f.Counters.NoPeer++
-		f.ender.Ended(h, director.Ending{Result: routing.ConnectFailed})
+		f.ender.AttemptEnded(h, director.Ending{Result: routing.ConnectFailed})
 		return
 	}
 	c := f.pick(p, q.Request.Ref, q.Once)
 	if c == nil {
 		f.Counters.NoDescriptors++ // our shortage: it never ran, and says nothing of the peer
-		f.ender.Ended(h, director.Ending{Result: routing.Moot})
+		f.ender.AttemptEnded(h, director.Ending{Result: routing.Moot})
 		return
 	}
 	k := &call{h: h, id: q.Request.Ref, at: f.now(), known: q.Request.Known, before: q.Before}
@@ -169,10 +169,10 @@
 
 // Hold keeps what waits from being written, until Release: the process stood still, and what would call it off may
 // be unread yet.
-func (f *Fleet) Hold() { f.held = true }
+func (f *Fleet) SuspendWrites() { f.held = true }
 
 // Release writes what has waited.
-func (f *Fleet) Release() {
+func (f *Fleet) ResumeWrites() {
 	f.held = false
 	var waiting []*conn
 	f.conns.All(func(_ director.Handle, c *conn) bool {
@@ -187,7 +187,7 @@
 }
 
 // Recall gives up an attempt of which nothing has been written; false: some may have been, and it goes on.
-func (f *Fleet) Recall(h director.Handle) bool {
+func (f *Fleet) CancelIfUnwritten(h director.Handle) bool {
 	k := f.calls[h]
 	if k == nil || k.written {
 		return false
@@ -279,7 +279,7 @@
 
 // Stop gives an attempt up. Where some of it was written the peer is told, and what it may still answer is
 // dropped.
-func (f *Fleet) Stop(h director.Handle) (written bool) {
+func (f *Fleet) Cancel(h director.Handle) (written bool) {
 	k := f.calls[h]
 	if k == nil {
 		return true // it has ended some other way: nothing can be proven here
--- a/internal/upstream/caches_test.go
+++ b/internal/upstream/caches_test.go
@@ -29,7 +29,7 @@
 }
 
 func (b *bench) Dial(_ string, _ time.Duration, s eventloop.Stream) { b.dials = append(b.dials, s) }
-func (b *bench) Ended(h director.Handle, e director.Ending) {
+func (b *bench) AttemptEnded(h director.Handle, e director.Ending) {
 	b.ends[h] = e.Result
 	e.Body.Release()
 }
@@ -41,7 +41,7 @@
 		AnswerBody: 100, AnswerFields: 100}
 	s := &routing.Settings{Report: routing.ReportSettings{Fields: []string{"active", "x1"}}}
 	b.f = NewFleet(l, s, buffer.NewPool(64, 64), b, b, &b.agenda, func() routing.Time { return b.clock }, zap.NewNop(), 1)
-	b.f.Join(1, "c1", "a", 0)
+	b.f.UpdateEndpoint(1, "c1", "a", 0)
 	return b
 }
 
@@ -95,7 +95,7 @@
 func TestStopTellsWhetherItWasWritten(t *testing.T) {
 	b := newBench()
 	b.send(1, "r1")
-	if b.f.Stop(1) {
+	if b.f.Cancel(1) {
 		t.Error("an attempt that waits for its dial counts as written")
 	}
 	l := &nettest.Link{}
@@ -104,7 +104,7 @@
 		t.Errorf("after its stop %q was sent", got)
 	}
 	b.send(2, "r2")
-	if !b.f.Stop(2) {
+	if !b.f.Cancel(2) {
 		t.Error("a written attempt counts as not written")
 	}
 	if !strings.HasSuffix(l.Text.String(), bulk("STOP", "r2")) {
@@ -118,7 +118,7 @@
 	b := newBench()
 	b.send(1, "r1")
 	b.dials[0].Opened(&nettest.Link{})
-	b.f.Stop(1)
+	b.f.Cancel(1)
 	b.send(2, "r1")
 	if len(b.dials) != 2 {
 		t.Fatalf("%d dials, want a second one", len(b.dials))
@@ -234,8 +234,8 @@
 			b.send(11, "r11")
 			b.dials[3].Failed(fmt.Errorf("connect: %w", syscall.ECONNREFUSED))
 		}, 10 * time.Second},
-		"a new life": {func(b *bench) { b.dials[0].Closed(); b.f.Join(1, "c1", "a", b.clock) }, 10 * time.Second},
-		"gone":       {func(b *bench) { b.dials[0].Closed(); b.f.Leave(1) }, 10 * time.Second},
+		"a new life": {func(b *bench) { b.dials[0].Closed(); b.f.UpdateEndpoint(1, "c1", "a", b.clock) }, 10 * time.Second},
+		"gone":       {func(b *bench) { b.dials[0].Closed(); b.f.RemoveEndpoint(1) }, 10 * time.Second},
 	} {
 		b := newBench()
 		b.f.limits.ConnsPerPeer = 4
@@ -280,7 +280,7 @@
 	b.send(1, "r1")
 	l := &nettest.Link{}
 	b.dials[0].Opened(l)
-	b.f.Stop(1)
+	b.f.Cancel(1)
 	b.clock += 2 * time.Second
 	b.send(2, "r2")
 	if !l.Closed || b.f.Conns() != 1 {
@@ -294,7 +294,7 @@
 	b := newBench()
 	b.send(1, "r1")
 	b.dials[0].Opened(&nettest.Link{})
-	b.f.Stop(1)
+	b.f.Cancel(1)
 	b.clock += 900 * time.Millisecond
 	b.send(2, "r2")
 	if len(b.dials) != 1 {
@@ -306,7 +306,7 @@
 		t.Errorf("%d dials after a long silence, want 2", len(b.dials))
 	}
 	b.dials[0].Data([]byte(bulk("r2", "OK", "-", "x")))
-	b.f.Stop(3)
+	b.f.Cancel(3)
 	b.send(4, "r4")
 	if len(b.dials) != 2 || b.f.calls[4].c != b.dials[0] {
 		t.Error("a connection that speaks again is not used")
@@ -325,13 +325,13 @@
 	b.send(1, "r1")
 	l := &nettest.Link{}
 	b.dials[0].Opened(l)
-	b.f.Join(1, "c1", "a", b.clock+1)
+	b.f.UpdateEndpoint(1, "c1", "a", b.clock+1)
 	b.want(t, map[director.Handle]routing.Result{1: routing.Reset})
 	b.send(2, "r2")
 	if len(b.dials) != 2 || !l.Closed {
 		t.Errorf("%d dials, old connection closed: %v", len(b.dials), l.Closed)
 	}
-	b.f.Leave(1)
+	b.f.RemoveEndpoint(1)
 	b.dials[1].Opened(&nettest.Link{})
 	b.dials[1].Data([]byte(bulk("r2", "OK", "-", "x")))
 	b.want(t, map[director.Handle]routing.Result{1: routing.Reset, 2: routing.OK})
@@ -350,7 +350,7 @@
 	l := &nettest.Link{}
 	b.clock += time.Second
 	b.dials[0].Opened(l)
-	b.f.Join(1, "c1", "a", b.clock-time.Second/2)
+	b.f.UpdateEndpoint(1, "c1", "a", b.clock-time.Second/2)
 	if l.Closed {
 		t.Error("a connection to the new life was closed")
 	}
@@ -427,7 +427,7 @@
 	if b.f.Counters.Shared != 20 || len(b.ends) != 0 {
 		t.Errorf("%d attempts shared a connection, want 20; ended: %v", b.f.Counters.Shared, b.ends)
 	}
-	b.f.Join(1, "c1", "b", b.clock)
+	b.f.UpdateEndpoint(1, "c1", "b", b.clock)
 	b.send(50, "r50")
 	if len(b.dials) != 3 {
 		t.Errorf("%d dials, want one to the new life", len(b.dials))
@@ -441,7 +441,7 @@
 		b.f.limits.ConnsPerPeer, b.f.limits.PeerConns, b.f.limits.StreamsPerConn = 32, 64, 100
 		want := 3
 		if young {
-			b.f.Join(1, "c1", "a", b.clock)
+			b.f.UpdateEndpoint(1, "c1", "a", b.clock)
 			want = 1
 		}
 		for i := range 20 {
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -296,7 +296,7 @@
 			r = routing.ConnectFailed
 		}
 		f.drop(k)
-		f.ender.Ended(k.h, director.Ending{Result: r})
+		f.ender.AttemptEnded(k.h, director.Ending{Result: r})
 	}
 }
 
--- a/internal/upstream/crossings_test.go
+++ b/internal/upstream/crossings_test.go
@@ -18,10 +18,10 @@
 	b.send(2, "r2")
 	up, late := &nettest.Link{}, &nettest.Link{}
 	b.dials[0].Opened(up)
-	if b.f.Recall(1) {
+	if b.f.CancelIfUnwritten(1) {
 		t.Error("what was written was taken back")
 	}
-	if !b.f.Recall(2) {
+	if !b.f.CancelIfUnwritten(2) {
 		t.Error("what waits for its dial was not taken back")
 	}
 	b.dials[1].Opened(late)
@@ -41,14 +41,14 @@
 	b.send(2, "r2")
 	b.send(3, "r3") // shares the first
 	l := &nettest.Link{}
-	b.f.Hold()
+	b.f.SuspendWrites()
 	b.dials[0].Opened(l)
 	b.dials[1].Failed(errors.New("refused"))
 	if l.Text.Len() != 0 {
 		t.Fatalf("written while held: %q", l.Text.String())
 	}
-	b.f.Recall(1)
-	b.f.Release()
+	b.f.CancelIfUnwritten(1)
+	b.f.ResumeWrites()
 	if got := b.f.Counters.Sent; got != 2 {
 		t.Errorf("%d attempts written after the hold, want the two that were not taken back", got)
 	}
@@ -125,7 +125,7 @@
 	b.dials[1].Data([]byte(bulk("r2", "OK", "-", "x")))
 	b.clock += time.Millisecond
 	b.dials[2].Data([]byte(bulk("r3", "OK", "-", "x")))
-	b.f.Join(2, "c2", "a2", 0)
+	b.f.UpdateEndpoint(2, "c2", "a2", 0)
 	b.f.Send(4, 2, director.Call{Request: &director.Request{Ref: "r4"}, Patience: time.Second})
 	if len(b.dials) != 4 {
 		t.Fatalf("%d dials: another peer's idle connections shut c2 out", len(b.dials))
@@ -172,7 +172,7 @@
 		b.dials[0].Opened(l)
 		whole := bulk("r1", "OK", "-", "a long body")
 		b.dials[0].Data([]byte(whole[:len(whole)-5]))
-		b.f.Stop(1)
+		b.f.Cancel(1)
 		b.send(2, "r2")
 		if len(b.dials) != 2 {
 			t.Fatalf("%d dials: r2 is behind half an answer", len(b.dials))
--- a/internal/upstream/golden_test.go
+++ b/internal/upstream/golden_test.go
@@ -85,7 +85,7 @@
 	}}
 	recorder.pools = NewFleet(limits, settings, recorder.buffers, recorder, recorder, &recorder.timers,
 		func() routing.Time { return recorder.now }, zap.NewNop(), 1)
-	recorder.pools.Join(1, "c1", "a", 0)
+	recorder.pools.UpdateEndpoint(1, "c1", "a", 0)
 	return recorder
 }
 
@@ -95,7 +95,7 @@
 }
 
 // Ended implements the interface that takes the results of attempts.
-func (r *wireRecorder) Ended(attempt director.Handle, end director.Ending) {
+func (r *wireRecorder) AttemptEnded(attempt director.Handle, end director.Ending) {
 	r.results = append(r.results, fmt.Sprintf("attempt %d %s note=%s waited=%v load=%v same=%v body=%q",
 		attempt, goldenResults[end.Result], goldenNotes[end.Note], end.Waited, end.Report, end.Same, chainText(&end.Body)))
 	end.Body.Release()
@@ -343,14 +343,14 @@
 
 func (s *wireScript) cancel(attempt director.Handle) {
 	s.step("cancel", func() {
-		written := s.recorder.pools.Stop(attempt)
+		written := s.recorder.pools.Cancel(attempt)
 		s.lines = append(s.lines, fmt.Sprintf("may have been written: %v", written))
 	})
 }
 
 func (s *wireScript) recall(attempt director.Handle) {
 	s.step("recall", func() {
-		recalled := s.recorder.pools.Recall(attempt)
+		recalled := s.recorder.pools.CancelIfUnwritten(attempt)
 		s.lines = append(s.lines, fmt.Sprintf("recalled: %v", recalled))
 	})
 }
@@ -402,11 +402,11 @@
 func playSuspended(r *wireRecorder, s *wireScript) {
 	s.send(1, "r1")
 	s.open(0)
-	s.step("suspend", r.pools.Hold)
+	s.step("suspend", r.pools.SuspendWrites)
 	s.send(2, "r2")
 	s.send(3, "r3")
 	s.recall(2)
-	s.step("resume", r.pools.Release)
+	s.step("resume", r.pools.ResumeWrites)
 }
 
 func playWindow(r *wireRecorder, s *wireScript) {
@@ -450,16 +450,16 @@
 func playRestart(r *wireRecorder, s *wireScript) {
 	s.send(1, "r1")
 	s.open(0)
-	s.step("restart", func() { r.pools.Join(1, "c1", "a", r.now+1) })
+	s.step("restart", func() { r.pools.UpdateEndpoint(1, "c1", "a", r.now+1) })
 	s.send(2, "r2")
 	s.open(1)
-	s.step("another address", func() { r.pools.Join(1, "c1", "b", r.now+1) })
+	s.step("another address", func() { r.pools.UpdateEndpoint(1, "c1", "b", r.now+1) })
 }
 
 func playRemoved(r *wireRecorder, s *wireScript) {
 	s.send(1, "r1")
 	s.open(0)
-	s.step("removed", func() { r.pools.Leave(1) })
+	s.step("removed", func() { r.pools.RemoveEndpoint(1) })
 	s.answer(0, "r1", "OK", "n=HIT", "x")
 	s.send(2, "r2")
 }
--- a/internal/upstream/requests.go
+++ b/internal/upstream/requests.go
@@ -15,7 +15,7 @@
 	if k.before != 0 && f.now() >= k.before {
 		f.Counters.Expired++
 		f.drop(k)
-		f.ender.Ended(k.h, director.Ending{Result: routing.Moot}) // it never ran
+		f.ender.AttemptEnded(k.h, director.Ending{Result: routing.Moot}) // it never ran
 		k.c.rest()
 		return
 	}
