--- a/routing/rules_test.go
+++ b/routing/rules_test.go
@@ -18,13 +18,13 @@
 		change(&s)
 	}
 	w := newWorld(t, s, 1)
-	w.list(Cached, siteMembers(4)...)
+	w.list(UpdateCached, siteMembers(4)...)
 	return w
 }
 
 func (w *world) read(id uint32, object uint64, class int) *open {
 	return w.ask(Request{ID: id, Class: class, Object: object, Group: int(object % 8),
-		GiveUpAt: w.now + w.s.Services[class].Deadline})
+		Deadline: w.now + w.s.Classes[class].Timeout})
 }
 
 func (w *world) check() {
@@ -36,14 +36,14 @@
 
 func TestNewNamesTheField(t *testing.T) {
 	for field, change := range map[string]func(*Settings){
-		"services":             func(s *Settings) { s.Services = nil },
+		"services":             func(s *Settings) { s.Classes = nil },
 		"zone":                 func(s *Settings) { s.Zone = 3 },
-		"ceilings.maxAttempts": func(s *Settings) { s.Ceilings.MaxAttempts = 0 },
-		"guarantees":           func(s *Settings) { s.Guarantees.Fall = -1 },
-		"seatsByZone":          func(s *Settings) { s.Family.SeatsByZone = []int{1} },
-		"classFresh":           func(s *Settings) { s.Family.ClassFresh = s.Family.ClassFresh[:1] },
-		"services[1]":          func(s *Settings) { s.Services[1].Aim = 0 },
-		"familyInfo":           func(s *Settings) { s.Family.PurgeTakes = -1 },
+		"ceilings.maxAttempts": func(s *Settings) { s.SiteLimits.MaxAttempts = 0 },
+		"guarantees":           func(s *Settings) { s.Guarantees.OverloadWindow = -1 },
+		"seatsByZone":          func(s *Settings) { s.Tiers.DirectorsByZone = []int{1} },
+		"classFresh":           func(s *Settings) { s.Tiers.FreshnessLifetime = s.Tiers.FreshnessLifetime[:1] },
+		"services[1]":          func(s *Settings) { s.Classes[1].LatencyObjective = 0 },
+		"familyInfo":           func(s *Settings) { s.Tiers.PurgePropagation = -1 },
 	} {
 		s := siteSettings()
 		change(&s)
@@ -52,7 +52,7 @@
 		}
 	}
 	s := siteSettings()
-	s.Family = Tiers{SecondTierKind: -1, MasterKind: 2}
+	s.Tiers = TierSettings{ParentKind: -1, OriginKind: 2}
 	if _, err := New(s, 1); err != nil {
 		t.Errorf("optional lists left out: %v", err)
 	}
@@ -60,8 +60,8 @@
 
 func TestUnknownEventIsPassedOver(t *testing.T) {
 	w := simpleWorld(t, nil)
-	for _, ev := range []Event{nil, 7, Outcome{ID: 99}, Expired{ID: 99}, Timer{Token: 1<<32 | 99}, Started{ID: 99},
-		PeerMessage{From: 1, Data: []byte("junk")}, ProbeResult{}, Members{Kind: Full}} {
+	for _, ev := range []Event{nil, 7, Outcome{ID: 99}, RequestClosed{ID: 99}, TimerFired{Token: 1<<32 | 99}, StreamStarted{ID: 99},
+		PeerMessage{From: 1, Data: []byte("junk")}, ProbeResult{}, EndpointUpdate{Kind: UpdateFull}} {
 		if got := w.r.Handle(w.now, ev); len(got) != 0 {
 			t.Errorf("%T: actions %v", ev, got)
 		}
@@ -72,7 +72,7 @@
 	w := simpleWorld(t, nil)
 	w.read(1, 42, 0)
 	f := w.sent[0]
-	if w.members[f.Host].Kind != 0 || w.members[f.Source].Kind != 1 || f.How&SourceHolds != 0 {
+	if w.members[f.Host].Kind != 0 || w.members[f.Source].Kind != 1 || f.Flags&OnlyIfCached != 0 {
 		t.Fatalf("first attempt %+v", f)
 	}
 	w.run(w.now + time.Second)
@@ -93,19 +93,19 @@
 	w.run(w.now + 100*ms)
 	back := m
 	back.Weight = 0.0001 // the pick moves away from the holder, which stays in use
-	w.list(Delta, back)
-	w.answer = func(w *world, o *open, n int) (Result, Note, time.Duration) {
+	w.list(UpdateDelta, back)
+	w.answer = func(w *world, o *open, n int) (Result, FillStatus, time.Duration) {
 		if n == 0 {
-			return Miss, NoteSourceLacks, 10 * ms
+			return Miss, FillStatusSourceMiss, 10 * ms
 		}
-		return OK, NoteFilled, 10 * ms
+		return OK, FillStatusFilled, 10 * ms
 	}
 	w.read(2, 42, 0)
 	w.run(w.now + 100*ms)
 	if len(w.sent) != 3 {
 		t.Fatalf("sent %+v", w.sent)
 	}
-	if s := w.sent[1]; s.Source != first || s.How&SourceHolds == 0 {
+	if s := w.sent[1]; s.Source != first || s.Flags&OnlyIfCached == 0 {
 		t.Errorf("no sibling fill from %d: %+v", first, s)
 	}
 	if p := w.sent[2]; w.members[p.Source].Kind != 1 || p.Host != w.sent[1].Host {
@@ -121,7 +121,7 @@
 	w.run(w.now + entryAge + 200*ms)
 	m := w.members[first]
 	m.Weight = 0.0001
-	w.list(Delta, m)
+	w.list(UpdateDelta, m)
 	w.read(2, 42, 0)
 	if s := w.sent[1]; s.Source == first {
 		t.Errorf("a holder older than %v was still believed: %+v", entryAge, s)
@@ -137,7 +137,7 @@
 	for _, h := range []Host{hostEdge, hostParent} {
 		m := w.members[h]
 		m.State = Draining
-		w.list(Delta, m)
+		w.list(UpdateDelta, m)
 	}
 	for id := uint32(101); id <= 140; id++ {
 		w.read(id, uint64(id-100), 0)
@@ -181,7 +181,7 @@
 	w.purge(Purge{Object: 42, Age: 10 * ms})
 	m := w.members[first]
 	m.Weight = 0.0001
-	w.list(Delta, m)
+	w.list(UpdateDelta, m)
 	w.read(2, 42, 0)
 	if s := w.sent[1]; s.Source == first {
 		t.Errorf("a voided holder was named as source: %+v", s)
@@ -200,7 +200,9 @@
 		{3, Errored, 1, false},
 	} {
 		w := simpleWorld(t, nil)
-		w.answer = func(*world, *open, int) (Result, Note, time.Duration) { return tc.result, NoNote, 10 * ms }
+		w.answer = func(*world, *open, int) (Result, FillStatus, time.Duration) {
+			return tc.result, FillStatusUnknown, 10 * ms
+		}
 		o := w.read(1, 42, tc.class)
 		w.run(w.now + 3*time.Second)
 		if !o.ended {
@@ -214,11 +216,11 @@
 func TestSilentCacheIsShunned(t *testing.T) {
 	w := simpleWorld(t, nil)
 	silent := Host(0)
-	w.answer = func(w *world, o *open, n int) (Result, Note, time.Duration) {
+	w.answer = func(w *world, o *open, n int) (Result, FillStatus, time.Duration) {
 		if o.tries[n].host == silent {
-			return OK, NoteHit, time.Hour
+			return OK, FillStatusHit, time.Hour
 		}
-		return OK, NoteHit, 40 * ms
+		return OK, FillStatusHit, 40 * ms
 	}
 	id := uint32(0)
 	step := func(n int) {
@@ -269,7 +271,7 @@
 	}
 	w.run(w.now + 5*time.Second)
 	for i := range 1000 {
-		w.list(Full, append(siteMembers(4), Member{Host: Host(10000 + i), Zone: 1, State: Ready, Weight: 1})...)
+		w.list(UpdateFull, append(siteMembers(4), Endpoint{Host: Host(10000 + i), Zone: 1, State: Ready, Weight: 1})...)
 	}
 	if n := len(w.r.cur) + len(w.r.prev); n > 2*tableSize {
 		t.Errorf("%d table entries", n)
@@ -309,43 +311,43 @@
 // propertyRun plays a minute of random requests, answers, purges, drains and restarts.
 func propertyRun(t *testing.T, seed uint64) *world {
 	s := siteSettings()
-	s.Ceilings.SecondCopies = seed%2 == 0
-	s.Ceilings.Cancel = seed%3 != 0
-	s.Family.BypassAllowed = seed%5 != 0
-	s.Family.MergesFills = seed%4 != 0
-	s.Family.NotesGiven = []string{"all", "hit", "off"}[seed%3]
-	s.Family.Lateral = []string{"off", "location", "any"}[seed/3%3]
-	s.Services[2].Group = []string{"all", "zone", "cell"}[seed%3]
+	s.SiteLimits.HedgingAllowed = seed%2 == 0
+	s.SiteLimits.CancelAllowed = seed%3 != 0
+	s.Tiers.BypassAllowed = seed%5 != 0
+	s.Tiers.CoalescesFills = seed%4 != 0
+	s.Tiers.FillStatusReported = []string{"all", "hit", "off"}[seed%3]
+	s.Tiers.SiblingFills = []string{"off", "location", "any"}[seed/3%3]
+	s.Classes[2].DedupScope = []string{"all", "zone", "cell"}[seed%3]
 	w := newWorld(t, s, seed)
 	rng := w.rng
 	list := siteMembers(4)
-	w.list(Cached, list...)
+	w.list(UpdateCached, list...)
 	sick := Host(0)
-	w.answer = func(w *world, o *open, n int) (Result, Note, time.Duration) {
+	w.answer = func(w *world, o *open, n int) (Result, FillStatus, time.Duration) {
 		a := o.tries[n]
 		if a.host == sick || a.source == sick {
-			return OK, NoteFilled, time.Hour
+			return OK, FillStatusFilled, time.Hour
 		}
 		after := time.Duration(rng.ExpFloat64()*60) * ms
 		switch k := rng.IntN(20); {
 		case k < 13:
-			return OK, NoteHit, after
+			return OK, FillStatusHit, after
 		case k < 15:
-			return OK, NoteFilled, 2 * after
+			return OK, FillStatusFilled, 2 * after
 		case k == 15:
-			return Miss, NoteSourceLacks, after
+			return Miss, FillStatusSourceMiss, after
 		case k == 16:
-			return Refused, []Note{NoNote, NoteSourceRefused, NoteSourceUnreached, NoteNoFillSlot}[rng.IntN(4)], after
+			return Rejected, []FillStatus{FillStatusUnknown, FillStatusSourceRejected, FillStatusSourceUnreachable, FillStatusNoFillSlot}[rng.IntN(4)], after
 		case k == 17:
-			return []Result{Errored, ConnectFailed, Reset}[rng.IntN(3)], NoNote, after
+			return []Result{Errored, ConnectFailed, Reset}[rng.IntN(3)], FillStatusUnknown, after
 		}
-		return OK, NoteHit, 20 * after
+		return OK, FillStatusHit, 20 * after
 	}
 	for id := uint32(1); id <= 3000; id++ {
 		class := []int{0, 1, 0, 1, 1, 2, 3}[rng.IntN(7)]
 		object := uint64(rng.ExpFloat64() * 40)
-		give := time.Duration(float64(s.Services[class].Deadline) * (0.3 + 0.7*rng.Float64()))
-		w.ask(Request{ID: id, Class: class, Object: object + 1, Group: int(object % 8), GiveUpAt: w.now + give})
+		give := time.Duration(float64(s.Classes[class].Timeout) * (0.3 + 0.7*rng.Float64()))
+		w.ask(Request{ID: id, Class: class, Object: object + 1, Group: int(object % 8), Deadline: w.now + give})
 		w.run(w.now + time.Duration(rng.ExpFloat64()*20)*ms)
 		switch k := rng.IntN(300); {
 		case k < 4:
@@ -355,22 +357,22 @@
 		case k < 8:
 			m := list[1+rng.IntN(6)]
 			m.State = []State{Draining, Gone, Ready}[rng.IntN(3)]
-			w.list(Delta, m)
+			w.list(UpdateDelta, m)
 		case k < 10:
 			m := list[1+rng.IntN(6)]
 			m.Started, m.State = w.now-time.Duration(rng.IntN(2000))*ms, Ready
-			w.list(Delta, m)
+			w.list(UpdateDelta, m)
 		case k == 10:
 			sick = list[rng.IntN(7)].Host
 		case k == 11:
 			sick = 0
 		case k == 12:
-			w.list(Full, list...)
+			w.list(UpdateFull, list...)
 		case k == 13:
-			w.handle(Members{Kind: Failed})
+			w.handle(EndpointUpdate{Kind: UpdateFailed})
 		case k == 14 && !w.reqs[id].ended:
 			w.reqs[id].ended = true
-			w.handle(Expired{ID: id})
+			w.handle(RequestClosed{ID: id})
 		}
 	}
 	w.run(w.now + 10*time.Second)
@@ -381,11 +383,11 @@
 // fills and load in a jam. They must wait, and come back to the same cache.
 func TestFullMakesTheRequestWait(t *testing.T) {
 	w := simpleWorld(t, nil)
-	w.answer = func(w *world, o *open, n int) (Result, Note, time.Duration) {
+	w.answer = func(w *world, o *open, n int) (Result, FillStatus, time.Duration) {
 		if n == 0 {
-			return Refused, NoteNoFillSlot, ms
+			return Rejected, FillStatusNoFillSlot, ms
 		}
-		return OK, NoteFilled, 10 * ms
+		return OK, FillStatusFilled, 10 * ms
 	}
 	w.read(1, 42, 0)
 	w.run(w.now + 20*ms)
@@ -403,18 +405,18 @@
 // silent though they were only busy. No cache is ejected for being late.
 func TestBusyIsNotSilent(t *testing.T) {
 	w := simpleWorld(t, nil)
-	w.answer = func(*world, *open, int) (Result, Note, time.Duration) { return OK, NoteHit, 400 * ms }
+	w.answer = func(*world, *open, int) (Result, FillStatus, time.Duration) { return OK, FillStatusHit, 400 * ms }
 	for id := uint32(1); id <= 400; id++ {
 		w.read(id, uint64(id), 0)
 		if id%40 == 0 { // forty at once, all answered 700 ms later, nothing in between
-			w.answer = func(*world, *open, int) (Result, Note, time.Duration) { return OK, NoteFilled, 700 * ms }
+			w.answer = func(*world, *open, int) (Result, FillStatus, time.Duration) { return OK, FillStatusFilled, 700 * ms }
 			w.run(w.now + 800*ms)
 		}
 	}
 	w.run(w.now + time.Second)
 	for _, a := range w.acts {
 		if l, ok := a.(Log); ok {
-			t.Errorf("log: %s", l.Text)
+			t.Errorf("log: %s", l.Message)
 		}
 	}
 	w.check()
@@ -423,7 +425,7 @@
 // Found in the first incidents: in overload all answers came late. The excess must wait and be refused early.
 func TestLateAnswersLowerTheCrowd(t *testing.T) {
 	w := simpleWorld(t, nil)
-	w.answer = func(*world, *open, int) (Result, Note, time.Duration) { return OK, NoteHit, 1900 * ms }
+	w.answer = func(*world, *open, int) (Result, FillStatus, time.Duration) { return OK, FillStatusHit, 1900 * ms }
 	most := 0
 	for id := uint32(1); id <= 3000; id++ {
 		w.read(id, uint64(id%40), 1)
@@ -437,7 +439,7 @@
 	}
 	refused := 0
 	for _, a := range w.acts {
-		if _, ok := a.(Refuse); ok {
+		if _, ok := a.(Reject); ok {
 			refused++
 		}
 	}
@@ -453,11 +455,11 @@
 	for _, s := range w.r.upper {
 		s.from.limit = overload.NewLimit(w.r.now, 1e-9)
 	}
-	w.answer = func(w *world, o *open, n int) (Result, Note, time.Duration) {
+	w.answer = func(w *world, o *open, n int) (Result, FillStatus, time.Duration) {
 		if o.Object == 42 {
-			return OK, NoteHit, 10 * ms
+			return OK, FillStatusHit, 10 * ms
 		}
-		return Miss, NoteJoined, ms
+		return Miss, FillStatusCoalesced, ms
 	}
 	w.read(1, 42, 0)
 	if f := w.sent[0]; f.Source != f.Host {
@@ -475,15 +477,17 @@
 // there keeps most fills from it, at once and for all parents; what parents hold still comes, and what must not be
 // kept goes to the origin as ever.
 func TestCrowdedOriginIsAskedBySome(t *testing.T) {
-	w := simpleWorld(t, func(s *Settings) { s.Balancers = 300 })
-	w.answer = func(w *world, o *open, n int) (Result, Note, time.Duration) { return OK, NoteFilledByOrigin, 100 * ms }
+	w := simpleWorld(t, func(s *Settings) { s.Directors = 300 })
+	w.answer = func(w *world, o *open, n int) (Result, FillStatus, time.Duration) {
+		return OK, FillStatusFilledByOrigin, 100 * ms
+	}
 	w.r.shield.Answered(w.now, w.now, true)
 	for id := uint32(2); id < 202; id++ {
 		w.read(id, uint64(id), 1)
 	}
 	peeks := 0
 	for _, f := range w.sent {
-		if f.How&SourceHolds != 0 {
+		if f.Flags&OnlyIfCached != 0 {
 			peeks++
 		}
 		if w.members[f.Source].Kind != 1 {
@@ -495,7 +499,9 @@
 	}
 	w.run(w.now + 200*ms)
 	w.r.shield.Answered(w.now, w.now, true)
-	w.answer = func(w *world, o *open, n int) (Result, Note, time.Duration) { return Miss, NoteSourceLacks, 10 * ms }
+	w.answer = func(w *world, o *open, n int) (Result, FillStatus, time.Duration) {
+		return Miss, FillStatusSourceMiss, 10 * ms
+	}
 	refused, stale := 0, 0
 	for id := uint32(301); id <= 500; id++ {
 		class := int(id) % 2 // of these, the second's copies may be served past their fresh time
@@ -523,7 +529,7 @@
 		t.Errorf("%d of 200 that only the origin has were refused at once, %d behind a look for a stale copy", refused, stale)
 	}
 	pay := len(w.acts)
-	w.ask(Request{ID: 999, Class: 3, Object: 7, GiveUpAt: w.now + time.Second})
+	w.ask(Request{ID: 999, Class: 3, Object: 7, Deadline: w.now + time.Second})
 	if _, ok := w.acts[pay].(Forward); !ok {
 		t.Errorf("a write was kept from the origin: %+v", w.acts[pay])
 	}
@@ -548,17 +554,17 @@
 
 // Found by reading: a parent once ejected was never readmitted as a source.
 func TestEjectedParentIsLookedAtAndReadmitted(t *testing.T) {
-	w := simpleWorld(t, func(s *Settings) { s.Family.BypassAllowed = false })
+	w := simpleWorld(t, func(s *Settings) { s.Tiers.BypassAllowed = false })
 	down := true
-	w.answer = func(w *world, o *open, n int) (Result, Note, time.Duration) {
+	w.answer = func(w *world, o *open, n int) (Result, FillStatus, time.Duration) {
 		src := o.tries[n].source
 		switch {
 		case src == hostParent && down:
-			return Refused, NoteSourceUnreached, 300 * ms
-		case w.sent[len(w.sent)-1].How&SourceHolds != 0:
-			return Miss, NoteSourceLacks, 5 * ms
+			return Rejected, FillStatusSourceUnreachable, 300 * ms
+		case w.sent[len(w.sent)-1].Flags&OnlyIfCached != 0:
+			return Miss, FillStatusSourceMiss, 5 * ms
 		}
-		return OK, NoteFilled, 10 * ms
+		return OK, FillStatusFilled, 10 * ms
 	}
 	id := uint32(0)
 	step := func(n int) {
@@ -582,7 +588,7 @@
 
 // Far masters are asked only when no parent is up, peers may talk and caches elsewhere may be sources.
 func TestFarMasters(t *testing.T) {
-	far := func(s *Settings) { s.Ceilings.PeerMessages, s.Family.Lateral = true, "any" }
+	far := func(s *Settings) { s.SiteLimits.PeerMessagesAllowed, s.Tiers.SiblingFills = true, "any" }
 	w := simpleWorld(t, far)
 	w.read(1, 42, 0)
 	if len(w.sent) != 1 {
@@ -591,13 +597,13 @@
 	for _, p := range []Host{hostParent, hostParent + 1} {
 		m := w.members[p]
 		m.State = Draining
-		w.list(Delta, m)
+		w.list(UpdateDelta, m)
 	}
 	w.acts = nil
 	w.read(2, 43, 0)
 	var query []byte
 	for _, a := range w.acts {
-		if m, ok := a.(Tell); ok {
+		if m, ok := a.(SendPeerMessage); ok {
 			query = m.Data
 		}
 	}
@@ -609,7 +615,7 @@
 	}
 	key := objectPart{43, 0}
 	w.handle(PeerMessage{From: 1, Data: peerMessage{peerReply, 2, key, 700}.encode()})
-	if f := w.sent[1]; f.Source != 700 || f.How&SourceHolds == 0 {
+	if f := w.sent[1]; f.Source != 700 || f.Flags&OnlyIfCached == 0 {
 		t.Errorf("not filled from the far cache: %+v", f)
 	}
 	w.read(3, 44, 0) // nobody answers: after the aim, the origin
@@ -623,7 +629,7 @@
 	m.run(m.now + 100*ms)
 	m.acts = nil
 	m.handle(PeerMessage{From: 1, Data: peerMessage{peerQuery, 2, key, 0}.encode()})
-	want := Tell{To: 1, Data: peerMessage{peerReply, 1, key, m.sent[0].Host}.encode()}
+	want := SendPeerMessage{To: 1, Data: peerMessage{peerReply, 1, key, m.sent[0].Host}.encode()}
 	if !reflect.DeepEqual(m.acts, []Action{want}) {
 		t.Errorf("answered %v, want %v", m.acts, want)
 	}
@@ -632,10 +638,10 @@
 
 // Where discovery must be asked, a router subscribes at its start and again after a failure.
 func TestSubscribesAgainAfterFailure(t *testing.T) {
-	w := simpleWorld(t, func(s *Settings) { s.RegistryMode = "subscribe" })
+	w := simpleWorld(t, func(s *Settings) { s.DiscoveryMode = "subscribe" })
 	count := func() (n int) {
 		for _, a := range w.acts {
-			if s, ok := a.(Subscribe); ok && s.On {
+			if s, ok := a.(Subscribe); ok && s.Enabled {
 				n++
 			}
 		}
@@ -644,8 +650,8 @@
 	if count() != 1 {
 		t.Fatalf("%d subscriptions at the start", count())
 	}
-	w.handle(Members{Kind: Failed})
-	w.run(w.now + w.s.Guarantees.AskWithin/2)
+	w.handle(EndpointUpdate{Kind: UpdateFailed})
+	w.run(w.now + w.s.Guarantees.PollWithin/2)
 	if count() != 2 {
 		t.Errorf("%d subscriptions after a failure, want 2", count())
 	}
@@ -653,14 +659,14 @@
 
 // Locations with one cache, no parent or no cache at all are legal.
 func TestThinLocations(t *testing.T) {
-	for name, list := range map[string][]Member{
+	for name, list := range map[string][]Endpoint{
 		"one cache, no parent": {siteMembers(1)[0], siteMembers(1)[3]},
 		"only the origin":      siteMembers(0)[:1],
 		"nothing":              nil,
 	} {
 		t.Run(name, func(t *testing.T) {
 			w := newWorld(t, siteSettings(), 1)
-			w.list(Cached, list...)
+			w.list(UpdateCached, list...)
 			for id := uint32(1); id < 40; id++ {
 				w.read(id, uint64(id), int(id%2))
 			}
@@ -677,7 +683,7 @@
 // test fails.
 func TestGateRefuses(t *testing.T) {
 	w := simpleWorld(t, nil)
-	r := &request{Request: Request{ID: 1, GiveUpAt: w.now + time.Second}, held: &entry{}}
+	r := &request{Request: Request{ID: 1, Deadline: w.now + time.Second}, held: &entry{}}
 	w.r.reqs[1] = r
 	edgeA, par, org := w.r.servers[hostEdge], w.r.servers[hostParent], w.r.servers[hostOrigin]
 	w.r.now = w.now
@@ -686,7 +692,7 @@
 		"drain of source":  func() func() { par.State = Draining; return func() { par.State = Ready } },
 		"gone source":      func() func() { par.listed = false; return func() { par.listed = true } },
 		"second copy":      func() func() { r.out = 1; return func() { r.out = 0 } },
-		"over":             func() func() { r.GiveUpAt = w.now; return func() { r.GiveUpAt += time.Second } },
+		"over":             func() func() { r.Deadline = w.now; return func() { r.Deadline += time.Second } },
 		"stream":           func() func() { r.stream = true; return func() { r.stream = false } },
 		"attempts used up": func() func() { r.tries = make([]*attempt, 5); return func() { r.tries = nil } },
 		"unsafe may have run": func() func() {
@@ -729,8 +735,8 @@
 	for _, seats := range []int{30, 300} {
 		for seed := range uint64(5) {
 			s := siteSettings()
-			s.Balancers, s.Family.SeatsByZone, s.Family.FlowKBPerS = seats, []int{0, seats, 0}, 1000
-			s.Services[0].Aim, s.Services[1].Aim = 400*ms, 250*ms
+			s.Directors, s.Tiers.DirectorsByZone, s.Tiers.TransferKBPerSecond = seats, []int{0, seats, 0}, 1000
+			s.Classes[0].LatencyObjective, s.Classes[1].LatencyObjective = 400*ms, 250*ms
 			const size, weight = 500.0, 20.0 // an object takes 0.5 s, about as long as the aim
 			start := 100 * time.Second
 			now := start + time.Second
@@ -746,32 +752,32 @@
 						list[j].Started, list[j].Weight = start, weight
 					}
 				}
-				r.Handle(now, Members{Kind: Cached, List: list})
+				r.Handle(now, EndpointUpdate{Kind: UpdateCached, Endpoints: list})
 				routers = append(routers, r)
 			}
 			var calls []Time
 			for step := range 60 {
 				for i, r := range routers {
 					id := uint32(step*seats + i + 1)
-					for _, a := range r.Handle(now, Request{ID: id, Object: uint64(id), GiveUpAt: now + 4*time.Second, SizeKB: size}) {
+					for _, a := range r.Handle(now, Request{ID: id, Object: uint64(id), Deadline: now + 4*time.Second, SizeKB: size}) {
 						if f, ok := a.(Fetch); ok && f.Host == hostEdge {
 							calls = append(calls, now)
 						}
 					}
 				}
-				now += s.Guarantees.Fall / 10
+				now += s.Guarantees.OverloadWindow / 10
 			}
 			worst := 0.0
 			for i, at := range calls {
 				n := 0
 				for _, b := range calls[i:] {
-					if b < at+s.Guarantees.Fall {
+					if b < at+s.Guarantees.OverloadWindow {
 						n++
 					}
 				}
 				g := s.Guarantees
-				share := g.ColdFrom + (1-g.ColdFrom)*float64(at-start)/float64(g.Cold)
-				allowed := g.TipMultiple * share * weight * g.Fall.Seconds() / (size / 1000)
+				share := g.SlowStartFraction + (1-g.SlowStartFraction)*float64(at-start)/float64(g.SlowStartDuration)
+				allowed := g.OverloadMultiple * share * weight * g.OverloadWindow.Seconds() / (size / 1000)
 				worst = max(worst, float64(n)/(allowed+2*math.Sqrt(allowed)+2))
 			}
 			t.Logf("%d directors, seed %d: %d calls, %.2f of what may come by chance", seats, seed, len(calls), worst)
@@ -791,22 +797,22 @@
 		result Result
 		atOnce bool
 	}{{false, Cancelled, false}, {false, Reset, false}, {false, TimedOut, false}, {true, Cancelled, true}, {true, Reset, true},
-		{false, ConnectFailed, true}, {false, Moot, true}, {false, Errored, true}, {true, NoWay, true}, {true, NoSocket, false}} {
-		w := simpleWorld(t, func(s *Settings) { s.Ceilings.SecondCopies = c.copies })
-		w.r.Handle(w.now, Request{ID: 900, Object: 42, GiveUpAt: w.now + 4*time.Second})
+		{false, ConnectFailed, true}, {false, Abandoned, true}, {false, Errored, true}, {true, Unreachable, true}, {true, LocalResourcesExhausted, false}} {
+		w := simpleWorld(t, func(s *Settings) { s.SiteLimits.HedgingAllowed = c.copies })
+		w.r.Handle(w.now, Request{ID: 900, Object: 42, Deadline: w.now + 4*time.Second})
 		a := w.r.reqs[900].tries[0]
 		left := func(acts []Action) bool {
 			return slices.ContainsFunc(acts, func(a Action) bool { _, ok := a.(Fetch); return ok })
 		}
 		w.now += 20 * ms
-		if got := left(w.r.Handle(w.now, Outcome{ID: 900, Host: a.target.Host, Result: c.result, After: 20 * ms})); got != c.atOnce {
+		if got := left(w.r.Handle(w.now, Outcome{ID: 900, Host: a.target.Host, Result: c.result, Elapsed: 20 * ms})); got != c.atOnce {
 			t.Errorf("second copies %v, %v: the next attempt left at once %v, want %v", c.copies, c.result, got, c.atOnce)
 		}
 		if c.atOnce {
 			continue
 		}
 		w.now += 2 * holdFor
-		if !left(w.r.Handle(w.now, Timer{Token: requestTimer | 900})) {
+		if !left(w.r.Handle(w.now, TimerFired{Token: requestTimer | 900})) {
 			t.Errorf("second copies %v, %v: no further attempt", c.copies, c.result)
 		}
 	}
@@ -818,7 +824,7 @@
 func TestRepeatIsBoundToTheFirstWindow(t *testing.T) {
 	w := simpleWorld(t, nil)
 	edgeA, org := w.r.servers[hostEdge], w.r.servers[hostOrigin]
-	r := &request{Request: Request{ID: 1, Class: 2, GiveUpAt: w.now + 2*time.Second}, passOn: true, held: &entry{},
+	r := &request{Request: Request{ID: 1, Class: 2, Deadline: w.now + 2*time.Second}, passOn: true, held: &entry{},
 		tries: []*attempt{{target: edgeA, sent: w.now - 900*ms},
 			{target: edgeA, sent: w.now - 300*ms, mayRun: true}, {target: edgeA, sent: w.now - 100*ms, mayRun: true}}}
 	w.r.reqs[1], w.r.now, w.r.acts = r, w.now, nil
@@ -828,7 +834,7 @@
 	var before Time
 	for _, a := range w.r.acts {
 		if f, ok := a.(Fetch); ok {
-			before = f.Before
+			before = f.IdempotencyWindowEnd
 		}
 	}
 	if want := w.now + 650*ms; before != want {
@@ -846,11 +852,13 @@
 
 // Found by hunt on a slow-origin day: fills that hang filled the cache's limit and shut out hits.
 func TestHangingFillsDoNotShutOutHits(t *testing.T) {
-	w := simpleWorld(t, func(s *Settings) { s.Family.BypassAllowed = false })
+	w := simpleWorld(t, func(s *Settings) { s.Tiers.BypassAllowed = false })
 	w.read(1, 42, 0)
 	w.run(w.now + 100*ms) // a holder of 42 is known
 	s := w.r.servers[w.sent[0].Host]
-	w.answer = func(*world, *open, int) (Result, Note, time.Duration) { return OK, NoteFilled, 3 * time.Second }
+	w.answer = func(*world, *open, int) (Result, FillStatus, time.Duration) {
+		return OK, FillStatusFilled, 3 * time.Second
+	}
 	for id := uint32(10); id < 30; id++ {
 		w.read(id, uint64(id), 0)
 	}
@@ -875,7 +883,7 @@
 	const seats = 40
 	for seed := range uint64(5) {
 		s := siteSettings()
-		s.Balancers, s.Family.SeatsByZone, s.Ceilings.MaxAttempts = seats, []int{0, seats, 0}, 1
+		s.Directors, s.Tiers.DirectorsByZone, s.SiteLimits.MaxAttempts = seats, []int{0, seats, 0}, 1
 		now, sum, start := 100*time.Second, 0.0, 100*time.Second
 		var routers []*Router
 		for i := range uint64(seats) {
@@ -889,23 +897,23 @@
 					list[j].Started = start
 				}
 			}
-			r.Handle(now, Members{Kind: Cached, List: list})
+			r.Handle(now, EndpointUpdate{Kind: UpdateCached, Endpoints: list})
 			routers = append(routers, r)
 		}
 		work := routers[0].classes[0].work.Is
 		for step := range 10 {
 			for i, r := range routers {
 				id := uint32(step*seats + i + 1)
-				for _, a := range r.Handle(now, Request{ID: id, Object: uint64(id), GiveUpAt: now + 4*time.Second}) {
+				for _, a := range r.Handle(now, Request{ID: id, Object: uint64(id), Deadline: now + 4*time.Second}) {
 					if f, ok := a.(Fetch); ok && f.Host == hostEdge {
 						sum += work
 					}
 				}
 			}
-			now += s.Guarantees.Fall / 10
+			now += s.Guarantees.OverloadWindow / 10
 		}
-		share := s.Guarantees.ColdFrom
-		if allowed := s.Guarantees.TipMultiple * share * 6 * s.Guarantees.Fall.Seconds(); sum > allowed {
+		share := s.Guarantees.SlowStartFraction
+		if allowed := s.Guarantees.OverloadMultiple * share * 6 * s.Guarantees.OverloadWindow.Seconds(); sum > allowed {
 			t.Errorf("seed %d: %.1f s of work reach a cold cache in its span, %.1f allowed", seed, sum, allowed)
 		}
 		if sum == 0 {
@@ -921,11 +929,11 @@
 		min, max int // of 400 requests, a quarter is its part
 	}{{1, 50, 160}, {4, 1, 60}, {20, 0, 30}} {
 		w := simpleWorld(t, nil)
-		w.answer = func(w *world, o *open, n int) (Result, Note, time.Duration) {
+		w.answer = func(w *world, o *open, n int) (Result, FillStatus, time.Duration) {
 			if o.tries[n].host == hostEdge {
-				return OK, NoteHit, time.Duration(40*tc.slower) * ms
+				return OK, FillStatusHit, time.Duration(40*tc.slower) * ms
 			}
-			return OK, NoteHit, 40 * ms
+			return OK, FillStatusHit, 40 * ms
 		}
 		to := 0
 		for id := uint32(1); id <= 800; id++ {
@@ -947,7 +955,7 @@
 func TestSharedSlownessMovesNothing(t *testing.T) {
 	w := simpleWorld(t, nil)
 	took := 40 * ms
-	w.answer = func(*world, *open, int) (Result, Note, time.Duration) { return OK, NoteHit, took }
+	w.answer = func(*world, *open, int) (Result, FillStatus, time.Duration) { return OK, FillStatusHit, took }
 	picks := map[uint64]Host{}
 	for id := uint32(1); id <= 800; id++ {
 		if id == 400 {
@@ -984,7 +992,7 @@
 // the site does not allow it.
 func TestFullCacheIsBypassed(t *testing.T) {
 	for _, allowed := range []bool{true, false} {
-		w := simpleWorld(t, func(s *Settings) { s.Family.BypassAllowed = allowed })
+		w := simpleWorld(t, func(s *Settings) { s.Tiers.BypassAllowed = allowed })
 		for _, s := range w.r.caches {
 			s.to.limit, s.to.load = overload.NewLimit(w.r.now, 1), 1
 		}
@@ -1016,7 +1024,7 @@
 		p := w.r.servers[hostParent]
 		for range tc.fails {
 			w.r.judge(&attempt{target: w.r.servers[hostEdge], source: p},
-				Outcome{Result: Refused, Note: NoteSourceUnreached, Waited: tc.waited})
+				Outcome{Result: Rejected, FillStatus: FillStatusSourceUnreachable, SourceWait: tc.waited})
 		}
 		if p.ejected != tc.want {
 			t.Errorf("%d failures after %v: ejected %v", tc.fails, tc.waited, p.ejected)
@@ -1083,11 +1091,11 @@
 		{"none saved up", func(w *world, _ *request) { w.r.copies = 0 }, 0, 0},
 		{"unsafe", func(*world, *request) {}, 3, 0},
 	} {
-		w := simpleWorld(t, func(s *Settings) { s.Ceilings.SecondCopies, s.Family.BypassAllowed = true, false })
+		w := simpleWorld(t, func(s *Settings) { s.SiteLimits.HedgingAllowed, s.Tiers.BypassAllowed = true, false })
 		w.read(1, 42, tc.class)
 		r := w.r.reqs[1]
 		w.r.copies = copyMost
-		r.GiveUpAt = w.r.now + time.Minute
+		r.Deadline = w.r.now + time.Minute
 		way(r).good = r.tries[0].sent + 1
 		tc.change(w, r)
 		w.r.now += 10 * ms
@@ -1129,10 +1137,10 @@
 // behind the first answer earns nothing, so that a crowd ends them.
 func TestCopiesThatBringTheAnswerEarnTheNext(t *testing.T) {
 	for first, want := range map[int]float64{0: copyMost - 2, 1: copyMost - 2 + copyEarns} {
-		w := simpleWorld(t, func(s *Settings) { s.Ceilings.SecondCopies, s.Family.BypassAllowed = true, false })
+		w := simpleWorld(t, func(s *Settings) { s.SiteLimits.HedgingAllowed, s.Tiers.BypassAllowed = true, false })
 		w.read(1, 42, 0)
 		r := w.r.reqs[1]
-		r.GiveUpAt = w.r.now + time.Minute
+		r.Deadline = w.r.now + time.Minute
 		way(r).good = r.tries[0].sent + 1
 		w.r.copies = copyMost - 1
 		w.r.now += 10 * time.Second
@@ -1140,8 +1148,8 @@
 		if len(r.tries) != 2 {
 			t.Fatal("not asked again")
 		}
-		w.r.outcome(Outcome{ID: 1, Attempt: first, Result: OK, Settled: true})
-		w.r.outcome(Outcome{ID: 1, Attempt: 1 - first, Result: OK, Settled: true})
+		w.r.outcome(Outcome{ID: 1, Attempt: first, Result: OK, RequestDone: true})
+		w.r.outcome(Outcome{ID: 1, Attempt: 1 - first, Result: OK, RequestDone: true})
 		if w.r.copies != want {
 			t.Errorf("the answer came with attempt %d: %v copies left, want %v", first, w.r.copies, want)
 		}
@@ -1159,7 +1167,7 @@
 			way(r).good = r.tries[0].sent + 1
 		}
 		w.r.now += 10 * time.Second
-		w.r.throttle(r.tries[0], Outcome{Result: TimedOut, After: 10 * time.Second})
+		w.r.throttle(r.tries[0], Outcome{Result: TimedOut, Elapsed: 10 * time.Second})
 		limits := 0
 		for _, s := range w.r.order {
 			for _, x := range []*side{&s.to, &s.from} {
@@ -1181,7 +1189,7 @@
 		load float64 // of the next cache, against a limit of 8
 		want bool
 	}{{0, true}, {4.7, true}, {4.9, false}, {7, false}} {
-		w := simpleWorld(t, func(s *Settings) { s.Family.BypassAllowed = false })
+		w := simpleWorld(t, func(s *Settings) { s.Tiers.BypassAllowed = false })
 		w.r.rank(w.r.caches, 42)
 		first, next := w.r.caches[0], w.r.caches[1]
 		for i, c := range w.r.caches {
@@ -1223,10 +1231,10 @@
 	} {
 		w := simpleWorld(t, nil)
 		cache, src := w.r.servers[hostEdge], w.r.servers[hostParent]
-		w.r.throttle(&attempt{target: cache, work: 0.1, aim: 650 * ms}, Outcome{Result: OK, Note: NoteHit, After: tc.hitsAfter})
+		w.r.throttle(&attempt{target: cache, work: 0.1, aim: 650 * ms}, Outcome{Result: OK, FillStatus: FillStatusHit, Elapsed: tc.hitsAfter})
 		before := cache.to.limit.Most(w.r.now)
 		w.r.throttle(&attempt{target: cache, source: src, fill: true, work: 0.1, aim: 650 * ms},
-			Outcome{Result: OK, Note: NoteFilledByOrigin, After: 10 * time.Second, Waited: tc.waited})
+			Outcome{Result: OK, FillStatus: FillStatusFilledByOrigin, Elapsed: 10 * time.Second, SourceWait: tc.waited})
 		if down := cache.to.limit.Most(w.r.now) < before; down != tc.cache {
 			t.Errorf("%s: cache blamed: %v, want %v", tc.name, down, tc.cache)
 		}
@@ -1260,11 +1268,11 @@
 func TestOneCrowdDoesNotShutACache(t *testing.T) {
 	w := simpleWorld(t, nil)
 	cache := w.r.servers[hostEdge]
-	c := &w.s.Services[0]
+	c := &w.s.Classes[0]
 	late := func(load, work float64) {
-		aim := c.Aim + seconds(c.AimStretch*work)
+		aim := c.LatencyObjective + seconds(c.LatencyObjectivePerSize*work)
 		for range 100 {
-			w.r.throttle(&attempt{target: cache, work: work, load: load, aim: aim}, Outcome{Result: OK, Note: NoteHit, After: 4 * aim})
+			w.r.throttle(&attempt{target: cache, work: work, load: load, aim: aim}, Outcome{Result: OK, FillStatus: FillStatusHit, Elapsed: 4 * aim})
 		}
 	}
 	work := 2 * w.r.largest()
@@ -1294,7 +1302,7 @@
 		w := simpleWorld(t, nil)
 		w.r.rank(w.r.caches, 42)
 		caches := slices.Clone(w.r.caches)
-		c := &w.s.Services[1]
+		c := &w.s.Classes[1]
 		probe := &request{Request: Request{Class: 1}}
 		for i, s := range caches {
 			s.sized, s.Weight, s.pace = true, 10, 0
@@ -1303,7 +1311,7 @@
 				part = []float64{tc.first, tc.next}[i]
 			}
 			work := w.r.cost(probe)
-			s.sending = part*s.Weight/s.seats*(c.Aim.Seconds()+c.AimStretch*work) - work
+			s.sending = part*s.Weight/s.seats*(c.LatencyObjective.Seconds()+c.LatencyObjectivePerSize*work) - work
 		}
 		if tc.slow {
 			caches[1].pace = w.r.pace + paceSlack + 0.01
@@ -1356,11 +1364,11 @@
 		{"none under way", nil, true, false, 1, 1},
 		{"one under way", nil, true, true, 2, 0},
 		{"warm cache", nil, false, false, 0, 1},
-		{"caches join fills", func(s *Settings) { s.Family.MergesFills = true }, true, false, 0, 1},
-		{"caches tell nothing", func(s *Settings) { s.Family.NotesGiven = "off" }, true, false, 0, 1},
+		{"caches join fills", func(s *Settings) { s.Tiers.CoalescesFills = true }, true, false, 0, 1},
+		{"caches tell nothing", func(s *Settings) { s.Tiers.FillStatusReported = "off" }, true, false, 0, 1},
 	} {
 		w := simpleWorld(t, func(s *Settings) {
-			s.Family.MergesFills = false
+			s.Tiers.CoalescesFills = false
 			if tc.change != nil {
 				tc.change(s)
 			}
@@ -1374,19 +1382,19 @@
 					list[i].Started = w.now
 				}
 			}
-			w.list(Full, list...)
+			w.list(UpdateFull, list...)
 		}
 		before, done := len(w.sent), w.now+60*ms
-		w.answer = func(w *world, o *open, n int) (Result, Note, time.Duration) {
+		w.answer = func(w *world, o *open, n int) (Result, FillStatus, time.Duration) {
 			switch looks := o.tries[n].source == o.tries[n].host; {
 			case looks && tc.busy && w.now >= done:
-				return OK, NoteHit, ms
+				return OK, FillStatusHit, ms
 			case looks && tc.busy:
-				return Miss, NoteJoined, ms
+				return Miss, FillStatusCoalesced, ms
 			case looks:
-				return Miss, NoNote, ms
+				return Miss, FillStatusUnknown, ms
 			}
-			return OK, NoteFilled, 40 * ms
+			return OK, FillStatusFilled, 40 * ms
 		}
 		w.read(2, 42, 0)
 		w.run(w.now + 300*ms)
@@ -1409,7 +1417,9 @@
 // ends, and what is over is refused at once; a repayment that provably never ran is tried on.
 func TestFurtherAttemptsHaveABudget(t *testing.T) {
 	w := simpleWorld(t, nil)
-	w.answer = func(w *world, o *open, n int) (Result, Note, time.Duration) { return Refused, refusalNote(o), 5 * ms }
+	w.answer = func(w *world, o *open, n int) (Result, FillStatus, time.Duration) {
+		return Rejected, refusalNote(o), 5 * ms
+	}
 	for id := uint32(1); id <= 60; id++ {
 		w.read(id, uint64(id), 0)
 		w.run(w.now + 20*ms)
@@ -1434,9 +1444,9 @@
 }
 
 // refusalNote is what a cache tells with a refusal: fills find no slot.
-func refusalNote(o *open) Note {
+func refusalNote(o *open) FillStatus {
 	if o.Class == 3 {
-		return NoNote
+		return FillStatusUnknown
 	}
-	return NoteNoFillSlot
+	return FillStatusNoFillSlot
 }
--- a/routing/settings.go
+++ b/routing/settings.go
@@ -10,8 +10,8 @@
 // validate names the first field that cannot work. What is not here may hold anything: a word that is not known counts as
 // the most careful one (an effect as non_idempotent, weights and lateral as off), an index out of range as none.
 func (s *Settings) validate() error {
-	n, z := len(s.Services), len(s.Zones)
-	f, g, c := &s.Family, &s.Guarantees, &s.Ceilings
+	n, z := len(s.Classes), len(s.Zones)
+	f, g, c := &s.Tiers, &s.Guarantees, &s.SiteLimits
 	switch {
 	case n == 0:
 		return fmt.Errorf("services: no classes")
@@ -25,23 +25,23 @@
 		is  float64
 	}
 	notNegative := []least{{"quantum", float64(s.Quantum)},
-		{"ceilings.maxRetryAfter", float64(c.MaxRetryAfter)}, {"ceilings.openCap", float64(c.OpenCap)},
-		{"guarantees.askWithin", float64(g.AskWithin)}, {"guarantees.cold", float64(g.Cold)},
-		{"guarantees.coldFrom", g.ColdFrom}, {"guarantees.drainGrace", float64(g.DrainGrace)},
-		{"guarantees.fall", float64(g.Fall)}, {"guarantees.graceToAnswer", float64(g.GraceToAnswer)},
-		{"guarantees.tipMultiple", g.TipMultiple},
-		{"familyInfo.originBears", float64(f.OriginBears)}, {"familyInfo.parentColdFrom", f.ParentColdFrom},
-		{"familyInfo.parentFallMultiple", f.ParentFallMultiple}, {"familyInfo.parentRamp", float64(f.ParentRamp)},
-		{"familyInfo.purgeSlack", float64(f.PurgeSlack)}, {"familyInfo.purgeTakes", float64(f.PurgeTakes)}}
-	for i, k := range s.Services {
+		{"ceilings.maxRetryAfter", float64(c.MaxRetryAfter)}, {"ceilings.openCap", float64(c.MaxOpenRequests)},
+		{"guarantees.askWithin", float64(g.PollWithin)}, {"guarantees.cold", float64(g.SlowStartDuration)},
+		{"guarantees.coldFrom", g.SlowStartFraction}, {"guarantees.drainGrace", float64(g.DrainGrace)},
+		{"guarantees.fall", float64(g.OverloadWindow)}, {"guarantees.graceToAnswer", float64(g.AnswerGrace)},
+		{"guarantees.tipMultiple", g.OverloadMultiple},
+		{"familyInfo.originBears", float64(f.OriginTolerance)}, {"familyInfo.parentColdFrom", f.ParentSlowStartFraction},
+		{"familyInfo.parentFallMultiple", f.ParentOverloadMultiple}, {"familyInfo.parentRamp", float64(f.ParentSlowStartDuration)},
+		{"familyInfo.purgeSlack", float64(f.PurgeSlack)}, {"familyInfo.purgeTakes", float64(f.PurgePropagation)}}
+	for i, k := range s.Classes {
 		at := fmt.Sprintf("services[%d].", i)
 		notNegative = append(notNegative, least{at + "dedupWindow", float64(k.DedupWindow)},
-			least{at + "aimStretch", k.AimStretch}, least{at + "worth", k.Worth}, least{at + "lateWorth", k.LateWorth})
+			least{at + "aimStretch", k.LatencyObjectivePerSize}, least{at + "worth", k.PriorityWeight}, least{at + "lateWorth", k.LatePriorityWeight})
 		switch {
-		case k.Aim <= 0:
-			return fmt.Errorf("%saim: %v, must be above 0", at, k.Aim)
-		case k.Deadline <= 0:
-			return fmt.Errorf("%sdeadline: %v, must be above 0", at, k.Deadline)
+		case k.LatencyObjective <= 0:
+			return fmt.Errorf("%saim: %v, must be above 0", at, k.LatencyObjective)
+		case k.Timeout <= 0:
+			return fmt.Errorf("%sdeadline: %v, must be above 0", at, k.Timeout)
 		}
 	}
 	for _, l := range notNegative {
@@ -58,20 +58,20 @@
 		name      string
 		got, want int
 	}{
-		{"classFresh", len(f.ClassFresh), n}, {"staleFor", len(f.StaleFor), n},
-		{"staleEarns", len(f.StaleEarns), n}, {"passOn", len(f.PassOn), n},
-		{"seatsByZone", len(f.SeatsByZone), z}, {"hubByZone", len(f.HubByZone), z},
+		{"classFresh", len(f.FreshnessLifetime), n}, {"staleFor", len(f.StaleWindow), n},
+		{"staleEarns", len(f.StaleValue), n}, {"passOn", len(f.Uncacheable), n},
+		{"seatsByZone", len(f.DirectorsByZone), z}, {"hubByZone", len(f.HubByZone), z},
 	} {
 		if l.got != 0 && l.got != l.want {
 			return fmt.Errorf("familyInfo.%s: %d entries, want %d", l.name, l.got, l.want)
 		}
 	}
-	for i, d := range f.ClassFresh {
+	for i, d := range f.FreshnessLifetime {
 		if d < 0 {
 			return fmt.Errorf("familyInfo.classFresh[%d]: negative", i)
 		}
 	}
-	for i, d := range f.StaleFor {
+	for i, d := range f.StaleWindow {
 		if d < 0 {
 			return fmt.Errorf("familyInfo.staleFor[%d]: negative", i)
 		}
@@ -79,21 +79,21 @@
 	return nil
 }
 
-// Follow sets what is done when whole sites are lost. It comes before the first event.
-func (d *Router) Follow(o sitehealth.Options) { d.sites.Options = o }
+// SetSiteOptions sets what is done when whole sites are lost. It comes before the first event.
+func (d *Router) SetSiteOptions(o sitehealth.Options) { d.sites.Options = o }
 
 // changed logs a change of a site's state: each has a line of its own, with its evidence.
-func (d *Router) changed(c sitehealth.Change) { d.do(Log{Text: c.String()}) }
+func (d *Router) changed(c sitehealth.Change) { d.do(Log{Message: c.String()}) }
 
-// Sites counts what was seen of whole sites.
-func (d *Router) Sites() sitehealth.Counters { return d.sites.Counters }
+// SiteCounters counts what was seen of whole sites.
+func (d *Router) SiteCounters() sitehealth.Counters { return d.sites.Counters }
 
 // fill gives lists that were left out their full length, with zeros.
 func (s *Settings) fill() {
-	n, z, f := len(s.Services), max(len(s.Zones), 1), &s.Family
-	f.ClassFresh = append(f.ClassFresh, make([]time.Duration, n-len(f.ClassFresh))...)
-	f.StaleFor = append(f.StaleFor, make([]time.Duration, n-len(f.StaleFor))...)
-	f.PassOn = append(f.PassOn, make([]bool, n-len(f.PassOn))...)
-	f.SeatsByZone = append(f.SeatsByZone, make([]int, z-len(f.SeatsByZone))...)
+	n, z, f := len(s.Classes), max(len(s.Zones), 1), &s.Tiers
+	f.FreshnessLifetime = append(f.FreshnessLifetime, make([]time.Duration, n-len(f.FreshnessLifetime))...)
+	f.StaleWindow = append(f.StaleWindow, make([]time.Duration, n-len(f.StaleWindow))...)
+	f.Uncacheable = append(f.Uncacheable, make([]bool, n-len(f.Uncacheable))...)
+	f.DirectorsByZone = append(f.DirectorsByZone, make([]int, z-len(f.DirectorsByZone))...)
 	f.HubByZone = append(f.HubByZone, make([]int, z-len(f.HubByZone))...)
 }
--- a/routing/settings_test.go
+++ b/routing/settings_test.go
@@ -43,7 +43,7 @@
 					due = append(due, a.At)
 				}
 				if a.Token != tickTimer && len(due) < 5_000 {
-					handle(Timer{Token: a.Token})
+					handle(TimerFired{Token: a.Token})
 				}
 			case Fetch, Forward:
 				id, host := uint32(0), Host(0)
@@ -54,26 +54,26 @@
 				}
 				no := next[id]
 				next[id]++
-				handle(Outcome{ID: id, Attempt: no, Host: host, After: 30 * ms, Report: []float32{1, 2, 3, 4},
-					Result: Result((int(id) + no) % (int(Miss) + 1)), Note: Note(int(id) % (int(NoteOriginFailed) + 1))})
+				handle(Outcome{ID: id, Attempt: no, Host: host, Elapsed: 30 * ms, LoadReport: []float32{1, 2, 3, 4},
+					Result: Result((int(id) + no) % (int(Miss) + 1)), FillStatus: FillStatus(int(id) % (int(FillStatusOriginFailed) + 1))})
 			}
 		}
 	}
 	list := siteMembers(3)
 	list[1].Started = now - time.Second
-	list = append(list, Member{Host: 150, Zone: 1, State: Ready, Weight: 6, Started: now - time.Second})
-	handle(Members{Kind: Full, Version: 1, List: list})
+	list = append(list, Endpoint{Host: 150, Zone: 1, State: Ready, Weight: 6, Started: now - time.Second})
+	handle(EndpointUpdate{Kind: UpdateFull, Version: 1, Endpoints: list})
 	for i := range uint32(200) {
-		handle(Request{ID: i + 1, Class: int(i) % (classes + 1), Object: uint64(i % 50), GiveUpAt: now + time.Second, SizeKB: float64(i)})
+		handle(Request{ID: i + 1, Class: int(i) % (classes + 1), Object: uint64(i % 50), Deadline: now + time.Second, SizeKB: float64(i)})
 		now += 20 * ms
-		handle(Timer{Token: tickTimer})
+		handle(TimerFired{Token: tickTimer})
 		switch i {
 		case 50:
 			handle(Purge{Object: 7})
 		case 70:
-			handle(Members{Kind: Delta, Version: 2, List: []Member{{Host: hostEdge, Zone: 1, State: Draining, Weight: 6}}})
+			handle(EndpointUpdate{Kind: UpdateDelta, Version: 2, Endpoints: []Endpoint{{Host: hostEdge, Zone: 1, State: Draining, Weight: 6}}})
 		case 90:
-			handle(Members{Kind: Failed})
+			handle(EndpointUpdate{Kind: UpdateFailed})
 		}
 	}
 }
@@ -82,7 +82,7 @@
 // that names the key, before anything listens; all else plays, and nothing panics.
 func TestOddSettingsAreNamedOrPlay(t *testing.T) {
 	plain := siteSettings()
-	plain.Ceilings.RetryAfter, plain.Ceilings.MaxRetryAfter = true, 500*ms
+	plain.SiteLimits.RetryAfterAllowed, plain.SiteLimits.MaxRetryAfter = true, 500*ms
 	text, err := json.Marshal(plain)
 	if err != nil {
 		t.Fatal(err)
@@ -120,8 +120,8 @@
 		var r *Router
 		if err == nil {
 			if r, err = New(s, 1); err == nil {
-				r.Follow(sitehealth.Options{})
-				use(r, len(s.Services))
+				r.SetSiteOptions(sitehealth.Options{})
+				use(r, len(s.Classes))
 				return
 			}
 		}
--- a/routing/shortage_test.go
+++ b/routing/shortage_test.go
@@ -5,11 +5,11 @@
 // Connects that fail for our own want say nothing of the servers: none is ejected, no limit comes down, what never ran is
 // refused in the end, and all is served at once when the want is over.
 func TestOwnShortagesEjectNobody(t *testing.T) {
-	for _, short := range []Result{NoSocket, NoWay} {
+	for _, short := range []Result{LocalResourcesExhausted, Unreachable} {
 		w := simpleWorld(t, nil)
 		before := w.r.caches[0].to.limit
 		for id := range uint32(20) {
-			w.r.Handle(w.now, Request{ID: id, Class: 3 * int(id%2), Object: uint64(id), GiveUpAt: w.now + 4000*ms})
+			w.r.Handle(w.now, Request{ID: id, Class: 3 * int(id%2), Object: uint64(id), Deadline: w.now + 4000*ms})
 			for _, a := range w.r.reqs[id].tries { // the first; further ones stay out
 				for _, act := range w.r.Handle(w.now, Outcome{ID: id, Host: a.target.Host, Result: short}) {
 					if _, failed := act.(Fail); failed {
--- a/routing/sites_test.go
+++ b/routing/sites_test.go
@@ -11,14 +11,14 @@
 func threeHubs(t *testing.T) *world {
 	s := siteSettings()
 	s.Zones = []string{"hub", "here", "second", "third"}
-	s.Family.SeatsByZone, s.Family.HubByZone = []int{0, 1, 0, 0}, []int{0, 0, 2, 3}
-	s.Family.BypassAllowed = false
+	s.Tiers.DirectorsByZone, s.Tiers.HubByZone = []int{0, 1, 0, 0}, []int{0, 0, 2, 3}
+	s.Tiers.BypassAllowed = false
 	w := newWorld(t, s, 1)
 	list := siteMembers(4)[:7] // the origin, our hub's two, four caches
 	for i := range 4 {
-		list = append(list, Member{Host: hostParent + 10 + Host(i), Kind: 1, Zone: 2 + i/2, State: Ready, Weight: 12})
+		list = append(list, Endpoint{Host: hostParent + 10 + Host(i), Kind: 1, Zone: 2 + i/2, State: Ready, Weight: 12})
 	}
-	w.list(Cached, list...)
+	w.list(UpdateCached, list...)
 	return w
 }
 
@@ -41,15 +41,15 @@
 // A lost hub's fills are shared as the plan says; looks go there first, and it has them back once it answers.
 func TestLostHubIsReplacedByPlan(t *testing.T) {
 	w := threeHubs(t)
-	w.r.Follow(sitehealth.Options{Plan: func([]int, []float64) sitehealth.Advice {
+	w.r.SetSiteOptions(sitehealth.Options{Plan: func([]int, []float64) sitehealth.Advice {
 		return sitehealth.Advice{Hubs: []float64{0, 0, 0.75, 0.25}}
 	}})
 	down := false
-	w.answer = func(w *world, o *open, n int) (Result, Note, time.Duration) {
+	w.answer = func(w *world, o *open, n int) (Result, FillStatus, time.Duration) {
 		if m := w.members[o.tries[n].source]; down && m.Kind == 1 && m.Zone == 0 {
-			return Miss, NoteSourceUnreached, 5 * ms
+			return Miss, FillStatusSourceUnreachable, 5 * ms
 		}
-		return OK, NoteFilled, 10 * ms
+		return OK, FillStatusFilled, 10 * ms
 	}
 	if by := w.fillsBy(1, 100); by[0] != 100 {
 		t.Errorf("all is well, and fills come from %v", by)
@@ -77,11 +77,11 @@
 func TestSilentBranchIsOnlyLookedAt(t *testing.T) {
 	w := threeHubs(t)
 	silent := false
-	w.answer = func(w *world, o *open, n int) (Result, Note, time.Duration) {
+	w.answer = func(w *world, o *open, n int) (Result, FillStatus, time.Duration) {
 		if silent {
-			return OK, NoteHit, time.Hour // runs out
+			return OK, FillStatusHit, time.Hour // runs out
 		}
-		return OK, NoteHit, 10 * ms
+		return OK, FillStatusHit, 10 * ms
 	}
 	for i := range 60 { // the caches are known as holders
 		w.read(uint32(1+i), uint64(1000+i%20), 0)
--- a/routing/state.go
+++ b/routing/state.go
@@ -27,7 +27,7 @@
 
 // server is what we know of one member.
 type server struct {
-	Member
+	Endpoint
 	role               role
 	sized              bool               // its weight stands for its capacity in transfers
 	listed             bool               // in the list and not gone
--- a/routing/upkeep.go
+++ b/routing/upkeep.go
@@ -35,7 +35,7 @@
 // again asks the cache of a lost attempt once more, for what it holds. Copies that bring answers earn more.
 func (d *Router) again(a *attempt) {
 	r, t := d.reqs[a.id], a.target
-	if !d.s.Ceilings.SecondCopies || d.s.Services[a.class].Effect != "read_like" || r == nil || a.look ||
+	if !d.s.SiteLimits.HedgingAllowed || d.s.Classes[a.class].Idempotency != "read_like" || r == nil || a.look ||
 		r.copies >= copiesEach || r.out != r.copies+1 || a.no != len(r.tries)-1 ||
 		d.copies < 1 || !d.lost(a) || t.to.load+2*a.work > t.to.limit.Most(d.now) {
 		return
@@ -60,7 +60,7 @@
 	slices.Sort(paces[1:])
 	d.pace = paces[min(len(paces)-1, (len(paces)+2)/3)] // of the faster third
 	maps.DeleteFunc(d.purges, func(_ purgeKey, p purge) bool {
-		return d.now-p.told > max(d.s.Family.PurgeTakes, entryAge)+time.Second
+		return d.now-p.told > max(d.s.Tiers.PurgePropagation, entryAge)+time.Second
 	})
 	if d.now-d.turned > seenAge {
 		d.turn()
