--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -86,8 +86,8 @@
 	Dial(address string, limit time.Duration, s Stream)
 }
 
-// Front accepts connections; nil turns one away.
-type Front interface {
+// Acceptor accepts connections; nil turns one away.
+type Acceptor interface {
 	Accept(c Conn) Session
 }
 
@@ -97,27 +97,27 @@
 
 	// Boot is called on the loop before anything else.
 	Boot func()
-	// Front takes accepted connections.
-	Front Front
+	// Acceptor takes accepted connections.
+	Acceptor Acceptor
 	// Logf takes gnet's warnings and errors.
 	Logf func(format string, a ...any)
-	// Rejected is told why a stream was closed for what came on it.
-	Rejected func(reason error)
-	// PauseLimit is the time between two looks of the loop at the world from which it was paused: stopped, or kept
+	// SessionFailed is told why a stream was closed for what came on it.
+	SessionFailed func(reason error)
+	// PauseThreshold is the time between two looks of the loop at the world from which it was paused: stopped, or kept
 	// from the processor. 0: pauses are not looked for. Something must be due on the Agenda more often than that.
-	PauseLimit time.Duration
-	// Settle is how long deadlines wait behind a pause, so that what has come meanwhile is read before they fall
+	PauseThreshold time.Duration
+	// SettleTime is how long deadlines wait behind a pause, so that what has come meanwhile is read before they fall
 	// due, all at once; a tenth of the pause, where that is less.
-	Settle time.Duration
+	SettleTime time.Duration
 	// Paused is told of a pause before anything else happens, Settled when deadlines run again.
 	Paused  func(gap time.Duration)
 	Settled func()
-	// Inherited is the descriptor of a listening socket that was handed down; 0: Run opens one of its own.
-	Inherited int
+	// InheritedFD is the descriptor of a listening socket that was handed down; 0: Run opens one of its own.
+	InheritedFD int
 	// AcceptFailed, where set, is told, off the loop, of each accept that failed and is tried again.
 	AcceptFailed func(error)
 
-	Agenda *director.Queue
+	Timers *director.Queue
 	Now    func() routing.Time
 
 	listener *listener.Listener
@@ -287,7 +287,7 @@
 		x.stream.Opened(socket{c})
 	case *arrival:
 		x.opened = true
-		s := l.Front.Accept(socket{c})
+		s := l.Acceptor.Accept(socket{c})
 		if s == nil {
 			return nil, gnet.Close
 		}
@@ -306,7 +306,7 @@
 		return gnet.None
 	}
 	if err := s.Data(b); err != nil {
-		l.Rejected(err)
+		l.SessionFailed(err)
 		return gnet.Close
 	}
 	return gnet.None
@@ -327,19 +327,19 @@
 func (l *Loop) wake() {
 	now := l.Now()
 	gap := now - l.seen
-	if l.PauseLimit > 0 && l.seen != 0 && gap > l.PauseLimit {
-		l.rests = now + min(l.Settle, gap/10)
+	if l.PauseThreshold > 0 && l.seen != 0 && gap > l.PauseThreshold {
+		l.rests = now + min(l.SettleTime, gap/10)
 		l.Paused(gap)
 	}
 	l.seen = now
 	l.ran.Store(int64(now))
 }
 
-// Look notices whether the process has stood still amid the event that is being handled.
-func (l *Loop) Look() { l.wake() }
+// CheckForPause notices whether the process has stood still amid the event that is being handled.
+func (l *Loop) CheckForPause() { l.wake() }
 
-// Ran is when the loop last ran. It may be called from any goroutine.
-func (l *Loop) Ran() routing.Time { return routing.Time(l.ran.Load()) }
+// LastRun is when the loop last ran. It may be called from any goroutine.
+func (l *Loop) LastRun() routing.Time { return routing.Time(l.ran.Load()) }
 
 // arm sets the alarm for the earliest deadline, or for the end of a rest.
 func (l *Loop) arm() {
@@ -347,7 +347,7 @@
 	if l.el == nil {
 		return // the doorbell opens before the boot, which arms for all that is due
 	}
-	at, ok := l.Agenda.NextDeadline()
+	at, ok := l.Timers.NextDeadline()
 	if l.rests != 0 {
 		at, ok = l.rests, true
 	}
@@ -374,7 +374,7 @@
 		l.rests = 0
 		l.Settled()
 	}
-	l.Agenda.RunDue(now)
+	l.Timers.RunDue(now)
 }
 
 // dial carries a stream from its dial to OnOpen.
--- a/internal/eventloop/loop_test.go
+++ b/internal/eventloop/loop_test.go
@@ -23,9 +23,9 @@
 		t.Fatal(err)
 	}
 	conns, booted := make(accepted, 1), false
-	l := &Loop{Agenda: &director.Queue{}, Now: func() routing.Time { return routing.Time(time.Now().UnixNano()) },
-		Logf: t.Logf, Inherited: fd}
-	l.Front = acceptFunc(func(c Conn) Session {
+	l := &Loop{Timers: &director.Queue{}, Now: func() routing.Time { return routing.Time(time.Now().UnixNano()) },
+		Logf: t.Logf, InheritedFD: fd}
+	l.Acceptor = acceptFunc(func(c Conn) Session {
 		if !booted {
 			t.Error("a connection came before the loop had booted")
 		}
@@ -83,8 +83,8 @@
 	ln, fd := handDown(t)
 	address, conns := ln.Addr().String(), make(accepted, 1)
 	up := make(chan struct{})
-	l := &Loop{Agenda: &director.Queue{}, Now: func() routing.Time { return routing.Time(time.Now().UnixNano()) },
-		Logf: t.Logf, Front: conns, Boot: func() { close(up) }, Inherited: fd}
+	l := &Loop{Timers: &director.Queue{}, Now: func() routing.Time { return routing.Time(time.Now().UnixNano()) },
+		Logf: t.Logf, Acceptor: conns, Boot: func() { close(up) }, InheritedFD: fd}
 	ended := make(chan error, 1)
 	go func() { ended <- l.Run(address) }()
 	select {
@@ -120,7 +120,7 @@
 		t.Fatal(err)
 	}
 	for _, fd := range []int{elsewhere, silent} {
-		if err := (&Loop{Inherited: fd}).Run("127.0.0.1:1"); err == nil {
+		if err := (&Loop{InheritedFD: fd}).Run("127.0.0.1:1"); err == nil {
 			t.Errorf("descriptor %d was taken", fd)
 		}
 		syscall.Close(fd)
@@ -149,8 +149,8 @@
 func TestBootsOnAnIPv4Doorbell(t *testing.T) {
 	booted := make(chan struct{})
 	front := &counted{}
-	l := &Loop{Agenda: &director.Queue{}, Now: func() routing.Time { return routing.Time(time.Now().UnixNano()) },
-		Logf: t.Logf, Front: front, Boot: func() { close(booted) }}
+	l := &Loop{Timers: &director.Queue{}, Now: func() routing.Time { return routing.Time(time.Now().UnixNano()) },
+		Logf: t.Logf, Acceptor: front, Boot: func() { close(booted) }}
 	ended := make(chan error)
 	go func() { ended <- l.Run("127.0.0.1:0") }()
 	select {
@@ -175,8 +175,8 @@
 // The doorbell opens before the loop has booted, when deadlines may be due already: the alarm must wait, as it calls a loop
 // that is not there yet.
 func TestNoAlarmBeforeTheBoot(t *testing.T) {
-	l := &Loop{Agenda: &director.Queue{}, Now: func() routing.Time { return time.Hour }}
-	l.Agenda.ScheduleFunc(0, func() {})
+	l := &Loop{Timers: &director.Queue{}, Now: func() routing.Time { return time.Hour }}
+	l.Timers.ScheduleFunc(0, func() {})
 	l.arm()
 	if l.alarm != nil {
 		l.alarm.Stop()
@@ -188,20 +188,20 @@
 func TestDeadlinesRestBehindAPause(t *testing.T) {
 	var clock routing.Time = 1000 * time.Second
 	told, ran := []string{}, 0
-	l := &Loop{Agenda: &director.Queue{}, Now: func() routing.Time { return clock }, PauseLimit: 300 * time.Millisecond,
-		Settle: 30 * time.Millisecond, Settled: func() { told = append(told, "settled") }}
+	l := &Loop{Timers: &director.Queue{}, Now: func() routing.Time { return clock }, PauseThreshold: 300 * time.Millisecond,
+		SettleTime: 30 * time.Millisecond, Settled: func() { told = append(told, "settled") }}
 	l.Paused = func(gap time.Duration) { told = append(told, "paused "+gap.String()) }
 	l.alarm = time.NewTimer(time.Hour)
 	defer l.alarm.Stop()
 	look := func() { l.wake(); l.due(); l.arm() }
-	l.Agenda.ScheduleFunc(clock+50*time.Millisecond, func() { ran++ })
+	l.Timers.ScheduleFunc(clock+50*time.Millisecond, func() { ran++ })
 	look()
 	clock += 290 * time.Millisecond
 	look()
 	if ran != 1 || len(told) != 0 {
 		t.Fatalf("ran %d, told %v without a pause", ran, told)
 	}
-	l.Agenda.ScheduleFunc(clock+time.Second, func() { ran++ })
+	l.Timers.ScheduleFunc(clock+time.Second, func() { ran++ })
 	clock += 5 * time.Second
 	look()
 	clock += 20 * time.Millisecond
@@ -216,7 +216,7 @@
 	}
 	l.wake()
 	clock += 2 * time.Second // amid an event
-	l.Look()
+	l.CheckForPause()
 	if len(told) != 3 || told[2] != "paused 2s" {
 		t.Errorf("told %v behind a pause amid an event", told)
 	}
--- a/internal/eventloop/shortage.go
+++ b/internal/eventloop/shortage.go
@@ -6,14 +6,14 @@
 	"syscall"
 )
 
-// Shortage is what we ourselves lack where a connect fails: such a failure says nothing of the peer.
-type Shortage uint8
+// DialFailure is what we ourselves lack where a connect fails: such a failure says nothing of the peer.
+type DialFailure uint8
 
 // The shortages.
 const (
-	NoShortage Shortage = iota // the peer, or the way to it, has failed
-	NoSocket                   // no descriptor, buffer or memory: no connect can succeed now
-	NoWay                      // no route, port or permission towards this peer: others may be reached
+	PeerFailed              DialFailure = iota // the peer, or the way to it, has failed
+	LocalResourcesExhausted                    // no descriptor, buffer or memory: no connect can succeed now
+	Unreachable                                // no route, port or permission towards this peer: others may be reached
 )
 
 var (
@@ -22,14 +22,14 @@
 		syscall.EHOSTUNREACH, syscall.ENETDOWN, syscall.EACCES, syscall.EPERM, syscall.EALREADY}
 )
 
-// ShortageOf tells what a failed dial says of our own resources.
-func ShortageOf(err error) Shortage {
+// ClassifyDialError tells what a failed dial says of our own resources.
+func ClassifyDialError(err error) DialFailure {
 	is := func(errno syscall.Errno) bool { return errors.Is(err, errno) }
 	switch {
 	case errors.Is(err, errNotRegistered), slices.ContainsFunc(socketErrors, is):
-		return NoSocket
+		return LocalResourcesExhausted
 	case slices.ContainsFunc(wayErrors, is):
-		return NoWay
+		return Unreachable
 	}
-	return NoShortage
+	return PeerFailed
 }
--- a/internal/failover/advice.go
+++ b/internal/failover/advice.go
@@ -7,27 +7,27 @@
 	"shaleyard/routing"
 )
 
-// Adviser turns plans into what a director's view of the sites asks for. It makes a planner for what the sites carry,
+// LocalPlanner turns plans into what a director's view of the sites asks for. It makes a planner for what the sites carry,
 // and a new one when that has changed.
-type Adviser struct {
+type LocalPlanner struct {
 	s       *routing.Settings
-	w       Wishes
+	w       Overrides
 	carries []float64
 	planner *Planner
 	err     error
 	refused func(error)
 }
 
-// NewAdviser checks what can be checked of the wishes before any server is known: an error names the key. What a site
+// NewLocalPlanner checks what can be checked of the wishes before any server is known: an error names the key. What a site
 // carries is known later; a pin that can't hold then is told to refused, once for each such state of the fleet, and
 // there is no advice: the director goes on as without a plan.
-func NewAdviser(s *routing.Settings, w Wishes, refused func(error)) (*Adviser, error) {
-	a := &Adviser{s: s, w: w, refused: refused}
+func NewLocalPlanner(s *routing.Settings, w Overrides, refused func(error)) (*LocalPlanner, error) {
+	a := &LocalPlanner{s: s, w: w, refused: refused}
 	enough := make([]float64, len(s.Zones))
 	for i := range enough {
 		enough[i] = 1e6
 	}
-	t, err := From(s, a.members(enough), w)
+	t, err := NewTopology(s, a.members(enough), w)
 	if err != nil {
 		return nil, err
 	}
@@ -36,7 +36,7 @@
 }
 
 // members stand for all servers of each zone.
-func (a *Adviser) members(carries []float64) (list []routing.Endpoint) {
+func (a *LocalPlanner) members(carries []float64) (list []routing.Endpoint) {
 	f := &a.s.Tiers
 	cache := 0 // the first kind that is neither a parent nor the origin
 	for cache == f.OriginKind || cache == f.ParentKind {
@@ -52,11 +52,11 @@
 	return list
 }
 
-// Advise is a siteview.Plan.
-func (a *Adviser) Advise(lost []int, carries []float64) (advice sitehealth.Advice) {
+// Shares is a siteview.Plan.
+func (a *LocalPlanner) Shares(lost []int, carries []float64) (advice sitehealth.FailoverShares) {
 	if !slices.Equal(carries, a.carries) {
 		a.carries = slices.Clone(carries)
-		t, err := From(a.s, a.members(carries), a.w)
+		t, err := NewTopology(a.s, a.members(carries), a.w)
 		if err == nil {
 			a.planner, err = NewPlanner(t, a.w)
 		}
@@ -82,17 +82,17 @@
 	for _, v := range f.fills[own] {
 		sum += v
 	}
-	advice.Hubs = make([]float64, len(carries))
-	for z := range advice.Hubs {
-		advice.Hubs[z] = f.fills[own][z] / max(sum, whole)
+	advice.HubShares = make([]float64, len(carries))
+	for z := range advice.HubShares {
+		advice.HubShares[z] = f.fills[own][z] / max(sum, whole)
 	}
-	if a.w.Follow {
+	if a.w.LimitFills {
 		for c, k := range t.Classes {
 			part := 1.0
-			if fills, asked := t.fills(own, c, alive[own] == 0), t.asked(own)*k.Share; fills > whole {
+			if fills, asked := t.fills(own, c, alive[own] == 0), t.asked(own)*k.LoadShare; fills > whole {
 				part = max(0, min(1, 1-(1-f.served[own][c])*asked/fills))
 			}
-			advice.Fills = append(advice.Fills, part)
+			advice.FillShares = append(advice.FillShares, part)
 		}
 	}
 	return advice
--- a/internal/failover/advice_test.go
+++ b/internal/failover/advice_test.go
@@ -18,40 +18,40 @@
 }
 
 func TestAdviceIsThePlanForOurBranch(t *testing.T) {
-	a, err := NewAdviser(settings(), Wishes{}, nil)
+	a, err := NewLocalPlanner(settings(), Overrides{}, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	carries := []float64{10, 10, 10, 40, 40}
-	got := a.Advise([]int{0}, carries)
-	if h := got.Hubs; h[0] != 0 || h[3] != 0 || math.Abs(h[2]-0.5) > 0.01 || math.Abs(h[1]+h[2]-1) > 1e-9 {
+	got := a.Shares([]int{0}, carries)
+	if h := got.HubShares; h[0] != 0 || h[3] != 0 || math.Abs(h[2]-0.5) > 0.01 || math.Abs(h[1]+h[2]-1) > 1e-9 {
 		t.Errorf("hubs that carry as much share what the western one leaves by %v", h)
 	}
 	// The middle hub has edge-2 to serve, and now little room beside that: the eastern one takes most.
-	if h := a.Advise([]int{0}, []float64{10, 6, 6, 40, 40}).Hubs; h[2] < 0.7 || math.Abs(h[1]+h[2]-1) > 1e-9 {
+	if h := a.Shares([]int{0}, []float64{10, 6, 6, 40, 40}).HubShares; h[2] < 0.7 || math.Abs(h[1]+h[2]-1) > 1e-9 {
 		t.Errorf("shares %v", h)
 	}
-	if got.Fills != nil {
-		t.Errorf("fills are refused by %v, though nobody asked for that", got.Fills)
+	if got.FillShares != nil {
+		t.Errorf("fills are refused by %v, though nobody asked for that", got.FillShares)
 	}
-	if h := a.Advise([]int{0, 2}, carries).Hubs; h[1] != 1 {
+	if h := a.Shares([]int{0, 2}, carries).HubShares; h[1] != 1 {
 		t.Errorf("only the middle is left: %v", h)
 	}
-	if h := a.Advise([]int{0, 1, 2}, carries).Hubs; h[0]+h[1]+h[2] != 0 {
+	if h := a.Shares([]int{0, 1, 2}, carries).HubShares; h[0]+h[1]+h[2] != 0 {
 		t.Errorf("no hub is left: %v", h)
 	}
 }
 
 func TestFollowedPlansRefuseWhatIsWorthLeast(t *testing.T) {
-	a, err := NewAdviser(settings(), Wishes{Follow: true}, nil)
+	a, err := NewLocalPlanner(settings(), Overrides{LimitFills: true}, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	f := a.Advise([]int{0, 2}, []float64{10, 10, 10, 60, 60}).Fills // 10 for 14.4 that both branches' caches lack
+	f := a.Shares([]int{0, 2}, []float64{10, 10, 10, 60, 60}).FillShares // 10 for 14.4 that both branches' caches lack
 	if len(f) != 3 || f[0] != 1 || f[1] > 0.7 || f[1] <= 0 || f[2] != 1 {
 		t.Errorf("fills %v: pages go first, media not yet, repayments last", f)
 	}
-	if f := a.Advise([]int{0}, []float64{10, 10, 10, 10, 10}).Fills; f[0] != 1 || f[1] != 1 {
+	if f := a.Shares([]int{0}, []float64{10, 10, 10, 10, 10}).FillShares; f[0] != 1 || f[1] != 1 {
 		t.Errorf("there is room for all: %v", f)
 	}
 }
@@ -59,24 +59,24 @@
 // What can be known at the start is an error then; what hangs on the fleet is told once for each state of it, and the
 // director goes on without advice.
 func TestAPlanThatCantBeMadeIsTold(t *testing.T) {
-	if _, err := NewAdviser(settings(), Wishes{Forbids: []Forbid{{"moon", "east"}}}, nil); err == nil || !strings.HasPrefix(err.Error(), "plan.forbid[0].lost") {
+	if _, err := NewLocalPlanner(settings(), Overrides{Forbids: []Forbid{{"moon", "east"}}}, nil); err == nil || !strings.HasPrefix(err.Error(), "plan.forbid[0].lost") {
 		t.Errorf("error %v", err)
 	}
 	told := 0
-	a, err := NewAdviser(settings(), Wishes{Pins: []Pin{{"west", "edge-1", "east", 1}}}, func(error) { told++ })
+	a, err := NewLocalPlanner(settings(), Overrides{Pins: []Pin{{"west", "edge-1", "east", 1}}}, func(error) { told++ })
 	if err != nil {
 		t.Fatal(err)
 	}
 	small, large := []float64{10, 10, 1, 100, 100}, []float64{10, 10, 30, 100, 100}
 	for range 3 {
-		if got := a.Advise([]int{0}, small); got.Hubs != nil {
+		if got := a.Shares([]int{0}, small); got.HubShares != nil {
 			t.Errorf("advice %v by a pin that can't hold", got)
 		}
 	}
 	if told != 1 {
 		t.Errorf("told %d times", told)
 	}
-	if got := a.Advise([]int{0}, large); len(got.Hubs) != 5 || got.Hubs[2] != 1 || told != 1 {
+	if got := a.Shares([]int{0}, large); len(got.HubShares) != 5 || got.HubShares[2] != 1 || told != 1 {
 		t.Errorf("it can hold now: %v", got)
 	}
 }
--- a/internal/failover/plan.go
+++ b/internal/failover/plan.go
@@ -11,14 +11,14 @@
 // Planner makes plans for one topology and the operators' wishes. It keeps those that it has made.
 type Planner struct {
 	t     *Topology
-	w     Wishes
+	w     Overrides
 	known map[string]*Plan
 
 	crowdPrice float64 // of what a hub takes over, for each part that it has of it already
 }
 
 // NewPlanner checks the wishes against the topology. The error is a *WishError that names the key.
-func NewPlanner(t *Topology, w Wishes) (*Planner, error) {
+func NewPlanner(t *Topology, w Overrides) (*Planner, error) {
 	p := &Planner{t: t, w: w, known: map[string]*Plan{}, crowdPrice: crowdPrice}
 	if err := w.check(t); err != nil {
 		return nil, err
@@ -34,32 +34,32 @@
 
 // Plan says what is done while some sites are lost.
 type Plan struct {
-	Lost     []string     `json:"lost"`
-	Branches []BranchPlan `json:"branches"`
-	Refused  []Refusal    `json:"refused"` // in the order in which refusing begins
-	// Starts is the load, as times the usual one, at which the first request has to be refused; 0: some have to be
+	Lost       []string         `json:"lost"`
+	Branches   []BranchPlan     `json:"branches"`
+	Rejections []ClassRejection `json:"refused"` // in the order in which refusing begins
+	// RejectionStart is the load, as times the usual one, at which the first request has to be refused; 0: some have to be
 	// at any load. Never is set where no load within reason does it.
-	Starts float64 `json:"refusing_starts_at_load"`
-	Never  bool    `json:"refusing_never_starts"`
-	// Return is how long the load takes to come back to the sites once they do, cold and empty.
-	Return time.Duration `json:"return_ns"`
-	Cannot []string      `json:"cannot"` // what can't be met, plainly
-	// Worth is the part of the worth asked for at the usual load that is served.
-	Worth float64 `json:"worth_served"`
+	RejectionStart float64 `json:"refusing_starts_at_load"`
+	NeverRejects   bool    `json:"refusing_never_starts"`
+	// RecoveryTime is how long the load takes to come back to the sites once they do, cold and empty.
+	RecoveryTime time.Duration `json:"return_ns"`
+	Unmet        []string      `json:"cannot"` // what can't be met, plainly
+	// ValueServed is the part of the worth asked for at the usual load that is served.
+	ValueServed float64 `json:"worth_served"`
 }
 
 // BranchPlan is where a branch's load and fills go.
 type BranchPlan struct {
-	Name   string             `json:"name"`
-	Load   string             `json:"load"`   // who answers its clients: caches, parents, nobody
-	Fills  map[string]float64 `json:"fills"`  // share of its fills by hub, of those that are served
-	Served map[string]float64 `json:"served"` // share of each class that is served, at the usual load
+	Name         string             `json:"name"`
+	ServedBy     string             `json:"load"`   // who answers its clients: caches, parents, nobody
+	FillShares   map[string]float64 `json:"fills"`  // share of its fills by hub, of those that are served
+	ServedShares map[string]float64 `json:"served"` // share of each class that is served, at the usual load
 }
 
-// Refusal tells from which load on a class is refused, and at which branches.
-type Refusal struct {
+// ClassRejection tells from which load on a class is refused, and at which branches.
+type ClassRejection struct {
 	Class    string   `json:"class"`
-	Load     float64  `json:"from_load"` // times the usual one; 0: at any
+	FromLoad float64  `json:"from_load"` // times the usual one; 0: at any
 	Branches []string `json:"branches"`
 }
 
@@ -97,11 +97,11 @@
 		most = max(most, c.density())
 	}
 	cost, c := t.Classes[class].density(), t.Classes[class]
-	if i := slices.Index(p.w.Order, c.Name); i >= 0 {
+	if i := slices.Index(p.w.RejectionOrder, c.Name); i >= 0 {
 		cost = most * float64(2+i)
 	}
-	if c.Once {
-		cost += most * float64(3+len(p.w.Order))
+	if c.NonIdempotent {
+		cost += most * float64(3+len(p.w.RejectionOrder))
 	}
 	return cost
 }
@@ -114,14 +114,14 @@
 
 // price is what a unit costs that a branch takes from a hub: the way round the ring, and that of leaving its own hub.
 func (p *Planner) price(branch, hub int, alive []float64) float64 {
-	home, price := p.t.Sites[branch].Home, 0.0
+	home, price := p.t.Sites[branch].HomeHub, 0.0
 	if home < 0 || home == hub {
 		return 0
 	}
-	if alive[home] > 0 && p.t.Sites[home].Carries > 0 {
+	if alive[home] > 0 && p.t.Sites[home].Capacity > 0 {
 		price = leavePrice
 	}
-	return p.leastDensity()*price + p.meanDensity()*p.t.FarPrice*float64(p.t.steps(home, hub))
+	return p.leastDensity()*price + p.meanDensity()*p.t.TransitCost*float64(p.t.steps(home, hub))
 }
 
 // flow sends the fills of all branches to hubs, at a load (times the usual one), so that the worth that has to be
@@ -137,18 +137,18 @@
 	f := &flowing{fills: make([][]float64, len(t.Sites)), served: make([][]float64, len(t.Sites))}
 	origin, direct := math.Inf(1), true // directly: where no hub is left, caches fill from the origin, all of it
 	for h, s := range t.Sites {
-		direct = direct && (!s.Hub || s.Carries*alive[h] == 0)
+		direct = direct && (!s.Hub || s.Capacity*alive[h] == 0)
 	}
-	if t.Origin > 0 {
-		if origin = max(0, t.Origin-t.passedOn()*load); !direct {
-			origin /= max(1-t.ParentHits, whole)
+	if t.OriginCapacity > 0 {
+		if origin = max(0, t.OriginCapacity-t.passedOn()*load); !direct {
+			origin /= max(1-t.ParentHitRatio, whole)
 		}
 	}
 	originIn, hubIn, hubs := n.node(), make([]int, len(t.Sites)), []int{}
 	room := make([]float64, len(t.Sites))
 	for h, s := range t.Sites {
 		if s.Hub {
-			room[h] = s.Carries * alive[h]
+			room[h] = s.Capacity * alive[h]
 			hubs = append(hubs, h)
 		}
 	}
@@ -158,7 +158,7 @@
 	}
 	var streams []stream
 	ways := map[[2]int][]int{}
-	far := t.FarPrice * p.meanDensity()
+	far := t.TransitCost * p.meanDensity()
 	crowd := p.crowdPrice * p.leastDensity()
 	pinEarns := leavePrice*p.leastDensity() + far*float64(len(t.Sites)) + crowd*crowdParts // worth of a unit going where it is pinned
 	type fixed struct {
@@ -190,8 +190,8 @@
 			pinned = append(pinned, fixed{b, h, work})
 		}
 		link, out, in := n.node(), n.node(), math.Inf(1)
-		if s.LinkIn > 0 {
-			in = s.LinkIn
+		if s.IngressCapacity > 0 {
+			in = s.IngressCapacity
 		}
 		n.arc(link, out, in, 0)
 		for c := range t.Classes {
@@ -210,8 +210,8 @@
 		}
 		others := 0.0 // what the hubs carry that may take over
 		for _, h := range hubs {
-			if h != s.Home && !p.forbidden(h, alive) {
-				others += t.Sites[h].Carries * alive[h]
+			if h != s.HomeHub && !p.forbidden(h, alive) {
+				others += t.Sites[h].Capacity * alive[h]
 			}
 		}
 		if direct {
@@ -222,14 +222,14 @@
 				hubIn[h] = n.node()
 			}
 			switch {
-			case h != s.Home && p.forbidden(h, alive):
+			case h != s.HomeHub && p.forbidden(h, alive):
 			case left < whole, slices.ContainsFunc(pinned, func(x fixed) bool { return x.branch == b && x.hub == h }):
 				// All of it is pinned, or what goes there is.
 			default:
 				// What goes elsewhere is shared by what the others carry: the more of its part a hub has, the dearer the rest.
 				part, parts, most := max(0, left)*asked, 1, max(0, left)*asked
-				if h != s.Home && others > 0 {
-					part, parts = most*t.Sites[h].Carries*alive[h]/others/(crowdParts/2), crowdParts
+				if h != s.HomeHub && others > 0 {
+					part, parts = most*t.Sites[h].Capacity*alive[h]/others/(crowdParts/2), crowdParts
 				}
 				for i := range parts {
 					if i == parts-1 {
@@ -258,7 +258,7 @@
 	for b := range t.Sites {
 		f.fills[b], f.served[b] = make([]float64, len(t.Sites)), make([]float64, len(t.Classes))
 		for c := range t.Classes {
-			if f.served[b][c] = 1; alive[b] == 0 && !t.Bypass {
+			if f.served[b][c] = 1; alive[b] == 0 && !t.BypassAllowed {
 				f.served[b][c] = 0
 			}
 		}
@@ -278,16 +278,16 @@
 			f.refused = true
 		}
 		// What caches hold is served whatever becomes of the fills.
-		all := t.asked(s.branch) * t.Classes[s.class].Share * load
+		all := t.asked(s.branch) * t.Classes[s.class].LoadShare * load
 		f.served[s.branch][s.class] = 1 - min(out, work)/max(all, whole)
 	}
-	if t.Origin > 0 {
+	if t.OriginCapacity > 0 {
 		// Writes come before fills; where they alone are too many, the rest of them is refused.
-		if on := t.passedOn() * load; on > t.Origin+whole {
+		if on := t.passedOn() * load; on > t.OriginCapacity+whole {
 			for b := range t.Sites {
 				for c, k := range t.Classes {
-					if k.PassOn {
-						f.served[b][c] = min(f.served[b][c], t.Origin/on)
+					if k.Uncacheable {
+						f.served[b][c] = min(f.served[b][c], t.OriginCapacity/on)
 					}
 				}
 			}
@@ -295,7 +295,7 @@
 		}
 	}
 	for b, s := range t.Sites {
-		if !s.Hub && alive[b] == 0 && !t.Bypass && t.asked(b) > 0 {
+		if !s.Hub && alive[b] == 0 && !t.BypassAllowed && t.asked(b) > 0 {
 			f.refused = true
 		}
 	}
@@ -323,13 +323,13 @@
 func (p *Planner) meanDensity() float64 {
 	sum := 0.0
 	for _, c := range p.t.Classes {
-		sum += c.Share * c.density()
+		sum += c.LoadShare * c.density()
 	}
 	return sum
 }
 
-// For is the plan for some sites lost. An unknown name is an error.
-func (p *Planner) For(lost ...string) (*Plan, error) {
+// Plan is the plan for some sites lost. An unknown name is an error.
+func (p *Planner) Plan(lost ...string) (*Plan, error) {
 	lost = slices.Compact(slices.Sorted(slices.Values(lost)))
 	for _, name := range lost {
 		if p.t.site(name) < 0 {
@@ -348,15 +348,15 @@
 func (p *Planner) work(lost []string) *Plan {
 	t, alive := p.t, p.alive(lost)
 	at := p.flow(alive, 1)
-	plan := &Plan{Lost: lost, Worth: p.worth(at), Cannot: p.cannot(alive, at)}
+	plan := &Plan{Lost: lost, ValueServed: p.worth(at), Unmet: p.cannot(alive, at)}
 	for b, s := range t.Sites {
 		if s.Hub {
 			continue
 		}
-		x := BranchPlan{Name: s.Name, Load: "caches", Fills: map[string]float64{}, Served: map[string]float64{}}
+		x := BranchPlan{Name: s.Name, ServedBy: "caches", FillShares: map[string]float64{}, ServedShares: map[string]float64{}}
 		if alive[b] == 0 {
-			if x.Load = "nobody"; t.Bypass {
-				x.Load = "parents"
+			if x.ServedBy = "nobody"; t.BypassAllowed {
+				x.ServedBy = "parents"
 			}
 		}
 		sum := 0.0
@@ -365,18 +365,18 @@
 		}
 		for h, v := range at.fills[b] {
 			if v > whole {
-				x.Fills[t.Sites[h].Name] = v / sum
+				x.FillShares[t.Sites[h].Name] = v / sum
 			}
 		}
 		for c, k := range t.Classes {
-			x.Served[k.Name] = at.served[b][c]
+			x.ServedShares[k.Name] = at.served[b][c]
 		}
 		plan.Branches = append(plan.Branches, x)
 	}
-	plan.Starts, plan.Never = p.starts(alive)
-	plan.Refused = p.refusals(alive)
+	plan.RejectionStart, plan.NeverRejects = p.starts(alive)
+	plan.Rejections = p.refusals(alive)
 	for _, name := range lost {
-		plan.Return = max(plan.Return, p.comesBack(t.Sites[t.site(name)]))
+		plan.RecoveryTime = max(plan.RecoveryTime, p.comesBack(t.Sites[t.site(name)]))
 	}
 	return plan
 }
@@ -389,7 +389,7 @@
 			continue
 		}
 		for c, k := range p.t.Classes {
-			w := p.t.asked(b) * k.Share * k.density()
+			w := p.t.asked(b) * k.LoadShare * k.density()
 			all += w
 			got += w * f.served[b][c]
 		}
@@ -421,7 +421,7 @@
 
 // refusals tells for each class from which load on, in steps of a twentieth up to four times the usual one, how many
 // branches refuse some of it.
-func (p *Planner) refusals(alive []float64) (list []Refusal) {
+func (p *Planner) refusals(alive []float64) (list []ClassRejection) {
 	const least = 0.005 // of a class, that counts as refusing
 	t := p.t
 	for c, k := range t.Classes {
@@ -435,12 +435,12 @@
 				}
 			}
 			if len(where) > 0 {
-				list = append(list, Refusal{k.Name, load, where})
+				list = append(list, ClassRejection{k.Name, load, where})
 				break
 			}
 		}
 	}
-	slices.SortStableFunc(list, func(a, b Refusal) int { return cmp.Compare(a.Load, b.Load) })
+	slices.SortStableFunc(list, func(a, b ClassRejection) int { return cmp.Compare(a.FromLoad, b.FromLoad) })
 	return list
 }
 
@@ -448,11 +448,11 @@
 // as directors use it, allows it.
 func (p *Planner) comesBack(s Site) time.Duration {
 	t := p.t
-	from, times, ramp, part := t.ColdFrom, t.ColdTimes, t.Cold, t.Load
+	from, times, ramp, part := t.CacheSlowStartFraction, t.CacheOverloadMultiple, t.CacheSlowStartDuration, t.UsualLoad
 	if s.Hub {
-		from, times, ramp, part = t.ParentFrom, t.ParentTops, t.ParentCold, 0
-		if s.Carries > 0 {
-			part = p.flow(p.alive(nil), 1).into(t, s.Name) / s.Carries
+		from, times, ramp, part = t.ParentSlowStartFraction, t.ParentOverloadMultiple, t.ParentSlowStartDuration, 0
+		if s.Capacity > 0 {
+			part = p.flow(p.alive(nil), 1).into(t, s.Name) / s.Capacity
 		}
 	}
 	if times <= 0 || ramp <= 0 {
@@ -479,7 +479,7 @@
 	t := p.t
 	hubs := 0
 	for h, s := range t.Sites {
-		if s.Hub && alive[h] > 0 && s.Carries > 0 {
+		if s.Hub && alive[h] > 0 && s.Capacity > 0 {
 			hubs++
 		}
 	}
@@ -487,12 +487,12 @@
 		switch {
 		case s.Hub:
 			continue
-		case alive[b] == 0 && !t.Bypass:
+		case alive[b] == 0 && !t.BypassAllowed:
 			list = append(list, s.Name+": nobody may take its clients' requests here (caches of other branches are "+
 				"a fault, parents take none): all of them are refused at once")
-		case s.Carries == 0 && alive[b] > 0:
+		case s.Capacity == 0 && alive[b] > 0:
 			list = append(list, s.Name+": it has no caches")
-		case hubs == 0 && t.asked(b)*(1-t.Hits) > 0:
+		case hubs == 0 && t.asked(b)*(1-t.CacheHitRatio) > 0:
 			list = append(list, s.Name+": no hub is left, and what its caches lack comes from the origin as far as that can give it")
 		}
 	}
--- a/internal/failover/plan_test.go
+++ b/internal/failover/plan_test.go
@@ -12,15 +12,15 @@
 
 // world is a topology of branches and hubs with one transfer asked for by each cache and class.
 func world(caches []int, hubs []float64, homes []int) *Topology {
-	t := &Topology{Load: 1, Bypass: true, FarPrice: 0.01, Cold: 10 * time.Second, ColdFrom: 0.25, ColdTimes: 2,
-		ParentCold: 20 * time.Second, ParentFrom: 0.1, ParentTops: 2,
-		Classes: []Class{{Name: "media", Share: 0.5, Work: 2 * time.Second, Worth: 2},
-			{Name: "pages", Share: 0.5, Work: time.Second, Worth: 3}}}
+	t := &Topology{UsualLoad: 1, BypassAllowed: true, TransitCost: 0.01, CacheSlowStartDuration: 10 * time.Second, CacheSlowStartFraction: 0.25, CacheOverloadMultiple: 2,
+		ParentSlowStartDuration: 20 * time.Second, ParentSlowStartFraction: 0.1, ParentOverloadMultiple: 2,
+		Classes: []Class{{Name: "media", LoadShare: 0.5, ServiceTime: 2 * time.Second, PriorityWeight: 2},
+			{Name: "pages", LoadShare: 0.5, ServiceTime: time.Second, PriorityWeight: 3}}}
 	for i, carries := range hubs {
-		t.Sites = append(t.Sites, Site{Name: "hub-" + string(rune('a'+i)), Hub: true, Carries: carries, Ring: i, Home: -1})
+		t.Sites = append(t.Sites, Site{Name: "hub-" + string(rune('a'+i)), Hub: true, Capacity: carries, RingPosition: i, HomeHub: -1})
 	}
 	for i, n := range caches {
-		t.Sites = append(t.Sites, Site{Name: "branch-" + string(rune('1'+i)), Carries: float64(2 * n), Home: homes[i]})
+		t.Sites = append(t.Sites, Site{Name: "branch-" + string(rune('1'+i)), Capacity: float64(2 * n), HomeHub: homes[i]})
 	}
 	return t
 }
@@ -34,10 +34,10 @@
 	room, links := map[int]float64{}, map[int]float64{}
 	for i, s := range t.Sites {
 		if s.Hub {
-			hubs, room[i] = append(hubs, i), s.Carries*alive[i]
+			hubs, room[i] = append(hubs, i), s.Capacity*alive[i]
 			continue
 		}
-		if links[i] = s.LinkIn; s.LinkIn == 0 {
+		if links[i] = s.IngressCapacity; s.IngressCapacity == 0 {
 			links[i] = math.Inf(1)
 		}
 		for c := range t.Classes {
@@ -51,10 +51,10 @@
 		left += room[h]
 	}
 	switch {
-	case t.Origin > 0 && left > 0:
-		origin = t.Origin / (1 - t.ParentHits)
-	case t.Origin > 0:
-		origin = t.Origin
+	case t.OriginCapacity > 0 && left > 0:
+		origin = t.OriginCapacity / (1 - t.ParentHitRatio)
+	case t.OriginCapacity > 0:
+		origin = t.OriginCapacity
 	}
 	const straight = -1 // no hub is left: from the origin
 	if left == 0 {
@@ -81,18 +81,18 @@
 		}
 		h := hubs[hub]
 		price := 0.0
-		switch home := t.Sites[s.branch].Home; {
+		switch home := t.Sites[s.branch].HomeHub; {
 		case h == straight:
-			price = t.FarPrice * p.meanDensity() * float64(len(hubs)-1)
+			price = t.TransitCost * p.meanDensity() * float64(len(hubs)-1)
 		case home == h || home < 0:
-		case room[home] > 0 || t.Sites[home].Carries*alive[home] > 0: // its own hub is there
-			price = 0.5*p.leastDensity() + p.meanDensity()*t.FarPrice*float64(t.steps(home, h))
+		case room[home] > 0 || t.Sites[home].Capacity*alive[home] > 0: // its own hub is there
+			price = 0.5*p.leastDensity() + p.meanDensity()*t.TransitCost*float64(t.steps(home, h))
 		default:
-			price = p.meanDensity() * t.FarPrice * float64(t.steps(home, h))
+			price = p.meanDensity() * t.TransitCost * float64(t.steps(home, h))
 		}
 		for n := 0; n <= left; n++ {
 			x := float64(n)
-			if n > 0 && (room[h] < x || links[s.branch] < x || origin < x || (h != straight && h != t.Sites[s.branch].Home && p.forbidden(h, alive))) {
+			if n > 0 && (room[h] < x || links[s.branch] < x || origin < x || (h != straight && h != t.Sites[s.branch].HomeHub && p.forbidden(h, alive))) {
 				break
 			}
 			room[h], links[s.branch], origin = room[h]-x, links[s.branch]-x, origin-x
@@ -115,13 +115,13 @@
 	var hubs func(left int, have []float64)
 	one := func(caches []int, carries []float64, homes []int, link, origin float64, lost []int) {
 		w := world(caches, carries, homes)
-		w.Origin, w.ParentHits = origin, 0.5
+		w.OriginCapacity, w.ParentHitRatio = origin, 0.5
 		for i := range w.Sites {
 			if !w.Sites[i].Hub {
-				w.Sites[i].LinkIn = link
+				w.Sites[i].IngressCapacity = link
 			}
 		}
-		p, err := NewPlanner(w, Wishes{})
+		p, err := NewPlanner(w, Overrides{})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -191,12 +191,12 @@
 			homes = append(homes, rapid.IntRange(0, n-1).Draw(t, "home"))
 		}
 		w := world(caches, hubs, homes)
-		w.Load = rapid.Float64Range(0.1, 2).Draw(t, "load")
-		w.Hits = rapid.Float64Range(0, 1).Draw(t, "hits")
-		w.ParentHits = rapid.Float64Range(0, 0.99).Draw(t, "parent hits")
-		w.Origin = rapid.Float64Range(0, 20).Draw(t, "origin")
-		w.Bypass = rapid.Bool().Draw(t, "bypass")
-		p, err := NewPlanner(w, Wishes{})
+		w.UsualLoad = rapid.Float64Range(0.1, 2).Draw(t, "load")
+		w.CacheHitRatio = rapid.Float64Range(0, 1).Draw(t, "hits")
+		w.ParentHitRatio = rapid.Float64Range(0, 0.99).Draw(t, "parent hits")
+		w.OriginCapacity = rapid.Float64Range(0, 20).Draw(t, "origin")
+		w.BypassAllowed = rapid.Bool().Draw(t, "bypass")
+		p, err := NewPlanner(w, Overrides{})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -209,23 +209,23 @@
 		alive := p.alive(lost)
 		f := p.flow(alive, 1)
 		for h, s := range w.Sites {
-			if s.Hub && f.into(w, s.Name) > s.Carries*alive[h]+1e-6 {
-				t.Errorf("%s gets %v of %v (alive %v)", s.Name, f.into(w, s.Name), s.Carries, alive[h])
+			if s.Hub && f.into(w, s.Name) > s.Capacity*alive[h]+1e-6 {
+				t.Errorf("%s gets %v of %v (alive %v)", s.Name, f.into(w, s.Name), s.Capacity, alive[h])
 			}
 		}
-		plan, err := p.For(lost...)
+		plan, err := p.Plan(lost...)
 		if err != nil {
 			t.Fatal(err)
 		}
 		for _, b := range plan.Branches {
 			sum := 0.0
-			for _, v := range b.Fills {
+			for _, v := range b.FillShares {
 				sum += v
 			}
-			if len(b.Fills) > 0 && math.Abs(sum-1) > 1e-6 {
-				t.Errorf("%s: the shares %v make %v", b.Name, b.Fills, sum)
+			if len(b.FillShares) > 0 && math.Abs(sum-1) > 1e-6 {
+				t.Errorf("%s: the shares %v make %v", b.Name, b.FillShares, sum)
 			}
-			for c, v := range b.Served {
+			for c, v := range b.ServedShares {
 				if !(v >= -1e-9 && v <= 1+1e-9) {
 					t.Errorf("%s: %v of %s is served", b.Name, v, c)
 				}
@@ -240,12 +240,12 @@
 			before = now
 		}
 		// The same again, in whatever order the names come.
-		twin, _ := NewPlanner(w, Wishes{})
+		twin, _ := NewPlanner(w, Overrides{})
 		for i, j := 0, len(lost)-1; i < j; i, j = i+1, j-1 {
 			lost[i], lost[j] = lost[j], lost[i]
 		}
-		again, _ := twin.For(lost...)
-		if again.Worth != plan.Worth || again.Starts != plan.Starts {
+		again, _ := twin.Plan(lost...)
+		if again.ValueServed != plan.ValueServed || again.RejectionStart != plan.RejectionStart {
 			t.Errorf("two planners differ: %v, %v", plan, again)
 		}
 	})
@@ -254,43 +254,43 @@
 // Hubs that are as near as each other share what a lost one leaves, and none is filled while another is idle.
 func TestNeighboursShareALostHub(t *testing.T) {
 	w := world([]int{4, 0, 0}, []float64{8, 8, 8}, []int{0, 1, 2})
-	p, err := NewPlanner(w, Wishes{})
+	p, err := NewPlanner(w, Overrides{})
 	if err != nil {
 		t.Fatal(err)
 	}
-	plan, _ := p.For("hub-a")
-	if f := plan.Branches[0].Fills; math.Abs(f["hub-b"]-0.5) > 0.11 || math.Abs(f["hub-c"]-0.5) > 0.11 || f["hub-a"] != 0 {
+	plan, _ := p.Plan("hub-a")
+	if f := plan.Branches[0].FillShares; math.Abs(f["hub-b"]-0.5) > 0.11 || math.Abs(f["hub-c"]-0.5) > 0.11 || f["hub-a"] != 0 {
 		t.Errorf("%v", f)
 	}
 }
 
 func TestWhatIsRefusedFirst(t *testing.T) {
 	w := world([]int{10, 10}, []float64{20, 10}, []int{0, 1})
-	w.Hits = 0
-	w.Classes = append(w.Classes, Class{Name: "repayment", Share: 0.2, Work: 10 * time.Second, Worth: 1, Once: true})
-	w.Classes[0].Share, w.Classes[1].Share = 0.4, 0.4
-	order := func(wishes Wishes) string {
+	w.CacheHitRatio = 0
+	w.Classes = append(w.Classes, Class{Name: "repayment", LoadShare: 0.2, ServiceTime: 10 * time.Second, PriorityWeight: 1, NonIdempotent: true})
+	w.Classes[0].LoadShare, w.Classes[1].LoadShare = 0.4, 0.4
+	order := func(wishes Overrides) string {
 		p, err := NewPlanner(w, wishes)
 		if err != nil {
 			t.Fatal(err)
 		}
-		plan, err := p.For("hub-a")
+		plan, err := p.Plan("hub-a")
 		if err != nil {
 			t.Fatal(err)
 		}
 		var names []string
-		for _, r := range plan.Refused {
+		for _, r := range plan.Rejections {
 			names = append(names, r.Class)
 		}
-		if plan.Never || plan.Starts <= 0 || plan.Starts >= 1 {
-			t.Errorf("refusing starts at %v", plan.Starts)
+		if plan.NeverRejects || plan.RejectionStart <= 0 || plan.RejectionStart >= 1 {
+			t.Errorf("refusing starts at %v", plan.RejectionStart)
 		}
 		return strings.Join(names, " ")
 	}
-	if got := order(Wishes{}); got != "media pages repayment" {
+	if got := order(Overrides{}); got != "media pages repayment" {
 		t.Errorf("by worth: %s", got)
 	}
-	if got := order(Wishes{Order: []string{"pages", "media"}}); got != "pages media repayment" {
+	if got := order(Overrides{RejectionOrder: []string{"pages", "media"}}); got != "pages media repayment" {
 		t.Errorf("as the operators wish: %s", got)
 	}
 }
@@ -298,35 +298,35 @@
 // Where no one may take a branch's clients, the plan says so.
 func TestWhatCantBeMetIsSaid(t *testing.T) {
 	w := world([]int{3, 3}, []float64{4, 4}, []int{0, 1})
-	w.Bypass, w.Hits = false, 0.5
-	p, err := NewPlanner(w, Wishes{})
+	w.BypassAllowed, w.CacheHitRatio = false, 0.5
+	p, err := NewPlanner(w, Overrides{})
 	if err != nil {
 		t.Fatal(err)
 	}
-	plan, _ := p.For("branch-1")
-	if len(plan.Cannot) != 1 || !strings.Contains(plan.Cannot[0], "branch-1: nobody may take") || plan.Starts != 0 ||
-		plan.Branches[0].Load != "nobody" || plan.Branches[0].Served["media"] != 0 || plan.Branches[1].Served["media"] != 1 {
+	plan, _ := p.Plan("branch-1")
+	if len(plan.Unmet) != 1 || !strings.Contains(plan.Unmet[0], "branch-1: nobody may take") || plan.RejectionStart != 0 ||
+		plan.Branches[0].ServedBy != "nobody" || plan.Branches[0].ServedShares["media"] != 0 || plan.Branches[1].ServedShares["media"] != 1 {
 		t.Errorf("%+v", plan)
 	}
-	plan, _ = p.For("hub-a", "hub-b")
-	if len(plan.Cannot) < 2 || !strings.Contains(plan.Cannot[0], "no hub is left") {
+	plan, _ = p.Plan("hub-a", "hub-b")
+	if len(plan.Unmet) < 2 || !strings.Contains(plan.Unmet[0], "no hub is left") {
 		t.Errorf("%+v", plan)
 	}
-	if _, err := p.For("moon"); err == nil {
+	if _, err := p.Plan("moon"); err == nil {
 		t.Error("an unknown site can't be lost")
 	}
 	// Cold: a quarter of its capacity at first, of which half the budget of twice that is used; all of it at 0.6 / 1.
-	w.Load = 0.6
-	p, _ = NewPlanner(w, Wishes{})
-	if plan, _ := p.For("branch-1"); math.Abs(plan.Return.Seconds()-10*(0.6-0.25)/0.75) > 1e-6 {
-		t.Errorf("comes back within %v", plan.Return)
+	w.UsualLoad = 0.6
+	p, _ = NewPlanner(w, Overrides{})
+	if plan, _ := p.Plan("branch-1"); math.Abs(plan.RecoveryTime.Seconds()-10*(0.6-0.25)/0.75) > 1e-6 {
+		t.Errorf("comes back within %v", plan.RecoveryTime)
 	}
 }
 
 func TestWishesThatCantHoldAreNamed(t *testing.T) {
 	w := world([]int{4, 4}, []float64{10, 10, 2}, []int{0, 1})
-	w.Hits = 0.5
-	for key, wish := range map[string]Wishes{
+	w.CacheHitRatio = 0.5
+	for key, wish := range map[string]Overrides{
 		"plan.pin[0].share: 1.5":                 {Pins: []Pin{{"hub-a", "branch-1", "hub-b", 1.5}}},
 		"plan.pin[1].share: the pins":            {Pins: []Pin{{"hub-a", "branch-1", "hub-b", 0.6}, {"hub-a", "branch-1", "hub-c", 0.6}}},
 		"plan.pin[0].lost: \"moon\"":             {Pins: []Pin{{"moon", "branch-1", "hub-b", 0.5}}},
@@ -337,29 +337,29 @@
 		"plan.pin[0].to: hub-b may not":          {Pins: []Pin{{"hub-a", "branch-1", "hub-b", 0.5}}, Forbids: []Forbid{{"hub-a", "hub-b"}}},
 		"plan.pin[1].to: sites take each":        {Pins: []Pin{{"hub-a", "branch-1", "hub-b", 1}, {"hub-b", "branch-2", "hub-a", 1}}},
 		"plan.forbid[0].to: \"moon\"":            {Forbids: []Forbid{{"hub-a", "moon"}}},
-		"plan.order: \"moon\"":                   {Order: []string{"moon"}},
-		"plan.order: pages is named twice":       {Order: []string{"pages", "pages"}},
+		"plan.order: \"moon\"":                   {RejectionOrder: []string{"moon"}},
+		"plan.order: pages is named twice":       {RejectionOrder: []string{"pages", "pages"}},
 		"plan.usual_load: NaN":                   {UsualLoad: math.NaN()},
-		"plan.shares.media: 2":                   {Shares: map[string]float64{"media": 2}},
-		"plan.move_per_s: -1":                    {MovePerS: -1},
+		"plan.shares.media: 2":                   {ClassShares: map[string]float64{"media": 2}},
+		"plan.move_per_s: -1":                    {ShiftRatePerS: -1},
 		"plan.pin[0].from: \"nowhere\"":          {Pins: []Pin{{"hub-a", "nowhere", "hub-b", 0.5}}},
 		"plan.forbid[0].lost: \"moon\" is no si": {Forbids: []Forbid{{"moon", "hub-b"}}},
 	} {
 		_, err := NewPlanner(w, wish)
-		var named *WishError
+		var named *OverrideError
 		if !errors.As(err, &named) || !strings.HasPrefix(err.Error(), key) {
 			t.Errorf("want %q, got %v", key, err)
 		}
 	}
 	// And those that can are kept.
-	p, err := NewPlanner(w, Wishes{Pins: []Pin{{"hub-a", "branch-1", "hub-c", 0.25}}, Forbids: []Forbid{{"hub-b", "hub-a"}}})
+	p, err := NewPlanner(w, Overrides{Pins: []Pin{{"hub-a", "branch-1", "hub-c", 0.25}}, Forbids: []Forbid{{"hub-b", "hub-a"}}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if plan, _ := p.For("hub-a"); math.Abs(plan.Branches[0].Fills["hub-c"]-0.25) > 1e-9 {
-		t.Errorf("a quarter is pinned to hub-c: %v", plan.Branches[0].Fills)
+	if plan, _ := p.Plan("hub-a"); math.Abs(plan.Branches[0].FillShares["hub-c"]-0.25) > 1e-9 {
+		t.Errorf("a quarter is pinned to hub-c: %v", plan.Branches[0].FillShares)
 	}
-	if plan, _ := p.For("hub-b"); plan.Branches[1].Fills["hub-a"] != 0 || plan.Branches[1].Fills["hub-c"] != 1 {
-		t.Errorf("hub-a is forbidden: %v", plan.Branches[1].Fills)
+	if plan, _ := p.Plan("hub-b"); plan.Branches[1].FillShares["hub-a"] != 0 || plan.Branches[1].FillShares["hub-c"] != 1 {
+		t.Errorf("hub-a is forbidden: %v", plan.Branches[1].FillShares)
 	}
 }
--- a/internal/failover/table.go
+++ b/internal/failover/table.go
@@ -18,23 +18,23 @@
 	fmt.Fprintln(w, name)
 	fmt.Fprintf(w, "  %-14s %-9s %-44s %s\n", "branch", "load by", "fills by", "served at the usual load")
 	for _, b := range p.Branches {
-		fmt.Fprintf(w, "  %-14s %-9s %-44s %s\n", b.Name, b.Load, parts(b.Fills), parts(b.Served))
+		fmt.Fprintf(w, "  %-14s %-9s %-44s %s\n", b.Name, b.ServedBy, parts(b.FillShares), parts(b.ServedShares))
 	}
 	switch {
-	case p.Never:
+	case p.NeverRejects:
 		fmt.Fprintf(w, "  refusing: not below %d times the usual load\n", neverRefuse)
-	case p.Starts == 0:
+	case p.RejectionStart == 0:
 		fmt.Fprintln(w, "  refusing: at any load")
 	default:
-		fmt.Fprintf(w, "  refusing: from %.2f times the usual load on\n", p.Starts)
+		fmt.Fprintf(w, "  refusing: from %.2f times the usual load on\n", p.RejectionStart)
 	}
-	for _, r := range p.Refused {
-		fmt.Fprintf(w, "    %-14s from %.2f times on, at %s\n", r.Class, r.Load, strings.Join(r.Branches, ", "))
+	for _, r := range p.Rejections {
+		fmt.Fprintf(w, "    %-14s from %.2f times on, at %s\n", r.Class, r.FromLoad, strings.Join(r.Branches, ", "))
 	}
 	if len(p.Lost) > 0 {
-		fmt.Fprintf(w, "  the return takes %v\n", p.Return.Round(100*time.Millisecond))
+		fmt.Fprintf(w, "  the return takes %v\n", p.RecoveryTime.Round(100*time.Millisecond))
 	}
-	for _, c := range p.Cannot {
+	for _, c := range p.Unmet {
 		fmt.Fprintf(w, "  can't be met: %s\n", c)
 	}
 }
@@ -50,8 +50,8 @@
 	return strings.Join(list, " ")
 }
 
-// All are the plans that operators read before the bad day: nothing lost, each site, and each pair of sites.
-func (p *Planner) All() (plans []*Plan) {
+// AllPlans are the plans that operators read before the bad day: nothing lost, each site, and each pair of sites.
+func (p *Planner) AllPlans() (plans []*Plan) {
 	sets := [][]string{nil}
 	for i, a := range p.t.Sites {
 		sets = append(sets, []string{a.Name})
@@ -61,7 +61,7 @@
 	}
 	slices.SortStableFunc(sets, func(a, b []string) int { return len(a) - len(b) })
 	for _, lost := range sets {
-		plan, err := p.For(lost...)
+		plan, err := p.Plan(lost...)
 		if err != nil {
 			panic(err) // the names are the topology's own
 		}
--- a/internal/failover/topology.go
+++ b/internal/failover/topology.go
@@ -18,45 +18,45 @@
 
 // Site is a branch or a hub. Capacities are in transfers: answers that can be sent at once at the full pace of one.
 type Site struct {
-	Name    string
-	Hub     bool
-	Carries float64 // transfers that the links of its servers carry together
-	LinkIn  float64 // of a branch: transfers that its link in takes; 0: not told, and taken for enough
-	Home    int     // of a branch: its hub's place in Topology.Sites; -1: it has none
-	Ring    int     // of a hub: its place in the ring; each step is a longer way
+	Name            string
+	Hub             bool
+	Capacity        float64 // transfers that the links of its servers carry together
+	IngressCapacity float64 // of a branch: transfers that its link in takes; 0: not told, and taken for enough
+	HomeHub         int     // of a branch: its hub's place in Topology.Sites; -1: it has none
+	RingPosition    int     // of a hub: its place in the ring; each step is a longer way
 }
 
 // Class is a class of requests.
 type Class struct {
-	Name   string
-	Share  float64       // of the work asked for; those of all classes make 1
-	Work   time.Duration // sending time of a mean object at full pace
-	Worth  float64       // of one request
-	Once   bool          // must not run twice: refused last
-	PassOn bool          // runs at the origin, and takes next to nothing of links
+	Name           string
+	LoadShare      float64       // of the work asked for; those of all classes make 1
+	ServiceTime    time.Duration // sending time of a mean object at full pace
+	PriorityWeight float64       // of one request
+	NonIdempotent  bool          // must not run twice: refused last
+	Uncacheable    bool          // runs at the origin, and takes next to nothing of links
 }
 
 // density is the worth of a second of sending: what is lost for each unit of the scarce thing that is saved.
-func (c Class) density() float64 { return c.Worth / c.Work.Seconds() }
+func (c Class) density() float64 { return c.PriorityWeight / c.ServiceTime.Seconds() }
 
 // Topology is what a plan is made for.
 type Topology struct {
-	Sites   []Site
-	Classes []Class
-	Bypass  bool // parents and the origin take clients' requests too
-
-	Load       float64 // usual load, as a part of what a branch's caches carry
-	Hits       float64 // part of the work that caches hold
-	ParentHits float64 // part of the fills that parents hold
-	Origin     float64 // transfers that the origin can give at once; 0: any number
-	FarPrice   float64 // price of a byte for each step round the ring, as a part of the worth of a mean byte
-
-	Cold       time.Duration // a cache is warm after so long
-	ColdFrom   float64       // part of its capacity that it starts with
-	ColdTimes  float64       // times its present capacity at which it falls over
-	ParentCold time.Duration
-	ParentFrom float64
-	ParentTops float64
+	Sites         []Site
+	Classes       []Class
+	BypassAllowed bool // parents and the origin take clients' requests too
+
+	UsualLoad      float64 // usual load, as a part of what a branch's caches carry
+	CacheHitRatio  float64 // part of the work that caches hold
+	ParentHitRatio float64 // part of the fills that parents hold
+	OriginCapacity float64 // transfers that the origin can give at once; 0: any number
+	TransitCost    float64 // price of a byte for each step round the ring, as a part of the worth of a mean byte
+
+	CacheSlowStartDuration  time.Duration // a cache is warm after so long
+	CacheSlowStartFraction  float64       // part of its capacity that it starts with
+	CacheOverloadMultiple   float64       // times its present capacity at which it falls over
+	ParentSlowStartDuration time.Duration
+	ParentSlowStartFraction float64
+	ParentOverloadMultiple  float64
 }
 
 // Figures that hold where neither settings nor operators tell one.
@@ -70,15 +70,15 @@
 	neverRefuse = 16  // times the usual load beyond which nobody asks when refusing begins
 )
 
-// From takes the topology from a director's settings and the list of servers that it knows. Draining and gone
+// NewTopology takes the topology from a director's settings and the list of servers that it knows. Draining and gone
 // servers carry nothing.
-func From(s *routing.Settings, members []routing.Endpoint, w Wishes) (*Topology, error) {
+func NewTopology(s *routing.Settings, members []routing.Endpoint, w Overrides) (*Topology, error) {
 	f, g := &s.Tiers, &s.Guarantees
-	t := &Topology{Bypass: f.BypassAllowed, Load: cmp.Or(w.UsualLoad, usualLoad),
-		Hits: cmp.Or(w.Hits, usualHits), ParentHits: cmp.Or(w.ParentHits, parentHits), Origin: w.Origin,
-		FarPrice: f.TransitCost,
-		Cold:     g.SlowStartDuration, ColdFrom: g.SlowStartFraction, ColdTimes: g.OverloadMultiple,
-		ParentCold: f.ParentSlowStartDuration, ParentFrom: f.ParentSlowStartFraction, ParentTops: f.ParentOverloadMultiple}
+	t := &Topology{BypassAllowed: f.BypassAllowed, UsualLoad: cmp.Or(w.UsualLoad, usualLoad),
+		CacheHitRatio: cmp.Or(w.CacheHitRatio, usualHits), ParentHitRatio: cmp.Or(w.ParentHitRatio, parentHits), OriginCapacity: w.OriginCapacity,
+		TransitCost:            f.TransitCost,
+		CacheSlowStartDuration: g.SlowStartDuration, CacheSlowStartFraction: g.SlowStartFraction, CacheOverloadMultiple: g.OverloadMultiple,
+		ParentSlowStartDuration: f.ParentSlowStartDuration, ParentSlowStartFraction: f.ParentSlowStartFraction, ParentOverloadMultiple: f.ParentOverloadMultiple}
 	carries, hubs, seen := make([]float64, len(s.Zones)), make([]bool, len(s.Zones)), make([]bool, len(s.Zones))
 	for _, m := range members {
 		if m.Zone < 0 || m.Zone >= len(s.Zones) || m.Kind == f.OriginKind {
@@ -92,11 +92,11 @@
 	}
 	place := make([]int, len(s.Zones)) // of a zone among the sites
 	for z, name := range s.Zones {
-		site := Site{Name: name, Carries: carries[z], Home: -1, Ring: -1}
+		site := Site{Name: name, Capacity: carries[z], HomeHub: -1, RingPosition: -1}
 		seats := z < len(f.DirectorsByZone) && f.DirectorsByZone[z] > 0
 		site.Hub = hubs[z] || (!seats && !seen[z])
 		if !site.Hub && z < len(f.InboundLinkKBPerSecond) && f.TransferKBPerSecond > 0 {
-			site.LinkIn = f.InboundLinkKBPerSecond[z] / f.TransferKBPerSecond
+			site.IngressCapacity = f.InboundLinkKBPerSecond[z] / f.TransferKBPerSecond
 		}
 		place[z] = len(t.Sites)
 		t.Sites = append(t.Sites, site)
@@ -109,26 +109,26 @@
 		hub, site := f.HubByZone[z], &t.Sites[place[z]]
 		switch {
 		case site.Hub:
-			site.Ring = z
+			site.RingPosition = z
 		case hub >= 0 && hub < len(place) && t.Sites[place[hub]].Hub:
-			site.Home = place[hub]
+			site.HomeHub = place[hub]
 		}
 	}
 	for i, c := range s.Classes {
-		k := Class{Name: c.Name, Share: 1 / float64(len(s.Classes)), Work: usualWork, Worth: c.PriorityWeight,
-			Once: c.Idempotency == "non_idempotent"}
-		k.PassOn = i < len(f.Uncacheable) && f.Uncacheable[i]
-		if ms := w.WorkMS[c.Name]; ms > 0 {
-			k.Work = time.Duration(ms * float64(time.Millisecond))
+		k := Class{Name: c.Name, LoadShare: 1 / float64(len(s.Classes)), ServiceTime: usualWork, PriorityWeight: c.PriorityWeight,
+			NonIdempotent: c.Idempotency == "non_idempotent"}
+		k.Uncacheable = i < len(f.Uncacheable) && f.Uncacheable[i]
+		if ms := w.ServiceTimeMS[c.Name]; ms > 0 {
+			k.ServiceTime = time.Duration(ms * float64(time.Millisecond))
 		}
-		if len(w.Shares) > 0 {
-			k.Share = w.Shares[c.Name]
+		if len(w.ClassShares) > 0 {
+			k.LoadShare = w.ClassShares[c.Name]
 		}
 		t.Classes = append(t.Classes, k)
 	}
-	for name, carries := range w.Carries {
+	for name, carries := range w.SiteCapacities {
 		if i := t.site(name); i >= 0 {
-			t.Sites[i].Carries = carries
+			t.Sites[i].Capacity = carries
 		}
 	}
 	for _, m := range []struct {
@@ -136,20 +136,20 @@
 		by    map[string]float64
 		place func(string) int
 		kind  string
-	}{{"plan.carries", w.Carries, t.site, "site"}, {"plan.shares", w.Shares, t.class, "class"},
-		{"plan.work_ms", w.WorkMS, t.class, "class"}} {
+	}{{"plan.carries", w.SiteCapacities, t.site, "site"}, {"plan.shares", w.ClassShares, t.class, "class"},
+		{"plan.work_ms", w.ServiceTimeMS, t.class, "class"}} {
 		for _, name := range slices.Sorted(maps.Keys(m.by)) {
 			if m.place(name) < 0 {
 				return nil, wrong(m.key+"."+name, "the settings have no such %s", m.kind)
 			}
 		}
 	}
-	if t.Origin == 0 {
-		t.Origin = originRoom * t.passedOn()
+	if t.OriginCapacity == 0 {
+		t.OriginCapacity = originRoom * t.passedOn()
 		for b, s := range t.Sites {
 			for c := range t.Classes {
 				if !s.Hub {
-					t.Origin += originRoom * t.fills(b, c, false) * (1 - t.ParentHits)
+					t.OriginCapacity += originRoom * t.fills(b, c, false) * (1 - t.ParentHitRatio)
 				}
 			}
 		}
@@ -169,20 +169,20 @@
 func (t *Topology) check() error {
 	sum := 0.0
 	for _, c := range t.Classes {
-		if !(c.Share >= 0 && c.Share <= 1) {
-			return wrong("plan.shares."+c.Name, "%v of the work", c.Share)
+		if !(c.LoadShare >= 0 && c.LoadShare <= 1) {
+			return wrong("plan.shares."+c.Name, "%v of the work", c.LoadShare)
 		}
-		if c.Work <= 0 || !(c.Worth >= 0) {
-			return fmt.Errorf("class %s: work %v, worth %v", c.Name, c.Work, c.Worth)
+		if c.ServiceTime <= 0 || !(c.PriorityWeight >= 0) {
+			return fmt.Errorf("class %s: work %v, worth %v", c.Name, c.ServiceTime, c.PriorityWeight)
 		}
-		sum += c.Share
+		sum += c.LoadShare
 	}
 	if math.Abs(sum-1) > 0.01 {
 		return wrong("plan.shares", "the classes' shares make %.3f, not 1", sum)
 	}
 	for _, s := range t.Sites {
-		if !(s.Carries >= 0) || !(s.LinkIn >= 0) {
-			return fmt.Errorf("site %s: carries %v, link in %v", s.Name, s.Carries, s.LinkIn)
+		if !(s.Capacity >= 0) || !(s.IngressCapacity >= 0) {
+			return fmt.Errorf("site %s: carries %v, link in %v", s.Name, s.Capacity, s.IngressCapacity)
 		}
 	}
 	return nil
@@ -196,7 +196,7 @@
 			n++
 		}
 	}
-	d := t.Sites[a].Ring - t.Sites[b].Ring
+	d := t.Sites[a].RingPosition - t.Sites[b].RingPosition
 	if d < 0 {
 		d = -d
 	}
@@ -205,30 +205,30 @@
 
 // asked is the work that a branch is asked for at the usual load, in transfers. Traffic goes with the capacity that
 // the branch was built with: the clients of a lost branch are still there.
-func (t *Topology) asked(branch int) float64 { return t.Load * t.Sites[branch].Carries }
+func (t *Topology) asked(branch int) float64 { return t.UsualLoad * t.Sites[branch].Capacity }
 
 // fills is the part of a class's work at a branch that comes from hubs: what its caches lack, and all of it where
 // there are none and parents may be asked in their place.
 func (t *Topology) fills(branch, class int, lost bool) float64 {
 	c := t.Classes[class]
-	asked := t.asked(branch) * c.Share
+	asked := t.asked(branch) * c.LoadShare
 	switch {
-	case c.PassOn:
+	case c.Uncacheable:
 		return 0
-	case lost && !t.Bypass:
+	case lost && !t.BypassAllowed:
 		return 0
 	case lost:
 		return asked
 	}
-	return asked * (1 - t.Hits)
+	return asked * (1 - t.CacheHitRatio)
 }
 
 // passedOn is the work of all branches that runs at the origin alone.
 func (t *Topology) passedOn() (sum float64) {
 	for b, s := range t.Sites {
 		for _, c := range t.Classes {
-			if !s.Hub && c.PassOn {
-				sum += t.asked(b) * c.Share
+			if !s.Hub && c.Uncacheable {
+				sum += t.asked(b) * c.LoadShare
 			}
 		}
 	}
--- a/internal/failover/wishes.go
+++ b/internal/failover/wishes.go
@@ -7,22 +7,22 @@
 	"strings"
 )
 
-// Wishes are the table plan of the operators' file: what the settings don't tell, and what an operator wants otherwise
+// Overrides are the table plan of the operators' file: what the settings don't tell, and what an operator wants otherwise
 // than it would be worked out. Its zero wishes nothing.
-type Wishes struct {
-	UsualLoad  float64            `toml:"usual_load"`  // part of what a branch's caches carry
-	Hits       float64            `toml:"hits"`        // part of the work that caches hold
-	ParentHits float64            `toml:"parent_hits"` // part of the fills that parents hold
-	Origin     float64            `toml:"origin"`      // transfers that the origin can give at once; 0: half more than usual
-	Carries    map[string]float64 `toml:"carries"`     // transfers by site, in place of its servers' weights
-	Shares     map[string]float64 `toml:"shares"`      // of the work by class; none: all the same
-	WorkMS     map[string]float64 `toml:"work_ms"`     // sending time of a mean object by class
-	Order      []string           `toml:"order"`       // classes as they are refused, first to last; none: by worth
-	MovePerS   float64            `toml:"move_per_s"`  // part of a site's traffic that moves in a second at most
-	StayMS     float64            `toml:"stay_ms"`     // least stay in a state
-	Follow     bool               `toml:"follow"`      // directors follow the plan
-	Pins       []Pin              `toml:"pin"`
-	Forbids    []Forbid           `toml:"forbid"`
+type Overrides struct {
+	UsualLoad      float64            `toml:"usual_load"`  // part of what a branch's caches carry
+	CacheHitRatio  float64            `toml:"hits"`        // part of the work that caches hold
+	ParentHitRatio float64            `toml:"parent_hits"` // part of the fills that parents hold
+	OriginCapacity float64            `toml:"origin"`      // transfers that the origin can give at once; 0: half more than usual
+	SiteCapacities map[string]float64 `toml:"carries"`     // transfers by site, in place of its servers' weights
+	ClassShares    map[string]float64 `toml:"shares"`      // of the work by class; none: all the same
+	ServiceTimeMS  map[string]float64 `toml:"work_ms"`     // sending time of a mean object by class
+	RejectionOrder []string           `toml:"order"`       // classes as they are refused, first to last; none: by worth
+	ShiftRatePerS  float64            `toml:"move_per_s"`  // part of a site's traffic that moves in a second at most
+	MinLostMS      float64            `toml:"stay_ms"`     // least stay in a state
+	LimitFills     bool               `toml:"follow"`      // directors follow the plan
+	Pins           []Pin              `toml:"pin"`
+	Forbids        []Forbid           `toml:"forbid"`
 }
 
 // Pin has a hub take a set share of a branch's fills while a site is lost.
@@ -39,20 +39,20 @@
 	To   string `toml:"to"`
 }
 
-// WishError names the key of the operators' file that can't hold, and why.
-type WishError struct{ Key, Why string }
+// OverrideError names the key of the operators' file that can't hold, and why.
+type OverrideError struct{ Key, Reason string }
 
-func (e *WishError) Error() string { return e.Key + ": " + e.Why }
+func (e *OverrideError) Error() string { return e.Key + ": " + e.Reason }
 
-func wrong(key, format string, a ...any) error { return &WishError{key, fmt.Sprintf(format, a...)} }
+func wrong(key, format string, a ...any) error { return &OverrideError{key, fmt.Sprintf(format, a...)} }
 
-// CheckRanges names the first key whose value can't be used by any installation.
-func (w *Wishes) CheckRanges() error {
+// ValidateRanges names the first key whose value can't be used by any installation.
+func (w *Overrides) ValidateRanges() error {
 	for _, r := range []struct {
 		key              string
 		value, low, high float64
-	}{{"plan.usual_load", w.UsualLoad, 0, 4}, {"plan.hits", w.Hits, 0, 1}, {"plan.parent_hits", w.ParentHits, 0, 1},
-		{"plan.origin", w.Origin, 0, 1e9}, {"plan.move_per_s", w.MovePerS, 0, 1}, {"plan.stay_ms", w.StayMS, 0, 600_000}} {
+	}{{"plan.usual_load", w.UsualLoad, 0, 4}, {"plan.hits", w.CacheHitRatio, 0, 1}, {"plan.parent_hits", w.ParentHitRatio, 0, 1},
+		{"plan.origin", w.OriginCapacity, 0, 1e9}, {"plan.move_per_s", w.ShiftRatePerS, 0, 1}, {"plan.stay_ms", w.MinLostMS, 0, 600_000}} {
 		if !(r.value >= r.low && r.value <= r.high) {
 			return wrong(r.key, "%v is not within %v and %v", r.value, r.low, r.high)
 		}
@@ -61,7 +61,7 @@
 		key  string
 		by   map[string]float64
 		most float64
-	}{{"plan.carries", w.Carries, 1e9}, {"plan.shares", w.Shares, 1}, {"plan.work_ms", w.WorkMS, 600_000}} {
+	}{{"plan.carries", w.SiteCapacities, 1e9}, {"plan.shares", w.ClassShares, 1}, {"plan.work_ms", w.ServiceTimeMS, 600_000}} {
 		for _, name := range slices.Sorted(maps.Keys(m.by)) {
 			if v := m.by[name]; !(v >= 0 && v <= m.most) {
 				return wrong(m.key+"."+name, "%v is not within 0 and %v", v, m.most)
@@ -84,8 +84,8 @@
 
 // check holds the wishes against a topology: sites and classes that it does not have, a pin to a site that is lost
 // itself, sites that would have to take each other's load, and pins that can't hold at the usual load.
-func (w *Wishes) check(t *Topology) error {
-	if err := w.CheckRanges(); err != nil {
+func (w *Overrides) check(t *Topology) error {
+	if err := w.ValidateRanges(); err != nil {
 		return err
 	}
 	hub := func(key, name string) error {
@@ -115,7 +115,7 @@
 		if p.To == p.Lost {
 			return wrong(key+"to", "%s can't take what it has lost itself", p.To)
 		}
-		if p.From == p.Lost && !t.Bypass {
+		if p.From == p.Lost && !t.BypassAllowed {
 			return wrong(key+"from", "%s is lost, and parents take no clients' requests here: it has no fills", p.From)
 		}
 		for j, f := range w.Forbids {
@@ -133,11 +133,11 @@
 			return err
 		}
 	}
-	for i, name := range w.Order {
+	for i, name := range w.RejectionOrder {
 		switch c := t.class(name); {
 		case c < 0:
 			return wrong("plan.order", "%q is no class", name)
-		case slices.Contains(w.Order[:i], name):
+		case slices.Contains(w.RejectionOrder[:i], name):
 			return wrong("plan.order", "%s is named twice", name)
 		}
 	}
@@ -145,7 +145,7 @@
 }
 
 // loops finds hubs that are pinned to take all of each other's load: with both lost the pins would send it round.
-func (w *Wishes) loops(t *Topology) error {
+func (w *Overrides) loops(t *Topology) error {
 	takes := map[string]map[string]int{} // lost to taker, and by which pin, for what is pinned whole
 	for i, p := range w.Pins {
 		if p.Share > 1-whole {
--- a/internal/flightrecorder/flight.go
+++ b/internal/flightrecorder/flight.go
@@ -13,14 +13,14 @@
 
 // The kinds of events.
 const (
-	ConnOpened     Kind = iota // a client's connection was accepted
-	ConnEnding                 // its end was begun by us, for a reason
-	ConnClosed                 // nothing reaches the client any more
-	RequestTaken               // a request was read and is owed an answer
-	RequestRefused             // refused before the decisions were asked, for a reason
-	RequestEnded               // answered, or withdrawn
-	AttemptSent                // an attempt was given to a peer
-	AttemptEnded               // and has ended, for a reason
+	ConnOpened      Kind = iota // a client's connection was accepted
+	ConnClosing                 // its end was begun by us, for a reason
+	ConnClosed                  // nothing reaches the client any more
+	RequestAccepted             // a request was read and is owed an answer
+	RequestRejected             // refused before the decisions were asked, for a reason
+	RequestEnded                // answered, or withdrawn
+	AttemptSent                 // an attempt was given to a peer
+	AttemptEnded                // and has ended, for a reason
 )
 
 var kindNames = [...]string{"conn_opened", "conn_ending", "conn_closed", "request_taken", "request_refused", "request_ended",
@@ -93,8 +93,8 @@
 	r.next = (r.next + 1) % len(r.ring)
 }
 
-// Recorded is the number of events ever recorded.
-func (r *Recorder) Recorded() uint64 {
+// Total is the number of events ever recorded.
+func (r *Recorder) Total() uint64 {
 	if r == nil {
 		return 0
 	}
--- a/internal/flightrecorder/flight_test.go
+++ b/internal/flightrecorder/flight_test.go
@@ -19,7 +19,7 @@
 	}
 	var none *Recorder
 	none.Record(Event{})
-	if none.Latest(1) != nil || none.Recorded() != 0 {
+	if none.Latest(1) != nil || none.Total() != 0 {
 		t.Error("the nil recorder keeps events")
 	}
 }
--- a/internal/lifecycle/lifecycle.go
+++ b/internal/lifecycle/lifecycle.go
@@ -39,43 +39,43 @@
 
 // The causes of changes.
 const (
-	ListReached    Cause = "the list of servers was reached, or waited for long enough"
-	DrainAsked     Cause = "operators asked for a drain"
-	DrainTakenBack Cause = "operators took the drain back"
-	StopAsked      Cause = "a stop was asked for"
-	TimePassed     Cause = "time passed"
-	NothingHeld    Cause = "nothing is held any more"
-	ClientsCame    Cause = "clients came in spite of the drain"
+	CauseDiscoveryReady  Cause = "the list of servers was reached, or waited for long enough"
+	CauseDrainRequested  Cause = "operators asked for a drain"
+	CauseDrainCancelled  Cause = "operators took the drain back"
+	CauseStopRequested   Cause = "a stop was asked for"
+	CauseTimeElapsed     Cause = "time passed"
+	CauseNothingInFlight Cause = "nothing is held any more"
+	CauseClientsArrived  Cause = "clients came in spite of the drain"
 )
 
-// Change is a change of state.
-type Change struct {
+// Transition is a change of state.
+type Transition struct {
 	From, To State
 	Cause    Cause
 	At       routing.Time
 }
 
-// Spans are the times of drains and stops, each counted from when it was asked for.
-type Spans struct {
-	// DrainNotice is the time that the front takes to hear of a drain: until then a client whose connection were ended
+// Timeouts are the times of drains and stops, each counted from when it was asked for.
+type Timeouts struct {
+	// DrainNoticePeriod is the time that the front takes to hear of a drain: until then a client whose connection were ended
 	// would come back.
-	DrainNotice routing.Time
-	// DrainWork is the time for which work is taken on connections that were open as the drain began.
-	DrainWork routing.Time
-	// DrainEnd is the time by which connections are to be ended on which clients go on sending, or read nothing.
-	DrainEnd routing.Time
-	// StopWork is the time for which work is taken on behind a stop.
-	StopWork routing.Time
-	// StopEnd is the time by which a stop is over, whatever is left.
-	StopEnd routing.Time
+	DrainNoticePeriod routing.Time
+	// DrainGracePeriod is the time for which work is taken on connections that were open as the drain began.
+	DrainGracePeriod routing.Time
+	// DrainDeadline is the time by which connections are to be ended on which clients go on sending, or read nothing.
+	DrainDeadline routing.Time
+	// StopGracePeriod is the time for which work is taken on behind a stop.
+	StopGracePeriod routing.Time
+	// StopDeadline is the time by which a stop is over, whatever is left.
+	StopDeadline routing.Time
 }
 
 // Machine is the state of one process. It is safe for concurrent use.
 type Machine struct {
-	// Changed, where set, is told of each change, in order. It must not call the Machine.
-	Changed func(Change)
+	// OnTransition, where set, is told of each change, in order. It must not call the Machine.
+	OnTransition func(Transition)
 
-	spans  Spans
+	spans  Timeouts
 	shared bool // other processes may accept on our listener, too
 
 	mu      sync.Mutex
@@ -85,7 +85,7 @@
 }
 
 // New returns a process that starts. Shared says that its listener was handed down, so that others may hold it.
-func New(spans Spans, shared bool) *Machine { return &Machine{spans: spans, shared: shared} }
+func New(spans Timeouts, shared bool) *Machine { return &Machine{spans: spans, shared: shared} }
 
 // State is the present state.
 func (m *Machine) State() State {
@@ -101,18 +101,18 @@
 		return
 	}
 	m.state = to
-	if m.Changed != nil {
-		m.Changed(Change{from, to, cause, now})
+	if m.OnTransition != nil {
+		m.OnTransition(Transition{from, to, cause, now})
 	}
 }
 
-// ReachList says that the list of servers was reached, or has been waited for long enough.
-func (m *Machine) ReachList(now routing.Time) {
+// DiscoveryReady says that the list of servers was reached, or has been waited for long enough.
+func (m *Machine) DiscoveryReady(now routing.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.reached = true
 	if m.state == Starting {
-		m.move(Ready, ListReached, now)
+		m.move(Ready, CauseDiscoveryReady, now)
 	}
 }
 
@@ -122,12 +122,12 @@
 	defer m.mu.Unlock()
 	if m.state <= Ready {
 		m.since = now
-		m.move(Draining, DrainAsked, now)
+		m.move(Draining, CauseDrainRequested, now)
 	}
 }
 
-// TakeBack ends a drain; false: the process is stopping.
-func (m *Machine) TakeBack(now routing.Time) bool {
+// CancelDrain ends a drain; false: the process is stopping.
+func (m *Machine) CancelDrain(now routing.Time) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	switch {
@@ -135,9 +135,9 @@
 		return false
 	case m.state <= Ready:
 	case m.reached:
-		m.move(Ready, DrainTakenBack, now)
+		m.move(Ready, CauseDrainCancelled, now)
 	default:
-		m.move(Starting, DrainTakenBack, now)
+		m.move(Starting, CauseDrainCancelled, now)
 	}
 	return true
 }
@@ -150,40 +150,40 @@
 		return false
 	}
 	m.since = now
-	m.move(Stopping, StopAsked, now)
+	m.move(Stopping, CauseStopRequested, now)
 	return true
 }
 
-// Pass lets time pass. Held is what the process still holds for clients: requests and connections.
-func (m *Machine) Pass(now routing.Time, held int) State {
+// Advance lets time pass. Held is what the process still holds for clients: requests and connections.
+func (m *Machine) Advance(now routing.Time, held int) State {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	switch past := now - m.since; {
-	case m.state == Draining && held == 0 && past >= m.spans.DrainNotice:
-		m.move(Drained, NothingHeld, now)
+	case m.state == Draining && held == 0 && past >= m.spans.DrainNoticePeriod:
+		m.move(Drained, CauseNothingInFlight, now)
 	case m.state == Drained && held > 0:
-		m.move(Draining, ClientsCame, now)
-	case m.state == Stopping && past >= m.spans.StopWork:
-		m.move(Closing, TimePassed, now)
-	case m.state == Closing && past >= m.spans.StopEnd:
-		m.move(Ended, TimePassed, now)
-	case m.state == Closing && held == 0 && past > m.spans.StopWork: // what has come until then was read
-		m.move(Ended, NothingHeld, now)
+		m.move(Draining, CauseClientsArrived, now)
+	case m.state == Stopping && past >= m.spans.StopGracePeriod:
+		m.move(Closing, CauseTimeElapsed, now)
+	case m.state == Closing && past >= m.spans.StopDeadline:
+		m.move(Ended, CauseTimeElapsed, now)
+	case m.state == Closing && held == 0 && past > m.spans.StopGracePeriod: // what has come until then was read
+		m.move(Ended, CauseNothingInFlight, now)
 	}
 	return m.state
 }
 
 // Policy is what a state allows at a time.
 type Policy struct {
-	Ready       bool // the front may send clients here
-	TakeWork    bool // requests are taken; else they are refused
-	KeepResting bool // connections on which nothing is owed are kept
-	Accept      bool // connections are accepted
-	Curtail     *Curtail
+	Ready               bool // the front may send clients here
+	AcceptRequests      bool // requests are taken; else they are refused
+	KeepIdleConnections bool // connections on which nothing is owed are kept
+	AcceptConnections   bool // connections are accepted
+	ShortenDeadline     *DeadlineLimit
 }
 
-// Curtail says that requests on connections on which a message has come since a time are to be answered by another.
-type Curtail struct{ Since, By routing.Time }
+// DeadlineLimit says that requests on connections on which a message has come since a time are to be answered by another.
+type DeadlineLimit struct{ ActiveSince, Deadline routing.Time }
 
 // Policy is what the present state allows.
 func (m *Machine) Policy(now routing.Time) Policy {
@@ -192,20 +192,20 @@
 	past := now - m.since
 	switch m.state {
 	case Starting: // a listener that others hold, too, is left to them until we are ready
-		return Policy{TakeWork: true, KeepResting: true, Accept: !m.shared}
+		return Policy{AcceptRequests: true, KeepIdleConnections: true, AcceptConnections: !m.shared}
 	case Ready:
-		return Policy{Ready: true, TakeWork: true, KeepResting: true, Accept: true}
+		return Policy{Ready: true, AcceptRequests: true, KeepIdleConnections: true, AcceptConnections: true}
 	case Draining, Drained:
-		notice := past < m.spans.DrainNotice
-		p := Policy{TakeWork: past < m.spans.DrainWork, KeepResting: notice, Accept: !m.shared || notice && m.reached}
-		if !p.TakeWork {
-			p.Curtail = &Curtail{m.since + m.spans.DrainWork, m.since + m.spans.DrainEnd}
+		notice := past < m.spans.DrainNoticePeriod
+		p := Policy{AcceptRequests: past < m.spans.DrainGracePeriod, KeepIdleConnections: notice, AcceptConnections: !m.shared || notice && m.reached}
+		if !p.AcceptRequests {
+			p.ShortenDeadline = &DeadlineLimit{m.since + m.spans.DrainGracePeriod, m.since + m.spans.DrainDeadline}
 		}
 		return p
 	case Stopping: // on a shared listener another process takes who comes, and who rests is sent there
-		return Policy{TakeWork: true, KeepResting: !m.shared, Accept: !m.shared}
+		return Policy{AcceptRequests: true, KeepIdleConnections: !m.shared, AcceptConnections: !m.shared}
 	case Closing:
-		return Policy{Accept: !m.shared}
+		return Policy{AcceptConnections: !m.shared}
 	}
 	return Policy{}
 }
--- a/internal/lifecycle/lifecycle_test.go
+++ b/internal/lifecycle/lifecycle_test.go
@@ -8,8 +8,8 @@
 	"shaleyard/routing"
 )
 
-var spans = Spans{DrainNotice: 500 * time.Millisecond, DrainWork: 1500 * time.Millisecond, DrainEnd: 3200 * time.Millisecond,
-	StopWork: 700 * time.Millisecond, StopEnd: 3650 * time.Millisecond}
+var spans = Timeouts{DrainNoticePeriod: 500 * time.Millisecond, DrainGracePeriod: 1500 * time.Millisecond, DrainDeadline: 3200 * time.Millisecond,
+	StopGracePeriod: 700 * time.Millisecond, StopDeadline: 3650 * time.Millisecond}
 
 // event is one thing that can happen to a process.
 type event struct {
@@ -19,15 +19,15 @@
 
 // held says how much the process holds while time passes.
 func passes(held int) func(m *Machine, now routing.Time) {
-	return func(m *Machine, now routing.Time) { m.Pass(now, held) }
+	return func(m *Machine, now routing.Time) { m.Advance(now, held) }
 }
 
 // Every order of events, up to six of them with any of three times between, keeps what must hold in each state.
 func TestEveryOrderOfEvents(t *testing.T) {
 	events := []event{
-		{"list reached", (*Machine).ReachList},
+		{"list reached", (*Machine).DiscoveryReady},
 		{"drain", (*Machine).Drain},
-		{"taken back", func(m *Machine, now routing.Time) { m.TakeBack(now) }},
+		{"taken back", func(m *Machine, now routing.Time) { m.CancelDrain(now) }},
 		{"stop", func(m *Machine, now routing.Time) { m.Stop(now) }},
 		{"time passes, busy", passes(1)},
 		{"time passes, empty", passes(0)},
@@ -78,7 +78,7 @@
 	m, w := New(spans, shared), model{}
 	last, now := Starting, routing.Time(0)
 	var story string
-	m.Changed = func(c Change) {
+	m.OnTransition = func(c Transition) {
 		if c.From != last || c.To == c.From || (c.From >= Stopping && c.To < c.From) {
 			t.Fatalf("%s: %v to %v behind %v", story, c.From, c.To, last)
 		}
@@ -100,21 +100,21 @@
 	switch {
 	case p.Ready != (w.reached && !w.drained && !w.stopped):
 		t.Fatalf("%s: ready %v in state %v", story, p.Ready, state)
-	case p.Ready && !(p.TakeWork && p.KeepResting && p.Accept):
+	case p.Ready && !(p.AcceptRequests && p.KeepIdleConnections && p.AcceptConnections):
 		t.Fatalf("%s: ready, but %+v", story, p)
 	case w.stopped != (state >= Stopping):
 		t.Fatalf("%s: state %v", story, state)
-	case w.drained && !w.stopped && past >= spans.DrainNotice && p.KeepResting:
+	case w.drained && !w.stopped && past >= spans.DrainNoticePeriod && p.KeepIdleConnections:
 		t.Fatalf("%s: resting clients are kept", story)
-	case w.drained && !w.stopped && past >= spans.DrainWork && p.TakeWork:
+	case w.drained && !w.stopped && past >= spans.DrainGracePeriod && p.AcceptRequests:
 		t.Fatalf("%s: work is taken", story)
-	case !shared && state != Ended && !p.Accept:
+	case !shared && state != Ended && !p.AcceptConnections:
 		t.Fatalf("%s: nobody accepts on a listener that is ours alone", story)
-	case shared && !w.reached && p.Accept:
+	case shared && !w.reached && p.AcceptConnections:
 		t.Fatalf("%s: accepts on a shared listener without the list of servers", story)
-	case shared && w.stopped && p.Accept:
+	case shared && w.stopped && p.AcceptConnections:
 		t.Fatalf("%s: what comes on a shared listener is taken from who stays", story)
-	case state == Ended && past < spans.StopWork:
+	case state == Ended && past < spans.StopGracePeriod:
 		t.Fatalf("%s: ended while work may come", story)
 	}
 }
@@ -125,10 +125,10 @@
 		m := New(spans, false)
 		m.Stop(0)
 		var at routing.Time
-		for m.Pass(at, held) != Ended {
+		for m.Advance(at, held) != Ended {
 			at += 5 * time.Millisecond
 		}
-		want := map[int]routing.Time{0: spans.StopWork + 5*time.Millisecond, 1: spans.StopEnd}[held]
+		want := map[int]routing.Time{0: spans.StopGracePeriod + 5*time.Millisecond, 1: spans.StopDeadline}[held]
 		if at != want {
 			t.Errorf("%d held: ended at %v, want %v", held, at, want)
 		}
--- a/internal/listener/listen.go
+++ b/internal/listener/listen.go
@@ -22,8 +22,8 @@
 
 // Listener is a listening socket. Accept fails only once it is closed; Pause and Resume may be called from any goroutine.
 type Listener struct {
-	// Failed, where set, is told of each accept that failed and is tried again. It is set before the first Accept.
-	Failed func(error)
+	// AcceptFailed, where set, is told of each accept that failed and is tried again. It is set before the first Accept.
+	AcceptFailed func(error)
 
 	accepting acceptor
 	mu        sync.Mutex
@@ -94,8 +94,8 @@
 		case errors.Is(err, os.ErrDeadlineExceeded): // paused
 			continue
 		}
-		if l.Failed != nil {
-			l.Failed(err)
+		if l.AcceptFailed != nil {
+			l.AcceptFailed(err)
 		}
 		time.Sleep(backoff)
 		backoff = min(2*backoff, longestBackoff)
--- a/internal/listener/listen_test.go
+++ b/internal/listener/listen_test.go
@@ -34,7 +34,7 @@
 		syscall.EOPNOTSUPP, syscall.ENETUNREACH, syscall.EINTR, syscall.ETIMEDOUT, syscall.ENOSR, syscall.ESOCKTNOSUPPORT, syscall.EINVAL} {
 		told := 0
 		l := wrap(&failing{errors: []error{errno, errno}})
-		l.Failed = func(err error) {
+		l.AcceptFailed = func(err error) {
 			if told++; !errors.Is(err, errno) {
 				t.Errorf("%v was told as %v", errno, err)
 			}
--- a/internal/nettest/nettest.go
+++ b/internal/nettest/nettest.go
@@ -89,16 +89,16 @@
 	return err == nil
 }
 
-// TryReply reads the next message; false: the other side has ended the connection.
-func (c *Conn) TryReply() (Reply, bool) {
+// TryReadReply reads the next message; false: the other side has ended the connection.
+func (c *Conn) TryReadReply() (Reply, bool) {
 	if _, err := c.r.Peek(1); err != nil {
 		return Reply{}, false
 	}
-	return c.Reply(), true
+	return c.ReadReply(), true
 }
 
-// Narrow bounds what the system takes in for the test before the test reads it.
-func (c *Conn) Narrow(bytes int) { c.c.(*net.TCPConn).SetReadBuffer(bytes) }
+// SetReadBuffer bounds what the system takes in for the test before the test reads it.
+func (c *Conn) SetReadBuffer(bytes int) { c.c.(*net.TCPConn).SetReadBuffer(bytes) }
 
 // Reset closes the connection so that the other side sees a reset.
 func (c *Conn) Reset() {
@@ -106,8 +106,8 @@
 	c.c.Close()
 }
 
-// Ended waits for the other side to close the connection and tells what came before that.
-func (c *Conn) Ended() string {
+// ReadUntilClose waits for the other side to close the connection and tells what came before that.
+func (c *Conn) ReadUntilClose() string {
 	c.t.Helper()
 	b, err := io.ReadAll(c.r)
 	if e, ok := err.(net.Error); ok && e.Timeout() {
@@ -116,9 +116,9 @@
 	return string(b)
 }
 
-// EOF waits for the other side to close its half in good order, and tells what came before that: a reset, which may
+// ReadUntilEOF waits for the other side to close its half in good order, and tells what came before that: a reset, which may
 // have taken an answer with it, ends the test.
-func (c *Conn) EOF() string {
+func (c *Conn) ReadUntilEOF() string {
 	c.t.Helper()
 	b, err := io.ReadAll(c.r)
 	if err != nil {
@@ -130,8 +130,8 @@
 // Close closes the connection.
 func (c *Conn) Close() { c.c.Close() }
 
-// Line reads a line, without its end.
-func (c *Conn) Line() string {
+// ReadLine reads a line, without its end.
+func (c *Conn) ReadLine() string {
 	c.t.Helper()
 	s, err := c.r.ReadString('\n')
 	if err != nil {
@@ -140,16 +140,16 @@
 	return strings.TrimRight(s, "\r\n")
 }
 
-// Command reads a RESP array of bulk strings.
-func (c *Conn) Command() []string {
+// ReadCommand reads a RESP array of bulk strings.
+func (c *Conn) ReadCommand() []string {
 	c.t.Helper()
-	n, err := strconv.Atoi(strings.TrimPrefix(c.Line(), "*"))
+	n, err := strconv.Atoi(strings.TrimPrefix(c.ReadLine(), "*"))
 	if err != nil {
 		c.t.Fatalf("array: %v", err)
 	}
 	words := make([]string, n)
 	for i := range words {
-		size, err := strconv.Atoi(strings.TrimPrefix(c.Line(), "$"))
+		size, err := strconv.Atoi(strings.TrimPrefix(c.ReadLine(), "$"))
 		if err != nil {
 			c.t.Fatalf("bulk string: %v", err)
 		}
@@ -158,8 +158,8 @@
 	return words
 }
 
-// Answer writes a RESP array of bulk strings.
-func (c *Conn) Answer(words ...string) {
+// WriteArray writes a RESP array of bulk strings.
+func (c *Conn) WriteArray(words ...string) {
 	c.t.Helper()
 	var b strings.Builder
 	fmt.Fprintf(&b, "*%d\r\n", len(words))
@@ -215,7 +215,7 @@
 func (c *Conn) Heartbeat(seq int32) Reply {
 	c.t.Helper()
 	c.Send(Frame(1, "heartbeat", seq, []byte{2, 0, 1, 0}))
-	return c.Reply()
+	return c.ReadReply()
 }
 
 // Reply is a message of the program. Field is that of the result struct: 0 an Answer, 1 refused, 2 failed;
@@ -229,8 +229,8 @@
 	Good        bool
 }
 
-// Reply reads the next message.
-func (c *Conn) Reply() (r Reply) {
+// ReadReply reads the next message.
+func (c *Conn) ReadReply() (r Reply) {
 	c.t.Helper()
 	p := c.bytes(int(binary.BigEndian.Uint32(c.bytes(4))))
 	take := func(n int) []byte {
@@ -277,38 +277,38 @@
 	return r
 }
 
-// Link is a connection for tests without a socket: it keeps what is written.
-type Link struct {
-	Text   strings.Builder
-	Unread int // what OutboundBuffered tells
-	OnWay  int // what Unacknowledged tells
-	Half   bool
-	Closed bool
+// FakeConn is a connection for tests without a socket: it keeps what is written.
+type FakeConn struct {
+	Written     strings.Builder
+	Buffered    int // what OutboundBuffered tells
+	Unacked     int // what Unacknowledged tells
+	WriteClosed bool
+	Closed      bool
 }
 
 // Writev keeps the pieces.
-func (l *Link) Writev(pieces [][]byte) (n int, err error) {
+func (l *FakeConn) Writev(pieces [][]byte) (n int, err error) {
 	for _, p := range pieces {
-		l.Text.Write(p)
+		l.Written.Write(p)
 		n += len(p)
 	}
 	return n, nil
 }
 
 // OutboundBuffered is Unread.
-func (l *Link) OutboundBuffered() int { return l.Unread }
+func (l *FakeConn) OutboundBuffered() int { return l.Buffered }
 
 // Unacknowledged is OnWay.
-func (l *Link) Unacknowledged() int { return l.OnWay }
+func (l *FakeConn) Unacknowledged() int { return l.Unacked }
 
 // CloseWrite notes that it was called.
-func (l *Link) CloseWrite() error {
-	l.Half = true
+func (l *FakeConn) CloseWrite() error {
+	l.WriteClosed = true
 	return nil
 }
 
 // Close notes that it was called.
-func (l *Link) Close() error {
+func (l *FakeConn) Close() error {
 	l.Closed = true
 	return nil
 }
--- a/internal/overload/admission.go
+++ b/internal/overload/admission.go
@@ -37,8 +37,8 @@
 // Restart begins anew: what was known is old.
 func (a *Admission) Restart(now Time) { a.window, a.since, a.open = admitFirst, now, false }
 
-// May tells whether a request may be taken beside so many in hand, and if not, for how long to stay away.
-func (a *Admission) May(now Time, inHand int) (wait time.Duration, ok bool) {
+// Admit tells whether a request may be taken beside so many in hand, and if not, for how long to stay away.
+func (a *Admission) Admit(now Time, inHand int) (wait time.Duration, ok bool) {
 	if a.since == 0 {
 		a.since = now
 	}
@@ -49,8 +49,8 @@
 	return a.took/2 + time.Duration(a.rng.Int64N(int64(a.took))), false
 }
 
-// Answered takes the end of a request that was let in: whether it was served, and how long that took.
-func (a *Admission) Answered(served bool, took time.Duration) {
+// RecordAnswer takes the end of a request that was let in: whether it was served, and how long that took.
+func (a *Admission) RecordAnswer(served bool, took time.Duration) {
 	switch {
 	case a.open:
 	case served:
--- a/internal/overload/admission_test.go
+++ b/internal/overload/admission_test.go
@@ -16,7 +16,7 @@
 	for range 4 { // rounds of answers, with more work waiting than is ever let in
 		waits := map[time.Duration]bool{}
 		for range 1000 {
-			wait, ok := a.May(now, inHand)
+			wait, ok := a.Admit(now, inHand)
 			if ok {
 				inHand++
 				continue
@@ -32,7 +32,7 @@
 		}
 		now += took
 		for ; inHand > 0; inHand-- {
-			a.Answered(true, took)
+			a.RecordAnswer(true, took)
 		}
 	}
 	if most[0] != admitFirst || most[1] != 2*admitFirst || most[2] != 4*admitFirst || most[3] != 1000 {
@@ -44,21 +44,21 @@
 func TestWorkThatFailsLetsInLess(t *testing.T) {
 	a := NewAdmission(1)
 	now := time.Minute
-	a.May(now, 0)
+	a.Admit(now, 0)
 	for range 100 {
-		a.Answered(false, time.Second)
+		a.RecordAnswer(false, time.Second)
 	}
 	if w := a.Window(); w != admitLeast {
 		t.Errorf("window %d, want %v", w, admitLeast)
 	}
-	if _, ok := a.May(now, int(admitLeast)); ok {
+	if _, ok := a.Admit(now, int(admitLeast)); ok {
 		t.Error("more let in than the window")
 	}
-	if _, ok := a.May(now+admitSpan, 1000); !ok {
+	if _, ok := a.Admit(now+admitSpan, 1000); !ok {
 		t.Error("still bound long after the start")
 	}
 	a.Restart(now + time.Hour)
-	if _, ok := a.May(now+time.Hour, int(admitFirst)); ok {
+	if _, ok := a.Admit(now+time.Hour, int(admitFirst)); ok {
 		t.Error("after a pause all is let in at once")
 	}
 }
@@ -71,11 +71,11 @@
 		for range rapid.IntRange(1, 200).Draw(t, "events") {
 			now += time.Duration(rapid.Int64Range(0, int64(100*time.Millisecond)).Draw(t, "gap"))
 			if rapid.Bool().Draw(t, "answer") {
-				a.Answered(rapid.Bool().Draw(t, "served"), time.Duration(rapid.Int64Range(0, int64(time.Minute)).Draw(t, "took")))
+				a.RecordAnswer(rapid.Bool().Draw(t, "served"), time.Duration(rapid.Int64Range(0, int64(time.Minute)).Draw(t, "took")))
 				continue
 			}
 			inHand := rapid.IntRange(0, 200).Draw(t, "in hand")
-			wait, ok := a.May(now, inHand)
+			wait, ok := a.Admit(now, inHand)
 			if !ok && (inHand < admitLeast || wait <= 0) {
 				t.Fatalf("%d in hand, told to wait %v", inHand, wait)
 			}
--- a/internal/overload/belief.go
+++ b/internal/overload/belief.go
@@ -4,26 +4,26 @@
 
 const beliefAge = 8 * time.Second // after which what was seen of a server says nothing of now
 
-// Seen is something that holds of a server or not, as it was seen last, and was seen lately. Its zero: it does not.
-type Seen struct {
+// RecentObservation is something that holds of a server or not, as it was seen last, and was seen lately. Its zero: it does not.
+type RecentObservation struct {
 	at Time
 	is bool
 }
 
-// Set takes what has been seen.
-func (s *Seen) Set(now Time, is bool) { s.at, s.is = now, is }
+// Record takes what has been seen.
+func (s *RecentObservation) Record(now Time, is bool) { s.at, s.is = now, is }
 
-// Is tells whether it holds, as far as is still known.
-func (s *Seen) Is(now Time) bool { return s.is && now-s.at <= beliefAge }
+// Holds tells whether it holds, as far as is still known.
+func (s *RecentObservation) Holds(now Time) bool { return s.is && now-s.at <= beliefAge }
 
-// Streak counts failures in a row. One that is long past is none: three that are minutes apart are no row.
-type Streak struct {
+// FailureStreak counts failures in a row. One that is long past is none: three that are minutes apart are no row.
+type FailureStreak struct {
 	n  int
 	at Time
 }
 
 // Add counts one more and tells how many that makes.
-func (s *Streak) Add(now Time) int {
+func (s *FailureStreak) Add(now Time) int {
 	if now-s.at > beliefAge {
 		s.n = 0
 	}
@@ -31,37 +31,37 @@
 	return s.n
 }
 
-// Bucket is a budget that refills at a rate: what has been spent flows off. The caller gives the rate each time, as
+// TokenBucket is a budget that refills at a rate: what has been spent flows off. The caller gives the rate each time, as
 // it changes; its zero is a budget of which nothing has been spent.
-type Bucket struct {
+type TokenBucket struct {
 	spent float64
 	at    Time
 }
 
 // Spent is what has not flowed off by now.
-func (b *Bucket) Spent(now Time, perSecond float64) float64 {
+func (b *TokenBucket) Spent(now Time, perSecond float64) float64 {
 	b.spent = max(0, b.spent-perSecond*(now-b.at).Seconds())
 	b.at = now
 	return b.spent
 }
 
 // Spend adds to what is spent; less than 0 gives back.
-func (b *Bucket) Spend(n float64) { b.spent = max(0, b.spent+n) }
+func (b *TokenBucket) Spend(n float64) { b.spent = max(0, b.spent+n) }
 
 const meanLearn = 1.0 / 32 // least weight of a sample in a running mean
 
 // Mean is a running mean. It begins with a guess, which counts as one sample: a director that has just started learns
 // from its first few answers what it deals with, and not from its first hundred.
 type Mean struct {
-	Is float64
-	n  float64 // samples so far, the guess among them
+	Value float64
+	n     float64 // samples so far, the guess among them
 }
 
-// Guess is a mean of which nothing has been seen.
-func Guess(x float64) Mean { return Mean{x, 1} }
+// NewMean is a mean of which nothing has been seen.
+func NewMean(x float64) Mean { return Mean{x, 1} }
 
-// Learn takes a sample.
-func (m *Mean) Learn(x float64) {
+// Observe takes a sample.
+func (m *Mean) Observe(x float64) {
 	m.n = min(m.n+1, 1/meanLearn)
-	m.Is += (x - m.Is) / m.n
+	m.Value += (x - m.Value) / m.n
 }
--- a/internal/overload/belief_test.go
+++ b/internal/overload/belief_test.go
@@ -9,20 +9,20 @@
 
 // What was seen long ago is not known any more, whatever it was.
 func TestBeliefsAge(t *testing.T) {
-	var s Seen
-	if s.Is(time.Minute) {
+	var s RecentObservation
+	if s.Holds(time.Minute) {
 		t.Error("nothing was seen, and it holds")
 	}
-	s.Set(time.Minute, true)
-	if !s.Is(time.Minute+beliefAge) || s.Is(time.Minute+beliefAge+1) {
+	s.Record(time.Minute, true)
+	if !s.Holds(time.Minute+beliefAge) || s.Holds(time.Minute+beliefAge+1) {
 		t.Errorf("want it to hold for %v", beliefAge)
 	}
-	s.Set(2*time.Minute, true)
-	s.Set(2*time.Minute, false)
-	if s.Is(2 * time.Minute) {
+	s.Record(2*time.Minute, true)
+	s.Record(2*time.Minute, false)
+	if s.Holds(2 * time.Minute) {
 		t.Error("the last that was seen counts")
 	}
-	var n Streak
+	var n FailureStreak
 	for i, tc := range []struct {
 		after time.Duration
 		want  int
@@ -40,7 +40,7 @@
 // A budget gives out over any span no more than its burst and what refilled, if it is asked before each spending.
 func TestBucketKeepsItsRate(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var b Bucket
+		var b TokenBucket
 		rate, burst := rapid.Float64Range(0, 10).Draw(t, "rate"), rapid.Float64Range(0.1, 10).Draw(t, "burst")
 		now, given := Time(0), 0.0
 		for range rapid.IntRange(1, 100).Draw(t, "events") {
@@ -59,18 +59,18 @@
 
 // A guess that is twenty times too high has gone after a few samples, and one odd sample of many moves a mean little.
 func TestMeanLearnsFromItsFirstSamples(t *testing.T) {
-	m := Guess(20)
+	m := NewMean(20)
 	for range 9 {
-		m.Learn(1)
+		m.Observe(1)
 	}
-	if m.Is > 3 {
-		t.Errorf("after 9 samples of 1: %v", m.Is)
+	if m.Value > 3 {
+		t.Errorf("after 9 samples of 1: %v", m.Value)
 	}
 	for range 200 {
-		m.Learn(1)
+		m.Observe(1)
 	}
-	m.Learn(33)
-	if m.Is > 2.01 || m.Is < 1.9 {
-		t.Errorf("one sample of 33 among many of 1: %v, want a thirty-second of the way", m.Is)
+	m.Observe(33)
+	if m.Value > 2.01 || m.Value < 1.9 {
+		t.Errorf("one sample of 33 among many of 1: %v, want a thirty-second of the way", m.Value)
 	}
 }
--- a/internal/overload/conns.go
+++ b/internal/overload/conns.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Conns decides on a director's new connections to one peer. How many a peer takes is told nowhere: it shows in
+// ConnectLimiter decides on a director's new connections to one peer. How many a peer takes is told nowhere: it shows in
 // dials that fail beside connections that hold. What it takes is shared by all directors, so that each one keeps to
 // what it has got, asks for one more from time to time, at a time of its own, and lets attempts share connections
 // meanwhile. Without such a failure there is no bound but the caller's: connections that are shared lose all their
@@ -13,7 +13,7 @@
 //
 // The first connection to a peer is the caller's own affair: whether a peer without one is asked at all is decided
 // by the router, whose looks at dead servers have a pace of their own.
-type Conns struct {
+type ConnectLimiter struct {
 	rng   *rand.Rand
 	most  int           // connections that the peer lets us have; 0: not known to be bounded
 	again Time          // when one more may be tried
@@ -28,15 +28,15 @@
 	connsYoung   = 2 * time.Second  // span in which a peer that has just started gets its connections one by one
 )
 
-// NewConns returns the decisions on one peer.
-func NewConns(rng *rand.Rand) Conns { return Conns{rng: rng} }
+// NewConnectLimiter returns the decisions on one peer.
+func NewConnectLimiter(rng *rand.Rand) ConnectLimiter { return ConnectLimiter{rng: rng} }
 
-// Started forgets what was known of the peer: it has another address, or another life since a time.
-func (c *Conns) Started(at Time) { *c = Conns{rng: c.rng, began: at} }
+// Reset forgets what was known of the peer: it has another address, or another life since a time.
+func (c *ConnectLimiter) Reset(at Time) { *c = ConnectLimiter{rng: c.rng, began: at} }
 
-// May tells whether one more connection may be dialled, with so many held or being opened, and so many of those
+// Allow tells whether one more connection may be dialled, with so many held or being opened, and so many of those
 // being opened.
-func (c *Conns) May(now Time, have, opening int) bool {
+func (c *ConnectLimiter) Allow(now Time, have, opening int) bool {
 	switch {
 	case have == 0:
 		return true
@@ -51,16 +51,16 @@
 	return true
 }
 
-// Opened takes a dial that has come up, as one of so many connections that hold.
-func (c *Conns) Opened(now Time, up int) {
+// RecordSuccess takes a dial that has come up, as one of so many connections that hold.
+func (c *ConnectLimiter) RecordSuccess(now Time, up int) {
 	if c.most > 0 && up > c.most { // there is room again: find out how much
 		c.most, c.wait = up, connsWait
 		c.put(now)
 	}
 }
 
-// Failed takes a dial that has failed beside so many connections that hold.
-func (c *Conns) Failed(now Time, up int) {
+// RecordFailure takes a dial that has failed beside so many connections that hold.
+func (c *ConnectLimiter) RecordFailure(now Time, up int) {
 	if up == 0 {
 		return // the peer is down, or cut off: that says nothing of its room
 	}
@@ -73,14 +73,14 @@
 	c.put(now)
 }
 
-// Most is how many connections the peer is known to let us have; 0: not known to be bounded.
-func (c *Conns) Most() int { return c.most }
+// Limit is how many connections the peer is known to let us have; 0: not known to be bounded.
+func (c *ConnectLimiter) Limit() int { return c.most }
 
 // put sets the next try, at half to one and a half times the wait: hundreds of directors that were turned away
 // together don't come back together.
-func (c *Conns) put(now Time) {
+func (c *ConnectLimiter) put(now Time) {
 	c.again = now + c.wait/2 + time.Duration(c.rng.Int64N(int64(c.wait)))
 }
 
 // young tells that the peer has only just started. All directors want it at once, and none knows of another.
-func (c *Conns) young(now Time) bool { return c.began != 0 && now-c.began < connsYoung }
+func (c *ConnectLimiter) young(now Time) bool { return c.began != 0 && now-c.began < connsYoung }
--- a/internal/overload/conns_test.go
+++ b/internal/overload/conns_test.go
@@ -9,10 +9,10 @@
 )
 
 // crowdOf is so many directors at one peer.
-func crowdOf(n int) []Conns {
-	all := make([]Conns, n)
+func crowdOf(n int) []ConnectLimiter {
+	all := make([]ConnectLimiter, n)
 	for i := range all {
-		all[i] = NewConns(rand.New(rand.NewPCG(uint64(i), 1)))
+		all[i] = NewConnectLimiter(rand.New(rand.NewPCG(uint64(i), 1)))
 	}
 	return all
 }
@@ -26,9 +26,9 @@
 	for i := range tries {
 		now := time.Minute + time.Duration(i)*100*time.Millisecond
 		for d := range all { // each has two, would like a third at any moment, and never gets it
-			if all[d].May(now, 2, 0) {
+			if all[d].Allow(now, 2, 0) {
 				tries[i]++
-				all[d].Failed(now, 2)
+				all[d].RecordFailure(now, 2)
 			}
 		}
 	}
@@ -54,27 +54,27 @@
 // What a peer lets us have is found again when there is room: one by one, and without a bound once known failures
 // are of an old life.
 func TestRoomIsFoundAgain(t *testing.T) {
-	c := NewConns(rand.New(rand.NewPCG(1, 1)))
+	c := NewConnectLimiter(rand.New(rand.NewPCG(1, 1)))
 	now := time.Minute
-	if !c.May(now, 5, 0) {
+	if !c.Allow(now, 5, 0) {
 		t.Fatal("without a failure there is no bound")
 	}
-	c.Failed(now, 2)
-	if c.May(now, 2, 0) || !c.May(now, 1, 0) || !c.May(now, 0, 0) {
+	c.RecordFailure(now, 2)
+	if c.Allow(now, 2, 0) || !c.Allow(now, 1, 0) || !c.Allow(now, 0, 0) {
 		t.Error("want what holds to be the bound")
 	}
 	have := 2
 	for end := now + time.Minute; now < end; now += 50 * time.Millisecond {
-		if c.May(now, have, 0) {
+		if c.Allow(now, have, 0) {
 			have++
-			c.Opened(now, have)
+			c.RecordSuccess(now, have)
 		}
 	}
 	if have < 15 || have > 45 {
 		t.Errorf("%d connections after a minute with room, want one more in each 2 s or so", have)
 	}
-	c.Started(now)
-	if !c.May(now+time.Hour, 100, 0) {
+	c.Reset(now)
+	if !c.Allow(now+time.Hour, 100, 0) {
 		t.Error("a new life is bound by what the old one had")
 	}
 }
@@ -82,17 +82,17 @@
 // A burst opens a few connections at a time, and one where the peer has only just started. A peer on which all dials
 // fail is down: that says nothing of its room.
 func TestConnectionsAreOpenedFewAtATime(t *testing.T) {
-	c := NewConns(rand.New(rand.NewPCG(1, 1)))
+	c := NewConnectLimiter(rand.New(rand.NewPCG(1, 1)))
 	now := time.Minute
-	if !c.May(now, connsOpening, connsOpening-1) || c.May(now, connsOpening, connsOpening) {
+	if !c.Allow(now, connsOpening, connsOpening-1) || c.Allow(now, connsOpening, connsOpening) {
 		t.Errorf("want %d at a time", connsOpening)
 	}
-	c.Failed(now, 0)
-	if c.Most() != 0 || !c.May(now, 3, 0) {
+	c.RecordFailure(now, 0)
+	if c.Limit() != 0 || !c.Allow(now, 3, 0) {
 		t.Error("a peer that is down has no bound")
 	}
-	c.Started(now)
-	if !c.May(now, 0, 0) || c.May(now, 1, 1) || !c.May(now, 1, 0) || !c.May(now+connsYoung, 2, 2) {
+	c.Reset(now)
+	if !c.Allow(now, 0, 0) || c.Allow(now, 1, 1) || !c.Allow(now, 1, 0) || !c.Allow(now+connsYoung, 2, 2) {
 		t.Error("want one at a time while the peer is young, and no longer")
 	}
 }
@@ -101,15 +101,15 @@
 // less than half the shortest wait apart.
 func TestConnsKeepTheirBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		c := NewConns(rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1)))
+		c := NewConnectLimiter(rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1)))
 		now, have, last := time.Minute, 0, Time(0)
 		for range rapid.IntRange(1, 200).Draw(t, "events") {
 			now += time.Duration(rapid.Int64Range(0, int64(time.Second)).Draw(t, "gap"))
-			if !c.May(now, 0, 0) {
+			if !c.Allow(now, 0, 0) {
 				t.Fatal("no first connection")
 			}
-			known := c.Most()
-			if !c.May(now, have, 0) {
+			known := c.Limit()
+			if !c.Allow(now, have, 0) {
 				continue
 			}
 			if known > 0 && have >= known {
@@ -119,11 +119,11 @@
 				last = now
 			}
 			if rapid.Bool().Draw(t, "fails") {
-				c.Failed(now, have)
+				c.RecordFailure(now, have)
 				continue
 			}
 			have++
-			c.Opened(now, have)
+			c.RecordSuccess(now, have)
 			if rapid.IntRange(0, 3).Draw(t, "closes") == 0 {
 				have = rapid.IntRange(0, have).Draw(t, "left")
 			}
--- a/internal/overload/idle.go
+++ b/internal/overload/idle.go
@@ -12,34 +12,36 @@
 	idleAge  = 20 * time.Second // after which what was learnt counts e times less
 )
 
-// Idle decides for how long a connection that has nothing open is used again. A peer, or what lies between, may drop
+// IdleTimeout decides for how long a connection that has nothing open is used again. A peer, or what lies between, may drop
 // idle connections sooner than the settings tell; a request that crosses such a close is lost. The less is trusted the
 // more connections are opened: a belief that rests at the least has every attempt of every director pay a handshake,
 // at peers that have just lost some of their number. So it ages, and only what tells of idle times may shorten it.
-type Idle struct {
+type IdleTimeout struct {
 	least, most time.Duration
 	keep        time.Duration
 	told        Time // when keep was right
 }
 
-// NewIdle trusts idle connections for most; what is learnt never takes that below least.
-func NewIdle(least, most time.Duration) Idle { return Idle{least: least, most: most, keep: most} }
+// NewIdleTimeout trusts idle connections for most; what is learnt never takes that below least.
+func NewIdleTimeout(least, most time.Duration) IdleTimeout {
+	return IdleTimeout{least: least, most: most, keep: most}
+}
 
-// Keep is for how long an idle connection is used again.
-func (i *Idle) Keep(now Time) time.Duration {
+// Value is for how long an idle connection is used again.
+func (i *IdleTimeout) Value(now Time) time.Duration {
 	return time.Duration(min(float64(i.most), float64(i.keep)*math.Exp(float64(now-i.told)/float64(idleAge))))
 }
 
-// Crossed takes a request that was lost to a close, on a connection that had been idle for so long.
-func (i *Idle) Crossed(now Time, idle time.Duration) {
-	i.keep = max(i.least, time.Duration(idleLess*float64(min(i.Keep(now), idle))))
+// RecordCloseRace takes a request that was lost to a close, on a connection that had been idle for so long.
+func (i *IdleTimeout) RecordCloseRace(now Time, idle time.Duration) {
+	i.keep = max(i.least, time.Duration(idleLess*float64(min(i.Value(now), idle))))
 	i.told = now
 }
 
-// Held takes an answer on a connection that had been idle for so long: where that was nearly as long as is trusted,
+// RecordReuse takes an answer on a connection that had been idle for so long: where that was nearly as long as is trusted,
 // one in many is risked to find that idle connections hold again.
-func (i *Idle) Held(now Time, idle time.Duration) {
-	if keep := i.Keep(now); float64(idle) > idleLess*float64(keep) {
+func (i *IdleTimeout) RecordReuse(now Time, idle time.Duration) {
+	if keep := i.Value(now); float64(idle) > idleLess*float64(keep) {
 		i.keep, i.told = min(i.most, keep+time.Duration(idleMore*float64(keep))), now
 	}
 }
--- a/internal/overload/list.go
+++ b/internal/overload/list.go
@@ -14,52 +14,52 @@
 // Time is the caller's clock, as rules.Time.
 type Time = time.Duration
 
-// End says how a call of the list service, or the stream that came of it, has ended.
-type End uint8
+// WatchEnd says how a call of the list service, or the stream that came of it, has ended.
+type WatchEnd uint8
 
 // Ends of a call. What it cost the service, and whether the news can have been missed, differ from one to the
 // other, and so does the time until the next call.
 const (
-	// Refused: no connection. That cost the service next to nothing, and it is most likely down: come back soon,
+	// EndRefused: no connection. That cost the service next to nothing, and it is most likely down: come back soon,
 	// as it may be up again at any moment.
-	Refused End = iota
-	// TimedOut: no connection in time, or one on which no whole line came in time. The service is there and has
+	EndRefused WatchEnd = iota
+	// EndTimedOut: no connection in time, or one on which no whole line came in time. The service is there and has
 	// more to do than it can: each call more adds to that.
-	TimedOut
-	// Unfit: a line that can't be used, a list that broke off half-way, or numbers that stay behind ours. The
+	EndTimedOut
+	// EndUnusable: a line that can't be used, a list that broke off half-way, or numbers that stay behind ours. The
 	// call was served, in vain, and the next one will hardly be better at once.
-	Unfit
-	// Broke: a stream that had brought good lines has closed. The news flow on without us from now on.
-	Broke
-	// Silent: such a stream has said nothing for ListBounds.Silence, which is gone from the time for the news.
-	Silent
+	EndUnusable
+	// EndBroken: a stream that had brought good lines has closed. The news flow on without us from now on.
+	EndBroken
+	// EndSilent: such a stream has said nothing for ListBounds.Silence, which is gone from the time for the news.
+	EndSilent
 )
 
 // String names the end, for logs.
-func (e End) String() string {
+func (e WatchEnd) String() string {
 	return [...]string{"refused", "timed out", "unfit", "broke", "silent"}[e]
 }
 
-// ListBounds is what the pace of list calls is derived from.
-type ListBounds struct {
-	// Directors is the size of the fleet, Me our number in it, from 0 (settings: balancers, me).
-	Directors, Me int
-	// Heed is the time within which a drain must be heeded, from when the service has it (settings:
+// BackoffConfig is what the pace of list calls is derived from.
+type BackoffConfig struct {
+	// Directors is the size of the fleet, DirectorIndex our number in it, from 0 (settings: balancers, me).
+	Directors, DirectorIndex int
+	// ApplyWithin is the time within which a drain must be heeded, from when the service has it (settings:
 	// guarantees.drainGrace; 2 s).
-	Heed time.Duration
-	// Purge is the time within which a purge must be heeded (settings: familyInfo.purgeSlack; 0.5 s).
-	Purge time.Duration
-	// Start is the span of the fleet's first calls. More than the return's holds only for a director that takes no
+	ApplyWithin time.Duration
+	// ApplyPurgeWithin is the time within which a purge must be heeded (settings: familyInfo.purgeSlack; 0.5 s).
+	ApplyPurgeWithin time.Duration
+	// StartWindow is the span of the fleet's first calls. More than the return's holds only for a director that takes no
 	// work before it has reached the service; 0: the return's.
-	Start time.Duration
-	// Late is when what the service has to tell counts as told though nothing arrived (protocol page: 7 s).
-	Late time.Duration
-	// Silence is how long a stream may say nothing before it is given up.
-	Silence time.Duration
-	// Call is what a call takes at most with the service well: connect, subscribe, read what was missed.
-	Call time.Duration
-	// Least is the shortest wait after a call that failed, whatever the fleet's size.
-	Least time.Duration
+	StartWindow time.Duration
+	// NotifiedAfter is when what the service has to tell counts as told though nothing arrived (protocol page: 7 s).
+	NotifiedAfter time.Duration
+	// SilenceTimeout is how long a stream may say nothing before it is given up.
+	SilenceTimeout time.Duration
+	// CallDuration is what a call takes at most with the service well: connect, subscribe, read what was missed.
+	CallDuration time.Duration
+	// MinWait is the shortest wait after a call that failed, whatever the fleet's size.
+	MinWait time.Duration
 }
 
 // Figures of the pace that are not derived.
@@ -71,7 +71,7 @@
 	golden  = 0.6180339887498949
 )
 
-// ListCalls paces one director's calls of the list service. The caller makes a call at the time that Start, Next
+// Backoff paces one director's calls of the list service. The caller makes a call at the time that Start, Next
 // or Move gives, and reports what came of it: Good for each good line, Next at the end.
 //
 // Four bounds meet here (docs/cold-start.md has the sums):
@@ -85,9 +85,9 @@
 //
 // A service that serves and breaks by turns is called as soon as after a good stream, as what it has cut off is due as
 // soon, until the budget, a token bucket, is nearly spent. docs/lifecycles.md has the worst cases that come of it.
-type ListCalls struct {
+type Backoff struct {
 	rng    *rand.Rand
-	b      ListBounds
+	b      BackoffConfig
 	spread time.Duration // over which the fleet spreads its first calls
 	back   time.Duration // and its return to a service that broke good streams
 	quick  time.Duration // longest wait that leaves a call its time within Purge
@@ -104,44 +104,44 @@
 	good     bool
 }
 
-// NewListCalls returns the pace for the bounds. The seed should differ from director to director.
-func NewListCalls(b ListBounds, seed uint64) *ListCalls {
+// NewBackoff returns the pace for the bounds. The seed should differ from director to director.
+func NewBackoff(b BackoffConfig, seed uint64) *Backoff {
 	b.Directors = max(b.Directors, 1)
-	c := &ListCalls{rng: rand.New(rand.NewPCG(seed, 2)), b: b, tokens: saved}
-	c.soon = max(b.Heed-b.Call, b.Least)
-	c.long = max(b.Late-b.Call, c.soon)
+	c := &Backoff{rng: rand.New(rand.NewPCG(seed, 2)), b: b, tokens: saved}
+	c.soon = max(b.ApplyWithin-b.CallDuration, b.MinWait)
+	c.long = max(b.NotifiedAfter-b.CallDuration, c.soon)
 	part := min(1, float64(b.Directors-1)/(crowd-1))
-	c.quick = min(c.soon, b.Purge*4/5)
+	c.quick = min(c.soon, b.ApplyPurgeWithin*4/5)
 	c.back = time.Duration(part * float64(c.quick))
 	c.spread = c.back
-	if b.Start > 0 {
-		c.spread = time.Duration(part * float64(min(c.soon, b.Start)))
+	if b.StartWindow > 0 {
+		c.spread = time.Duration(part * float64(min(c.soon, b.StartWindow)))
 	}
 	return c
 }
 
-// Spread is the span over which the fleet spreads its first calls.
-func (c *ListCalls) Spread() time.Duration { return c.spread }
+// StartWindow is the span over which the fleet spreads its first calls.
+func (c *Backoff) StartWindow() time.Duration { return c.spread }
 
-// Back is the span over which it spreads its return to a service that broke good streams.
-func (c *ListCalls) Back() time.Duration { return c.back }
+// ReturnWindow is the span over which it spreads its return to a service that broke good streams.
+func (c *Backoff) ReturnWindow() time.Duration { return c.back }
 
-// Start is when to make the first call.
-func (c *ListCalls) Start(now Time) Time {
+// FirstCall is when to make the first call.
+func (c *Backoff) FirstCall(now Time) Time {
 	c.filled = now
 	return c.spend(now, c.place(now, c.spread))
 }
 
-// Move is when to go over to another service, on order of the operators: all directors hear it at once. What only
+// RedirectCall is when to go over to another service, on order of the operators: all directors hear it at once. What only
 // the new one tells must be heard as after a break, though the present stream is followed until then.
-func (c *ListCalls) Move(now Time) Time {
+func (c *Backoff) RedirectCall(now Time) Time {
 	c.breaks++
 	c.failures, c.unserved, c.unfit, c.good = 0, 0, 0, false
 	return c.spend(now, c.place(now, c.back))
 }
 
-// Good notes a good line of the present stream.
-func (c *ListCalls) Good(now Time) {
+// RecordUsableLine notes a good line of the present stream.
+func (c *Backoff) RecordUsableLine(now Time) {
 	if !c.good {
 		c.good, c.goodFrom = true, now
 		c.unserved, c.unfit = 0, 0
@@ -152,10 +152,10 @@
 }
 
 // Failures is the number of ends in a row that no settled stream has come between.
-func (c *ListCalls) Failures() int { return c.failures }
+func (c *Backoff) Failures() int { return c.failures }
 
-// Next is when to call again after the present call, or its stream, has ended.
-func (c *ListCalls) Next(now Time, e End) Time {
+// NextCall is when to call again after the present call, or its stream, has ended.
+func (c *Backoff) NextCall(now Time, e WatchEnd) Time {
 	served := c.good && now-c.goodFrom >= settled
 	c.good = false
 	if served {
@@ -164,27 +164,27 @@
 		c.failures++
 	}
 	switch {
-	case served && e == Silent: // what was lost in silence is gone from the time for the news
+	case served && e == EndSilent: // what was lost in silence is gone from the time for the news
 		c.breaks++
-		return c.spend(now, c.place(now, min(c.back, max(0, c.soon-c.b.Silence))))
+		return c.spend(now, c.place(now, min(c.back, max(0, c.soon-c.b.SilenceTimeout))))
 	case served:
 		c.breaks++
 		return c.spend(now, c.place(now, c.back))
-	case e == Refused:
+	case e == EndRefused:
 		c.unserved++
 		return c.spend(now, c.jitter(c.window(c.soon/4, c.soon), 0))
-	case (e == Broke || e == Silent) && c.failures == 1: // once, a stream that was good for a moment is replaced at once
+	case (e == EndBroken || e == EndSilent) && c.failures == 1: // once, a stream that was good for a moment is replaced at once
 		c.breaks++
 		return c.spend(now, c.place(now, c.back))
-	case (e == Broke || e == Silent) && c.left(now) >= 2:
+	case (e == EndBroken || e == EndSilent) && c.left(now) >= 2:
 		// It had told something: the service is there, and not overloaded. What it has cut off is due no later than
 		// behind a stream that was good for long.
 		c.breaks++
-		least := min(c.b.Least, c.quick)
+		least := min(c.b.MinWait, c.quick)
 		return c.spend(now, least+c.place(now+least, max(0, c.back-least)))
-	case e == Broke || e == Silent: // the last call saved is spent at random: from then on the budget sets the time
+	case e == EndBroken || e == EndSilent: // the last call saved is spent at random: from then on the budget sets the time
 		return c.spend(now, c.jitter(c.soon, 0.5))
-	case e == Unfit:
+	case e == EndUnusable:
 		c.unfit++
 		if c.unfit == 1 { // half an event is what a break leaves too
 			return c.spend(now, c.jitter(c.quick, 0.5))
@@ -195,45 +195,45 @@
 	// behind the last call counts as told Late after it, and is due Purge later: the next call is served by then.
 	c.unserved++
 	wait := c.jitter(c.window(c.soon, c.long), 0.5)
-	due := c.filled + c.b.Late + c.b.Purge - c.b.Call
-	return c.spend(now, max(min(wait, due-now), c.b.Least))
+	due := c.filled + c.b.NotifiedAfter + c.b.ApplyPurgeWithin - c.b.CallDuration
+	return c.spend(now, max(min(wait, due-now), c.b.MinWait))
 }
 
 // place is how long it is to our place in the spread. The spread comes round by the clock, and each director has a
 // slot of its own in it: calls that fall due everywhere, at one moment or nearly so, make an even stream, however
 // long each process took to start or to notice. Within the slot the place is random, so that two with one number
 // don't collide for good; it turns with each break, lest one director always comes last.
-func (c *ListCalls) place(now Time, spread time.Duration) time.Duration {
+func (c *Backoff) place(now Time, spread time.Duration) time.Duration {
 	if spread <= 0 {
 		return 0
 	}
 	n := float64(c.b.Directors)
-	_, at := math.Modf((float64(c.b.Me)+c.rng.Float64())/n + golden*float64(c.breaks))
+	_, at := math.Modf((float64(c.b.DirectorIndex)+c.rng.Float64())/n + golden*float64(c.breaks))
 	return (time.Duration(at*float64(spread)) - now%spread + spread) % spread
 }
 
 // window grows with each call in a row that was not served, from first up to most. Streams that break are no such
 // calls: what comes of the service's faults must not count as its overload.
-func (c *ListCalls) window(first, most time.Duration) time.Duration {
+func (c *Backoff) window(first, most time.Duration) time.Duration {
 	w := float64(first) * math.Pow(growth, float64(min(c.unserved-1, 16)))
 	return time.Duration(min(w, float64(most)))
 }
 
 // jitter is a random time in the window, from a part of it on, and not under Least.
-func (c *ListCalls) jitter(window time.Duration, from float64) time.Duration {
+func (c *Backoff) jitter(window time.Duration, from float64) time.Duration {
 	part := from + (1-from)*c.rng.Float64()
-	return max(time.Duration(part*float64(window)), c.b.Least)
+	return max(time.Duration(part*float64(window)), c.b.MinWait)
 }
 
 // left is the budget at a time: calls saved up.
-func (c *ListCalls) left(at Time) float64 {
+func (c *Backoff) left(at Time) float64 {
 	return min(saved, c.tokens+float64(at-c.filled)/float64(c.soon))
 }
 
 // spend takes a call off the budget, a token bucket that gains one for each soon. Where nothing is left the call waits for
 // the next one, which is no longer than soon: a service that serves and breaks by turns costs its directors one
 // call in that time, and no more.
-func (c *ListCalls) spend(now Time, wait time.Duration) Time {
+func (c *Backoff) spend(now Time, wait time.Duration) Time {
 	at := now + wait
 	c.tokens = c.left(at)
 	c.filled = at
--- a/internal/overload/list_test.go
+++ b/internal/overload/list_test.go
@@ -8,9 +8,9 @@
 )
 
 // bounds are those of the platform.
-func bounds(n, me int) ListBounds {
-	return ListBounds{Directors: n, Me: me, Heed: 2 * time.Second, Purge: 500 * time.Millisecond, Start: 1500 * time.Millisecond, Late: 7 * time.Second,
-		Silence: 1300 * time.Millisecond, Call: 500 * time.Millisecond, Least: 100 * time.Millisecond}
+func bounds(n, me int) BackoffConfig {
+	return BackoffConfig{Directors: n, DirectorIndex: me, ApplyWithin: 2 * time.Second, ApplyPurgeWithin: 500 * time.Millisecond, StartWindow: 1500 * time.Millisecond, NotifiedAfter: 7 * time.Second,
+		SilenceTimeout: 1300 * time.Millisecond, CallDuration: 500 * time.Millisecond, MinWait: 100 * time.Millisecond}
 }
 
 // peak is the busiest 100 ms of calls over their mean in the span.
@@ -34,22 +34,22 @@
 			var starts, backs []Time
 			const begin, loss = 100 * time.Second, 200 * time.Second
 			for me := range n {
-				c := NewListCalls(bounds(n, me), seed<<32|uint64(me))
-				at := c.Start(begin)
+				c := NewBackoff(bounds(n, me), seed<<32|uint64(me))
+				at := c.FirstCall(begin)
 				starts = append(starts, at)
-				c.Good(at)
-				c.Good(loss - time.Millisecond)
-				back := c.Next(loss, Broke)
+				c.RecordUsableLine(at)
+				c.RecordUsableLine(loss - time.Millisecond)
+				back := c.NextCall(loss, EndBroken)
 				backs = append(backs, back)
 				if back-loss > 400*time.Millisecond {
 					t.Errorf("%d directors: number %d is back after %v", n, me, back-loss)
 				}
 			}
-			pace := NewListCalls(bounds(n, 0), 0)
-			if p := peak(starts, begin, pace.Spread()); p > 2 {
+			pace := NewBackoff(bounds(n, 0), 0)
+			if p := peak(starts, begin, pace.StartWindow()); p > 2 {
 				t.Errorf("%d directors, seed %d: the busiest 100 ms of the start has %.2f times the mean", n, seed, p)
 			}
-			if p := peak(backs, loss, pace.Back()); p > 2 {
+			if p := peak(backs, loss, pace.ReturnWindow()); p > 2 {
 				t.Errorf("%d directors, seed %d: the busiest 100 ms of the return has %.2f times the mean", n, seed, p)
 			}
 		}
@@ -60,8 +60,8 @@
 func TestStartWithoutASpanIsAReturn(t *testing.T) {
 	for me := range 300 {
 		b := bounds(300, me)
-		b.Start = 0
-		if at := NewListCalls(b, uint64(me)).Start(time.Hour) - time.Hour; at > 400*time.Millisecond {
+		b.StartWindow = 0
+		if at := NewBackoff(b, uint64(me)).FirstCall(time.Hour) - time.Hour; at > 400*time.Millisecond {
 			t.Fatalf("number %d calls after %v", me, at)
 		}
 	}
@@ -69,12 +69,12 @@
 
 // One director alone has nobody to spread from.
 func TestLoneDirectorCallsAtOnce(t *testing.T) {
-	c := NewListCalls(bounds(1, 0), 1)
-	if at := c.Start(time.Second); at != time.Second {
+	c := NewBackoff(bounds(1, 0), 1)
+	if at := c.FirstCall(time.Second); at != time.Second {
 		t.Errorf("first call at %v", at)
 	}
-	c.Good(time.Second)
-	if at := c.Next(10*time.Second, Broke); at != 10*time.Second {
+	c.RecordUsableLine(time.Second)
+	if at := c.NextCall(10*time.Second, EndBroken); at != 10*time.Second {
 		t.Errorf("back at %v", at)
 	}
 }
@@ -82,10 +82,10 @@
 // Silence has used up most of the time for the news.
 func TestSilenceLeavesLessTime(t *testing.T) {
 	for me := range 300 {
-		c := NewListCalls(bounds(300, me), uint64(me))
-		at := c.Start(0)
-		c.Good(at)
-		if wait := c.Next(at+10*time.Second, Silent) - (at + 10*time.Second); wait > 200*time.Millisecond {
+		c := NewBackoff(bounds(300, me), uint64(me))
+		at := c.FirstCall(0)
+		c.RecordUsableLine(at)
+		if wait := c.NextCall(at+10*time.Second, EndSilent) - (at + 10*time.Second); wait > 200*time.Millisecond {
 			t.Fatalf("number %d waits %v behind a silence", me, wait)
 		}
 	}
@@ -93,27 +93,27 @@
 
 // A service that is down is asked again soon; one that is overloaded ever more seldom.
 func TestWaitsGrowByWhatFailed(t *testing.T) {
-	mean := func(e End, failures int) (sum time.Duration) {
+	mean := func(e WatchEnd, failures int) (sum time.Duration) {
 		for seed := range uint64(200) {
-			c := NewListCalls(bounds(300, 7), seed)
-			now := c.Start(0)
+			c := NewBackoff(bounds(300, 7), seed)
+			now := c.FirstCall(0)
 			var wait time.Duration
 			for range failures {
-				next := c.Next(now, e)
+				next := c.NextCall(now, e)
 				wait, now = next-now, next
 			}
 			sum += wait / 200
 		}
 		return sum
 	}
-	if first, late := mean(Refused, 1), mean(Refused, 8); first > 300*time.Millisecond || late > 1600*time.Millisecond {
+	if first, late := mean(EndRefused, 1), mean(EndRefused, 8); first > 300*time.Millisecond || late > 1600*time.Millisecond {
 		t.Errorf("refused: %v at first, %v later", first, late)
 	}
-	first, second, late := mean(TimedOut, 1), mean(TimedOut, 2), mean(TimedOut, 8)
+	first, second, late := mean(EndTimedOut, 1), mean(EndTimedOut, 2), mean(EndTimedOut, 8)
 	if first < 700*time.Millisecond || second < first*3/2 || late < 4*time.Second {
 		t.Errorf("timed out: %v, %v, later %v", first, second, late)
 	}
-	if u := mean(Unfit, 8); u < 1000*time.Millisecond || u > 1600*time.Millisecond {
+	if u := mean(EndUnusable, 8); u < 1000*time.Millisecond || u > 1600*time.Millisecond {
 		t.Errorf("unfit: later %v", u)
 	}
 }
@@ -123,9 +123,9 @@
 func TestPaceKeepsItsBoundsWhateverHappens(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 400).Draw(t, "directors")
-		c := NewListCalls(bounds(n, rapid.IntRange(0, n-1).Draw(t, "me")), rapid.Uint64().Draw(t, "seed"))
+		c := NewBackoff(bounds(n, rapid.IntRange(0, n-1).Draw(t, "me")), rapid.Uint64().Draw(t, "seed"))
 		now := rapid.Custom(func(t *rapid.T) Time { return Time(rapid.Int64Range(0, 1e12).Draw(t, "ns")) }).Draw(t, "begin")
-		due := c.Start(now)
+		due := c.FirstCall(now)
 		calls := []Time{}
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			if due < now {
@@ -135,18 +135,18 @@
 			calls = append(calls, now)
 			served := time.Duration(0)
 			if rapid.Bool().Draw(t, "served") {
-				c.Good(now)
+				c.RecordUsableLine(now)
 				served = time.Duration(rapid.Int64Range(0, int64(8*time.Second)).Draw(t, "for"))
 				now += served
-				c.Good(now)
+				c.RecordUsableLine(now)
 			}
-			e := End(rapid.IntRange(0, int(Silent)).Draw(t, "end"))
+			e := WatchEnd(rapid.IntRange(0, int(EndSilent)).Draw(t, "end"))
 			if rapid.IntRange(0, 9).Draw(t, "moved") == 0 {
-				due = c.Move(now)
+				due = c.RedirectCall(now)
 			} else {
-				due = c.Next(now, e)
+				due = c.NextCall(now, e)
 			}
-			if wait := due - now; wait > 6500*time.Millisecond || (e != TimedOut && e != Silent && wait > 3*time.Second) {
+			if wait := due - now; wait > 6500*time.Millisecond || (e != EndTimedOut && e != EndSilent && wait > 3*time.Second) {
 				t.Fatalf("waits %v after %v, served for %v", wait, e, served)
 			}
 			if served >= settled && due-now > 400*time.Millisecond {
@@ -168,17 +168,17 @@
 
 // A good stream that settles clears what failed before; a flapping one does not.
 func TestOnlyASettledStreamForgives(t *testing.T) {
-	c := NewListCalls(bounds(300, 0), 1)
-	now := c.Start(0)
+	c := NewBackoff(bounds(300, 0), 1)
+	now := c.FirstCall(0)
 	for range 3 {
-		c.Good(now)
-		now = c.Next(now+100*time.Millisecond, Broke)
+		c.RecordUsableLine(now)
+		now = c.NextCall(now+100*time.Millisecond, EndBroken)
 	}
 	if c.Failures() != 3 {
 		t.Errorf("%d failures after three streams of 0.1 s, want 3", c.Failures())
 	}
-	c.Good(now)
-	c.Good(now + settled)
+	c.RecordUsableLine(now)
+	c.RecordUsableLine(now + settled)
 	if c.Failures() != 0 {
 		t.Errorf("%d failures after a settled stream", c.Failures())
 	}
@@ -188,12 +188,12 @@
 // must be heard within Heed, and a window that grows with each failure goes past that.
 func TestYoungStreamsThatFallSilentAreNoTimeOuts(t *testing.T) {
 	for seed := range uint64(50) {
-		c := NewListCalls(bounds(300, int(seed)), seed)
-		now := c.Start(1000 * time.Second)
+		c := NewBackoff(bounds(300, int(seed)), seed)
+		now := c.FirstCall(1000 * time.Second)
 		for i := range 3 {
-			c.Good(now + 10*time.Millisecond)
+			c.RecordUsableLine(now + 10*time.Millisecond)
 			now += 2 * time.Second
-			next := c.Next(now, Silent)
+			next := c.NextCall(now, EndSilent)
 			if wait := next - now; wait > 1500*time.Millisecond {
 				t.Errorf("seed %d: %v after silence %d of a young stream", seed, wait, i+1)
 			}
@@ -209,13 +209,13 @@
 	const budget = 4 // calls at once; one more in 1.5 s
 	for _, n := range []int{1, 12, 300} {
 		for seed := range uint64(50) {
-			c := NewListCalls(bounds(n, int(seed)%n), seed)
-			now := c.Start(1000 * time.Second)
+			c := NewBackoff(bounds(n, int(seed)%n), seed)
+			now := c.FirstCall(1000 * time.Second)
 			calls := []Time{now}
 			for i := range 40 {
-				c.Good(now + 10*time.Millisecond)
+				c.RecordUsableLine(now + 10*time.Millisecond)
 				now += 20 * time.Millisecond
-				next := c.Next(now, Broke)
+				next := c.NextCall(now, EndBroken)
 				wait, least, most := next-now, 750*time.Millisecond, 1500*time.Millisecond
 				switch {
 				case i == 0:
@@ -244,23 +244,23 @@
 func TestFleetSpreadsItsReturnToAServiceThatFlaps(t *testing.T) {
 	const n = 300
 	for seed := range uint64(5) {
-		paces := make([]*ListCalls, n)
+		paces := make([]*Backoff, n)
 		for me := range paces {
-			paces[me] = NewListCalls(bounds(n, me), seed<<32|uint64(me))
-			paces[me].Start(100 * time.Second)
+			paces[me] = NewBackoff(bounds(n, me), seed<<32|uint64(me))
+			paces[me].FirstCall(100 * time.Second)
 		}
 		now := 101 * time.Second
 		for i := range 2 { // the next one is at random, as the budget is nearly spent
 			var backs []Time
 			for _, c := range paces {
-				c.Good(now)
-				back := c.Next(now, Broke)
+				c.RecordUsableLine(now)
+				back := c.NextCall(now, EndBroken)
 				if back-now > 400*time.Millisecond {
 					t.Fatalf("seed %d: back %v after break %d", seed, back-now, i+1)
 				}
 				backs = append(backs, back)
 			}
-			if p := peak(backs, now, paces[0].Back()); p > 2 {
+			if p := peak(backs, now, paces[0].ReturnWindow()); p > 2 {
 				t.Errorf("seed %d, break %d: the busiest 100 ms of the return has %.2f times the mean", seed, i+1, p)
 			}
 			now += 600 * time.Millisecond
@@ -272,15 +272,15 @@
 // that time out one after the other are followed ever later.
 func TestBreaksDoNotMakeATimeOutLonger(t *testing.T) {
 	for seed := range uint64(50) {
-		c := NewListCalls(bounds(300, int(seed)), seed)
-		now := c.Start(1000 * time.Second)
+		c := NewBackoff(bounds(300, int(seed)), seed)
+		now := c.FirstCall(1000 * time.Second)
 		for range 6 {
-			c.Good(now + 10*time.Millisecond)
-			now = c.Next(now+500*time.Millisecond, Broke)
+			c.RecordUsableLine(now + 10*time.Millisecond)
+			now = c.NextCall(now+500*time.Millisecond, EndBroken)
 		}
 		for i, most := range []time.Duration{1500 * time.Millisecond, 3 * time.Second, 6 * time.Second} {
 			now += time.Second
-			next := c.Next(now, TimedOut)
+			next := c.NextCall(now, EndTimedOut)
 			if wait := next - now; wait > most || wait < most/2 {
 				t.Errorf("seed %d: %v after time-out %d behind young streams, want %v to %v", seed, wait, i+1, most/2, most)
 			}
@@ -294,12 +294,12 @@
 func TestTheWaitBehindATimeOutLeavesTheTimeOfItsCall(t *testing.T) {
 	for seed := range uint64(50) {
 		b := bounds(300, int(seed))
-		c := NewListCalls(b, seed)
-		now := c.Start(1000 * time.Second)
-		for _, took := range []time.Duration{0, time.Second, b.Silence, time.Second + b.Silence} {
+		c := NewBackoff(b, seed)
+		now := c.FirstCall(1000 * time.Second)
+		for _, took := range []time.Duration{0, time.Second, b.SilenceTimeout, time.Second + b.SilenceTimeout} {
 			for range 8 {
-				next := c.Next(now+took, TimedOut)
-				if next-now > b.Late+b.Purge-b.Call {
+				next := c.NextCall(now+took, EndTimedOut)
+				if next-now > b.NotifiedAfter+b.ApplyPurgeWithin-b.CallDuration {
 					t.Errorf("seed %d: the next call is made %v behind one that took %v", seed, next-now, took)
 				}
 				now = next
--- a/internal/overload/repeats_test.go
+++ b/internal/overload/repeats_test.go
@@ -9,17 +9,17 @@
 
 // play sends requests at a rate for a time, of which a part of all attempts is turned away and tried again as the
 // budget allows; it tells the attempts for a request.
-func play(r *Repeats, from Time, perSecond, seconds float64, away func(n int) bool) (Time, float64) {
+func play(r *RetryBudget, from Time, perSecond, seconds float64, away func(n int) bool) (Time, float64) {
 	requests, attempts, now := 0, 0, from
 	for range int(perSecond * seconds) {
 		now += Time(float64(time.Second) / perSecond)
 		requests++
-		r.Request(now)
+		r.RecordRequest(now)
 		for tries := 1; ; tries++ {
 			attempts++
 			turned := away(attempts)
-			r.Ended(now, !turned, turned)
-			if !turned || tries >= 6 || !r.May(now, false) {
+			r.RecordAttempt(now, !turned, turned)
+			if !turned || tries >= 6 || !r.TryWithdraw(now, false) {
 				break
 			}
 		}
@@ -31,7 +31,7 @@
 // trickle. When it is over, single failures are tried again as ever.
 func TestCrowdDoesNotKeepItselfAlive(t *testing.T) {
 	for _, perSecond := range []float64{0.5, 5, 50} {
-		var r Repeats
+		var r RetryBudget
 		now, calm := play(&r, time.Minute, perSecond, 20, func(n int) bool { return n%10 == 0 })
 		if calm < 1.05 {
 			t.Errorf("%v a second: %v attempts for a request in calm, want each failure tried again", perSecond, calm)
@@ -51,15 +51,15 @@
 
 // What was seen of a crowd counts less with age, down to nothing.
 func TestCrowdIsForgotten(t *testing.T) {
-	var r Repeats
+	var r RetryBudget
 	for range 100 {
-		r.Ended(time.Minute, false, true)
-		r.Ended(time.Minute, false, false)
+		r.RecordAttempt(time.Minute, false, true)
+		r.RecordAttempt(time.Minute, false, false)
 	}
-	if c := r.Crowd(time.Minute); c < 0.9 {
+	if c := r.RejectionRate(time.Minute); c < 0.9 {
 		t.Errorf("all turned away: %v", c)
 	}
-	if c := r.Crowd(time.Minute + 5*repeatAge); c > 0.01 {
+	if c := r.RejectionRate(time.Minute + 5*repeatAge); c > 0.01 {
 		t.Errorf("and still %v after %v", c, 5*repeatAge)
 	}
 }
@@ -67,22 +67,22 @@
 // Whatever comes, over any span no more further attempts are made than were saved up and came back meanwhile.
 func TestRepeatsKeepTheirBudget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var r Repeats
+		var r RetryBudget
 		now, requests, taken := Time(0), 0, 0
 		for range rapid.IntRange(1, 200).Draw(t, "events") {
 			now += time.Duration(rapid.Int64Range(0, int64(time.Second)).Draw(t, "gap"))
 			switch rapid.IntRange(0, 2).Draw(t, "event") {
 			case 0:
-				r.Request(now)
+				r.RecordRequest(now)
 				requests++
 			case 1:
-				r.Ended(now, rapid.Bool().Draw(t, "served"), rapid.Bool().Draw(t, "away"))
+				r.RecordAttempt(now, rapid.Bool().Draw(t, "served"), rapid.Bool().Draw(t, "away"))
 			default:
-				if r.May(now, rapid.Bool().Draw(t, "last")) {
+				if r.TryWithdraw(now, rapid.Bool().Draw(t, "last")) {
 					taken++
 				}
 			}
-			if c := r.Crowd(now); c < 0 || c > 1 {
+			if c := r.RejectionRate(now); c < 0 || c > 1 {
 				t.Fatalf("crowd %v", c)
 			}
 			if most := 2*repeatSaves + repeatEarns*float64(requests) + repeatTrick*now.Seconds(); float64(taken) > most+1e-6 {
@@ -94,12 +94,12 @@
 
 // Repayments go on where other requests are refused, but not without end.
 func TestRepaymentsAreRefusedLast(t *testing.T) {
-	var r Repeats
+	var r RetryBudget
 	now := time.Minute
-	for r.May(now, false) {
+	for r.TryWithdraw(now, false) {
 	}
 	n := 0
-	for ; n < 100 && r.May(now, true); n++ {
+	for ; n < 100 && r.TryWithdraw(now, true); n++ {
 	}
 	if n != repeatSaves {
 		t.Errorf("%d further attempts beyond the budget, want %v", n, repeatSaves)
--- a/internal/overload/shield.go
+++ b/internal/overload/shield.go
@@ -15,7 +15,7 @@
 	lowers    = 0.2   // power of the fleet's size by which fewer directors lower it less
 )
 
-// Shield decides which part of the fills may go on to a source that all directors share and none of them sees: the
+// OriginShield decides which part of the fills may go on to a source that all directors share and none of them sees: the
 // origin, behind parents that may or may not hold an object. Each director has few answers of its own, and when
 // hundreds wait for the source at once, an answer is late by seconds before any of them has learnt of it. So one
 // answer that the source has made late lowers the part at once; answers in time raise it, and one that was sent behind
@@ -25,7 +25,7 @@
 //
 // Its decision is a part, not a number of places: a director that has one such fill out every other second has no
 // use for a limit on how many are out.
-type Shield struct {
+type OriginShield struct {
 	to   float64 // part of the part that is left by a late answer
 	rise float64 // part that opens in a second
 	open float64
@@ -36,26 +36,26 @@
 	worst time.Duration
 }
 
-// NewShield returns a shield that lets all through, for one of a number of directors. The fewer there are, the more
+// NewOriginShield returns a shield that lets all through, for one of a number of directors. The fewer there are, the more
 // of what comes from the source each one sees: it learns of a queue sooner and lowers its part by less, and it
 // dares to open it faster.
-func NewShield(directors int) *Shield {
+func NewOriginShield(directors int) *OriginShield {
 	n := float64(max(directors, 1))
-	return &Shield{open: 1, cut: math.MinInt64, to: max(lowersTo, 0.9*math.Pow(n, -lowers)),
+	return &OriginShield{open: 1, cut: math.MinInt64, to: max(lowersTo, 0.9*math.Pow(n, -lowers)),
 		rise: opensBy * math.Sqrt(max(1, opensSeen/n))}
 }
 
-// Open is the part of the fills that may go on to the source.
-func (s *Shield) Open(now Time) float64 {
+// AdmitFraction is the part of the fills that may go on to the source.
+func (s *OriginShield) AdmitFraction(now Time) float64 {
 	s.open = min(1, s.open+s.rise*(now-s.at).Seconds())
 	s.at = now
 	return s.open
 }
 
-// Answered takes the answer to an attempt, sent at a time, that the source has given; or for late, that it has not
+// RecordAnswer takes the answer to an attempt, sent at a time, that the source has given; or for late, that it has not
 // given by the time at which an answer would have been of use.
-func (s *Shield) Answered(now, sent Time, late bool) {
-	switch open, wait := s.Open(now), now-sent; {
+func (s *OriginShield) RecordAnswer(now, sent Time, late bool) {
+	switch open, wait := s.AdmitFraction(now), now-sent; {
 	case late && (sent >= s.cut || wait > 2*s.worst):
 		s.sure = open < 1
 		s.open, s.cut, s.worst = max(openLeast, open*s.to), now, wait
--- a/internal/overload/shield_test.go
+++ b/internal/overload/shield_test.go
@@ -10,11 +10,11 @@
 
 // A source that serves most in time shuts nobody out.
 func TestShieldStaysOpenBesideAWellSource(t *testing.T) {
-	s, sum := NewShield(300), 0.0
+	s, sum := NewOriginShield(300), 0.0
 	for i := range 400 {
 		now := Time(i) * 100 * time.Millisecond
-		s.Answered(now, now-90*time.Millisecond, i%8 == 0)
-		sum += s.Open(now) / 400
+		s.RecordAnswer(now, now-90*time.Millisecond, i%8 == 0)
+		sum += s.AdmitFraction(now) / 400
 	}
 	if sum < 0.75 {
 		t.Errorf("open for %.2f where one in eight is late", sum)
@@ -23,11 +23,11 @@
 
 // A source that is late with most shuts most out.
 func TestShieldShutsBesideACrowdedSource(t *testing.T) {
-	s, sum := NewShield(300), 0.0
+	s, sum := NewOriginShield(300), 0.0
 	for i := range 400 {
 		now := Time(i) * 100 * time.Millisecond
-		s.Answered(now, now-90*time.Millisecond, i%4 != 0)
-		sum += s.Open(now) / 400
+		s.RecordAnswer(now, now-90*time.Millisecond, i%4 != 0)
+		sum += s.AdmitFraction(now) / 400
 	}
 	if sum > 0.15 {
 		t.Errorf("open for %.2f where three in four are late", sum)
@@ -36,24 +36,24 @@
 
 // One late answer lowers it once for the queue that it tells of; it opens with time, and sooner where few share it.
 func TestShieldLowersOnceForAQueue(t *testing.T) {
-	s, now := NewShield(300), 10*time.Second
-	s.Answered(now, now-time.Second, true)
-	if got := s.Open(now); got != s.to {
+	s, now := NewOriginShield(300), 10*time.Second
+	s.RecordAnswer(now, now-time.Second, true)
+	if got := s.AdmitFraction(now); got != s.to {
 		t.Errorf("open for %v behind a late answer, want %v", got, s.to)
 	}
-	s.Answered(now, now-time.Millisecond, true)
-	s.Answered(now, now-time.Millisecond, false)
-	if got := s.Open(now); got != s.to {
+	s.RecordAnswer(now, now-time.Millisecond, true)
+	s.RecordAnswer(now, now-time.Millisecond, false)
+	if got := s.AdmitFraction(now); got != s.to {
 		t.Errorf("moved to %v by what was sent before", got)
 	}
-	s.Answered(now+time.Second, now, true)
-	if got := s.Open(now + time.Second); got > 0.5*s.to {
+	s.RecordAnswer(now+time.Second, now, true)
+	if got := s.AdmitFraction(now + time.Second); got > 0.5*s.to {
 		t.Errorf("open for %v behind a second queue", got)
 	}
-	if got := s.Open(now + time.Minute); got != 1 {
+	if got := s.AdmitFraction(now + time.Minute); got != 1 {
 		t.Errorf("open for %v a minute later", got)
 	}
-	if few := NewShield(4); few.to <= 2*s.to || few.rise <= 5*s.rise {
+	if few := NewOriginShield(4); few.to <= 2*s.to || few.rise <= 5*s.rise {
 		t.Errorf("four directors lower to %v and open by %v, hundreds to %v and %v", few.to, few.rise, s.to, s.rise)
 	}
 }
@@ -61,17 +61,17 @@
 // A late answer may be chance: the first in time that was sent behind it opens all again. Where what was sent behind it
 // is late, too, it was a queue, and in-time answers open it step by step.
 func TestShieldForgetsAFalseAlarm(t *testing.T) {
-	s, now := NewShield(300), 10*time.Second
-	s.Answered(now, now-time.Second, true)
-	s.Answered(now+time.Second, now+900*time.Millisecond, false)
-	if got := s.Open(now + time.Second); got != 1 {
+	s, now := NewOriginShield(300), 10*time.Second
+	s.RecordAnswer(now, now-time.Second, true)
+	s.RecordAnswer(now+time.Second, now+900*time.Millisecond, false)
+	if got := s.AdmitFraction(now + time.Second); got != 1 {
 		t.Errorf("open for %v behind a false alarm", got)
 	}
 	now += time.Minute
-	s.Answered(now, now-time.Second, true)
-	s.Answered(now+time.Second, now, true)
-	s.Answered(now+2*time.Second, now+1900*time.Millisecond, false)
-	if got := s.Open(now + 2*time.Second); got > 0.4 {
+	s.RecordAnswer(now, now-time.Second, true)
+	s.RecordAnswer(now+time.Second, now, true)
+	s.RecordAnswer(now+2*time.Second, now+1900*time.Millisecond, false)
+	if got := s.AdmitFraction(now + 2*time.Second); got > 0.4 {
 		t.Errorf("open for %v by one answer in time behind a queue", got)
 	}
 }
@@ -79,15 +79,15 @@
 // Whatever it is told, in whatever order, the part stays between the least and all, and only late answers lower it.
 func TestShieldKeepsItsBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := NewShield(rapid.IntRange(0, 1000).Draw(t, "directors"))
+		s := NewOriginShield(rapid.IntRange(0, 1000).Draw(t, "directors"))
 		now := Time(0)
 		for range rapid.IntRange(1, 100).Draw(t, "steps") {
 			now += time.Duration(rapid.Int64Range(0, int64(3*time.Second)).Draw(t, "pass"))
 			sent := now - time.Duration(rapid.Int64Range(0, int64(10*time.Second)).Draw(t, "ago"))
-			before := s.Open(now)
+			before := s.AdmitFraction(now)
 			late := rapid.Bool().Draw(t, "late")
-			s.Answered(now, sent, late)
-			got := s.Open(now)
+			s.RecordAnswer(now, sent, late)
+			got := s.AdmitFraction(now)
 			if got < openLeast || got > 1 || (late && got > before) || (!late && got < before) {
 				t.Fatalf("from %v to %v, late %v", before, got, late)
 			}
@@ -113,9 +113,9 @@
 		sent, at, until Time
 	}
 	rng := rand.New(rand.NewPCG(seed, 3))
-	shields := make([]*Shield, directors)
+	shields := make([]*OriginShield, directors)
 	for i := range shields {
-		shields[i] = NewShield(directors)
+		shields[i] = NewOriginShield(directors)
 	}
 	var out []answer
 	free := Time(0)
@@ -127,7 +127,7 @@
 		}
 		if rng.Float64() < rate {
 			d := rng.IntN(directors)
-			if !shielded || rng.Float64() < shields[d].Open(now) {
+			if !shielded || rng.Float64() < shields[d].AdmitFraction(now) {
 				free = max(free, now) + service
 				out = append(out, answer{d, now, free + way, free})
 			}
@@ -137,14 +137,14 @@
 			if a.at > now {
 				if now%(50*time.Millisecond) == 0 { // the router's tick
 					if now-a.sent > aim {
-						shields[a.director].Answered(now, a.sent, true)
+						shields[a.director].RecordAnswer(now, a.sent, true)
 					}
 				}
 				kept = append(kept, a)
 				continue
 			}
 			wait := a.at - a.sent
-			shields[a.director].Answered(now, a.sent, wait > aim)
+			shields[a.director].RecordAnswer(now, a.sent, wait > aim)
 			if a.sent > 4*time.Second { // behind the first surprise
 				all++
 				if wait <= aim {
--- a/internal/simwire/wire.go
+++ b/internal/simwire/wire.go
@@ -58,14 +58,14 @@
 	304: routing.ConnectFailed, 305: routing.Reset, 306: routing.Cancelled, 307: routing.Abandoned,
 }
 
-// Born starts an instance.
-type Born struct {
+// StartInstance starts an instance.
+type StartInstance struct {
 	Seed     uint64
 	Settings []byte
 }
 
-// Killed tells that an instance is no more.
-type Killed struct{}
+// StopInstance tells that an instance is no more.
+type StopInstance struct{}
 
 // Crash reports that an instance's decision code has failed.
 type Crash struct{ Text string }
@@ -154,9 +154,9 @@
 	rec := Record{Instance: f.u16()}
 	switch code {
 	case evBorn:
-		rec.Event = Born{Seed: f.u64(), Settings: append([]byte(nil), f.bytes(int(f.u32()))...)}
+		rec.Event = StartInstance{Seed: f.u64(), Settings: append([]byte(nil), f.bytes(int(f.u32()))...)}
 	case evCrashNow:
-		rec.Event = Killed{}
+		rec.Event = StopInstance{}
 	case evDirectory:
 		m := routing.EndpointUpdate{Kind: routing.UpdateKind(f.u8()), Version: f.u64()}
 		bank := f.u16()
--- a/internal/simwire/wire_test.go
+++ b/internal/simwire/wire_test.go
@@ -77,7 +77,7 @@
 			16 00000002 0003
 			12 00000016 0003 00000001 0002 0a124a07 138b 0000000000000005`, 3, []Record{
 			{3, routing.Purge{Age: 85000000, Group: 11, Object: 0x7c55d20a01}},
-			{3, Killed{}},
+			{3, StopInstance{}},
 			{3, routing.StreamStarted{ID: 1, Attempt: 2, Host: hostA, Elapsed: 5}}}},
 		{"status, datagram, born", `
 			1a 00000017 0003 0000000000000005 0130 0a124a07 138b 01 3f800000
@@ -85,7 +85,7 @@
 			1b 00000010 0003 0000000000000009 00000002 7b7d`, 3, []Record{
 			{3, routing.ProbeResult{Host: hostA, Elapsed: 5, Result: routing.ConnectFailed, LoadReport: []float32{1}}},
 			{3, routing.PeerMessage{From: 2, Data: []byte("h")}},
-			{3, Born{Seed: 9, Settings: []byte("{}")}}}},
+			{3, StartInstance{Seed: 9, Settings: []byte("{}")}}}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			b, err := NewReader(bytes.NewReader(frame(t, tc.count, tc.hex))).Next()
--- a/internal/sitehealth/view.go
+++ b/internal/sitehealth/view.go
@@ -20,13 +20,13 @@
 
 // States of a site. What a wrong one costs, and what to do at each, is in docs/site-loss.md.
 const (
-	Well       State = iota
-	MemberLost       // a server fails while others answer
-	Lost             // its servers refuse, or the list has none left
-	CutOff           // its servers are silent: from here that is as good as lost, but they may be serving others
-	Returning        // it answers again, and gets its load back by and by
-	Relapsed         // it was lost again while returning: it waits twice as long as before
-	Slow             // the origin alone: it makes fills late, and a part of them is kept from it
+	Healthy     State = iota
+	Degraded          // a server fails while others answer
+	Lost              // its servers refuse, or the list has none left
+	Unreachable       // its servers are silent: from here that is as good as lost, but they may be serving others
+	Recovering        // it answers again, and gets its load back by and by
+	Relapsed          // it was lost again while returning: it waits twice as long as before
+	Slow              // the origin alone: it makes fills late, and a part of them is kept from it
 )
 
 // String is the state's name in logs.
@@ -35,7 +35,7 @@
 }
 
 // gone tells that nothing is sent there but looks.
-func (s State) gone() bool { return s == Lost || s == CutOff || s == Relapsed }
+func (s State) gone() bool { return s == Lost || s == Unreachable || s == Relapsed }
 
 // Figures of the view.
 const (
@@ -63,38 +63,38 @@
 
 // Config is what a view is made for.
 type Config struct {
-	Names []string // of zones
-	Own   int      // the director's own branch
-	Hub   int      // and the hub that it is attached to
+	ZoneNames []string // of zones
+	OwnZone   int      // the director's own branch
+	HubZone   int      // and the hub that it is attached to
 }
 
-// Advice is what a plan says while some zones are lost: how the other hubs share the fills of our branch, by zone, and
+// FailoverShares is what a plan says while some zones are lost: how the other hubs share the fills of our branch, by zone, and
 // the part of each class's fills that are made. What is not told is shared alike, and made.
-type Advice struct{ Hubs, Fills []float64 }
+type FailoverShares struct{ HubShares, FillShares []float64 }
 
-// Plan gives advice. It is asked with the zones that are lost, and with what each zone carries when all of it is there.
-type Plan func(lost []int, carries []float64) Advice
+// PlanFunc gives advice. It is asked with the zones that are lost, and with what each zone carries when all of it is there.
+type PlanFunc func(lost []int, carries []float64) FailoverShares
 
 // Options are what an installation may set. The zero follows no plan.
 type Options struct {
 	// Plan, where set, is followed; else other hubs share alike.
-	Plan Plan
-	// Deaf, where set, tells that the list service is not heard either.
-	Deaf func() bool
-	// Rate, where set, is the part of a site's traffic that moves in a second at most, there and back. Else what a hub
+	Plan PlanFunc
+	// DiscoveryStale, where set, tells that the list service is not heard either.
+	DiscoveryStale func() bool
+	// ShiftRate, where set, is the part of a site's traffic that moves in a second at most, there and back. Else what a hub
 	// leaves is taken up as it comes, with the origin's shield for a guard, and goes back at backRate.
-	Rate float64
-	// Stay, where set, is how long another site stays lost at the least, in place of waitFirst.
-	Stay time.Duration
+	ShiftRate float64
+	// MinLostTime, where set, is how long another site stays lost at the least, in place of waitFirst.
+	MinLostTime time.Duration
 }
 
-// View holds the states of all sites, as one director sees them. It is not safe for concurrent use.
-type View struct {
+// Monitor holds the states of all sites, as one director sees them. It is not safe for concurrent use.
+type Monitor struct {
 	Options // set before the first event
 
 	c         Config
 	pull      []float64 // by zone: what the weight of its parents counts
-	advice    Advice
+	advice    FailoverShares
 	planned   bool // it is for what the sites' askedLost and askedCarries hold
 	sites     []site
 	heard     Time // the last answer from anybody
@@ -102,22 +102,22 @@
 	alone     bool
 	origin    State
 	aloneFrom Time
-	changes   []Change
+	changes   []StateChange
 	Counters  Counters
 }
 
 // Counters count changes of state.
-type Counters struct{ Losses, CutOffs, Returns, Relapses, Recoveries, Alone, OriginSlow uint64 }
+type Counters struct{ Losses, Unreachable, RecoveriesStarted, Relapses, Recoveries, Isolations, OriginSlowdowns uint64 }
 
-// Change is one change of a site's state, with its evidence.
-type Change struct {
+// StateChange is one change of a site's state, with its evidence.
+type StateChange struct {
 	Site     string // "": the director itself
 	From, To State
 	Evidence string
 }
 
 // String is the change as a line of the log.
-func (c Change) String() string {
+func (c StateChange) String() string {
 	if c.Site == "" {
 		if c.To.gone() {
 			return "we are cut off: " + c.Evidence
@@ -144,7 +144,7 @@
 
 // Member is a server, as the view knows it. Its zero is none, and takes any evidence.
 type Member struct {
-	v       *View
+	v       *Monitor
 	zone    int
 	weight  float64
 	up      bool // listed as ready
@@ -156,15 +156,15 @@
 }
 
 // New returns a view in which all is well.
-func New(c Config) *View {
-	v := &View{c: c, sites: make([]site, max(len(c.Names), c.Own+1, c.Hub+1)), pull: make([]float64, max(len(c.Names), c.Own+1, c.Hub+1))}
-	v.pull[c.Hub] = 1
+func New(c Config) *Monitor {
+	v := &Monitor{c: c, sites: make([]site, max(len(c.ZoneNames), c.OwnZone+1, c.HubZone+1)), pull: make([]float64, max(len(c.ZoneNames), c.OwnZone+1, c.HubZone+1))}
+	v.pull[c.HubZone] = 1
 	return v
 }
 
-// Join takes a server, or what the list now tells of it. The list is late, so that what it says of a server's start is
+// UpdateMember takes a server, or what the list now tells of it. The list is late, so that what it says of a server's start is
 // news only if that is a start which was not known.
-func (v *View) Join(now Time, m *Member, zone int, weight float64, up bool, started Time) *Member {
+func (v *Monitor) UpdateMember(now Time, m *Member, zone int, weight float64, up bool, started Time) *Member {
 	if zone < 0 || zone >= len(v.sites) {
 		return m
 	}
@@ -187,15 +187,15 @@
 	s.carries = max(s.carries, sum)
 	if anew && s.state.gone() && now >= s.since+s.wait {
 		// It counts as a sign of life of a site that is lost, but not as an answer.
-		v.change(now, zone, Returning, "the list has a new server")
+		v.change(now, zone, Recovering, "the list has a new server")
 	}
-	s.fresh = s.fresh || (anew && (s.state.gone() || s.state == Returning))
+	s.fresh = s.fresh || (anew && (s.state.gone() || s.state == Recovering))
 	s.seen = s.seen || up
 	return m
 }
 
-// Leave takes a server away, which the list no longer has.
-func (m *Member) Leave() {
+// Remove takes a server away, which the list no longer has.
+func (m *Member) Remove() {
 	if m == nil {
 		return
 	}
@@ -208,8 +208,8 @@
 	}
 }
 
-// Answered: the server has said something, whatever it was.
-func (m *Member) Answered(now Time) {
+// RecordResponse: the server has said something, whatever it was.
+func (m *Member) RecordResponse(now Time) {
 	if m == nil {
 		return
 	}
@@ -220,7 +220,7 @@
 	v.heard, v.asked = now, 0
 	if v.alone {
 		v.alone = false
-		v.note(-1, Lost, Well, fmt.Sprintf("%s answers after %v", v.name(m.zone), now-v.aloneFrom))
+		v.note(-1, Lost, Healthy, fmt.Sprintf("%s answers after %v", v.name(m.zone), now-v.aloneFrom))
 		for i := range v.sites { // what was silent meanwhile was our own silence
 			for _, o := range v.sites[i].members {
 				o.silent, o.silence = 0, 0
@@ -228,12 +228,12 @@
 		}
 	}
 	if s.state.gone() && now >= s.since+s.wait {
-		v.change(now, m.zone, Returning, "a server answers")
+		v.change(now, m.zone, Recovering, "a server answers")
 	}
 }
 
-// Refused: the server's machine says that nothing listens there, or its source was not reached at once.
-func (m *Member) Refused(now Time) {
+// RecordRefusal: the server's machine says that nothing listens there, or its source was not reached at once.
+func (m *Member) RecordRefusal(now Time) {
 	if m == nil {
 		return
 	}
@@ -241,18 +241,18 @@
 	m.v.failed(now)
 }
 
-// Unreached: a cache could not reach the server as its source: at once, as one that refuses, or after a wait.
-func (m *Member) Unreached(now, sent Time, quickly bool) {
+// RecordSourceFailure: a cache could not reach the server as its source: at once, as one that refuses, or after a wait.
+func (m *Member) RecordSourceFailure(now, sent Time, quickly bool) {
 	if quickly {
-		m.Refused(now)
+		m.RecordRefusal(now)
 		return
 	}
-	m.Silent(now, sent)
+	m.RecordTimeout(now, sent)
 }
 
-// Alone tells that the server fails while another of its site does not: to take it out leaves someone in its place. A
+// HasHealthyPeer tells that the server fails while another of its site does not: to take it out leaves someone in its place. A
 // site of which all fail is taken out as a whole, by its state.
-func (m *Member) Alone(now Time) bool {
+func (m *Member) HasHealthyPeer(now Time) bool {
 	if m == nil {
 		return false
 	}
@@ -264,9 +264,9 @@
 	return false
 }
 
-// Silent: an attempt that was sent at a time is over and got nothing out of the server, though an answer was due. Where
+// RecordTimeout: an attempt that was sent at a time is over and got nothing out of the server, though an answer was due. Where
 // the server has spoken since, it was the answer that was lost.
-func (m *Member) Silent(now, sent Time) {
+func (m *Member) RecordTimeout(now, sent Time) {
 	if m == nil || m.good > sent {
 		return
 	}
@@ -275,7 +275,7 @@
 	m.v.failed(now)
 }
 
-func (v *View) failed(now Time) {
+func (v *Monitor) failed(now Time) {
 	if v.asked == 0 {
 		v.asked = now
 	}
@@ -285,7 +285,7 @@
 // worth of a proven one; and how many of them are silent.
 func (s *site) failing(now Time) (sum, silent float64, n int) {
 	from := s.good
-	if s.state == Returning {
+	if s.state == Recovering {
 		from = max(from, s.since) // what was before the return says nothing of it
 	}
 	for _, m := range s.members {
@@ -316,14 +316,14 @@
 
 // Tick brings the states up to date, and tells what has changed since the last call. It is called often, some twenty
 // times a second. Open is the part of the fills that go on to the origin.
-func (v *View) Tick(now Time, open float64, changed func(Change)) {
-	if to := v.origin; open < slowUnder && to == Well {
+func (v *Monitor) Tick(now Time, open float64, changed func(StateChange)) {
+	if to := v.origin; open < slowUnder && to == Healthy {
 		v.origin = Slow
-		v.Counters.OriginSlow++
-		v.changes = append(v.changes, Change{"origin", to, Slow, fmt.Sprintf("%.2f of the fills go on to it", open)})
+		v.Counters.OriginSlowdowns++
+		v.changes = append(v.changes, StateChange{"origin", to, Slow, fmt.Sprintf("%.2f of the fills go on to it", open)})
 	} else if open >= slowUntil && to == Slow {
-		v.origin = Well
-		v.changes = append(v.changes, Change{"origin", to, Well, "all fills go on to it"})
+		v.origin = Healthy
+		v.changes = append(v.changes, StateChange{"origin", to, Healthy, "all fills go on to it"})
 	}
 	v.tellAlone(now)
 	for z := range v.sites {
@@ -341,7 +341,7 @@
 // tellAlone tells whether it is us who are cut off: nobody has answered for a while, and servers of several sites were
 // asked in vain. Then no site is called lost, however silent: a director that can't see must not send all its load
 // elsewhere, nor come back as from the end of the world.
-func (v *View) tellAlone(now Time) {
+func (v *Monitor) tellAlone(now Time) {
 	if v.alone || v.asked == 0 || now-max(v.asked, v.heard) < aloneAfter {
 		return
 	}
@@ -357,17 +357,17 @@
 			sites, members = sites+1, members+n
 		}
 	}
-	if v.Deaf != nil && v.Deaf() {
+	if v.DiscoveryStale != nil && v.DiscoveryStale() {
 		sites++
 	}
 	if sites >= aloneSites {
 		v.alone, v.aloneFrom = true, v.asked
-		v.Counters.Alone++
-		v.note(-1, Well, Lost, fmt.Sprintf("%d servers of %d sites silent for %v, nobody answers", members, sites, now-v.asked))
+		v.Counters.Isolations++
+		v.note(-1, Healthy, Lost, fmt.Sprintf("%d servers of %d sites silent for %v, nobody answers", members, sites, now-v.asked))
 	}
 }
 
-func (v *View) judge(now Time, zone int) {
+func (v *Monitor) judge(now Time, zone int) {
 	s := &v.sites[zone]
 	sum, silent, n := s.failing(now)
 	ready := s.ready()
@@ -381,10 +381,10 @@
 	}
 	worse := Lost
 	if ready > 0 && silent > sum/2 {
-		worse = CutOff
+		worse = Unreachable
 	}
 	switch {
-	case lost && s.state == Returning:
+	case lost && s.state == Recovering:
 		s.wait = min(waitMost, 2*s.wait)
 		v.Counters.Relapses++
 		v.change(now, zone, Relapsed, how)
@@ -394,85 +394,85 @@
 		}
 		s.wait = max(s.wait, v.first(zone))
 		v.change(now, zone, worse, how)
-	case s.state == Returning && !lost && n == 0 && s.goods >= wellAfter && (!s.fresh || v.ramp(now, s) >= 1):
+	case s.state == Recovering && !lost && n == 0 && s.goods >= wellAfter && (!s.fresh || v.ramp(now, s) >= 1):
 		v.Counters.Recoveries++
-		v.change(now, zone, Well, fmt.Sprintf("%d answers in %v", s.goods, now-s.since))
+		v.change(now, zone, Healthy, fmt.Sprintf("%d answers in %v", s.goods, now-s.since))
 	case s.state.gone() && !lost && s.good > s.since && now >= s.since+s.wait:
-		v.change(now, zone, Returning, "a server has answered")
-	case s.state == Well && n > 0 && !lost:
-		v.change(now, zone, MemberLost, fmt.Sprintf("%d of %d servers failed", n, ready))
-	case s.state == MemberLost && n == 0 && now-s.since >= leastStay:
-		v.change(now, zone, Well, "none fails")
+		v.change(now, zone, Recovering, "a server has answered")
+	case s.state == Healthy && n > 0 && !lost:
+		v.change(now, zone, Degraded, fmt.Sprintf("%d of %d servers failed", n, ready))
+	case s.state == Degraded && n == 0 && now-s.since >= leastStay:
+		v.change(now, zone, Healthy, "none fails")
 	}
 }
 
-func (v *View) change(now Time, zone int, to State, evidence string) {
+func (v *Monitor) change(now Time, zone int, to State, evidence string) {
 	s := &v.sites[zone]
 	v.note(zone, s.state, to, evidence)
 	switch to {
 	case Lost:
 		v.Counters.Losses++
-	case CutOff:
-		v.Counters.CutOffs++
-	case Returning:
-		v.Counters.Returns++
+	case Unreachable:
+		v.Counters.Unreachable++
+	case Recovering:
+		v.Counters.RecoveriesStarted++
 	}
 	s.state, s.since, s.goods = to, now, 0
-	s.fresh = s.fresh && (to == Returning || to.gone())
+	s.fresh = s.fresh && (to == Recovering || to.gone())
 }
 
-func (v *View) note(zone int, from, to State, evidence string) {
+func (v *Monitor) note(zone int, from, to State, evidence string) {
 	name := ""
 	if zone >= 0 {
 		name = v.name(zone)
 	}
-	v.changes = append(v.changes, Change{name, from, to, evidence})
+	v.changes = append(v.changes, StateChange{name, from, to, evidence})
 }
 
-func (v *View) name(zone int) string {
-	if zone >= 0 && zone < len(v.c.Names) {
-		return v.c.Names[zone]
+func (v *Monitor) name(zone int) string {
+	if zone >= 0 && zone < len(v.c.ZoneNames) {
+		return v.c.ZoneNames[zone]
 	}
 	return fmt.Sprint("zone ", zone)
 }
 
 // first is the shortest wait of a site.
-func (v *View) first(zone int) time.Duration {
-	if zone == v.c.Own {
+func (v *Monitor) first(zone int) time.Duration {
+	if zone == v.c.OwnZone {
 		return waitOwn
 	}
-	return cmp.Or(v.Stay, waitFirst)
+	return cmp.Or(v.MinLostTime, waitFirst)
 }
 
 // ramp is the part of its load that a returning hub may have by the time since it came back.
-func (v *View) ramp(now Time, s *site) float64 {
-	return min(1, startsAt+cmp.Or(v.Rate, backRate)*(now-s.since).Seconds())
+func (v *Monitor) ramp(now Time, s *site) float64 {
+	return min(1, startsAt+cmp.Or(v.ShiftRate, backRate)*(now-s.since).Seconds())
 }
 
 // draw works out which hub pulls how much. Parents of a branch's own hub count with their weight, those of others not
 // at all, but for the part that the own hub does not get: that is shared among the others as the plan says. Objects are
 // placed by a hash in which these weights count, so that with each change only those objects move that have to.
-func (v *View) draw(now Time) {
-	own := v.Part(now, v.c.Hub)
+func (v *Monitor) draw(now Time) {
+	own := v.CapacityShare(now, v.c.HubZone)
 	clear(v.pull)
-	if v.pull[v.c.Hub] = own; own >= 1 {
-		v.advice, v.planned = Advice{}, false
+	if v.pull[v.c.HubZone] = own; own >= 1 {
+		v.advice, v.planned = FailoverShares{}, false
 		return
 	}
 	v.consult()
 	for z := range v.sites {
 		share, carries := 1.0, v.sites[z].carries
-		if len(v.advice.Hubs) == len(v.sites) {
-			share = v.advice.Hubs[z]
+		if len(v.advice.HubShares) == len(v.sites) {
+			share = v.advice.HubShares[z]
 		}
-		if z != v.c.Hub && carries > 0 {
-			v.pull[z] = (1 - own) * share * v.Part(now, z) * max(v.sites[v.c.Hub].carries, 1) / carries
+		if z != v.c.HubZone && carries > 0 {
+			v.pull[z] = (1 - own) * share * v.CapacityShare(now, z) * max(v.sites[v.c.HubZone].carries, 1) / carries
 		}
 	}
 }
 
 // consult asks the plan, again only when what it is asked has changed: a plan takes far longer than a tick may.
-func (v *View) consult() {
+func (v *Monitor) consult() {
 	if v.Plan == nil {
 		return
 	}
@@ -480,7 +480,7 @@
 	for z := range v.sites {
 		s := &v.sites[z]
 		// Our hub counts as lost also while it comes back: what it does not get yet goes where all of it went.
-		lost := s.state.gone() || z == v.c.Hub
+		lost := s.state.gone() || z == v.c.HubZone
 		same = same && lost == s.askedLost && s.carries == s.askedCarries
 		s.askedLost, s.askedCarries = lost, s.carries
 	}
@@ -497,41 +497,41 @@
 	v.advice, v.planned = v.Plan(lost, carries), true
 }
 
-// Pull is what the weight of a zone's parents counts for the objects of our branch; 0: they come after all others.
-func (v *View) Pull(zone int) float64 {
+// WeightFactor is what the weight of a zone's parents counts for the objects of our branch; 0: they come after all others.
+func (v *Monitor) WeightFactor(zone int) float64 {
 	if zone < 0 || zone >= len(v.pull) {
 		return 0
 	}
 	return v.pull[zone]
 }
 
-// Fills is the part of a class's fills that may go on to the origin, by the plan and by the pace at which a lost hub's
+// FillShare is the part of a class's fills that may go on to the origin, by the plan and by the pace at which a lost hub's
 // objects move to others, which hold none of them yet.
-func (v *View) Fills(now Time, class int) float64 {
+func (v *Monitor) FillShare(now Time, class int) float64 {
 	part := 1.0
-	if class < len(v.advice.Fills) {
-		part = v.advice.Fills[class]
+	if class < len(v.advice.FillShares) {
+		part = v.advice.FillShares[class]
 	}
-	if s := &v.sites[v.c.Hub]; v.Rate > 0 && s.state.gone() {
-		part = min(part, v.Rate*(now-s.since).Seconds())
+	if s := &v.sites[v.c.HubZone]; v.ShiftRate > 0 && s.state.gone() {
+		part = min(part, v.ShiftRate*(now-s.since).Seconds())
 	}
 	return part
 }
 
 // State is how a site fares, and since when.
-func (v *View) State(zone int) (State, Time) { return v.sites[zone].state, v.sites[zone].since }
+func (v *Monitor) State(zone int) (State, Time) { return v.sites[zone].state, v.sites[zone].since }
 
-// Alone tells that the director itself is cut off.
-func (v *View) Alone() bool { return v.alone }
+// Isolated tells that the director itself is cut off.
+func (v *Monitor) Isolated() bool { return v.alone }
 
-// Part is the part of its usual load that a site may get now. A site that comes back in part gets a part: as much as
+// CapacityShare is the part of its usual load that a site may get now. A site that comes back in part gets a part: as much as
 // of its servers are ready and have not failed.
-func (v *View) Part(now Time, zone int) float64 {
+func (v *Monitor) CapacityShare(now Time, zone int) float64 {
 	if zone < 0 || zone >= len(v.sites) {
 		return 0
 	}
 	switch s := &v.sites[zone]; {
-	case !s.seen, s.state == Well, s.state == MemberLost:
+	case !s.seen, s.state == Healthy, s.state == Degraded:
 		return 1
 	case s.state.gone():
 		return 0
@@ -557,31 +557,31 @@
 	return have / all
 }
 
-// Shut tells that nothing can be done for the clients of our branch, as its caches are lost, or we are cut off. Looks
+// OwnBranchUnavailable tells that nothing can be done for the clients of our branch, as its caches are lost, or we are cut off. Looks
 // go on, at all times: they tell when it is over.
-func (v *View) Shut() bool { return v.alone || v.sites[v.c.Own].state.gone() }
+func (v *Monitor) OwnBranchUnavailable() bool { return v.alone || v.sites[v.c.OwnZone].state.gone() }
 
-// Claim is how many times its work a request must find room for in the cold budget of a cache of our branch. While that
+// AdmissionCost is how many times its work a request must find room for in the cold budget of a cache of our branch. While that
 // comes back, what is asked for once leaves room for what is wanted more; what runs at the origin is never held back so.
-func (v *View) Claim(uses int, passOn bool) float64 {
-	if uses < wanted && !passOn && v.sites[v.c.Own].state == Returning {
+func (v *Monitor) AdmissionCost(uses int, passOn bool) float64 {
+	if uses < wanted && !passOn && v.sites[v.c.OwnZone].state == Recovering {
 		return claimOnce
 	}
 	return 1
 }
 
-// LookEvery bounds the time between two looks at a server of our branch while that is lost as a whole: what is known of
+// ProbeInterval bounds the time between two looks at a server of our branch while that is lost as a whole: what is known of
 // one tells of all, so that what a look costs is worth it at any time.
-func (v *View) LookEvery() time.Duration {
-	if v.Shut() {
+func (v *Monitor) ProbeInterval() time.Duration {
+	if v.OwnBranchUnavailable() {
 		return lookEvery
 	}
 	return math.MaxInt64
 }
 
-// LookIn is how long it is until a lost site can be found back: until the next look, or until an answer counts as its
+// NextProbeIn is how long it is until a lost site can be found back: until the next look, or until an answer counts as its
 // return. A client that is refused may as well stay away for that long. 0: the site is not lost.
-func (v *View) LookIn(now Time, zone int) time.Duration {
+func (v *Monitor) NextProbeIn(now Time, zone int) time.Duration {
 	s := &v.sites[zone]
 	if !s.state.gone() {
 		return 0
--- a/internal/strictconfig/strict.go
+++ b/internal/strictconfig/strict.go
@@ -29,9 +29,9 @@
 	return fmt.Errorf("%s: %w", file, err)
 }
 
-// Line finds the line of a key such as clients.zipf, step[2].do or plan.pin[1].share; where the file gives the key in
+// FindLine finds the line of a key such as clients.zipf, step[2].do or plan.pin[1].share; where the file gives the key in
 // a table on one line, that line. 0: it stands in none.
-func Line(text []byte, key string) int {
+func FindLine(text []byte, key string) int {
 	for ; key != ""; key = key[:max(0, strings.LastIndexByte(key, '.'))] {
 		if n := line(text, key); n > 0 {
 			return n
--- a/internal/testbed/clients.go
+++ b/internal/testbed/clients.go
@@ -32,7 +32,7 @@
 
 const openMost = 32 // requests open on one connection (protocol page)
 
-func (l *Lab) dial(director int) (*conn, error) {
+func (l *Testbed) dial(director int) (*conn, error) {
 	c, err := net.DialTimeout("tcp", l.directors[director].addr(), time.Second)
 	if err != nil {
 		return nil, err
@@ -42,7 +42,7 @@
 	return x, nil
 }
 
-func (c *conn) read(l *Lab) {
+func (c *conn) read(l *Testbed) {
 	var err error
 	for err == nil {
 		var size [4]byte
@@ -67,7 +67,7 @@
 		delete(c.open, seq)
 		c.mu.Unlock()
 		if ch == nil {
-			l.record.add(Event{Kind: "stray", Who: directorName(c.director), N: int(seq)})
+			l.record.add(Event{Kind: "stray", Who: directorName(c.director), Number: int(seq)})
 			continue
 		}
 		ch <- r
@@ -192,7 +192,7 @@
 // crowd is all clients. Their requests come at a rate, whatever becomes of earlier ones, and go to the directors
 // that the front holds for ready.
 type crowd struct {
-	l    *Lab
+	l    *Testbed
 	rng  *rand.Rand
 	zipf *rand.Zipf
 	mu   sync.Mutex
@@ -202,7 +202,7 @@
 	open sync.WaitGroup
 }
 
-func newCrowd(l *Lab, seed uint64) *crowd {
+func newCrowd(l *Testbed, seed uint64) *crowd {
 	rng := rand.New(rand.NewPCG(seed, 7))
 	return &crowd{l: l, rng: rng, zipf: rand.NewZipf(rng, l.x.Clients.Zipf, 1, uint64(l.x.Clients.Objects-1)),
 		pool: map[int][]*conn{}, load: 1}
@@ -267,7 +267,7 @@
 func (k *crowd) request(director int, class, object string) {
 	allow := 2 * time.Second
 	deadline := time.Now().Add(allow)
-	for try := range k.l.x.Clients.Tries {
+	for try := range k.l.x.Clients.MaxAttempts {
 		left := time.Until(deadline)
 		if left < 100*time.Millisecond {
 			return
@@ -292,8 +292,8 @@
 func (k *crowd) try(director int, class, object string, allow time.Duration, again bool) (reply, bool) {
 	k.mu.Lock()
 	k.refs++
-	leaves, closes := k.rng.Float64() < k.l.x.Clients.Leave, k.refs%2 == 0
-	after := time.Duration(2 * k.rng.Float64() * k.l.x.Clients.LeaveMS * float64(time.Millisecond))
+	leaves, closes := k.rng.Float64() < k.l.x.Clients.LeaveShare, k.refs%2 == 0
+	after := time.Duration(2 * k.rng.Float64() * k.l.x.Clients.LeaveAfterMS * float64(time.Millisecond))
 	ref := fmt.Sprintf("%016x", k.refs<<16|uint64(k.rng.IntN(1<<16)))
 	k.mu.Unlock()
 	k.l.refs.Store(ref, director)
@@ -304,7 +304,7 @@
 	args := submitArgs(body, "service", class, "ref", ref, "allow", strconv.FormatInt(allow.Milliseconds(), 10),
 		"lookup", object, "chunk", "0", "tag", "0", "room", strconv.FormatFloat(100*k.l.size(object), 'f', 1, 64))
 	k.l.record.add(Event{Kind: "ask", Ref: ref, Director: directorName(director), Class: class, Object: object,
-		Site: branchName(k.l.branchOf(director)), Allow: float64(allow.Milliseconds()), Again: again, Work: k.l.work(object)})
+		Site: branchName(k.l.branchOf(director)), TimeoutMS: float64(allow.Milliseconds()), Retry: again, Work: k.l.work(object)})
 	build := func(seq int32) []byte { return thriftCall(1, "submit", seq, args) }
 	sent := time.Now()
 	c, ch, seq := k.send(director, leaves && closes, build)
--- a/internal/testbed/experiment.go
+++ b/internal/testbed/experiment.go
@@ -22,17 +22,17 @@
 	Seed      uint64  `toml:"seed"`
 	Sockets   int     `toml:"sockets"` // descriptors that a director may hold
 
-	List    ListSpec   `toml:"list"`
-	Caches  ServerSpec `toml:"caches"`
-	Parents ServerSpec `toml:"parents"`
-	Origin  OriginSpec `toml:"origin"`
-	Clients ClientSpec `toml:"clients"`
-	Steps   []Step     `toml:"step"`
-	Bounds  []Bound    `toml:"bound"`
+	Discovery   DiscoverySpec `toml:"list"`
+	Caches      ServerSpec    `toml:"caches"`
+	Parents     ServerSpec    `toml:"parents"`
+	Origin      OriginSpec    `toml:"origin"`
+	Clients     ClientSpec    `toml:"clients"`
+	FaultEvents []FaultEvent  `toml:"step"`
+	Bounds      []Bound       `toml:"bound"`
 }
 
-// ListSpec is the list service: one server of fixed capacity for all directors.
-type ListSpec struct {
+// DiscoverySpec is the list service: one server of fixed capacity for all directors.
+type DiscoverySpec struct {
 	CallsPerSecond float64 `toml:"calls_per_second"` // 0: as many as there are directors in 1.5 s
 	Queue          int     `toml:"queue"`            // calls that wait; more are turned away. 0: a second's worth
 	Begin          string  `toml:"begin"`            // how it is as the directors start: well (or ""), down, hang, half
@@ -40,17 +40,17 @@
 
 // ServerSpec is a group of caches or parents.
 type ServerSpec struct {
-	Count     int     `toml:"count"`
-	Weight    float64 `toml:"weight"`     // transfers at full pace that the link carries
-	Conns     int     `toml:"conns"`      // connections accepted; 0: any number
-	FillSlots int     `toml:"fill_slots"` // fills at once; 0: any number
-	ColdFrom  float64 `toml:"cold_from"`
-	RampMS    float64 `toml:"ramp_ms"`
-	FallMS    float64 `toml:"fall_ms"`
-	Multiple  float64 `toml:"multiple"`
-	LatencyMS float64 `toml:"latency_ms"`
-	Cold      bool    `toml:"cold"`  // starts with the run, empty; else it has been up for long
-	Joins     bool    `toml:"joins"` // requests may join a fill under way
+	Count          int     `toml:"count"`
+	Weight         float64 `toml:"weight"`     // transfers at full pace that the link carries
+	MaxConns       int     `toml:"conns"`      // connections accepted; 0: any number
+	FillSlots      int     `toml:"fill_slots"` // fills at once; 0: any number
+	ColdFrom       float64 `toml:"cold_from"`
+	RampMS         float64 `toml:"ramp_ms"`
+	FallMS         float64 `toml:"fall_ms"`
+	Multiple       float64 `toml:"multiple"`
+	LatencyMS      float64 `toml:"latency_ms"`
+	Cold           bool    `toml:"cold"`  // starts with the run, empty; else it has been up for long
+	CoalescesFills bool    `toml:"joins"` // requests may join a fill under way
 }
 
 // OriginSpec is the origin: everything is there.
@@ -61,45 +61,45 @@
 
 // ClientSpec is the load of all clients together.
 type ClientSpec struct {
-	PerSecond  float64 `toml:"per_second"`
-	Objects    int     `toml:"objects"`
-	Zipf       float64 `toml:"zipf"`
-	Repayments float64 `toml:"repayments"` // share of requests
-	Tries      int     `toml:"tries"`      // of one request by its client, with the first
-	Skew       float64 `toml:"skew"`       // times the mean load that director 0 gets; 0: the mean
-	TransferMS float64 `toml:"transfer_ms"`
-	Leave      float64 `toml:"leave"`      // share of requests whose client closes its connection or cancels, by turns
-	LeaveMS    float64 `toml:"leave_ms"`   // after so long on average, if it has no answer by then
-	SizeSigma  float64 `toml:"size_sigma"` // of the logarithm of objects' sizes; 0: all have the mean
+	PerSecond    float64 `toml:"per_second"`
+	Objects      int     `toml:"objects"`
+	Zipf         float64 `toml:"zipf"`
+	Repayments   float64 `toml:"repayments"` // share of requests
+	MaxAttempts  int     `toml:"tries"`      // of one request by its client, with the first
+	Skew         float64 `toml:"skew"`       // times the mean load that director 0 gets; 0: the mean
+	TransferMS   float64 `toml:"transfer_ms"`
+	LeaveShare   float64 `toml:"leave"`      // share of requests whose client closes its connection or cancels, by turns
+	LeaveAfterMS float64 `toml:"leave_ms"`   // after so long on average, if it has no answer by then
+	SizeSigma    float64 `toml:"size_sigma"` // of the logarithm of objects' sizes; 0: all have the mean
 }
 
-// Step is something that is done at a time, and undone after For seconds where it can be.
-type Step struct {
-	At      float64 `toml:"at"`
-	Do      string  `toml:"do"`
-	Share   float64 `toml:"share"`  // of the directors or servers that it is done to, drawn by the seed; 0: all
-	For     float64 `toml:"for"`    // seconds; 0: for good
-	Factor  float64 `toml:"factor"` // of capacity, or of load
-	Back    int     `toml:"back"`   // events that the list service forgets
-	Over    float64 `toml:"over"`   // seconds over which the servers are replaced in turn
-	DelayMS float64 `toml:"delay_ms"`
-	Link    string  `toml:"link"`  // list, caches, parents or clients: between those and the drawn directors
-	Site    string  `toml:"site"`  // branch-1 or hub-1 and so on: only its directors or servers
-	Late    float64 `toml:"late"`  // seconds by which the list tells of a site late
-	Only    int     `toml:"only"`  // the one director that it is done to, counted from 1; 0: the share
-	Count   int     `toml:"count"` // connections to each director; purges within For seconds
-	Keep    float64 `toml:"keep"`  // seconds for which servers keep copies from before a purge; 0: 2
+// FaultEvent is something that is done at a time, and undone after For seconds where it can be.
+type FaultEvent struct {
+	At              float64 `toml:"at"`
+	Action          string  `toml:"do"`
+	Share           float64 `toml:"share"`  // of the directors or servers that it is done to, drawn by the seed; 0: all
+	Duration        float64 `toml:"for"`    // seconds; 0: for good
+	Factor          float64 `toml:"factor"` // of capacity, or of load
+	ForgottenEvents int     `toml:"back"`   // events that the list service forgets
+	ReplaceOver     float64 `toml:"over"`   // seconds over which the servers are replaced in turn
+	DelayMS         float64 `toml:"delay_ms"`
+	Link            string  `toml:"link"`  // list, caches, parents or clients: between those and the drawn directors
+	Site            string  `toml:"site"`  // branch-1 or hub-1 and so on: only its directors or servers
+	ListDelay       float64 `toml:"late"`  // seconds by which the list tells of a site late
+	OnlyDirector    int     `toml:"only"`  // the one director that it is done to, counted from 1; 0: the share
+	Count           int     `toml:"count"` // connections to each director; purges within For seconds
+	RetainCopies    float64 `toml:"keep"`  // seconds for which servers keep copies from before a purge; 0: 2
 	// Of list-flap: how streams end (break, half, silent), drawn evenly, and the ages in seconds between which they do.
-	Ends    []string `toml:"ends"`
-	AgeFrom float64  `toml:"age_from"`
-	AgeTo   float64  `toml:"age_to"`
+	StreamEnds   []string `toml:"ends"`
+	MinStreamAge float64  `toml:"age_from"`
+	MaxStreamAge float64  `toml:"age_to"`
 }
 
 // Bound is what a figure must keep to.
 type Bound struct {
-	Figure string   `toml:"figure"`
-	Most   *float64 `toml:"most"`
-	Least  *float64 `toml:"least"`
+	Metric string   `toml:"figure"`
+	Max    *float64 `toml:"most"`
+	Min    *float64 `toml:"least"`
 	// BaselineTimes bounds a figure by so many times the baseline's, where one was played: as most, or with a
 	// minus sign as least.
 	BaselineTimes float64 `toml:"baseline_times"`
@@ -116,29 +116,29 @@
 	"cut": "link", "silence": "link", "one-way": "link", "delay": "link", "reset": "link", "drip": "link",
 }
 
-// Load reads an experiment. An error names the file, the line and the key.
-func Load(path string) (*Experiment, error) {
+// LoadExperiment reads an experiment. An error names the file, the line and the key.
+func LoadExperiment(path string) (*Experiment, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return nil, err
 	}
-	return Parse(path, text)
+	return ParseExperiment(path, text)
 }
 
-// Parse checks the text of an experiment; the name of its file is for errors.
-func Parse(file string, text []byte) (*Experiment, error) {
+// ParseExperiment checks the text of an experiment; the name of its file is for errors.
+func ParseExperiment(file string, text []byte) (*Experiment, error) {
 	x := &Experiment{Name: strings.TrimSuffix(filepath.Base(file), ".toml"), Directors: 24, Branches: 1, Hubs: 1, Seconds: 10, Seed: 1, Sockets: 1024,
 		Caches: ServerSpec{Count: 6, Weight: 40, ColdFrom: 0.25, RampMS: 4000, FallMS: 1000, Multiple: 2, LatencyMS: 2,
-			Joins: true},
+			CoalescesFills: true},
 		Parents: ServerSpec{Count: 2, Weight: 60, ColdFrom: 0.25, RampMS: 4000, FallMS: 1000, Multiple: 2, LatencyMS: 5,
-			Joins: true},
+			CoalescesFills: true},
 		Origin:  OriginSpec{PerSecond: 400, LatencyMS: 30},
-		Clients: ClientSpec{PerSecond: 200, Objects: 400, Zipf: 1.1, Repayments: 0.1, Tries: 3, TransferMS: 20, LeaveMS: 50}}
+		Clients: ClientSpec{PerSecond: 200, Objects: 400, Zipf: 1.1, Repayments: 0.1, MaxAttempts: 3, TransferMS: 20, LeaveAfterMS: 50}}
 	if err := strictconfig.Decode(file, text, x); err != nil {
 		return nil, err
 	}
 	if key, why := x.check(); key != "" {
-		return nil, fmt.Errorf("%s:%d: %s: %s", file, strictconfig.Line(text, key), key, why)
+		return nil, fmt.Errorf("%s:%d: %s: %s", file, strictconfig.FindLine(text, key), key, why)
 	}
 	return x, nil
 }
@@ -151,51 +151,51 @@
 	}
 	limits := []limit{{"directors", float64(x.Directors), 1, 400}, {"seconds", x.Seconds, 1, 900},
 		{"branches", float64(x.Branches), 1, float64(x.Directors)}, {"hubs", float64(x.Hubs), 1, float64(x.Parents.Count)},
-		{"list.calls_per_second", x.List.CallsPerSecond, 0, 1e5}, {"list.queue", float64(x.List.Queue), 0, 1e5},
+		{"list.calls_per_second", x.Discovery.CallsPerSecond, 0, 1e5}, {"list.queue", float64(x.Discovery.Queue), 0, 1e5},
 		{"origin.per_second", x.Origin.PerSecond, 1, 1e6}, {"origin.latency_ms", x.Origin.LatencyMS, 0, 1e4},
 		{"clients.per_second", x.Clients.PerSecond, 0, 1e5}, {"clients.objects", float64(x.Clients.Objects), 1, 1e6},
 		{"clients.zipf", x.Clients.Zipf, 1.01, 4}, {"clients.repayments", x.Clients.Repayments, 0, 1},
-		{"clients.tries", float64(x.Clients.Tries), 1, 10}, {"clients.skew", x.Clients.Skew, 0, 50},
-		{"clients.transfer_ms", x.Clients.TransferMS, 1, 1e4}, {"clients.leave", x.Clients.Leave, 0, 1},
-		{"clients.leave_ms", x.Clients.LeaveMS, 1, 1e4}, {"clients.size_sigma", x.Clients.SizeSigma, 0, 2},
+		{"clients.tries", float64(x.Clients.MaxAttempts), 1, 10}, {"clients.skew", x.Clients.Skew, 0, 50},
+		{"clients.transfer_ms", x.Clients.TransferMS, 1, 1e4}, {"clients.leave", x.Clients.LeaveShare, 0, 1},
+		{"clients.leave_ms", x.Clients.LeaveAfterMS, 1, 1e4}, {"clients.size_sigma", x.Clients.SizeSigma, 0, 2},
 		{"sockets", float64(x.Sockets), 64, 1 << 16}}
 	for _, g := range []struct {
 		name string
 		s    ServerSpec
 	}{{"caches", x.Caches}, {"parents", x.Parents}} {
 		limits = append(limits, limit{g.name + ".count", float64(g.s.Count), 1, 200},
-			limit{g.name + ".weight", g.s.Weight, 0.1, 1e5}, limit{g.name + ".conns", float64(g.s.Conns), 0, 1e5},
+			limit{g.name + ".weight", g.s.Weight, 0.1, 1e5}, limit{g.name + ".conns", float64(g.s.MaxConns), 0, 1e5},
 			limit{g.name + ".fill_slots", float64(g.s.FillSlots), 0, 1e5}, limit{g.name + ".cold_from", g.s.ColdFrom, 0.01, 1},
 			limit{g.name + ".ramp_ms", g.s.RampMS, 0, 1e5}, limit{g.name + ".fall_ms", g.s.FallMS, 100, 1e5},
 			limit{g.name + ".multiple", g.s.Multiple, 0.5, 100}, limit{g.name + ".latency_ms", g.s.LatencyMS, 0, 1e4})
 	}
-	for i, s := range x.Steps {
+	for i, s := range x.FaultEvents {
 		at := func(k string) string { return fmt.Sprintf("step[%d].%s", i, k) }
-		on, known := doings[s.Do]
+		on, known := doings[s.Action]
 		if !known {
-			return at("do"), fmt.Sprintf("%q is nothing that can be done", s.Do)
+			return at("do"), fmt.Sprintf("%q is nothing that can be done", s.Action)
 		}
 		if on == "link" && !slices.Contains([]string{"list", "caches", "parents", "clients"}, s.Link) {
 			return at("link"), fmt.Sprintf("%q is no link", s.Link)
 		}
 		switch sites := x.sites(); {
 		case on == "site" && s.Site == "":
-			return at("do"), fmt.Sprintf("%s needs a site", s.Do)
+			return at("do"), fmt.Sprintf("%s needs a site", s.Action)
 		case s.Site != "" && !slices.Contains(sites, s.Site):
 			return at("site"), fmt.Sprintf("%q is none of %s", s.Site, strings.Join(sites, ", "))
 		case s.Site != "" && on != "site" && on != "directors" && on != "link":
-			return at("site"), fmt.Sprintf("%s is not done to a site", s.Do)
+			return at("site"), fmt.Sprintf("%s is not done to a site", s.Action)
 		}
-		limits = append(limits, limit{at("late"), s.Late, 0, 60}, limit{at("only"), float64(s.Only), 0, float64(x.Directors)},
+		limits = append(limits, limit{at("late"), s.ListDelay, 0, 60}, limit{at("only"), float64(s.OnlyDirector), 0, float64(x.Directors)},
 			limit{at("at"), s.At, 0, x.Seconds}, limit{at("share"), s.Share, 0, 1},
-			limit{at("for"), s.For, 0, 600}, limit{at("factor"), s.Factor, 0, 100}, limit{at("back"), float64(s.Back), 0, 1e4},
-			limit{at("over"), s.Over, 0, 600}, limit{at("delay_ms"), s.DelayMS, 0, 1e4},
-			limit{at("count"), float64(s.Count), 0, 1e4}, limit{at("keep"), s.Keep, 0, purgeTakes.Seconds()},
-			limit{at("age_from"), s.AgeFrom, 0, 60}, limit{at("age_to"), s.AgeTo, s.AgeFrom, 60})
-		if s.Do == "list-flap" && (len(s.Ends) == 0 || s.AgeTo == 0) {
+			limit{at("for"), s.Duration, 0, 600}, limit{at("factor"), s.Factor, 0, 100}, limit{at("back"), float64(s.ForgottenEvents), 0, 1e4},
+			limit{at("over"), s.ReplaceOver, 0, 600}, limit{at("delay_ms"), s.DelayMS, 0, 1e4},
+			limit{at("count"), float64(s.Count), 0, 1e4}, limit{at("keep"), s.RetainCopies, 0, purgeTakes.Seconds()},
+			limit{at("age_from"), s.MinStreamAge, 0, 60}, limit{at("age_to"), s.MaxStreamAge, s.MinStreamAge, 60})
+		if s.Action == "list-flap" && (len(s.StreamEnds) == 0 || s.MaxStreamAge == 0) {
 			return at("do"), "list-flap needs ends and age_to"
 		}
-		for _, e := range s.Ends {
+		for _, e := range s.StreamEnds {
 			if !slices.Contains([]string{"break", "half", "silent"}, e) {
 				return at("ends"), fmt.Sprintf("%q is no end of a stream", e)
 			}
@@ -206,12 +206,12 @@
 			return l.key, fmt.Sprintf("%v is not within %v and %v", l.value, l.low, l.high)
 		}
 	}
-	if b := x.List.Begin; !slices.Contains([]string{"", "well", "down", "hang", "half"}, b) {
+	if b := x.Discovery.Begin; !slices.Contains([]string{"", "well", "down", "hang", "half"}, b) {
 		return "list.begin", fmt.Sprintf("%q is no state of the service", b)
 	}
 	for i, b := range x.Bounds {
-		if !slices.Contains(checker.FigureNames, b.Figure) {
-			return fmt.Sprintf("bound[%d].figure", i), fmt.Sprintf("%q is no figure", b.Figure)
+		if !slices.Contains(checker.MetricNames, b.Metric) {
+			return fmt.Sprintf("bound[%d].figure", i), fmt.Sprintf("%q is no figure", b.Metric)
 		}
 	}
 	return "", ""
@@ -232,33 +232,33 @@
 func (x *Experiment) Scale(directors int) {
 	by := float64(directors) / float64(x.Directors)
 	x.Directors = directors
-	x.List.CallsPerSecond *= by
+	x.Discovery.CallsPerSecond *= by
 	x.Clients.PerSecond *= by
 	x.Origin.PerSecond *= by
 	for _, s := range []*ServerSpec{&x.Caches, &x.Parents} {
 		s.Weight *= by
-		s.Conns = int(float64(s.Conns) * by)
+		s.MaxConns = int(float64(s.MaxConns) * by)
 		s.FillSlots = int(float64(s.FillSlots) * by)
 	}
 }
 
-// Judge holds figures against the experiment's bounds; those that need a baseline count only where there is one.
-func (x *Experiment) Judge(figures, baseline map[string]float64) (broken []checker.Broken) {
+// CheckBounds holds figures against the experiment's bounds; those that need a baseline count only where there is one.
+func (x *Experiment) CheckBounds(figures, baseline map[string]float64) (broken []checker.Violation) {
 	for _, b := range x.Bounds {
-		got := figures[b.Figure]
+		got := figures[b.Metric]
 		say := func(format string, a ...any) {
-			broken = append(broken, checker.Broken{Rule: "bound", Who: b.Figure, Detail: fmt.Sprintf(format, a...)})
+			broken = append(broken, checker.Violation{Rule: "bound", Who: b.Metric, Detail: fmt.Sprintf(format, a...)})
 		}
-		if b.Most != nil && got > *b.Most {
-			say("%.3f, %.3f at most", got, *b.Most)
+		if b.Max != nil && got > *b.Max {
+			say("%.3f, %.3f at most", got, *b.Max)
 		}
-		if b.Least != nil && got < *b.Least {
-			say("%.3f, %.3f at least", got, *b.Least)
+		if b.Min != nil && got < *b.Min {
+			say("%.3f, %.3f at least", got, *b.Min)
 		}
 		if baseline == nil || b.BaselineTimes == 0 {
 			continue
 		}
-		switch limit := b.BaselineTimes * baseline[b.Figure]; {
+		switch limit := b.BaselineTimes * baseline[b.Metric]; {
 		case limit >= 0 && got > limit:
 			say("%.3f, %.3f at most by the baseline", got, limit)
 		case limit < 0 && got < -limit:
--- a/internal/testbed/fleet_test.go
+++ b/internal/testbed/fleet_test.go
@@ -55,7 +55,7 @@
 				t.Parallel()
 				places <- struct{}{}
 				defer func() { <-places }()
-				x, err := Load(file)
+				x, err := LoadExperiment(file)
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -72,11 +72,11 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				for _, b := range append(v.Broken, x.Judge(v.Figures, nil)...) {
+				for _, b := range append(v.Violations, x.CheckBounds(v.Metrics, nil)...) {
 					t.Errorf("%s at %.0f ms, %s: %s", b.Rule, b.AtMS, b.Who, b.Detail)
 				}
-				if v.Figures["requests"] < 100 {
-					t.Errorf("%v requests: nothing was shown", v.Figures["requests"])
+				if v.Metrics["requests"] < 100 {
+					t.Errorf("%v requests: nothing was shown", v.Metrics["requests"])
 				}
 				if pids := left(t, dir); len(pids) > 0 {
 					t.Errorf("left behind: %v", pids)
@@ -88,7 +88,7 @@
 
 // An experiment that is called off ends soon, and ends all that it has started.
 func TestCalledOffRunLeavesNothing(t *testing.T) {
-	x, err := Parse("story.toml", []byte("directors = 5\nseconds = 300.0\n"))
+	x, err := ParseExperiment("story.toml", []byte("directors = 5\nseconds = 300.0\n"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -148,7 +148,7 @@
 		"directors = [":                                                                   "x.toml:1",
 		"[clients]\nrepayments = nan\n":                                                   "x.toml:2: clients.repayments: NaN",
 	} {
-		if _, err := Parse("x.toml", []byte(text)); err == nil || !strings.Contains(err.Error(), want) {
+		if _, err := ParseExperiment("x.toml", []byte(text)); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%q: error %v, want %q", text, err, want)
 		}
 	}
