--- a/internal/testbed/lab.go
+++ b/internal/testbed/lab.go
@@ -19,8 +19,8 @@
 
 const originName = "s-origin"
 
-// Lab is one run of an experiment.
-type Lab struct {
+// Testbed is one run of an experiment.
+type Testbed struct {
 	x      *Experiment
 	binary string
 	// operator is the operators' file of all directors.
@@ -56,7 +56,7 @@
 // Run plays an experiment and leaves its record in Dir/record.jsonl. All processes are gone when it returns,
 // also when ctx ends it early or it panics.
 func Run(ctx context.Context, x *Experiment, o Options) (err error) {
-	l := &Lab{x: x, binary: o.Binary, dir: o.Dir, rng: rand.New(rand.NewPCG(x.Seed, 1)), net: network(o.Dir),
+	l := &Testbed{x: x, binary: o.Binary, dir: o.Dir, rng: rand.New(rand.NewPCG(x.Seed, 1)), net: network(o.Dir),
 		faults: newFaults(), servers: map[string]*server{}, starter: newStarter()}
 	if l.record, err = newRecorder(filepath.Join(o.Dir, "record.jsonl")); err != nil {
 		return err
@@ -89,9 +89,9 @@
 	return byte(16 + h.Sum32()%200)
 }
 
-func (l *Lab) ip(group, n int) net.IP { return net.IPv4(127, l.net, byte(group<<4|n>>8), byte(n)) }
+func (l *Testbed) ip(group, n int) net.IP { return net.IPv4(127, l.net, byte(group<<4|n>>8), byte(n)) }
 
-func (l *Lab) fail(err error) {
+func (l *Testbed) fail(err error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.err == nil {
@@ -99,13 +99,13 @@
 	}
 }
 
-func (l *Lab) server(name string) *server {
+func (l *Testbed) server(name string) *server {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.servers[name]
 }
 
-func (l *Lab) directorOf(ref string) (int, bool) {
+func (l *Testbed) directorOf(ref string) (int, bool) {
 	v, ok := l.refs.Load(ref)
 	if !ok {
 		return 0, false
@@ -120,7 +120,7 @@
 	return len(s.lines)
 }
 
-func (l *Lab) add(t tier, zone string, spec ServerSpec, addr *net.TCPAddr, cold bool) (*server, error) {
+func (l *Testbed) add(t tier, zone string, spec ServerSpec, addr *net.TCPAddr, cold bool) (*server, error) {
 	l.mu.Lock()
 	l.next++
 	n := l.next
@@ -143,7 +143,7 @@
 }
 
 // build starts the stand-ins; the directors are started by play.
-func (l *Lab) build() error {
+func (l *Testbed) build() error {
 	x := l.x
 	l.list = newListService(l)
 	for i := range x.Caches.Count {
@@ -167,7 +167,7 @@
 	l.origin = origin
 	all := append(slices.Concat(l.caches, l.parents), origin)
 	for _, s := range all {
-		l.record.add(Event{Kind: "member", Who: s.name, What: "ready", N: 1})
+		l.record.add(Event{Kind: "member", Who: s.name, What: "ready", Number: 1})
 	}
 	l.list.publish(func(n int) string { return newsOf(n, true, all...) }, Event{What: "list"})
 	if !x.Caches.Cold && !x.Parents.Cold {
@@ -185,7 +185,7 @@
 }
 
 // warm has servers hold what they would have been asked for lately: the more wanted half of the objects.
-func (l *Lab) warm(group []*server) {
+func (l *Testbed) warm(group []*server) {
 	for _, s := range group {
 		for i := range l.x.Clients.Objects/2 + 1 {
 			s.held[fmt.Sprintf("%016x/0", i+1)] = copyOf{since: time.Now()}
@@ -210,7 +210,7 @@
 }
 
 // settings is what a director is told of the site.
-func (l *Lab) settings(me int) map[string]any {
+func (l *Testbed) settings(me int) map[string]any {
 	const ms = 1e6
 	x := l.x
 	seats, hubs := make([]int, x.Hubs+x.Branches), make([]int, x.Hubs+x.Branches)
@@ -231,7 +231,7 @@
 		"guarantees": map[string]any{"askWithin": 10000 * ms, "cold": x.Caches.RampMS * ms, "coldFrom": x.Caches.ColdFrom,
 			"drainGrace": 2000 * ms, "fall": x.Caches.FallMS * ms, "graceToAnswer": 8 * ms, "tipMultiple": x.Caches.Multiple},
 		"familyInfo": map[string]any{"bypassAllowed": false, "classFresh": []int{0, 0}, "staleFor": []int{0, 0},
-			"passOn": []bool{false, true}, "flowKbPerS": 100 / (x.Clients.TransferMS / 1000), "mergesFills": x.Caches.Joins,
+			"passOn": []bool{false, true}, "flowKbPerS": 100 / (x.Clients.TransferMS / 1000), "mergesFills": x.Caches.CoalescesFills,
 			"masterKind": 2, "secondTierKind": 1, "parentColdFrom": x.Parents.ColdFrom,
 			"parentFallMultiple": x.Parents.Multiple, "parentRamp": x.Parents.RampMS * ms, "purgeSlack": 500 * ms,
 			"purgeTakes": purgeTakes.Nanoseconds(), "lateral": "location", "notesGiven": "all", "seatsByZone": seats,
@@ -239,7 +239,7 @@
 }
 
 // idle opens connections to directors that say nothing, and leaves them so. One that is turned away stays away.
-func (l *Lab) idle(ids []int, count int) (held []net.Conn) {
+func (l *Testbed) idle(ids []int, count int) (held []net.Conn) {
 	for _, id := range ids {
 		for range count {
 			if c, err := net.DialTimeout("tcp", l.directors[id].addr(), time.Second); err == nil {
@@ -251,7 +251,7 @@
 }
 
 // size is how large an object is, as times of the mean: lognormal, by its name alone, so that all agree on it.
-func (l *Lab) size(object string) float64 {
+func (l *Testbed) size(object string) float64 {
 	sigma := l.x.Clients.SizeSigma
 	if sigma == 0 {
 		return 1
@@ -263,10 +263,10 @@
 }
 
 // work is the time that a transfer of an object takes at full pace, in seconds.
-func (l *Lab) work(object string) float64 { return l.x.Clients.TransferMS / 1000 * l.size(object) }
+func (l *Testbed) work(object string) float64 { return l.x.Clients.TransferMS / 1000 * l.size(object) }
 
 // all starts every director at once.
-func (l *Lab) startAll(ids []int, last bool) error {
+func (l *Testbed) startAll(ids []int, last bool) error {
 	var wg sync.WaitGroup
 	errs := make([]error, len(ids))
 	for i, id := range ids {
@@ -281,19 +281,19 @@
 }
 
 // play runs the load and the script.
-func (l *Lab) play(ctx context.Context, progress func(float64)) error {
+func (l *Testbed) play(ctx context.Context, progress func(float64)) error {
 	everyone := make([]int, l.x.Directors)
 	for i := range everyone {
 		everyone[i] = i
 	}
-	if b := l.x.List.Begin; b != "" && b != "well" {
+	if b := l.x.Discovery.Begin; b != "" && b != "well" {
 		l.list.set(b, 1, 0)
 	}
 	l.record.add(Event{Kind: "capacity", Who: originName, Value: l.x.Origin.PerSecond})
 	for b := range l.x.Branches {
 		l.record.add(Event{Kind: "home", Who: branchName(b), What: hubName(b % l.x.Hubs)})
 	}
-	l.record.add(Event{Kind: "meta", What: l.x.Name, N: l.x.Directors, Value: 2000, Allow: 500})
+	l.record.add(Event{Kind: "meta", What: l.x.Name, Number: l.x.Directors, Value: 2000, TimeoutMS: 500})
 	if err := l.startAll(everyone, false); err != nil {
 		return err
 	}
@@ -334,19 +334,19 @@
 		do func() error
 	}
 	var script []due
-	for i, s := range l.x.Steps {
+	for i, s := range l.x.FaultEvents {
 		at := begin.Add(time.Duration(s.At * float64(time.Second)))
 		do, undo := l.step(s, rand.New(rand.NewPCG(l.x.Seed, uint64(i)+100)))
 		noted := func(what string, f func() error) func() error {
 			return func() error {
 				err := f()
-				l.record.add(Event{Kind: "step", Who: s.Do, What: what, N: i})
+				l.record.add(Event{Kind: "step", Who: s.Action, What: what, Number: i})
 				return err
 			}
 		}
 		script = append(script, due{at, noted("done", do)})
-		if s.For > 0 && undo != nil {
-			script = append(script, due{at.Add(time.Duration(s.For * float64(time.Second))), noted("undone", undo)})
+		if s.Duration > 0 && undo != nil {
+			script = append(script, due{at.Add(time.Duration(s.Duration * float64(time.Second))), noted("undone", undo)})
 		}
 	}
 	slices.SortStableFunc(script, func(a, b due) int { return a.at.Compare(b.at) })
@@ -388,7 +388,7 @@
 
 // lag records how late the lab itself is: on a machine with too much to do, neither it nor the directors can keep
 // their times, and the checker allows for what was seen here.
-func (l *Lab) lag(ctx context.Context) {
+func (l *Testbed) lag(ctx context.Context) {
 	const step = 20 * time.Millisecond
 	for ctx.Err() == nil {
 		began := time.Now()
@@ -410,7 +410,7 @@
 }
 
 // step is what a step does, and what undoes it; nil: nothing does.
-func (l *Lab) step(s Step, rng *rand.Rand) (do, undo func() error) {
+func (l *Testbed) step(s FaultEvent, rng *rand.Rand) (do, undo func() error) {
 	plain := func(f func()) func() error { return func() error { f(); return nil } }
 	each := func(ids []int, f func(*process)) func() error {
 		return plain(func() {
@@ -419,13 +419,13 @@
 			}
 		})
 	}
-	on := doings[s.Do]
+	on := doings[s.Action]
 	var ids []int
 	switch {
 	case on == "site":
 		return l.stepSite(s, rng)
-	case s.Only > 0:
-		ids = []int{s.Only - 1}
+	case s.OnlyDirector > 0:
+		ids = []int{s.OnlyDirector - 1}
 	case on == "directors" || on == "link":
 		ids = l.drawDirectors(rng, s)
 	}
@@ -434,7 +434,7 @@
 		factor = 1
 	}
 	well := plain(func() { l.list.set("well", 1, 0) })
-	switch s.Do {
+	switch s.Action {
 	case "idle":
 		var held []net.Conn
 		return plain(func() { held = l.idle(ids, s.Count) }), plain(func() {
@@ -456,12 +456,12 @@
 	case "list-well", "list-slow":
 		return plain(func() { l.list.set("well", factor, 0) }), well
 	case "list-down", "list-hang", "list-half":
-		return plain(func() { l.list.set(s.Do[len("list-"):], 1, 0) }), plain(func() { l.list.set("well", factor, 0) })
+		return plain(func() { l.list.set(s.Action[len("list-"):], 1, 0) }), plain(func() { l.list.set("well", factor, 0) })
 	case "list-older":
-		return plain(func() { l.list.set("older", 1, max(s.Back, 1)) }), well
+		return plain(func() { l.list.set("older", 1, max(s.ForgottenEvents, 1)) }), well
 	case "list-flap":
-		f := &flap{seed: l.x.Seed, ends: s.Ends, from: time.Duration(s.AgeFrom * float64(time.Second)),
-			to: time.Duration(s.AgeTo * float64(time.Second))}
+		f := &flap{seed: l.x.Seed, ends: s.StreamEnds, from: time.Duration(s.MinStreamAge * float64(time.Second)),
+			to: time.Duration(s.MaxStreamAge * float64(time.Second))}
 		return plain(func() { l.list.flapStreams(ids, f) }), plain(func() { l.list.settle(ids, f) })
 	case "list-break":
 		return plain(l.list.breakStreams), nil
@@ -497,11 +497,11 @@
 		return set(true), set(false)
 	case "purge":
 		return plain(func() {
-			keep := time.Duration(s.Keep * float64(time.Second))
+			keep := time.Duration(s.RetainCopies * float64(time.Second))
 			if keep == 0 {
 				keep = 2 * time.Second
 			}
-			gap := time.Duration(s.For / float64(max(s.Count, 1)) * float64(time.Second))
+			gap := time.Duration(s.Duration / float64(max(s.Count, 1)) * float64(time.Second))
 			for i := range max(s.Count, 1) { // drawn now: the same ones every time
 				object := fmt.Sprintf("%016x", 1+rng.IntN(8))
 				time.AfterFunc(time.Duration(i)*gap, func() { l.purge(object, keep) })
@@ -512,18 +512,18 @@
 	case "burst":
 		return plain(func() { l.crowd.times(factor) }), plain(func() { l.crowd.times(1) })
 	}
-	x := fault{s.Do, time.Duration(s.DelayMS * float64(time.Millisecond))}
+	x := fault{s.Action, time.Duration(s.DelayMS * float64(time.Millisecond))}
 	return plain(func() {
-			l.record.add(Event{Kind: "link", Who: s.Link, What: s.Do, N: len(ids)})
+			l.record.add(Event{Kind: "link", Who: s.Link, What: s.Action, Number: len(ids)})
 			l.faults.set(s.Link, ids, x)
 		}), plain(func() {
-			l.record.add(Event{Kind: "link", Who: s.Link, What: "well", N: len(ids)})
+			l.record.add(Event{Kind: "link", Who: s.Link, What: "well", Number: len(ids)})
 			l.faults.set(s.Link, ids, fault{})
 		})
 }
 
 // again starts directors with the list that they had, once their old processes are gone.
-func (l *Lab) again(ids []int) error {
+func (l *Testbed) again(ids []int) error {
 	for _, i := range ids {
 		p := l.directors[i]
 		p.mu.Lock()
@@ -534,7 +534,7 @@
 	return l.startAll(ids, true)
 }
 
-func (l *Lab) tell(s *server, state string) {
+func (l *Testbed) tell(s *server, state string) {
 	s.mu.Lock()
 	s.state = state
 	s.mu.Unlock()
@@ -542,7 +542,7 @@
 }
 
 // cachesOf are the caches now in these places of the list.
-func (l *Lab) cachesOf(ids []int) (list []*server) {
+func (l *Testbed) cachesOf(ids []int) (list []*server) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, i := range ids {
@@ -552,13 +552,13 @@
 }
 
 // replace drains servers in turn, ends each, and starts a cold one in its place: every other at the old address.
-func (l *Lab) replace(s Step, rng *rand.Rand) error {
+func (l *Testbed) replace(s FaultEvent, rng *rand.Rand) error {
 	group, t, spec := &l.caches, cacheTier, l.x.Caches
-	if s.Do == "replace-parents" {
+	if s.Action == "replace-parents" {
 		group, t, spec = &l.parents, parentTier, l.x.Parents
 	}
 	ids := draw(rng, len(*group), s.Share)
-	gap := time.Duration(s.Over / float64(len(ids)) * float64(time.Second))
+	gap := time.Duration(s.ReplaceOver / float64(len(ids)) * float64(time.Second))
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for k, i := range ids {
@@ -591,7 +591,7 @@
 const purgeTakes = 6 * time.Second
 
 // purge purges an object.
-func (l *Lab) purge(object string, keep time.Duration) {
+func (l *Testbed) purge(object string, keep time.Duration) {
 	at := time.Now()
 	l.list.publish(func(n int) string {
 		return fmt.Sprintf(`{"n":%d,"purge":{"key":%q,"at":%d}}`, n, object, at.UnixMilli())
@@ -608,7 +608,7 @@
 }
 
 // end leaves nothing behind.
-func (l *Lab) end() {
+func (l *Testbed) end() {
 	var wg sync.WaitGroup
 	for _, p := range l.directors {
 		wg.Add(1)
--- a/internal/testbed/list.go
+++ b/internal/testbed/list.go
@@ -14,7 +14,7 @@
 // listService is the control feed's stand-in: one server that takes calls in turn, and then holds a stream for
 // each. It is reached at an address of its own by each director, so that it is known who calls.
 type listService struct {
-	lab      *Lab
+	lab      *Testbed
 	perCall  time.Duration
 	queueMax int
 
@@ -33,15 +33,15 @@
 	nth     map[int]int   // streams that a director has had
 }
 
-func newListService(l *Lab) *listService {
+func newListService(l *Testbed) *listService {
 	s := &listService{lab: l, mode: "well", factor: 1, fronts: map[int]*net.TCPListener{}, streams: map[net.Conn]bool{},
 		flaps: map[int]*flap{}, nth: map[int]int{}}
-	rate := l.x.List.CallsPerSecond
+	rate := l.x.Discovery.CallsPerSecond
 	if rate == 0 {
 		rate = float64(l.x.Directors) / 1.5
 	}
 	s.perCall = time.Duration(float64(time.Second) / rate)
-	if s.queueMax = l.x.List.Queue; s.queueMax == 0 {
+	if s.queueMax = l.x.Discovery.Queue; s.queueMax == 0 {
 		s.queueMax = int(rate) + 1
 	}
 	s.cond = sync.NewCond(&s.mu)
@@ -122,7 +122,7 @@
 	defer s.mu.Unlock()
 	n := len(s.lines) + 1
 	s.lines = append(s.lines, build(n))
-	e.Kind, e.N = "news", n
+	e.Kind, e.Number = "news", n
 	if s.mode != "well" {
 		e.What += " unheard"
 	}
@@ -290,7 +290,7 @@
 			if end.what == "half" {
 				text = s.lines[last][:len(s.lines[last])/2]
 			}
-			s.lab.record.add(Event{Kind: "stream", Director: directorName(director), What: end.what, N: last + 1,
+			s.lab.record.add(Event{Kind: "stream", Director: directorName(director), What: end.what, Number: last + 1,
 				Value: float64(time.Since(up).Microseconds()) / 1000})
 			s.mu.Unlock()
 			switch end.what {
@@ -320,7 +320,7 @@
 		}
 		spoke = time.Now()
 		for n := from + 1; n <= head; n++ {
-			s.lab.record.add(Event{Kind: "told", Director: directorName(director), N: n})
+			s.lab.record.add(Event{Kind: "told", Director: directorName(director), Number: n})
 		}
 	}
 }
--- a/internal/testbed/list_test.go
+++ b/internal/testbed/list_test.go
@@ -22,7 +22,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := newListService(&Lab{x: &Experiment{Directors: 1, List: ListSpec{CallsPerSecond: 1000}}, record: r, faults: newFaults(),
+	s := newListService(&Testbed{x: &Experiment{Directors: 1, Discovery: DiscoverySpec{CallsPerSecond: 1000}}, record: r, faults: newFaults(),
 		net: network(dir)})
 	t.Cleanup(func() {
 		s.close()
@@ -86,7 +86,7 @@
 	t.Helper()
 	for until := time.Now().Add(10 * time.Second); time.Now().Before(until); time.Sleep(time.Millisecond) {
 		if ends := recorded(t, s.lab.record, "stream"); len(ends) == 1 {
-			if ends[0].What != what || ends[0].N != 1 || ends[0].Director != "d0" {
+			if ends[0].What != what || ends[0].Number != 1 || ends[0].Director != "d0" {
 				t.Errorf("recorded %+v", ends[0])
 			}
 			return
@@ -142,7 +142,7 @@
 		told = recorded(t, s.lab.record, "told")
 	}
 	calls := recorded(t, s.lab.record, "call")
-	if len(told) != 2 || len(calls) != 2 || told[0].MS < calls[1].MS {
+	if len(told) != 2 || len(calls) != 2 || told[0].AtMS < calls[1].AtMS {
 		t.Errorf("told %+v, calls %+v: want both told after the second call", told, calls)
 	}
 }
--- a/internal/testbed/process.go
+++ b/internal/testbed/process.go
@@ -20,7 +20,7 @@
 
 // process is one director: a real process of the program, started again under its name and address.
 type process struct {
-	lab  *Lab
+	lab  *Testbed
 	id   int
 	list string // address of the list service for it
 
@@ -122,7 +122,7 @@
 	}
 	p.cmd, p.started, p.stopped = cmd, time.Now(), false
 	p.up, p.gone = make(chan struct{}), make(chan struct{})
-	l.record.add(Event{Kind: "process", Who: directorName(p.id), What: "start", N: p.known})
+	l.record.add(Event{Kind: "process", Who: directorName(p.id), What: "start", Number: p.known})
 	go p.follow(cmd, bufio.NewScanner(log), p.up, p.gone)
 	go p.watch(p.up, p.gone)
 	return nil
--- a/internal/testbed/record.go
+++ b/internal/testbed/record.go
@@ -15,23 +15,23 @@
 // Event is one line of a record. Which fields are set hangs on the kind (docs/laboratory.md lists them); times
 // are milliseconds from the begin of the run.
 type Event struct {
-	MS       float64 `json:"ms"`
-	Kind     string  `json:"kind"`
-	Who      string  `json:"who,omitempty"`
-	What     string  `json:"what,omitempty"`
-	Director string  `json:"director,omitempty"`
-	Ref      string  `json:"ref,omitempty"`
-	Class    string  `json:"class,omitempty"`
-	Object   string  `json:"object,omitempty"`
-	Up       string  `json:"up,omitempty"`
-	N        int     `json:"n,omitempty"`
-	Value    float64 `json:"value,omitempty"`
-	Work     float64 `json:"work,omitempty"`
-	Since    float64 `json:"since,omitempty"`
-	Allow    float64 `json:"allow,omitempty"`
-	Again    bool    `json:"again,omitempty"`
-	Site     string  `json:"site,omitempty"`
-	Conns    int     `json:"conns,omitempty"`
+	AtMS      float64 `json:"ms"`
+	Kind      string  `json:"kind"`
+	Who       string  `json:"who,omitempty"`
+	What      string  `json:"what,omitempty"`
+	Director  string  `json:"director,omitempty"`
+	Ref       string  `json:"ref,omitempty"`
+	Class     string  `json:"class,omitempty"`
+	Object    string  `json:"object,omitempty"`
+	Source    string  `json:"up,omitempty"`
+	Number    int     `json:"n,omitempty"`
+	Value     float64 `json:"value,omitempty"`
+	Work      float64 `json:"work,omitempty"`
+	Since     float64 `json:"since,omitempty"`
+	TimeoutMS float64 `json:"allow,omitempty"`
+	Retry     bool    `json:"again,omitempty"`
+	Site      string  `json:"site,omitempty"`
+	Conns     int     `json:"conns,omitempty"`
 
 	// Of kind "life": what a server can bear.
 	Weight   float64 `json:"weight,omitempty"`
@@ -68,7 +68,7 @@
 func (r *recorder) add(e Event) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	e.MS = r.ms()
+	e.AtMS = r.ms()
 	if err := r.e.Encode(e); err != nil && r.err == nil {
 		r.err = err
 	}
--- a/internal/testbed/servers.go
+++ b/internal/testbed/servers.go
@@ -48,7 +48,7 @@
 // more. A cold one has a share of that which rises in a line; asked for more than it bears within a time, it
 // falls over and stays down.
 type server struct {
-	lab  *Lab
+	lab  *Testbed
 	name string
 	tier tier
 	zone string
@@ -82,7 +82,7 @@
 	work float64
 }
 
-func (l *Lab) newServer(name, zone string, t tier, spec ServerSpec, addr *net.TCPAddr, cold bool) (*server, error) {
+func (l *Testbed) newServer(name, zone string, t tier, spec ServerSpec, addr *net.TCPAddr, cold bool) (*server, error) {
 	s := &server{lab: l, name: name, zone: zone, tier: t, spec: spec, addr: addr, state: "ready", since: time.Now(), cold: cold,
 		part: 1, held: map[string]copyOf{}, under: map[string]*fill{}, conns: map[net.Conn]bool{}}
 	ln, err := net.ListenTCP("tcp", addr)
@@ -96,7 +96,7 @@
 	}
 	s.ln, s.addr = ln, ln.Addr().(*net.TCPAddr)
 	e := Event{Kind: "life", Who: name, What: "up", Class: kindNames[t], Site: zone, Weight: spec.Weight,
-		Conns: spec.Conns}
+		Conns: spec.MaxConns}
 	if cold {
 		e.ColdFrom, e.Ramp, e.Fall, e.Multiple = spec.ColdFrom, spec.RampMS, spec.FallMS, spec.Multiple
 	}
@@ -112,7 +112,7 @@
 			return
 		}
 		s.mu.Lock()
-		over := s.spec.Conns > 0 && len(s.conns) >= s.spec.Conns
+		over := s.spec.MaxConns > 0 && len(s.conns) >= s.spec.MaxConns
 		if !over {
 			s.conns[c] = true
 		}
@@ -204,7 +204,7 @@
 	}
 	work := s.lab.work(fields["asset"])
 	s.lab.record.add(Event{Kind: "req", Who: s.name, Director: directorName(director), Ref: ref,
-		Class: fields["sort"], Object: fields["asset"], Up: fields["up"], Work: work})
+		Class: fields["sort"], Object: fields["asset"], Source: fields["up"], Work: work})
 	if !s.bears(work) {
 		return
 	}
@@ -323,7 +323,7 @@
 	}
 	join := strings.Contains(fields["do"], "share") || s.tier == parentTier
 	under := s.under[key]
-	if under != nil && join && s.spec.Joins {
+	if under != nil && join && s.spec.CoalescesFills {
 		s.mu.Unlock()
 		<-under.done
 		if !under.ok || time.Since(under.copy.since) >= oldest {
--- a/internal/testbed/servers_test.go
+++ b/internal/testbed/servers_test.go
@@ -19,7 +19,7 @@
 	}
 	tried := make(chan struct{})
 	time.AfterFunc(20*time.Millisecond, func() { old.Close(); close(tried) })
-	s, err := (&Lab{record: r}).newServer("s-1", branchName(0), cacheTier, ServerSpec{Weight: 1}, old.Addr().(*net.TCPAddr), true)
+	s, err := (&Testbed{record: r}).newServer("s-1", branchName(0), cacheTier, ServerSpec{Weight: 1}, old.Addr().(*net.TCPAddr), true)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/testbed/sites.go
+++ b/internal/testbed/sites.go
@@ -8,11 +8,11 @@
 )
 
 // branchOf is the branch that a director serves.
-func (l *Lab) branchOf(director int) int { return director % l.x.Branches }
+func (l *Testbed) branchOf(director int) int { return director % l.x.Branches }
 
 // drawDirectors picks a share of the directors, or of those of a site: of a hub the ones whose branches are attached
 // to it.
-func (l *Lab) drawDirectors(rng *rand.Rand, s Step) (ids []int) {
+func (l *Testbed) drawDirectors(rng *rand.Rand, s FaultEvent) (ids []int) {
 	var of []int
 	for i := range l.x.Directors {
 		b := l.branchOf(i)
@@ -27,7 +27,7 @@
 }
 
 // ofSite are the places of a site's servers in their group.
-func (l *Lab) ofSite(site string) (group *[]*server, t tier, places []int) {
+func (l *Testbed) ofSite(site string) (group *[]*server, t tier, places []int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, g := range []struct {
@@ -45,12 +45,12 @@
 
 // stepSite breaks a share of a site's servers: their processes die, they say nothing, or turn all away. What died comes
 // back as new servers, cold and empty, at the old addresses. The list tells of a death, and of the return, late.
-func (l *Lab) stepSite(s Step, rng *rand.Rand) (do, undo func() error) {
+func (l *Testbed) stepSite(s FaultEvent, rng *rand.Rand) (do, undo func() error) {
 	var broken []*server
 	var places []int
 	var group *[]*server
 	var t tier
-	late := time.Duration(s.Late * float64(time.Second))
+	late := time.Duration(s.ListDelay * float64(time.Second))
 	tell := func(f func()) {
 		if late == 0 {
 			f()
@@ -71,9 +71,9 @@
 			broken = append(broken, (*group)[i])
 		}
 		l.mu.Unlock()
-		l.record.add(Event{Kind: "site", Who: s.Site, What: s.Do, N: len(broken), Value: float64(len(broken)) / float64(len(all))})
+		l.record.add(Event{Kind: "site", Who: s.Site, What: s.Action, Number: len(broken), Value: float64(len(broken)) / float64(len(all))})
 		for _, b := range broken {
-			switch s.Do {
+			switch s.Action {
 			case "site-kill":
 				b.down("down")
 			case "site-silent":
@@ -82,7 +82,7 @@
 				b.set(func() { b.busy = true })
 			}
 		}
-		if s.Do == "site-kill" {
+		if s.Action == "site-kill" {
 			gone := slices.Clone(broken)
 			tell(func() {
 				for _, b := range gone {
@@ -99,7 +99,7 @@
 		}
 		var fresh []*server
 		for k, b := range broken {
-			if s.Do != "site-kill" {
+			if s.Action != "site-kill" {
 				b.set(func() { b.silent, b.busy = false, false })
 				continue
 			}
@@ -112,7 +112,7 @@
 			l.mu.Unlock()
 			fresh = append(fresh, n)
 		}
-		l.record.add(Event{Kind: "site", Who: s.Site, What: "back", N: len(broken)})
+		l.record.add(Event{Kind: "site", Who: s.Site, What: "back", Number: len(broken)})
 		tell(func() {
 			for _, n := range fresh {
 				l.tell(n, "ready")
--- a/internal/upstream/answers.go
+++ b/internal/upstream/answers.go
@@ -27,7 +27,7 @@
 		c.rest()
 	}
 	if err != nil {
-		c.f.Counters.BadStream++
+		c.f.Counters.ProtocolErrors++
 		c.spoilt = true
 		return fmt.Errorf("%s: %w", c.p.name, err)
 	}
@@ -39,17 +39,17 @@
 	f := c.f
 	k := c.open[a.id]
 	if k == nil || !k.written {
-		f.Counters.Late++
+		f.Counters.UnmatchedResponses++
 		a.body.Release()
 		return
 	}
-	f.Counters.Answers++
+	f.Counters.Responses++
 	c.served++
-	f.idle.Held(f.now(), k.gap)
+	f.idle.RecordReuse(f.now(), k.gap)
 	f.drop(k)
 	e, err := f.ending(a, k)
 	if err != nil {
-		f.Counters.BadAnswer++
+		f.Counters.InvalidResponses++
 		a.body.Release()
 		e = director.AttemptResult{Result: routing.Errored}
 	}
@@ -76,7 +76,7 @@
 var errAnswer = errors.New("unusable answer")
 
 // ending reads the words and fields of an answer.
-func (f *Fleet) ending(a answer, k *call) (director.AttemptResult, error) {
+func (f *Pools) ending(a answer, k *call) (director.AttemptResult, error) {
 	result, ok := words[a.word]
 	if !ok {
 		return director.AttemptResult{}, errAnswer
@@ -122,7 +122,7 @@
 
 // report puts the figures of a load report in the order of the settings. What can't be read is 0: a report
 // is advice, and no reason to lose an answer.
-func (f *Fleet) report(s string) []float32 {
+func (f *Pools) report(s string) []float32 {
 	if len(f.fields) == 0 {
 		return nil
 	}
--- a/internal/upstream/caches.go
+++ b/internal/upstream/caches.go
@@ -17,30 +17,30 @@
 	"shaleyard/routing"
 )
 
-// Ender takes the ends of attempts; it is the director.
-type Ender interface {
+// CompletionHandler takes the ends of attempts; it is the director.
+type CompletionHandler interface {
 	AttemptEnded(director.Handle, director.AttemptResult)
 }
 
 // Counters count what passed between the director and its peers.
 type Counters struct {
-	Dials, DialsFailed, Closed, Idle, Restarted   uint64
-	Sent, Stopped, Answers, Late                  uint64
-	BadStream, BadAnswer, Backlogged, NoPeer      uint64
-	BytesIn, BytesOut, SilentConns, NoDescriptors uint64
-	Moved, Stale, Crossed, Redials, Shared        uint64
-	Expired, MadeRoom, OwnShortages               uint64
+	Dials, DialFailures, ConnsLost, IdleTimeouts, EndpointRestarts      uint64
+	RequestsSent, CancelsSent, Responses, UnmatchedResponses            uint64
+	ProtocolErrors, InvalidResponses, BackloggedConns, UnknownEndpoints uint64
+	BytesIn, BytesOut, UnresponsiveConns, DescriptorLimitHits           uint64
+	Reassigned, StaleIdleConns, IdleCloseRaces, Redials, ConnectLimited uint64
+	WindowExpired, IdleEvictions, LocalResourceErrors                   uint64
 }
 
-// Fleet holds the connections to all peers.
-type Fleet struct {
+// Pools holds the connections to all peers.
+type Pools struct {
 	Counters Counters
 
 	limits *config.Limits
 	fields []string // of load reports, by the settings' names
 	pool   *buffer.Pool
 	dialer eventloop.Dialer
-	ender  Ender
+	ender  CompletionHandler
 	agenda *director.Queue
 	now    func() routing.Time
 	log    *zap.Logger
@@ -48,9 +48,9 @@
 	peers  map[routing.Host]*peer
 	calls  map[director.Handle]*call
 	conns  *director.Table[*conn]
-	idle   overload.Idle // for how long an idle connection is used again
-	files  int           // descriptors in use: two while a dial is handed to the loop, then one
-	held   bool          // nothing is written, until Release
+	idle   overload.IdleTimeout // for how long an idle connection is used again
+	files  int                  // descriptors in use: two while a dial is handed to the loop, then one
+	held   bool                 // nothing is written, until Release
 	head   []byte
 	iov    [][]byte
 }
@@ -62,7 +62,7 @@
 	address string
 	started routing.Time
 	conns   []*conn
-	pace    overload.Conns
+	pace    overload.ConnectLimiter
 	left    bool
 	ended   routing.Time   // when it last ended a connection
 	crossed director.Timer // a request was lost to that, as far as is known: its lesson is drawn a moment later
@@ -83,32 +83,32 @@
 	frame   func()       // writes it, once the connection is up
 }
 
-// NewFleet returns a fleet without members. Attempts' ends go to the ender.
-func NewFleet(l *config.Limits, s *routing.Settings, pool *buffer.Pool, d eventloop.Dialer, e Ender, a *director.Queue,
-	now func() routing.Time, log *zap.Logger, seed uint64) *Fleet {
-	return &Fleet{rng: rand.New(rand.NewPCG(seed, 4)), limits: l, fields: s.LoadReport.Fields, pool: pool, dialer: d, ender: e, agenda: a, now: now, log: log,
-		idle: overload.NewIdle(l.PeerKeepLeast, l.PeerIdle), peers: map[routing.Host]*peer{}, calls: map[director.Handle]*call{},
-		conns: director.NewTable[*conn](l.PeerConns)}
+// NewPools returns a fleet without members. Attempts' ends go to the ender.
+func NewPools(l *config.Limits, s *routing.Settings, pool *buffer.Pool, d eventloop.Dialer, e CompletionHandler, a *director.Queue,
+	now func() routing.Time, log *zap.Logger, seed uint64) *Pools {
+	return &Pools{rng: rand.New(rand.NewPCG(seed, 4)), limits: l, fields: s.LoadReport.Fields, pool: pool, dialer: d, ender: e, agenda: a, now: now, log: log,
+		idle: overload.NewIdleTimeout(l.MinIdleTimeout, l.UpstreamIdleTimeout), peers: map[routing.Host]*peer{}, calls: map[director.Handle]*call{},
+		conns: director.NewTable[*conn](l.MaxUpstreamConns)}
 }
 
 // note writes a line on a peer, at most one a second.
-func (f *Fleet) note(p *peer, what string, fields ...zap.Field) {
+func (f *Pools) note(p *peer, what string, fields ...zap.Field) {
 	if now := f.now(); now >= p.logAt {
 		p.logAt = now + time.Second
 		f.log.With(zap.String("member", p.name), zap.String("address", p.address)).Info(what, fields...)
 	}
 }
 
-// Conns is the number of connections held or being opened.
-func (f *Fleet) Conns() int { return f.conns.Len() }
+// NumConns is the number of connections held or being opened.
+func (f *Pools) NumConns() int { return f.conns.Len() }
 
 // Join takes a member in, or learns of its new address or life. What is open to an old life is closed: its
 // process is gone, and a vanished machine would never say so.
-func (f *Fleet) UpdateEndpoint(host routing.Host, name, address string, started routing.Time) {
+func (f *Pools) UpdateEndpoint(host routing.Host, name, address string, started routing.Time) {
 	p := f.peers[host]
 	if p == nil {
-		p = &peer{host: host, name: name, address: address, started: started, pace: overload.NewConns(f.rng)}
-		p.pace.Started(started)
+		p = &peer{host: host, name: name, address: address, started: started, pace: overload.NewConnectLimiter(f.rng)}
+		p.pace.Reset(started)
 		f.peers[host] = p
 		return
 	}
@@ -118,9 +118,9 @@
 	}
 	moved := p.address != address
 	p.address, p.started = address, started
-	p.pace.Started(started)
+	p.pace.Reset(started)
 	f.agenda.Cancel(&p.crossed)
-	f.Counters.Restarted++
+	f.Counters.EndpointRestarts++
 	for _, c := range append([]*conn(nil), p.conns...) {
 		// The news come late: what was opened since the start belongs to the new life already, and to
 		// close it would lose what is out.
@@ -131,7 +131,7 @@
 }
 
 // Leave lets a member that has gone finish what it has and then closes its connections.
-func (f *Fleet) RemoveEndpoint(host routing.Host) {
+func (f *Pools) RemoveEndpoint(host routing.Host) {
 	p := f.peers[host]
 	if p == nil {
 		return
@@ -147,16 +147,16 @@
 }
 
 // Send starts an attempt on a connection that has room, or on a new one.
-func (f *Fleet) Send(h director.Handle, to routing.Host, q director.UpstreamRequest) {
+func (f *Pools) Send(h director.Handle, to routing.Host, q director.UpstreamRequest) {
 	p := f.peers[to]
 	if p == nil {
-		f.Counters.NoPeer++
+		f.Counters.UnknownEndpoints++
 		f.ender.AttemptEnded(h, director.AttemptResult{Result: routing.ConnectFailed})
 		return
 	}
 	c := f.pick(p, q.Request.Ref, q.NonIdempotent)
 	if c == nil {
-		f.Counters.NoDescriptors++ // our shortage: it never ran, and says nothing of the peer
+		f.Counters.DescriptorLimitHits++ // our shortage: it never ran, and says nothing of the peer
 		f.ender.AttemptEnded(h, director.AttemptResult{Result: routing.Abandoned})
 		return
 	}
@@ -169,10 +169,10 @@
 
 // Hold keeps what waits from being written, until Release: the process stood still, and what would call it off may
 // be unread yet.
-func (f *Fleet) SuspendWrites() { f.held = true }
+func (f *Pools) SuspendWrites() { f.held = true }
 
 // Release writes what has waited.
-func (f *Fleet) ResumeWrites() {
+func (f *Pools) ResumeWrites() {
 	f.held = false
 	var waiting []*conn
 	f.conns.All(func(_ director.Handle, c *conn) bool {
@@ -187,7 +187,7 @@
 }
 
 // Recall gives up an attempt of which nothing has been written; false: some may have been, and it goes on.
-func (f *Fleet) CancelIfUnwritten(h director.Handle) bool {
+func (f *Pools) CancelIfUnwritten(h director.Handle) bool {
 	k := f.calls[h]
 	if k == nil || k.written {
 		return false
@@ -201,14 +201,14 @@
 // to the peer's share; else the one with the least open. A spoilt answer or a reset ends all that is open on its
 // connection, so attempts share one only where connections run short. What must not run twice takes a new one
 // where it can: a reset that crosses a request on an idle connection would leave it unknown whether it ran.
-func (f *Fleet) pick(p *peer, id string, once bool) *conn {
+func (f *Pools) pick(p *peer, id string, once bool) *conn {
 	var best *conn
 	for _, c := range slices.Clone(p.conns) {
 		if c.usable(id) && (best == nil || c.before(best)) {
 			best = c
 		}
 	}
-	full := len(p.conns) >= f.limits.ConnsPerPeer
+	full := len(p.conns) >= f.limits.MaxConnsPerEndpoint
 	if once && full && best != nil && len(best.open) == 0 && best.phase == up {
 		best.shut() // a new one takes its place
 		best, full = nil, false
@@ -216,8 +216,8 @@
 	if best != nil && ((len(best.open) == 0 && !once) || full) {
 		return best
 	}
-	if best != nil && !p.pace.May(f.now(), len(p.conns), p.opening()) {
-		f.Counters.Shared++
+	if best != nil && !p.pace.Allow(f.now(), len(p.conns), p.opening()) {
+		f.Counters.ConnectLimited++
 		return best
 	}
 	if c := f.dial(p); c != nil {
@@ -239,8 +239,8 @@
 // room tells whether another dial keeps within the descriptors that peers may hold. Where it does not, the connection
 // that has been idle for the longest is closed, so that peers met before can't shut others out. Its descriptor is
 // free only when the loop comes round: DialRoom bounds how many are on their way.
-func (f *Fleet) room() bool {
-	if f.files+2 <= f.limits.PeerConns {
+func (f *Pools) room() bool {
+	if f.files+2 <= f.limits.MaxUpstreamConns {
 		return true
 	}
 	var eldest *conn
@@ -250,21 +250,21 @@
 		}
 		return true
 	})
-	if eldest == nil || f.files+2 > f.limits.PeerConns+f.limits.DialRoom {
+	if eldest == nil || f.files+2 > f.limits.MaxUpstreamConns+f.limits.MaxReplacementDials {
 		return false
 	}
-	f.Counters.MadeRoom++
+	f.Counters.IdleEvictions++
 	eldest.shut()
 	return true
 }
 
 // dial opens a connection, unless that could take more descriptors than peers may hold.
-func (f *Fleet) dial(p *peer) *conn {
+func (f *Pools) dial(p *peer) *conn {
 	if !f.room() {
 		return nil
 	}
 	c := &conn{f: f, p: p, open: map[string]*call{}, ghosts: map[string]routing.Time{}}
-	c.parser = parser{pool: f.pool, mostFields: f.limits.AnswerFields, mostBody: f.limits.AnswerBody}
+	c.parser = parser{pool: f.pool, mostFields: f.limits.MaxAnswerFieldBytes, mostBody: f.limits.MaxAnswerBodyBytes}
 	h, ok := f.conns.Add(c)
 	if !ok {
 		return nil
@@ -279,7 +279,7 @@
 
 // Stop gives an attempt up. Where some of it was written the peer is told, and what it may still answer is
 // dropped.
-func (f *Fleet) Cancel(h director.Handle) (written bool) {
+func (f *Pools) Cancel(h director.Handle) (written bool) {
 	k := f.calls[h]
 	if k == nil {
 		return true // it has ended some other way: nothing can be proven here
@@ -290,7 +290,7 @@
 		c.rest()
 		return false
 	}
-	f.Counters.Stopped++
+	f.Counters.CancelsSent++
 	c.ghost(k.id)
 	if c.phase != closed {
 		b := appendBulk(appendBulk(appendArray(f.head[:0], 2), "STOP"), k.id)
@@ -303,7 +303,7 @@
 	return true
 }
 
-func (f *Fleet) drop(k *call) {
+func (f *Pools) drop(k *call) {
 	delete(f.calls, k.h)
 	if k.c.open[k.id] == k {
 		delete(k.c.open, k.id)
--- a/internal/upstream/caches_test.go
+++ b/internal/upstream/caches_test.go
@@ -21,7 +21,7 @@
 
 // bench is a fleet on scripted dials, with a clock that the test moves.
 type bench struct {
-	f      *Fleet
+	f      *Pools
 	agenda director.Queue
 	clock  routing.Time
 	dials  []eventloop.Stream
@@ -36,11 +36,11 @@
 
 func newBench() *bench {
 	b := &bench{clock: 1000 * time.Second, ends: map[director.Handle]routing.Result{}}
-	l := &config.Limits{PeerConns: 8, StreamsPerConn: 2, PeerIdle: 10 * time.Second, PeerKeepLeast: 50 * time.Millisecond,
-		PeerCrossing: 50 * time.Millisecond, PeerGhost: 5 * time.Second, PeerSilence: time.Second,
-		AnswerBody: 100, AnswerFields: 100}
+	l := &config.Limits{MaxUpstreamConns: 8, MaxAttemptsPerConn: 2, UpstreamIdleTimeout: 10 * time.Second, MinIdleTimeout: 50 * time.Millisecond,
+		IdleCloseRaceWindow: 50 * time.Millisecond, LateAnswerWindow: 5 * time.Second, UpstreamSilenceTimeout: time.Second,
+		MaxAnswerBodyBytes: 100, MaxAnswerFieldBytes: 100}
 	s := &routing.Settings{LoadReport: routing.LoadReportSettings{Fields: []string{"active", "x1"}}}
-	b.f = NewFleet(l, s, buffer.NewPool(64, 64), b, b, &b.agenda, func() routing.Time { return b.clock }, zap.NewNop(), 1)
+	b.f = NewPools(l, s, buffer.NewPool(64, 64), b, b, &b.agenda, func() routing.Time { return b.clock }, zap.NewNop(), 1)
 	b.f.UpdateEndpoint(1, "c1", "a", 0)
 	return b
 }
@@ -83,11 +83,11 @@
 	b.send(1, "r1")
 	b.dials[0].Failed(errors.New("refused"))
 	b.send(2, "r2")
-	b.dials[1].Opened(&nettest.Link{})
+	b.dials[1].Opened(&nettest.FakeConn{})
 	b.dials[1].Closed()
 	b.f.Send(3, 99, director.UpstreamRequest{Request: &director.Request{Ref: "r3"}})
 	b.want(t, map[director.Handle]routing.Result{1: routing.ConnectFailed, 2: routing.Reset, 3: routing.ConnectFailed})
-	if n := b.f.Conns(); n != 0 {
+	if n := b.f.NumConns(); n != 0 {
 		t.Errorf("%d connections left", n)
 	}
 }
@@ -98,17 +98,17 @@
 	if b.f.Cancel(1) {
 		t.Error("an attempt that waits for its dial counts as written")
 	}
-	l := &nettest.Link{}
+	l := &nettest.FakeConn{}
 	b.dials[0].Opened(l)
-	if got := l.Text.String(); got != "" {
+	if got := l.Written.String(); got != "" {
 		t.Errorf("after its stop %q was sent", got)
 	}
 	b.send(2, "r2")
 	if !b.f.Cancel(2) {
 		t.Error("a written attempt counts as not written")
 	}
-	if !strings.HasSuffix(l.Text.String(), bulk("STOP", "r2")) {
-		t.Errorf("no STOP in %q", l.Text.String())
+	if !strings.HasSuffix(l.Written.String(), bulk("STOP", "r2")) {
+		t.Errorf("no STOP in %q", l.Written.String())
 	}
 }
 
@@ -117,13 +117,13 @@
 func TestSecondAttemptAvoidsTheStoppedOnesConnection(t *testing.T) {
 	b := newBench()
 	b.send(1, "r1")
-	b.dials[0].Opened(&nettest.Link{})
+	b.dials[0].Opened(&nettest.FakeConn{})
 	b.f.Cancel(1)
 	b.send(2, "r1")
 	if len(b.dials) != 2 {
 		t.Fatalf("%d dials, want a second one", len(b.dials))
 	}
-	b.dials[1].Opened(&nettest.Link{})
+	b.dials[1].Opened(&nettest.FakeConn{})
 	b.dials[0].Data([]byte(bulk("r1", "OK", "n=HIT", "late")))
 	b.want(t, map[director.Handle]routing.Result{})
 	b.dials[1].Data([]byte(bulk("r1", "MISS", "-", "")))
@@ -135,13 +135,13 @@
 // fails proves nothing while others work: a cache turns away more connections than it holds.
 func TestAttemptsSpreadOverConnections(t *testing.T) {
 	b := newBench()
-	b.f.limits.ConnsPerPeer = 2
+	b.f.limits.MaxConnsPerEndpoint = 2
 	b.send(1, "r1")
-	b.dials[0].Opened(&nettest.Link{})
+	b.dials[0].Opened(&nettest.FakeConn{})
 	b.send(2, "r2")
 	b.dials[1].Failed(errors.New("refused"))
 	b.want(t, map[director.Handle]routing.Result{})
-	if b.f.calls[2].c != b.dials[0] || b.f.Counters.Moved != 1 {
+	if b.f.calls[2].c != b.dials[0] || b.f.Counters.Reassigned != 1 {
 		t.Error("the attempt behind a failed dial is not on the connection that works")
 	}
 	b.dials[0].Data([]byte(bulk("r1", "MISS", "-", "") + bulk("r2", "MISS", "-", "")))
@@ -149,7 +149,7 @@
 	if len(b.dials) != 3 || b.f.calls[3].c != b.dials[2] {
 		t.Errorf("%d dials: the second try of r2 is on the connection of the first", len(b.dials))
 	}
-	b.dials[2].Opened(&nettest.Link{})
+	b.dials[2].Opened(&nettest.FakeConn{})
 	b.send(4, "r4")
 	b.send(5, "r5")
 	if len(b.dials) != 3 || b.f.calls[4].c != b.dials[0] {
@@ -161,9 +161,9 @@
 // idle one would leave it unknown whether it ran.
 func TestOnceTakesANewConnection(t *testing.T) {
 	b := newBench()
-	b.f.limits.ConnsPerPeer = 4
+	b.f.limits.MaxConnsPerEndpoint = 4
 	b.send(1, "r1")
-	b.dials[0].Opened(&nettest.Link{})
+	b.dials[0].Opened(&nettest.FakeConn{})
 	b.dials[0].Data([]byte(bulk("r1", "OK", "-", "x")))
 	b.f.Send(2, 1, director.UpstreamRequest{Request: &director.Request{Ref: "r2"}, Timeout: time.Second, NonIdempotent: true})
 	if len(b.dials) != 2 {
@@ -186,15 +186,15 @@
 		{0, func(s eventloop.Stream) { s.Closed() }, true},
 	} {
 		b := newBench()
-		b.f.limits.ConnsPerPeer = 4
+		b.f.limits.MaxConnsPerEndpoint = 4
 		b.send(1, "r1")
-		b.dials[0].Opened(&nettest.Link{})
+		b.dials[0].Opened(&nettest.FakeConn{})
 		b.dials[0].Data([]byte(bulk("r1", "OK", "-", "x")))
 		b.clock += c.idle
 		b.send(2, "r2")
 		c.end(b.dials[0])
 		b.send(3, "r3")
-		b.dials[1].Opened(&nettest.Link{})
+		b.dials[1].Opened(&nettest.FakeConn{})
 		b.dials[1].Data([]byte(bulk("r3", "OK", "-", "x")))
 		b.clock += 300 * time.Millisecond
 		b.agenda.RunDue(b.clock)
@@ -226,7 +226,7 @@
 			b.dials[1].Closed()
 			b.clock += 200 * time.Millisecond
 			b.send(9, "r9")
-			b.dials[2].Opened(&nettest.Link{})
+			b.dials[2].Opened(&nettest.FakeConn{})
 			b.dials[2].Data([]byte(bulk("r9", "OK", "-", "x")))
 			b.clock += 300 * time.Millisecond
 			b.send(10, "r10")
@@ -238,11 +238,11 @@
 		"gone":       {func(b *bench) { b.dials[0].Closed(); b.f.RemoveEndpoint(1) }, 10 * time.Second},
 	} {
 		b := newBench()
-		b.f.limits.ConnsPerPeer = 4
+		b.f.limits.MaxConnsPerEndpoint = 4
 		b.send(1, "r1")
 		b.send(2, "r2")
 		for i, ref := range []string{"r1", "r2"} {
-			b.dials[i].Opened(&nettest.Link{})
+			b.dials[i].Opened(&nettest.FakeConn{})
 			b.dials[i].Data([]byte(bulk(ref, "OK", "-", "x")))
 		}
 		b.clock += 300 * time.Millisecond
@@ -251,9 +251,9 @@
 			b.dials[0], b.dials[1] = b.dials[1], b.dials[0]
 		}
 		c.end(b)
-		b.clock += b.f.limits.PeerCrossing
+		b.clock += b.f.limits.IdleCloseRaceWindow
 		b.agenda.RunDue(b.clock)
-		if got := b.f.idle.Keep(b.clock); got != c.want {
+		if got := b.f.idle.Value(b.clock); got != c.want {
 			t.Errorf("%s: idle ones are used again for %v, want %v", name, got, c.want)
 		}
 	}
@@ -278,13 +278,13 @@
 func TestSilentConnectionIsClosedOnceEmpty(t *testing.T) {
 	b := newBench()
 	b.send(1, "r1")
-	l := &nettest.Link{}
+	l := &nettest.FakeConn{}
 	b.dials[0].Opened(l)
 	b.f.Cancel(1)
 	b.clock += 2 * time.Second
 	b.send(2, "r2")
-	if !l.Closed || b.f.Conns() != 1 {
-		t.Errorf("closed %v, %d connections held, want the new one only", l.Closed, b.f.Conns())
+	if !l.Closed || b.f.NumConns() != 1 {
+		t.Errorf("closed %v, %d connections held, want the new one only", l.Closed, b.f.NumConns())
 	}
 }
 
@@ -293,7 +293,7 @@
 func TestSilentConnectionTakesNothingNew(t *testing.T) {
 	b := newBench()
 	b.send(1, "r1")
-	b.dials[0].Opened(&nettest.Link{})
+	b.dials[0].Opened(&nettest.FakeConn{})
 	b.f.Cancel(1)
 	b.clock += 900 * time.Millisecond
 	b.send(2, "r2")
@@ -323,7 +323,7 @@
 func TestNewLifeGetsNewConnections(t *testing.T) {
 	b := newBench()
 	b.send(1, "r1")
-	l := &nettest.Link{}
+	l := &nettest.FakeConn{}
 	b.dials[0].Opened(l)
 	b.f.UpdateEndpoint(1, "c1", "a", b.clock+1)
 	b.want(t, map[director.Handle]routing.Result{1: routing.Reset})
@@ -332,10 +332,10 @@
 		t.Errorf("%d dials, old connection closed: %v", len(b.dials), l.Closed)
 	}
 	b.f.RemoveEndpoint(1)
-	b.dials[1].Opened(&nettest.Link{})
+	b.dials[1].Opened(&nettest.FakeConn{})
 	b.dials[1].Data([]byte(bulk("r2", "OK", "-", "x")))
 	b.want(t, map[director.Handle]routing.Result{1: routing.Reset, 2: routing.OK})
-	if n := b.f.Conns(); n != 0 {
+	if n := b.f.NumConns(); n != 0 {
 		t.Errorf("%d connections to a member that has gone", n)
 	}
 }
@@ -347,7 +347,7 @@
 	b.send(1, "r1")
 	b.send(2, "r2")
 	b.send(3, "r3") // on a second connection, still being dialled when the news come
-	l := &nettest.Link{}
+	l := &nettest.FakeConn{}
 	b.clock += time.Second
 	b.dials[0].Opened(l)
 	b.f.UpdateEndpoint(1, "c1", "a", b.clock-time.Second/2)
@@ -361,7 +361,7 @@
 	b := newBench()
 	b.send(1, "r1")
 	b.send(2, "r2")
-	b.dials[0].Opened(&nettest.Link{})
+	b.dials[0].Opened(&nettest.FakeConn{})
 	b.dials[0].Data([]byte(bulk("r1", "SAME", "-", ""))) // no copy of the client was passed on
 	b.dials[0].Data([]byte(bulk("r2", "OK", "n=NEVER", "x")))
 	b.want(t, map[director.Handle]routing.Result{1: routing.Errored, 2: routing.Errored})
@@ -378,9 +378,9 @@
 	}
 	b.want(t, map[director.Handle]routing.Result{9: routing.Abandoned}) // our shortage, not the peer's failure
 	b.dials[0].Failed(errors.New("refused"))
-	b.dials[1].Opened(&nettest.Link{})
+	b.dials[1].Opened(&nettest.FakeConn{})
 	b.dials[1].Closed()
-	b.dials[2].Opened(&nettest.Link{})
+	b.dials[2].Opened(&nettest.FakeConn{})
 	if b.f.files != 3 {
 		t.Errorf("%d descriptors counted, want 3", b.f.files)
 	}
@@ -389,7 +389,7 @@
 func TestIdleConnectionIsClosed(t *testing.T) {
 	b := newBench()
 	b.send(1, "r1")
-	l := &nettest.Link{}
+	l := &nettest.FakeConn{}
 	b.dials[0].Opened(l)
 	b.dials[0].Data([]byte(bulk("r1", "OK", "l=inflight:7;x1:0.5", "x")))
 	b.agenda.RunDue(b.clock + 9*time.Second)
@@ -413,9 +413,9 @@
 // no request tries the peer's patience anew; a new life of the peer is a new beginning.
 func TestPeerShortOfConnectionsIsNotAskedForMore(t *testing.T) {
 	b := newBench()
-	b.f.limits.ConnsPerPeer, b.f.limits.PeerConns, b.f.limits.StreamsPerConn = 8, 32, 100
+	b.f.limits.MaxConnsPerEndpoint, b.f.limits.MaxUpstreamConns, b.f.limits.MaxAttemptsPerConn = 8, 32, 100
 	b.send(1, "r1")
-	b.dials[0].Opened(&nettest.Link{})
+	b.dials[0].Opened(&nettest.FakeConn{})
 	b.send(2, "r2")
 	b.dials[1].Failed(errors.New("refused")) // r2 moves to the one that holds
 	for i := range 20 {
@@ -424,8 +424,8 @@
 	if len(b.dials) != 2 {
 		t.Errorf("%d dials, want none behind the one that failed", len(b.dials))
 	}
-	if b.f.Counters.Shared != 20 || len(b.ends) != 0 {
-		t.Errorf("%d attempts shared a connection, want 20; ended: %v", b.f.Counters.Shared, b.ends)
+	if b.f.Counters.ConnectLimited != 20 || len(b.ends) != 0 {
+		t.Errorf("%d attempts shared a connection, want 20; ended: %v", b.f.Counters.ConnectLimited, b.ends)
 	}
 	b.f.UpdateEndpoint(1, "c1", "b", b.clock)
 	b.send(50, "r50")
@@ -438,7 +438,7 @@
 func TestBurstOpensFewConnectionsAtATime(t *testing.T) {
 	for _, young := range []bool{false, true} {
 		b := newBench()
-		b.f.limits.ConnsPerPeer, b.f.limits.PeerConns, b.f.limits.StreamsPerConn = 32, 64, 100
+		b.f.limits.MaxConnsPerEndpoint, b.f.limits.MaxUpstreamConns, b.f.limits.MaxAttemptsPerConn = 32, 64, 100
 		want := 3
 		if young {
 			b.f.UpdateEndpoint(1, "c1", "a", b.clock)
@@ -465,11 +465,11 @@
 		{"after a while", func(b *bench) { b.clock += time.Second }, 3},
 	} {
 		b := newBench()
-		b.f.limits.ConnsPerPeer, b.f.limits.PeerConns, b.f.limits.StreamsPerConn = 8, 32, 100
+		b.f.limits.MaxConnsPerEndpoint, b.f.limits.MaxUpstreamConns, b.f.limits.MaxAttemptsPerConn = 8, 32, 100
 		b.send(1, "r1")
-		b.dials[0].Opened(&nettest.Link{})
+		b.dials[0].Opened(&nettest.FakeConn{})
 		b.send(2, "r2")
-		b.dials[1].Opened(&nettest.Link{})
+		b.dials[1].Opened(&nettest.FakeConn{})
 		tc.before(b)
 		b.dials[1].Closed()
 		b.send(3, "r3")
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -28,7 +28,7 @@
 
 // conn is a connection.
 type conn struct {
-	f      *Fleet
+	f      *Pools
 	p      *peer
 	phase  phase
 	handle director.Handle
@@ -109,29 +109,29 @@
 // all that was written: what comes behind would leave when the peer likes, past whatever calls it off.
 func (c *conn) usable(id string) bool {
 	f, now := c.f, c.f.now()
-	if _, taken := c.open[id]; taken || c.phase > up || len(c.open) >= f.limits.StreamsPerConn {
+	if _, taken := c.open[id]; taken || c.phase > up || len(c.open) >= f.limits.MaxAttemptsPerConn {
 		return false
 	}
-	if at, ghost := c.ghosts[id]; ghost && now-at <= f.limits.PeerGhost {
+	if at, ghost := c.ghosts[id]; ghost && now-at <= f.limits.LateAnswerWindow {
 		return false
 	}
 	if len(c.open) == 0 && c.parser.midway() {
 		return false // what comes next would be read as the rest of an answer that was given up
 	}
-	if len(c.open) == 0 && c.phase == up && now-c.rested > f.idle.Keep(now) {
-		f.Counters.Stale++
+	if len(c.open) == 0 && c.phase == up && now-c.rested > f.idle.Value(now) {
+		f.Counters.StaleIdleConns++
 		c.shut()
 		return false
 	}
-	if c.asked != 0 && now-c.asked >= f.limits.PeerSilence {
+	if c.asked != 0 && now-c.asked >= f.limits.UpstreamSilenceTimeout {
 		if len(c.open) == 0 {
-			f.Counters.SilentConns++
+			f.Counters.UnresponsiveConns++
 			c.shut()
 		}
 		return false
 	}
 	if c.phase == up && c.link.OutboundBuffered() > 0 {
-		f.Counters.Backlogged++
+		f.Counters.BackloggedConns++
 		return false
 	}
 	return true
@@ -140,13 +140,13 @@
 // ghost looks out for an answer that crosses the STOP of its attempt, or that comes behind the first one.
 func (c *conn) ghost(id string) {
 	now := c.f.now()
-	if len(c.ghosts) >= 4*c.f.limits.StreamsPerConn {
+	if len(c.ghosts) >= 4*c.f.limits.MaxAttemptsPerConn {
 		for g, at := range c.ghosts {
-			if now-at > c.f.limits.PeerGhost {
+			if now-at > c.f.limits.LateAnswerWindow {
 				delete(c.ghosts, g)
 			}
 		}
-		if len(c.ghosts) >= 4*c.f.limits.StreamsPerConn {
+		if len(c.ghosts) >= 4*c.f.limits.MaxAttemptsPerConn {
 			c.move(dry) // gives up so much that it can't be told apart: let it run dry
 			return
 		}
@@ -159,7 +159,7 @@
 	c.f.files--
 	c.link, c.since, c.rested = link, c.f.now(), c.f.now()
 	c.move(up)
-	c.p.pace.Opened(c.since, len(c.p.conns)-c.p.opening())
+	c.p.pace.RecordSuccess(c.since, len(c.p.conns)-c.p.opening())
 	if c.phase == closed {
 		link.Close()
 		return
@@ -171,22 +171,22 @@
 }
 
 // shortages are the results of attempts whose dial failed, by what we ourselves lacked.
-var shortages = map[eventloop.Shortage]routing.Result{eventloop.NoShortage: routing.ConnectFailed, eventloop.NoSocket: routing.LocalResourcesExhausted,
-	eventloop.NoWay: routing.Unreachable}
+var shortages = map[eventloop.DialFailure]routing.Result{eventloop.PeerFailed: routing.ConnectFailed, eventloop.LocalResourcesExhausted: routing.LocalResourcesExhausted,
+	eventloop.Unreachable: routing.Unreachable}
 
 // Failed is the other end of a dial: nothing that waited for it has run. What failed for our own want of descriptors, ports
 // or routes is no evidence against the peer.
 func (c *conn) Failed(err error) {
 	c.f.files -= 2
-	c.f.Counters.DialsFailed++
+	c.f.Counters.DialFailures++
 	c.f.note(c.p, "connect failed", zap.Int("attempts_waiting", len(c.open)), zap.NamedError("cause", err))
 	line := c.line
 	c.line = nil
-	result := shortages[eventloop.ShortageOf(err)]
+	result := shortages[eventloop.ClassifyDialError(err)]
 	if result == routing.ConnectFailed {
-		c.p.pace.Failed(c.f.now(), len(c.p.conns)-c.p.opening())
+		c.p.pace.RecordFailure(c.f.now(), len(c.p.conns)-c.p.opening())
 	} else {
-		c.f.Counters.OwnShortages++
+		c.f.Counters.LocalResourceErrors++
 	}
 	if errors.Is(err, syscall.ECONNREFUSED) {
 		c.f.agenda.Cancel(&c.p.crossed) // its process has ended
@@ -209,7 +209,7 @@
 // move gives an attempt whose dial failed to another connection of the peer that works: a peer may hold no more
 // connections than it has, and that one more failed proves nothing about it then. A dial that was reset, other
 // than one that was refused, proves nothing in any case, and is made again.
-func (f *Fleet) move(k *call, reset bool) {
+func (f *Pools) move(k *call, reset bool) {
 	from := k.c
 	to := (*conn)(nil)
 	for _, c := range slices.Clone(from.p.conns) {
@@ -225,7 +225,7 @@
 		}
 	}
 	if to != nil {
-		f.Counters.Moved++
+		f.Counters.Reassigned++
 		delete(from.open, k.id)
 		to.put(k)
 	}
@@ -235,7 +235,7 @@
 func (c *conn) Closed() {
 	c.f.files--
 	if c.phase != closed {
-		c.f.Counters.Closed++
+		c.f.Counters.ConnsLost++
 		if len(c.open) > 0 {
 			c.f.note(c.p, "connection lost", zap.Duration("after", c.f.now()-c.since), zap.Int("answers", c.served),
 				zap.Int("attempts_out", len(c.open)))
@@ -244,7 +244,7 @@
 			c.f.crossed(c)
 		}
 		if c.served == 0 && !c.spoilt && c.f.now()-c.since < turnedAway { // accepted only to be closed: a peer that is full
-			c.p.pace.Failed(c.f.now(), len(c.p.conns)-c.p.opening()-1)
+			c.p.pace.RecordFailure(c.f.now(), len(c.p.conns)-c.p.opening()-1)
 		}
 	}
 	c.gone(routing.Reset)
@@ -255,19 +255,19 @@
 // A reset that comes long behind the request did not cross it. Nor does a peer that has died say anything of idle times:
 // it ends all its connections at once, and refuses the next one. So the lesson waits for a moment, and is dropped if either
 // shows.
-func (f *Fleet) crossed(c *conn) {
+func (f *Pools) crossed(c *conn) {
 	p, now := c.p, f.now()
-	alone := !p.crossed.Pending() && (p.ended == 0 || now-p.ended > f.limits.PeerCrossing)
+	alone := !p.crossed.Pending() && (p.ended == 0 || now-p.ended > f.limits.IdleCloseRaceWindow)
 	p.ended = now
 	f.agenda.Cancel(&p.crossed)
 	if !alone || len(c.open) != 1 {
 		return
 	}
 	for _, k := range c.open {
-		if k.written && k.gap > 0 && now-k.at <= f.limits.PeerCrossing {
-			f.agenda.Schedule(&p.crossed, now+f.limits.PeerCrossing, func() {
-				f.Counters.Crossed++
-				f.idle.Crossed(f.now(), k.gap)
+		if k.written && k.gap > 0 && now-k.at <= f.limits.IdleCloseRaceWindow {
+			f.agenda.Schedule(&p.crossed, now+f.limits.IdleCloseRaceWindow, func() {
+				f.Counters.IdleCloseRaces++
+				f.idle.RecordCloseRace(f.now(), k.gap)
 			})
 		}
 	}
@@ -311,12 +311,12 @@
 		return
 	}
 	c.rested = c.f.now()
-	wait := c.f.limits.PeerIdle
+	wait := c.f.limits.UpstreamIdleTimeout
 	if c.parser.midway() {
-		wait = c.f.limits.PeerSilence // for the rest of an answer that was given up: some never end
+		wait = c.f.limits.UpstreamSilenceTimeout // for the rest of an answer that was given up: some never end
 	}
 	c.f.agenda.Schedule(&c.idle, c.rested+wait, func() {
-		c.f.Counters.Idle++
+		c.f.Counters.IdleTimeouts++
 		c.shut()
 	})
 }
--- a/internal/upstream/crossings_test.go
+++ b/internal/upstream/crossings_test.go
@@ -13,10 +13,10 @@
 // What waits for a dial and is taken back is never written, however late the dial comes up; what was written goes on.
 func TestRecalledAttemptIsNeverWritten(t *testing.T) {
 	b := newBench()
-	b.f.limits.ConnsPerPeer = 2
+	b.f.limits.MaxConnsPerEndpoint = 2
 	b.send(1, "r1")
 	b.send(2, "r2")
-	up, late := &nettest.Link{}, &nettest.Link{}
+	up, late := &nettest.FakeConn{}, &nettest.FakeConn{}
 	b.dials[0].Opened(up)
 	if b.f.CancelIfUnwritten(1) {
 		t.Error("what was written was taken back")
@@ -25,8 +25,8 @@
 		t.Error("what waits for its dial was not taken back")
 	}
 	b.dials[1].Opened(late)
-	if up.Text.Len() == 0 || late.Text.Len() != 0 {
-		t.Errorf("%d bytes on the first connection, %d on the second; want some and none", up.Text.Len(), late.Text.Len())
+	if up.Written.Len() == 0 || late.Written.Len() != 0 {
+		t.Errorf("%d bytes on the first connection, %d on the second; want some and none", up.Written.Len(), late.Written.Len())
 	}
 	b.dials[0].Data([]byte(bulk("r1", "OK", "-", "x")))
 	b.want(t, map[director.Handle]routing.Result{1: routing.OK})
@@ -36,20 +36,20 @@
 // would call the attempts off is unread yet.
 func TestNothingIsWrittenWhileHeld(t *testing.T) {
 	b := newBench()
-	b.f.limits.ConnsPerPeer, b.f.limits.StreamsPerConn = 2, 10
+	b.f.limits.MaxConnsPerEndpoint, b.f.limits.MaxAttemptsPerConn = 2, 10
 	b.send(1, "r1")
 	b.send(2, "r2")
 	b.send(3, "r3") // shares the first
-	l := &nettest.Link{}
+	l := &nettest.FakeConn{}
 	b.f.SuspendWrites()
 	b.dials[0].Opened(l)
 	b.dials[1].Failed(errors.New("refused"))
-	if l.Text.Len() != 0 {
-		t.Fatalf("written while held: %q", l.Text.String())
+	if l.Written.Len() != 0 {
+		t.Fatalf("written while held: %q", l.Written.String())
 	}
 	b.f.CancelIfUnwritten(1)
 	b.f.ResumeWrites()
-	if got := b.f.Counters.Sent; got != 2 {
+	if got := b.f.Counters.RequestsSent; got != 2 {
 		t.Errorf("%d attempts written after the hold, want the two that were not taken back", got)
 	}
 }
@@ -64,9 +64,9 @@
 		b.f.Send(1, 1, director.UpstreamRequest{Request: &director.Request{Ref: "r1"}, Timeout: 2 * time.Second,
 			IdempotencyWindowEnd: b.clock + 500*time.Millisecond})
 		b.clock += c.after
-		l := &nettest.Link{}
+		l := &nettest.FakeConn{}
 		b.dials[0].Opened(l)
-		if got := l.Text.Len() > 0; got != c.sent {
+		if got := l.Written.Len() > 0; got != c.sent {
 			t.Errorf("dial up after %v: written %v, want %v", c.after, got, c.sent)
 		}
 		want := map[director.Handle]routing.Result{}
@@ -82,7 +82,7 @@
 func TestSecondAnswerMeetsNoLaterAttempt(t *testing.T) {
 	b := newBench()
 	b.send(1, "r1")
-	b.dials[0].Opened(&nettest.Link{})
+	b.dials[0].Opened(&nettest.FakeConn{})
 	b.dials[0].Data([]byte(bulk("r1", "BUSY", "-", "")))
 	b.send(2, "r2")
 	b.dials[0].Data([]byte(bulk("r2", "OK", "-", "x"))) // so that r1 is no longer the latest id
@@ -90,10 +90,10 @@
 	if len(b.dials) != 2 {
 		t.Fatalf("%d dials: the second attempt of r1 is where its first was answered", len(b.dials))
 	}
-	b.dials[1].Opened(&nettest.Link{})
+	b.dials[1].Opened(&nettest.FakeConn{})
 	b.dials[0].Data([]byte(bulk("r1", "BUSY", "-", ""))) // the copy
 	b.want(t, map[director.Handle]routing.Result{1: routing.Rejected, 2: routing.OK})
-	b.clock += b.f.limits.PeerGhost + 1
+	b.clock += b.f.limits.LateAnswerWindow + 1
 	b.dials[1].Data([]byte(bulk("r1", "BUSY", "-", "")))
 	b.send(4, "r1")
 	if b.f.calls[4].c != b.dials[0] {
@@ -105,7 +105,7 @@
 func TestConnectionThatTakesNothingGetsNothingNew(t *testing.T) {
 	b := newBench()
 	b.send(1, "r1")
-	b.dials[0].Opened(&nettest.Link{Unread: 1})
+	b.dials[0].Opened(&nettest.FakeConn{Buffered: 1})
 	b.send(2, "r2")
 	if len(b.dials) != 2 {
 		t.Errorf("%d dials, want a second one", len(b.dials))
@@ -115,8 +115,8 @@
 // Where idle connections hold all descriptors, the one that was idle for the longest makes room; those in use stay.
 func TestLongestIdleMakesRoomForADial(t *testing.T) {
 	b := newBench()
-	b.f.limits.ConnsPerPeer, b.f.limits.PeerConns, b.f.limits.DialRoom = 8, 4, 2
-	links := []*nettest.Link{{}, {}, {}}
+	b.f.limits.MaxConnsPerEndpoint, b.f.limits.MaxUpstreamConns, b.f.limits.MaxReplacementDials = 8, 4, 2
+	links := []*nettest.FakeConn{{}, {}, {}}
 	for i, l := range links {
 		h := director.Handle(i + 1)
 		b.send(h, "r"+string(rune('1'+i)))
@@ -139,14 +139,14 @@
 // itself: the peer's close may be on its way.
 func TestOnceTakesTheIdleOnesPlace(t *testing.T) {
 	b := newBench()
-	b.f.limits.ConnsPerPeer = 1
+	b.f.limits.MaxConnsPerEndpoint = 1
 	b.send(1, "r1")
-	l := &nettest.Link{}
+	l := &nettest.FakeConn{}
 	b.dials[0].Opened(l)
 	b.dials[0].Data([]byte(bulk("r1", "OK", "-", "x")))
 	b.f.Send(2, 1, director.UpstreamRequest{Request: &director.Request{Ref: "r2"}, Timeout: time.Second, NonIdempotent: true})
-	if len(b.dials) != 2 || !l.Closed || b.f.Conns() != 1 {
-		t.Errorf("%d dials, idle one closed %v, %d connections; want 2, true, 1", len(b.dials), l.Closed, b.f.Conns())
+	if len(b.dials) != 2 || !l.Closed || b.f.NumConns() != 1 {
+		t.Errorf("%d dials, idle one closed %v, %d connections; want 2, true, 1", len(b.dials), l.Closed, b.f.NumConns())
 	}
 }
 
@@ -156,7 +156,7 @@
 		"since=1": routing.Errored, "-": routing.Errored} {
 		b := newBench()
 		b.f.Send(1, 1, director.UpstreamRequest{Request: &director.Request{Ref: "r1", IfNoneMatch: "tag1"}, Timeout: time.Second})
-		b.dials[0].Opened(&nettest.Link{})
+		b.dials[0].Opened(&nettest.FakeConn{})
 		b.dials[0].Data([]byte(bulk("r1", "SAME", fields, "")))
 		b.want(t, map[director.Handle]routing.Result{1: want})
 	}
@@ -168,7 +168,7 @@
 	for _, rest := range []bool{true, false} {
 		b := newBench()
 		b.send(1, "r1")
-		l := &nettest.Link{}
+		l := &nettest.FakeConn{}
 		b.dials[0].Opened(l)
 		whole := bulk("r1", "OK", "-", "a long body")
 		b.dials[0].Data([]byte(whole[:len(whole)-5]))
@@ -185,7 +185,7 @@
 			}
 			continue
 		}
-		b.clock += b.f.limits.PeerSilence
+		b.clock += b.f.limits.UpstreamSilenceTimeout
 		b.agenda.RunDue(b.clock)
 		if !l.Closed {
 			t.Error("a connection with an answer that does not end is kept")
--- a/internal/upstream/golden_test.go
+++ b/internal/upstream/golden_test.go
@@ -59,7 +59,7 @@
 
 // wireRecorder is one set of pools on scripted dials. It records each result of an attempt as text.
 type wireRecorder struct {
-	pools   *Fleet
+	pools   *Pools
 	timers  director.Queue
 	buffers *buffer.Pool
 	now     routing.Time
@@ -70,20 +70,20 @@
 func newWireRecorder() *wireRecorder {
 	recorder := &wireRecorder{now: 1000 * time.Second, buffers: buffer.NewPool(16, 16)}
 	limits := &config.Limits{
-		PeerConns:      8,
-		StreamsPerConn: 4,
-		PeerIdle:       10 * time.Second,
-		PeerKeepLeast:  50 * time.Millisecond,
-		PeerCrossing:   50 * time.Millisecond,
-		PeerGhost:      5 * time.Second,
-		PeerSilence:    time.Second,
-		AnswerBody:     64,
-		AnswerFields:   200,
+		MaxUpstreamConns:       8,
+		MaxAttemptsPerConn:     4,
+		UpstreamIdleTimeout:    10 * time.Second,
+		MinIdleTimeout:         50 * time.Millisecond,
+		IdleCloseRaceWindow:    50 * time.Millisecond,
+		LateAnswerWindow:       5 * time.Second,
+		UpstreamSilenceTimeout: time.Second,
+		MaxAnswerBodyBytes:     64,
+		MaxAnswerFieldBytes:    200,
 	}
 	settings := &routing.Settings{LoadReport: routing.LoadReportSettings{
 		Fields: []string{"active", "waiting", "cpu", "avg_ms", "rps", "err_rps", "x1", "inflight"},
 	}}
-	recorder.pools = NewFleet(limits, settings, recorder.buffers, recorder, recorder, &recorder.timers,
+	recorder.pools = NewPools(limits, settings, recorder.buffers, recorder, recorder, &recorder.timers,
 		func() routing.Time { return recorder.now }, zap.NewNop(), 1)
 	recorder.pools.UpdateEndpoint(1, "c1", "a", 0)
 	return recorder
@@ -103,7 +103,7 @@
 
 func (r *wireRecorder) body(t *testing.T, text string) buffer.Chain {
 	t.Helper()
-	chain := r.buffers.Chain()
+	chain := r.buffers.NewChain()
 	if err := chain.Append([]byte(text)); err != nil {
 		t.Fatal(err)
 	}
@@ -133,8 +133,8 @@
 
 // state tells what is left after the events of a case.
 func (r *wireRecorder) state() string {
-	return fmt.Sprintf("conns=%d buffers=%d unmatched=%d unusable=%d broken-streams=%d", r.pools.Conns(), r.buffers.Lent(),
-		r.pools.Counters.Late, r.pools.Counters.BadAnswer, r.pools.Counters.BadStream)
+	return fmt.Sprintf("conns=%d buffers=%d unmatched=%d unusable=%d broken-streams=%d", r.pools.NumConns(), r.buffers.InUse(),
+		r.pools.Counters.UnmatchedResponses, r.pools.Counters.InvalidResponses, r.pools.Counters.ProtocolErrors)
 }
 
 func chainText(chain *buffer.Chain) string {
@@ -189,10 +189,10 @@
 		call := director.UpstreamRequest{Request: &request, Timeout: 1500 * time.Millisecond}
 		tc.change(&call, &request)
 		recorder.pools.Send(1, 1, call)
-		link := &nettest.Link{}
+		link := &nettest.FakeConn{}
 		recorder.dials[0].Opened(link)
 		request.Body.Release()
-		lines = append(lines, fmt.Sprintf("%s: %q", tc.name, link.Text.String()))
+		lines = append(lines, fmt.Sprintf("%s: %q", tc.name, link.Written.String()))
 	}
 	compareGolden(t, "requests.txt", lines)
 }
@@ -280,7 +280,7 @@
 // wireScript records what each step of a sequence wrote and which attempts it ended.
 type wireScript struct {
 	recorder *wireRecorder
-	links    []*nettest.Link
+	links    []*nettest.FakeConn
 	written  []int
 	closed   []bool
 	ended    int
@@ -297,7 +297,7 @@
 		s.dialled = dials
 	}
 	for i, link := range s.links {
-		if text := link.Text.String(); len(text) > s.written[i] {
+		if text := link.Written.String(); len(text) > s.written[i] {
 			effects = append(effects, fmt.Sprintf("connection %d gets %q", i, text[s.written[i]:]))
 			s.written[i] = len(text)
 		}
@@ -322,7 +322,7 @@
 
 // open ends the dial with a number well, on a new connection.
 func (s *wireScript) open(dial int) {
-	link := &nettest.Link{}
+	link := &nettest.FakeConn{}
 	s.links = append(s.links, link)
 	s.written = append(s.written, 0)
 	s.closed = append(s.closed, false)
@@ -412,7 +412,7 @@
 }
 
 func playWindow(r *wireRecorder, s *wireScript) {
-	r.pools.limits.ConnsPerPeer = 4
+	r.pools.limits.MaxConnsPerEndpoint = 4
 	for i, after := range []time.Duration{400 * time.Millisecond, 500 * time.Millisecond} {
 		attempt, ref := director.Handle(i+1), fmt.Sprintf("r%d", i+1)
 		request := goldenRequest()
@@ -445,7 +445,7 @@
 	s.send(1, "r1")
 	s.open(0)
 	s.answer(0, "r1", "OK", "n=HIT", "x")
-	s.wait(r.pools.limits.PeerIdle - 1)
+	s.wait(r.pools.limits.UpstreamIdleTimeout - 1)
 	s.wait(1)
 }
 
@@ -472,7 +472,7 @@
 }
 
 func playDescriptors(r *wireRecorder, s *wireScript) {
-	r.pools.limits.ConnsPerPeer, r.pools.limits.StreamsPerConn = 8, 1
+	r.pools.limits.MaxConnsPerEndpoint, r.pools.limits.MaxAttemptsPerConn = 8, 1
 	for attempt := director.Handle(1); attempt <= 5; attempt++ {
 		s.send(attempt, fmt.Sprintf("r%d", attempt))
 	}
@@ -574,7 +574,7 @@
 	first.Ref, first.IfNoneMatch, second.Ref = "r1", "tag1", "r2"
 	recorder.pools.Send(1, 1, director.UpstreamRequest{Request: &first, Timeout: time.Second})
 	recorder.pools.Send(2, 1, director.UpstreamRequest{Request: &second, Timeout: time.Second})
-	recorder.dials[0].Opened(&nettest.Link{})
+	recorder.dials[0].Opened(&nettest.FakeConn{})
 	verdict := "stream kept"
 	if recorder.deliver(recorder.dials[0], stream, size) {
 		verdict = "stream broken"
--- a/internal/upstream/requests.go
+++ b/internal/upstream/requests.go
@@ -11,9 +11,9 @@
 // What goes out: requests and their fields.
 
 // write puts an attempt on its connection. From here on it may run.
-func (f *Fleet) write(k *call, q director.UpstreamRequest, until routing.Time) {
+func (f *Pools) write(k *call, q director.UpstreamRequest, until routing.Time) {
 	if k.before != 0 && f.now() >= k.before {
-		f.Counters.Expired++
+		f.Counters.WindowExpired++
 		f.drop(k)
 		f.ender.AttemptEnded(k.h, director.AttemptResult{Result: routing.Abandoned}) // it never ran
 		k.c.rest()
@@ -31,7 +31,7 @@
 	if k.c.asked == 0 {
 		k.c.asked = f.now()
 	}
-	f.Counters.Sent++
+	f.Counters.RequestsSent++
 	for _, p := range iov {
 		f.Counters.BytesOut += uint64(len(p))
 	}
--- a/internal/upstream/resp.go
+++ b/internal/upstream/resp.go
@@ -91,7 +91,7 @@
 				return nil, fmt.Errorf("answer of %d elements", n)
 			}
 			p.args, p.got, p.state = n, 0, atBulk
-			p.cur = answer{body: p.pool.Chain()}
+			p.cur = answer{body: p.pool.NewChain()}
 			return b[i+1:], nil
 		}
 		if most := [elements]int{mostID, mostWord, p.mostFields, p.mostBody}[p.got]; n > most {
--- a/internal/upstream/resp_test.go
+++ b/internal/upstream/resp_test.go
@@ -51,8 +51,8 @@
 		if d := cmp.Diff(want, got); d != "" {
 			t.Fatalf("pieces of %d: %s", piece, d)
 		}
-		if pool.Lent() != 0 {
-			t.Fatalf("pieces of %d: %d buffers left", piece, pool.Lent())
+		if pool.InUse() != 0 {
+			t.Fatalf("pieces of %d: %d buffers left", piece, pool.InUse())
 		}
 	}
 }
@@ -81,8 +81,8 @@
 		if d := cmp.Diff(whole, pieces); d != "" || (err == nil) != (err2 == nil) {
 			t.Errorf("pieces of %d: %v, whole %v: %s", int(piece)+1, err2, err, d)
 		}
-		if pool.Lent() != 0 {
-			t.Errorf("%d buffers left", pool.Lent())
+		if pool.InUse() != 0 {
+			t.Errorf("%d buffers left", pool.InUse())
 		}
 	})
 }
--- a/internal/upstream/shortage_test.go
+++ b/internal/upstream/shortage_test.go
@@ -33,8 +33,8 @@
 		if d := cmp.Diff(map[director.Handle]routing.Result{1: want}, b.ends); d != "" {
 			t.Errorf("%v: %s", errno, d)
 		}
-		if own := b.f.Counters.OwnShortages != 0; own != (want != routing.ConnectFailed) || b.f.Conns() != 0 {
-			t.Errorf("%v: %d shortages counted, %d connections left", errno, b.f.Counters.OwnShortages, b.f.Conns())
+		if own := b.f.Counters.LocalResourceErrors != 0; own != (want != routing.ConnectFailed) || b.f.NumConns() != 0 {
+			t.Errorf("%v: %d shortages counted, %d connections left", errno, b.f.Counters.LocalResourceErrors, b.f.NumConns())
 		}
 	}
 }
--- a/routing/ejection.go
+++ b/routing/ejection.go
@@ -21,7 +21,7 @@
 	} else if d.now < s.until {
 		return
 	}
-	s.backoff = min(2*s.backoff, ejectMost, d.sites.LookEvery())
+	s.backoff = min(2*s.backoff, ejectMost, d.sites.ProbeInterval())
 	s.until = d.now + s.backoff
 	for _, a := range slices.Concat(s.to.out, s.from.out) { // what may be sent again elsewhere is called off
 		r, safe := d.reqs[a.id], d.s.Classes[a.class].Idempotency == "read_like"
@@ -33,7 +33,7 @@
 
 func (d *Router) readmit(s *server) {
 	d.log("readmit %x after %v", uint64(s.Host), d.now-s.ejectedAt)
-	s.ejected, s.missed, s.backoff = false, overload.Streak{}, 0
+	s.ejected, s.missed, s.backoff = false, overload.FailureStreak{}, 0
 	for _, o := range d.like(s) { // what was lost together often comes back so
 		o.until = min(o.until, d.now)
 	}
--- a/routing/ending.go
+++ b/routing/ending.go
@@ -12,7 +12,7 @@
 	if !d.s.SiteLimits.RetryAfterAllowed {
 		return 0
 	}
-	wait := min(max(holdFor, d.sites.LookIn(d.now, d.s.Zone)), d.s.SiteLimits.MaxRetryAfter*3/4)
+	wait := min(max(holdFor, d.sites.NextProbeIn(d.now, d.s.Zone)), d.s.SiteLimits.MaxRetryAfter*3/4)
 	return wait + time.Duration(d.rng.Int64N(int64(min(wait, d.s.SiteLimits.MaxRetryAfter-wait))+1))
 }
 
--- a/routing/limits.go
+++ b/routing/limits.go
@@ -20,12 +20,12 @@
 }
 
 // cost is what a request counts on budgets and limits, in seconds of sending: never under its class's mean.
-func (d *Router) cost(r *request) float64 { return max(d.classes[r.Class].work.Is, r.told) }
+func (d *Router) cost(r *request) float64 { return max(d.classes[r.Class].work.Value, r.told) }
 
 // largest is the mean sending time of the class with the largest objects, in seconds.
 func (d *Router) largest() float64 {
-	byWork := func(a, b classStats) int { return cmp.Compare(a.work.Is, b.work.Is) }
-	return slices.MaxFunc(d.classes, byWork).work.Is
+	byWork := func(a, b classStats) int { return cmp.Compare(a.work.Value, b.work.Value) }
+	return slices.MaxFunc(d.classes, byWork).work.Value
 }
 
 // throttle keeps the limits of our work out. A limit belongs to what was late or refused: a hit's to the
@@ -46,8 +46,8 @@
 	late := o.Elapsed > a.aim
 	switch to := &a.target.to; {
 	case s == to && (o.FillStatus == FillStatusHit || o.Result != OK):
-		to.late.Set(d.now, late || o.Result != OK)
-	case a.target.role == edge && o.Result == OK && o.Elapsed-o.SourceWait > a.aim && to.late.Is(d.now):
+		to.late.Record(d.now, late || o.Result != OK)
+	case a.target.role == edge && o.Result == OK && o.Elapsed-o.SourceWait > a.aim && to.late.Holds(d.now):
 		t, s = a.target, to // hits are late there too, and the source did not keep it waiting
 	}
 	if o.Result == OK && !late && (s == &a.target.to || o.FillStatus == FillStatusFilledByOrigin) {
@@ -57,12 +57,12 @@
 		return // guards hits against refusals beside a cache with room: nothing is crowded
 	}
 	if o.Result == OK && !late {
-		s.limit.Raise(d.now, s.load, a.work)
+		s.limit.Increase(d.now, s.load, a.work)
 		return
 	}
 	top := max(limitFirst*a.work/t.seats, limitMost*(s.load+a.work))
 	fit := limitFit * max(a.load, s.load+a.work) * a.aim.Seconds() / max(o.Elapsed, a.aim).Seconds()
-	s.limit.Lower(d.now, top, fit, limitLeast*d.largest()/t.seats)
+	s.limit.Decrease(d.now, top, fit, limitLeast*d.largest()/t.seats)
 }
 
 // blamed is the side that an attempt counts on: a likely fill on its source, a hit on the cache, and what
@@ -82,7 +82,7 @@
 	_, side := blamed(a)
 	should := a.told
 	if a.fill {
-		should += d.waited.Is
+		should += d.waited.Value
 	}
 	due := copyPace*should*math.Exp(max(0, a.target.pace)) + copyAfter*d.s.Classes[a.class].LatencyObjective.Seconds()
 	return side.good > a.sent && (d.now-a.sent).Seconds() >= due
--- a/routing/members.go
+++ b/routing/members.go
@@ -32,7 +32,7 @@
 				return false
 			}
 			delete(d.servers, s.Host)
-			s.seen.Leave()
+			s.seen.Remove()
 			return true
 		case s.role != edge:
 			d.upper = append(d.upper, s)
@@ -76,7 +76,7 @@
 		s.seats = float64(max(f.DirectorsByZone[e.Zone], 1))
 	}
 	if s.role != origin {
-		s.seen = d.sites.Join(d.now, s.seen, e.Zone, e.Weight, e.State == Ready, e.Started)
+		s.seen = d.sites.UpdateMember(d.now, s.seen, e.Zone, e.Weight, e.State == Ready, e.Started)
 	}
 }
 
--- a/routing/outcomes.go
+++ b/routing/outcomes.go
@@ -41,7 +41,7 @@
 	case r.out > 0:
 	case d.now >= r.Deadline:
 		d.end(r, ReasonDeadlineExceeded)
-	case turnedAway(o) && !d.repeats.May(d.now, r.passOn):
+	case turnedAway(o) && !d.repeats.TryWithdraw(d.now, r.passOn):
 		d.end(r, ReasonRetryBudgetExhausted)
 	case d.lesson(r, a, o), a.mayRun && o.Result != Errored && !d.s.SiteLimits.HedgingAllowed:
 		d.hold(r) // also where what calls an attempt off may be overtaken: two would be out at once
@@ -79,7 +79,7 @@
 		return true // no other server can be reached either
 	case Miss:
 		if r.looked = r.looked || (src == nil && o.FillStatus == FillStatusCoalesced); o.FillStatus != FillStatusCoalesced {
-			r.looks = overload.LooksMost // none fills it: it may be filled at once
+			r.looks = overload.MaxProbes // none fills it: it may be filled at once
 		}
 		return src == nil && r.looked && !a.look && !r.shut
 	}
@@ -96,11 +96,11 @@
 	case Cancelled, Abandoned, LocalResourcesExhausted, Unreachable:
 		return // says nothing
 	}
-	d.repeats.Ended(d.now, o.Result == OK, turnedAway(o))
+	d.repeats.RecordAttempt(d.now, o.Result == OK, turnedAway(o))
 	failed := o.FillStatus == FillStatusOriginFailed
 	if a.source != nil && a.source.role != edge && (failed || o.FillStatus == FillStatusFilledByOrigin) {
 		late := o.Elapsed > a.aim && o.Elapsed-o.SourceWait <= a.aim // by the source, not by the cache or the link
-		d.shield.Answered(d.now, a.sent, late || failed)
+		d.shield.RecordAnswer(d.now, a.sent, late || failed)
 	}
 	d.throttle(a, o)
 	d.judge(a, o)
@@ -114,13 +114,13 @@
 		return
 	}
 	c := &d.classes[a.class]
-	if c.latency.Learn(o.Elapsed.Seconds()); o.FillStatus == FillStatusFilledByOrigin {
-		d.waited.Learn(o.SourceWait.Seconds())
+	if c.latency.Observe(o.Elapsed.Seconds()); o.FillStatus == FillStatusFilledByOrigin {
+		d.waited.Observe(o.SourceWait.Seconds())
 	}
 	if r != nil && r.told > 0 {
-		c.work.Learn(r.told)
+		c.work.Observe(r.told)
 	} else if o.FillStatus == FillStatusHit || o.FillStatus == FillStatusUnknown {
-		c.work.Learn(o.Elapsed.Seconds())
+		c.work.Observe(o.Elapsed.Seconds())
 	}
 	t.carried = t.carried*math.Exp(-float64(d.now-t.carriedAt)/float64(carryOver)) + a.work
 	t.carriedAt = d.now
@@ -138,15 +138,15 @@
 	switch o.Result {
 	case OK, Miss, Rejected, Errored:
 		t.heard = d.now
-		t.seen.Answered(d.now)
+		t.seen.RecordResponse(d.now)
 		if t.ejected && (a.look || o.Result == OK) {
 			d.readmit(t)
 		}
 	case ConnectFailed:
-		t.seen.Refused(d.now)
+		t.seen.RecordRefusal(d.now)
 		d.eject(t, "connection failed")
 	case TimedOut:
-		t.seen.Silent(d.now, a.sent)
+		t.seen.RecordTimeout(d.now, a.sent)
 	}
 	if a.look && (o.Result == TimedOut || o.Result == Reset) { // else a reset tells nothing
 		d.eject(looked(a), "look unanswered")
@@ -157,13 +157,13 @@
 	case o.FillStatus == FillStatusSourceUnreachable:
 		// Quickly: it is down. Late: perhaps crowded, and to eject it would crowd the others in a cascade.
 		n, down := src.missed.Add(d.now), o.SourceWait < quickly
-		if src.seen.Unreached(d.now, a.sent, down); src.ejected || down || (n >= 3 && src.seen.Alone(d.now)) {
+		if src.seen.RecordSourceFailure(d.now, a.sent, down); src.ejected || down || (n >= 3 && src.seen.HasHealthyPeer(d.now)) {
 			d.eject(src, "source not reached")
 		}
 	case untold, o.FillStatus == FillStatusSourceRejected, o.FillStatus == FillStatusSourceMiss, o.FillStatus == FillStatusOriginFailed,
 		o.FillStatus >= FillStatusFilled && o.FillStatus <= FillStatusCoalesced:
-		src.missed, src.spoke = overload.Streak{}, d.now
-		src.seen.Answered(d.now)
+		src.missed, src.spoke = overload.FailureStreak{}, d.now
+		src.seen.RecordResponse(d.now)
 		if src.ejected {
 			d.readmit(src)
 		}
--- a/routing/router.go
+++ b/routing/router.go
@@ -20,12 +20,12 @@
 	d := &Router{s: s, rng: rand.New(rand.NewPCG(seed, 1)), servers: map[Host]*server{},
 		reqs: map[uint32]*request{}, tries: map[uint64]*attempt{},
 		cur: map[objectPart]*entry{}, prev: map[objectPart]*entry{},
-		purges: map[purgeKey]purge{}, shield: overload.NewShield(s.Directors),
-		sites: sitehealth.New(sitehealth.Config{Names: s.Zones, Own: s.Zone, Hub: s.Tiers.HubByZone[s.Zone]})}
+		purges: map[purgeKey]purge{}, shield: overload.NewOriginShield(s.Directors),
+		sites: sitehealth.New(sitehealth.Config{ZoneNames: s.Zones, OwnZone: s.Zone, HubZone: s.Tiers.HubByZone[s.Zone]})}
 	for _, c := range s.Classes { // sending is a part of the aim, or nothing would be in time
 		aim := c.LatencyObjective.Seconds()
 		d.slowest = max(d.slowest, aim)
-		d.classes = append(d.classes, classStats{overload.Guess(aim * guessWork), overload.Guess(aim)})
+		d.classes = append(d.classes, classStats{overload.NewMean(aim * guessWork), overload.NewMean(aim)})
 	}
 	return d, nil
 }
@@ -52,7 +52,7 @@
 		r.passOn = e.Write || d.s.Tiers.Uncacheable[e.Class]
 		d.reqs[e.ID] = r
 		d.copies = min(d.copies+copyShare, copyMost)
-		d.repeats.Request(d.now)
+		d.repeats.RecordRequest(d.now)
 		d.advance(r)
 	case StreamStarted:
 		if r := d.reqs[e.ID]; r != nil {
--- a/routing/routing.go
+++ b/routing/routing.go
@@ -18,7 +18,7 @@
 	case d.now >= r.Deadline:
 		d.end(r, ReasonDeadlineExceeded)
 	case d.route(r):
-	case d.sites.Shut():
+	case d.sites.OwnBranchUnavailable():
 		d.end(r, ReasonSiteLost)
 	case !d.maySend(r, nil):
 		d.end(r, ReasonMayHaveExecuted)
@@ -57,9 +57,9 @@
 				return true
 			}
 		case room && d.swamped(r, t, 1),
-			d.full(&t.to, work) && (d.likelyFill(r, t) || d.full(&t.to, work-hitRoom*t.to.limit.Most(d.now))):
+			d.full(&t.to, work) && (d.likelyFill(r, t) || d.full(&t.to, work-hitRoom*t.to.limit.Value(d.now))):
 			last = parent
-		case last == parent && (!free(t) || t.to.load > spillUpTo*t.to.limit.Most(d.now)):
+		case last == parent && (!free(t) || t.to.load > spillUpTo*t.to.limit.Value(d.now)):
 		case d.fill(r, t):
 			return true
 		case r.looked:
@@ -77,10 +77,10 @@
 	}
 	limited, full := d.likelyFill(r, t) && !r.passOn, false
 	if limited && !r.drawn {
-		r.drawn, r.shut = true, d.rng.Float64() >= min(d.shield.Open(d.now), d.sites.Fills(d.now, r.Class))
+		r.drawn, r.shut = true, d.rng.Float64() >= min(d.shield.AdmitFraction(d.now), d.sites.FillShare(d.now, r.Class))
 	}
 	tells := limited && !r.shut && !d.s.Tiers.CoalescesFills && d.s.Tiers.FillStatusReported == "all"
-	if tells && d.firsts.Look(d.now, t.cold != 0, d.shield.Open(d.now), max(r.looks, len(r.tries))) &&
+	if tells && d.firsts.ShouldProbe(d.now, t.cold != 0, d.shield.AdmitFraction(d.now), max(r.looks, len(r.tries))) &&
 		d.affordable(t, 2*d.cost(r)) { // what it lacks is then filled there
 		return d.send(r, t, nil)
 	}
@@ -143,8 +143,8 @@
 		switch s.score = -d.weight(s) / math.Log(u); {
 		case s.role == origin:
 			s.score = math.Inf(-1)
-		case s.role == parent && d.sites.Pull(s.Zone) > 0:
-			s.score *= d.sites.Pull(s.Zone)
+		case s.role == parent && d.sites.WeightFactor(s.Zone) > 0:
+			s.score *= d.sites.WeightFactor(s.Zone)
 		case s.role == parent && s.Zone == d.s.Tiers.HubByZone[d.s.Zone] && d.mayLook(s):
 			s.score = math.Inf(1) // our hub is lost: the next request is the look
 		case s.role == parent:
--- a/routing/rules_test.go
+++ b/routing/rules_test.go
@@ -453,7 +453,7 @@
 func TestBeyondTheFillLimitAsksForWhatIsHeld(t *testing.T) {
 	w := simpleWorld(t, nil)
 	for _, s := range w.r.upper {
-		s.from.limit = overload.NewLimit(w.r.now, 1e-9)
+		s.from.limit = overload.NewConcurrencyLimit(w.r.now, 1e-9)
 	}
 	w.answer = func(w *world, o *open, n int) (Result, FillStatus, time.Duration) {
 		if o.Object == 42 {
@@ -481,7 +481,7 @@
 	w.answer = func(w *world, o *open, n int) (Result, FillStatus, time.Duration) {
 		return OK, FillStatusFilledByOrigin, 100 * ms
 	}
-	w.r.shield.Answered(w.now, w.now, true)
+	w.r.shield.RecordAnswer(w.now, w.now, true)
 	for id := uint32(2); id < 202; id++ {
 		w.read(id, uint64(id), 1)
 	}
@@ -498,7 +498,7 @@
 		t.Errorf("%d of %d fills ask parents only for what they hold", peeks, n)
 	}
 	w.run(w.now + 200*ms)
-	w.r.shield.Answered(w.now, w.now, true)
+	w.r.shield.RecordAnswer(w.now, w.now, true)
 	w.answer = func(w *world, o *open, n int) (Result, FillStatus, time.Duration) {
 		return Miss, FillStatusSourceMiss, 10 * ms
 	}
@@ -709,11 +709,11 @@
 		},
 		"cold target": func() func() {
 			edgeA.cold, edgeA.spent = w.now, usedUp(w.now)
-			return func() { edgeA.cold, edgeA.spent = 0, overload.Bucket{} }
+			return func() { edgeA.cold, edgeA.spent = 0, overload.TokenBucket{} }
 		},
 		"cold source": func() func() {
 			par.cold, par.spent = w.now, usedUp(w.now)
-			return func() { par.cold, par.spent = 0, overload.Bucket{} }
+			return func() { par.cold, par.spent = 0, overload.TokenBucket{} }
 		},
 	} {
 		undo := f()
@@ -865,7 +865,7 @@
 	if s.to.load > 1e-9 {
 		t.Errorf("%.1f s of fills count on the cache", s.to.load)
 	}
-	s.to.limit, s.to.load = overload.NewLimit(w.r.now, 4), 4
+	s.to.limit, s.to.load = overload.NewConcurrencyLimit(w.r.now, 4), 4
 	n := len(w.sent)
 	if w.read(2, 42, 0); len(w.sent) != n+1 || w.sent[n].Host != s.Host {
 		t.Errorf("a hit was held back: %+v", w.sent[n:])
@@ -900,7 +900,7 @@
 			r.Handle(now, EndpointUpdate{Kind: UpdateCached, Endpoints: list})
 			routers = append(routers, r)
 		}
-		work := routers[0].classes[0].work.Is
+		work := routers[0].classes[0].work.Value
 		for step := range 10 {
 			for i, r := range routers {
 				id := uint32(step*seats + i + 1)
@@ -979,7 +979,7 @@
 	w := simpleWorld(t, nil)
 	w.read(1, 42, 0)
 	first := w.r.servers[w.sent[0].Source]
-	first.from.limit, first.from.load = overload.NewLimit(w.r.now, 1), 1
+	first.from.limit, first.from.load = overload.NewConcurrencyLimit(w.r.now, 1), 1
 	w.purge(Purge{Object: 42}) // so that it is a likely fill again
 	w.read(2, 42, 0)
 	if f := w.sent[1]; f.Source == first.Host || w.members[f.Source].Kind != 1 || f.Host != w.sent[0].Host {
@@ -994,7 +994,7 @@
 	for _, allowed := range []bool{true, false} {
 		w := simpleWorld(t, func(s *Settings) { s.Tiers.BypassAllowed = allowed })
 		for _, s := range w.r.caches {
-			s.to.limit, s.to.load = overload.NewLimit(w.r.now, 1), 1
+			s.to.limit, s.to.load = overload.NewConcurrencyLimit(w.r.now, 1), 1
 		}
 		w.read(1, 42, 0)
 		if straight := len(w.sent) == 1 && w.members[w.sent[0].Host].Kind == 1; straight != allowed {
@@ -1066,10 +1066,10 @@
 			cache.heard = 20
 		}
 		w.r.throttle(&attempt{target: cache, source: src, sent: 10, work: 0.1}, Outcome{Result: TimedOut})
-		if blamed := !math.IsInf(cache.to.limit.Most(w.r.now), 1); blamed == speaks {
+		if blamed := !math.IsInf(cache.to.limit.Value(w.r.now), 1); blamed == speaks {
 			t.Errorf("the cache speaks: %v, and is blamed: %v", speaks, blamed)
 		}
-		if blamed := !math.IsInf(src.from.limit.Most(w.r.now), 1); blamed != speaks {
+		if blamed := !math.IsInf(src.from.limit.Value(w.r.now), 1); blamed != speaks {
 			t.Errorf("the cache speaks: %v, and its source is blamed: %v", speaks, blamed)
 		}
 	}
@@ -1087,7 +1087,7 @@
 	}{
 		{"lost", func(*world, *request) {}, 0, copiesEach},
 		{"silent way", func(_ *world, r *request) { way(r).good = 0 }, 0, 0},
-		{"crowd", func(w *world, r *request) { r.tries[0].target.to.limit = overload.NewLimit(w.r.now, 1e-6) }, 0, 0},
+		{"crowd", func(w *world, r *request) { r.tries[0].target.to.limit = overload.NewConcurrencyLimit(w.r.now, 1e-6) }, 0, 0},
 		{"none saved up", func(w *world, _ *request) { w.r.copies = 0 }, 0, 0},
 		{"unsafe", func(*world, *request) {}, 3, 0},
 	} {
@@ -1171,7 +1171,7 @@
 		limits := 0
 		for _, s := range w.r.order {
 			for _, x := range []*side{&s.to, &s.from} {
-				if !math.IsInf(x.limit.Most(w.r.now), 1) {
+				if !math.IsInf(x.limit.Value(w.r.now), 1) {
 					limits++
 				}
 			}
@@ -1193,7 +1193,7 @@
 		w.r.rank(w.r.caches, 42)
 		first, next := w.r.caches[0], w.r.caches[1]
 		for i, c := range w.r.caches {
-			c.to.limit = overload.NewLimit(w.r.now, 8)
+			c.to.limit = overload.NewConcurrencyLimit(w.r.now, 8)
 			if c.to.load = 8; i == 1 {
 				c.to.load = tc.load
 			}
@@ -1232,13 +1232,13 @@
 		w := simpleWorld(t, nil)
 		cache, src := w.r.servers[hostEdge], w.r.servers[hostParent]
 		w.r.throttle(&attempt{target: cache, work: 0.1, aim: 650 * ms}, Outcome{Result: OK, FillStatus: FillStatusHit, Elapsed: tc.hitsAfter})
-		before := cache.to.limit.Most(w.r.now)
+		before := cache.to.limit.Value(w.r.now)
 		w.r.throttle(&attempt{target: cache, source: src, fill: true, work: 0.1, aim: 650 * ms},
 			Outcome{Result: OK, FillStatus: FillStatusFilledByOrigin, Elapsed: 10 * time.Second, SourceWait: tc.waited})
-		if down := cache.to.limit.Most(w.r.now) < before; down != tc.cache {
+		if down := cache.to.limit.Value(w.r.now) < before; down != tc.cache {
 			t.Errorf("%s: cache blamed: %v, want %v", tc.name, down, tc.cache)
 		}
-		if down := !math.IsInf(src.from.limit.Most(w.r.now), 1); down == tc.cache {
+		if down := !math.IsInf(src.from.limit.Value(w.r.now), 1); down == tc.cache {
 			t.Errorf("%s: source blamed: %v, want %v", tc.name, down, !tc.cache)
 		}
 	}
@@ -1278,8 +1278,8 @@
 	work := 2 * w.r.largest()
 	for _, load := range []float64{400 * work, 200 * work} {
 		late(load, work)
-		if want := limitFit * load / 4; math.Abs(cache.to.limit.Most(w.r.now)-want) > 1e-9 {
-			t.Errorf("after a crowd of %v: limit %v, want %v", load, cache.to.limit.Most(w.r.now), want)
+		if want := limitFit * load / 4; math.Abs(cache.to.limit.Value(w.r.now)-want) > 1e-9 {
+			t.Errorf("after a crowd of %v: limit %v, want %v", load, cache.to.limit.Value(w.r.now), want)
 		}
 	}
 }
@@ -1334,7 +1334,7 @@
 func TestLimitsSpareWhatOnlyTheOriginCanDo(t *testing.T) {
 	w := simpleWorld(t, nil)
 	o := w.r.servers[hostOrigin]
-	o.from.limit, o.from.load = overload.NewLimit(w.r.now, 0.1), 5
+	o.from.limit, o.from.load = overload.NewConcurrencyLimit(w.r.now, 0.1), 5
 	n := len(w.acts)
 	w.read(1, 42, 2)
 	for _, a := range w.acts[n:] {
@@ -1346,7 +1346,7 @@
 }
 
 // usedUp is a cold budget of which much more has been spent than it has.
-func usedUp(now Time) (b overload.Bucket) {
+func usedUp(now Time) (b overload.TokenBucket) {
 	b.Spent(now, 0)
 	b.Spend(1e3)
 	return b
--- a/routing/sending.go
+++ b/routing/sending.go
@@ -17,7 +17,7 @@
 	}
 	work := d.cost(r)
 	if (r.out > 0 && !d.s.SiteLimits.HedgingAllowed) || !t.listed || t.State != Ready ||
-		!d.affordable(t, work*d.sites.Claim(r.held.uses, r.passOn)) ||
+		!d.affordable(t, work*d.sites.AdmissionCost(r.held.uses, r.passOn)) ||
 		(src != nil && (!src.listed || src.State != Ready)) || !d.affordable(src, work) {
 		return false
 	}
@@ -32,7 +32,7 @@
 		age = min(max(1, d.now-p.made), cmp.Or(age, fresh, math.MaxInt64))
 	}
 	a := &attempt{id: r.ID, no: len(r.tries), class: r.Class, target: t, source: src, sent: d.now,
-		work: work, told: cmp.Or(r.told, work), expect: seconds(c.latency.Is * work / c.work.Is),
+		work: work, told: cmp.Or(r.told, work), expect: seconds(c.latency.Value * work / c.work.Value),
 		aim: q.LatencyObjective + seconds(q.LatencyObjectivePerSize*work), out: true, mayRun: true,
 		look: t.ejected || (src != nil && src.ejected), fill: src != nil && d.likelyFill(r, t)}
 	r.tries, r.out, r.waiting = append(r.tries, a), r.out+1, false
--- a/routing/settings.go
+++ b/routing/settings.go
@@ -83,7 +83,7 @@
 func (d *Router) SetSiteOptions(o sitehealth.Options) { d.sites.Options = o }
 
 // changed logs a change of a site's state: each has a line of its own, with its evidence.
-func (d *Router) changed(c sitehealth.Change) { d.do(Log{Message: c.String()}) }
+func (d *Router) changed(c sitehealth.StateChange) { d.do(Log{Message: c.String()}) }
 
 // SiteCounters counts what was seen of whole sites.
 func (d *Router) SiteCounters() sitehealth.Counters { return d.sites.Counters }
--- a/routing/sites_test.go
+++ b/routing/sites_test.go
@@ -41,8 +41,8 @@
 // A lost hub's fills are shared as the plan says; looks go there first, and it has them back once it answers.
 func TestLostHubIsReplacedByPlan(t *testing.T) {
 	w := threeHubs(t)
-	w.r.SetSiteOptions(sitehealth.Options{Plan: func([]int, []float64) sitehealth.Advice {
-		return sitehealth.Advice{Hubs: []float64{0, 0, 0.75, 0.25}}
+	w.r.SetSiteOptions(sitehealth.Options{Plan: func([]int, []float64) sitehealth.FailoverShares {
+		return sitehealth.FailoverShares{HubShares: []float64{0, 0, 0.75, 0.25}}
 	}})
 	down := false
 	w.answer = func(w *world, o *open, n int) (Result, FillStatus, time.Duration) {
--- a/routing/state.go
+++ b/routing/state.go
@@ -29,35 +29,35 @@
 type server struct {
 	Endpoint
 	role               role
-	sized              bool               // its weight stands for its capacity in transfers
-	listed             bool               // in the list and not gone
-	seen               *sitehealth.Member // what its site makes of it
-	score              float64            // rank: by hash and weight, best highest
-	to, from           side               // with it as target, and as source
-	ejected, looking   bool               // out of use; a look is out
-	ejectedAt, until   Time               // ejected: since when; no look before
-	void               Time               // what the table says of its holdings from before is void
-	missed             overload.Streak    // fills from it that failed since its last sign of life
-	heard, spoke       Time               // its last answer as target, and as source
+	sized              bool                   // its weight stands for its capacity in transfers
+	listed             bool                   // in the list and not gone
+	seen               *sitehealth.Member     // what its site makes of it
+	score              float64                // rank: by hash and weight, best highest
+	to, from           side                   // with it as target, and as source
+	ejected, looking   bool                   // out of use; a look is out
+	ejectedAt, until   Time                   // ejected: since when; no look before
+	void               Time                   // what the table says of its holdings from before is void
+	missed             overload.FailureStreak // fills from it that failed since its last sign of life
+	heard, spoke       Time                   // its last answer as target, and as source
 	backoff            time.Duration
 	pace               float64 // logarithm of answer times over what they should be, a running mean
 	seats              float64 // routers that may send to it
 	coldFrom, multiple float64 // share of its capacity at a cold start; times of it at which it falls over
 	ramp               time.Duration
-	cold               Time            // start of a cold life, as listed or as supposed; 0: warm
-	sending            float64         // seconds of sending out at it as target
-	spent              overload.Bucket // seconds of sending: cold budget in use
-	carried            float64         // and lately done for us
+	cold               Time                 // start of a cold life, as listed or as supposed; 0: warm
+	sending            float64              // seconds of sending out at it as target
+	spent              overload.TokenBucket // seconds of sending: cold budget in use
+	carried            float64              // and lately done for us
 	carriedAt          Time
 }
 
 // side is a server in one of its two parts, as target or as source.
 type side struct {
 	out   []*attempt
-	late  overload.Seen  // its latest hit was late, or has failed
-	good  Time           // when the latest attempt was sent that came in time, over the whole way
-	load  float64        // seconds of sending out and bound for it: hits for a target, likely fills for a source
-	limit overload.Limit // of that
+	late  overload.RecentObservation // its latest hit was late, or has failed
+	good  Time                       // when the latest attempt was sent that came in time, over the whole way
+	load  float64                    // seconds of sending out and bound for it: hits for a target, likely fills for a source
+	limit overload.ConcurrencyLimit  // of that
 }
 
 // attempt is one try of a request.
@@ -146,10 +146,10 @@
 	started       bool
 	turned, swept Time
 	logAt         Time
-	asking        []*request       // waiting for far masters
-	shield        *overload.Shield // of the origin, against fills
-	repeats       overload.Repeats // what further attempts may still be made
-	firsts        overload.Firsts  // whether a likely miss first asks for what is held
-	sites         *sitehealth.View // how whole sites fare
-	notZero       bool             // a lower-numbered router of our location was heard of
+	asking        []*request               // waiting for far masters
+	shield        *overload.OriginShield   // of the origin, against fills
+	repeats       overload.RetryBudget     // what further attempts may still be made
+	firsts        overload.ProbeBeforeFill // whether a likely miss first asks for what is held
+	sites         *sitehealth.Monitor      // how whole sites fare
+	notZero       bool                     // a lower-numbered router of our location was heard of
 }
--- a/routing/upkeep.go
+++ b/routing/upkeep.go
@@ -11,20 +11,20 @@
 // tick takes attempts that are out for long as samples of pace, and sweeps.
 func (d *Router) tick() {
 	d.do(SetTimer{Token: tickTimer, At: d.now + tickEvery})
-	d.sites.Tick(d.now, d.shield.Open(d.now), d.changed)
+	d.sites.Tick(d.now, d.shield.AdmitFraction(d.now), d.changed)
 	for _, s := range d.caches {
-		if d.sites.Shut() && !s.ejected {
+		if d.sites.OwnBranchUnavailable() && !s.ejected {
 			d.eject(s, "site lost")
 		}
 		for _, a := range s.to.out {
 			if d.now-a.sent > max(a.doubled, 2*a.expect) {
 				if a.doubled == 0 && !a.fill { // a fill may wait for its source
-					s.seen.Silent(d.now, a.sent)
+					s.seen.RecordTimeout(d.now, a.sent)
 				}
 				d.timed(a)
 			}
 			if a.fill && a.source.spoke > a.sent && s.heard > a.sent && !d.slow(s) && d.now-a.sent > a.aim {
-				d.shield.Answered(d.now, a.sent, true) // neither hangs, so the origin does
+				d.shield.RecordAnswer(d.now, a.sent, true) // neither hangs, so the origin does
 			}
 			d.again(a)
 		}
@@ -37,7 +37,7 @@
 	r, t := d.reqs[a.id], a.target
 	if !d.s.SiteLimits.HedgingAllowed || d.s.Classes[a.class].Idempotency != "read_like" || r == nil || a.look ||
 		r.copies >= copiesEach || r.out != r.copies+1 || a.no != len(r.tries)-1 ||
-		d.copies < 1 || !d.lost(a) || t.to.load+2*a.work > t.to.limit.Most(d.now) {
+		d.copies < 1 || !d.lost(a) || t.to.load+2*a.work > t.to.limit.Value(d.now) {
 		return
 	}
 	if d.send(r, t, nil) {
