--- a/cmd/shaleyard/anyorder_test.go
+++ b/cmd/shaleyard/anyorder_test.go
@@ -19,6 +19,7 @@
 	"shaleyard/internal/eventloop"
 	"shaleyard/internal/nettest"
 	"shaleyard/internal/overload"
+	"shaleyard/internal/timer"
 	"shaleyard/internal/upstream"
 	"shaleyard/routing"
 )
@@ -31,7 +32,7 @@
 	seed   uint64
 	rng    *rand.Rand
 	clock  routing.Time
-	agenda director.Queue
+	agenda timer.Queue
 	d      *director.Director
 	f      *upstream.Pools
 	s      *downstream.Server
--- a/cmd/shaleyard/plan.go
+++ b/cmd/shaleyard/plan.go
@@ -19,6 +19,7 @@
 	"shaleyard/internal/failover"
 	"shaleyard/internal/overload"
 	"shaleyard/internal/strictconfig"
+	"shaleyard/internal/timer"
 	"shaleyard/routing"
 )
 
@@ -112,7 +113,7 @@
 	}
 	known := &listed{}
 	f := discovery.New(&config.Limits{MaxMembers: 4096}, s, "", overload.NewBackoff(overload.BackoffConfig{Directors: 1, CallDuration: time.Second,
-		ApplyWithin: 2 * time.Second, NotifiedAfter: 7 * time.Second}, 0), nil, known, &director.Queue{}, func() routing.Time { return 0 }, zap.NewNop())
+		ApplyWithin: 2 * time.Second, NotifiedAfter: 7 * time.Second}, 0), nil, known, &timer.Queue{}, func() routing.Time { return 0 }, zap.NewNop())
 	if err := f.Bootstrap(whole.Known); err != nil {
 		return nil, nil, fmt.Errorf("%s: known: %w", path, err)
 	}
--- a/cmd/shaleyard/program.go
+++ b/cmd/shaleyard/program.go
@@ -21,6 +21,7 @@
 	"shaleyard/internal/lifecycle"
 	"shaleyard/internal/overload"
 	"shaleyard/internal/sitehealth"
+	"shaleyard/internal/timer"
 	"shaleyard/internal/upstream"
 	"shaleyard/routing"
 )
@@ -30,7 +31,7 @@
 	log      *zap.Logger
 	config   *config.Config
 	limits   *config.Limits
-	agenda   director.Queue
+	agenda   timer.Queue
 	now      func() routing.Time
 	pool     *buffer.Pool
 	director *director.Director
@@ -40,8 +41,8 @@
 	loop     *eventloop.Loop
 	started  routing.Time
 	life     *lifecycle.Machine
-	tending  director.Timer // the next look at what is left of a drain or a stop
-	admin    *admin.Server  // operators' calls; nil: none
+	tending  timer.Timer   // the next look at what is left of a drain or a stop
+	admin    *admin.Server // operators' calls; nil: none
 	flight   *flightrecorder.Recorder
 	rejected uint64
 
--- a/internal/director/attempts.go
+++ b/internal/director/attempts.go
@@ -4,25 +4,27 @@
 	"time"
 
 	"shaleyard/internal/flightrecorder"
+	"shaleyard/internal/handle"
+	"shaleyard/internal/timer"
 	"shaleyard/routing"
 )
 
 // Attempts: how they are sent, given up and ended.
 
 type attempt struct {
-	req      Handle
+	req      handle.Handle
 	no       int
 	host, up routing.Host // up: the source; 0: none
 	sent     routing.Time
 	until    routing.Time // when it is given up
-	deadline Timer
+	deadline timer.Timer
 }
 
 // recall takes back the attempts of which nothing has been written and that news have overtaken since they were
 // decided: they may wait for a connection for longer than the rules leave. The router decides anew.
 func (d *Director) recall(overtaken func(*attempt, *request) bool) {
-	var list []Handle
-	d.attempts.All(func(h Handle, a *attempt) bool {
+	var list []handle.Handle
+	d.attempts.All(func(h handle.Handle, a *attempt) bool {
 		if r, ok := d.requests.Get(a.req); ok && overtaken(a, r) {
 			list = append(list, h)
 		}
@@ -34,7 +36,7 @@
 }
 
 // takeBack gives an attempt up if nothing of it has been written: it never ran.
-func (d *Director) takeBack(h Handle) {
+func (d *Director) takeBack(h handle.Handle) {
 	a, ok := d.attempts.Get(h)
 	if !ok || !d.peers.CancelIfUnwritten(h) {
 		return
@@ -46,7 +48,7 @@
 
 // send starts an attempt. One for a request that is over never leaves.
 func (d *Director) send(id uint32, host, up routing.Host, timeout time.Duration, c UpstreamRequest) {
-	r, ok := d.requests.Get(Handle(id))
+	r, ok := d.requests.Get(handle.Handle(id))
 	if !ok {
 		d.Counters.UnknownActions++
 		return
@@ -58,7 +60,7 @@
 	if timeout > 0 {
 		a.until = min(a.until, now+timeout)
 	}
-	h, ok := Handle(0), false
+	h, ok := handle.Handle(0), false
 	if !r.over && a.until > now {
 		h, ok = d.attempts.Add(a)
 	}
@@ -89,7 +91,7 @@
 func repeatable(effect string) bool { return effect == "read_like" || effect == "idempotency_key" }
 
 // limit sets the time at which an attempt is given up.
-func (d *Director) limit(h Handle, a *attempt, r *request) {
+func (d *Director) limit(h handle.Handle, a *attempt, r *request) {
 	d.agenda.Schedule(&a.deadline, a.until, func() {
 		d.Counters.AttemptsTimedOut++
 		result := routing.TimedOut
@@ -119,7 +121,7 @@
 }
 
 // Ended takes the end of an attempt from its peer. One that has ended before is dropped.
-func (d *Director) AttemptEnded(h Handle, e AttemptResult) {
+func (d *Director) AttemptEnded(h handle.Handle, e AttemptResult) {
 	a, ok := d.attempts.Get(h)
 	if !ok {
 		d.Counters.AttemptsEndedLate++
@@ -131,7 +133,7 @@
 }
 
 // close ends an attempt: a first OK goes to the client at once and ends the request.
-func (d *Director) close(h Handle, a *attempt, r *request, e AttemptResult) {
+func (d *Director) close(h handle.Handle, a *attempt, r *request, e AttemptResult) {
 	d.agenda.Cancel(&a.deadline)
 	d.attempts.Remove(h)
 	delete(r.out, a.no)
--- a/internal/director/crossings_test.go
+++ b/internal/director/crossings_test.go
@@ -4,6 +4,7 @@
 	"testing"
 	"time"
 
+	"shaleyard/internal/handle"
 	"shaleyard/routing"
 )
 
@@ -11,7 +12,7 @@
 func waiting(t *testing.T, unwritten bool) *bench {
 	t.Helper()
 	b := newBench(t)
-	b.recall = func(Handle) bool { return unwritten }
+	b.recall = func(handle.Handle) bool { return unwritten }
 	b.submit(0)
 	if len(b.sent) != 1 || b.sent[0].to != hostOf("c1") {
 		t.Fatalf("sent %v, want one to c1", b.sent)
@@ -78,8 +79,8 @@
 // at once, not when all goes on.
 func TestLeavingIsHeededWhileHeld(t *testing.T) {
 	b := newBench(t)
-	var back []Handle
-	b.recall = func(h Handle) bool { back = append(back, h); return true }
+	var back []handle.Handle
+	b.recall = func(h handle.Handle) bool { back = append(back, h); return true }
 	h := b.submit(0)
 	b.d.Suspend(100 * time.Millisecond)
 	if !b.held {
--- a/internal/director/director.go
+++ b/internal/director/director.go
@@ -13,8 +13,10 @@
 
 	"shaleyard/internal/config"
 	"shaleyard/internal/flightrecorder"
+	"shaleyard/internal/handle"
 	"shaleyard/internal/overload"
 	"shaleyard/internal/sitehealth"
+	"shaleyard/internal/timer"
 	"shaleyard/routing"
 )
 
@@ -34,12 +36,12 @@
 	settings *routing.Settings
 	limits   *config.Limits
 	peers    Upstream
-	agenda   *Queue
+	agenda   *timer.Queue
 	now      func() routing.Time
 	log      *zap.Logger
 
-	requests *Table[*request]
-	attempts *Table[*attempt]
+	requests *handle.Table[*request]
+	attempts *handle.Table[*attempt]
 	names    map[routing.Host]member
 	last     routing.Time // when all is to be answered, as the program ends; 0: it goes on
 	queue    []event
@@ -56,15 +58,15 @@
 
 type request struct {
 	Request
-	handle  Handle
+	handle  handle.Handle
 	reply   Replier
 	token   uint64
 	giveUp  routing.Time
-	overdue Timer
-	since   routing.Time   // when it was taken
-	let     bool           // let in by the admission, which hears of its end
-	next    int            // number of the next attempt
-	out     map[int]Handle // attempts out by number
+	overdue timer.Timer
+	since   routing.Time          // when it was taken
+	let     bool                  // let in by the admission, which hears of its end
+	next    int                   // number of the next attempt
+	out     map[int]handle.Handle // attempts out by number
 	over    bool
 }
 
@@ -75,14 +77,14 @@
 }
 
 // New returns a director for the settings, within the limits.
-func New(s *routing.Settings, seed uint64, l *config.Limits, agenda *Queue, now func() routing.Time,
+func New(s *routing.Settings, seed uint64, l *config.Limits, agenda *timer.Queue, now func() routing.Time,
 	log *zap.Logger) (*Director, error) {
 	r, err := routing.New(*s, seed)
 	if err != nil {
 		return nil, err
 	}
 	return &Director{router: r, settings: s, limits: l, agenda: agenda, now: now, log: log,
-		requests: NewTable[*request](l.MaxOpenRequests), attempts: NewTable[*attempt](maxSlots),
+		requests: handle.NewTable[*request](l.MaxOpenRequests), attempts: handle.NewTable[*attempt](handle.maxSlots),
 		names: map[routing.Host]member{}}, nil
 }
 
@@ -99,8 +101,8 @@
 func (d *Director) OpenRequests() int { return d.requests.Len() }
 
 // Submit takes a request; false: there is no room, nothing was taken, and the caller refuses it.
-func (d *Director) Submit(q Request, reply Replier, token uint64) (Handle, bool) {
-	r := &request{Request: q, reply: reply, token: token, out: map[int]Handle{}}
+func (d *Director) Submit(q Request, reply Replier, token uint64) (handle.Handle, bool) {
+	r := &request{Request: q, reply: reply, token: token, out: map[int]handle.Handle{}}
 	h, ok := d.requests.Add(r)
 	if !ok {
 		return 0, false
@@ -170,7 +172,7 @@
 
 // Withdraw ends a request whose client no longer waits: no answer is owed. What waits to be written for it is
 // taken back at once, also while all else is held: the client has gone, and nothing may be begun for it.
-func (d *Director) Cancel(h Handle) {
+func (d *Director) Cancel(h handle.Handle) {
 	r, ok := d.requests.Get(h)
 	if !ok || r.over {
 		return
@@ -187,8 +189,8 @@
 // taken. Who waits longer than that for a cache that hangs would be left without an answer.
 func (d *Director) SetShutdownDeadline(last routing.Time) {
 	d.last = last
-	var open []Handle
-	d.requests.All(func(h Handle, _ *request) bool {
+	var open []handle.Handle
+	d.requests.All(func(h handle.Handle, _ *request) bool {
 		open = append(open, h)
 		return true
 	})
@@ -198,7 +200,7 @@
 }
 
 // Curtail has a request answered by a time, where it would be given up later.
-func (d *Director) ShortenDeadline(h Handle, giveUp routing.Time) {
+func (d *Director) ShortenDeadline(h handle.Handle, giveUp routing.Time) {
 	r, ok := d.requests.Get(h)
 	if !ok || r.over || r.giveUp <= giveUp {
 		return
@@ -272,7 +274,7 @@
 	case routing.Forward:
 		d.send(a.ID, a.Host, 0, a.Timeout, UpstreamRequest{IdempotencyWindowEnd: a.IdempotencyWindowEnd})
 	case routing.Cancel:
-		if r, ok := d.requests.Get(Handle(a.ID)); ok {
+		if r, ok := d.requests.Get(handle.Handle(a.ID)); ok {
 			d.cancel(r, a.Attempt)
 		}
 	case routing.Reject:
@@ -290,7 +292,7 @@
 
 // end is the router's final answer.
 func (d *Director) end(id uint32, a Response) {
-	r, ok := d.requests.Get(Handle(id))
+	r, ok := d.requests.Get(handle.Handle(id))
 	if !ok || r.over {
 		return
 	}
--- a/internal/director/director_test.go
+++ b/internal/director/director_test.go
@@ -9,7 +9,9 @@
 
 	"shaleyard/internal/buffer"
 	"shaleyard/internal/config"
+	"shaleyard/internal/handle"
 	"shaleyard/internal/overload"
+	"shaleyard/internal/timer"
 	"shaleyard/routing"
 )
 
@@ -17,32 +19,32 @@
 type bench struct {
 	t       *testing.T
 	d       *Director
-	agenda  Queue
+	agenda  timer.Queue
 	clock   routing.Time
 	pool    *buffer.Pool
 	sent    []sent
 	written bool // what Stop tells
-	stopped []Handle
+	stopped []handle.Handle
 	answers []string
-	onSend  func(Handle) // a peer that ends attempts within Send
-	recall  func(Handle) bool
+	onSend  func(handle.Handle) // a peer that ends attempts within Send
+	recall  func(handle.Handle) bool
 	held    bool
 }
 
 type sent struct {
-	h    Handle
+	h    handle.Handle
 	to   routing.Host
 	call UpstreamRequest
 }
 
-func (b *bench) Send(h Handle, to routing.Host, c UpstreamRequest) {
+func (b *bench) Send(h handle.Handle, to routing.Host, c UpstreamRequest) {
 	b.sent = append(b.sent, sent{h, to, c})
 	if b.onSend != nil {
 		b.onSend(h)
 	}
 }
-func (b *bench) Cancel(h Handle) bool                                      { b.stopped = append(b.stopped, h); return b.written }
-func (b *bench) CancelIfUnwritten(h Handle) bool                           { return b.recall != nil && b.recall(h) }
+func (b *bench) Cancel(h handle.Handle) bool                               { b.stopped = append(b.stopped, h); return b.written }
+func (b *bench) CancelIfUnwritten(h handle.Handle) bool                    { return b.recall != nil && b.recall(h) }
 func (b *bench) SuspendWrites()                                            { b.held = true }
 func (b *bench) ResumeWrites()                                             { b.held = false }
 func (b *bench) UpdateEndpoint(routing.Host, string, string, routing.Time) {}
@@ -78,7 +80,7 @@
 	return b
 }
 
-func (b *bench) submit(class int) Handle {
+func (b *bench) submit(class int) handle.Handle {
 	b.t.Helper()
 	h, ok := b.d.Submit(Request{Ref: "r", Class: class, ObjectKey: 7, Timeout: 4 * time.Second, Body: b.pool.NewChain()}, b, 1)
 	if !ok {
@@ -127,7 +129,7 @@
 // actions, as their list is valid only until then.
 func TestEndWithinSendIsQueued(t *testing.T) {
 	b := newBench(t)
-	b.onSend = func(h Handle) { b.d.AttemptEnded(h, AttemptResult{Result: routing.ConnectFailed}) }
+	b.onSend = func(h handle.Handle) { b.d.AttemptEnded(h, AttemptResult{Result: routing.ConnectFailed}) }
 	b.submit(1)
 	b.pass(5 * time.Second)
 	b.want("refused")
@@ -159,7 +161,7 @@
 	h := b.submit(0)
 	b.d.Cancel(h)
 	b.d.Cancel(h)
-	if d := cmp.Diff([]Handle{b.sent[0].h}, b.stopped); d != "" {
+	if d := cmp.Diff([]handle.Handle{b.sent[0].h}, b.stopped); d != "" {
 		t.Error(d)
 	}
 	b.pass(5 * time.Second)
@@ -229,7 +231,7 @@
 // back. A repayment is taken all the same, and so is all work once answers have come.
 func TestWorkBeyondTheAdmissionIsRefusedAtOnce(t *testing.T) {
 	b := newBench(t)
-	b.d.limits.MaxOpenRequests, b.d.requests = 100, NewTable[*request](100)
+	b.d.limits.MaxOpenRequests, b.d.requests = 100, handle.NewTable[*request](100)
 	b.d.settings.SiteLimits.RetryAfterAllowed, b.d.settings.SiteLimits.MaxRetryAfter = true, time.Second
 	b.d.Admission = overload.NewAdmission(1)
 	for range 40 {
--- a/internal/director/types.go
+++ b/internal/director/types.go
@@ -5,6 +5,7 @@
 
 	"shaleyard/internal/buffer"
 	"shaleyard/internal/flightrecorder"
+	"shaleyard/internal/handle"
 	"shaleyard/routing"
 )
 
@@ -75,11 +76,11 @@
 // Upstream reaches caches, parents and the origin. Each Send is followed by one Director.Ended, unless Stop, or a
 // Recall that succeeds, comes before it.
 type Upstream interface {
-	Send(attempt Handle, to routing.Host, c UpstreamRequest)
+	Send(attempt handle.Handle, to routing.Host, c UpstreamRequest)
 	// Stop gives an attempt up and tells whether any of it may have been written.
-	Cancel(attempt Handle) (written bool)
+	Cancel(attempt handle.Handle) (written bool)
 	// Recall gives an attempt up of which nothing has been written; one that may have been goes on (false).
-	CancelIfUnwritten(attempt Handle) bool
+	CancelIfUnwritten(attempt handle.Handle) bool
 	// Hold keeps what has not been written from being written, until Release.
 	SuspendWrites()
 	ResumeWrites()
--- a/internal/discovery/feed.go
+++ b/internal/discovery/feed.go
@@ -22,6 +22,7 @@
 	"shaleyard/internal/director"
 	"shaleyard/internal/eventloop"
 	"shaleyard/internal/overload"
+	"shaleyard/internal/timer"
 	"shaleyard/routing"
 )
 
@@ -61,7 +62,7 @@
 	address string
 	dialer  eventloop.Dialer
 	sink    Sink
-	agenda  *director.Queue
+	agenda  *timer.Queue
 	now     func() routing.Time
 	zones   map[string]int
 	kinds   map[string]int
@@ -79,8 +80,8 @@
 	stream  *stream      // the one that is up and followed; nil: none
 	next    *stream      // the one that is being dialled; nil: none
 	moving  bool         // the operators have named another service, and it is not up yet
-	silence director.Timer
-	again   director.Timer // the next dial
+	silence timer.Timer
+	again   timer.Timer // the next dial
 	log     *zap.Logger
 }
 
@@ -99,7 +100,7 @@
 
 // New returns a follower of the feed at the address, for the settings' zones and kinds.
 func New(l *config.Limits, s *routing.Settings, address string, calls *overload.Backoff, d eventloop.Dialer, sink Sink,
-	a *director.Queue, now func() routing.Time, log *zap.Logger) *Watcher {
+	a *timer.Queue, now func() routing.Time, log *zap.Logger) *Watcher {
 	f := &Watcher{limits: l, address: address, calls: calls, dialer: d, sink: sink, agenda: a, now: now,
 		zones: map[string]int{}, kinds: map[string]int{}, list: map[string]state{}, log: log}
 	for i, z := range s.Zones {
--- a/internal/discovery/feed_test.go
+++ b/internal/discovery/feed_test.go
@@ -17,13 +17,14 @@
 	"shaleyard/internal/eventloop"
 	"shaleyard/internal/nettest"
 	"shaleyard/internal/overload"
+	"shaleyard/internal/timer"
 	"shaleyard/routing"
 )
 
 // bench is a follower on scripted dials, with a clock that the test moves.
 type bench struct {
 	f      *Watcher
-	agenda director.Queue
+	agenda timer.Queue
 	clock  routing.Time
 	dials  []eventloop.Stream
 	told   []string
--- a/internal/discovery/young_test.go
+++ b/internal/discovery/young_test.go
@@ -16,6 +16,7 @@
 	"shaleyard/internal/eventloop"
 	"shaleyard/internal/nettest"
 	"shaleyard/internal/overload"
+	"shaleyard/internal/timer"
 	"shaleyard/routing"
 )
 
@@ -168,7 +169,7 @@
 type flapper struct {
 	class
 	f       *Watcher
-	agenda  director.Queue
+	agenda  timer.Queue
 	limits  config.Limits
 	clock   routing.Time
 	rng     *rand.Rand
--- a/internal/downstream/answers.go
+++ b/internal/downstream/answers.go
@@ -6,6 +6,7 @@
 
 	"shaleyard/internal/director"
 	"shaleyard/internal/flightrecorder"
+	"shaleyard/internal/handle"
 )
 
 // What goes out, and the bounds of what clients leave unread.
@@ -102,7 +103,7 @@
 			return
 		}
 		var worst *Connection
-		s.conns.All(func(_ director.Handle, x *Connection) bool {
+		s.conns.All(func(_ handle.Handle, x *Connection) bool {
 			if worst == nil || x.c.OutboundBuffered() > worst.c.OutboundBuffered() {
 				worst = x
 			}
--- a/internal/downstream/clients.go
+++ b/internal/downstream/clients.go
@@ -10,14 +10,16 @@
 	"shaleyard/internal/director"
 	"shaleyard/internal/eventloop"
 	"shaleyard/internal/flightrecorder"
+	"shaleyard/internal/handle"
+	"shaleyard/internal/timer"
 	"shaleyard/routing"
 )
 
 // RequestHandler takes requests; it is the director.
 type RequestHandler interface {
-	Submit(q director.Request, r director.Replier, token uint64) (director.Handle, bool)
-	Cancel(director.Handle)
-	ShortenDeadline(h director.Handle, giveUp routing.Time)
+	Submit(q director.Request, r director.Replier, token uint64) (handle.Handle, bool)
+	Cancel(handle.Handle)
+	ShortenDeadline(h handle.Handle, giveUp routing.Time)
 }
 
 // Counters count what clients sent and were answered.
@@ -45,10 +47,10 @@
 	limits  *config.Limits
 	pool    *buffer.Pool
 	taker   RequestHandler
-	agenda  *director.Queue
+	agenda  *timer.Queue
 	now     func() routing.Time
 	classes map[string]int
-	conns   *director.Table[*Connection]
+	conns   *handle.Table[*Connection]
 	lingers []*Connection // eldest first; they are not among conns
 	parting bool          // the program ends: more may linger, in the places that are free
 	out     writer
@@ -62,7 +64,7 @@
 }
 
 // NewServer returns a server that hands requests of the settings' classes to the taker.
-func NewServer(l *config.Limits, s *routing.Settings, pool *buffer.Pool, t RequestHandler, a *director.Queue,
+func NewServer(l *config.Limits, s *routing.Settings, pool *buffer.Pool, t RequestHandler, a *timer.Queue,
 	now func() routing.Time) *Server {
 	classes := map[string]int{}
 	for i, c := range s.Classes {
@@ -74,7 +76,7 @@
 	}
 	return &Server{limits: l, pool: pool, taker: t, agenda: a, now: now, classes: classes, cooldown: cooldown,
 		Ready: func() bool { return true }, OnProtocolError: func(error) {},
-		conns: director.NewTable[*Connection](l.MaxClientConns)}
+		conns: handle.NewTable[*Connection](l.MaxClientConns)}
 }
 
 // Accept takes a connection in. Where clients hold all that they may, another has to go for it, or nil is
@@ -129,7 +131,7 @@
 		}
 		return 2
 	}
-	s.conns.All(func(_ director.Handle, x *Connection) bool {
+	s.conns.All(func(_ handle.Handle, x *Connection) bool {
 		if !x.busy() && (worst == nil || class(x) < class(worst) ||
 			(class(x) == class(worst) && x.lastUse < worst.lastUse)) {
 			worst = x
@@ -149,7 +151,7 @@
 	s.parting = true
 	var free []*Connection
 	now := s.now()
-	s.conns.All(func(_ director.Handle, x *Connection) bool {
+	s.conns.All(func(_ handle.Handle, x *Connection) bool {
 		if !x.busy() && !x.midway() && (x.begun == 0 || now-x.begun >= s.limits.NewConnGracePeriod) {
 			free = append(free, x)
 		}
@@ -172,7 +174,7 @@
 func (s *Server) ShortenDeadlines(since, by routing.Time) {
 	now := s.now()
 	var stuck []*Connection
-	s.conns.All(func(_ director.Handle, x *Connection) bool {
+	s.conns.All(func(_ handle.Handle, x *Connection) bool {
 		if n := x.c.OutboundBuffered(); n != x.unread {
 			x.unread, x.moved = n, now
 		}
@@ -198,7 +200,7 @@
 // OutboundBuffered is the number of bytes that clients have not read yet.
 func (s *Server) OutboundBuffered() int {
 	n := 0
-	s.conns.All(func(_ director.Handle, x *Connection) bool {
+	s.conns.All(func(_ handle.Handle, x *Connection) bool {
 		n += x.c.OutboundBuffered()
 		return true
 	})
--- a/internal/downstream/clients_test.go
+++ b/internal/downstream/clients_test.go
@@ -10,27 +10,29 @@
 	"shaleyard/internal/buffer"
 	"shaleyard/internal/config"
 	"shaleyard/internal/director"
+	"shaleyard/internal/handle"
 	"shaleyard/internal/nettest"
+	"shaleyard/internal/timer"
 	"shaleyard/routing"
 )
 
 // bench is a server that hands requests to the test.
 type bench struct {
 	s         *Server
-	agenda    director.Queue
+	agenda    timer.Queue
 	clock     routing.Time
 	pool      *buffer.Pool
 	taken     []director.Request
 	tokens    []uint64
 	replier   director.Replier
 	withdrawn int
-	curtailed map[director.Handle]routing.Time
+	curtailed map[handle.Handle]routing.Time
 	full      bool
 	rejected  int
 	within    func() // what comes while Submit runs
 }
 
-func (b *bench) Submit(q director.Request, r director.Replier, token uint64) (director.Handle, bool) {
+func (b *bench) Submit(q director.Request, r director.Replier, token uint64) (handle.Handle, bool) {
 	if b.full {
 		return 0, false
 	}
@@ -38,18 +40,18 @@
 	if b.within != nil {
 		b.within()
 	}
-	return director.Handle(len(b.taken)), true
+	return handle.Handle(len(b.taken)), true
 }
-func (b *bench) ShortenDeadline(h director.Handle, giveUp routing.Time) { b.curtailed[h] = giveUp }
+func (b *bench) ShortenDeadline(h handle.Handle, giveUp routing.Time) { b.curtailed[h] = giveUp }
 
-func (b *bench) Cancel(h director.Handle) {
+func (b *bench) Cancel(h handle.Handle) {
 	if h != 0 {
 		b.withdrawn++
 	}
 }
 
 func newBench() *bench {
-	b := &bench{clock: 1000 * time.Second, pool: buffer.NewPool(64, 64), curtailed: map[director.Handle]routing.Time{}}
+	b := &bench{clock: 1000 * time.Second, pool: buffer.NewPool(64, 64), curtailed: map[handle.Handle]routing.Time{}}
 	l := &config.Limits{MaxClientConns: 5, MaxRequestsPerConn: 2, MaxFrameBytes: 4096, MaxRequestBodyBytes: 100, MaxRequestFields: 16,
 		ClientBacklogBytes: 10_000, TotalBacklogBytes: 15_000, ClientIdleTimeout: 30 * time.Second, MessageTimeout: 2 * time.Second,
 		ClientKeepAlive: 5 * time.Second, MaxRequestTimeout: time.Minute}
--- a/internal/downstream/golden_test.go
+++ b/internal/downstream/golden_test.go
@@ -19,6 +19,8 @@
 	"shaleyard/internal/buffer"
 	"shaleyard/internal/config"
 	"shaleyard/internal/director"
+	"shaleyard/internal/handle"
+	"shaleyard/internal/timer"
 	"shaleyard/routing"
 )
 
@@ -99,11 +101,11 @@
 	full       bool
 	repliers   []director.Replier
 	tokens     []uint64
-	ending     bool              // the connection ends: what is given up with it comes in any order
-	givenUp    []director.Handle // while it does
+	ending     bool            // the connection ends: what is given up with it comes in any order
+	givenUp    []handle.Handle // while it does
 }
 
-func (h *goldenHandler) Submit(q director.Request, r director.Replier, token uint64) (director.Handle, bool) {
+func (h *goldenHandler) Submit(q director.Request, r director.Replier, token uint64) (handle.Handle, bool) {
 	if h.full {
 		return 0, false
 	}
@@ -117,10 +119,10 @@
 		q.Timeout/time.Millisecond, goldenBytes(body))
 	q.Body.Release()
 	h.repliers, h.tokens = append(h.repliers, r), append(h.tokens, token)
-	return director.Handle(len(h.tokens)), true
+	return handle.Handle(len(h.tokens)), true
 }
 
-func (h *goldenHandler) Cancel(request director.Handle) {
+func (h *goldenHandler) Cancel(request handle.Handle) {
 	if h.ending {
 		h.givenUp = append(h.givenUp, request)
 		return
@@ -128,7 +130,7 @@
 	h.transcript.line("  given up: request %d", request)
 }
 
-func (h *goldenHandler) ShortenDeadline(request director.Handle, _ routing.Time) {
+func (h *goldenHandler) ShortenDeadline(request handle.Handle, _ routing.Time) {
 	h.transcript.line("  shortened: request %d", request)
 }
 
@@ -148,7 +150,7 @@
 	server     *Server
 	connection *Connection
 	pool       *buffer.Pool
-	timers     director.Queue
+	timers     timer.Queue
 }
 
 func newGoldenConnection(t *testing.T, options goldenOptions) *goldenConnection {
--- a/internal/downstream/requests.go
+++ b/internal/downstream/requests.go
@@ -11,6 +11,7 @@
 	"shaleyard/internal/buffer"
 	"shaleyard/internal/director"
 	"shaleyard/internal/flightrecorder"
+	"shaleyard/internal/handle"
 )
 
 // What comes in: frames, messages and the fields of requests.
@@ -179,7 +180,7 @@
 		return nil
 	}
 	if x.open == nil { // most connections that are idle never have one open again
-		x.open = map[int32]director.Handle{}
+		x.open = map[int32]handle.Handle{}
 	}
 	// The answer may come within Submit, so the number is taken before.
 	x.open[m.seq] = 0
--- a/internal/downstream/session.go
+++ b/internal/downstream/session.go
@@ -4,9 +4,10 @@
 	"slices"
 
 	"shaleyard/internal/buffer"
-	"shaleyard/internal/director"
 	"shaleyard/internal/eventloop"
 	"shaleyard/internal/flightrecorder"
+	"shaleyard/internal/handle"
+	"shaleyard/internal/timer"
 	"shaleyard/routing"
 )
 
@@ -29,12 +30,12 @@
 	c       eventloop.Conn
 	id      uint64 // counted from 1, for the log
 	phase   phase
-	handle  director.Handle
+	handle  handle.Handle
 	head    []byte // of a frame's length
 	want    int    // bytes of the frame under way; 0: none
 	got     buffer.Chain
-	open    map[int32]director.Handle
-	idle    director.Timer
+	open    map[int32]handle.Handle
+	idle    timer.Timer
 	lastUse routing.Time // when it last brought a whole message or was answered
 	heard   routing.Time // when it last brought a whole message
 	unread  int          // bytes that its client had not taken when that last changed, as seen by Curtail
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -33,8 +33,8 @@
 	"github.com/panjf2000/gnet/v2"
 	"golang.org/x/sys/unix"
 
-	"shaleyard/internal/director"
 	"shaleyard/internal/listener"
+	"shaleyard/internal/timer"
 	"shaleyard/routing"
 )
 
@@ -117,7 +117,7 @@
 	// AcceptFailed, where set, is told, off the loop, of each accept that failed and is tried again.
 	AcceptFailed func(error)
 
-	Timers *director.Queue
+	Timers *timer.Queue
 	Now    func() routing.Time
 
 	listener *listener.Listener
--- a/internal/eventloop/loop_test.go
+++ b/internal/eventloop/loop_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"shaleyard/internal/director"
+	"shaleyard/internal/timer"
 	"shaleyard/routing"
 )
 
@@ -23,7 +23,7 @@
 		t.Fatal(err)
 	}
 	conns, booted := make(accepted, 1), false
-	l := &Loop{Timers: &director.Queue{}, Now: func() routing.Time { return routing.Time(time.Now().UnixNano()) },
+	l := &Loop{Timers: &timer.Queue{}, Now: func() routing.Time { return routing.Time(time.Now().UnixNano()) },
 		Logf: t.Logf, InheritedFD: fd}
 	l.Acceptor = acceptFunc(func(c Conn) Session {
 		if !booted {
@@ -83,7 +83,7 @@
 	ln, fd := handDown(t)
 	address, conns := ln.Addr().String(), make(accepted, 1)
 	up := make(chan struct{})
-	l := &Loop{Timers: &director.Queue{}, Now: func() routing.Time { return routing.Time(time.Now().UnixNano()) },
+	l := &Loop{Timers: &timer.Queue{}, Now: func() routing.Time { return routing.Time(time.Now().UnixNano()) },
 		Logf: t.Logf, Acceptor: conns, Boot: func() { close(up) }, InheritedFD: fd}
 	ended := make(chan error, 1)
 	go func() { ended <- l.Run(address) }()
@@ -149,7 +149,7 @@
 func TestBootsOnAnIPv4Doorbell(t *testing.T) {
 	booted := make(chan struct{})
 	front := &counted{}
-	l := &Loop{Timers: &director.Queue{}, Now: func() routing.Time { return routing.Time(time.Now().UnixNano()) },
+	l := &Loop{Timers: &timer.Queue{}, Now: func() routing.Time { return routing.Time(time.Now().UnixNano()) },
 		Logf: t.Logf, Acceptor: front, Boot: func() { close(booted) }}
 	ended := make(chan error)
 	go func() { ended <- l.Run("127.0.0.1:0") }()
@@ -175,7 +175,7 @@
 // The doorbell opens before the loop has booted, when deadlines may be due already: the alarm must wait, as it calls a loop
 // that is not there yet.
 func TestNoAlarmBeforeTheBoot(t *testing.T) {
-	l := &Loop{Timers: &director.Queue{}, Now: func() routing.Time { return time.Hour }}
+	l := &Loop{Timers: &timer.Queue{}, Now: func() routing.Time { return time.Hour }}
 	l.Timers.ScheduleFunc(0, func() {})
 	l.arm()
 	if l.alarm != nil {
@@ -188,7 +188,7 @@
 func TestDeadlinesRestBehindAPause(t *testing.T) {
 	var clock routing.Time = 1000 * time.Second
 	told, ran := []string{}, 0
-	l := &Loop{Timers: &director.Queue{}, Now: func() routing.Time { return clock }, PauseThreshold: 300 * time.Millisecond,
+	l := &Loop{Timers: &timer.Queue{}, Now: func() routing.Time { return clock }, PauseThreshold: 300 * time.Millisecond,
 		SettleTime: 30 * time.Millisecond, Settled: func() { told = append(told, "settled") }}
 	l.Paused = func(gap time.Duration) { told = append(told, "paused "+gap.String()) }
 	l.alarm = time.NewTimer(time.Hour)
--- a/internal/upstream/caches.go
+++ b/internal/upstream/caches.go
@@ -13,13 +13,15 @@
 	"shaleyard/internal/config"
 	"shaleyard/internal/director"
 	"shaleyard/internal/eventloop"
+	"shaleyard/internal/handle"
 	"shaleyard/internal/overload"
+	"shaleyard/internal/timer"
 	"shaleyard/routing"
 )
 
 // CompletionHandler takes the ends of attempts; it is the director.
 type CompletionHandler interface {
-	AttemptEnded(director.Handle, director.AttemptResult)
+	AttemptEnded(handle.Handle, director.AttemptResult)
 }
 
 // Counters count what passed between the director and its peers.
@@ -41,13 +43,13 @@
 	pool   *buffer.Pool
 	dialer eventloop.Dialer
 	ender  CompletionHandler
-	agenda *director.Queue
+	agenda *timer.Queue
 	now    func() routing.Time
 	log    *zap.Logger
 	rng    *rand.Rand
 	peers  map[routing.Host]*peer
-	calls  map[director.Handle]*call
-	conns  *director.Table[*conn]
+	calls  map[handle.Handle]*call
+	conns  *handle.Table[*conn]
 	idle   overload.IdleTimeout // for how long an idle connection is used again
 	files  int                  // descriptors in use: two while a dial is handed to the loop, then one
 	held   bool                 // nothing is written, until Release
@@ -64,14 +66,14 @@
 	conns   []*conn
 	pace    overload.ConnectLimiter
 	left    bool
-	ended   routing.Time   // when it last ended a connection
-	crossed director.Timer // a request was lost to that, as far as is known: its lesson is drawn a moment later
-	logAt   routing.Time   // no line on it before
+	ended   routing.Time // when it last ended a connection
+	crossed timer.Timer  // a request was lost to that, as far as is known: its lesson is drawn a moment later
+	logAt   routing.Time // no line on it before
 }
 
 // call is an attempt on a connection.
 type call struct {
-	h       director.Handle
+	h       handle.Handle
 	id      string
 	c       *conn
 	at      routing.Time
@@ -84,11 +86,11 @@
 }
 
 // NewPools returns a fleet without members. Attempts' ends go to the ender.
-func NewPools(l *config.Limits, s *routing.Settings, pool *buffer.Pool, d eventloop.Dialer, e CompletionHandler, a *director.Queue,
+func NewPools(l *config.Limits, s *routing.Settings, pool *buffer.Pool, d eventloop.Dialer, e CompletionHandler, a *timer.Queue,
 	now func() routing.Time, log *zap.Logger, seed uint64) *Pools {
 	return &Pools{rng: rand.New(rand.NewPCG(seed, 4)), limits: l, fields: s.LoadReport.Fields, pool: pool, dialer: d, ender: e, agenda: a, now: now, log: log,
-		idle: overload.NewIdleTimeout(l.MinIdleTimeout, l.UpstreamIdleTimeout), peers: map[routing.Host]*peer{}, calls: map[director.Handle]*call{},
-		conns: director.NewTable[*conn](l.MaxUpstreamConns)}
+		idle: overload.NewIdleTimeout(l.MinIdleTimeout, l.UpstreamIdleTimeout), peers: map[routing.Host]*peer{}, calls: map[handle.Handle]*call{},
+		conns: handle.NewTable[*conn](l.MaxUpstreamConns)}
 }
 
 // note writes a line on a peer, at most one a second.
@@ -147,7 +149,7 @@
 }
 
 // Send starts an attempt on a connection that has room, or on a new one.
-func (f *Pools) Send(h director.Handle, to routing.Host, q director.UpstreamRequest) {
+func (f *Pools) Send(h handle.Handle, to routing.Host, q director.UpstreamRequest) {
 	p := f.peers[to]
 	if p == nil {
 		f.Counters.UnknownEndpoints++
@@ -175,7 +177,7 @@
 func (f *Pools) ResumeWrites() {
 	f.held = false
 	var waiting []*conn
-	f.conns.All(func(_ director.Handle, c *conn) bool {
+	f.conns.All(func(_ handle.Handle, c *conn) bool {
 		if c.phase != dialling && len(c.line) > 0 {
 			waiting = append(waiting, c)
 		}
@@ -187,7 +189,7 @@
 }
 
 // Recall gives up an attempt of which nothing has been written; false: some may have been, and it goes on.
-func (f *Pools) CancelIfUnwritten(h director.Handle) bool {
+func (f *Pools) CancelIfUnwritten(h handle.Handle) bool {
 	k := f.calls[h]
 	if k == nil || k.written {
 		return false
@@ -244,7 +246,7 @@
 		return true
 	}
 	var eldest *conn
-	f.conns.All(func(_ director.Handle, c *conn) bool {
+	f.conns.All(func(_ handle.Handle, c *conn) bool {
 		if c.phase == up && len(c.open) == 0 && (eldest == nil || c.rested < eldest.rested) {
 			eldest = c
 		}
@@ -279,7 +281,7 @@
 
 // Stop gives an attempt up. Where some of it was written the peer is told, and what it may still answer is
 // dropped.
-func (f *Pools) Cancel(h director.Handle) (written bool) {
+func (f *Pools) Cancel(h handle.Handle) (written bool) {
 	k := f.calls[h]
 	if k == nil {
 		return true // it has ended some other way: nothing can be proven here
--- a/internal/upstream/caches_test.go
+++ b/internal/upstream/caches_test.go
@@ -15,27 +15,29 @@
 	"shaleyard/internal/config"
 	"shaleyard/internal/director"
 	"shaleyard/internal/eventloop"
+	"shaleyard/internal/handle"
 	"shaleyard/internal/nettest"
+	"shaleyard/internal/timer"
 	"shaleyard/routing"
 )
 
 // bench is a fleet on scripted dials, with a clock that the test moves.
 type bench struct {
 	f      *Pools
-	agenda director.Queue
+	agenda timer.Queue
 	clock  routing.Time
 	dials  []eventloop.Stream
-	ends   map[director.Handle]routing.Result
+	ends   map[handle.Handle]routing.Result
 }
 
 func (b *bench) Dial(_ string, _ time.Duration, s eventloop.Stream) { b.dials = append(b.dials, s) }
-func (b *bench) AttemptEnded(h director.Handle, e director.AttemptResult) {
+func (b *bench) AttemptEnded(h handle.Handle, e director.AttemptResult) {
 	b.ends[h] = e.Result
 	e.Body.Release()
 }
 
 func newBench() *bench {
-	b := &bench{clock: 1000 * time.Second, ends: map[director.Handle]routing.Result{}}
+	b := &bench{clock: 1000 * time.Second, ends: map[handle.Handle]routing.Result{}}
 	l := &config.Limits{MaxUpstreamConns: 8, MaxAttemptsPerConn: 2, UpstreamIdleTimeout: 10 * time.Second, MinIdleTimeout: 50 * time.Millisecond,
 		IdleCloseRaceWindow: 50 * time.Millisecond, LateAnswerWindow: 5 * time.Second, UpstreamSilenceTimeout: time.Second,
 		MaxAnswerBodyBytes: 100, MaxAnswerFieldBytes: 100}
@@ -45,12 +47,12 @@
 	return b
 }
 
-func (b *bench) send(h director.Handle, ref string) {
+func (b *bench) send(h handle.Handle, ref string) {
 	b.f.Send(h, 1, director.UpstreamRequest{Request: &director.Request{Ref: ref, Service: "s", Object: "o", Part: "0"},
 		Timeout: time.Second})
 }
 
-func (b *bench) want(t *testing.T, ends map[director.Handle]routing.Result) {
+func (b *bench) want(t *testing.T, ends map[handle.Handle]routing.Result) {
 	t.Helper()
 	if d := cmp.Diff(ends, b.ends); d != "" {
 		t.Error(d)
@@ -86,7 +88,7 @@
 	b.dials[1].Opened(&nettest.FakeConn{})
 	b.dials[1].Closed()
 	b.f.Send(3, 99, director.UpstreamRequest{Request: &director.Request{Ref: "r3"}})
-	b.want(t, map[director.Handle]routing.Result{1: routing.ConnectFailed, 2: routing.Reset, 3: routing.ConnectFailed})
+	b.want(t, map[handle.Handle]routing.Result{1: routing.ConnectFailed, 2: routing.Reset, 3: routing.ConnectFailed})
 	if n := b.f.NumConns(); n != 0 {
 		t.Errorf("%d connections left", n)
 	}
@@ -125,9 +127,9 @@
 	}
 	b.dials[1].Opened(&nettest.FakeConn{})
 	b.dials[0].Data([]byte(bulk("r1", "OK", "n=HIT", "late")))
-	b.want(t, map[director.Handle]routing.Result{})
+	b.want(t, map[handle.Handle]routing.Result{})
 	b.dials[1].Data([]byte(bulk("r1", "MISS", "-", "")))
-	b.want(t, map[director.Handle]routing.Result{2: routing.Miss})
+	b.want(t, map[handle.Handle]routing.Result{2: routing.Miss})
 }
 
 // Attempts share a connection only where the peer's share is used up, as one spoilt answer ends all on it. What
@@ -140,7 +142,7 @@
 	b.dials[0].Opened(&nettest.FakeConn{})
 	b.send(2, "r2")
 	b.dials[1].Failed(errors.New("refused"))
-	b.want(t, map[director.Handle]routing.Result{})
+	b.want(t, map[handle.Handle]routing.Result{})
 	if b.f.calls[2].c != b.dials[0] || b.f.Counters.Reassigned != 1 {
 		t.Error("the attempt behind a failed dial is not on the connection that works")
 	}
@@ -265,10 +267,10 @@
 	b := newBench()
 	b.send(1, "r1")
 	for i := range 3 {
-		b.want(t, map[director.Handle]routing.Result{})
+		b.want(t, map[handle.Handle]routing.Result{})
 		b.dials[i].Failed(fmt.Errorf("connect: %w", syscall.ECONNRESET))
 	}
-	b.want(t, map[director.Handle]routing.Result{1: routing.ConnectFailed})
+	b.want(t, map[handle.Handle]routing.Result{1: routing.ConnectFailed})
 	if len(b.dials) != 3 {
 		t.Errorf("%d dials, want 3", len(b.dials))
 	}
@@ -326,7 +328,7 @@
 	l := &nettest.FakeConn{}
 	b.dials[0].Opened(l)
 	b.f.UpdateEndpoint(1, "c1", "a", b.clock+1)
-	b.want(t, map[director.Handle]routing.Result{1: routing.Reset})
+	b.want(t, map[handle.Handle]routing.Result{1: routing.Reset})
 	b.send(2, "r2")
 	if len(b.dials) != 2 || !l.Closed {
 		t.Errorf("%d dials, old connection closed: %v", len(b.dials), l.Closed)
@@ -334,7 +336,7 @@
 	b.f.RemoveEndpoint(1)
 	b.dials[1].Opened(&nettest.FakeConn{})
 	b.dials[1].Data([]byte(bulk("r2", "OK", "-", "x")))
-	b.want(t, map[director.Handle]routing.Result{1: routing.Reset, 2: routing.OK})
+	b.want(t, map[handle.Handle]routing.Result{1: routing.Reset, 2: routing.OK})
 	if n := b.f.NumConns(); n != 0 {
 		t.Errorf("%d connections to a member that has gone", n)
 	}
@@ -354,7 +356,7 @@
 	if l.Closed {
 		t.Error("a connection to the new life was closed")
 	}
-	b.want(t, map[director.Handle]routing.Result{})
+	b.want(t, map[handle.Handle]routing.Result{})
 }
 
 func TestBadAnswerFailsItsAttempt(t *testing.T) {
@@ -364,19 +366,19 @@
 	b.dials[0].Opened(&nettest.FakeConn{})
 	b.dials[0].Data([]byte(bulk("r1", "SAME", "-", ""))) // no copy of the client was passed on
 	b.dials[0].Data([]byte(bulk("r2", "OK", "n=NEVER", "x")))
-	b.want(t, map[director.Handle]routing.Result{1: routing.Errored, 2: routing.Errored})
+	b.want(t, map[handle.Handle]routing.Result{1: routing.Errored, 2: routing.Errored})
 }
 
 // A dial holds two descriptors until it has joined the loop. Accept ends the engine when they run out.
 func TestDescriptorsAreBounded(t *testing.T) {
 	b := newBench()
-	for h := director.Handle(1); h <= 9; h++ {
+	for h := handle.Handle(1); h <= 9; h++ {
 		b.send(h, "r"+string(rune('0'+h)))
 	}
 	if len(b.dials) != 4 {
 		t.Errorf("%d dials, want 4", len(b.dials))
 	}
-	b.want(t, map[director.Handle]routing.Result{9: routing.Abandoned}) // our shortage, not the peer's failure
+	b.want(t, map[handle.Handle]routing.Result{9: routing.Abandoned}) // our shortage, not the peer's failure
 	b.dials[0].Failed(errors.New("refused"))
 	b.dials[1].Opened(&nettest.FakeConn{})
 	b.dials[1].Closed()
@@ -419,7 +421,7 @@
 	b.send(2, "r2")
 	b.dials[1].Failed(errors.New("refused")) // r2 moves to the one that holds
 	for i := range 20 {
-		b.send(director.Handle(10+i), fmt.Sprintf("s%d", i))
+		b.send(handle.Handle(10+i), fmt.Sprintf("s%d", i))
 	}
 	if len(b.dials) != 2 {
 		t.Errorf("%d dials, want none behind the one that failed", len(b.dials))
@@ -445,7 +447,7 @@
 			want = 1
 		}
 		for i := range 20 {
-			b.send(director.Handle(1+i), fmt.Sprintf("s%d", i))
+			b.send(handle.Handle(1+i), fmt.Sprintf("s%d", i))
 		}
 		if len(b.dials) != want {
 			t.Errorf("young %v: %d dials at once, want %d", young, len(b.dials), want)
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -10,6 +10,8 @@
 
 	"shaleyard/internal/director"
 	"shaleyard/internal/eventloop"
+	"shaleyard/internal/handle"
+	"shaleyard/internal/timer"
 	"shaleyard/routing"
 )
 
@@ -31,7 +33,7 @@
 	f      *Pools
 	p      *peer
 	phase  phase
-	handle director.Handle
+	handle handle.Handle
 	link   eventloop.Conn
 	parser parser
 	open   map[string]*call
@@ -43,7 +45,7 @@
 	rested routing.Time            // since when it has nothing open
 	spoilt bool                    // closed by us for what came on it
 	served int                     // answers that came
-	idle   director.Timer
+	idle   timer.Timer
 }
 
 // move takes the connection on to a later phase; it is the one place where the phase changes.
--- a/internal/upstream/crossings_test.go
+++ b/internal/upstream/crossings_test.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"shaleyard/internal/director"
+	"shaleyard/internal/handle"
 	"shaleyard/internal/nettest"
 	"shaleyard/routing"
 )
@@ -29,7 +30,7 @@
 		t.Errorf("%d bytes on the first connection, %d on the second; want some and none", up.Written.Len(), late.Written.Len())
 	}
 	b.dials[0].Data([]byte(bulk("r1", "OK", "-", "x")))
-	b.want(t, map[director.Handle]routing.Result{1: routing.OK})
+	b.want(t, map[handle.Handle]routing.Result{1: routing.OK})
 }
 
 // While all is held, a dial that comes up, and one that fails beside a connection that works, write nothing: what
@@ -69,7 +70,7 @@
 		if got := l.Written.Len() > 0; got != c.sent {
 			t.Errorf("dial up after %v: written %v, want %v", c.after, got, c.sent)
 		}
-		want := map[director.Handle]routing.Result{}
+		want := map[handle.Handle]routing.Result{}
 		if !c.sent {
 			want[1] = routing.Abandoned
 		}
@@ -92,7 +93,7 @@
 	}
 	b.dials[1].Opened(&nettest.FakeConn{})
 	b.dials[0].Data([]byte(bulk("r1", "BUSY", "-", ""))) // the copy
-	b.want(t, map[director.Handle]routing.Result{1: routing.Rejected, 2: routing.OK})
+	b.want(t, map[handle.Handle]routing.Result{1: routing.Rejected, 2: routing.OK})
 	b.clock += b.f.limits.LateAnswerWindow + 1
 	b.dials[1].Data([]byte(bulk("r1", "BUSY", "-", "")))
 	b.send(4, "r1")
@@ -118,7 +119,7 @@
 	b.f.limits.MaxConnsPerEndpoint, b.f.limits.MaxUpstreamConns, b.f.limits.MaxReplacementDials = 8, 4, 2
 	links := []*nettest.FakeConn{{}, {}, {}}
 	for i, l := range links {
-		h := director.Handle(i + 1)
+		h := handle.Handle(i + 1)
 		b.send(h, "r"+string(rune('1'+i)))
 		b.dials[i].Opened(l)
 	}
@@ -158,7 +159,7 @@
 		b.f.Send(1, 1, director.UpstreamRequest{Request: &director.Request{Ref: "r1", IfNoneMatch: "tag1"}, Timeout: time.Second})
 		b.dials[0].Opened(&nettest.FakeConn{})
 		b.dials[0].Data([]byte(bulk("r1", "SAME", fields, "")))
-		b.want(t, map[director.Handle]routing.Result{1: want})
+		b.want(t, map[handle.Handle]routing.Result{1: want})
 	}
 }
 
--- a/internal/upstream/golden_test.go
+++ b/internal/upstream/golden_test.go
@@ -20,7 +20,9 @@
 	"shaleyard/internal/config"
 	"shaleyard/internal/director"
 	"shaleyard/internal/eventloop"
+	"shaleyard/internal/handle"
 	"shaleyard/internal/nettest"
+	"shaleyard/internal/timer"
 	"shaleyard/routing"
 )
 
@@ -60,7 +62,7 @@
 // wireRecorder is one set of pools on scripted dials. It records each result of an attempt as text.
 type wireRecorder struct {
 	pools   *Pools
-	timers  director.Queue
+	timers  timer.Queue
 	buffers *buffer.Pool
 	now     routing.Time
 	dials   []eventloop.Stream
@@ -95,7 +97,7 @@
 }
 
 // Ended implements the interface that takes the results of attempts.
-func (r *wireRecorder) AttemptEnded(attempt director.Handle, end director.AttemptResult) {
+func (r *wireRecorder) AttemptEnded(attempt handle.Handle, end director.AttemptResult) {
 	r.results = append(r.results, fmt.Sprintf("attempt %d %s note=%s waited=%v load=%v same=%v body=%q",
 		attempt, goldenResults[end.Result], goldenNotes[end.FillStatus], end.SourceWait, end.LoadReport, end.NotModified, chainText(&end.Body)))
 	end.Body.Release()
@@ -312,7 +314,7 @@
 }
 
 // send starts an attempt with a reference of its own.
-func (s *wireScript) send(attempt director.Handle, ref string) {
+func (s *wireScript) send(attempt handle.Handle, ref string) {
 	s.step("send "+ref, func() {
 		request := goldenRequest()
 		request.Ref = ref
@@ -343,14 +345,14 @@
 	})
 }
 
-func (s *wireScript) cancel(attempt director.Handle) {
+func (s *wireScript) cancel(attempt handle.Handle) {
 	s.step("cancel", func() {
 		written := s.recorder.pools.Cancel(attempt)
 		s.lines = append(s.lines, fmt.Sprintf("may have been written: %v", written))
 	})
 }
 
-func (s *wireScript) recall(attempt director.Handle) {
+func (s *wireScript) recall(attempt handle.Handle) {
 	s.step("recall", func() {
 		recalled := s.recorder.pools.CancelIfUnwritten(attempt)
 		s.lines = append(s.lines, fmt.Sprintf("recalled: %v", recalled))
@@ -414,7 +416,7 @@
 func playWindow(r *wireRecorder, s *wireScript) {
 	r.pools.limits.MaxConnsPerEndpoint = 4
 	for i, after := range []time.Duration{400 * time.Millisecond, 500 * time.Millisecond} {
-		attempt, ref := director.Handle(i+1), fmt.Sprintf("r%d", i+1)
+		attempt, ref := handle.Handle(i+1), fmt.Sprintf("r%d", i+1)
 		request := goldenRequest()
 		request.Ref, request.IdempotencyKey = ref, "key1"
 		call := director.UpstreamRequest{Request: &request, Timeout: 2 * time.Second, NonIdempotent: true, IdempotencyWindowEnd: r.now + 500*time.Millisecond}
@@ -473,7 +475,7 @@
 
 func playDescriptors(r *wireRecorder, s *wireScript) {
 	r.pools.limits.MaxConnsPerEndpoint, r.pools.limits.MaxAttemptsPerConn = 8, 1
-	for attempt := director.Handle(1); attempt <= 5; attempt++ {
+	for attempt := handle.Handle(1); attempt <= 5; attempt++ {
 		s.send(attempt, fmt.Sprintf("r%d", attempt))
 	}
 }
@@ -481,7 +483,7 @@
 func playFailedDials(r *wireRecorder, s *wireScript) {
 	for i, errno := range []syscall.Errno{syscall.ECONNREFUSED, syscall.ETIMEDOUT, syscall.EMFILE, syscall.ENOBUFS,
 		syscall.EADDRNOTAVAIL, syscall.ENETUNREACH, syscall.EHOSTUNREACH} {
-		s.send(director.Handle(i+1), fmt.Sprintf("r%d", i+1))
+		s.send(handle.Handle(i+1), fmt.Sprintf("r%d", i+1))
 		err := &net.OpError{Op: "dial", Err: os.NewSyscallError("connect", errno)}
 		s.step("dial fails: "+errno.Error(), func() { r.dials[len(r.dials)-1].Failed(err) })
 	}
--- a/internal/upstream/shortage_test.go
+++ b/internal/upstream/shortage_test.go
@@ -9,7 +9,7 @@
 
 	"github.com/google/go-cmp/cmp"
 
-	"shaleyard/internal/director"
+	"shaleyard/internal/handle"
 	"shaleyard/routing"
 )
 
@@ -30,7 +30,7 @@
 				b.dials[len(b.dials)-1].Failed(fmt.Errorf("attempt: %w", err))
 			}
 		}
-		if d := cmp.Diff(map[director.Handle]routing.Result{1: want}, b.ends); d != "" {
+		if d := cmp.Diff(map[handle.Handle]routing.Result{1: want}, b.ends); d != "" {
 			t.Errorf("%v: %s", errno, d)
 		}
 		if own := b.f.Counters.LocalResourceErrors != 0; own != (want != routing.ConnectFailed) || b.f.NumConns() != 0 {
