--- a/internal/director/director.go
+++ b/internal/director/director.go
@@ -84,7 +84,7 @@
 		return nil, err
 	}
 	return &Director{router: r, settings: s, limits: l, agenda: agenda, now: now, log: log,
-		requests: handle.NewTable[*request](l.MaxOpenRequests), attempts: handle.NewTable[*attempt](handle.maxSlots),
+		requests: handle.NewTable[*request](l.MaxOpenRequests), attempts: handle.NewTable[*attempt](handle.MaxEntries),
 		names: map[routing.Host]member{}}, nil
 }
 
