--- a/cmd/testbed/main.go
+++ b/cmd/testbed/main.go
@@ -1,5 +1,5 @@
 // Command yardlab is the fleet laboratory: it starts directors as processes of their own between stand-ins,
-// breaks what lies between them by a script, and judges the record. docs/laboratory.md tells how to use it.
+// breaks what lies between them by a script, and judges the record. docs/testbed.md tells how to use it.
 package main
 
 import (
--- a/internal/testbed/record.go
+++ b/internal/testbed/record.go
@@ -12,7 +12,7 @@
 	"time"
 )
 
-// Event is one line of a record. Which fields are set hangs on the kind (docs/laboratory.md lists them); times
+// Event is one line of a record. Which fields are set hangs on the kind (docs/testbed.md lists them); times
 // are milliseconds from the begin of the run.
 type Event struct {
 	AtMS      float64 `json:"ms"`
