--- a/internal/downstream/answers.go
+++ b/internal/downstream/answers.go
@@ -14,33 +14,33 @@
 // Reply writes the one answer to a request.
 func (x *Connection) Reply(t uint64, a director.Response) {
 	seq := int32(uint32(t))
-	if _, ok := x.open[seq]; !ok || x.phase == closed {
-		x.s.Counters.AnswersAfterClose++
+	if _, ok := x.openRequests[seq]; !ok || x.phase == phaseClosed {
+		x.server.Counters.AnswersAfterClose++
 		return
 	}
-	delete(x.open, seq)
-	x.lastUse = x.s.now()
+	delete(x.openRequests, seq)
+	x.lastActivity = x.server.now()
 	switch a.Outcome {
 	case director.Served:
-		x.s.Counters.Answers++
-		x.serve(seq, a)
+		x.server.Counters.Answers++
+		x.writeAnswer(seq, a)
 	case director.Rejected:
-		x.refuse(seq, a.RetryAfter)
+		x.writeRejection(seq, a.RetryAfter)
 	default:
-		x.s.Counters.Failures++
-		x.write(x.s.out.declared("submit", seq, 2))
+		x.server.Counters.Failures++
+		x.write(x.server.replyWriter.declared("submit", seq, 2))
 	}
-	x.settle()
+	x.completeDrain()
 }
 
-func (x *Connection) serve(seq int32, a director.Response) {
+func (x *Connection) writeAnswer(seq int32, a director.Response) {
 	body := 0
-	iov := append(x.s.iov[:0], nil)
+	iov := append(x.server.segments[:0], nil)
 	if a.Body != nil && !a.NotModified {
 		body = a.Body.Len()
 		iov = a.Body.Segments(iov)
 	}
-	w, tail := &x.s.out, &x.s.tail
+	w, tail := &x.server.replyWriter, &x.server.tailWriter
 	w.answerHead("submit", seq, body)
 	tail.b = tail.b[:0]
 	if a.NotModified {
@@ -50,66 +50,66 @@
 	}
 	iov[0] = w.end(body + len(tail.b))
 	iov = append(iov, tail.b)
-	x.s.iov = iov
+	x.server.segments = iov
 	x.write(iov...)
 	clear(iov)
 }
 
-// turnAway refuses a request that the director has not seen.
-func (x *Connection) turnAway(seq int32, why flightrecorder.Reason) {
-	x.s.FlightRecorder.Record(flightrecorder.Event{At: x.s.now(), Kind: flightrecorder.RequestRejected, Conn: x.id, Reason: why})
-	x.refuse(seq, x.s.cooldown)
+// rejectLocally refuses a request that the director has not seen.
+func (x *Connection) rejectLocally(seq int32, why flightrecorder.Reason) {
+	x.server.FlightRecorder.Record(flightrecorder.Event{At: x.server.now(), Kind: flightrecorder.RequestRejected, Conn: x.id, Reason: why})
+	x.writeRejection(seq, x.server.retryAfter)
 }
 
-func (x *Connection) refuse(seq int32, after time.Duration) {
-	x.s.Counters.Rejections++
+func (x *Connection) writeRejection(seq int32, after time.Duration) {
+	x.server.Counters.Rejections++
 	var pairs []string
 	if ms := (after + time.Millisecond - 1) / time.Millisecond; ms > 0 {
 		pairs = []string{"cooldown", strconv.FormatInt(int64(ms), 10)}
 	}
-	x.write(x.s.out.declared("submit", seq, 1, pairs...))
+	x.write(x.server.replyWriter.declared("submit", seq, 1, pairs...))
 }
 
 // write passes an answer to the socket. What a client leaves unread is bounded, for each and for all
 // together: one who does not read loses its connection, not the others their memory.
 func (x *Connection) write(parts ...[]byte) {
-	if x.phase >= lingering {
-		x.s.Counters.AnswersAfterClose++
+	if x.phase >= phaseLingering {
+		x.server.Counters.AnswersAfterClose++
 		return
 	}
 	size := 0
 	for _, p := range parts {
 		size += len(p)
 	}
-	s := x.s
-	s.backlog += size
-	if x.c.OutboundBuffered()+size > s.limits.ClientBacklogBytes {
+	s := x.server
+	s.outboundEstimate += size
+	if x.socket.OutboundBuffered()+size > s.limits.ClientBacklogBytes {
 		s.Counters.SlowReadersClosed++
-		x.shut(backlog)
+		x.closeNow(outboundLimitExceeded)
 		return
 	}
 	s.Counters.BytesOut += uint64(size)
-	if _, err := x.c.Writev(parts); err != nil {
-		x.shut(writeFailed)
+	if _, err := x.socket.Writev(parts); err != nil {
+		x.closeNow(writeFailed)
 	}
-	s.relieve()
+	s.enforceTotalOutboundLimit()
 }
 
-// relieve closes those who have left the most unread, until all together keep within their bound. It comes behind the
+// enforceTotalOutboundLimit closes those who have left the most unread, until all together keep within their bound. It comes behind the
 // write, as what a close withdraws may bring answers to others.
-func (s *Server) relieve() {
-	for s.backlog > s.limits.TotalBacklogBytes {
-		if s.backlog = s.OutboundBuffered(); s.backlog <= s.limits.TotalBacklogBytes {
+func (s *Server) enforceTotalOutboundLimit() {
+	for s.outboundEstimate > s.limits.TotalBacklogBytes {
+		if s.outboundEstimate = s.OutboundBuffered(); s.outboundEstimate <= s.limits.TotalBacklogBytes {
 			return
 		}
 		var worst *Connection
-		s.conns.All(func(_ handle.Handle, x *Connection) bool {
-			if worst == nil || x.c.OutboundBuffered() > worst.c.OutboundBuffered() {
+		s.connections.All(func(_ handle.Handle, x *Connection) bool {
+			if worst == nil || x.socket.OutboundBuffered() > worst.socket.OutboundBuffered() {
 				worst = x
 			}
 			return true
 		})
 		s.Counters.SlowReadersClosed++
-		worst.shut(backlog)
+		worst.closeNow(outboundLimitExceeded)
 	}
 }
--- a/internal/downstream/clients.go
+++ b/internal/downstream/clients.go
@@ -44,23 +44,23 @@
 	// FlightRecorder keeps what happens to connections and requests; nil: nothing is kept.
 	FlightRecorder *flightrecorder.Recorder
 
-	limits  *config.Limits
-	pool    *buffer.Pool
-	taker   RequestHandler
-	agenda  *timer.Queue
-	now     func() routing.Time
-	classes map[string]int
-	conns   *handle.Table[*Connection]
-	lingers []*Connection // eldest first; they are not among conns
-	parting bool          // the program ends: more may linger, in the places that are free
-	out     writer
-	tail    writer
-	frame   []byte // scratch: a frame that came in pieces
-	iov     [][]byte
-	backlog int // upper estimate of what clients have not read
-	lastID  uint64
-
-	cooldown time.Duration // advice to those whom the director does not see; 0: the settings allow none
+	limits            *config.Limits
+	pool              *buffer.Pool
+	handler           RequestHandler
+	timers            *timer.Queue
+	now               func() routing.Time
+	classIndexes      map[string]int
+	connections       *handle.Table[*Connection]
+	lingering         []*Connection // eldest first; they are not among conns
+	closingGracefully bool          // the program ends: more may linger, in the places that are free
+	replyWriter       writer
+	tailWriter        writer
+	frameBuffer       []byte // scratch: a frame that came in pieces
+	segments          [][]byte
+	outboundEstimate  int // upper estimate of what clients have not read
+	lastID            uint64
+
+	retryAfter time.Duration // advice to those whom the director does not see; 0: the settings allow none
 }
 
 // NewServer returns a server that hands requests of the settings' classes to the taker.
@@ -74,29 +74,29 @@
 	if s.SiteLimits.RetryAfterAllowed {
 		cooldown = min(l.ShutdownRetryAfter, s.SiteLimits.MaxRetryAfter)
 	}
-	return &Server{limits: l, pool: pool, taker: t, agenda: a, now: now, classes: classes, cooldown: cooldown,
+	return &Server{limits: l, pool: pool, handler: t, timers: a, now: now, classIndexes: classes, retryAfter: cooldown,
 		Ready: func() bool { return true }, OnProtocolError: func(error) {},
-		conns: handle.NewTable[*Connection](l.MaxClientConns)}
+		connections: handle.NewTable[*Connection](l.MaxClientConns)}
 }
 
 // Accept takes a connection in. Where clients hold all that they may, another has to go for it, or nil is
 // returned.
 func (s *Server) Accept(c eventloop.Conn) *Connection {
-	if s.conns.Len() >= s.limits.MaxClientConns {
+	if s.connections.Len() >= s.limits.MaxClientConns {
 		s.evict()
 	}
 	s.lastID++
-	x := &Connection{s: s, c: c, id: s.lastID, got: s.pool.NewChain()}
-	h, ok := s.conns.Add(x)
+	x := &Connection{server: s, socket: c, id: s.lastID, partialFrame: s.pool.NewChain()}
+	h, ok := s.connections.Add(x)
 	if !ok {
 		s.Counters.RejectedConnections++
-		s.FlightRecorder.Record(flightrecorder.Event{At: s.now(), Kind: flightrecorder.ConnClosed, Conn: x.id, Reason: turnedAway})
+		s.FlightRecorder.Record(flightrecorder.Event{At: s.now(), Kind: flightrecorder.ConnClosed, Conn: x.id, Reason: connectionTableFull})
 		return nil
 	}
 	s.Counters.Accepted++
-	x.handle, x.lastUse, x.begun = h, s.now(), s.now()
-	s.FlightRecorder.Record(flightrecorder.Event{At: x.begun, Kind: flightrecorder.ConnOpened, Conn: x.id})
-	x.watch()
+	x.handle, x.lastActivity, x.messageStarted = h, s.now(), s.now()
+	s.FlightRecorder.Record(flightrecorder.Event{At: x.messageStarted, Kind: flightrecorder.ConnOpened, Conn: x.id})
+	x.scheduleTimeout()
 	s.trim()
 	return x
 }
@@ -105,11 +105,11 @@
 // at once: they may have the places that are free then, but newcomers still take those.
 func (s *Server) trim() {
 	most := s.limits.MaxLingeringConns
-	if s.parting {
-		most += s.limits.MaxClientConns - s.conns.Len()
+	if s.closingGracefully {
+		most += s.limits.MaxClientConns - s.connections.Len()
 	}
-	for len(s.lingers) > most {
-		s.lingers[0].cut(lingersFull)
+	for len(s.lingering) > most {
+		s.lingering[0].abortLinger(tooManyLingering)
 	}
 }
 
@@ -122,18 +122,18 @@
 	now := s.now()
 	class := func(x *Connection) int {
 		switch {
-		case x.midway():
+		case x.receivingFrame():
 			return 3
-		case x.spoke && now-x.lastUse > s.limits.ClientKeepAlive:
+		case x.receivedMessage && now-x.lastActivity > s.limits.ClientKeepAlive:
 			return 0
-		case !x.spoke:
+		case !x.receivedMessage:
 			return 1
 		}
 		return 2
 	}
-	s.conns.All(func(_ handle.Handle, x *Connection) bool {
-		if !x.busy() && (worst == nil || class(x) < class(worst) ||
-			(class(x) == class(worst) && x.lastUse < worst.lastUse)) {
+	s.connections.All(func(_ handle.Handle, x *Connection) bool {
+		if !x.owesAnswer() && (worst == nil || class(x) < class(worst) ||
+			(class(x) == class(worst) && x.lastActivity < worst.lastActivity)) {
 			worst = x
 		}
 		return true
@@ -142,29 +142,29 @@
 		return
 	}
 	s.Counters.Evicted++
-	worst.move(lingering, evicted)
+	worst.transition(phaseLingering, evictedForNewcomer)
 }
 
 // StartGracefulClose ends all connections on which nothing is owed, as the program ends or is drained. It is called again until none is
 // left, or Stay takes it back. A message that has begun may come whole first, and a new connection has a moment to bring one.
 func (s *Server) StartGracefulClose() {
-	s.parting = true
+	s.closingGracefully = true
 	var free []*Connection
 	now := s.now()
-	s.conns.All(func(_ handle.Handle, x *Connection) bool {
-		if !x.busy() && !x.midway() && (x.begun == 0 || now-x.begun >= s.limits.NewConnGracePeriod) {
+	s.connections.All(func(_ handle.Handle, x *Connection) bool {
+		if !x.owesAnswer() && !x.receivingFrame() && (x.messageStarted == 0 || now-x.messageStarted >= s.limits.NewConnGracePeriod) {
 			free = append(free, x)
 		}
 		return true
 	})
 	for _, x := range free {
-		x.move(lingering, emptied)
+		x.transition(phaseLingering, gracefulClose)
 	}
 }
 
 // CancelGracefulClose ends what Part began: connections are kept again.
 func (s *Server) CancelGracefulClose() {
-	s.parting = false
+	s.closingGracefully = false
 	s.trim()
 }
 
@@ -174,34 +174,34 @@
 func (s *Server) ShortenDeadlines(since, by routing.Time) {
 	now := s.now()
 	var stuck []*Connection
-	s.conns.All(func(_ handle.Handle, x *Connection) bool {
-		if n := x.c.OutboundBuffered(); n != x.unread {
-			x.unread, x.moved = n, now
+	s.connections.All(func(_ handle.Handle, x *Connection) bool {
+		if n := x.socket.OutboundBuffered(); n != x.outboundSeen {
+			x.outboundSeen, x.outboundChanged = n, now
 		}
-		if len(x.open) == 0 && x.unread > 0 && now >= by && now-x.moved >= s.limits.SlowReaderTimeout {
+		if len(x.openRequests) == 0 && x.outboundSeen > 0 && now >= by && now-x.outboundChanged >= s.limits.SlowReaderTimeout {
 			stuck = append(stuck, x)
 		}
-		if x.heard >= since {
-			for _, h := range x.open {
-				s.taker.ShortenDeadline(h, by)
+		if x.lastMessage >= since {
+			for _, h := range x.openRequests {
+				s.handler.ShortenDeadline(h, by)
 			}
 		}
 		return true
 	})
 	for _, x := range stuck {
 		s.Counters.StalledReadersClosed++
-		x.shut(answerUnread)
+		x.closeNow(answerNotRead)
 	}
 }
 
 // Conns is the number of connections held, those that linger with them.
-func (s *Server) Conns() int { return s.conns.Len() + len(s.lingers) }
+func (s *Server) Conns() int { return s.connections.Len() + len(s.lingering) }
 
 // OutboundBuffered is the number of bytes that clients have not read yet.
 func (s *Server) OutboundBuffered() int {
 	n := 0
-	s.conns.All(func(_ handle.Handle, x *Connection) bool {
-		n += x.c.OutboundBuffered()
+	s.connections.All(func(_ handle.Handle, x *Connection) bool {
+		n += x.socket.OutboundBuffered()
 		return true
 	})
 	return n
