--- /dev/null
+++ b/internal/thrift/thrift_test.go
@@ -0,0 +1,124 @@
+package thrift
+
+import (
+	"errors"
+	"strings"
+	"testing"
+)
+
+func TestMessageHeaderIsReadAsWritten(t *testing.T) {
+	for _, want := range []MessageHeader{
+		{Type: Call, Method: "submit", SeqID: 1},
+		{Type: Oneway, Method: "", SeqID: -1},
+		{Type: Exception, Method: strings.Repeat("m", 300), SeqID: 1 << 30},
+	} {
+		var w Writer
+		w.Begin(want.Type, want.Method, want.SeqID)
+		r := NewReader(w.Frame(0)[FrameHeaderSize:])
+		if got := r.MessageHeader(); got != want || r.Err() != nil {
+			t.Errorf("read %+v (%v), want %+v", got, r.Err(), want)
+		}
+	}
+}
+
+func TestFrameCountsWhatFollows(t *testing.T) {
+	var w Writer
+	w.Begin(Reply, "m", 7)
+	const want = "\x00\x00\x00\x15" + "\x80\x01\x00\x02" + "\x00\x00\x00\x01m" + "\x00\x00\x00\x07"
+	if got := string(w.Frame(8)); got != want {
+		t.Errorf("frame %x, want %x", got, want)
+	}
+}
+
+func TestApplicationException(t *testing.T) {
+	var w Writer
+	const want = "\x00\x00\x00\x1f" + "\x80\x01\x00\x03" + "\x00\x00\x00\x01m" + "\x00\x00\x00\x02" +
+		"\x0b\x00\x01\x00\x00\x00\x03bad" + "\x08\x00\x02\x00\x00\x00\x07" + "\x00"
+	if got := string(w.ApplicationException("m", 2, ProtocolError, "bad")); got != want {
+		t.Errorf("exception %x, want %x", got, want)
+	}
+}
+
+func TestStringMapIsReadAsWritten(t *testing.T) {
+	var w Writer
+	w.PutStringMap("a", "1", "b", "")
+	r := NewReader(w.Bytes())
+	key, value, count := r.MapHeader()
+	var words []string
+	r.Repeat(2*count, func() { words = append(words, string(r.Bytes())) })
+	if key != String || value != String || strings.Join(words, ",") != "a,1,b," || r.Err() != nil {
+		t.Errorf("types %d and %d, words %q, error %v", key, value, words, r.Err())
+	}
+}
+
+// The first error stays, and nothing is read behind it.
+func TestReaderStopsAtTheFirstError(t *testing.T) {
+	r := NewReader([]byte("\x00\x00\x00\x05abc"))
+	if b := r.Bytes(); b != nil {
+		t.Errorf("read %q of a string that is cut short", b)
+	}
+	r.Fail(errors.New("another"))
+	if b := r.Byte(); b != 0 || !errors.Is(r.Err(), ErrTruncated) {
+		t.Errorf("read %d behind the error %v, want 0 behind %v", b, r.Err(), ErrTruncated)
+	}
+}
+
+func TestSkip(t *testing.T) {
+	nested := func(levels int) string {
+		return strings.Repeat("\x0c\x00\x01", levels) + strings.Repeat("\x00", levels+1)
+	}
+	for _, c := range []struct {
+		name      string
+		valueType Type
+		data      string
+		want      error
+		left      int
+	}{
+		{"bool", Bool, "\x01rest", nil, 4},
+		{"double", Double, "12345678", nil, 0},
+		{"string", String, "\x00\x00\x00\x02abrest", nil, 4},
+		{"struct", Struct, "\x08\x00\x01abcd\x00rest", nil, 4},
+		{"map", Map, "\x03\x06\x00\x00\x00\x02112122rest", nil, 4},
+		{"set", Set, "\x08\x00\x00\x00\x01abcdrest", nil, 4},
+		{"list of more than is left", List, "\x02\x00\x00\x00\x05abcd", ErrTruncated, 4},
+		{"map of a negative size", Map, "\x02\x02\xff\xff\xff\xff", ErrTruncated, 0},
+		{"as deep as may be", Struct, nested(8), nil, 0},
+		{"too deep", Struct, nested(9), ErrTooDeep, 10},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			r := NewReader([]byte(c.data))
+			r.Skip(c.valueType)
+			if !errors.Is(r.Err(), c.want) || len(r.data) != c.left {
+				t.Errorf("error %v with %d bytes left, want %v with %d", r.Err(), len(r.data), c.want, c.left)
+			}
+		})
+	}
+}
+
+func TestUnknownTypeIsNamed(t *testing.T) {
+	r := NewReader(nil)
+	r.Skip(9)
+	var unknown *UnknownTypeError
+	if !errors.As(r.Err(), &unknown) || unknown.Type != 9 {
+		t.Errorf("error %v, want one that names type 9", r.Err())
+	}
+}
+
+func TestVersionIsChecked(t *testing.T) {
+	r := NewReader([]byte("\x80\x02\x00\x01\x00\x00\x00\x01m\x00\x00\x00\x01"))
+	if r.MessageHeader(); !errors.Is(r.Err(), ErrBadVersion) {
+		t.Errorf("error %v, want %v", r.Err(), ErrBadVersion)
+	}
+}
+
+func FuzzReader(f *testing.F) {
+	f.Add([]byte("\x80\x01\x00\x01\x00\x00\x00\x01m\x00\x00\x00\x01\x0d\x00\x01\x0b\x0b\x00\x00\x00\x00\x00"))
+	f.Fuzz(func(t *testing.T, message []byte) {
+		r := NewReader(message)
+		r.MessageHeader()
+		r.Skip(Struct)
+		if len(r.data) > len(message) {
+			t.Errorf("%d bytes left of %d", len(r.data), len(message))
+		}
+	})
+}
