--- a/internal/downstream/reasons.go
+++ b/internal/downstream/reasons.go
@@ -1,28 +1,56 @@
 package downstream
 
-import "shaleyard/internal/flightrecorder"
+// reason is why a connection ended, or why a request was rejected before the director has seen it.
+type reason uint8
 
-// Why connections end, and requests are refused before the director has seen them.
 const (
-	closedByClient        flightrecorder.Reason = "closed or reset by the client"
-	connectionTableFull   flightrecorder.Reason = "no room, and all others are owed answers"
-	evictedForNewcomer    flightrecorder.Reason = "made room for a newcomer"
-	messageTimeout        flightrecorder.Reason = "no whole message in its time"
-	idleTimeout           flightrecorder.Reason = "idle for its time"
-	malformedStream       flightrecorder.Reason = "what came can't be followed"
-	drainCompleted        flightrecorder.Reason = "its last answer has gone out"
-	gracefulClose         flightrecorder.Reason = "the process is being emptied"
-	lingerTimeout         flightrecorder.Reason = "the client did not close its half in time"
-	tooManyLingering      flightrecorder.Reason = "too many are ending"
-	tooMuchAfterHalfClose flightrecorder.Reason = "it sent on behind its end"
-	droppedAfterHalfClose flightrecorder.Reason = "bytes behind its end"
-	answerNotRead         flightrecorder.Reason = "its last answer was not read"
-	outboundLimitExceeded flightrecorder.Reason = "too much was left unread"
-	writeFailed           flightrecorder.Reason = "a write failed"
-	halfCloseFailed       flightrecorder.Reason = "its half could not be closed"
+	// Why connections end.
+	closedByClient reason = iota
+	connectionTableFull
+	evictedForNewcomer
+	messageTimeout
+	idleTimeout
+	malformedStream
+	drainCompleted
+	gracefulClose
+	lingerTimeout
+	tooManyLingering
+	tooMuchAfterHalfClose
+	droppedAfterHalfClose // goes with a count of bytes, and ends nothing
+	answerNotRead
+	outboundLimitExceeded
+	writeFailed
+	halfCloseFailed
 
-	buffersExhausted    flightrecorder.Reason = "no buffers"
-	requestTableFull    flightrecorder.Reason = "too many open requests"
-	tooManyOpenRequests flightrecorder.Reason = "too many open requests on its connection"
-	invalidFields       flightrecorder.Reason = "fields that can't be used"
+	// Why requests are rejected.
+	buffersExhausted
+	requestTableFull
+	tooManyOpenRequests
+	invalidFields
 )
+
+var reasonTexts = [...]string{
+	closedByClient:        "closed or reset by the client",
+	connectionTableFull:   "too many connections, and all others are owed answers",
+	evictedForNewcomer:    "closed for a new connection",
+	messageTimeout:        "no complete message in time",
+	idleTimeout:           "idle timeout",
+	malformedStream:       "malformed data",
+	drainCompleted:        "drained: the last answer has been sent",
+	gracefulClose:         "graceful close",
+	lingerTimeout:         "the client did not close its half in time",
+	tooManyLingering:      "too many lingering connections",
+	tooMuchAfterHalfClose: "too much data after our half-close",
+	droppedAfterHalfClose: "data dropped after our half-close",
+	answerNotRead:         "the last answer was not read",
+	outboundLimitExceeded: "too much was left unread",
+	writeFailed:           "write failed",
+	halfCloseFailed:       "half-close failed",
+	buffersExhausted:      "buffer pool exhausted",
+	requestTableFull:      "too many open requests",
+	tooManyOpenRequests:   "too many open requests on the connection",
+	invalidFields:         "invalid request fields",
+}
+
+// String is the reason's text in logs.
+func (r reason) String() string { return reasonTexts[r] }
--- a/internal/thrift/reader.go
+++ b/internal/thrift/reader.go
@@ -2,15 +2,15 @@
 
 import "encoding/binary"
 
-// Reader takes values off one message. After the first error, which Err returns, all values are zero: callers check once,
-// when all is read.
+// Reader takes values off one message. After the first error, which Err returns, all values are zero: callers check
+// once, when all is read.
 type Reader struct {
 	data []byte
 	err  error
 }
 
-// NewReader returns a reader of a message, without the frame's length. The message must stay unchanged as long as values
-// that were read from it are in use.
+// NewReader returns a reader of a message, without the frame's length. The message must stay unchanged as long as
+// values that were read from it are in use.
 func NewReader(message []byte) Reader { return Reader{data: message} }
 
 // Err is the first error met.
@@ -73,8 +73,8 @@
 	return header
 }
 
-// MapHeader reads what a map begins with: the types of its keys and values, and the number of its entries, which may be
-// anything: Repeat checks it.
+// MapHeader reads what a map begins with: the types of its keys and values, and the number of its entries, which may
+// be anything: Repeat checks it.
 func (r *Reader) MapHeader() (key, value Type, count int32) {
 	key = Type(r.Byte())
 	value = Type(r.Byte())
@@ -89,8 +89,8 @@
 	return element, count
 }
 
-// Repeat reads count elements by a function. Each takes a byte at least, so a count of more than the bytes that are left
-// is an error before anything is read.
+// Repeat reads count elements by a function. Each takes a byte at least, so a count of more than the bytes that are
+// left is an error before anything is read.
 func (r *Reader) Repeat(count int32, element func()) {
 	if count < 0 || int(count) > len(r.data) {
 		r.Fail(ErrTruncated)
@@ -112,7 +112,8 @@
 	}
 }
 
-// Skip passes over a value, as of a field that this side does not know. Values nested deeper than 8 levels are an error.
+// Skip passes over a value, as of a field that this side does not know. Values nested deeper than 8 levels are an
+// error.
 func (r *Reader) Skip(valueType Type) { r.skip(valueType, 0) }
 
 func (r *Reader) skip(valueType Type, depth int) {
--- a/internal/thrift/writer.go
+++ b/internal/thrift/writer.go
@@ -17,8 +17,8 @@
 	w.PutInt32(seqID)
 }
 
-// Frame sets the frame's length and returns the frame. The length counts so many bytes more, which are sent behind it. The
-// frame is valid until the next Begin or Reset.
+// Frame sets the frame's length and returns the frame. The length counts so many bytes more, which are sent behind
+// it. The frame is valid until the next Begin or Reset.
 func (w *Writer) Frame(following int) []byte {
 	binary.BigEndian.PutUint32(w.buffer, uint32(len(w.buffer)-FrameHeaderSize+following))
 	return w.buffer
@@ -40,7 +40,9 @@
 }
 
 // PutInt32 writes an i32.
-func (w *Writer) PutInt32(value int32) { w.buffer = binary.BigEndian.AppendUint32(w.buffer, uint32(value)) }
+func (w *Writer) PutInt32(value int32) {
+	w.buffer = binary.BigEndian.AppendUint32(w.buffer, uint32(value))
+}
 
 // PutString writes a string.
 func (w *Writer) PutString(value string) {
@@ -67,8 +69,8 @@
 	}
 }
 
-// ApplicationException writes the frame of an application exception and returns it; it is valid until the next Begin or
-// Reset.
+// ApplicationException writes the frame of an application exception and returns it; it is valid until the next Begin
+// or Reset.
 func (w *Writer) ApplicationException(method string, seqID int32, errorType ApplicationError, text string) []byte {
 	const messageField, typeField = 1, 2
 	w.Begin(Exception, method, seqID)
