--- a/internal/downstream/capacity.go
+++ b/internal/downstream/capacity.go
@@ -45,9 +45,9 @@
 func (s *Server) evict() {
 	now := s.now()
 	var candidate *Connection
-	s.connections.All(func(_ handle.Handle, c *Connection) bool {
-		if !c.owesAnswer() && (candidate == nil || c.evictsBefore(candidate, now)) {
-			candidate = c
+	s.connections.All(func(_ handle.Handle, connection *Connection) bool {
+		if !connection.owesAnswer() && (candidate == nil || connection.evictsBefore(candidate, now)) {
+			candidate = connection
 		}
 		return true
 	})
@@ -87,9 +87,9 @@
 // slowestReader is the connection whose client has left the most unread; nil: there is none.
 func (s *Server) slowestReader() *Connection {
 	var slowest *Connection
-	s.connections.All(func(_ handle.Handle, c *Connection) bool {
-		if slowest == nil || c.socket.OutboundBuffered() > slowest.socket.OutboundBuffered() {
-			slowest = c
+	s.connections.All(func(_ handle.Handle, connection *Connection) bool {
+		if slowest == nil || connection.socket.OutboundBuffered() > slowest.socket.OutboundBuffered() {
+			slowest = connection
 		}
 		return true
 	})
--- a/internal/downstream/connection.go
+++ b/internal/downstream/connection.go
@@ -109,23 +109,23 @@
 }
 
 func (c *Connection) enterLingering() {
-	s := c.server
-	s.Counters.Lingering++
-	s.lingering = append(s.lingering, c)
-	s.timers.Schedule(&c.timeout, s.now()+s.limits.LingerTimeout, c.lingerExpired)
+	server := c.server
+	server.Counters.Lingering++
+	server.lingering = append(server.lingering, c)
+	server.timers.Schedule(&c.timeout, server.now()+server.limits.LingerTimeout, c.lingerExpired)
 	if err := c.socket.CloseWrite(); err != nil {
 		c.closeNow(halfCloseFailed)
 	}
-	s.trim()
+	server.trim()
 }
 
 func (c *Connection) enterClosed() {
-	s := c.server
-	s.Counters.Closed++
-	s.timers.Cancel(&c.timeout)
+	server := c.server
+	server.Counters.Closed++
+	server.timers.Cancel(&c.timeout)
 	for seqID, request := range c.openRequests {
 		delete(c.openRequests, seqID)
-		s.handler.Cancel(request)
+		server.handler.Cancel(request)
 	}
 }
 
@@ -144,16 +144,16 @@
 	if c.phase != phaseDraining || len(c.openRequests) > 0 {
 		return
 	}
-	s := c.server
+	server := c.server
 	if c.socket.OutboundBuffered() == 0 {
 		c.transition(phaseLingering, drainCompleted)
 		return
 	}
-	if s.now()-c.lastActivity >= s.limits.ClientIdleTimeout {
+	if server.now()-c.lastActivity >= server.limits.ClientIdleTimeout {
 		c.closeNow(answerNotRead)
 		return
 	}
-	s.timers.Schedule(&c.timeout, s.now()+s.limits.FlushCheckInterval, c.completeDrain)
+	server.timers.Schedule(&c.timeout, server.now()+server.limits.FlushCheckInterval, c.completeDrain)
 }
 
 // closeNow closes the connection and frees its place. What the client has not read may be lost.
@@ -165,9 +165,9 @@
 // lingerExpired ends the lingering, unless the client is still reading what was left for it: it can't know of our
 // half-close yet, and a message that it sends after a full close would reset the connection and take the rest along.
 func (c *Connection) lingerExpired() {
-	s := c.server
-	if c.socket.Unacknowledged() > 0 && s.now()-c.lastActivity < s.limits.ClientIdleTimeout {
-		s.timers.Schedule(&c.timeout, s.now()+s.limits.LingerTimeout, c.lingerExpired)
+	server := c.server
+	if c.socket.Unacknowledged() > 0 && server.now()-c.lastActivity < server.limits.ClientIdleTimeout {
+		server.timers.Schedule(&c.timeout, server.now()+server.limits.LingerTimeout, c.lingerExpired)
 		return
 	}
 	c.abortLinger(lingerTimeout)
--- a/internal/downstream/frames.go
+++ b/internal/downstream/frames.go
@@ -38,7 +38,8 @@
 		c.closeNow(tooMuchAfterHalfClose)
 		return
 	}
-	c.server.record(flightrecorder.Event{Kind: flightrecorder.ConnClosing, Conn: c.id, Count: len(data)}, droppedAfterHalfClose)
+	event := flightrecorder.Event{Kind: flightrecorder.ConnClosing, Conn: c.id, Count: len(data)}
+	c.server.record(event, droppedAfterHalfClose)
 }
 
 // readFrames handles the messages that data completes and keeps the rest.
--- a/internal/downstream/golden_messages_test.go
+++ b/internal/downstream/golden_messages_test.go
@@ -3,6 +3,7 @@
 import (
 	"fmt"
 	"math"
+	"slices"
 	"strings"
 	"testing"
 )
@@ -10,14 +11,11 @@
 // goldenCase is a stream of bytes from a client.
 type goldenCase struct{ name, stream string }
 
-// TestGoldenMessages compares what is made of every form of a message, and of malformed ones. How the stream is cut into
-// pieces must not matter.
+// TestGoldenMessages compares what is made of every form of a message, and of malformed ones. How the stream is cut
+// into pieces must not matter.
 func TestGoldenMessages(t *testing.T) {
-	var cases []goldenCase
-	for _, list := range [][]goldenCase{goldenForms(), goldenRevokes(), goldenFieldValues(), goldenBadFrames(), goldenBadStructs(),
-		goldenTruncations()} {
-		cases = append(cases, list...)
-	}
+	cases := slices.Concat(goldenForms(), goldenUnknownMethods(), goldenSequenceNumbers(), goldenRevokes(),
+		goldenFieldValues(), goldenBadFrames(), goldenBadStructs(), goldenNesting(), goldenTruncations())
 	var all strings.Builder
 	for _, c := range cases {
 		whole := goldenRun(t, c, len(c.stream))
@@ -45,29 +43,33 @@
 }
 
 // goldenUnknown is a struct's field of each type, with numbers that the protocol does not know.
-const goldenUnknown = "\x02\x00\x09\x01" + "\x03\x00\x0a\x07" + "\x04\x00\x0b12345678" + "\x06\x00\x0c12" + "\x08\x00\x0d1234" +
-	"\x0a\x00\x0e12345678" + "\x0b\x00\x0f\x00\x00\x00\x01x" + "\x0c\x00\x10\x0b\x00\x01\x00\x00\x00\x00\x00" +
+const goldenUnknown = "\x02\x00\x09\x01" + "\x03\x00\x0a\x07" + "\x04\x00\x0b12345678" + "\x06\x00\x0c12" +
+	"\x08\x00\x0d1234" + "\x0a\x00\x0e12345678" + "\x0b\x00\x0f\x00\x00\x00\x01x" +
+	"\x0c\x00\x10\x0b\x00\x01\x00\x00\x00\x00\x00" +
 	"\x0d\x00\x11\x08\x0b\x00\x00\x00\x01\x00\x00\x00\x07\x00\x00\x00\x01y" + "\x0d\x00\x12\x00\x00\x00\x00\x00\x00" +
-	"\x0e\x00\x13\x08\x00\x00\x00\x01\x00\x00\x00\x01" + "\x0f\x00\x14\x0c\x00\x00\x00\x01\x00" + "\x0b\xff\xff\x00\x00\x00\x00"
+	"\x0e\x00\x13\x08\x00\x00\x00\x01\x00\x00\x00\x01" + "\x0f\x00\x14\x0c\x00\x00\x00\x01\x00" +
+	"\x0b\xff\xff\x00\x00\x00\x00"
 
-// goldenForms holds well-formed messages in all their forms, and calls of methods that are unknown.
+// goldenForms holds well-formed messages in all their forms.
 func goldenForms() []goldenCase {
 	submit := func(arguments string) string { return goldenFrame(goldenMessage(1, "submit", 1, arguments)) }
 	fields, body := goldenMap(goldenFields()...), goldenBody("the body\x00\xff")
 	least := goldenMap(goldenFields("chunk", "-", "tag", "-", "room", "-", "known", "-", "replay", "-")...)
-	cases := []goldenCase{
+	return []goldenCase{
 		{"submit, all fields and a body", submit(fields + body + "\x00")},
 		{"submit, the body first", submit(body + fields + "\x00")},
 		{"submit, no body", submit(fields + "\x00")},
 		{"submit, empty body", submit(fields + goldenBody("") + "\x00")},
 		{"submit, the fields that must be there", submit(least + "\x00")},
-		{"submit, unknown struct fields", submit(goldenUnknown + fields + goldenUnknown + body + goldenUnknown + "\x00")},
-		{"submit, unknown request fields", submit(goldenMap(append(goldenFields(), "unheard", "of", "", "")...) + "\x00")},
+		{"submit, unknown struct fields",
+			submit(goldenUnknown + fields + goldenUnknown + body + goldenUnknown + "\x00")},
+		{"submit, unknown request fields",
+			submit(goldenMap(append(goldenFields(), "unheard", "of", "", "")...) + "\x00")},
 		{"submit, a request field twice", submit(goldenMap(append(goldenFields(), "chunk", "4")...) + "\x00")},
 		{"submit, the field map twice", submit(least + fields + "\x00")},
 		{"submit, the body twice", submit(fields + body + goldenBody("other") + "\x00")},
-		{"submit, as many request fields as may be", submit(goldenMap(append(goldenFields(), strings.Split("a 1 b 2 c 3 d 4 e 5 f 6 g 7",
-			" ")...)...) + "\x00")},
+		{"submit, as many request fields as may be",
+			submit(goldenMap(append(goldenFields(), strings.Fields("a 1 b 2 c 3 d 4 e 5 f 6 g 7")...)...) + "\x00")},
 		{"submit, bytes behind the struct", submit(fields + "\x00behind")},
 		{"submit, the largest body", submit(fields + goldenBody(string(goldenPattern(48_000))) + "\x00")},
 		{"submit, a body too large", submit(fields + goldenBody(string(goldenPattern(48_001))) + "\x00")},
@@ -78,25 +80,39 @@
 		{"submit as oneway", goldenFrame(goldenMessage(4, "submit", 1, fields+"\x00"))},
 		{"heartbeat as oneway", goldenFrame(goldenMessage(4, "heartbeat", 1, "\x00"))},
 		{"several messages", submit(fields+"\x00") + goldenFrame(goldenMessage(1, "heartbeat", 2, "\x00")) +
-			goldenSubmit(3, "x", goldenFields("ref", "0000000000000003")...) + goldenFrame(goldenMessage(1, "nothing", 4, "\x00"))},
+			goldenSubmit(3, "x", goldenFields("ref", "0000000000000003")...) +
+			goldenFrame(goldenMessage(1, "nothing", 4, "\x00"))},
 		{"a message behind bad fields", submit("\x00") + goldenSubmit(2, "", goldenFields()...)},
 	}
-	for _, name := range []string{"", "Submit", "submit2", "fetch", strings.Repeat("n", 500), "\x00\xff\"\n"} {
+}
+
+// goldenUnknownMethods holds calls of methods that are unknown, and the same as oneway.
+func goldenUnknownMethods() []goldenCase {
+	names := []string{"", "Submit", "submit2", "fetch", strings.Repeat("n", 500), "\x00\xff\"\n"}
+	cases := make([]goldenCase, 0, 2*len(names))
+	for _, name := range names {
 		for _, kind := range []byte{1, 4} {
 			cases = append(cases, goldenCase{fmt.Sprintf("unknown method %.20q, type %d", name, kind),
 				goldenFrame(goldenMessage(kind, name, 0x01020304, "\x00"))})
 		}
 	}
-	for _, seqid := range []int32{0, 1, -1, math.MaxInt32, math.MinInt32} {
-		cases = append(cases, goldenCase{fmt.Sprintf("submit, seqid %d", seqid), goldenSubmit(seqid, "", goldenFields()...)})
+	return cases
+}
+
+// goldenSequenceNumbers holds a request under several sequence numbers.
+func goldenSequenceNumbers() []goldenCase {
+	numbers := []int32{0, 1, -1, math.MaxInt32, math.MinInt32}
+	cases := make([]goldenCase, 0, len(numbers))
+	for _, seqid := range numbers {
+		cases = append(cases, goldenCase{fmt.Sprintf("submit, seqid %d", seqid),
+			goldenSubmit(seqid, "", goldenFields()...)})
 	}
 	return cases
 }
 
 // goldenRevokes holds revokes behind two requests, 1 and 2.
 func goldenRevokes() []goldenCase {
-	var cases []goldenCase
-	for _, c := range []goldenCase{
+	forms := []goldenCase{
 		{"of an open request", "\x08\x00\x01" + goldenInt32(1) + "\x00"},
 		{"of a request that is not open", "\x08\x00\x01" + goldenInt32(99) + "\x00"},
 		{"of the negative number", "\x08\x00\x01" + goldenInt32(-1) + "\x00"},
@@ -109,7 +125,9 @@
 		{"without the end of the struct", "\x08\x00\x01" + goldenInt32(1)},
 		{"cut short", "\x08\x00\x01\x00"},
 		{"of an unknown type", "\x01\x00\x01" + goldenInt32(1) + "\x00"},
-	} {
+	}
+	cases := make([]goldenCase, 0, 2*len(forms))
+	for _, c := range forms {
 		for _, kind := range []byte{4, 1} {
 			cases = append(cases, goldenCase{fmt.Sprintf("revoke %s, type %d", c.name, kind),
 				goldenSubmit(1, "", goldenFields()...) + goldenSubmit(2, "", goldenFields()...) +
@@ -129,13 +147,20 @@
 		values []string
 	}{
 		{"service", []string{"-", "", "pages", "Media", "nobody", "media ", long}},
-		{"ref", []string{"-", "", "0000000000000000", "ABCDEFabcdef0189", "9b1f03aa5c7e2d4", "9b1f03aa5c7e2d411", "9b1f03aa5c7e2d4g",
-			"9b1f03aa5c7e2d4\x00", "+b1f03aa5c7e2d41", long}},
-		{"lookup", []string{"-", "", "0000000000000000", "ffffffffffffffff", "FFFFFFFFFFFFFFFF", "xyz", "7f3a9c21e0b4d65 "}},
-		{"allow", []string{"-", "", "0", "1", "60000", "60001", "-1", "+5", "05", "1.5", "1e3", "soon", "9999999999999999999999"}},
+		{"ref",
+			[]string{"-", "", "0000000000000000", "ABCDEFabcdef0189", "9b1f03aa5c7e2d4", "9b1f03aa5c7e2d411",
+				"9b1f03aa5c7e2d4g",
+				"9b1f03aa5c7e2d4\x00", "+b1f03aa5c7e2d41", long}},
+		{"lookup",
+			[]string{"-", "", "0000000000000000", "ffffffffffffffff", "FFFFFFFFFFFFFFFF", "xyz", "7f3a9c21e0b4d65 "}},
+		{"allow",
+			[]string{"-", "", "0", "1", "60000", "60001", "-1", "+5", "05", "1.5", "1e3", "soon",
+				"9999999999999999999999"}},
 		{"chunk", []string{"-", "", "0", "2147483647", "2147483648", "-1", "+3", "03", "3 ", "three"}},
 		{"tag", []string{"-", "", "0", "255", "256", "-1", "07", "x"}},
-		{"room", []string{"-", "", "0", "-0", "0.001", "1e9", "1000000001", "NaN", "Inf", "-1", "0x1p4", "1_0", "1e400", "big", " 1"}},
+		{"room",
+			[]string{"-", "", "0", "-0", "0.001", "1e9", "1000000001", "NaN", "Inf", "-1", "0x1p4", "1_0",
+				"1e400", "big", " 1"}},
 		{"known", []string{"-", "", "a", long, long + "x", "a,up=b", "a b", "a=b", "a\x7f", "\xc3\xa9", "a\n"}},
 		{"replay", []string{"-", "", "a", long, long + "x", "a,up=b", "a b", "a=b", "a\x00", "!~"}},
 	} {
@@ -148,11 +173,11 @@
 		goldenSubmit(1, "body", goldenFields("ref", "x", "lookup", "y", "allow", "z", "known", " ", "replay", " ")...)})
 }
 
-// goldenBadFrames holds frames and message heads that end the connection. A request waits for its answer before some of them.
+// goldenBadFrames holds frames and message heads that end the connection. A request waits for its answer before some
+// of them.
 func goldenBadFrames() []goldenCase {
 	heartbeat := goldenFrame(goldenMessage(1, "heartbeat", 2, "\x00"))
-	var cases []goldenCase
-	for _, c := range []goldenCase{
+	streams := []goldenCase{
 		{"frame of no bytes", goldenInt32(0)},
 		{"frame of -1 bytes", goldenInt32(-1)},
 		{"frame of the least length", goldenInt32(math.MinInt32)},
@@ -162,9 +187,11 @@
 		{"text of another protocol", "GET / HTTP/1.1\r\n\r\n"},
 		{"message without a version", goldenFrame(goldenString("submit") + "\x01" + goldenInt32(1) + "\x00")},
 		{"version 2", goldenFrame("\x80\x02\x00\x01" + goldenString("heartbeat") + goldenInt32(1) + "\x00")},
-		{"bits between version and type", goldenFrame("\x80\x01\x01\x01" + goldenString("heartbeat") + goldenInt32(1) + "\x00")},
+		{"bits between version and type",
+			goldenFrame("\x80\x01\x01\x01" + goldenString("heartbeat") + goldenInt32(1) + "\x00")},
 		{"method name of -1 bytes", goldenFrame("\x80\x01\x00\x01" + goldenInt32(-1) + goldenInt32(1) + "\x00")},
-		{"method name longer than the frame", goldenFrame("\x80\x01\x00\x01" + goldenInt32(100) + "submit" + goldenInt32(1) + "\x00")},
+		{"method name longer than the frame",
+			goldenFrame("\x80\x01\x00\x01" + goldenInt32(100) + "submit" + goldenInt32(1) + "\x00")},
 		{"frame of a byte", goldenFrame("\x80")},
 		{"frame of the version alone", goldenFrame("\x80\x01\x00\x01")},
 		{"sequence number cut short", goldenFrame("\x80\x01\x00\x01" + goldenString("heartbeat") + "\x00\x00\x01")},
@@ -173,7 +200,9 @@
 		{"message of type exception", goldenFrame(goldenMessage(3, "submit", 1, "\x00"))},
 		{"message of type 5", goldenFrame(goldenMessage(5, "revoke", 1, "\x00"))},
 		{"message of type 255", goldenFrame(goldenMessage(255, "unknown", 1, "\x00"))},
-	} {
+	}
+	cases := make([]goldenCase, 0, 2*len(streams))
+	for _, c := range streams {
 		cases = append(cases, goldenCase{c.name, c.stream + heartbeat},
 			goldenCase{c.name + ", an answer owed", goldenSubmit(1, "", goldenFields()...) + c.stream + heartbeat})
 	}
@@ -183,51 +212,72 @@
 // goldenBadStructs holds arguments of submit that can't be read, or only just.
 func goldenBadStructs() []goldenCase {
 	fields := goldenMap(goldenFields()...)
-	nested := func(open, shut string, depth int) string {
-		return "\x0c\x00\x09" + strings.Repeat(open, depth) + strings.Repeat(shut, depth) + "\x00"
-	}
 	cases := []goldenCase{
 		{"the field map is a string", "\x0b\x00\x01" + goldenString("fields") + "\x00"},
 		{"the field map is a list", "\x0f\x00\x01\x0b" + goldenInt32(1) + goldenString("x") + "\x00"},
 		{"the body is a map", fields + "\x0d\x00\x02\x0b\x0b" + goldenInt32(0) + "\x00"},
 		{"the body is an i32", fields + "\x08\x00\x02" + goldenInt32(5) + "\x00"},
-		{"map from i32 to strings", "\x0d\x00\x01\x08\x0b" + goldenInt32(1) + goldenInt32(7) + goldenString("x") + "\x00"},
+		{"map from i32 to strings",
+			"\x0d\x00\x01\x08\x0b" + goldenInt32(1) + goldenInt32(7) + goldenString("x") + "\x00"},
 		{"map from strings to bools", "\x0d\x00\x01\x0b\x02" + goldenInt32(1) + goldenString("x") + "\x01\x00"},
 		{"empty map from i32 to bools behind a good one", fields + "\x0d\x00\x01\x08\x02" + goldenInt32(0) + "\x00"},
 		{"map of -1 entries", "\x0d\x00\x01\x0b\x0b" + goldenInt32(-1) + "\x00"},
-		{"map of one entry too many", goldenMap(append(goldenFields(), strings.Split("a 1 b 2 c 3 d 4 e 5 f 6 g 7 h 8", " ")...)...) + "\x00"},
+		{"map of one entry too many",
+			goldenMap(append(goldenFields(), strings.Fields("a 1 b 2 c 3 d 4 e 5 f 6 g 7 h 8")...)...) + "\x00"},
 		{"map of more entries than bytes", "\x0d\x00\x01\x0b\x0b" + goldenInt32(15) + "\x00"},
 		{"map of the greatest number of entries", "\x0d\x00\x01\x0b\x0b" + goldenInt32(math.MaxInt32) + "\x00"},
-		{"map with too many entries of other types", "\x0d\x00\x01\x08\x08" + goldenInt32(100) + strings.Repeat("12345678", 100) + "\x00"},
+		{"map with too many entries of other types",
+			"\x0d\x00\x01\x08\x08" + goldenInt32(100) + strings.Repeat("12345678", 100) + "\x00"},
 		{"name of a field cut short", "\x0d\x00\x01\x0b\x0b" + goldenInt32(1) + goldenInt32(50) + "service"},
-		{"name of a field of -1 bytes", "\x0d\x00\x01\x0b\x0b" + goldenInt32(1) + goldenInt32(-1) + "\x00\x00\x00\x00\x00"},
+		{"name of a field of -1 bytes",
+			"\x0d\x00\x01\x0b\x0b" + goldenInt32(1) + goldenInt32(-1) + "\x00\x00\x00\x00\x00"},
 		{"body of -1 bytes", fields + "\x0b\x00\x02" + goldenInt32(-1) + "\x00"},
 		{"body longer than the frame", fields + "\x0b\x00\x02" + goldenInt32(100) + "short\x00"},
 		{"unknown field of -1 bytes", fields + "\x0b\x00\x09" + goldenInt32(-1) + "\x00"},
 		{"list of -1 elements", fields + "\x0f\x00\x09\x08" + goldenInt32(-1) + "\x00"},
 		{"list of more elements than bytes", fields + "\x0f\x00\x09\x02" + goldenInt32(100) + "\x01\x00"},
-		{"list of the greatest number of elements", fields + "\x0f\x00\x09\x02" + goldenInt32(math.MaxInt32) + "\x01\x00"},
+		{"list of the greatest number of elements",
+			fields + "\x0f\x00\x09\x02" + goldenInt32(math.MaxInt32) + "\x01\x00"},
 		{"list of an unknown type", fields + "\x0f\x00\x09\x05" + goldenInt32(1) + "\x01\x00"},
 		{"empty list of an unknown type", fields + "\x0f\x00\x09\x05" + goldenInt32(0) + "\x00"},
-		{"set of strings", fields + "\x0e\x00\x09\x0b" + goldenInt32(2) + goldenString("a") + goldenString("") + "\x00"},
-		{"map with values of an unknown type", fields + "\x0d\x00\x09\x0b\x11" + goldenInt32(1) + goldenString("a") + "\x01\x00"},
+		{"set of strings",
+			fields + "\x0e\x00\x09\x0b" + goldenInt32(2) + goldenString("a") + goldenString("") + "\x00"},
+		{"map with values of an unknown type",
+			fields + "\x0d\x00\x09\x0b\x11" + goldenInt32(1) + goldenString("a") + "\x01\x00"},
 		{"no end of the struct", fields},
 		{"no end of a nested struct", fields + "\x0c\x00\x09\x00"},
 	}
-	for _, kind := range []byte{1, 5, 7, 9, 16, 17, 255} {
-		cases = append(cases, goldenCase{fmt.Sprintf("field of type %d", kind), fields + string([]byte{kind}) + "\x00\x09\x00\x00\x00"})
+	return goldenSubmitOf(cases)
+}
+
+// goldenNesting holds arguments of submit with fields of unknown types, and with values that are nested.
+func goldenNesting() []goldenCase {
+	fields := goldenMap(goldenFields()...)
+	kinds := []byte{1, 5, 7, 9, 16, 17, 255}
+	depths := []int{1, 6, 7, 8, 9, 10, 200}
+	cases := make([]goldenCase, 0, len(kinds)+3*len(depths))
+	for _, kind := range kinds {
+		cases = append(cases, goldenCase{fmt.Sprintf("field of type %d", kind),
+			fields + string([]byte{kind}) + "\x00\x09\x00\x00\x00"})
 	}
-	for _, depth := range []int{1, 6, 7, 8, 9, 10, 200} {
-		cases = append(cases, goldenCase{fmt.Sprintf("structs nested %d deep", depth),
-			fields + nested("\x0c\x00\x01", "\x00", depth) + "\x00"},
-			goldenCase{fmt.Sprintf("lists nested %d deep", depth), fields + "\x0f\x00\x09" +
-				strings.Repeat("\x0f"+goldenInt32(1), depth) + "\x02" + goldenInt32(1) + "\x01\x00"},
-			goldenCase{fmt.Sprintf("maps nested %d deep", depth), fields + "\x0d\x00\x09" +
-				strings.Repeat("\x02\x0d"+goldenInt32(1)+"\x01", depth) + "\x02\x02" + goldenInt32(1) + "\x01\x01\x00"})
+	for _, depth := range depths {
+		structs := strings.Repeat("\x0c\x00\x01", depth) + strings.Repeat("\x00", depth) + "\x00"
+		lists := strings.Repeat("\x0f"+goldenInt32(1), depth) + "\x02" + goldenInt32(1) + "\x01"
+		maps := strings.Repeat("\x02\x0d"+goldenInt32(1)+"\x01", depth) + "\x02\x02" + goldenInt32(1) + "\x01\x01"
+		cases = append(cases,
+			goldenCase{fmt.Sprintf("structs nested %d deep", depth), fields + "\x0c\x00\x09" + structs + "\x00"},
+			goldenCase{fmt.Sprintf("lists nested %d deep", depth), fields + "\x0f\x00\x09" + lists + "\x00"},
+			goldenCase{fmt.Sprintf("maps nested %d deep", depth), fields + "\x0d\x00\x09" + maps + "\x00"})
 	}
+	return goldenSubmitOf(cases)
+}
+
+// goldenSubmitOf makes a submit, and a heartbeat behind it, of each case's arguments.
+func goldenSubmitOf(cases []goldenCase) []goldenCase {
+	heartbeat := goldenFrame(goldenMessage(1, "heartbeat", 2, "\x00"))
 	for i := range cases {
 		cases[i].name = "submit, " + cases[i].name
-		cases[i].stream = goldenFrame(goldenMessage(1, "submit", 1, cases[i].stream)) + goldenFrame(goldenMessage(1, "heartbeat", 2, "\x00"))
+		cases[i].stream = goldenFrame(goldenMessage(1, "submit", 1, cases[i].stream)) + heartbeat
 	}
 	return cases
 }
--- a/internal/downstream/graceful.go
+++ b/internal/downstream/graceful.go
@@ -12,8 +12,8 @@
 // has a moment (Limits.NewConnGracePeriod) to send one: it may have connected before it could know.
 func (s *Server) StartGracefulClose() {
 	s.closingGracefully = true
-	for _, c := range s.closableConnections() {
-		c.transition(phaseLingering, gracefulClose)
+	for _, connection := range s.closableConnections() {
+		connection.transition(phaseLingering, gracefulClose)
 	}
 }
 
@@ -21,10 +21,10 @@
 func (s *Server) closableConnections() []*Connection {
 	var closable []*Connection
 	now := s.now()
-	s.connections.All(func(_ handle.Handle, c *Connection) bool {
-		messageMayCome := c.messageStarted != 0 && now-c.messageStarted < s.limits.NewConnGracePeriod
-		if !c.owesAnswer() && !c.receivingFrame() && !messageMayCome {
-			closable = append(closable, c)
+	s.connections.All(func(_ handle.Handle, connection *Connection) bool {
+		messageMayCome := connection.messageStarted != 0 && now-connection.messageStarted < s.limits.NewConnGracePeriod
+		if !connection.owesAnswer() && !connection.receivingFrame() && !messageMayCome {
+			closable = append(closable, connection)
 		}
 		return true
 	})
@@ -44,21 +44,21 @@
 func (s *Server) ShortenDeadlines(activeSince, deadline routing.Time) {
 	now := s.now()
 	var stalled []*Connection
-	s.connections.All(func(_ handle.Handle, c *Connection) bool {
-		c.noteReading(now)
-		if now >= deadline && c.stalled(now) {
-			stalled = append(stalled, c)
+	s.connections.All(func(_ handle.Handle, connection *Connection) bool {
+		connection.noteReading(now)
+		if now >= deadline && connection.stalled(now) {
+			stalled = append(stalled, connection)
 		}
-		if c.lastMessage >= activeSince {
-			for _, request := range c.openRequests {
+		if connection.lastMessage >= activeSince {
+			for _, request := range connection.openRequests {
 				s.handler.ShortenDeadline(request, deadline)
 			}
 		}
 		return true
 	})
-	for _, c := range stalled {
+	for _, connection := range stalled {
 		s.Counters.StalledReadersClosed++
-		c.closeNow(answerNotRead)
+		connection.closeNow(answerNotRead)
 	}
 }
 
--- /dev/null
+++ b/internal/downstream/harness_test.go
@@ -0,0 +1,159 @@
+package downstream
+
+import (
+	"testing"
+	"time"
+
+	"shaleyard/internal/buffer"
+	"shaleyard/internal/config"
+	"shaleyard/internal/director"
+	"shaleyard/internal/handle"
+	"shaleyard/internal/nettest"
+	"shaleyard/internal/timer"
+	"shaleyard/routing"
+)
+
+const testRef = "9b1f03aa5c7e2d41"
+
+// testHarness is a server on a clock of the test's, that hands its requests to the test.
+type testHarness struct {
+	t              testing.TB
+	server         *Server
+	timers         timer.Queue
+	now            routing.Time
+	pool           *buffer.Pool
+	submitted      []director.Request
+	tokens         []uint64
+	replier        director.Replier // of the last request
+	canceled       int
+	shortened      map[handle.Handle]routing.Time
+	tableFull      bool
+	protocolErrors int
+	duringSubmit   func() // what happens while Submit runs
+}
+
+func (h *testHarness) Submit(request director.Request, replier director.Replier, token uint64) (handle.Handle, bool) {
+	if h.tableFull {
+		return 0, false
+	}
+	h.submitted = append(h.submitted, request)
+	h.tokens = append(h.tokens, token)
+	h.replier = replier
+	if h.duringSubmit != nil {
+		h.duringSubmit()
+	}
+	return handle.Handle(len(h.submitted)), true
+}
+
+func (h *testHarness) ShortenDeadline(request handle.Handle, deadline routing.Time) {
+	h.shortened[request] = deadline
+}
+
+func (h *testHarness) Cancel(request handle.Handle) {
+	if request != 0 {
+		h.canceled++
+	}
+}
+
+// newHarness returns a harness with small limits, whose connections don't linger.
+func newHarness(t testing.TB) *testHarness {
+	t.Helper()
+	harness := &testHarness{
+		t:         t,
+		now:       1000 * time.Second,
+		pool:      buffer.NewPool(64, 64),
+		shortened: map[handle.Handle]routing.Time{},
+	}
+	limits := &config.Limits{
+		MaxClientConns:      5,
+		MaxRequestsPerConn:  2,
+		MaxFrameBytes:       4096,
+		MaxRequestBodyBytes: 100,
+		MaxRequestFields:    16,
+		ClientBacklogBytes:  10_000,
+		TotalBacklogBytes:   15_000,
+		ClientIdleTimeout:   30 * time.Second,
+		MessageTimeout:      2 * time.Second,
+		ClientKeepAlive:     5 * time.Second,
+		MaxRequestTimeout:   time.Minute,
+	}
+	settings := &routing.Settings{Classes: []routing.Class{{Name: "pages"}, {Name: "media"}}}
+	now := func() routing.Time { return harness.now }
+	harness.server = NewServer(limits, settings, harness.pool, harness, &harness.timers, now)
+	harness.server.OnProtocolError = func(error) { harness.protocolErrors++ }
+	return harness
+}
+
+// newLingeringHarness returns a harness whose connections linger, two at once.
+func newLingeringHarness(t testing.TB) *testHarness {
+	t.Helper()
+	harness := newHarness(t)
+	limits := harness.server.limits
+	limits.LingerTimeout = 500 * time.Millisecond
+	limits.MaxLingeringConns = 2
+	limits.MaxLingerBytes = 5000
+	limits.FlushCheckInterval = 10 * time.Millisecond
+	limits.NewConnGracePeriod = 50 * time.Millisecond
+	return harness
+}
+
+// advance lets time pass, in steps of 5 ms.
+func (h *testHarness) advance(duration time.Duration) {
+	for end := h.now + duration; h.now < end; {
+		h.now += 5 * time.Millisecond
+		h.timers.RunDue(h.now)
+	}
+}
+
+// replyServed answers a request by the replier of the last one.
+func (h *testHarness) replyServed(request int) {
+	h.replier.Reply(h.tokens[request], director.Response{Outcome: director.Served})
+}
+
+// testClient is a client's connection and what the server has done to its socket.
+type testClient struct {
+	t          testing.TB
+	connection *Connection
+	socket     nettest.FakeConn
+}
+
+// connect opens a connection; the server must take it.
+func (h *testHarness) connect() *testClient {
+	h.t.Helper()
+	client := &testClient{t: h.t}
+	client.connection = h.server.Accept(&client.socket)
+	if client.connection == nil {
+		h.t.Fatal("the connection was rejected")
+	}
+	return client
+}
+
+// send hands data to the connection, which must not leave its close to the event loop.
+func (c *testClient) send(data string) {
+	c.t.Helper()
+	if err := c.connection.Data([]byte(data)); err != nil {
+		c.t.Fatalf("data: %v", err)
+	}
+}
+
+// sendInPieces hands data to the connection, so many bytes at a time.
+func (c *testClient) sendInPieces(data string, size int) {
+	c.t.Helper()
+	for len(data) > 0 {
+		n := min(size, len(data))
+		c.send(data[:n])
+		data = data[n:]
+	}
+}
+
+// submitFields are all fields of a request, and one that is unknown.
+func submitFields(ref string) []string {
+	return []string{"service", "media", "ref", ref, "allow", "1500", "lookup", "7f3a9c21e0b4d655", "chunk", "3",
+		"tag", "17", "room", "412.5", "known", "4be0c1927d55a6f3", "replay", "5c0f6e1a2b3d4c59", "unheard", "of"}
+}
+
+func submitMessage(seqID int32) string {
+	return nettest.SubmitFrame(seqID, "", submitFields(testRef)...)
+}
+
+func heartbeatMessage() string { return nettest.Frame(1, methodHeartbeat, 1, []byte{2, 0, 1, 0}) }
--- a/internal/downstream/replies.go
+++ b/internal/downstream/replies.go
@@ -11,37 +11,37 @@
 
 // Reply implements director.Replier: it writes the one response to a request. The token is its sequence number.
 func (c *Connection) Reply(token uint64, response director.Response) {
-	s := c.server
+	server := c.server
 	seqID := int32(uint32(token))
 	if _, open := c.openRequests[seqID]; !open || c.phase == phaseClosed {
-		s.Counters.AnswersAfterClose++
+		server.Counters.AnswersAfterClose++
 		return
 	}
 	delete(c.openRequests, seqID)
-	c.lastActivity = s.now()
+	c.lastActivity = server.now()
 	switch response.Outcome {
 	case director.Served:
-		s.Counters.Answers++
+		server.Counters.Answers++
 		c.writeAnswer(seqID, response)
 	case director.Rejected:
 		c.writeRejection(seqID, response.RetryAfter)
 	default:
-		s.Counters.Failures++
-		c.write(exceptionFrame(&s.replyWriter, seqID, resultInternal))
+		server.Counters.Failures++
+		c.write(exceptionFrame(&server.replyWriter, seqID, resultInternal))
 	}
 	c.completeDrain()
 }
 
 // writeAnswer writes the Answer to a request that was served. The body is written from its buffers, and not copied.
 func (c *Connection) writeAnswer(seqID int32, response director.Response) {
-	s := c.server
+	server := c.server
 	bodyLength := 0
-	segments := append(s.segments[:0], nil) // the first is the head, which is known last
+	segments := append(server.segments[:0], nil) // the first is the head, which is known last
 	if response.Body != nil && !response.NotModified {
 		bodyLength = response.Body.Len()
 		segments = response.Body.Segments(segments)
 	}
-	head, tail := &s.replyWriter, &s.tailWriter
+	head, tail := &server.replyWriter, &server.tailWriter
 	beginAnswer(head, methodSubmit, seqID, bodyLength)
 	tail.Reset()
 	if response.NotModified {
@@ -51,55 +51,56 @@
 	}
 	segments[0] = head.Frame(bodyLength + len(tail.Bytes()))
 	segments = append(segments, tail.Bytes())
-	s.segments = segments
+	server.segments = segments
 	c.write(segments...)
 	clear(segments)
 }
 
 // rejectLocally rejects a request that the director has not seen.
 func (c *Connection) rejectLocally(seqID int32, why reason) {
-	s := c.server
-	s.record(flightrecorder.Event{Kind: flightrecorder.RequestRejected, Conn: c.id}, why)
-	c.writeRejection(seqID, s.retryAfter)
+	server := c.server
+	server.record(flightrecorder.Event{Kind: flightrecorder.RequestRejected, Conn: c.id}, why)
+	c.writeRejection(seqID, server.retryAfter)
 }
 
 // writeRejection tells a client that its request was rejected, and how long it should stay away: whole milliseconds,
 // rounded up; 0 or less: no advice.
 func (c *Connection) writeRejection(seqID int32, retryAfter time.Duration) {
-	s := c.server
-	s.Counters.Rejections++
+	server := c.server
+	server.Counters.Rejections++
 	var fields []string
 	if ms := (retryAfter + time.Millisecond - 1) / time.Millisecond; ms > 0 {
 		fields = []string{fieldRetryAfter, strconv.FormatInt(int64(ms), 10)}
 	}
-	c.write(exceptionFrame(&s.replyWriter, seqID, resultOverloaded, fields...))
+	c.write(exceptionFrame(&server.replyWriter, seqID, resultOverloaded, fields...))
 }
 
-func (c *Connection) writeApplicationException(header thrift.MessageHeader, errorType thrift.ApplicationError, text string) {
-	c.write(c.server.replyWriter.ApplicationException(header.Method, header.SeqID, errorType, text))
+// writeApplicationException answers a call that is no good by an application exception.
+func (c *Connection) writeApplicationException(call thrift.MessageHeader, kind thrift.ApplicationError, text string) {
+	c.write(c.server.replyWriter.ApplicationException(call.Method, call.SeqID, kind, text))
 }
 
 // write passes a message to the socket. What a client leaves unread is bounded, for each and for all together: a slow
 // reader loses its connection, so that the others keep theirs.
 func (c *Connection) write(segments ...[]byte) {
-	s := c.server
+	server := c.server
 	if c.phase >= phaseLingering {
-		s.Counters.AnswersAfterClose++
+		server.Counters.AnswersAfterClose++
 		return
 	}
 	size := 0
 	for _, segment := range segments {
 		size += len(segment)
 	}
-	s.outboundEstimate += size
-	if c.socket.OutboundBuffered()+size > s.limits.ClientBacklogBytes {
-		s.Counters.SlowReadersClosed++
+	server.outboundEstimate += size
+	if c.socket.OutboundBuffered()+size > server.limits.ClientBacklogBytes {
+		server.Counters.SlowReadersClosed++
 		c.closeNow(outboundLimitExceeded)
 		return
 	}
-	s.Counters.BytesOut += uint64(size)
+	server.Counters.BytesOut += uint64(size)
 	if _, err := c.socket.Writev(segments); err != nil {
 		c.closeNow(writeFailed)
 	}
-	s.enforceTotalOutboundLimit()
+	server.enforceTotalOutboundLimit()
 }
--- a/internal/downstream/requests.go
+++ b/internal/downstream/requests.go
@@ -74,11 +74,11 @@
 }
 
 func (c *Connection) handleHeartbeat(header thrift.MessageHeader) {
-	s := c.server
-	s.Counters.Heartbeats++
-	w := &s.replyWriter
+	server := c.server
+	server.Counters.Heartbeats++
+	w := &server.replyWriter
 	beginAnswer(w, header.Method, header.SeqID, 0)
-	finishAnswer(w, s.Ready())
+	finishAnswer(w, server.Ready())
 	c.write(w.Frame(0))
 }
 
@@ -93,17 +93,17 @@
 
 // handleSubmit hands a request to the director, or answers it at once where that is not possible.
 func (c *Connection) handleSubmit(header thrift.MessageHeader, r *thrift.Reader) error {
-	s := c.server
-	s.Counters.Submits++
-	args := readSubmitArgs(r, s.limits.MaxRequestFields)
+	server := c.server
+	server.Counters.Submits++
+	args := readSubmitArgs(r, server.limits.MaxRequestFields)
 	if _, inUse := c.openRequests[header.SeqID]; inUse {
-		s.Counters.BadMessage++
+		server.Counters.BadMessage++
 		return &seqIDInUseError{seqID: header.SeqID}
 	}
-	request := director.Request{ConnID: c.id, Body: s.pool.NewChain()}
+	request := director.Request{ConnID: c.id, Body: server.pool.NewChain()}
 	err := r.Err()
 	if err == nil {
-		err = s.parseRequest(args, &request)
+		err = server.parseRequest(args, &request)
 	}
 	if err == nil {
 		err = request.Body.Append(args.body)
@@ -111,13 +111,13 @@
 	switch {
 	case errors.Is(err, buffer.ErrExhausted):
 		request.Body.Release()
-		s.Counters.OutOfCapacity++
+		server.Counters.OutOfCapacity++
 		c.rejectLocally(header.SeqID, buffersExhausted)
 	case err != nil:
 		c.rejectInvalid(header, err)
-	case len(c.openRequests) >= s.limits.MaxRequestsPerConn:
+	case len(c.openRequests) >= server.limits.MaxRequestsPerConn:
 		request.Body.Release()
-		s.Counters.TooManyOpenRequests++
+		server.Counters.TooManyOpenRequests++
 		c.rejectLocally(header.SeqID, tooManyOpenRequests)
 	default:
 		c.submit(header.SeqID, request)
@@ -127,25 +127,25 @@
 
 // rejectInvalid answers a request that has invalid fields. The error's text is sent to the client.
 func (c *Connection) rejectInvalid(header thrift.MessageHeader, cause error) {
-	s := c.server
-	s.Counters.BadFields++
-	s.record(flightrecorder.Event{Kind: flightrecorder.RequestRejected, Conn: c.id}, invalidFields)
+	server := c.server
+	server.Counters.BadFields++
+	server.record(flightrecorder.Event{Kind: flightrecorder.RequestRejected, Conn: c.id}, invalidFields)
 	c.writeApplicationException(header, thrift.ProtocolError, cause.Error())
 }
 
 // submit hands a request to the director.
 func (c *Connection) submit(seqID int32, request director.Request) {
-	s := c.server
+	server := c.server
 	if c.openRequests == nil { // most connections that are idle never have an open request again
 		c.openRequests = map[int32]handle.Handle{}
 	}
 	// The reply may come within Submit, so the number is in use before.
 	c.openRequests[seqID] = 0
-	requestHandle, ok := s.handler.Submit(request, c, uint64(uint32(seqID)))
+	requestHandle, ok := server.handler.Submit(request, c, uint64(uint32(seqID)))
 	if !ok {
 		request.Body.Release()
 		delete(c.openRequests, seqID)
-		s.Counters.OutOfCapacity++
+		server.Counters.OutOfCapacity++
 		c.rejectLocally(seqID, requestTableFull)
 		return
 	}
@@ -154,6 +154,6 @@
 		return
 	}
 	if c.phase == phaseClosed { // closed within Submit, by the answer to another request: this one had no handle then
-		s.handler.Cancel(requestHandle)
+		server.handler.Cancel(requestHandle)
 	}
 }
--- /dev/null
+++ b/internal/downstream/requests_test.go
@@ -0,0 +1,165 @@
+package downstream
+
+import (
+	"fmt"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/google/go-cmp/cmp"
+
+	"shaleyard/internal/nettest"
+)
+
+func TestRequestIsReadInAnyPieces(t *testing.T) {
+	stream := nettest.SubmitFrame(1, strings.Repeat("b", 99), submitFields(testRef)...) + submitMessage(2)
+	for _, size := range []int{1, 3, 64, 65, len(stream)} {
+		t.Run(fmt.Sprintf("pieces of %d bytes", size), func(t *testing.T) {
+			harness := newHarness(t)
+			harness.connect().sendInPieces(stream, size)
+			if len(harness.submitted) != 2 {
+				t.Fatalf("%d requests, want 2", len(harness.submitted))
+			}
+			request := harness.submitted[0]
+			got := []any{request.Ref, request.Service, request.Object, request.Part, request.Class, request.ObjectKey,
+				request.PartNumber, request.Group, request.SizeKB, request.IfNoneMatch, request.IdempotencyKey,
+				request.Timeout, request.Body.Len()}
+			want := []any{testRef, "media", "7f3a9c21e0b4d655", "3", 1, uint64(0x7f3a9c21e0b4d655), 3, 17, 412.5,
+				"4be0c1927d55a6f3", "5c0f6e1a2b3d4c59", 1500 * time.Millisecond, 99}
+			if difference := cmp.Diff(want, got); difference != "" {
+				t.Fatal(difference)
+			}
+			request.Body.Release()
+			if harness.pool.InUse() != 0 {
+				t.Fatalf("%d buffers in use", harness.pool.InUse())
+			}
+		})
+	}
+}
+
+func TestBadFieldsAreNamed(t *testing.T) {
+	for _, test := range []struct{ field, value string }{
+		{"service", "nobody"},
+		{"ref", "xyz"},
+		{"ref", "9b1f03aa5c7e2d4g"},
+		{"allow", "0"},
+		{"allow", "soon"},
+		{"lookup", ""},
+		{"chunk", "-1"},
+		{"chunk", "+3"},
+		{"chunk", "03"},
+		{"tag", "256"},
+		{"room", "NaN"},
+		{"room", "-1"},
+		{"known", "a,up=b"},
+		{"replay", "a,up=b"},
+	} {
+		t.Run(test.field+"="+test.value, func(t *testing.T) {
+			harness := newHarness(t)
+			client := harness.connect()
+			client.send(nettest.SubmitFrame(1, "", append(submitFields(testRef), test.field, test.value)...))
+			answer := client.socket.Written.String()
+			if len(harness.submitted) != 0 || !strings.Contains(answer, test.field+":") {
+				t.Errorf("%d submitted, answer %q", len(harness.submitted), answer)
+			}
+		})
+	}
+}
+
+func TestOpenRequestsAreBounded(t *testing.T) {
+	harness := newHarness(t)
+	client := harness.connect()
+	for seqID := range int32(3) {
+		client.send(submitMessage(seqID + 1))
+	}
+	overLimit := harness.server.Counters.TooManyOpenRequests
+	if len(harness.submitted) != 2 || overLimit != 1 || client.socket.Written.Len() == 0 {
+		t.Errorf("%d submitted, %d over the limit, answer of %d bytes", len(harness.submitted), overLimit,
+			client.socket.Written.Len())
+	}
+	client.send(submitMessage(2))
+	phase := client.connection.phase
+	if len(harness.submitted) != 2 || harness.protocolErrors != 1 || phase != phaseDraining {
+		t.Errorf("an open sequence number again: %d submitted, %d protocol errors, phase %d", len(harness.submitted),
+			harness.protocolErrors, phase)
+	}
+	client.connection.Closed()
+	if harness.canceled != 2 {
+		t.Errorf("%d requests canceled with their connection, want 2", harness.canceled)
+	}
+}
+
+// A connection may be closed by the answer to one request while another of it is being submitted: that one is
+// canceled as soon as it has a handle, or it would go on for a client that has gone.
+func TestRequestTakenAsItsConnectionDiesIsWithdrawn(t *testing.T) {
+	harness := newLingeringHarness(t)
+	client := harness.connect()
+	client.send(submitMessage(1))
+	harness.duringSubmit = client.connection.Closed
+	client.send(submitMessage(2))
+	if len(harness.submitted) != 2 || harness.canceled != 2 {
+		t.Errorf("%d submitted, %d canceled; want 2 and 2", len(harness.submitted), harness.canceled)
+	}
+}
+
+// All forms that the protocol allows are one message each, however they come: fields of the structs in any order,
+// absent or unknown, a oneway sent as a call, maps without types where they are empty, several messages in one
+// segment.
+func TestEveryFormOfAMessageIsRead(t *testing.T) {
+	const call, oneway = 1, 4
+	whole := nettest.SubmitFrame(1, "body", submitFields(testRef)...)[4:]
+	arguments := whole[4+4+len(methodSubmit)+4 : len(whole)-1]
+	const bodyLength = 3 + 4 + len("body")
+	fieldMap, body := arguments[:len(arguments)-bodyLength], arguments[len(arguments)-bodyLength:]
+	submit := func(seqID int32, arguments string) string {
+		return nettest.Frame(call, methodSubmit, seqID, []byte(arguments))
+	}
+	messages := []string{
+		submit(1, body+fieldMap),
+		submit(2, goldenUnknown+fieldMap+goldenUnknown),
+		nettest.Frame(call, methodRevoke, 8, []byte(goldenUnknown+"\x08\x00\x01\x00\x00\x00\x01")),
+		nettest.Frame(oneway, methodRevoke, 9, nil),
+		nettest.Frame(oneway, methodRevoke, 9, []byte("\x08\x00\x01\x00\x00\x00\x63")),
+		submit(3, fieldMap),
+		submit(4, ""),
+		submit(5, "\x0d\x00\x01\x00\x00\x00\x00\x00\x00"),
+		nettest.Frame(call, methodHeartbeat, 6, nil),
+		nettest.Frame(call, methodHeartbeat, 7, []byte(goldenUnknown)),
+	}
+	stream := strings.Join(messages, "")
+	for _, size := range []int{1, 7, len(stream)} {
+		t.Run(fmt.Sprintf("pieces of %d bytes", size), func(t *testing.T) {
+			harness := newLingeringHarness(t)
+			client := harness.connect()
+			client.sendInPieces(stream, size)
+			counters := harness.server.Counters
+			if client.connection.phase != phaseReady || len(harness.submitted) != 3 || harness.canceled != 1 ||
+				counters.Heartbeats != 2 || counters.BadFields != 2 || counters.BadMessage != 0 {
+				t.Errorf("phase %d, %d submitted, %d canceled, %+v", client.connection.phase, len(harness.submitted),
+					harness.canceled, counters)
+			}
+		})
+	}
+}
+
+func FuzzData(f *testing.F) {
+	f.Add([]byte(nettest.SubmitFrame(1, "body", submitFields(testRef)...)), uint8(5))
+	f.Add([]byte(nettest.Frame(4, methodRevoke, 3, []byte{8, 0, 1, 0, 0, 0, 1})), uint8(1))
+	f.Add([]byte(nettest.Frame(1, methodHeartbeat, 3, []byte{15, 0, 1, 12, 0, 0, 0, 9, 13, 0, 2, 11, 11})), uint8(200))
+	f.Fuzz(func(t *testing.T, stream []byte, size uint8) {
+		harness := newHarness(t)
+		client := harness.connect()
+		for len(stream) > 0 && !client.socket.Closed {
+			n := min(int(size)+1, len(stream))
+			client.send(string(stream[:n]))
+			stream = stream[n:]
+		}
+		client.connection.Closed()
+		for i := range harness.submitted {
+			harness.submitted[i].Body.Release()
+		}
+		if inUse := harness.pool.InUse(); inUse != 0 {
+			t.Errorf("%d buffers in use", inUse)
+		}
+	})
+}
--- a/internal/downstream/server.go
+++ b/internal/downstream/server.go
@@ -112,22 +112,22 @@
 		s.evict()
 	}
 	s.lastID++
-	c := &Connection{server: s, socket: socket, id: s.lastID, partialFrame: s.pool.NewChain()}
+	connection := &Connection{server: s, socket: socket, id: s.lastID, partialFrame: s.pool.NewChain()}
 	var ok bool
-	c.handle, ok = s.connections.Add(c)
+	connection.handle, ok = s.connections.Add(connection)
 	if !ok {
 		s.Counters.RejectedConnections++
-		s.record(flightrecorder.Event{Kind: flightrecorder.ConnClosed, Conn: c.id}, connectionTableFull)
+		s.record(flightrecorder.Event{Kind: flightrecorder.ConnClosed, Conn: connection.id}, connectionTableFull)
 		return nil
 	}
 	s.Counters.Accepted++
 	now := s.now()
-	c.lastActivity = now
-	c.messageStarted = now
-	s.FlightRecorder.Record(flightrecorder.Event{At: now, Kind: flightrecorder.ConnOpened, Conn: c.id})
-	c.scheduleTimeout()
+	connection.lastActivity = now
+	connection.messageStarted = now
+	s.FlightRecorder.Record(flightrecorder.Event{At: now, Kind: flightrecorder.ConnOpened, Conn: connection.id})
+	connection.scheduleTimeout()
 	s.trim()
-	return c
+	return connection
 }
 
 // Conns is the number of connections held, lingering ones included.
@@ -136,8 +136,8 @@
 // OutboundBuffered is the number of bytes that clients have not read yet, those on their way not counted.
 func (s *Server) OutboundBuffered() int {
 	total := 0
-	s.connections.All(func(_ handle.Handle, c *Connection) bool {
-		total += c.socket.OutboundBuffered()
+	s.connections.All(func(_ handle.Handle, connection *Connection) bool {
+		total += connection.socket.OutboundBuffered()
 		return true
 	})
 	return total
