--- a/internal/downstream/capacity.go
+++ b/internal/downstream/capacity.go
@@ -30,7 +30,7 @@
 	return rankIdle
 }
 
-// evictsBefore tells whether c is closed for a new connection rather than other: by rank, and of one rank the one
+// evictsBefore reports whether c is closed for a new connection rather than other: by rank, and of one rank the one
 // that was active least recently.
 func (c *Connection) evictsBefore(other *Connection, now routing.Time) bool {
 	rank, otherRank := c.evictionRank(now), other.evictionRank(now)
--- a/internal/downstream/connection.go
+++ b/internal/downstream/connection.go
@@ -48,12 +48,12 @@
 	outboundChanged routing.Time // and when it last saw them change
 }
 
-// owesAnswer tells whether an answer is due, or not yet passed on to the system: closing would lose it.
+// owesAnswer reports whether an answer is due, or not yet passed on to the system: closing would lose it.
 func (c *Connection) owesAnswer() bool {
 	return len(c.openRequests) > 0 || c.socket.OutboundBuffered() > 0
 }
 
-// receivingFrame tells that a part of a message has come, and not all of it.
+// receivingFrame reports that a part of a message has come, and not all of it.
 func (c *Connection) receivingFrame() bool { return c.frameLength != 0 || len(c.lengthPrefix) > 0 }
 
 // transition takes the connection to a later phase; it is the one place where the phase changes.
--- a/internal/downstream/fields.go
+++ b/internal/downstream/fields.go
@@ -30,7 +30,7 @@
 	idLength       = 16 // hex digits
 )
 
-// fieldError tells that a field of a request is invalid. Its text is sent to the client.
+// fieldError reports that a field of a request is invalid. Its text is sent to the client.
 type fieldError struct{ field, problem string }
 
 // Error implements error.
@@ -133,7 +133,7 @@
 	return number, nil
 }
 
-// isHexID tells whether text is an identifier of 16 hex digits.
+// isHexID reports whether text is an identifier of 16 hex digits.
 func isHexID(text string) bool {
 	if len(text) != idLength {
 		return false
@@ -150,7 +150,7 @@
 	return '0' <= char && char <= '9' || 'a' <= char && char <= 'f' || 'A' <= char && char <= 'F'
 }
 
-// isToken tells whether text can be passed on in the list of fields towards caches: it must bring no separators into
+// isToken reports whether text can be passed on in the list of fields towards caches: it must bring no separators into
 // it.
 func isToken(text string) bool {
 	if len(text) > maxTokenLength {
--- a/internal/downstream/frames.go
+++ b/internal/downstream/frames.go
@@ -8,7 +8,7 @@
 	"shaleyard/internal/thrift"
 )
 
-// frameLengthError tells that a frame has a length that is not possible, or over Limits.MaxFrameBytes.
+// frameLengthError reports that a frame has a length that is not possible, or over Limits.MaxFrameBytes.
 type frameLengthError struct{ length int }
 
 // Error implements error.
@@ -58,7 +58,7 @@
 	return nil
 }
 
-// beginFrame reads a frame's length, or a part of it, and returns the data behind.
+// beginFrame reads a frame's length, or a part of it, and returns the data after it.
 func (c *Connection) beginFrame(data []byte) ([]byte, error) {
 	if c.messageStarted == 0 {
 		c.messageStarted = c.server.now()
--- a/internal/downstream/graceful.go
+++ b/internal/downstream/graceful.go
@@ -71,7 +71,7 @@
 	}
 }
 
-// stalled tells that all is answered, and that the client has long read nothing of what is left for it.
+// stalled reports that all is answered, and that the client has long read nothing of what is left for it.
 func (c *Connection) stalled(now routing.Time) bool {
 	return len(c.openRequests) == 0 && c.outboundSeen > 0 && now-c.outboundChanged >= c.server.limits.SlowReaderTimeout
 }
--- a/internal/downstream/messages.go
+++ b/internal/downstream/messages.go
@@ -47,10 +47,10 @@
 	fieldRetryAfter  = "cooldown" // milliseconds
 )
 
-// errFieldMapType tells that the fields of a request are no map of strings. Its text is sent to the client.
+// errFieldMapType reports that the fields of a request are no map of strings. Its text is sent to the client.
 var errFieldMapType = errors.New("fields are no map of strings")
 
-// fieldCountError tells that a request has too many fields. Its text is sent to the client.
+// fieldCountError reports that a request has too many fields. Its text is sent to the client.
 type fieldCountError struct{ count, limit int }
 
 // Error implements error.
--- a/internal/downstream/replies.go
+++ b/internal/downstream/replies.go
@@ -75,7 +75,7 @@
 	c.write(exceptionFrame(&server.replyWriter, seqID, resultOverloaded, fields...))
 }
 
-// writeApplicationException answers a call that is no good by an application exception.
+// writeApplicationException answers a call that cannot be handled.
 func (c *Connection) writeApplicationException(call thrift.MessageHeader, kind thrift.ApplicationError, text string) {
 	c.write(c.server.replyWriter.ApplicationException(call.Method, call.SeqID, kind, text))
 }
--- a/internal/downstream/requests.go
+++ b/internal/downstream/requests.go
@@ -11,13 +11,13 @@
 	"shaleyard/internal/thrift"
 )
 
-// seqIDInUseError tells that a client has given two open requests one sequence number.
+// seqIDInUseError reports that a client has given two open requests one sequence number.
 type seqIDInUseError struct{ seqID int32 }
 
 // Error implements error.
 func (e *seqIDInUseError) Error() string { return fmt.Sprintf("sequence number %d is open", e.seqID) }
 
-// messageTypeError tells that a client has sent a message of a type that clients don't send.
+// messageTypeError reports that a client has sent a message of a type that clients don't send.
 type messageTypeError struct{ messageType thrift.MessageType }
 
 // Error implements error.
--- a/internal/downstream/server.go
+++ b/internal/downstream/server.go
@@ -50,7 +50,7 @@
 // Server holds the connections of all clients.
 type Server struct {
 	Counters Counters
-	// Ready tells whether heartbeats are answered as good.
+	// Ready reports whether heartbeats are answered as good.
 	Ready func() bool
 	// OnProtocolError is called with the reason for which nothing more is read from a connection.
 	OnProtocolError func(reason error)
--- a/internal/thrift/thrift.go
+++ b/internal/thrift/thrift.go
@@ -68,7 +68,7 @@
 	ErrBadVersion = errors.New("not the strict binary protocol")
 )
 
-// UnknownTypeError tells that a value has a type that the protocol does not know.
+// UnknownTypeError reports that a value has a type that the protocol does not know.
 type UnknownTypeError struct{ Type Type }
 
 // Error implements error.
--- a/internal/thrift/writer.go
+++ b/internal/thrift/writer.go
@@ -6,7 +6,7 @@
 // ready for use.
 type Writer struct{ buffer []byte }
 
-// Reset empties the writer, for a part of a message that is sent behind others.
+// Reset empties the writer, for a part of a message that is sent after others.
 func (w *Writer) Reset() { w.buffer = w.buffer[:0] }
 
 // Begin empties the writer and starts a frame and its message.
