--- a/internal/downstream/reasons.go
+++ b/internal/downstream/reasons.go
@@ -1,28 +1,56 @@
 package downstream
 
-import "shaleyard/internal/flightrecorder"
+// reason is why a connection ended, or why a request was rejected before the director has seen it.
+type reason uint8
 
-// Why connections end, and requests are refused before the director has seen them.
 const (
-	byClient        flightrecorder.Reason = "closed or reset by the client"
-	turnedAway      flightrecorder.Reason = "no room, and all others are owed answers"
-	evicted         flightrecorder.Reason = "made room for a newcomer"
-	mute            flightrecorder.Reason = "no whole message in its time"
-	rested          flightrecorder.Reason = "idle for its time"
-	badStream       flightrecorder.Reason = "what came can't be followed"
-	nothingOwed     flightrecorder.Reason = "its last answer has gone out"
-	emptied         flightrecorder.Reason = "the process is being emptied"
-	lingerOver      flightrecorder.Reason = "the client did not close its half in time"
-	lingersFull     flightrecorder.Reason = "too many are ending"
-	tooMuchDropped  flightrecorder.Reason = "it sent on behind its end"
-	bytesDropped    flightrecorder.Reason = "bytes behind its end"
-	answerUnread    flightrecorder.Reason = "its last answer was not read"
-	backlog         flightrecorder.Reason = "too much was left unread"
-	writeFailed     flightrecorder.Reason = "a write failed"
-	halfCloseFailed flightrecorder.Reason = "its half could not be closed"
+	// Why connections end.
+	closedByClient reason = iota
+	connectionTableFull
+	evictedForNewcomer
+	messageTimeout
+	idleTimeout
+	malformedStream
+	drainCompleted
+	gracefulClose
+	lingerTimeout
+	tooManyLingering
+	tooMuchAfterHalfClose
+	droppedAfterHalfClose // goes with a count of bytes, and ends nothing
+	answerNotRead
+	outboundLimitExceeded
+	writeFailed
+	halfCloseFailed
 
-	buffersFull flightrecorder.Reason = "no buffers"
-	tableFull   flightrecorder.Reason = "too many open requests"
-	overOpen    flightrecorder.Reason = "too many open requests on its connection"
-	badFields   flightrecorder.Reason = "fields that can't be used"
+	// Why requests are rejected.
+	buffersExhausted
+	requestTableFull
+	tooManyOpenRequests
+	invalidFields
 )
+
+var reasonTexts = [...]string{
+	closedByClient:        "closed or reset by the client",
+	connectionTableFull:   "too many connections, and all others are owed answers",
+	evictedForNewcomer:    "closed for a new connection",
+	messageTimeout:        "no complete message in time",
+	idleTimeout:           "idle timeout",
+	malformedStream:       "malformed data",
+	drainCompleted:        "drained: the last answer has been sent",
+	gracefulClose:         "graceful close",
+	lingerTimeout:         "the client did not close its half in time",
+	tooManyLingering:      "too many lingering connections",
+	tooMuchAfterHalfClose: "too much data after our half-close",
+	droppedAfterHalfClose: "data dropped after our half-close",
+	answerNotRead:         "the last answer was not read",
+	outboundLimitExceeded: "too much was left unread",
+	writeFailed:           "write failed",
+	halfCloseFailed:       "half-close failed",
+	buffersExhausted:      "buffer pool exhausted",
+	requestTableFull:      "too many open requests",
+	tooManyOpenRequests:   "too many open requests on the connection",
+	invalidFields:         "invalid request fields",
+}
+
+// String is the reason's text in logs.
+func (r reason) String() string { return reasonTexts[r] }
