--- a/internal/director/director.go
+++ b/internal/director/director.go
@@ -35,45 +35,45 @@
 	router   *routing.Router
 	settings *routing.Settings
 	limits   *config.Limits
-	peers    Upstream
-	agenda   *timer.Queue
+	upstream Upstream
+	timers   *timer.Queue
 	now      func() routing.Time
 	log      *zap.Logger
 
-	requests *handle.Table[*request]
-	attempts *handle.Table[*attempt]
-	names    map[routing.Host]member
-	last     routing.Time // when all is to be answered, as the program ends; 0: it goes on
-	queue    []event
-	busy     bool
-	held     bool          // only news are taken; all else waits in the queue
-	unread   time.Duration // for so long what is read now may have waited unread, while the process stood still
+	requests         *handle.Table[*request]
+	attempts         *handle.Table[*attempt]
+	incarnations     map[routing.Host]incarnation
+	shutdownDeadline routing.Time // when all is to be answered, as the program ends; 0: it goes on
+	pendingEvents    []queuedEvent
+	dispatching      bool
+	suspended        bool          // only news are taken; all else waits in the queue
+	pauseDuration    time.Duration // for so long what is read now may have waited unread, while the process stood still
 }
 
-// member is what is kept of an entry of the list.
-type member struct {
-	name    string
-	started routing.Time
+// incarnation is what is kept of an entry of the list.
+type incarnation struct {
+	name      string
+	startedAt routing.Time
 }
 
 type request struct {
 	Request
-	handle  handle.Handle
-	reply   Replier
-	token   uint64
-	giveUp  routing.Time
-	overdue timer.Timer
-	since   routing.Time          // when it was taken
-	let     bool                  // let in by the admission, which hears of its end
-	next    int                   // number of the next attempt
-	out     map[int]handle.Handle // attempts out by number
-	over    bool
+	handle        handle.Handle
+	replier       Replier
+	token         uint64
+	deadline      routing.Time
+	deadlineGuard timer.Timer
+	acceptedAt    routing.Time          // when it was taken
+	admitted      bool                  // let in by the admission, which hears of its end
+	nextAttempt   int                   // number of the next attempt
+	inFlight      map[int]handle.Handle // attempts out by number
+	finished      bool
 }
 
-// event is a router's event, and the request whose slot is free once the router has seen it.
-type event struct {
-	ev   routing.Event
-	last *request
+// queuedEvent is a router's queuedEvent, and the request whose slot is free once the router has seen it.
+type queuedEvent struct {
+	routerEvent     routing.Event
+	finishedRequest *request
 }
 
 // New returns a director for the settings, within the limits.
@@ -83,9 +83,9 @@
 	if err != nil {
 		return nil, err
 	}
-	return &Director{router: r, settings: s, limits: l, agenda: agenda, now: now, log: log,
+	return &Director{router: r, settings: s, limits: l, timers: agenda, now: now, log: log,
 		requests: handle.NewTable[*request](l.MaxOpenRequests), attempts: handle.NewTable[*attempt](handle.MaxEntries),
-		names: map[routing.Host]member{}}, nil
+		incarnations: map[routing.Host]incarnation{}}, nil
 }
 
 // SetSiteOptions sets what is done when whole sites are lost; it comes before the first event.
@@ -95,14 +95,14 @@
 func (d *Director) SiteCounters() sitehealth.Counters { return d.router.SiteCounters() }
 
 // SetUpstream names the peers; it comes before the first event.
-func (d *Director) SetUpstream(p Upstream) { d.peers = p }
+func (d *Director) SetUpstream(p Upstream) { d.upstream = p }
 
 // OpenRequests is the number of requests taken and not answered.
 func (d *Director) OpenRequests() int { return d.requests.Len() }
 
 // Submit takes a request; false: there is no room, nothing was taken, and the caller refuses it.
 func (d *Director) Submit(q Request, reply Replier, token uint64) (handle.Handle, bool) {
-	r := &request{Request: q, reply: reply, token: token, out: map[int]handle.Handle{}}
+	r := &request{Request: q, replier: reply, token: token, inFlight: map[int]handle.Handle{}}
 	h, ok := d.requests.Add(r)
 	if !ok {
 		return 0, false
@@ -111,26 +111,26 @@
 		d.CheckForPause()
 	}
 	now := d.now()
-	r.handle, r.giveUp, r.since = h, now+max(0, q.Timeout-d.unread), now
-	if d.last != 0 {
-		r.giveUp = min(r.giveUp, max(d.last, now))
+	r.handle, r.deadline, r.acceptedAt = h, now+max(0, q.Timeout-d.pauseDuration), now
+	if d.shutdownDeadline != 0 {
+		r.deadline = min(r.deadline, max(d.shutdownDeadline, now))
 	}
 	d.Counters.RequestsAccepted++
 	d.FlightRecorder.Record(flightrecorder.Event{At: now, Kind: flightrecorder.RequestAccepted, Conn: q.ConnID, Request: uint32(h)})
 	wait, why, ok := d.admit(now, q.Class)
-	if ok && r.giveUp <= now {
-		wait, why, ok = d.limits.ShutdownRetryAfter, readTooLate, false
+	if ok && r.deadline <= now {
+		wait, why, ok = d.limits.ShutdownRetryAfter, reasonExpiredUnread, false
 	}
 	if !ok {
-		d.answer(r, Response{Outcome: Rejected, RetryAfter: d.cooldown(wait), Reason: why})
-		d.free(r)
+		d.respond(r, Response{Outcome: Rejected, RetryAfter: d.retryAfter(wait), Reason: why})
+		d.releaseRequest(r)
 		return h, true
 	}
-	r.let = true
-	d.guard(r)
+	r.admitted = true
+	d.armDeadlineGuard(r)
 	write := q.Class < len(d.settings.Tiers.Uncacheable) && d.settings.Tiers.Uncacheable[q.Class]
-	d.post(event{ev: routing.Request{ID: uint32(h), Class: q.Class, Object: q.ObjectKey, Part: q.PartNumber,
-		Group: q.Group, Deadline: r.giveUp, SizeKB: q.SizeKB, Write: write}})
+	d.postEvent(queuedEvent{routerEvent: routing.Request{ID: uint32(h), Class: q.Class, Object: q.ObjectKey, Part: q.PartNumber,
+		Group: q.Group, Deadline: r.deadline, SizeKB: q.SizeKB, Write: write}})
 	return h, true
 }
 
@@ -139,34 +139,34 @@
 	if d.RejectUntil != nil {
 		if until, closed := d.RejectUntil(); closed {
 			d.Counters.RejectedNotAccepting++
-			return until - now, noWorkTaken, false
+			return until - now, reasonNotAccepting, false
 		}
 	}
-	if d.Admission != nil && repeatable(d.settings.Classes[class].Idempotency) { // the others are refused last
+	if d.Admission != nil && idempotent(d.settings.Classes[class].Idempotency) { // the others are refused last
 		if wait, ok := d.Admission.Admit(now, d.requests.Len()-1); !ok {
 			d.Counters.RejectedByAdmission++
-			return wait, notAdmitted, false
+			return wait, reasonNotAdmitted, false
 		}
 	}
 	return 0, "", true
 }
 
-// cooldown is the advice to stay away for so long, as far as the site gives any.
-func (d *Director) cooldown(wait time.Duration) time.Duration {
+// retryAfter is the advice to stay away for so long, as far as the site gives any.
+func (d *Director) retryAfter(wait time.Duration) time.Duration {
 	if !d.settings.SiteLimits.RetryAfterAllowed {
 		return 0
 	}
 	return max(0, min(wait, d.settings.SiteLimits.MaxRetryAfter))
 }
 
-// guard fails a request past its time. The module ends each by then; this only guards the rule of one answer
+// armDeadlineGuard fails a request past its time. The module ends each by then; this only guards the rule of one answer
 // against a fault.
-func (d *Director) guard(r *request) {
-	d.agenda.Schedule(&r.overdue, r.giveUp+d.limits.OverdueGracePeriod, func() {
+func (d *Director) armDeadlineGuard(r *request) {
+	d.timers.Schedule(&r.deadlineGuard, r.deadline+d.limits.OverdueGracePeriod, func() {
 		d.Counters.RequestsOverdue++
 		d.log.Error("request overdue: failed by the guard", zap.String("ref", r.Ref))
-		d.answer(r, Response{Outcome: Failed, Reason: overdue})
-		d.post(event{routing.RequestClosed{ID: uint32(r.handle)}, r})
+		d.respond(r, Response{Outcome: Failed, Reason: reasonOverdue})
+		d.postEvent(queuedEvent{routing.RequestClosed{ID: uint32(r.handle)}, r})
 	})
 }
 
@@ -174,21 +174,21 @@
 // taken back at once, also while all else is held: the client has gone, and nothing may be begun for it.
 func (d *Director) Cancel(h handle.Handle) {
 	r, ok := d.requests.Get(h)
-	if !ok || r.over {
+	if !ok || r.finished {
 		return
 	}
 	d.Counters.RequestsCancelled++
-	d.finish(r, withdrawn)
-	for _, out := range r.out {
-		d.takeBack(out)
+	d.finishRequest(r, reasonCancelledByClient)
+	for _, out := range r.inFlight {
+		d.cancelIfUnwritten(out)
 	}
-	d.post(event{routing.RequestClosed{ID: uint32(h)}, r})
+	d.postEvent(queuedEvent{routing.RequestClosed{ID: uint32(h)}, r})
 }
 
 // SetShutdownDeadline has everything answered by a time, as the program ends soon after: what is in hand, and what is still
 // taken. Who waits longer than that for a cache that hangs would be left without an answer.
 func (d *Director) SetShutdownDeadline(last routing.Time) {
-	d.last = last
+	d.shutdownDeadline = last
 	var open []handle.Handle
 	d.requests.All(func(h handle.Handle, _ *request) bool {
 		open = append(open, h)
@@ -202,27 +202,27 @@
 // Curtail has a request answered by a time, where it would be given up later.
 func (d *Director) ShortenDeadline(h handle.Handle, giveUp routing.Time) {
 	r, ok := d.requests.Get(h)
-	if !ok || r.over || r.giveUp <= giveUp {
+	if !ok || r.finished || r.deadline <= giveUp {
 		return
 	}
-	r.giveUp = giveUp
-	d.guard(r)
-	for _, out := range r.out {
+	r.deadline = giveUp
+	d.armDeadlineGuard(r)
+	for _, out := range r.inFlight {
 		if a, ok := d.attempts.Get(out); ok {
-			a.until = min(a.until, giveUp)
-			d.limit(out, a, r)
+			a.deadline = min(a.deadline, giveUp)
+			d.setAttemptDeadline(out, a, r)
 		}
 	}
-	d.post(event{ev: routing.ShortenDeadline{ID: uint32(h), Deadline: giveUp}})
+	d.postEvent(queuedEvent{routerEvent: routing.ShortenDeadline{ID: uint32(h), Deadline: giveUp}})
 }
 
-// post hands events to the router one after another. An action can bring the next event before it returns
+// postEvent hands events to the router one after another. An action can bring the next event before it returns
 // (a peer that fails at once, a client connection that dies under an answer), and the router's list of
 // actions holds only until its next event: so what comes meanwhile waits in line.
-func (d *Director) post(e event) {
-	d.queue = append(d.queue, e)
-	if !d.busy && !d.held {
-		d.drain()
+func (d *Director) postEvent(e queuedEvent) {
+	d.pendingEvents = append(d.pendingEvents, e)
+	if !d.dispatching && !d.suspended {
+		d.dispatchEvents()
 	}
 }
 
@@ -230,59 +230,59 @@
 // the servers is old, and the news that would put it right are still to be read. Answers go to their clients all
 // the same. Requests that are read until then may have waited for the whole pause: their clients have so much less left.
 func (d *Director) Suspend(pause time.Duration) {
-	d.held = true
-	d.unread = max(d.unread, pause)
-	d.peers.SuspendWrites()
+	d.suspended = true
+	d.pauseDuration = max(d.pauseDuration, pause)
+	d.upstream.SuspendWrites()
 }
 
 // Resume takes up what was held. Behind a long pause what comes from now on is let in as after a start.
 func (d *Director) Resume(long bool) {
-	d.held, d.unread = false, 0
+	d.suspended, d.pauseDuration = false, 0
 	if d.Admission != nil && long {
 		d.Admission.Restart(d.now())
 	}
-	if !d.busy {
-		d.drain()
+	if !d.dispatching {
+		d.dispatchEvents()
 	}
-	d.peers.ResumeWrites()
+	d.upstream.ResumeWrites()
 }
 
-// drain hands the queue to the router.
-func (d *Director) drain() {
-	d.busy = true
-	for i := 0; i < len(d.queue); i++ {
-		e := d.queue[i]
-		for _, a := range d.router.Handle(d.now(), e.ev) {
-			d.act(a)
+// dispatchEvents hands the queue to the router.
+func (d *Director) dispatchEvents() {
+	d.dispatching = true
+	for i := 0; i < len(d.pendingEvents); i++ {
+		e := d.pendingEvents[i]
+		for _, a := range d.router.Handle(d.now(), e.routerEvent) {
+			d.performAction(a)
 		}
-		if e.last != nil {
-			d.free(e.last)
+		if e.finishedRequest != nil {
+			d.releaseRequest(e.finishedRequest)
 		}
 	}
-	clear(d.queue)
-	d.queue, d.busy = d.queue[:0], false
+	clear(d.pendingEvents)
+	d.pendingEvents, d.dispatching = d.pendingEvents[:0], false
 }
 
-func (d *Director) act(action routing.Action) {
+func (d *Director) performAction(action routing.Action) {
 	switch a := action.(type) {
 	case routing.Fetch:
 		up := a.Source
 		if up == a.Host {
 			up = 0
 		}
-		d.send(a.ID, a.Host, up, a.Timeout, UpstreamRequest{RetentionRank: a.RetentionRank, FetchFlags: a.Flags, MaxAge: a.MaxAge, IdempotencyWindowEnd: a.IdempotencyWindowEnd})
+		d.sendAttempt(a.ID, a.Host, up, a.Timeout, UpstreamRequest{RetentionRank: a.RetentionRank, FetchFlags: a.Flags, MaxAge: a.MaxAge, IdempotencyWindowEnd: a.IdempotencyWindowEnd})
 	case routing.Forward:
-		d.send(a.ID, a.Host, 0, a.Timeout, UpstreamRequest{IdempotencyWindowEnd: a.IdempotencyWindowEnd})
+		d.sendAttempt(a.ID, a.Host, 0, a.Timeout, UpstreamRequest{IdempotencyWindowEnd: a.IdempotencyWindowEnd})
 	case routing.Cancel:
 		if r, ok := d.requests.Get(handle.Handle(a.ID)); ok {
-			d.cancel(r, a.Attempt)
+			d.cancelAttempt(r, a.Attempt)
 		}
 	case routing.Reject:
-		d.end(a.ID, Response{Outcome: Rejected, RetryAfter: a.RetryAfter, Reason: flightrecorder.Reason(a.Reason)})
+		d.respondByID(a.ID, Response{Outcome: Rejected, RetryAfter: a.RetryAfter, Reason: flightrecorder.Reason(a.Reason)})
 	case routing.Fail:
-		d.end(a.ID, Response{Outcome: Failed, Reason: flightrecorder.Reason(a.Reason)})
+		d.respondByID(a.ID, Response{Outcome: Failed, Reason: flightrecorder.Reason(a.Reason)})
 	case routing.SetTimer:
-		d.agenda.ScheduleFunc(a.At, func() { d.post(event{ev: routing.TimerFired{Token: a.Token}}) })
+		d.timers.ScheduleFunc(a.At, func() { d.postEvent(queuedEvent{routerEvent: routing.TimerFired{Token: a.Token}}) })
 	case routing.Log:
 		d.log.Info(a.Message)
 	default: // probes, peer messages and discovery calls: this deployment has none of them
@@ -290,19 +290,19 @@
 	}
 }
 
-// end is the router's final answer.
-func (d *Director) end(id uint32, a Response) {
+// respondByID is the router's final answer.
+func (d *Director) respondByID(id uint32, a Response) {
 	r, ok := d.requests.Get(handle.Handle(id))
-	if !ok || r.over {
+	if !ok || r.finished {
 		return
 	}
-	d.answer(r, a)
+	d.respond(r, a)
 	// The router may still call off attempts of the request in this round, so its slot is freed behind it.
-	d.post(event{routing.RequestClosed{ID: id}, r})
+	d.postEvent(queuedEvent{routing.RequestClosed{ID: id}, r})
 }
 
-// answer gives the client its one answer.
-func (d *Director) answer(r *request, a Response) {
+// respond gives the client its one respond.
+func (d *Director) respond(r *request, a Response) {
 	switch a.Outcome {
 	case Served:
 		d.Counters.RequestsServed++
@@ -311,25 +311,25 @@
 	default:
 		d.Counters.RequestsFailed++
 	}
-	if d.Admission != nil && r.let {
-		d.Admission.RecordAnswer(a.Outcome == Served, d.now()-r.since)
+	if d.Admission != nil && r.admitted {
+		d.Admission.RecordAnswer(a.Outcome == Served, d.now()-r.acceptedAt)
 	}
-	d.finish(r, a.Reason)
-	r.reply.Reply(r.token, a)
+	d.finishRequest(r, a.Reason)
+	r.replier.Reply(r.token, a)
 }
 
-// finish ends a request, for a reason.
-func (d *Director) finish(r *request, why flightrecorder.Reason) {
+// finishRequest ends a request, for a reason.
+func (d *Director) finishRequest(r *request, why flightrecorder.Reason) {
 	d.FlightRecorder.Record(flightrecorder.Event{At: d.now(), Kind: flightrecorder.RequestEnded, Reason: why, Conn: r.ConnID, Request: uint32(r.handle)})
-	r.over = true
-	d.agenda.Cancel(&r.overdue)
+	r.finished = true
+	d.timers.Cancel(&r.deadlineGuard)
 }
 
-// free gives the slot back when the router has seen the request's end. By then it has called off all
+// releaseRequest gives the slot back when the router has seen the request's end. By then it has called off all
 // attempts; what the site does not let it call off is dropped here.
-func (d *Director) free(r *request) {
-	for no := range r.out {
-		d.cancel(r, no)
+func (d *Director) releaseRequest(r *request) {
+	for no := range r.inFlight {
+		d.cancelAttempt(r, no)
 	}
 	r.Body.Release()
 	d.requests.Remove(r.handle)
--- a/internal/director/news.go
+++ b/internal/director/news.go
@@ -10,7 +10,7 @@
 
 // What the list of servers tells: members and purges.
 
-const mostLogged = 8 // entries of one event
+const maxLoggedEntries = 8 // entries of one event
 
 // Members takes a change of the list of servers; full: what is not in it has gone.
 func (d *Director) UpdateEndpoints(full bool, version uint64, list []Endpoint) {
@@ -23,34 +23,34 @@
 	}
 	for i, e := range list {
 		d.Counters.EndpointEntries++
-		if !full && i < mostLogged { // the news of a release, not the list of a start
+		if !full && i < maxLoggedEntries { // the news of a release, not the list of a start
 			d.log.Info("member", zap.String("member", e.Name), zap.String("address", e.Address), zap.Uint8("state", uint8(e.State)))
 		}
-		e.Host = hostOf(e.Name)
+		e.Host = hostForName(e.Name)
 		seen[e.Host] = true
 		m.Endpoints = append(m.Endpoints, e.Endpoint)
-		left[e.Host] = e.State != routing.Ready || d.names[e.Host] != member{e.Name, e.Started}
+		left[e.Host] = e.State != routing.Ready || d.incarnations[e.Host] != incarnation{e.Name, e.Started}
 		if e.State == routing.Gone {
-			delete(d.names, e.Host)
+			delete(d.incarnations, e.Host)
 			continue
 		}
-		d.names[e.Host] = member{e.Name, e.Started}
-		d.peers.UpdateEndpoint(e.Host, e.Name, e.Address, e.Started)
+		d.incarnations[e.Host] = incarnation{e.Name, e.Started}
+		d.upstream.UpdateEndpoint(e.Host, e.Name, e.Address, e.Started)
 	}
-	d.news(m)
-	d.recall(func(a *attempt, _ *request) bool {
-		return left[a.host] || left[a.up] || full && (!seen[a.host] || a.up != 0 && !seen[a.up])
+	d.postDiscoveryEvent(m)
+	d.cancelOvertaken(func(a *attempt, _ *request) bool {
+		return left[a.host] || left[a.source] || full && (!seen[a.host] || a.source != 0 && !seen[a.source])
 	})
 	for _, e := range m.Endpoints {
 		if e.State == routing.Gone {
-			d.peers.RemoveEndpoint(e.Host)
+			d.upstream.RemoveEndpoint(e.Host)
 		}
 	}
 	if full {
-		for h := range d.names {
+		for h := range d.incarnations {
 			if !seen[h] {
-				delete(d.names, h)
-				d.peers.RemoveEndpoint(h)
+				delete(d.incarnations, h)
+				d.upstream.RemoveEndpoint(h)
 			}
 		}
 	}
@@ -59,29 +59,29 @@
 // Purge takes a purge. How old it is follows from when it was made on our clock: a stamp of the feed's says nothing here.
 func (d *Director) Purge(p Purge) {
 	d.Counters.PurgeEvents++
-	d.news(routing.Purge{Age: max(0, d.now()-p.IssuedAt), Group: p.Group, Object: p.ObjectKey})
-	d.recall(func(_ *attempt, r *request) bool {
+	d.postDiscoveryEvent(routing.Purge{Age: max(0, d.now()-p.IssuedAt), Group: p.Group, Object: p.ObjectKey})
+	d.cancelOvertaken(func(_ *attempt, r *request) bool {
 		return r.ObjectKey == p.ObjectKey || p.ObjectKey == 0 && r.Group == p.Group
 	})
 }
 
-// hostOf turns a member's name into the module's address. It hangs on the name alone: all directors must
+// hostForName turns a member's name into the module's address. It hangs on the name alone: all directors must
 // rank the same, a process that restarts under its name stays the same server, and a new one at an old
 // address is another.
-func hostOf(name string) routing.Host {
+func hostForName(name string) routing.Host {
 	h := fnv.New64a()
 	h.Write([]byte(name))
 	v := h.Sum64()
 	return routing.Host((v ^ v>>48) & (1<<48 - 1))
 }
 
-// news gives the router what the list service tells, also while all else is held.
-func (d *Director) news(ev routing.Event) {
-	if d.busy || !d.held {
-		d.post(event{ev: ev})
+// postDiscoveryEvent gives the router what the list service tells, also while all else is held.
+func (d *Director) postDiscoveryEvent(ev routing.Event) {
+	if d.dispatching || !d.suspended {
+		d.postEvent(queuedEvent{routerEvent: ev})
 		return
 	}
 	for _, a := range d.router.Handle(d.now(), ev) {
-		d.act(a)
+		d.performAction(a)
 	}
 }
--- a/internal/director/types.go
+++ b/internal/director/types.go
@@ -47,12 +47,12 @@
 
 // Why requests end, where neither an answer nor the router says so.
 const (
-	served      flightrecorder.Reason = "served"
-	withdrawn   flightrecorder.Reason = "the client no longer waits"
-	overdue     flightrecorder.Reason = "overdue: failed by the guard"
-	noWorkTaken flightrecorder.Reason = "no work is taken"
-	readTooLate flightrecorder.Reason = "its time may have been over when it was read"
-	notAdmitted flightrecorder.Reason = "too much is in hand behind a start or a pause"
+	reasonServed            flightrecorder.Reason = "served"
+	reasonCancelledByClient flightrecorder.Reason = "the client no longer waits"
+	reasonOverdue           flightrecorder.Reason = "overdue: failed by the guard"
+	reasonNotAccepting      flightrecorder.Reason = "no work is taken"
+	reasonExpiredUnread     flightrecorder.Reason = "its time may have been over when it was read"
+	reasonNotAdmitted       flightrecorder.Reason = "too much is in hand behind a start or a pause"
 )
 
 // Replier takes the answer to a request that it has submitted under a token. It is called once, unless the
