--- a/internal/director/attempts.go
+++ b/internal/director/attempts.go
@@ -9,61 +9,27 @@
 	"shaleyard/routing"
 )
 
-// Attempts: how they are sent, given up and ended.
-
+// attempt is one try of a request at a server, from when it is sent until its result is known.
 type attempt struct {
 	requestHandle handle.Handle
-	number        int
-	host, source  routing.Host // up: the source; 0: none
+	number        int // within its request, from 0
+	host          routing.Host
+	source        routing.Host // where a miss is filled from; 0: not filled
 	sentAt        routing.Time
-	deadline      routing.Time // when it is given up
+	deadline      routing.Time // when it is cancelled
 	deadlineTimer timer.Timer
 }
 
-// cancelOvertaken takes back the attempts of which nothing has been written and that news have overtaken since they were
-// decided: they may wait for a connection for longer than the rules leave. The router decides anew.
-func (d *Director) cancelOvertaken(overtaken func(*attempt, *request) bool) {
-	var list []handle.Handle
-	d.attempts.All(func(h handle.Handle, a *attempt) bool {
-		if r, ok := d.requests.Get(a.requestHandle); ok && overtaken(a, r) {
-			list = append(list, h)
-		}
-		return true
-	})
-	for _, h := range list {
-		d.cancelIfUnwritten(h)
-	}
-}
-
-// cancelIfUnwritten gives an attempt up if nothing of it has been written: it never ran.
-func (d *Director) cancelIfUnwritten(h handle.Handle) {
-	a, ok := d.attempts.Get(h)
-	if !ok || !d.upstream.CancelIfUnwritten(h) {
-		return
-	}
-	d.Counters.AttemptsCancelledUnwritten++
-	r, _ := d.requests.Get(a.requestHandle)
-	d.endAttempt(h, a, r, AttemptResult{Result: routing.Abandoned})
-}
-
-// sendAttempt starts an attempt. One for a request that is over never leaves.
-func (d *Director) sendAttempt(id uint32, host, up routing.Host, timeout time.Duration, c UpstreamRequest) {
+// sendAttempt starts an attempt, for which it completes the upstream request. An attempt of a request that has ended, or
+// that has no time left, is abandoned instead.
+func (d *Director) sendAttempt(id uint32, host, source routing.Host, timeout time.Duration, upstreamRequest UpstreamRequest) {
 	r, ok := d.requests.Get(handle.Handle(id))
 	if !ok {
 		d.Counters.UnknownActions++
 		return
 	}
-	now := d.now()
-	a := &attempt{requestHandle: r.handle, number: r.nextAttempt, host: host, source: up, sentAt: now}
-	r.nextAttempt++
-	a.deadline = r.deadline
-	if timeout > 0 {
-		a.deadline = min(a.deadline, now+timeout)
-	}
-	h, ok := handle.Handle(0), false
-	if !r.finished && a.deadline > now {
-		h, ok = d.attempts.Add(a)
-	}
+	a := d.newAttempt(r, host, source, timeout)
+	h, ok := d.addAttempt(r, a)
 	if !ok {
 		d.Counters.AttemptsAbandoned++
 		d.postAttemptEnd(r, a, AttemptResult{Result: routing.Abandoned})
@@ -73,38 +39,65 @@
 	d.recordAttempt(flightrecorder.AttemptSent, a, "")
 	r.inFlight[a.number] = h
 	d.setAttemptDeadline(h, a, r)
-	c.Request, c.Timeout = &r.Request, a.deadline-now
-	c.NonIdempotent = !idempotent(d.settings.Classes[r.Class].Idempotency)
-	if up != 0 {
-		c.Source = d.incarnations[up].name
+
+	upstreamRequest.Request = &r.Request
+	upstreamRequest.Timeout = a.deadline - a.sentAt
+	upstreamRequest.NonIdempotent = !idempotent(d.settings.Classes[r.Class].Idempotency)
+	if source != 0 {
+		upstreamRequest.Source = d.incarnations[source].name
+	}
+	d.upstream.Send(h, host, upstreamRequest)
+}
+
+// newAttempt returns the request's next attempt. Its deadline is the request's, or earlier by its own timeout; 0: none.
+func (d *Director) newAttempt(r *request, host, source routing.Host, timeout time.Duration) *attempt {
+	a := &attempt{
+		requestHandle: r.handle,
+		number:        r.nextAttempt,
+		host:          host,
+		source:        source,
+		sentAt:        d.now(),
+		deadline:      r.deadline,
 	}
-	d.upstream.Send(h, host, c)
+	r.nextAttempt++
+	if timeout > 0 {
+		a.deadline = min(a.deadline, a.sentAt+timeout)
+	}
+	return a
 }
 
-// recordAttempt keeps what happens to an attempt.
-func (d *Director) recordAttempt(kind flightrecorder.Kind, a *attempt, why flightrecorder.Reason) {
-	d.FlightRecorder.Record(flightrecorder.Event{At: d.now(), Kind: kind, Reason: why, Request: uint32(a.requestHandle), Attempt: a.number, Host: a.host})
+// addAttempt gives an attempt its handle; false if it must not be sent.
+func (d *Director) addAttempt(r *request, a *attempt) (handle.Handle, bool) {
+	if r.finished || a.deadline <= a.sentAt {
+		return 0, false
+	}
+	return d.attempts.Add(a)
 }
 
-// idempotent tells whether what may have run may be sent again at all. An effect that is not known counts as one that
-// must not run twice, as in the rules.
-func idempotent(effect string) bool { return effect == "read_like" || effect == "idempotency_key" }
+// idempotent tells whether an attempt that may have run can be repeated at all. An idempotency that is not known counts as
+// none, as it does in the router.
+func idempotent(idempotency string) bool {
+	return idempotency == "read_like" || idempotency == "idempotency_key"
+}
 
-// setAttemptDeadline sets the time at which an attempt is given up.
+// setAttemptDeadline has an attempt cancelled at its deadline.
 func (d *Director) setAttemptDeadline(h handle.Handle, a *attempt, r *request) {
-	d.timers.Schedule(&a.deadlineTimer, a.deadline, func() {
-		d.Counters.AttemptsTimedOut++
-		result := routing.TimedOut
-		if !d.upstream.Cancel(h) {
-			result = routing.ConnectFailed // nothing of it was written: it never ran
-		}
-		d.endAttempt(h, a, r, AttemptResult{Result: result})
-	})
+	d.timers.Schedule(&a.deadlineTimer, a.deadline, func() { d.timeOut(h, a, r) })
 }
 
-// cancelAttempt gives an attempt up. One of which nothing was written provably never ran.
-func (d *Director) cancelAttempt(r *request, no int) {
-	h, ok := r.inFlight[no]
+// timeOut ends an attempt at its deadline. One of which nothing was written counts as a failure to connect: it never ran.
+func (d *Director) timeOut(h handle.Handle, a *attempt, r *request) {
+	d.Counters.AttemptsTimedOut++
+	result := routing.TimedOut
+	if written := d.upstream.Cancel(h); !written {
+		result = routing.ConnectFailed
+	}
+	d.endAttempt(h, a, r, AttemptResult{Result: result})
+}
+
+// cancelAttempt cancels an attempt of a request, if it is in flight. One of which nothing was written never ran.
+func (d *Director) cancelAttempt(r *request, number int) {
+	h, ok := r.inFlight[number]
 	if !ok {
 		return
 	}
@@ -114,50 +107,99 @@
 	}
 	d.Counters.AttemptsCancelled++
 	result := routing.Cancelled
-	if !d.upstream.Cancel(h) {
+	if written := d.upstream.Cancel(h); !written {
 		result = routing.Abandoned
 	}
 	d.endAttempt(h, a, r, AttemptResult{Result: result})
 }
 
-// Ended takes the end of an attempt from its peer. One that has ended before is dropped.
-func (d *Director) AttemptEnded(h handle.Handle, e AttemptResult) {
+// cancelOvertaken cancels the attempts that a discovery event has overtaken, if nothing of them has been written: they may wait
+// for a connection for longer than the rules allow after such an event. The router decides anew.
+func (d *Director) cancelOvertaken(overtaken func(*attempt, *request) bool) {
+	var handles []handle.Handle
+	d.attempts.All(func(h handle.Handle, a *attempt) bool {
+		if r, ok := d.requests.Get(a.requestHandle); ok && overtaken(a, r) {
+			handles = append(handles, h)
+		}
+		return true
+	})
+	for _, h := range handles {
+		d.cancelIfUnwritten(h)
+	}
+}
+
+// cancelIfUnwritten cancels an attempt of which nothing has been written: it never ran. Any other goes on.
+func (d *Director) cancelIfUnwritten(h handle.Handle) {
+	a, ok := d.attempts.Get(h)
+	if !ok || !d.upstream.CancelIfUnwritten(h) {
+		return
+	}
+	d.Counters.AttemptsCancelledUnwritten++
+	r, _ := d.requests.Get(a.requestHandle)
+	d.endAttempt(h, a, r, AttemptResult{Result: routing.Abandoned})
+}
+
+// AttemptEnded takes the result of an attempt from the upstream side. The result of one that has ended before is dropped.
+func (d *Director) AttemptEnded(h handle.Handle, result AttemptResult) {
 	a, ok := d.attempts.Get(h)
 	if !ok {
 		d.Counters.AttemptsEndedLate++
-		e.Body.Release()
+		result.Body.Release()
 		return
 	}
 	r, _ := d.requests.Get(a.requestHandle)
-	d.endAttempt(h, a, r, e)
+	d.endAttempt(h, a, r, result)
 }
 
-// endAttempt ends an attempt: a first OK goes to the client at once and ends the request.
-func (d *Director) endAttempt(h handle.Handle, a *attempt, r *request, e AttemptResult) {
+// endAttempt ends an attempt. The request's first good result goes to the client at once, and ends the request.
+func (d *Director) endAttempt(h handle.Handle, a *attempt, r *request, result AttemptResult) {
 	d.timers.Cancel(&a.deadlineTimer)
 	d.attempts.Remove(h)
 	delete(r.inFlight, a.number)
 	d.Counters.AttemptsEnded++
-	d.recordAttempt(flightrecorder.AttemptEnded, a, flightrecorder.Reason(e.Result.String()))
-	d.Counters.Results[e.Result]++
-	d.Counters.FillStatuses[e.FillStatus]++
-	if e.Result == routing.OK && !r.finished {
-		d.respond(r, Response{Outcome: Served, NotModified: e.NotModified, Body: &e.Body, Reason: reasonServed})
-		e.Body.Release()
-		d.postAttemptEnd(r, a, e)
-		return
+	d.recordAttempt(flightrecorder.AttemptEnded, a, flightrecorder.Reason(result.Result.String()))
+	d.Counters.Results[result.Result]++
+	d.Counters.FillStatuses[result.FillStatus]++
+	if result.Result == routing.OK && !r.finished {
+		d.respond(r, Response{
+			Outcome:     Served,
+			NotModified: result.NotModified,
+			Body:        &result.Body,
+			Reason:      ReasonServed,
+		})
 	}
-	e.Body.Release()
-	d.postAttemptEnd(r, a, e)
+	result.Body.Release()
+	d.postAttemptEnd(r, a, result)
 }
 
-// postAttemptEnd tells the router how an attempt ended, and for the request's last one frees its slot behind it.
-func (d *Director) postAttemptEnd(r *request, a *attempt, e AttemptResult) {
-	o := routing.Outcome{ID: uint32(r.handle), Attempt: a.number, Host: a.host, Result: e.Result,
-		Elapsed: d.now() - a.sentAt, RequestDone: r.finished, FillStatus: e.FillStatus, SourceWait: e.SourceWait, LoadReport: e.LoadReport}
-	ev := queuedEvent{routerEvent: o}
-	if e.Result == routing.OK && r.finished {
-		ev.finishedRequest = r
+// postAttemptEnd tells the router how an attempt ended. A good result ends its request, whose slot is then released.
+func (d *Director) postAttemptEnd(r *request, a *attempt, result AttemptResult) {
+	outcome := routing.Outcome{
+		ID:          uint32(r.handle),
+		Attempt:     a.number,
+		Host:        a.host,
+		Result:      result.Result,
+		Elapsed:     d.now() - a.sentAt,
+		RequestDone: r.finished,
+		FillStatus:  result.FillStatus,
+		SourceWait:  result.SourceWait,
+		LoadReport:  result.LoadReport,
+	}
+	if result.Result == routing.OK && r.finished {
+		d.postLastEvent(outcome, r)
+		return
 	}
-	d.postEvent(ev)
+	d.postEvent(outcome)
+}
+
+// recordAttempt records what happens to an attempt.
+func (d *Director) recordAttempt(kind flightrecorder.Kind, a *attempt, reason flightrecorder.Reason) {
+	d.FlightRecorder.Record(flightrecorder.Event{
+		At:      d.now(),
+		Kind:    kind,
+		Reason:  reason,
+		Request: uint32(a.requestHandle),
+		Attempt: a.number,
+		Host:    a.host,
+	})
 }
--- a/internal/director/director.go
+++ b/internal/director/director.go
@@ -1,9 +1,12 @@
-// Package director drives the decision module: it turns what fronts, peers and the control feed report
-// into the router's events, and the router's actions into calls on them. It knows no protocol and no
-// socket. Whoever takes requests hands them to Submit and gets one answer each through its Replier, so that
-// any number of protocols can stand before the same decisions and rules.
+// Package director drives the routing decisions of internal routing for one process. It turns what the client side, the
+// upstream side and service discovery report into events of a routing.Router, and carries out the actions that the router
+// answers with. It knows no protocol and no socket: requests come in through Submit, and each gets one response through its
+// Replier, so that any number of protocols can share the same decisions.
 //
-// All of it runs on the event loop; nothing here is safe for concurrent use.
+// A request and each of its attempts is known by a generational handle, so that a result that comes late finds nothing.
+// Every request has a deadline, which the router enforces; a guard timer enforces it if the router should fail to.
+//
+// Everything here runs on the event loop; nothing is safe for concurrent use.
 package director
 
 import (
@@ -20,16 +23,17 @@
 	"shaleyard/routing"
 )
 
-// Director drives one router.
+// Director drives one router. Its exported fields are set before the first event.
 type Director struct {
+	// Counters count requests, attempts and discovery events since the start.
 	Counters Counters
-	// RejectUntil, where set, tells that work is refused for now, and until when a client may stay away.
+	// RejectUntil, where set, tells whether requests are rejected for now, and until when clients should stay away.
 	RejectUntil func() (until routing.Time, closed bool)
-	// CheckForPause, where set, notices whether the process has just stood still, and calls Hold if so.
+	// CheckForPause, where set, is called as a request comes in. It calls Suspend if the process has just stood still.
 	CheckForPause func()
 	// FlightRecorder keeps what happens to requests and attempts; nil: nothing is kept.
 	FlightRecorder *flightrecorder.Recorder
-	// Admission, where set, is the pace at which work is taken after a start or a pause.
+	// Admission, where set, limits the requests in flight after a start or a long pause.
 	Admission *overload.Admission
 
 	router   *routing.Router
@@ -40,297 +44,49 @@
 	now      func() routing.Time
 	log      *zap.Logger
 
-	requests         *handle.Table[*request]
-	attempts         *handle.Table[*attempt]
-	incarnations     map[routing.Host]incarnation
-	shutdownDeadline routing.Time // when all is to be answered, as the program ends; 0: it goes on
-	pendingEvents    []queuedEvent
-	dispatching      bool
-	suspended        bool          // only news are taken; all else waits in the queue
-	pauseDuration    time.Duration // for so long what is read now may have waited unread, while the process stood still
-}
-
-// incarnation is what is kept of an entry of the list.
-type incarnation struct {
-	name      string
-	startedAt routing.Time
-}
+	requests     *handle.Table[*request]
+	attempts     *handle.Table[*attempt]
+	incarnations map[routing.Host]incarnation // of the endpoints that are listed
 
-type request struct {
-	Request
-	handle        handle.Handle
-	replier       Replier
-	token         uint64
-	deadline      routing.Time
-	deadlineGuard timer.Timer
-	acceptedAt    routing.Time          // when it was taken
-	admitted      bool                  // let in by the admission, which hears of its end
-	nextAttempt   int                   // number of the next attempt
-	inFlight      map[int]handle.Handle // attempts out by number
-	finished      bool
-}
+	// shutdownDeadline is when every request must have been answered, as the process ends soon after; 0: it goes on.
+	shutdownDeadline routing.Time
 
-// queuedEvent is a router's queuedEvent, and the request whose slot is free once the router has seen it.
-type queuedEvent struct {
-	routerEvent     routing.Event
-	finishedRequest *request
+	pendingEvents []queuedEvent
+	dispatching   bool // the router's actions are being carried out
+	suspended     bool // the router is given discovery events only
+	// pauseDuration is how long what is read now may have waited unread while the process stood still.
+	pauseDuration time.Duration
 }
 
-// New returns a director for the settings, within the limits.
-func New(s *routing.Settings, seed uint64, l *config.Limits, agenda *timer.Queue, now func() routing.Time,
+// New returns a director for the settings, within the limits. It fails if the router does not accept the settings.
+func New(settings *routing.Settings, seed uint64, limits *config.Limits, timers *timer.Queue, now func() routing.Time,
 	log *zap.Logger) (*Director, error) {
-	r, err := routing.New(*s, seed)
+	router, err := routing.New(*settings, seed)
 	if err != nil {
 		return nil, err
 	}
-	return &Director{router: r, settings: s, limits: l, timers: agenda, now: now, log: log,
-		requests: handle.NewTable[*request](l.MaxOpenRequests), attempts: handle.NewTable[*attempt](handle.MaxEntries),
-		incarnations: map[routing.Host]incarnation{}}, nil
+	return &Director{
+		router:       router,
+		settings:     settings,
+		limits:       limits,
+		timers:       timers,
+		now:          now,
+		log:          log,
+		requests:     handle.NewTable[*request](limits.MaxOpenRequests),
+		attempts:     handle.NewTable[*attempt](handle.MaxEntries),
+		incarnations: map[routing.Host]incarnation{},
+	}, nil
 }
 
-// SetSiteOptions sets what is done when whole sites are lost; it comes before the first event.
-func (d *Director) SetSiteOptions(o sitehealth.Options) { d.router.SetSiteOptions(o) }
+// SetUpstream sets where attempts are sent. It must be called before the first event.
+func (d *Director) SetUpstream(upstream Upstream) { d.upstream = upstream }
 
-// SiteCounters counts what was seen of whole sites.
-func (d *Director) SiteCounters() sitehealth.Counters { return d.router.SiteCounters() }
+// SetSiteOptions sets what the router does when whole sites are lost. It must be called before the first event.
+func (d *Director) SetSiteOptions(options sitehealth.Options) { d.router.SetSiteOptions(options) }
 
-// SetUpstream names the peers; it comes before the first event.
-func (d *Director) SetUpstream(p Upstream) { d.upstream = p }
+// SiteCounters returns the counters of the health of whole sites.
+func (d *Director) SiteCounters() sitehealth.Counters { return d.router.SiteCounters() }
 
-// OpenRequests is the number of requests taken and not answered.
+// OpenRequests returns the number of requests that hold a slot: those not answered yet, and those of which the router has
+// not seen the end.
 func (d *Director) OpenRequests() int { return d.requests.Len() }
-
-// Submit takes a request; false: there is no room, nothing was taken, and the caller refuses it.
-func (d *Director) Submit(q Request, reply Replier, token uint64) (handle.Handle, bool) {
-	r := &request{Request: q, replier: reply, token: token, inFlight: map[int]handle.Handle{}}
-	h, ok := d.requests.Add(r)
-	if !ok {
-		return 0, false
-	}
-	if d.CheckForPause != nil {
-		d.CheckForPause()
-	}
-	now := d.now()
-	r.handle, r.deadline, r.acceptedAt = h, now+max(0, q.Timeout-d.pauseDuration), now
-	if d.shutdownDeadline != 0 {
-		r.deadline = min(r.deadline, max(d.shutdownDeadline, now))
-	}
-	d.Counters.RequestsAccepted++
-	d.FlightRecorder.Record(flightrecorder.Event{At: now, Kind: flightrecorder.RequestAccepted, Conn: q.ConnID, Request: uint32(h)})
-	wait, why, ok := d.admit(now, q.Class)
-	if ok && r.deadline <= now {
-		wait, why, ok = d.limits.ShutdownRetryAfter, reasonExpiredUnread, false
-	}
-	if !ok {
-		d.respond(r, Response{Outcome: Rejected, RetryAfter: d.retryAfter(wait), Reason: why})
-		d.releaseRequest(r)
-		return h, true
-	}
-	r.admitted = true
-	d.armDeadlineGuard(r)
-	write := q.Class < len(d.settings.Tiers.Uncacheable) && d.settings.Tiers.Uncacheable[q.Class]
-	d.postEvent(queuedEvent{routerEvent: routing.Request{ID: uint32(h), Class: q.Class, Object: q.ObjectKey, Part: q.PartNumber,
-		Group: q.Group, Deadline: r.deadline, SizeKB: q.SizeKB, Write: write}})
-	return h, true
-}
-
-// admit tells whether a request is taken, and if not, for how long its client may as well stay away.
-func (d *Director) admit(now routing.Time, class int) (wait time.Duration, why flightrecorder.Reason, ok bool) {
-	if d.RejectUntil != nil {
-		if until, closed := d.RejectUntil(); closed {
-			d.Counters.RejectedNotAccepting++
-			return until - now, reasonNotAccepting, false
-		}
-	}
-	if d.Admission != nil && idempotent(d.settings.Classes[class].Idempotency) { // the others are refused last
-		if wait, ok := d.Admission.Admit(now, d.requests.Len()-1); !ok {
-			d.Counters.RejectedByAdmission++
-			return wait, reasonNotAdmitted, false
-		}
-	}
-	return 0, "", true
-}
-
-// retryAfter is the advice to stay away for so long, as far as the site gives any.
-func (d *Director) retryAfter(wait time.Duration) time.Duration {
-	if !d.settings.SiteLimits.RetryAfterAllowed {
-		return 0
-	}
-	return max(0, min(wait, d.settings.SiteLimits.MaxRetryAfter))
-}
-
-// armDeadlineGuard fails a request past its time. The module ends each by then; this only guards the rule of one answer
-// against a fault.
-func (d *Director) armDeadlineGuard(r *request) {
-	d.timers.Schedule(&r.deadlineGuard, r.deadline+d.limits.OverdueGracePeriod, func() {
-		d.Counters.RequestsOverdue++
-		d.log.Error("request overdue: failed by the guard", zap.String("ref", r.Ref))
-		d.respond(r, Response{Outcome: Failed, Reason: reasonOverdue})
-		d.postEvent(queuedEvent{routing.RequestClosed{ID: uint32(r.handle)}, r})
-	})
-}
-
-// Withdraw ends a request whose client no longer waits: no answer is owed. What waits to be written for it is
-// taken back at once, also while all else is held: the client has gone, and nothing may be begun for it.
-func (d *Director) Cancel(h handle.Handle) {
-	r, ok := d.requests.Get(h)
-	if !ok || r.finished {
-		return
-	}
-	d.Counters.RequestsCancelled++
-	d.finishRequest(r, reasonCancelledByClient)
-	for _, out := range r.inFlight {
-		d.cancelIfUnwritten(out)
-	}
-	d.postEvent(queuedEvent{routing.RequestClosed{ID: uint32(h)}, r})
-}
-
-// SetShutdownDeadline has everything answered by a time, as the program ends soon after: what is in hand, and what is still
-// taken. Who waits longer than that for a cache that hangs would be left without an answer.
-func (d *Director) SetShutdownDeadline(last routing.Time) {
-	d.shutdownDeadline = last
-	var open []handle.Handle
-	d.requests.All(func(h handle.Handle, _ *request) bool {
-		open = append(open, h)
-		return true
-	})
-	for _, h := range open {
-		d.ShortenDeadline(h, last)
-	}
-}
-
-// Curtail has a request answered by a time, where it would be given up later.
-func (d *Director) ShortenDeadline(h handle.Handle, giveUp routing.Time) {
-	r, ok := d.requests.Get(h)
-	if !ok || r.finished || r.deadline <= giveUp {
-		return
-	}
-	r.deadline = giveUp
-	d.armDeadlineGuard(r)
-	for _, out := range r.inFlight {
-		if a, ok := d.attempts.Get(out); ok {
-			a.deadline = min(a.deadline, giveUp)
-			d.setAttemptDeadline(out, a, r)
-		}
-	}
-	d.postEvent(queuedEvent{routerEvent: routing.ShortenDeadline{ID: uint32(h), Deadline: giveUp}})
-}
-
-// postEvent hands events to the router one after another. An action can bring the next event before it returns
-// (a peer that fails at once, a client connection that dies under an answer), and the router's list of
-// actions holds only until its next event: so what comes meanwhile waits in line.
-func (d *Director) postEvent(e queuedEvent) {
-	d.pendingEvents = append(d.pendingEvents, e)
-	if !d.dispatching && !d.suspended {
-		d.dispatchEvents()
-	}
-}
-
-// Suspend keeps everything but news from the router, until Release: behind a pause of the process what it believes of
-// the servers is old, and the news that would put it right are still to be read. Answers go to their clients all
-// the same. Requests that are read until then may have waited for the whole pause: their clients have so much less left.
-func (d *Director) Suspend(pause time.Duration) {
-	d.suspended = true
-	d.pauseDuration = max(d.pauseDuration, pause)
-	d.upstream.SuspendWrites()
-}
-
-// Resume takes up what was held. Behind a long pause what comes from now on is let in as after a start.
-func (d *Director) Resume(long bool) {
-	d.suspended, d.pauseDuration = false, 0
-	if d.Admission != nil && long {
-		d.Admission.Restart(d.now())
-	}
-	if !d.dispatching {
-		d.dispatchEvents()
-	}
-	d.upstream.ResumeWrites()
-}
-
-// dispatchEvents hands the queue to the router.
-func (d *Director) dispatchEvents() {
-	d.dispatching = true
-	for i := 0; i < len(d.pendingEvents); i++ {
-		e := d.pendingEvents[i]
-		for _, a := range d.router.Handle(d.now(), e.routerEvent) {
-			d.performAction(a)
-		}
-		if e.finishedRequest != nil {
-			d.releaseRequest(e.finishedRequest)
-		}
-	}
-	clear(d.pendingEvents)
-	d.pendingEvents, d.dispatching = d.pendingEvents[:0], false
-}
-
-func (d *Director) performAction(action routing.Action) {
-	switch a := action.(type) {
-	case routing.Fetch:
-		up := a.Source
-		if up == a.Host {
-			up = 0
-		}
-		d.sendAttempt(a.ID, a.Host, up, a.Timeout, UpstreamRequest{RetentionRank: a.RetentionRank, FetchFlags: a.Flags, MaxAge: a.MaxAge, IdempotencyWindowEnd: a.IdempotencyWindowEnd})
-	case routing.Forward:
-		d.sendAttempt(a.ID, a.Host, 0, a.Timeout, UpstreamRequest{IdempotencyWindowEnd: a.IdempotencyWindowEnd})
-	case routing.Cancel:
-		if r, ok := d.requests.Get(handle.Handle(a.ID)); ok {
-			d.cancelAttempt(r, a.Attempt)
-		}
-	case routing.Reject:
-		d.respondByID(a.ID, Response{Outcome: Rejected, RetryAfter: a.RetryAfter, Reason: flightrecorder.Reason(a.Reason)})
-	case routing.Fail:
-		d.respondByID(a.ID, Response{Outcome: Failed, Reason: flightrecorder.Reason(a.Reason)})
-	case routing.SetTimer:
-		d.timers.ScheduleFunc(a.At, func() { d.postEvent(queuedEvent{routerEvent: routing.TimerFired{Token: a.Token}}) })
-	case routing.Log:
-		d.log.Info(a.Message)
-	default: // probes, peer messages and discovery calls: this deployment has none of them
-		d.Counters.UnknownActions++
-	}
-}
-
-// respondByID is the router's final answer.
-func (d *Director) respondByID(id uint32, a Response) {
-	r, ok := d.requests.Get(handle.Handle(id))
-	if !ok || r.finished {
-		return
-	}
-	d.respond(r, a)
-	// The router may still call off attempts of the request in this round, so its slot is freed behind it.
-	d.postEvent(queuedEvent{routing.RequestClosed{ID: id}, r})
-}
-
-// respond gives the client its one respond.
-func (d *Director) respond(r *request, a Response) {
-	switch a.Outcome {
-	case Served:
-		d.Counters.RequestsServed++
-	case Rejected:
-		d.Counters.RequestsRejected++
-	default:
-		d.Counters.RequestsFailed++
-	}
-	if d.Admission != nil && r.admitted {
-		d.Admission.RecordAnswer(a.Outcome == Served, d.now()-r.acceptedAt)
-	}
-	d.finishRequest(r, a.Reason)
-	r.replier.Reply(r.token, a)
-}
-
-// finishRequest ends a request, for a reason.
-func (d *Director) finishRequest(r *request, why flightrecorder.Reason) {
-	d.FlightRecorder.Record(flightrecorder.Event{At: d.now(), Kind: flightrecorder.RequestEnded, Reason: why, Conn: r.ConnID, Request: uint32(r.handle)})
-	r.finished = true
-	d.timers.Cancel(&r.deadlineGuard)
-}
-
-// releaseRequest gives the slot back when the router has seen the request's end. By then it has called off all
-// attempts; what the site does not let it call off is dropped here.
-func (d *Director) releaseRequest(r *request) {
-	for no := range r.inFlight {
-		d.cancelAttempt(r, no)
-	}
-	r.Body.Release()
-	d.requests.Remove(r.handle)
-}
