--- /dev/null
+++ b/internal/director/discovery_test.go
@@ -0,0 +1,86 @@
+package director
+
+import (
+	"testing"
+	"time"
+
+	"shaleyard/routing"
+)
+
+// A connection may come up later than the rules allow after a discovery event. So an event that overtakes an attempt cancels
+// it while nothing of it has been written, and the router decides anew. An attempt that has been written goes on.
+func TestNewsTakeBackWhatWaits(t *testing.T) {
+	update := func(endpoint Endpoint) func(*harness) {
+		return func(h *harness) { h.director.UpdateEndpoints(false, 2, []Endpoint{endpoint}) }
+	}
+	for _, test := range []struct {
+		name      string
+		event     func(*harness)
+		overtakes bool
+		unusable  bool // c1 must get no further attempt
+	}{
+		{name: "target drains", event: update(cacheEndpoint("c1", routing.Draining, 0)), overtakes: true, unusable: true},
+		{name: "target has gone", event: update(cacheEndpoint("c1", routing.Gone, 0)), overtakes: true, unusable: true},
+		{name: "target has restarted", event: func(h *harness) {
+			h.director.UpdateEndpoints(false, 2, []Endpoint{cacheEndpoint("c1", routing.Ready, h.now)})
+		}, overtakes: true},
+		{name: "target is not in a full list", event: func(h *harness) {
+			h.director.UpdateEndpoints(true, 2, []Endpoint{cacheEndpoint("c2", routing.Ready, 0)})
+		}, overtakes: true},
+		{name: "source drains", event: update(originEndpoint(routing.Draining)), overtakes: true},
+		{name: "object is purged", event: func(h *harness) {
+			h.director.Purge(Purge{ObjectKey: objectKey, IssuedAt: h.now})
+		}, overtakes: true},
+		{name: "group is purged", event: func(h *harness) { h.director.Purge(Purge{IssuedAt: h.now}) }, overtakes: true},
+		{name: "another object is purged", event: func(h *harness) {
+			h.director.Purge(Purge{ObjectKey: objectKey + 1, IssuedAt: h.now})
+		}},
+		{name: "another cache drains", event: update(cacheEndpoint("c2", routing.Draining, 0))},
+	} {
+		for _, unwritten := range []bool{true, false} {
+			name := test.name + ", written"
+			if unwritten {
+				name = test.name + ", unwritten"
+			}
+			t.Run(name, func(t *testing.T) {
+				h := newHarnessWithWaitingAttempt(t, unwritten)
+				if h.sentAttempts[0].request.Source != "o" {
+					t.Fatalf("filled from %q, want o", h.sentAttempts[0].request.Source)
+				}
+				first := h.sentAttempts[0].handle
+				test.event(h)
+				_, inFlight := h.director.attempts.Get(first)
+				cancelled := test.overtakes && unwritten
+				if inFlight == cancelled {
+					t.Errorf("first attempt in flight %v, want %v", inFlight, !cancelled)
+				}
+				for _, sent := range h.sentAttempts[1:] {
+					if test.unusable && sent.host == hostForName("c1") {
+						t.Error("sent there again")
+					}
+				}
+			})
+		}
+	}
+}
+
+// A purge that overtakes a waiting attempt makes the next one ask for a younger copy.
+func TestPurgedWhileItWaitsIsAskedForAnew(t *testing.T) {
+	h := newHarnessWithWaitingAttempt(t, true)
+	h.director.Purge(Purge{ObjectKey: objectKey, IssuedAt: h.now - time.Millisecond})
+	if len(h.sentAttempts) != 2 || h.sentAttempts[0].request.MaxAge != 0 ||
+		h.sentAttempts[1].request.MaxAge != time.Millisecond {
+		t.Fatalf("sent %v, want a second attempt that asks for a copy no older than 1ms", h.sentAttempts)
+	}
+}
+
+// The host depends on the name alone, the same in every director: a new cache at an old address must be another server to
+// the router, and all directors must pick the same cache for an object.
+func TestHostGoesByName(t *testing.T) {
+	if got := hostForName("s-1"); got != 0xda195c3f3e58 { // FNV-1a of the name, folded to 48 bits
+		t.Errorf("host %x", got)
+	}
+	if hostForName("s-1") == hostForName("s-2") {
+		t.Error("two names, one host")
+	}
+}
