--- a/internal/director/api.go
+++ b/internal/director/api.go
@@ -18,8 +18,8 @@
 	Failed           // it may have had an effect
 )
 
-// Request is a request as the client side submits it. Ref, Service, Object, Part, IfNoneMatch and IdempotencyKey are passed on to
-// the server unchanged.
+// Request is a request as the client side submits it. Ref, Service, Object, Part, IfNoneMatch and IdempotencyKey are
+// passed on to the server unchanged.
 type Request struct {
 	ConnID         uint64 // of the client's connection, for the flight recorder
 	Ref            string // the client's reference
@@ -46,8 +46,8 @@
 	Reason      Reason
 }
 
-// Replier takes the response to a request that was submitted under a token. Reply is called once, or never if the request is
-// cancelled.
+// Replier takes the response to a request that was submitted under a token. Reply is called once, or never if the
+// request is cancelled.
 type Replier interface {
 	Reply(token uint64, response Response)
 }
@@ -66,12 +66,13 @@
 	MaxAge time.Duration
 	// NonIdempotent says that the request must not run twice.
 	NonIdempotent bool
-	// IdempotencyWindowEnd is when it must not be written any more, as it would be a repeat outside its window; 0: never.
+	// IdempotencyWindowEnd is when it must not be written any more, as it would be a repeat outside its window; 0:
+	// never.
 	IdempotencyWindowEnd routing.Time
 }
 
-// Upstream sends attempts to caches, parents and the origin. Each Send is followed by one call of Director.AttemptEnded, maybe
-// before Send returns, unless the attempt is cancelled before.
+// Upstream sends attempts to caches, parents and the origin. Each Send is followed by one call of
+// Director.AttemptEnded, maybe before Send returns, unless the attempt is cancelled before.
 type Upstream interface {
 	// Send starts an attempt at a host.
 	Send(attempt handle.Handle, host routing.Host, request UpstreamRequest)
--- a/internal/director/attempts.go
+++ b/internal/director/attempts.go
@@ -9,8 +9,9 @@
 	"shaleyard/routing"
 )
 
-// attempt is one try of a request at a server, from when it is sent until its result is known.
-type attempt struct {
+// activeAttempt is one try of a request at a server, from when it is sent until its result is known.
+type activeAttempt struct {
+	handle        handle.Handle
 	requestHandle handle.Handle
 	number        int // within its request, from 0
 	host          routing.Host
@@ -20,148 +21,152 @@
 	deadlineTimer timer.Timer
 }
 
-// sendAttempt starts an attempt, for which it completes the upstream request. An attempt of a request that has ended, or
-// that has no time left, is abandoned instead.
-func (d *Director) sendAttempt(id uint32, host, source routing.Host, timeout time.Duration, upstreamRequest UpstreamRequest) {
-	r, ok := d.requests.Get(handle.Handle(id))
+// sendAttempt starts an attempt, for which it completes the upstream request. An attempt of a request that has ended,
+// or that has no time left, is abandoned instead.
+func (d *Director) sendAttempt(id uint32, host, source routing.Host, timeout time.Duration,
+	upstreamRequest UpstreamRequest) {
+	request, ok := d.requests.Get(handle.Handle(id))
 	if !ok {
 		d.Counters.UnknownActions++
 		return
 	}
-	a := d.newAttempt(r, host, source, timeout)
-	h, ok := d.addAttempt(r, a)
-	if !ok {
+	attempt := d.newAttempt(request, host, source, timeout)
+	if !d.addAttempt(request, attempt) {
 		d.Counters.AttemptsAbandoned++
-		d.postAttemptEnd(r, a, AttemptResult{Result: routing.Abandoned})
+		d.postAttemptEnd(request, attempt, AttemptResult{Result: routing.Abandoned})
 		return
 	}
 	d.Counters.AttemptsSent++
-	d.recordAttempt(flightrecorder.AttemptSent, a, "")
-	r.inFlight[a.number] = h
-	d.setAttemptDeadline(h, a, r)
+	d.recordAttempt(flightrecorder.AttemptSent, attempt, "")
+	request.inFlight[attempt.number] = attempt.handle
+	d.setAttemptDeadline(attempt, request)
 
-	upstreamRequest.Request = &r.Request
-	upstreamRequest.Timeout = a.deadline - a.sentAt
-	upstreamRequest.NonIdempotent = !idempotent(d.settings.Classes[r.Class].Idempotency)
+	upstreamRequest.Request = &request.Request
+	upstreamRequest.Timeout = attempt.deadline - attempt.sentAt
+	upstreamRequest.NonIdempotent = !idempotent(d.settings.Classes[request.Class].Idempotency)
 	if source != 0 {
 		upstreamRequest.Source = d.incarnations[source].name
 	}
-	d.upstream.Send(h, host, upstreamRequest)
+	d.upstream.Send(attempt.handle, host, upstreamRequest)
 }
 
 // newAttempt returns the request's next attempt. Its deadline is the request's, or earlier by its own timeout; 0: none.
-func (d *Director) newAttempt(r *request, host, source routing.Host, timeout time.Duration) *attempt {
-	a := &attempt{
-		requestHandle: r.handle,
-		number:        r.nextAttempt,
+func (d *Director) newAttempt(request *openRequest, host, source routing.Host, timeout time.Duration) *activeAttempt {
+	attempt := &activeAttempt{
+		requestHandle: request.handle,
+		number:        request.nextAttempt,
 		host:          host,
 		source:        source,
 		sentAt:        d.now(),
-		deadline:      r.deadline,
+		deadline:      request.deadline,
 	}
-	r.nextAttempt++
+	request.nextAttempt++
 	if timeout > 0 {
-		a.deadline = min(a.deadline, a.sentAt+timeout)
+		attempt.deadline = min(attempt.deadline, attempt.sentAt+timeout)
 	}
-	return a
+	return attempt
 }
 
-// addAttempt gives an attempt its handle; false if it must not be sent.
-func (d *Director) addAttempt(r *request, a *attempt) (handle.Handle, bool) {
-	if r.finished || a.deadline <= a.sentAt {
-		return 0, false
+// addAttempt gives an attempt its handle; false if it must not be sent, or if the table of attempts is full.
+func (d *Director) addAttempt(request *openRequest, attempt *activeAttempt) bool {
+	if request.finished || attempt.deadline <= attempt.sentAt {
+		return false
 	}
-	return d.attempts.Add(a)
+	attemptHandle, ok := d.attempts.Add(attempt)
+	attempt.handle = attemptHandle
+	return ok
 }
 
-// idempotent tells whether an attempt that may have run can be repeated at all. An idempotency that is not known counts as
-// none, as it does in the router.
+// idempotent tells whether an attempt that may have run can be repeated at all. An idempotency that is not known counts
+// as none, as it does in the router.
 func idempotent(idempotency string) bool {
 	return idempotency == "read_like" || idempotency == "idempotency_key"
 }
 
 // setAttemptDeadline has an attempt cancelled at its deadline.
-func (d *Director) setAttemptDeadline(h handle.Handle, a *attempt, r *request) {
-	d.timers.Schedule(&a.deadlineTimer, a.deadline, func() { d.timeOut(h, a, r) })
+func (d *Director) setAttemptDeadline(attempt *activeAttempt, request *openRequest) {
+	d.timers.Schedule(&attempt.deadlineTimer, attempt.deadline, func() { d.timeOut(attempt, request) })
 }
 
-// timeOut ends an attempt at its deadline. One of which nothing was written counts as a failure to connect: it never ran.
-func (d *Director) timeOut(h handle.Handle, a *attempt, r *request) {
+// timeOut ends an attempt at its deadline. One of which nothing was written counts as a failure to connect: it never
+// ran.
+func (d *Director) timeOut(attempt *activeAttempt, request *openRequest) {
 	d.Counters.AttemptsTimedOut++
 	result := routing.TimedOut
-	if written := d.upstream.Cancel(h); !written {
+	if written := d.upstream.Cancel(attempt.handle); !written {
 		result = routing.ConnectFailed
 	}
-	d.endAttempt(h, a, r, AttemptResult{Result: result})
+	d.endAttempt(attempt, request, AttemptResult{Result: result})
 }
 
 // cancelAttempt cancels an attempt of a request, if it is in flight. One of which nothing was written never ran.
-func (d *Director) cancelAttempt(r *request, number int) {
-	h, ok := r.inFlight[number]
+func (d *Director) cancelAttempt(request *openRequest, number int) {
+	attemptHandle, ok := request.inFlight[number]
 	if !ok {
 		return
 	}
-	a, ok := d.attempts.Get(h)
+	attempt, ok := d.attempts.Get(attemptHandle)
 	if !ok {
 		return
 	}
 	d.Counters.AttemptsCancelled++
 	result := routing.Cancelled
-	if written := d.upstream.Cancel(h); !written {
+	if written := d.upstream.Cancel(attempt.handle); !written {
 		result = routing.Abandoned
 	}
-	d.endAttempt(h, a, r, AttemptResult{Result: result})
+	d.endAttempt(attempt, request, AttemptResult{Result: result})
 }
 
-// cancelOvertaken cancels the attempts that a discovery event has overtaken, if nothing of them has been written: they may wait
-// for a connection for longer than the rules allow after such an event. The router decides anew.
-func (d *Director) cancelOvertaken(overtaken func(*attempt, *request) bool) {
+// cancelOvertaken cancels the attempts that a discovery event has overtaken, if nothing of them has been written: they
+// may wait for a connection for longer than the rules allow after such an event. The router decides anew.
+func (d *Director) cancelOvertaken(overtaken func(*activeAttempt, *openRequest) bool) {
 	var handles []handle.Handle
-	d.attempts.All(func(h handle.Handle, a *attempt) bool {
-		if r, ok := d.requests.Get(a.requestHandle); ok && overtaken(a, r) {
-			handles = append(handles, h)
+	d.attempts.All(func(attemptHandle handle.Handle, attempt *activeAttempt) bool {
+		if request, ok := d.requests.Get(attempt.requestHandle); ok && overtaken(attempt, request) {
+			handles = append(handles, attemptHandle)
 		}
 		return true
 	})
-	for _, h := range handles {
-		d.cancelIfUnwritten(h)
+	for _, attemptHandle := range handles {
+		d.cancelIfUnwritten(attemptHandle)
 	}
 }
 
 // cancelIfUnwritten cancels an attempt of which nothing has been written: it never ran. Any other goes on.
-func (d *Director) cancelIfUnwritten(h handle.Handle) {
-	a, ok := d.attempts.Get(h)
-	if !ok || !d.upstream.CancelIfUnwritten(h) {
+func (d *Director) cancelIfUnwritten(attemptHandle handle.Handle) {
+	attempt, ok := d.attempts.Get(attemptHandle)
+	if !ok || !d.upstream.CancelIfUnwritten(attemptHandle) {
 		return
 	}
 	d.Counters.AttemptsCancelledUnwritten++
-	r, _ := d.requests.Get(a.requestHandle)
-	d.endAttempt(h, a, r, AttemptResult{Result: routing.Abandoned})
+	request, _ := d.requests.Get(attempt.requestHandle)
+	d.endAttempt(attempt, request, AttemptResult{Result: routing.Abandoned})
 }
 
-// AttemptEnded takes the result of an attempt from the upstream side. The result of one that has ended before is dropped.
-func (d *Director) AttemptEnded(h handle.Handle, result AttemptResult) {
-	a, ok := d.attempts.Get(h)
+// AttemptEnded takes the result of an attempt from the upstream side. The result of one that has ended before is
+// dropped.
+func (d *Director) AttemptEnded(attemptHandle handle.Handle, result AttemptResult) {
+	attempt, ok := d.attempts.Get(attemptHandle)
 	if !ok {
 		d.Counters.AttemptsEndedLate++
 		result.Body.Release()
 		return
 	}
-	r, _ := d.requests.Get(a.requestHandle)
-	d.endAttempt(h, a, r, result)
+	request, _ := d.requests.Get(attempt.requestHandle)
+	d.endAttempt(attempt, request, result)
 }
 
 // endAttempt ends an attempt. The request's first good result goes to the client at once, and ends the request.
-func (d *Director) endAttempt(h handle.Handle, a *attempt, r *request, result AttemptResult) {
-	d.timers.Cancel(&a.deadlineTimer)
-	d.attempts.Remove(h)
-	delete(r.inFlight, a.number)
+func (d *Director) endAttempt(attempt *activeAttempt, request *openRequest, result AttemptResult) {
+	d.timers.Cancel(&attempt.deadlineTimer)
+	d.attempts.Remove(attempt.handle)
+	delete(request.inFlight, attempt.number)
 	d.Counters.AttemptsEnded++
-	d.recordAttempt(flightrecorder.AttemptEnded, a, flightrecorder.Reason(result.Result.String()))
+	d.recordAttempt(flightrecorder.AttemptEnded, attempt, flightrecorder.Reason(result.Result.String()))
 	d.Counters.Results[result.Result]++
 	d.Counters.FillStatuses[result.FillStatus]++
-	if result.Result == routing.OK && !r.finished {
-		d.respond(r, Response{
+	if result.Result == routing.OK && !request.finished {
+		d.respond(request, Response{
 			Outcome:     Served,
 			NotModified: result.NotModified,
 			Body:        &result.Body,
@@ -169,37 +174,37 @@
 		})
 	}
 	result.Body.Release()
-	d.postAttemptEnd(r, a, result)
+	d.postAttemptEnd(request, attempt, result)
 }
 
 // postAttemptEnd tells the router how an attempt ended. A good result ends its request, whose slot is then released.
-func (d *Director) postAttemptEnd(r *request, a *attempt, result AttemptResult) {
+func (d *Director) postAttemptEnd(request *openRequest, attempt *activeAttempt, result AttemptResult) {
 	outcome := routing.Outcome{
-		ID:          uint32(r.handle),
-		Attempt:     a.number,
-		Host:        a.host,
+		ID:          uint32(request.handle),
+		Attempt:     attempt.number,
+		Host:        attempt.host,
 		Result:      result.Result,
-		Elapsed:     d.now() - a.sentAt,
-		RequestDone: r.finished,
+		Elapsed:     d.now() - attempt.sentAt,
+		RequestDone: request.finished,
 		FillStatus:  result.FillStatus,
 		SourceWait:  result.SourceWait,
 		LoadReport:  result.LoadReport,
 	}
-	if result.Result == routing.OK && r.finished {
-		d.postLastEvent(outcome, r)
+	if result.Result == routing.OK && request.finished {
+		d.postLastEvent(outcome, request)
 		return
 	}
 	d.postEvent(outcome)
 }
 
 // recordAttempt records what happens to an attempt.
-func (d *Director) recordAttempt(kind flightrecorder.Kind, a *attempt, reason flightrecorder.Reason) {
+func (d *Director) recordAttempt(kind flightrecorder.Kind, attempt *activeAttempt, reason flightrecorder.Reason) {
 	d.FlightRecorder.Record(flightrecorder.Event{
 		At:      d.now(),
 		Kind:    kind,
 		Reason:  reason,
-		Request: uint32(a.requestHandle),
-		Attempt: a.number,
-		Host:    a.host,
+		Request: uint32(attempt.requestHandle),
+		Attempt: attempt.number,
+		Host:    attempt.host,
 	})
 }
--- a/internal/director/counters.go
+++ b/internal/director/counters.go
@@ -6,12 +6,13 @@
 	"shaleyard/routing"
 )
 
-// Counters count requests, attempts and discovery events since the start. They are logged under the names of their fields.
+// Counters count requests, attempts and discovery events since the start. They are logged under the names of their
+// fields.
 type Counters struct {
 	// RequestsAccepted counts the requests that Submit took, however they ended.
 	RequestsAccepted uint64
-	// RequestsServed, RequestsRejected and RequestsFailed count responses by their outcome, RequestsCancelled the requests whose
-	// clients no longer waited.
+	// RequestsServed, RequestsRejected and RequestsFailed count responses by their outcome, RequestsCancelled the
+	// requests whose clients no longer waited.
 	RequestsServed, RequestsRejected, RequestsFailed, RequestsCancelled uint64
 	// RequestsOverdue counts the failed requests that the deadline guard ended.
 	RequestsOverdue uint64
@@ -24,8 +25,8 @@
 	AttemptsSent, AttemptsEnded uint64
 	// AttemptsCancelled counts the attempts that the router, or the end of their request, cancelled.
 	AttemptsCancelled uint64
-	// AttemptsCancelledUnwritten counts the attempts that were cancelled with nothing written, as a discovery event or the end
-	// of their client had overtaken them.
+	// AttemptsCancelledUnwritten counts the attempts that were cancelled with nothing written, as a discovery event or
+	// the end of their client had overtaken them.
 	AttemptsCancelledUnwritten uint64
 	// AttemptsTimedOut counts the attempts that ended at their deadline.
 	AttemptsTimedOut uint64
--- a/internal/director/counters_test.go
+++ b/internal/director/counters_test.go
@@ -27,8 +27,8 @@
 			"abandoned": 8, "miss": 9, "local_resources_exhausted": 10, "unreachable": 11,
 		}},
 		{"fill statuses", statuses, map[string]uint64{
-			"unknown": 1, "hit": 2, "filled": 3, "filled_by_origin": 4, "coalesced": 5, "stale": 6, "source_rejected": 7,
-			"source_unreachable": 8, "source_miss": 9, "no_fill_slot": 10, "origin_failed": 11,
+			"unknown": 1, "hit": 2, "filled": 3, "filled_by_origin": 4, "coalesced": 5, "stale": 6,
+			"source_rejected": 7, "source_unreachable": 8, "source_miss": 9, "no_fill_slot": 10, "origin_failed": 11,
 		}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
--- a/internal/director/director.go
+++ b/internal/director/director.go
@@ -1,7 +1,7 @@
-// Package director drives the routing decisions of internal routing for one process. It turns what the client side, the
-// upstream side and service discovery report into events of a routing.Router, and carries out the actions that the router
-// answers with. It knows no protocol and no socket: requests come in through Submit, and each gets one response through its
-// Replier, so that any number of protocols can share the same decisions.
+// Package director drives the decisions of package routing for one process. It turns what the client side, the
+// upstream side and service discovery report into events of a routing.Router, and carries out the actions that the
+// router answers with. It knows no protocol and no socket: requests come in through Submit, and each gets one response
+// through its Replier, so that any number of protocols can share the same decisions.
 //
 // A request and each of its attempts is known by a generational handle, so that a result that comes late finds nothing.
 // Every request has a deadline, which the router enforces; a guard timer enforces it if the router should fail to.
@@ -44,8 +44,8 @@
 	now      func() routing.Time
 	log      *zap.Logger
 
-	requests     *handle.Table[*request]
-	attempts     *handle.Table[*attempt]
+	requests     *handle.Table[*openRequest]
+	attempts     *handle.Table[*activeAttempt]
 	incarnations map[routing.Host]incarnation // of the endpoints that are listed
 
 	// shutdownDeadline is when every request must have been answered, as the process ends soon after; 0: it goes on.
@@ -72,8 +72,8 @@
 		timers:       timers,
 		now:          now,
 		log:          log,
-		requests:     handle.NewTable[*request](limits.MaxOpenRequests),
-		attempts:     handle.NewTable[*attempt](handle.MaxEntries),
+		requests:     handle.NewTable[*openRequest](limits.MaxOpenRequests),
+		attempts:     handle.NewTable[*activeAttempt](handle.MaxEntries),
 		incarnations: map[routing.Host]incarnation{},
 	}, nil
 }
@@ -87,6 +87,6 @@
 // SiteCounters returns the counters of the health of whole sites.
 func (d *Director) SiteCounters() sitehealth.Counters { return d.router.SiteCounters() }
 
-// OpenRequests returns the number of requests that hold a slot: those not answered yet, and those of which the router has
-// not seen the end.
+// OpenRequests returns the number of requests that hold a slot: those not answered yet, and those of which the router
+// has not seen the end.
 func (d *Director) OpenRequests() int { return d.requests.Len() }
--- a/internal/director/discovery.go
+++ b/internal/director/discovery.go
@@ -29,8 +29,8 @@
 	return c.changed[host] || c.full && !c.listed[host]
 }
 
-// UpdateEndpoints applies an event of the endpoint list. A full list replaces the one known before: endpoints that are not in it
-// have been removed.
+// UpdateEndpoints applies an event of the endpoint list. A full list replaces the one known before: endpoints that are
+// not in it have been removed.
 func (d *Director) UpdateEndpoints(full bool, version uint64, list []Endpoint) {
 	d.Counters.EndpointEvents++
 	update := routing.EndpointUpdate{Kind: routing.UpdateDelta, Version: version}
@@ -49,8 +49,8 @@
 		changes.changed[endpoint.Host] = d.updateIncarnation(endpoint)
 	}
 	d.postDiscoveryEvent(update)
-	d.cancelOvertaken(func(a *attempt, _ *request) bool {
-		return changes.overtakes(a.host) || a.source != 0 && changes.overtakes(a.source)
+	d.cancelOvertaken(func(attempt *activeAttempt, _ *openRequest) bool {
+		return changes.overtakes(attempt.host) || attempt.source != 0 && changes.overtakes(attempt.source)
 	})
 	d.removeEndpoints(update, changes)
 }
@@ -69,8 +69,8 @@
 	return changed
 }
 
-// removeEndpoints removes the endpoints that an event reports as gone, or that a full list lacks. It comes behind the router,
-// which may still cancel attempts there.
+// removeEndpoints removes the endpoints that an event reports as gone, or that a full list lacks. It comes behind the
+// router, which may still cancel attempts there.
 func (d *Director) removeEndpoints(update routing.EndpointUpdate, changes endpointChanges) {
 	for _, endpoint := range update.Endpoints {
 		if endpoint.State == routing.Gone {
@@ -98,14 +98,14 @@
 	d.Counters.PurgeEvents++
 	age := max(0, d.now()-purge.IssuedAt)
 	d.postDiscoveryEvent(routing.Purge{Age: age, Group: purge.Group, Object: purge.ObjectKey})
-	d.cancelOvertaken(func(_ *attempt, r *request) bool {
-		return r.ObjectKey == purge.ObjectKey || purge.ObjectKey == 0 && r.Group == purge.Group
+	d.cancelOvertaken(func(_ *activeAttempt, request *openRequest) bool {
+		return request.ObjectKey == purge.ObjectKey || purge.ObjectKey == 0 && request.Group == purge.Group
 	})
 }
 
-// hostForName returns the router's address of an endpoint: the 64-bit FNV-1a hash of its name, folded to 48 bits. It depends on
-// the name alone. So all directors rank the same, a process that restarts under its name stays the same server, and a new one
-// at an old address is another.
+// hostForName returns the router's address of an endpoint: the 64-bit FNV-1a hash of its name, folded to 48 bits. It
+// depends on the name alone. So all directors rank the same, a process that restarts under its name stays the same
+// server, and a new one at an old address is another.
 func hostForName(name string) routing.Host {
 	hash := fnv.New64a()
 	hash.Write([]byte(name))
--- a/internal/director/discovery_test.go
+++ b/internal/director/discovery_test.go
@@ -7,8 +7,9 @@
 	"shaleyard/routing"
 )
 
-// A connection may come up later than the rules allow after a discovery event. So an event that overtakes an attempt cancels
-// it while nothing of it has been written, and the router decides anew. An attempt that has been written goes on.
+// A connection may come up later than the rules allow after a discovery event. So an event that overtakes an attempt
+// cancels it while nothing of it has been written, and the router decides anew. An attempt that has been written goes
+// on.
 func TestNewsTakeBackWhatWaits(t *testing.T) {
 	update := func(endpoint Endpoint) func(*harness) {
 		return func(h *harness) { h.director.UpdateEndpoints(false, 2, []Endpoint{endpoint}) }
@@ -19,8 +20,18 @@
 		overtakes bool
 		unusable  bool // c1 must get no further attempt
 	}{
-		{name: "target drains", event: update(cacheEndpoint("c1", routing.Draining, 0)), overtakes: true, unusable: true},
-		{name: "target has gone", event: update(cacheEndpoint("c1", routing.Gone, 0)), overtakes: true, unusable: true},
+		{
+			name:      "target drains",
+			event:     update(cacheEndpoint("c1", routing.Draining, 0)),
+			overtakes: true,
+			unusable:  true,
+		},
+		{
+			name:      "target has gone",
+			event:     update(cacheEndpoint("c1", routing.Gone, 0)),
+			overtakes: true,
+			unusable:  true,
+		},
 		{name: "target has restarted", event: func(h *harness) {
 			h.director.UpdateEndpoints(false, 2, []Endpoint{cacheEndpoint("c1", routing.Ready, h.now)})
 		}, overtakes: true},
@@ -31,7 +42,9 @@
 		{name: "object is purged", event: func(h *harness) {
 			h.director.Purge(Purge{ObjectKey: objectKey, IssuedAt: h.now})
 		}, overtakes: true},
-		{name: "group is purged", event: func(h *harness) { h.director.Purge(Purge{IssuedAt: h.now}) }, overtakes: true},
+		{name: "group is purged", event: func(h *harness) {
+			h.director.Purge(Purge{IssuedAt: h.now})
+		}, overtakes: true},
 		{name: "another object is purged", event: func(h *harness) {
 			h.director.Purge(Purge{ObjectKey: objectKey + 1, IssuedAt: h.now})
 		}},
@@ -74,8 +87,8 @@
 	}
 }
 
-// The host depends on the name alone, the same in every director: a new cache at an old address must be another server to
-// the router, and all directors must pick the same cache for an object.
+// The host depends on the name alone, the same in every director: a new cache at an old address must be another server
+// to the router, and all directors must pick the same cache for an object.
 func TestHostGoesByName(t *testing.T) {
 	if got := hostForName("s-1"); got != 0xda195c3f3e58 { // FNV-1a of the name, folded to 48 bits
 		t.Errorf("host %x", got)
--- a/internal/director/dispatch.go
+++ b/internal/director/dispatch.go
@@ -10,23 +10,23 @@
 // queuedEvent is an event for the router, and the request to release once the router has seen it; nil: none.
 type queuedEvent struct {
 	event   routing.Event
-	release *request
+	release *openRequest
 }
 
 // postEvent gives the router an event, or queues it while the router is suspended or its actions are being carried out.
 //
-// An action can cause the next event before it returns (an attempt that fails at once, a client connection that fails as its
-// response is written), and the router's list of actions is valid only until its next event. So an event that comes
-// meanwhile waits for the actions that are left.
+// An action can cause the next event before it returns (an attempt that fails at once, a client connection that fails
+// as its response is written), and the router's list of actions is valid only until its next event. So an event that
+// comes meanwhile waits for the actions that are left.
 func (d *Director) postEvent(event routing.Event) { d.enqueue(queuedEvent{event: event}) }
 
 // postLastEvent is postEvent for the last event of a request, whose slot is released behind it.
-func (d *Director) postLastEvent(event routing.Event, r *request) {
-	d.enqueue(queuedEvent{event: event, release: r})
+func (d *Director) postLastEvent(event routing.Event, request *openRequest) {
+	d.enqueue(queuedEvent{event: event, release: request})
 }
 
-func (d *Director) enqueue(e queuedEvent) {
-	d.pendingEvents = append(d.pendingEvents, e)
+func (d *Director) enqueue(queued queuedEvent) {
+	d.pendingEvents = append(d.pendingEvents, queued)
 	if !d.dispatching && !d.suspended {
 		d.dispatchEvents()
 	}
@@ -45,10 +45,10 @@
 func (d *Director) dispatchEvents() {
 	d.dispatching = true
 	for i := 0; i < len(d.pendingEvents); i++ {
-		e := d.pendingEvents[i]
-		d.handleEvent(e.event)
-		if e.release != nil {
-			d.releaseRequest(e.release)
+		queued := d.pendingEvents[i]
+		d.handleEvent(queued.event)
+		if queued.release != nil {
+			d.releaseRequest(queued.release)
 		}
 	}
 	clear(d.pendingEvents)
@@ -62,18 +62,18 @@
 	}
 }
 
-// Suspend keeps all events but those of service discovery from the router, until Resume. After a pause of the process, what
-// the router knows of the servers is old, and the discovery events that would correct it are still to be read. Responses
-// go to their clients all the same. A request that is read meanwhile may have waited for the whole pause, so its deadline
-// is that much earlier.
+// Suspend keeps all events but those of service discovery from the router, until Resume. After a pause of the process,
+// what the router knows of the servers is old, and the discovery events that would correct it are still to be read.
+// Responses go to their clients all the same. A request that is read meanwhile may have waited for the whole pause, so
+// its deadline is that much earlier.
 func (d *Director) Suspend(pause time.Duration) {
 	d.suspended = true
 	d.pauseDuration = max(d.pauseDuration, pause)
 	d.upstream.SuspendWrites()
 }
 
-// Resume gives the router the events that were queued since Suspend. After a long pause, requests are admitted as after a
-// start from now on.
+// Resume gives the router the events that were queued since Suspend. After a long pause, requests are admitted as after
+// a start from now on.
 func (d *Director) Resume(longPause bool) {
 	d.suspended = false
 	d.pauseDuration = 0
@@ -86,74 +86,80 @@
 	d.upstream.ResumeWrites()
 }
 
-// performAction carries out an action of the router. Probes, messages to other directors and calls of discovery are counted
-// and dropped: this deployment has none of them.
+// performAction carries out an action of the router. Probes, messages to other directors and calls of discovery are
+// counted and dropped: this deployment has none of them.
 func (d *Director) performAction(action routing.Action) {
-	switch a := action.(type) {
+	switch action := action.(type) {
 	case routing.Fetch:
-		d.fetch(a)
+		d.fetch(action)
 	case routing.Forward:
-		d.forward(a)
+		d.forward(action)
 	case routing.Cancel:
-		d.cancelByNumber(a)
+		d.cancelByNumber(action)
 	case routing.Reject:
-		d.reject(a)
+		d.reject(action)
 	case routing.Fail:
-		d.fail(a)
+		d.fail(action)
 	case routing.SetTimer:
-		d.setRouterTimer(a)
+		d.setRouterTimer(action)
 	case routing.Log:
-		d.log.Info(a.Message)
+		d.log.Info(action.Message)
 	default:
 		d.Counters.UnknownActions++
 	}
 }
 
 // fetch sends an attempt to a server that may fill a miss from the source.
-func (d *Director) fetch(a routing.Fetch) {
-	source := a.Source
-	if source == a.Host {
+func (d *Director) fetch(action routing.Fetch) {
+	source := action.Source
+	if source == action.Host {
 		source = 0
 	}
-	d.sendAttempt(a.ID, a.Host, source, a.Timeout, UpstreamRequest{
-		RetentionRank:        a.RetentionRank,
-		FetchFlags:           a.Flags,
-		MaxAge:               a.MaxAge,
-		IdempotencyWindowEnd: a.IdempotencyWindowEnd,
+	d.sendAttempt(action.ID, action.Host, source, action.Timeout, UpstreamRequest{
+		RetentionRank:        action.RetentionRank,
+		FetchFlags:           action.Flags,
+		MaxAge:               action.MaxAge,
+		IdempotencyWindowEnd: action.IdempotencyWindowEnd,
 	})
 }
 
 // forward sends an attempt to a server that fills nothing.
-func (d *Director) forward(a routing.Forward) {
-	d.sendAttempt(a.ID, a.Host, 0, a.Timeout, UpstreamRequest{IdempotencyWindowEnd: a.IdempotencyWindowEnd})
+func (d *Director) forward(action routing.Forward) {
+	d.sendAttempt(action.ID, action.Host, 0, action.Timeout, UpstreamRequest{
+		IdempotencyWindowEnd: action.IdempotencyWindowEnd,
+	})
 }
 
 // cancelByNumber cancels an attempt, if its request is still there.
-func (d *Director) cancelByNumber(a routing.Cancel) {
-	if r, ok := d.requests.Get(handle.Handle(a.ID)); ok {
-		d.cancelAttempt(r, a.Attempt)
+func (d *Director) cancelByNumber(action routing.Cancel) {
+	if request, ok := d.requests.Get(handle.Handle(action.ID)); ok {
+		d.cancelAttempt(request, action.Attempt)
 	}
 }
 
-func (d *Director) reject(a routing.Reject) {
-	d.respondByID(a.ID, Response{Outcome: Rejected, RetryAfter: a.RetryAfter, Reason: reasonOfRouter(a.Reason)})
+func (d *Director) reject(action routing.Reject) {
+	d.respondByID(action.ID, Response{
+		Outcome:    Rejected,
+		RetryAfter: action.RetryAfter,
+		Reason:     reasonOfRouter(action.Reason),
+	})
 }
 
-func (d *Director) fail(a routing.Fail) {
-	d.respondByID(a.ID, Response{Outcome: Failed, Reason: reasonOfRouter(a.Reason)})
+func (d *Director) fail(action routing.Fail) {
+	d.respondByID(action.ID, Response{Outcome: Failed, Reason: reasonOfRouter(action.Reason)})
 }
 
 // respondByID gives a request the response that the router has decided on.
 func (d *Director) respondByID(id uint32, response Response) {
-	r, ok := d.requests.Get(handle.Handle(id))
-	if !ok || r.finished {
+	request, ok := d.requests.Get(handle.Handle(id))
+	if !ok || request.finished {
 		return
 	}
-	d.respond(r, response)
+	d.respond(request, response)
 	// The router may still cancel attempts of the request in this round, so its slot is released behind it.
-	d.postLastEvent(routing.RequestClosed{ID: id}, r)
+	d.postLastEvent(routing.RequestClosed{ID: id}, request)
 }
 
-func (d *Director) setRouterTimer(a routing.SetTimer) {
-	d.timers.ScheduleFunc(a.At, func() { d.postEvent(routing.TimerFired{Token: a.Token}) })
+func (d *Director) setRouterTimer(action routing.SetTimer) {
+	d.timers.ScheduleFunc(action.At, func() { d.postEvent(routing.TimerFired{Token: action.Token}) })
 }
--- a/internal/director/dispatch_test.go
+++ b/internal/director/dispatch_test.go
@@ -8,8 +8,8 @@
 	"shaleyard/routing"
 )
 
-// An attempt can fail before Send returns. The router's next event must then wait for its last actions, as their list is
-// valid only until that event.
+// An attempt can fail before Send returns. The router's next event must then wait for its last actions, as their list
+// is valid only until that event.
 func TestEndWithinSendIsQueued(t *testing.T) {
 	h := newHarness(t)
 	h.onSend = func(attempt handle.Handle) {
@@ -23,8 +23,9 @@
 	}
 }
 
-// Found by the testbed: a process that was stopped for 5 s sent its waiting requests to a cache that had drained meanwhile.
-// While the director is suspended, the router is given discovery events only; requests that came in are routed by them.
+// Found by the testbed: a process that was stopped for 5 s sent its waiting requests to a cache that had drained
+// meanwhile. While the director is suspended, the router is given discovery events only; requests that came in are
+// routed by them.
 func TestHeldRequestsGoByTheNews(t *testing.T) {
 	h := newHarness(t)
 	h.director.Suspend(100 * time.Millisecond)
@@ -40,7 +41,8 @@
 	if len(h.sentAttempts) != 1 || h.sentAttempts[0].host != hostForName("c2") {
 		t.Fatalf("sent %v, want one to the cache that is ready", h.sentAttempts)
 	}
-	h.director.AttemptEnded(h.sentAttempts[0].handle, AttemptResult{Result: routing.OK, FillStatus: routing.FillStatusHit})
+	result := AttemptResult{Result: routing.OK, FillStatus: routing.FillStatusHit}
+	h.director.AttemptEnded(h.sentAttempts[0].handle, result)
 	h.wantResponses("served")
 }
 
@@ -69,8 +71,8 @@
 	h.wantResponses()
 }
 
-// A request that is read after a pause, or in the course of one that is noticed only as it is read, may have waited for all of
-// the pause: its cache is told what its client has left at least. If that is nothing, it is rejected at once.
+// A request that is read after a pause, or in the course of one that is noticed only as it is read, may have waited for
+// all of the pause: its cache is told what its client has left at least. If that is nothing, it is rejected at once.
 func TestWhatWaitedUnreadHasLessTime(t *testing.T) {
 	h := newHarness(t)
 	paused := time.Duration(0)
--- a/internal/director/harness_test.go
+++ b/internal/director/harness_test.go
@@ -23,7 +23,8 @@
 // objectKey is the object that all requests of a harness ask for.
 const objectKey = 7
 
-// harness is a director with a scripted upstream side and client side, which it plays itself, and a clock that the test moves.
+// harness is a director with a scripted upstream side and client side, which it plays itself, and a clock that the test
+// moves.
 type harness struct {
 	t        *testing.T
 	director *Director
@@ -76,12 +77,15 @@
 		t.Fatal(err)
 	}
 	h.director.SetUpstream(h)
-	h.director.UpdateEndpoints(true, 1, []Endpoint{cacheEndpoint("c1", routing.Ready, 0), originEndpoint(routing.Ready)})
+	h.director.UpdateEndpoints(true, 1, []Endpoint{
+		cacheEndpoint("c1", routing.Ready, 0),
+		originEndpoint(routing.Ready),
+	})
 	return h
 }
 
-// newHarnessWithWaitingAttempt returns a harness in which a read filled from the origin waits for its connection to c1, or has
-// been written.
+// newHarnessWithWaitingAttempt returns a harness in which a read filled from the origin waits for its connection to c1,
+// or has been written.
 func newHarnessWithWaitingAttempt(t *testing.T, unwritten bool) *harness {
 	t.Helper()
 	h := newHarness(t)
--- a/internal/director/requests.go
+++ b/internal/director/requests.go
@@ -11,8 +11,9 @@
 	"shaleyard/routing"
 )
 
-// request is a request that was submitted. It keeps its slot in Director.requests until the router has seen its end.
-type request struct {
+// openRequest is a request that was submitted. It keeps its slot in Director.requests until the router has seen its
+// end.
+type openRequest struct {
 	Request
 	handle        handle.Handle
 	replier       Replier
@@ -26,11 +27,11 @@
 	inFlight      map[int]handle.Handle
 }
 
-// Submit takes a request, whose response goes to the replier under the token, perhaps before Submit returns. It returns false
-// if the table of open requests is full: then nothing was taken, and the caller rejects the request.
-func (d *Director) Submit(q Request, replier Replier, token uint64) (handle.Handle, bool) {
-	r := &request{Request: q, replier: replier, token: token, inFlight: map[int]handle.Handle{}}
-	h, ok := d.requests.Add(r)
+// Submit takes a request, whose response goes to the replier under the token, perhaps before Submit returns. It returns
+// false if the table of open requests is full: then nothing was taken, and the caller rejects the request.
+func (d *Director) Submit(incoming Request, replier Replier, token uint64) (handle.Handle, bool) {
+	request := &openRequest{Request: incoming, replier: replier, token: token, inFlight: map[int]handle.Handle{}}
+	requestHandle, ok := d.requests.Add(request)
 	if !ok {
 		return 0, false
 	}
@@ -38,23 +39,23 @@
 		d.CheckForPause()
 	}
 	now := d.now()
-	r.handle = h
-	r.acceptedAt = now
-	r.deadline = d.deadlineFor(now, q.Timeout)
+	request.handle = requestHandle
+	request.acceptedAt = now
+	request.deadline = d.deadlineFor(now, incoming.Timeout)
 	d.Counters.RequestsAccepted++
 	d.FlightRecorder.Record(flightrecorder.Event{
-		At: now, Kind: flightrecorder.RequestAccepted, Conn: q.ConnID, Request: uint32(h),
+		At: now, Kind: flightrecorder.RequestAccepted, Conn: incoming.ConnID, Request: uint32(requestHandle),
 	})
 
-	if reason, wait, ok := d.admit(now, r); !ok {
-		d.respond(r, Response{Outcome: Rejected, RetryAfter: d.retryAfter(wait), Reason: reason})
-		d.releaseRequest(r)
-		return h, true
+	if reason, wait, ok := d.admit(now, request); !ok {
+		d.respond(request, Response{Outcome: Rejected, RetryAfter: d.retryAfter(wait), Reason: reason})
+		d.releaseRequest(request)
+		return requestHandle, true
 	}
-	r.admitted = true
-	d.armDeadlineGuard(r)
-	d.postEvent(d.routingRequest(r))
-	return h, true
+	request.admitted = true
+	d.armDeadlineGuard(request)
+	d.postEvent(d.routingRequest(request))
+	return requestHandle, true
 }
 
 // deadlineFor returns the deadline of a request that is read now. Its client has waited for it since a time that is not
@@ -68,42 +69,42 @@
 }
 
 // routingRequest returns the request as the router is told of it.
-func (d *Director) routingRequest(r *request) routing.Request {
+func (d *Director) routingRequest(request *openRequest) routing.Request {
 	uncacheable := d.settings.Tiers.Uncacheable
 	return routing.Request{
-		ID:       uint32(r.handle),
-		Class:    r.Class,
-		Object:   r.ObjectKey,
-		Part:     r.PartNumber,
-		Group:    r.Group,
-		Deadline: r.deadline,
-		SizeKB:   r.SizeKB,
-		Write:    r.Class < len(uncacheable) && uncacheable[r.Class],
+		ID:       uint32(request.handle),
+		Class:    request.Class,
+		Object:   request.ObjectKey,
+		Part:     request.PartNumber,
+		Group:    request.Group,
+		Deadline: request.deadline,
+		SizeKB:   request.SizeKB,
+		Write:    request.Class < len(uncacheable) && uncacheable[request.Class],
 	}
 }
 
-// admit tells whether a request is given to the router. If not, it says why, and for how long the client should stay away.
-func (d *Director) admit(now routing.Time, r *request) (reason Reason, wait time.Duration, ok bool) {
+// admit tells whether a request is given to the router. If not, it says why, and for how long the client should stay
+// away.
+func (d *Director) admit(now routing.Time, request *openRequest) (reason Reason, wait time.Duration, ok bool) {
 	if d.RejectUntil != nil {
 		if until, closed := d.RejectUntil(); closed {
 			d.Counters.RejectedNotAccepting++
 			return ReasonNotAccepting, until - now, false
 		}
 	}
-	if wait, ok := d.admitByPace(now, r); !ok {
+	if wait, ok := d.admitByPace(now, request); !ok {
 		d.Counters.RejectedByAdmission++
 		return ReasonNotAdmitted, wait, false
 	}
-	if r.deadline <= now {
+	if request.deadline <= now {
 		return ReasonExpiredUnread, d.limits.ShutdownRetryAfter, false
 	}
 	return ReasonNone, 0, true
 }
 
-// admitByPace asks Admission. Requests that must not run twice always pass: they are the last to be shed, as their clients
-// can't simply send them again.
-func (d *Director) admitByPace(now routing.Time, r *request) (wait time.Duration, ok bool) {
-	if d.Admission == nil || !idempotent(d.settings.Classes[r.Class].Idempotency) {
+// admitByPace asks Admission. Requests that must not run twice always pass: they are the last to be shed.
+func (d *Director) admitByPace(now routing.Time, request *openRequest) (wait time.Duration, ok bool) {
+	if d.Admission == nil || !idempotent(d.settings.Classes[request.Class].Idempotency) {
 		return 0, true
 	}
 	others := d.requests.Len() - 1
@@ -121,71 +122,72 @@
 
 // Cancel ends a request whose client no longer waits: no response is owed. Its attempts that have not been written are
 // cancelled at once, also while the router is suspended: nothing must be started for a client that has gone.
-func (d *Director) Cancel(h handle.Handle) {
-	r, ok := d.requests.Get(h)
-	if !ok || r.finished {
+func (d *Director) Cancel(requestHandle handle.Handle) {
+	request, ok := d.requests.Get(requestHandle)
+	if !ok || request.finished {
 		return
 	}
 	d.Counters.RequestsCancelled++
-	d.finishRequest(r, ReasonCancelledByClient)
-	for _, attemptHandle := range r.inFlight {
+	d.finishRequest(request, ReasonCancelledByClient)
+	for _, attemptHandle := range request.inFlight {
 		d.cancelIfUnwritten(attemptHandle)
 	}
-	d.postLastEvent(routing.RequestClosed{ID: uint32(h)}, r)
+	d.postLastEvent(routing.RequestClosed{ID: uint32(requestHandle)}, request)
 }
 
 // ShortenDeadline brings the deadline of a request forward. A later deadline than it has changes nothing.
-func (d *Director) ShortenDeadline(h handle.Handle, deadline routing.Time) {
-	r, ok := d.requests.Get(h)
-	if !ok || r.finished || r.deadline <= deadline {
+func (d *Director) ShortenDeadline(requestHandle handle.Handle, deadline routing.Time) {
+	request, ok := d.requests.Get(requestHandle)
+	if !ok || request.finished || request.deadline <= deadline {
 		return
 	}
-	r.deadline = deadline
-	d.armDeadlineGuard(r)
-	for _, attemptHandle := range r.inFlight {
-		if a, ok := d.attempts.Get(attemptHandle); ok {
-			a.deadline = min(a.deadline, deadline)
-			d.setAttemptDeadline(attemptHandle, a, r)
+	request.deadline = deadline
+	d.armDeadlineGuard(request)
+	for _, attemptHandle := range request.inFlight {
+		if attempt, ok := d.attempts.Get(attemptHandle); ok {
+			attempt.deadline = min(attempt.deadline, deadline)
+			d.setAttemptDeadline(attempt, request)
 		}
 	}
-	d.postEvent(routing.ShortenDeadline{ID: uint32(h), Deadline: deadline})
+	d.postEvent(routing.ShortenDeadline{ID: uint32(requestHandle), Deadline: deadline})
 }
 
-// SetShutdownDeadline brings the deadlines of all requests forward, those in flight and those that are still to come, as the
-// process ends soon after. Without it, a client that waits for a hanging cache would be left without a response.
+// SetShutdownDeadline brings the deadlines of all requests forward, those in flight and those that are still to come,
+// as the process ends soon after. Without it, a client that waits for a hanging cache would be left without a response.
 func (d *Director) SetShutdownDeadline(deadline routing.Time) {
 	d.shutdownDeadline = deadline
 	var open []handle.Handle
-	d.requests.All(func(h handle.Handle, _ *request) bool {
-		open = append(open, h)
+	d.requests.All(func(requestHandle handle.Handle, _ *openRequest) bool {
+		open = append(open, requestHandle)
 		return true
 	})
-	for _, h := range open {
-		d.ShortenDeadline(h, deadline)
+	for _, requestHandle := range open {
+		d.ShortenDeadline(requestHandle, deadline)
 	}
 }
 
-// armDeadlineGuard has a request fail shortly after its deadline. The router ends every request by its deadline; the guard
-// keeps a fault there from leaving a client without a response.
-func (d *Director) armDeadlineGuard(r *request) {
-	d.timers.Schedule(&r.deadlineGuard, r.deadline+d.limits.OverdueGracePeriod, func() { d.failOverdue(r) })
+// armDeadlineGuard has a request fail shortly after its deadline. The router ends every request by its deadline; the
+// guard keeps a fault there from leaving a client without a response.
+func (d *Director) armDeadlineGuard(request *openRequest) {
+	overdueAt := request.deadline + d.limits.OverdueGracePeriod
+	d.timers.Schedule(&request.deadlineGuard, overdueAt, func() { d.failOverdue(request) })
 }
 
-func (d *Director) failOverdue(r *request) {
+func (d *Director) failOverdue(request *openRequest) {
 	d.Counters.RequestsOverdue++
-	d.log.Error("request failed by its deadline guard", zap.String("ref", r.Ref))
-	d.respond(r, Response{Outcome: Failed, Reason: ReasonOverdue})
-	d.postLastEvent(routing.RequestClosed{ID: uint32(r.handle)}, r)
+	d.log.Error("request failed by its deadline guard", zap.String("ref", request.Ref))
+	d.respond(request, Response{Outcome: Failed, Reason: ReasonOverdue})
+	d.postLastEvent(routing.RequestClosed{ID: uint32(request.handle)}, request)
 }
 
 // respond finishes a request and gives its client the one response.
-func (d *Director) respond(r *request, response Response) {
+func (d *Director) respond(request *openRequest, response Response) {
 	d.countOutcome(response.Outcome)
-	if d.Admission != nil && r.admitted {
-		d.Admission.RecordAnswer(response.Outcome == Served, d.now()-r.acceptedAt)
+	if d.Admission != nil && request.admitted {
+		d.Admission.RecordAnswer(response.Outcome == Served, d.now()-request.acceptedAt)
 	}
-	d.finishRequest(r, response.Reason)
-	r.replier.Reply(r.token, response)
+	d.finishRequest(request, response.Reason)
+	request.replier.Reply(request.token, response)
 }
 
 func (d *Director) countOutcome(outcome Outcome) {
@@ -200,24 +202,24 @@
 }
 
 // finishRequest marks a request as answered or cancelled.
-func (d *Director) finishRequest(r *request, reason Reason) {
+func (d *Director) finishRequest(request *openRequest, reason Reason) {
 	d.FlightRecorder.Record(flightrecorder.Event{
 		At:      d.now(),
 		Kind:    flightrecorder.RequestEnded,
 		Reason:  flightrecorder.Reason(reason.String()),
-		Conn:    r.ConnID,
-		Request: uint32(r.handle),
+		Conn:    request.ConnID,
+		Request: uint32(request.handle),
 	})
-	r.finished = true
-	d.timers.Cancel(&r.deadlineGuard)
+	request.finished = true
+	d.timers.Cancel(&request.deadlineGuard)
 }
 
 // releaseRequest frees the slot of a request of which the router has seen the end. By then the router has cancelled all
 // attempts that the site lets it cancel; the others are cancelled here.
-func (d *Director) releaseRequest(r *request) {
-	for number := range r.inFlight {
-		d.cancelAttempt(r, number)
+func (d *Director) releaseRequest(request *openRequest) {
+	for number := range request.inFlight {
+		d.cancelAttempt(request, number)
 	}
-	r.Body.Release()
-	d.requests.Remove(r.handle)
+	request.Body.Release()
+	d.requests.Remove(request.handle)
 }
--- a/internal/director/requests_test.go
+++ b/internal/director/requests_test.go
@@ -23,8 +23,8 @@
 	h.wantResponses("served bytes")
 }
 
-// A payment that was written and not answered may have run: failed, not rejected. One that still waits for its connection
-// never ran.
+// A payment that was written and not answered may have run: failed, not rejected. One that still waits for its
+// connection never ran.
 func TestDeadlineTellsWrittenFromUnwritten(t *testing.T) {
 	for _, test := range []struct {
 		name    string
@@ -71,7 +71,8 @@
 	}
 }
 
-// During shutdown everything is answered by a deadline: requests that wait for hanging caches, and those that still come in.
+// During shutdown everything is answered by a deadline: requests that wait for hanging caches, and those that still
+// come in.
 func TestEverythingIsAnsweredByTheEnd(t *testing.T) {
 	h := newHarness(t)
 	h.director.UpdateEndpoints(false, 2, []Endpoint{cacheEndpoint("c2", routing.Ready, 0)})
@@ -87,7 +88,7 @@
 	h.advance(20 * time.Millisecond)
 	counters := &h.director.Counters
 	if counters.RequestsOverdue != 0 || counters.AttemptsAbandoned != 0 {
-		t.Errorf("%d requests ended by the deadline guard, %d attempts decided past the deadline; want the router to end them",
+		t.Errorf("%d requests ended by the deadline guard, %d attempts decided too late; want the router to end them",
 			counters.RequestsOverdue, counters.AttemptsAbandoned)
 	}
 	h.wantResponses("rejected", "failed", "rejected") // the payment may have run
@@ -110,12 +111,12 @@
 	}
 }
 
-// After a start, requests are admitted as responses come: those beyond that are rejected at once and never sent. A payment
-// is admitted all the same, and so are twice as many requests once responses have come.
+// After a start, requests are admitted as responses come: those beyond that are rejected at once and never sent. A
+// payment is admitted all the same, and so are twice as many requests once responses have come.
 func TestWorkBeyondTheAdmissionIsRefusedAtOnce(t *testing.T) {
 	h := newHarness(t)
 	h.director.limits.MaxOpenRequests = 100
-	h.director.requests = handle.NewTable[*request](100)
+	h.director.requests = handle.NewTable[*openRequest](100)
 	h.director.settings.SiteLimits.RetryAfterAllowed = true
 	h.director.settings.SiteLimits.MaxRetryAfter = time.Second
 	h.director.Admission = overload.NewAdmission(1)
--- a/internal/timer/heap.go
+++ b/internal/timer/heap.go
@@ -22,19 +22,19 @@
 }
 
 // Push implements heap.Interface.
-func (h *timerHeap) Push(x any) {
-	t := x.(*Timer)
-	*h = append(*h, t)
-	t.heapIndex = len(*h)
+func (h *timerHeap) Push(value any) {
+	timer := value.(*Timer)
+	*h = append(*h, timer)
+	timer.heapIndex = len(*h)
 }
 
 // Pop implements heap.Interface.
 func (h *timerHeap) Pop() any {
 	timers := *h
 	last := len(timers) - 1
-	t := timers[last]
+	timer := timers[last]
 	timers[last] = nil // the slice's spare capacity must not keep the timer alive
 	*h = timers[:last]
-	t.heapIndex = 0
-	return t
+	timer.heapIndex = 0
+	return timer
 }
--- a/internal/timer/queue.go
+++ b/internal/timer/queue.go
@@ -1,5 +1,5 @@
-// Package timer holds the timers of an event loop: a binary heap of callbacks ordered by their deadlines. One queue serves all
-// parts that run on the loop, so that the loop has a single next deadline to wait for.
+// Package timer holds the timers of an event loop: a binary heap of callbacks ordered by their deadlines. One queue
+// serves all parts that run on the loop, so that the loop has a single next deadline to wait for.
 //
 // Times are readings of the caller's monotonic clock, given as the duration since its origin. Nothing here is safe for
 // concurrent use.
@@ -29,15 +29,15 @@
 	lastSequence uint64
 }
 
-// Schedule has the callback run once, by RunDue, when the deadline has come. A timer that is already scheduled in this queue
-// is moved: it loses its former deadline, callback, and place among equal deadlines.
-func (q *Queue) Schedule(t *Timer, deadline time.Duration, callback func()) {
-	q.Cancel(t)
+// Schedule has the callback run once, by RunDue, when the deadline has come. A timer that is already scheduled in this
+// queue is moved: it loses its former deadline, callback, and place among equal deadlines.
+func (q *Queue) Schedule(timer *Timer, deadline time.Duration, callback func()) {
+	q.Cancel(timer)
 	q.lastSequence++
-	t.deadline = deadline
-	t.sequence = q.lastSequence
-	t.callback = callback
-	heap.Push(&q.heap, t)
+	timer.deadline = deadline
+	timer.sequence = q.lastSequence
+	timer.callback = callback
+	heap.Push(&q.heap, timer)
 }
 
 // ScheduleFunc schedules the callback on a new timer, which can be neither moved nor cancelled.
@@ -46,9 +46,9 @@
 }
 
 // Cancel removes the timer from the queue. A timer that is not scheduled stays so.
-func (q *Queue) Cancel(t *Timer) {
-	if t.Pending() {
-		heap.Remove(&q.heap, t.heapIndex-1)
+func (q *Queue) Cancel(timer *Timer) {
+	if timer.Pending() {
+		heap.Remove(&q.heap, timer.heapIndex-1)
 	}
 }
 
