--- a/internal/director/discovery_test.go
+++ b/internal/director/discovery_test.go
@@ -10,7 +10,7 @@
 // A connection may come up later than the rules allow after a discovery event. So an event that overtakes an attempt
 // cancels it while nothing of it has been written, and the router decides anew. An attempt that has been written goes
 // on.
-func TestNewsTakeBackWhatWaits(t *testing.T) {
+func TestDiscoveryEventCancelsOvertakenAttempts(t *testing.T) {
 	update := func(endpoint Endpoint) func(*harness) {
 		return func(h *harness) { h.director.UpdateEndpoints(false, 2, []Endpoint{endpoint}) }
 	}
@@ -78,7 +78,7 @@
 }
 
 // A purge that overtakes a waiting attempt makes the next one ask for a younger copy.
-func TestPurgedWhileItWaitsIsAskedForAnew(t *testing.T) {
+func TestPurgeReplacesWaitingAttempt(t *testing.T) {
 	h := newHarnessWithWaitingAttempt(t, true)
 	h.director.Purge(Purge{ObjectKey: objectKey, IssuedAt: h.now - time.Millisecond})
 	if len(h.sentAttempts) != 2 || h.sentAttempts[0].request.MaxAge != 0 ||
@@ -89,7 +89,7 @@
 
 // The host depends on the name alone, the same in every director: a new cache at an old address must be another server
 // to the router, and all directors must pick the same cache for an object.
-func TestHostGoesByName(t *testing.T) {
+func TestHostDependsOnNameAlone(t *testing.T) {
 	if got := hostForName("s-1"); got != 0xda195c3f3e58 { // FNV-1a of the name, folded to 48 bits
 		t.Errorf("host %x", got)
 	}
--- a/internal/director/dispatch_test.go
+++ b/internal/director/dispatch_test.go
@@ -10,7 +10,7 @@
 
 // An attempt can fail before Send returns. The router's next event must then wait for its last actions, as their list
 // is valid only until that event.
-func TestEndWithinSendIsQueued(t *testing.T) {
+func TestAttemptEndWithinSendIsQueued(t *testing.T) {
 	h := newHarness(t)
 	h.onSend = func(attempt handle.Handle) {
 		h.director.AttemptEnded(attempt, AttemptResult{Result: routing.ConnectFailed})
@@ -26,7 +26,7 @@
 // Found by the testbed: a process that was stopped for 5 s sent its waiting requests to a cache that had drained
 // meanwhile. While the director is suspended, the router is given discovery events only; requests that came in are
 // routed by them.
-func TestHeldRequestsGoByTheNews(t *testing.T) {
+func TestSuspendedRequestsFollowDiscoveryEvents(t *testing.T) {
 	h := newHarness(t)
 	h.director.Suspend(100 * time.Millisecond)
 	h.submit(readClass)
@@ -48,7 +48,7 @@
 
 // A client cancels its request while the director is suspended and the attempt waits for a connection: the attempt is
 // cancelled at once, not when the director resumes.
-func TestLeavingIsHeededWhileHeld(t *testing.T) {
+func TestCancelTakesEffectWhileSuspended(t *testing.T) {
 	h := newHarness(t)
 	var cancelled []handle.Handle
 	h.unwritten = func(attempt handle.Handle) bool {
@@ -73,7 +73,7 @@
 
 // A request that is read after a pause, or in the course of one that is noticed only as it is read, may have waited for
 // all of the pause: its cache is told what its client has left at least. If that is nothing, it is rejected at once.
-func TestWhatWaitedUnreadHasLessTime(t *testing.T) {
+func TestPauseShortensTimeoutOfUnreadRequests(t *testing.T) {
 	h := newHarness(t)
 	paused := time.Duration(0)
 	h.director.CheckForPause = func() {
--- a/internal/director/requests_test.go
+++ b/internal/director/requests_test.go
@@ -11,7 +11,7 @@
 	"shaleyard/routing"
 )
 
-func TestFirstAnswerIsPassedOnOnce(t *testing.T) {
+func TestFirstGoodResultIsPassedOnOnce(t *testing.T) {
 	h := newHarness(t)
 	h.submit(readClass)
 	attempt := h.sentAttempts[0].handle
@@ -47,7 +47,7 @@
 	}
 }
 
-func TestWithdrawCallsOffAttempts(t *testing.T) {
+func TestCancelCancelsAttempts(t *testing.T) {
 	h := newHarness(t)
 	request := h.submit(readClass)
 	h.director.Cancel(request)
@@ -60,7 +60,7 @@
 }
 
 // The table of open requests is bounded: a request beyond it is not taken, so that the caller can reject it.
-func TestFullTableTakesNothing(t *testing.T) {
+func TestFullRequestTableTakesNothing(t *testing.T) {
 	h := newHarness(t)
 	for range 8 {
 		h.submit(readClass)
@@ -73,7 +73,7 @@
 
 // During shutdown everything is answered by a deadline: requests that wait for hanging caches, and those that still
 // come in.
-func TestEverythingIsAnsweredByTheEnd(t *testing.T) {
+func TestShutdownDeadlineAnswersEverything(t *testing.T) {
 	h := newHarness(t)
 	h.director.UpdateEndpoints(false, 2, []Endpoint{cacheEndpoint("c2", routing.Ready, 0)})
 	h.submit(readClass)
@@ -95,7 +95,7 @@
 }
 
 // A director that does not accept requests rejects them at once.
-func TestClosedDirectorRefusesAtOnce(t *testing.T) {
+func TestRejectUntilRejectsAtOnce(t *testing.T) {
 	h := newHarness(t)
 	closed := true
 	h.director.RejectUntil = func() (routing.Time, bool) { return h.now + time.Second, closed }
@@ -113,7 +113,7 @@
 
 // After a start, requests are admitted as responses come: those beyond that are rejected at once and never sent. A
 // payment is admitted all the same, and so are twice as many requests once responses have come.
-func TestWorkBeyondTheAdmissionIsRefusedAtOnce(t *testing.T) {
+func TestRequestsBeyondAdmissionAreRejectedAtOnce(t *testing.T) {
 	h := newHarness(t)
 	h.director.limits.MaxOpenRequests = 100
 	h.director.requests = handle.NewTable[*openRequest](100)
