--- a/internal/director/attempts.go
+++ b/internal/director/attempts.go
@@ -9,155 +9,202 @@
 	"shaleyard/routing"
 )
 
-// Attempts: how they are sent, given up and ended.
-
-type attempt struct {
-	req      handle.Handle
-	no       int
-	host, up routing.Host // up: the source; 0: none
-	sent     routing.Time
-	until    routing.Time // when it is given up
-	deadline timer.Timer
+// activeAttempt is one try of a request at a server, from when it is sent until its result is known.
+type activeAttempt struct {
+	handle        handle.Handle
+	requestHandle handle.Handle
+	number        int // within its request, from 0
+	host          routing.Host
+	source        routing.Host // where a miss is filled from; 0: not filled
+	sentAt        routing.Time
+	deadline      routing.Time // when it is cancelled
+	deadlineTimer timer.Timer
 }
 
-// recall takes back the attempts of which nothing has been written and that news have overtaken since they were
-// decided: they may wait for a connection for longer than the rules leave. The router decides anew.
-func (d *Director) recall(overtaken func(*attempt, *request) bool) {
-	var list []handle.Handle
-	d.attempts.All(func(h handle.Handle, a *attempt) bool {
-		if r, ok := d.requests.Get(a.req); ok && overtaken(a, r) {
-			list = append(list, h)
-		}
-		return true
-	})
-	for _, h := range list {
-		d.takeBack(h)
+// sendAttempt starts an attempt, for which it completes the upstream request. An attempt of a request that has ended,
+// or that has no time left, is abandoned instead.
+func (d *Director) sendAttempt(id uint32, host, source routing.Host, timeout time.Duration,
+	upstreamRequest UpstreamRequest) {
+	request, ok := d.requests.Get(handle.Handle(id))
+	if !ok {
+		d.Counters.UnknownActions++
+		return
 	}
-}
-
-// takeBack gives an attempt up if nothing of it has been written: it never ran.
-func (d *Director) takeBack(h handle.Handle) {
-	a, ok := d.attempts.Get(h)
-	if !ok || !d.peers.CancelIfUnwritten(h) {
+	attempt := d.newAttempt(request, host, source, timeout)
+	if !d.addAttempt(request, attempt) {
+		d.Counters.AttemptsAbandoned++
+		d.postAttemptEnd(request, attempt, AttemptResult{Result: routing.Abandoned})
 		return
 	}
-	d.Counters.AttemptsCancelledUnwritten++
-	r, _ := d.requests.Get(a.req)
-	d.close(h, a, r, AttemptResult{Result: routing.Abandoned})
+	d.Counters.AttemptsSent++
+	d.recordAttempt(flightrecorder.AttemptSent, attempt, "")
+	request.inFlight[attempt.number] = attempt.handle
+	d.setAttemptDeadline(attempt, request)
+
+	upstreamRequest.Request = &request.Request
+	upstreamRequest.Timeout = attempt.deadline - attempt.sentAt
+	upstreamRequest.NonIdempotent = !idempotent(d.settings.Classes[request.Class].Idempotency)
+	if source != 0 {
+		upstreamRequest.Source = d.incarnations[source].name
+	}
+	d.upstream.Send(attempt.handle, host, upstreamRequest)
 }
 
-// send starts an attempt. One for a request that is over never leaves.
-func (d *Director) send(id uint32, host, up routing.Host, timeout time.Duration, c UpstreamRequest) {
-	r, ok := d.requests.Get(handle.Handle(id))
-	if !ok {
-		d.Counters.UnknownActions++
-		return
+// newAttempt returns the request's next attempt. Its deadline is the request's, or earlier by its own timeout; 0: none.
+func (d *Director) newAttempt(request *openRequest, host, source routing.Host, timeout time.Duration) *activeAttempt {
+	attempt := &activeAttempt{
+		requestHandle: request.handle,
+		number:        request.nextAttempt,
+		host:          host,
+		source:        source,
+		sentAt:        d.now(),
+		deadline:      request.deadline,
 	}
-	now := d.now()
-	a := &attempt{req: r.handle, no: r.next, host: host, up: up, sent: now}
-	r.next++
-	a.until = r.giveUp
+	request.nextAttempt++
 	if timeout > 0 {
-		a.until = min(a.until, now+timeout)
-	}
-	h, ok := handle.Handle(0), false
-	if !r.over && a.until > now {
-		h, ok = d.attempts.Add(a)
+		attempt.deadline = min(attempt.deadline, attempt.sentAt+timeout)
 	}
-	if !ok {
-		d.Counters.AttemptsAbandoned++
-		d.outcome(r, a, AttemptResult{Result: routing.Abandoned})
-		return
+	return attempt
+}
+
+// addAttempt gives an attempt its handle; false if it must not be sent, or if the table of attempts is full.
+func (d *Director) addAttempt(request *openRequest, attempt *activeAttempt) bool {
+	if request.finished || attempt.deadline <= attempt.sentAt {
+		return false
 	}
-	d.Counters.AttemptsSent++
-	d.record(flightrecorder.AttemptSent, a, "")
-	r.out[a.no] = h
-	d.limit(h, a, r)
-	c.Request, c.Timeout = &r.Request, a.until-now
-	c.NonIdempotent = !repeatable(d.settings.Classes[r.Class].Idempotency)
-	if up != 0 {
-		c.Source = d.names[up].name
-	}
-	d.peers.Send(h, host, c)
+	attemptHandle, ok := d.attempts.Add(attempt)
+	attempt.handle = attemptHandle
+	return ok
 }
 
-// record keeps what happens to an attempt.
-func (d *Director) record(kind flightrecorder.Kind, a *attempt, why flightrecorder.Reason) {
-	d.FlightRecorder.Record(flightrecorder.Event{At: d.now(), Kind: kind, Reason: why, Request: uint32(a.req), Attempt: a.no, Host: a.host})
+// idempotent tells whether an attempt that may have run can be repeated at all. An idempotency that is not known counts
+// as none, as it does in the router.
+func idempotent(idempotency string) bool {
+	return idempotency == "read_like" || idempotency == "idempotency_key"
 }
 
-// repeatable tells whether what may have run may be sent again at all. An effect that is not known counts as one that
-// must not run twice, as in the rules.
-func repeatable(effect string) bool { return effect == "read_like" || effect == "idempotency_key" }
-
-// limit sets the time at which an attempt is given up.
-func (d *Director) limit(h handle.Handle, a *attempt, r *request) {
-	d.agenda.Schedule(&a.deadline, a.until, func() {
-		d.Counters.AttemptsTimedOut++
-		result := routing.TimedOut
-		if !d.peers.Cancel(h) {
-			result = routing.ConnectFailed // nothing of it was written: it never ran
-		}
-		d.close(h, a, r, AttemptResult{Result: result})
-	})
+// setAttemptDeadline has an attempt cancelled at its deadline.
+func (d *Director) setAttemptDeadline(attempt *activeAttempt, request *openRequest) {
+	d.timers.Schedule(&attempt.deadlineTimer, attempt.deadline, func() { d.timeOut(attempt, request) })
+}
+
+// timeOut ends an attempt at its deadline. One of which nothing was written counts as a failure to connect: it never
+// ran.
+func (d *Director) timeOut(attempt *activeAttempt, request *openRequest) {
+	d.Counters.AttemptsTimedOut++
+	result := routing.TimedOut
+	if written := d.upstream.Cancel(attempt.handle); !written {
+		result = routing.ConnectFailed
+	}
+	d.endAttempt(attempt, request, AttemptResult{Result: result})
 }
 
-// cancel gives an attempt up. One of which nothing was written provably never ran.
-func (d *Director) cancel(r *request, no int) {
-	h, ok := r.out[no]
+// cancelAttempt cancels an attempt of a request, if it is in flight. One of which nothing was written never ran.
+func (d *Director) cancelAttempt(request *openRequest, number int) {
+	attemptHandle, ok := request.inFlight[number]
 	if !ok {
 		return
 	}
-	a, ok := d.attempts.Get(h)
+	attempt, ok := d.attempts.Get(attemptHandle)
 	if !ok {
 		return
 	}
 	d.Counters.AttemptsCancelled++
 	result := routing.Cancelled
-	if !d.peers.Cancel(h) {
+	if written := d.upstream.Cancel(attempt.handle); !written {
 		result = routing.Abandoned
 	}
-	d.close(h, a, r, AttemptResult{Result: result})
+	d.endAttempt(attempt, request, AttemptResult{Result: result})
+}
+
+// cancelOvertaken cancels the attempts that a discovery event has overtaken, if nothing of them has been written: they
+// may wait for a connection for longer than the rules allow after such an event. The router decides anew.
+func (d *Director) cancelOvertaken(overtaken func(*activeAttempt, *openRequest) bool) {
+	var handles []handle.Handle
+	d.attempts.All(func(attemptHandle handle.Handle, attempt *activeAttempt) bool {
+		if request, ok := d.requests.Get(attempt.requestHandle); ok && overtaken(attempt, request) {
+			handles = append(handles, attemptHandle)
+		}
+		return true
+	})
+	for _, attemptHandle := range handles {
+		d.cancelIfUnwritten(attemptHandle)
+	}
 }
 
-// Ended takes the end of an attempt from its peer. One that has ended before is dropped.
-func (d *Director) AttemptEnded(h handle.Handle, e AttemptResult) {
-	a, ok := d.attempts.Get(h)
+// cancelIfUnwritten cancels an attempt of which nothing has been written: it never ran. Any other goes on.
+func (d *Director) cancelIfUnwritten(attemptHandle handle.Handle) {
+	attempt, ok := d.attempts.Get(attemptHandle)
+	if !ok || !d.upstream.CancelIfUnwritten(attemptHandle) {
+		return
+	}
+	d.Counters.AttemptsCancelledUnwritten++
+	request, _ := d.requests.Get(attempt.requestHandle)
+	d.endAttempt(attempt, request, AttemptResult{Result: routing.Abandoned})
+}
+
+// AttemptEnded takes the result of an attempt from the upstream side. The result of one that has ended before is
+// dropped.
+func (d *Director) AttemptEnded(attemptHandle handle.Handle, result AttemptResult) {
+	attempt, ok := d.attempts.Get(attemptHandle)
 	if !ok {
 		d.Counters.AttemptsEndedLate++
-		e.Body.Release()
+		result.Body.Release()
 		return
 	}
-	r, _ := d.requests.Get(a.req)
-	d.close(h, a, r, e)
+	request, _ := d.requests.Get(attempt.requestHandle)
+	d.endAttempt(attempt, request, result)
 }
 
-// close ends an attempt: a first OK goes to the client at once and ends the request.
-func (d *Director) close(h handle.Handle, a *attempt, r *request, e AttemptResult) {
-	d.agenda.Cancel(&a.deadline)
-	d.attempts.Remove(h)
-	delete(r.out, a.no)
+// endAttempt ends an attempt. The request's first good result goes to the client at once, and ends the request.
+func (d *Director) endAttempt(attempt *activeAttempt, request *openRequest, result AttemptResult) {
+	d.timers.Cancel(&attempt.deadlineTimer)
+	d.attempts.Remove(attempt.handle)
+	delete(request.inFlight, attempt.number)
 	d.Counters.AttemptsEnded++
-	d.record(flightrecorder.AttemptEnded, a, flightrecorder.Reason(e.Result.String()))
-	d.Counters.Results[e.Result]++
-	d.Counters.FillStatuses[e.FillStatus]++
-	if e.Result == routing.OK && !r.over {
-		d.answer(r, Response{Outcome: Served, NotModified: e.NotModified, Body: &e.Body, Reason: served})
-		e.Body.Release()
-		d.outcome(r, a, e)
-		return
+	d.recordAttempt(flightrecorder.AttemptEnded, attempt, flightrecorder.Reason(result.Result.String()))
+	d.Counters.Results[result.Result]++
+	d.Counters.FillStatuses[result.FillStatus]++
+	if result.Result == routing.OK && !request.finished {
+		d.respond(request, Response{
+			Outcome:     Served,
+			NotModified: result.NotModified,
+			Body:        &result.Body,
+			Reason:      ReasonServed,
+		})
 	}
-	e.Body.Release()
-	d.outcome(r, a, e)
+	result.Body.Release()
+	d.postAttemptEnd(request, attempt, result)
 }
 
-// outcome tells the router how an attempt ended, and for the request's last one frees its slot behind it.
-func (d *Director) outcome(r *request, a *attempt, e AttemptResult) {
-	o := routing.Outcome{ID: uint32(r.handle), Attempt: a.no, Host: a.host, Result: e.Result,
-		Elapsed: d.now() - a.sent, RequestDone: r.over, FillStatus: e.FillStatus, SourceWait: e.SourceWait, LoadReport: e.LoadReport}
-	ev := event{ev: o}
-	if e.Result == routing.OK && r.over {
-		ev.last = r
+// postAttemptEnd tells the router how an attempt ended. A good result ends its request, whose slot is then released.
+func (d *Director) postAttemptEnd(request *openRequest, attempt *activeAttempt, result AttemptResult) {
+	outcome := routing.Outcome{
+		ID:          uint32(request.handle),
+		Attempt:     attempt.number,
+		Host:        attempt.host,
+		Result:      result.Result,
+		Elapsed:     d.now() - attempt.sentAt,
+		RequestDone: request.finished,
+		FillStatus:  result.FillStatus,
+		SourceWait:  result.SourceWait,
+		LoadReport:  result.LoadReport,
 	}
-	d.post(ev)
+	if result.Result == routing.OK && request.finished {
+		d.postLastEvent(outcome, request)
+		return
+	}
+	d.postEvent(outcome)
+}
+
+// recordAttempt records what happens to an attempt.
+func (d *Director) recordAttempt(kind flightrecorder.Kind, attempt *activeAttempt, reason flightrecorder.Reason) {
+	d.FlightRecorder.Record(flightrecorder.Event{
+		At:      d.now(),
+		Kind:    kind,
+		Reason:  reason,
+		Request: uint32(attempt.requestHandle),
+		Attempt: attempt.number,
+		Host:    attempt.host,
+	})
 }
