--- a/internal/overload/admission.go
+++ b/internal/overload/admission.go
@@ -6,12 +6,12 @@
 )
 
 const (
-	admitFirst = 16.0                   // requests in hand with which a director starts
-	admitMost  = 128.0                  // in hand from which work is let in without a bound of ours
-	admitLeast = 4.0                    // in hand, however badly it goes
-	admitSpan  = 10 * time.Second       // and after which it is in any case
-	admitWait  = 150 * time.Millisecond // for which an answer takes, before any has come
-	admitLearn = 1.0 / 8                // weight of an answer in the running mean of that
+	admissionInitialWindow = 16.0                   // requests in hand with which a director starts
+	admissionUnboundedWindow  = 128.0                  // in hand from which work is let in without a bound of ours
+	admissionMinWindow = 4.0                    // in hand, however badly it goes
+	admissionPeriod  = 10 * time.Second       // and after which it is in any case
+	admissionInitialLatency  = 150 * time.Millisecond // for which an answer takes, before any has come
+	admissionLatencyWeight = 1.0 / 8                // weight of an answer in the running mean of that
 )
 
 // Admission is the pace at which a director takes work after a start, or after a pause: what it knows of caches and
@@ -24,46 +24,46 @@
 type Admission struct {
 	rng    *rand.Rand
 	window float64 // requests in hand that are allowed
-	since  Time
-	took   time.Duration // running mean of the time to an answer
-	open   bool          // no bound any more
+	startedAt  Time
+	meanLatency   time.Duration // running mean of the time to an answer
+	unbounded   bool          // no bound any more
 }
 
 // NewAdmission returns the pace of a director that starts now. The seed should differ from director to director.
 func NewAdmission(seed uint64) *Admission {
-	return &Admission{rng: rand.New(rand.NewPCG(seed, 3)), window: admitFirst, took: admitWait}
+	return &Admission{rng: rand.New(rand.NewPCG(seed, 3)), window: admissionInitialWindow, meanLatency: admissionInitialLatency}
 }
 
 // Restart begins anew: what was known is old.
-func (a *Admission) Restart(now Time) { a.window, a.since, a.open = admitFirst, now, false }
+func (a *Admission) Restart(now Time) { a.window, a.startedAt, a.unbounded = admissionInitialWindow, now, false }
 
 // Admit tells whether a request may be taken beside so many in hand, and if not, for how long to stay away.
 func (a *Admission) Admit(now Time, inHand int) (wait time.Duration, ok bool) {
-	if a.since == 0 {
-		a.since = now
+	if a.startedAt == 0 {
+		a.startedAt = now
 	}
-	if a.open = a.open || a.window >= admitMost || now-a.since >= admitSpan; a.open || float64(inHand) < a.window {
+	if a.unbounded = a.unbounded || a.window >= admissionUnboundedWindow || now-a.startedAt >= admissionPeriod; a.unbounded || float64(inHand) < a.window {
 		return 0, true
 	}
 	// By then what is in hand now is answered, and as much again can be taken; half to one and a half times that.
-	return a.took/2 + time.Duration(a.rng.Int64N(int64(a.took))), false
+	return a.meanLatency/2 + time.Duration(a.rng.Int64N(int64(a.meanLatency))), false
 }
 
 // RecordAnswer takes the end of a request that was let in: whether it was served, and how long that took.
 func (a *Admission) RecordAnswer(served bool, took time.Duration) {
 	switch {
-	case a.open:
+	case a.unbounded:
 	case served:
 		a.window++
-		a.took = max(time.Millisecond, a.took+time.Duration(float64(took-a.took)*admitLearn))
+		a.meanLatency = max(time.Millisecond, a.meanLatency+time.Duration(float64(took-a.meanLatency)*admissionLatencyWeight))
 	default:
-		a.window = max(admitLeast, a.window-1)
+		a.window = max(admissionMinWindow, a.window-1)
 	}
 }
 
 // Window is how many requests may be in hand; 0: any number.
 func (a *Admission) Window() int {
-	if a.open {
+	if a.unbounded {
 		return 0
 	}
 	return int(a.window)
--- a/internal/overload/admission_test.go
+++ b/internal/overload/admission_test.go
@@ -35,7 +35,7 @@
 			a.RecordAnswer(true, took)
 		}
 	}
-	if most[0] != admitFirst || most[1] != 2*admitFirst || most[2] != 4*admitFirst || most[3] != 1000 {
+	if most[0] != admissionInitialWindow || most[1] != 2*admissionInitialWindow || most[2] != 4*admissionInitialWindow || most[3] != 1000 {
 		t.Errorf("in hand in each round: %v, want it to double, and then to be unbounded", most)
 	}
 }
@@ -48,17 +48,17 @@
 	for range 100 {
 		a.RecordAnswer(false, time.Second)
 	}
-	if w := a.Window(); w != admitLeast {
-		t.Errorf("window %d, want %v", w, admitLeast)
+	if w := a.Window(); w != admissionMinWindow {
+		t.Errorf("window %d, want %v", w, admissionMinWindow)
 	}
-	if _, ok := a.Admit(now, int(admitLeast)); ok {
+	if _, ok := a.Admit(now, int(admissionMinWindow)); ok {
 		t.Error("more let in than the window")
 	}
-	if _, ok := a.Admit(now+admitSpan, 1000); !ok {
+	if _, ok := a.Admit(now+admissionPeriod, 1000); !ok {
 		t.Error("still bound long after the start")
 	}
 	a.Restart(now + time.Hour)
-	if _, ok := a.Admit(now+time.Hour, int(admitFirst)); ok {
+	if _, ok := a.Admit(now+time.Hour, int(admissionInitialWindow)); ok {
 		t.Error("after a pause all is let in at once")
 	}
 }
@@ -76,7 +76,7 @@
 			}
 			inHand := rapid.IntRange(0, 200).Draw(t, "in hand")
 			wait, ok := a.Admit(now, inHand)
-			if !ok && (inHand < admitLeast || wait <= 0) {
+			if !ok && (inHand < admissionMinWindow || wait <= 0) {
 				t.Fatalf("%d in hand, told to wait %v", inHand, wait)
 			}
 		}
--- a/internal/overload/belief_test.go
+++ b/internal/overload/belief_test.go
@@ -14,8 +14,8 @@
 		t.Error("nothing was seen, and it holds")
 	}
 	s.Record(time.Minute, true)
-	if !s.Holds(time.Minute+beliefAge) || s.Holds(time.Minute+beliefAge+1) {
-		t.Errorf("want it to hold for %v", beliefAge)
+	if !s.Holds(time.Minute+observationLifetime) || s.Holds(time.Minute+observationLifetime+1) {
+		t.Errorf("want it to hold for %v", observationLifetime)
 	}
 	s.Record(2*time.Minute, true)
 	s.Record(2*time.Minute, false)
@@ -26,9 +26,9 @@
 	for i, tc := range []struct {
 		after time.Duration
 		want  int
-	}{{0, 1}, {beliefAge, 2}, {time.Second, 3}, {beliefAge + time.Second, 1}, {0, 2}} {
+	}{{0, 1}, {observationLifetime, 2}, {time.Second, 3}, {observationLifetime + time.Second, 1}, {0, 2}} {
 		s := time.Hour
-		for _, e := range []time.Duration{0, beliefAge, time.Second, beliefAge + time.Second, 0}[:i+1] {
+		for _, e := range []time.Duration{0, observationLifetime, time.Second, observationLifetime + time.Second, 0}[:i+1] {
 			s += e
 		}
 		if got := n.Add(s); got != tc.want {
--- a/internal/overload/conns_test.go
+++ b/internal/overload/conns_test.go
@@ -8,8 +8,8 @@
 	"pgregory.net/rapid"
 )
 
-// crowdOf is so many directors at one peer.
-func crowdOf(n int) []ConnectLimiter {
+// newLimiters is so many directors at one peer.
+func newLimiters(n int) []ConnectLimiter {
 	all := make([]ConnectLimiter, n)
 	for i := range all {
 		all[i] = NewConnectLimiter(rand.New(rand.NewPCG(uint64(i), 1)))
@@ -21,7 +21,7 @@
 // all at once: after the first failures the fleet's tries are few and spread, and go on for ever.
 func TestScarceConnectionsAreLeftAlone(t *testing.T) {
 	const directors, second = 200, int(time.Second / (100 * time.Millisecond))
-	all := crowdOf(directors)
+	all := newLimiters(directors)
 	tries := make([]int, 60*second)
 	for i := range tries {
 		now := time.Minute + time.Duration(i)*100*time.Millisecond
@@ -84,15 +84,15 @@
 func TestConnectionsAreOpenedFewAtATime(t *testing.T) {
 	c := NewConnectLimiter(rand.New(rand.NewPCG(1, 1)))
 	now := time.Minute
-	if !c.Allow(now, connsOpening, connsOpening-1) || c.Allow(now, connsOpening, connsOpening) {
-		t.Errorf("want %d at a time", connsOpening)
+	if !c.Allow(now, maxConcurrentDials, maxConcurrentDials-1) || c.Allow(now, maxConcurrentDials, maxConcurrentDials) {
+		t.Errorf("want %d at a time", maxConcurrentDials)
 	}
 	c.RecordFailure(now, 0)
 	if c.Limit() != 0 || !c.Allow(now, 3, 0) {
 		t.Error("a peer that is down has no bound")
 	}
 	c.Reset(now)
-	if !c.Allow(now, 0, 0) || c.Allow(now, 1, 1) || !c.Allow(now, 1, 0) || !c.Allow(now+connsYoung, 2, 2) {
+	if !c.Allow(now, 0, 0) || c.Allow(now, 1, 1) || !c.Allow(now, 1, 0) || !c.Allow(now+peerWarmUp, 2, 2) {
 		t.Error("want one at a time while the peer is young, and no longer")
 	}
 }
@@ -113,7 +113,7 @@
 				continue
 			}
 			if known > 0 && have >= known {
-				if now-last < connsWait/2 && last != 0 {
+				if now-last < initialProbeInterval/2 && last != 0 {
 					t.Fatalf("tries beyond a bound %v apart", now-last)
 				}
 				last = now
--- a/internal/overload/firsts.go
+++ b/internal/overload/firsts.go
@@ -5,8 +5,8 @@
 const (
 	// MaxProbes is how often a request asks a cache for what it holds alone before it brings a source.
 	MaxProbes  = 4
-	firstsSpan = 2 * time.Second // after its start a director knows of no cache what it holds
-	firstsOpen = 0.5             // part of the fills that the origin takes, under which it counts as crowded
+	probeStartPeriod = 2 * time.Second // after its start a director knows of no cache what it holds
+	crowdedOriginFraction = 0.5             // part of the fills that the origin takes, under which it counts as crowded
 )
 
 // ProbeBeforeFill spares the origin the same object many times over where caches don't join fills: every request that misses
@@ -19,16 +19,16 @@
 // a cache that has just started, behind a crowded origin, and for a while after a director's own start, when
 // hundreds may have started with it.
 type ProbeBeforeFill struct {
-	began Time
-	known bool
+	startedAt Time
+	started bool
 }
 
 // ShouldProbe tells whether a request that will likely miss asks the cache only for what it holds. It has done so looks
 // times, LooksMost where no fill was under way; cold is that the cache has lately started, and open the part of the
 // fills that the origin takes. The caller asks where caches tell of fills under way and don't let requests join them.
 func (f *ProbeBeforeFill) ShouldProbe(now Time, cold bool, open float64, looks int) bool {
-	if !f.known {
-		f.known, f.began = true, now
+	if !f.started {
+		f.started, f.startedAt = true, now
 	}
-	return looks < MaxProbes && (cold || open < firstsOpen || now-f.began < firstsSpan)
+	return looks < MaxProbes && (cold || open < crowdedOriginFraction || now-f.startedAt < probeStartPeriod)
 }
--- a/internal/overload/firsts_test.go
+++ b/internal/overload/firsts_test.go
@@ -9,7 +9,7 @@
 func TestLooksOnlyWhereACrowdIsLikely(t *testing.T) {
 	var f ProbeBeforeFill
 	f.ShouldProbe(time.Minute, false, 1, 0) // begins
-	later := time.Minute + firstsSpan
+	later := time.Minute + probeStartPeriod
 	for _, tc := range []struct {
 		now   Time
 		cold  bool
--- a/internal/overload/idle_test.go
+++ b/internal/overload/idle_test.go
@@ -20,7 +20,7 @@
 	keep(300 * time.Millisecond)
 	i.RecordCloseRace(now, time.Second) // longer than is trusted: what crossed was opened long ago
 	keep(225 * time.Millisecond)
-	now += idleAge
+	now += idleTimeConstant
 	keep(612 * time.Millisecond)
 	i.RecordReuse(now, 400*time.Millisecond) // tells nothing: it was well within
 	keep(612 * time.Millisecond)
@@ -28,8 +28,8 @@
 	keep(621 * time.Millisecond)
 	i.RecordCloseRace(now, time.Millisecond)
 	keep(least)
-	now += 4 * idleAge
+	now += 4 * idleTimeConstant
 	keep(2730 * time.Millisecond)
-	now += 4 * idleAge
+	now += 4 * idleTimeConstant
 	keep(most)
 }
--- a/internal/overload/limit.go
+++ b/internal/overload/limit.go
@@ -6,7 +6,7 @@
 )
 
 const (
-	limitAge  = 20 * time.Second // after which what has set a limit counts e times less
+	limitTimeConstant  = 20 * time.Second // after which what has set a limit counts e times less
 	limitStep = 0.2              // part by which lateness lowers a limit, or work in time lifts it
 )
 
@@ -14,8 +14,8 @@
 // lowers it, work done in time near it lifts it, and age lifts it too: a director among hundreds may hear of a
 // server every ten seconds, and what was late then says little of now. Its zero is no limit.
 type ConcurrencyLimit struct {
-	most float64 // 0: none
-	told Time    // when that was right
+	limit float64 // 0: none
+	updatedAt Time    // when that was right
 }
 
 // NewConcurrencyLimit returns a limit that is right now.
@@ -23,10 +23,10 @@
 
 // Value is the limit as it counts now.
 func (l *ConcurrencyLimit) Value(now Time) float64 {
-	if l.most == 0 {
+	if l.limit == 0 {
 		return math.Inf(1)
 	}
-	return l.most / fade(now-l.told, limitAge)
+	return l.limit / exponentialDecay(now-l.updatedAt, limitTimeConstant)
 }
 
 // Full tells that work more can't be taken beside what is out. Under a limit that is less than one piece of work
@@ -40,12 +40,12 @@
 // less; at once to fit, where that is more; and never below least.
 func (l *ConcurrencyLimit) Decrease(now Time, top, fit, least float64) {
 	most := l.Value(now)
-	l.most, l.told = max(least, min(most, top)*(1-limitStep), min(most, fit)), now
+	l.limit, l.updatedAt = max(least, min(most, top)*(1-limitStep), min(most, fit)), now
 }
 
 // Increase is the answer to work that was done in time beside what is still out: a low limit recovers within seconds.
 func (l *ConcurrencyLimit) Increase(now Time, out, work float64) {
-	if most := l.Value(now); l.most != 0 && out+work > most/2 {
-		l.most, l.told = most+work*limitStep, now
+	if most := l.Value(now); l.limit != 0 && out+work > most/2 {
+		l.limit, l.updatedAt = most+work*limitStep, now
 	}
 }
--- a/internal/overload/limit_test.go
+++ b/internal/overload/limit_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-func draws(x float64) func() float64 { return func() float64 { return x } }
+func constantDraw(x float64) func() float64 { return func() float64 { return x } }
 
 // A limit that was set long ago says little of now: it rises with age, and by and by stops nothing.
 func TestLimitCountsLessWithAge(t *testing.T) {
@@ -16,13 +16,13 @@
 	for _, tc := range []struct {
 		after time.Duration
 		full  bool
-	}{{0, true}, {2 * time.Second, true}, {limitAge, false}, {time.Hour, false}} {
-		if got := l.Full(time.Minute+tc.after, 2, 1, draws(0.5)); got != tc.full {
+	}{{0, true}, {2 * time.Second, true}, {limitTimeConstant, false}, {time.Hour, false}} {
+		if got := l.Full(time.Minute+tc.after, 2, 1, constantDraw(0.5)); got != tc.full {
 			t.Errorf("after %v: full %v, want %v (limit %v)", tc.after, got, tc.full, l.Value(time.Minute+tc.after))
 		}
 	}
 	// New evidence counts from now on, by what is left of the old.
-	now := time.Minute + limitAge
+	now := time.Minute + limitTimeConstant
 	l.Decrease(now, 100, 0, 0.1)
 	if got, want := l.Value(now), 2*math.E*(1-limitStep); math.Abs(got-want) > 1e-9 {
 		t.Errorf("lowered to %v, want %v", got, want)
@@ -32,10 +32,10 @@
 // Under a limit that is less than one piece of work, pieces pass by chance and one at a time.
 func TestPiecesPassASmallLimitByChance(t *testing.T) {
 	l := NewConcurrencyLimit(0, 0.25)
-	if l.Full(0, 0, 1, draws(0.2)) || !l.Full(0, 0, 1, draws(0.3)) || !l.Full(0, 1, 1, draws(0.1)) {
+	if l.Full(0, 0, 1, constantDraw(0.2)) || !l.Full(0, 0, 1, constantDraw(0.3)) || !l.Full(0, 1, 1, constantDraw(0.1)) {
 		t.Error("want a quarter of the pieces to pass, beside nothing that is out")
 	}
-	if free := (ConcurrencyLimit{}); free.Full(0, 1e9, 1e9, draws(1)) {
+	if free := (ConcurrencyLimit{}); free.Full(0, 1e9, 1e9, constantDraw(1)) {
 		t.Error("no limit, and yet full")
 	}
 }
@@ -50,7 +50,7 @@
 			before := l.Value(now)
 			now += gap
 			aged := l.Value(now)
-			if aged < before || aged > before*math.Exp(gap.Seconds()/limitAge.Seconds())*(1+1e-9) {
+			if aged < before || aged > before*math.Exp(gap.Seconds()/limitTimeConstant.Seconds())*(1+1e-9) {
 				t.Fatalf("%v became %v within %v", before, aged, gap)
 			}
 			out, work := rapid.Float64Range(0, 10).Draw(t, "out"), rapid.Float64Range(0.01, 1).Draw(t, "work")
--- a/internal/overload/list.go
+++ b/internal/overload/list.go
@@ -64,11 +64,11 @@
 
 // Figures of the pace that are not derived.
 const (
-	crowd   = 8               // directors from which the full spread is used: fewer can't hurt the service
-	settled = 3 * time.Second // a stream that was good for less has served nobody: a flapping service
-	saved   = 4               // calls that may be made at once after a quiet time: a break, and its repair
-	growth  = 2.0             // times that a window grows with each call that is not served (exponential backoff)
-	golden  = 0.6180339887498949
+	fullWindowFleet   = 8               // directors from which the full spread is used: fewer can't hurt the service
+	settleTime = 3 * time.Second // a stream that was good for less has served nobody: a flapping service
+	maxSavedCalls   = 4               // calls that may be made at once after a quiet time: a break, and its repair
+	backoffFactor  = 2.0             // times that a window grows with each call that is not served (exponential backoff)
+	goldenRatioConjugate  = 0.6180339887498949
 )
 
 // Backoff paces one director's calls of the list service. The caller makes a call at the time that Start, Next
@@ -87,66 +87,66 @@
 // soon, until the budget, a token bucket, is nearly spent. docs/lifecycles.md has the worst cases that come of it.
 type Backoff struct {
 	rng    *rand.Rand
-	b      BackoffConfig
-	spread time.Duration // over which the fleet spreads its first calls
-	back   time.Duration // and its return to a service that broke good streams
-	quick  time.Duration // longest wait that leaves a call its time within Purge
-	soon   time.Duration // longest wait while the service is down
-	long   time.Duration // longest wait at all
+	config      BackoffConfig
+	startWindow time.Duration // over which the fleet spreads its first calls
+	returnWindow   time.Duration // and its return to a service that broke good streams
+	maxWaitAfterBreak  time.Duration // longest wait that leaves a call its time within Purge
+	maxWaitWhileDown   time.Duration // longest wait while the service is down
+	maxWait   time.Duration // longest wait at all
 
 	tokens   float64 // calls saved up
-	filled   Time    // when tokens was right
+	refilledAt   Time    // when tokens was right
 	failures int     // in a row, with no settled stream between
-	unserved int     // calls in a row that were refused or timed out, with no good line between
-	unfit    int     // ends in a row that were unfit, with no good line between
+	unservedCalls int     // calls in a row that were refused or timed out, with no good line between
+	unusableEnds    int     // ends in a row that were unfit, with no good line between
 	breaks   int     // of good streams: turns our place in the spread
-	goodFrom Time    // first good line of the present stream
-	good     bool
+	usableSince Time    // first good line of the present stream
+	usable     bool
 }
 
 // NewBackoff returns the pace for the bounds. The seed should differ from director to director.
 func NewBackoff(b BackoffConfig, seed uint64) *Backoff {
 	b.Directors = max(b.Directors, 1)
-	c := &Backoff{rng: rand.New(rand.NewPCG(seed, 2)), b: b, tokens: saved}
-	c.soon = max(b.ApplyWithin-b.CallDuration, b.MinWait)
-	c.long = max(b.NotifiedAfter-b.CallDuration, c.soon)
-	part := min(1, float64(b.Directors-1)/(crowd-1))
-	c.quick = min(c.soon, b.ApplyPurgeWithin*4/5)
-	c.back = time.Duration(part * float64(c.quick))
-	c.spread = c.back
+	c := &Backoff{rng: rand.New(rand.NewPCG(seed, 2)), config: b, tokens: maxSavedCalls}
+	c.maxWaitWhileDown = max(b.ApplyWithin-b.CallDuration, b.MinWait)
+	c.maxWait = max(b.NotifiedAfter-b.CallDuration, c.maxWaitWhileDown)
+	part := min(1, float64(b.Directors-1)/(fullWindowFleet-1))
+	c.maxWaitAfterBreak = min(c.maxWaitWhileDown, b.ApplyPurgeWithin*4/5)
+	c.returnWindow = time.Duration(part * float64(c.maxWaitAfterBreak))
+	c.startWindow = c.returnWindow
 	if b.StartWindow > 0 {
-		c.spread = time.Duration(part * float64(min(c.soon, b.StartWindow)))
+		c.startWindow = time.Duration(part * float64(min(c.maxWaitWhileDown, b.StartWindow)))
 	}
 	return c
 }
 
 // StartWindow is the span over which the fleet spreads its first calls.
-func (c *Backoff) StartWindow() time.Duration { return c.spread }
+func (c *Backoff) StartWindow() time.Duration { return c.startWindow }
 
 // ReturnWindow is the span over which it spreads its return to a service that broke good streams.
-func (c *Backoff) ReturnWindow() time.Duration { return c.back }
+func (c *Backoff) ReturnWindow() time.Duration { return c.returnWindow }
 
 // FirstCall is when to make the first call.
 func (c *Backoff) FirstCall(now Time) Time {
-	c.filled = now
-	return c.spend(now, c.place(now, c.spread))
+	c.refilledAt = now
+	return c.reserveCall(now, c.slot(now, c.startWindow))
 }
 
 // RedirectCall is when to go over to another service, on order of the operators: all directors hear it at once. What only
 // the new one tells must be heard as after a break, though the present stream is followed until then.
 func (c *Backoff) RedirectCall(now Time) Time {
 	c.breaks++
-	c.failures, c.unserved, c.unfit, c.good = 0, 0, 0, false
-	return c.spend(now, c.place(now, c.back))
+	c.failures, c.unservedCalls, c.unusableEnds, c.usable = 0, 0, 0, false
+	return c.reserveCall(now, c.slot(now, c.returnWindow))
 }
 
 // RecordUsableLine notes a good line of the present stream.
 func (c *Backoff) RecordUsableLine(now Time) {
-	if !c.good {
-		c.good, c.goodFrom = true, now
-		c.unserved, c.unfit = 0, 0
+	if !c.usable {
+		c.usable, c.usableSince = true, now
+		c.unservedCalls, c.unusableEnds = 0, 0
 	}
-	if now-c.goodFrom >= settled {
+	if now-c.usableSince >= settleTime {
 		c.failures = 0
 	}
 }
@@ -156,8 +156,8 @@
 
 // NextCall is when to call again after the present call, or its stream, has ended.
 func (c *Backoff) NextCall(now Time, e WatchEnd) Time {
-	served := c.good && now-c.goodFrom >= settled
-	c.good = false
+	served := c.usable && now-c.usableSince >= settleTime
+	c.usable = false
 	if served {
 		c.failures = 0
 	} else {
@@ -166,80 +166,80 @@
 	switch {
 	case served && e == EndSilent: // what was lost in silence is gone from the time for the news
 		c.breaks++
-		return c.spend(now, c.place(now, min(c.back, max(0, c.soon-c.b.SilenceTimeout))))
+		return c.reserveCall(now, c.slot(now, min(c.returnWindow, max(0, c.maxWaitWhileDown-c.config.SilenceTimeout))))
 	case served:
 		c.breaks++
-		return c.spend(now, c.place(now, c.back))
+		return c.reserveCall(now, c.slot(now, c.returnWindow))
 	case e == EndRefused:
-		c.unserved++
-		return c.spend(now, c.jitter(c.window(c.soon/4, c.soon), 0))
+		c.unservedCalls++
+		return c.reserveCall(now, c.jitter(c.backoffWindow(c.maxWaitWhileDown/4, c.maxWaitWhileDown), 0))
 	case (e == EndBroken || e == EndSilent) && c.failures == 1: // once, a stream that was good for a moment is replaced at once
 		c.breaks++
-		return c.spend(now, c.place(now, c.back))
-	case (e == EndBroken || e == EndSilent) && c.left(now) >= 2:
+		return c.reserveCall(now, c.slot(now, c.returnWindow))
+	case (e == EndBroken || e == EndSilent) && c.remainingBudget(now) >= 2:
 		// It had told something: the service is there, and not overloaded. What it has cut off is due no later than
 		// behind a stream that was good for long.
 		c.breaks++
-		least := min(c.b.MinWait, c.quick)
-		return c.spend(now, least+c.place(now+least, max(0, c.back-least)))
+		least := min(c.config.MinWait, c.maxWaitAfterBreak)
+		return c.reserveCall(now, least+c.slot(now+least, max(0, c.returnWindow-least)))
 	case e == EndBroken || e == EndSilent: // the last call saved is spent at random: from then on the budget sets the time
-		return c.spend(now, c.jitter(c.soon, 0.5))
+		return c.reserveCall(now, c.jitter(c.maxWaitWhileDown, 0.5))
 	case e == EndUnusable:
-		c.unfit++
-		if c.unfit == 1 { // half an event is what a break leaves too
-			return c.spend(now, c.jitter(c.quick, 0.5))
+		c.unusableEnds++
+		if c.unusableEnds == 1 { // half an event is what a break leaves too
+			return c.reserveCall(now, c.jitter(c.maxWaitAfterBreak, 0.5))
 		}
-		return c.spend(now, c.jitter(c.soon, 0.5))
+		return c.reserveCall(now, c.jitter(c.maxWaitWhileDown, 0.5))
 	}
 	// Half of the window at least: who comes back at once adds to the crowd that it was lost in. What was published right
 	// behind the last call counts as told Late after it, and is due Purge later: the next call is served by then.
-	c.unserved++
-	wait := c.jitter(c.window(c.soon, c.long), 0.5)
-	due := c.filled + c.b.NotifiedAfter + c.b.ApplyPurgeWithin - c.b.CallDuration
-	return c.spend(now, max(min(wait, due-now), c.b.MinWait))
+	c.unservedCalls++
+	wait := c.jitter(c.backoffWindow(c.maxWaitWhileDown, c.maxWait), 0.5)
+	due := c.refilledAt + c.config.NotifiedAfter + c.config.ApplyPurgeWithin - c.config.CallDuration
+	return c.reserveCall(now, max(min(wait, due-now), c.config.MinWait))
 }
 
-// place is how long it is to our place in the spread. The spread comes round by the clock, and each director has a
+// slot is how long it is to our slot in the spread. The spread comes round by the clock, and each director has a
 // slot of its own in it: calls that fall due everywhere, at one moment or nearly so, make an even stream, however
-// long each process took to start or to notice. Within the slot the place is random, so that two with one number
+// long each process took to start or to notice. Within the slot the slot is random, so that two with one number
 // don't collide for good; it turns with each break, lest one director always comes last.
-func (c *Backoff) place(now Time, spread time.Duration) time.Duration {
+func (c *Backoff) slot(now Time, spread time.Duration) time.Duration {
 	if spread <= 0 {
 		return 0
 	}
-	n := float64(c.b.Directors)
-	_, at := math.Modf((float64(c.b.DirectorIndex)+c.rng.Float64())/n + golden*float64(c.breaks))
+	n := float64(c.config.Directors)
+	_, at := math.Modf((float64(c.config.DirectorIndex)+c.rng.Float64())/n + goldenRatioConjugate*float64(c.breaks))
 	return (time.Duration(at*float64(spread)) - now%spread + spread) % spread
 }
 
-// window grows with each call in a row that was not served, from first up to most. Streams that break are no such
+// backoffWindow grows with each call in a row that was not served, from first up to most. Streams that break are no such
 // calls: what comes of the service's faults must not count as its overload.
-func (c *Backoff) window(first, most time.Duration) time.Duration {
-	w := float64(first) * math.Pow(growth, float64(min(c.unserved-1, 16)))
+func (c *Backoff) backoffWindow(first, most time.Duration) time.Duration {
+	w := float64(first) * math.Pow(backoffFactor, float64(min(c.unservedCalls-1, 16)))
 	return time.Duration(min(w, float64(most)))
 }
 
 // jitter is a random time in the window, from a part of it on, and not under Least.
 func (c *Backoff) jitter(window time.Duration, from float64) time.Duration {
 	part := from + (1-from)*c.rng.Float64()
-	return max(time.Duration(part*float64(window)), c.b.MinWait)
+	return max(time.Duration(part*float64(window)), c.config.MinWait)
 }
 
-// left is the budget at a time: calls saved up.
-func (c *Backoff) left(at Time) float64 {
-	return min(saved, c.tokens+float64(at-c.filled)/float64(c.soon))
+// remainingBudget is the budget at a time: calls saved up.
+func (c *Backoff) remainingBudget(at Time) float64 {
+	return min(maxSavedCalls, c.tokens+float64(at-c.refilledAt)/float64(c.maxWaitWhileDown))
 }
 
-// spend takes a call off the budget, a token bucket that gains one for each soon. Where nothing is left the call waits for
+// reserveCall takes a call off the budget, a token bucket that gains one for each soon. Where nothing is left the call waits for
 // the next one, which is no longer than soon: a service that serves and breaks by turns costs its directors one
 // call in that time, and no more.
-func (c *Backoff) spend(now Time, wait time.Duration) Time {
+func (c *Backoff) reserveCall(now Time, wait time.Duration) Time {
 	at := now + wait
-	c.tokens = c.left(at)
-	c.filled = at
+	c.tokens = c.remainingBudget(at)
+	c.refilledAt = at
 	if c.tokens < 1 {
-		at += time.Duration((1 - c.tokens) * float64(c.soon))
-		c.tokens, c.filled = 1, at
+		at += time.Duration((1 - c.tokens) * float64(c.maxWaitWhileDown))
+		c.tokens, c.refilledAt = 1, at
 	}
 	c.tokens--
 	return at
--- a/internal/overload/list_test.go
+++ b/internal/overload/list_test.go
@@ -7,14 +7,14 @@
 	"pgregory.net/rapid"
 )
 
-// bounds are those of the platform.
-func bounds(n, me int) BackoffConfig {
+// platformConfig are those of the platform.
+func platformConfig(n, me int) BackoffConfig {
 	return BackoffConfig{Directors: n, DirectorIndex: me, ApplyWithin: 2 * time.Second, ApplyPurgeWithin: 500 * time.Millisecond, StartWindow: 1500 * time.Millisecond, NotifiedAfter: 7 * time.Second,
 		SilenceTimeout: 1300 * time.Millisecond, CallDuration: 500 * time.Millisecond, MinWait: 100 * time.Millisecond}
 }
 
-// peak is the busiest 100 ms of calls over their mean in the span.
-func peak(calls []Time, from, span Time) float64 {
+// peakToMean is the busiest 100 ms of calls over their mean in the span.
+func peakToMean(calls []Time, from, span Time) float64 {
 	const step = 100 * time.Millisecond
 	bins := make([]int, int(span/step)+1)
 	most := 0
@@ -34,7 +34,7 @@
 			var starts, backs []Time
 			const begin, loss = 100 * time.Second, 200 * time.Second
 			for me := range n {
-				c := NewBackoff(bounds(n, me), seed<<32|uint64(me))
+				c := NewBackoff(platformConfig(n, me), seed<<32|uint64(me))
 				at := c.FirstCall(begin)
 				starts = append(starts, at)
 				c.RecordUsableLine(at)
@@ -45,11 +45,11 @@
 					t.Errorf("%d directors: number %d is back after %v", n, me, back-loss)
 				}
 			}
-			pace := NewBackoff(bounds(n, 0), 0)
-			if p := peak(starts, begin, pace.StartWindow()); p > 2 {
+			pace := NewBackoff(platformConfig(n, 0), 0)
+			if p := peakToMean(starts, begin, pace.StartWindow()); p > 2 {
 				t.Errorf("%d directors, seed %d: the busiest 100 ms of the start has %.2f times the mean", n, seed, p)
 			}
-			if p := peak(backs, loss, pace.ReturnWindow()); p > 2 {
+			if p := peakToMean(backs, loss, pace.ReturnWindow()); p > 2 {
 				t.Errorf("%d directors, seed %d: the busiest 100 ms of the return has %.2f times the mean", n, seed, p)
 			}
 		}
@@ -59,7 +59,7 @@
 // Who takes work from the first moment on has no more time for its first call than for its return.
 func TestStartWithoutASpanIsAReturn(t *testing.T) {
 	for me := range 300 {
-		b := bounds(300, me)
+		b := platformConfig(300, me)
 		b.StartWindow = 0
 		if at := NewBackoff(b, uint64(me)).FirstCall(time.Hour) - time.Hour; at > 400*time.Millisecond {
 			t.Fatalf("number %d calls after %v", me, at)
@@ -69,7 +69,7 @@
 
 // One director alone has nobody to spread from.
 func TestLoneDirectorCallsAtOnce(t *testing.T) {
-	c := NewBackoff(bounds(1, 0), 1)
+	c := NewBackoff(platformConfig(1, 0), 1)
 	if at := c.FirstCall(time.Second); at != time.Second {
 		t.Errorf("first call at %v", at)
 	}
@@ -82,7 +82,7 @@
 // Silence has used up most of the time for the news.
 func TestSilenceLeavesLessTime(t *testing.T) {
 	for me := range 300 {
-		c := NewBackoff(bounds(300, me), uint64(me))
+		c := NewBackoff(platformConfig(300, me), uint64(me))
 		at := c.FirstCall(0)
 		c.RecordUsableLine(at)
 		if wait := c.NextCall(at+10*time.Second, EndSilent) - (at + 10*time.Second); wait > 200*time.Millisecond {
@@ -95,7 +95,7 @@
 func TestWaitsGrowByWhatFailed(t *testing.T) {
 	mean := func(e WatchEnd, failures int) (sum time.Duration) {
 		for seed := range uint64(200) {
-			c := NewBackoff(bounds(300, 7), seed)
+			c := NewBackoff(platformConfig(300, 7), seed)
 			now := c.FirstCall(0)
 			var wait time.Duration
 			for range failures {
@@ -123,7 +123,7 @@
 func TestPaceKeepsItsBoundsWhateverHappens(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 400).Draw(t, "directors")
-		c := NewBackoff(bounds(n, rapid.IntRange(0, n-1).Draw(t, "me")), rapid.Uint64().Draw(t, "seed"))
+		c := NewBackoff(platformConfig(n, rapid.IntRange(0, n-1).Draw(t, "me")), rapid.Uint64().Draw(t, "seed"))
 		now := rapid.Custom(func(t *rapid.T) Time { return Time(rapid.Int64Range(0, 1e12).Draw(t, "ns")) }).Draw(t, "begin")
 		due := c.FirstCall(now)
 		calls := []Time{}
@@ -149,16 +149,16 @@
 			if wait := due - now; wait > 6500*time.Millisecond || (e != EndTimedOut && e != EndSilent && wait > 3*time.Second) {
 				t.Fatalf("waits %v after %v, served for %v", wait, e, served)
 			}
-			if served >= settled && due-now > 400*time.Millisecond {
+			if served >= settleTime && due-now > 400*time.Millisecond {
 				t.Fatalf("waits %v behind a stream that was good for %v", due-now, served)
 			}
-			if tokens := c.tokens; tokens < 0 || tokens > saved {
+			if tokens := c.tokens; tokens < 0 || tokens > maxSavedCalls {
 				t.Fatalf("%v calls saved", tokens)
 			}
 		}
 		for i := range calls {
 			for j := i; j < len(calls); j++ {
-				if most := saved + 1e-6 + float64(calls[j]-calls[i])/float64(1500*time.Millisecond); float64(j-i+1) > most+1 {
+				if most := maxSavedCalls + 1e-6 + float64(calls[j]-calls[i])/float64(1500*time.Millisecond); float64(j-i+1) > most+1 {
 					t.Fatalf("%d calls in %v", j-i+1, calls[j]-calls[i])
 				}
 			}
@@ -168,7 +168,7 @@
 
 // A good stream that settles clears what failed before; a flapping one does not.
 func TestOnlyASettledStreamForgives(t *testing.T) {
-	c := NewBackoff(bounds(300, 0), 1)
+	c := NewBackoff(platformConfig(300, 0), 1)
 	now := c.FirstCall(0)
 	for range 3 {
 		c.RecordUsableLine(now)
@@ -178,7 +178,7 @@
 		t.Errorf("%d failures after three streams of 0.1 s, want 3", c.Failures())
 	}
 	c.RecordUsableLine(now)
-	c.RecordUsableLine(now + settled)
+	c.RecordUsableLine(now + settleTime)
 	if c.Failures() != 0 {
 		t.Errorf("%d failures after a settled stream", c.Failures())
 	}
@@ -188,7 +188,7 @@
 // must be heard within Heed, and a window that grows with each failure goes past that.
 func TestYoungStreamsThatFallSilentAreNoTimeOuts(t *testing.T) {
 	for seed := range uint64(50) {
-		c := NewBackoff(bounds(300, int(seed)), seed)
+		c := NewBackoff(platformConfig(300, int(seed)), seed)
 		now := c.FirstCall(1000 * time.Second)
 		for i := range 3 {
 			c.RecordUsableLine(now + 10*time.Millisecond)
@@ -209,7 +209,7 @@
 	const budget = 4 // calls at once; one more in 1.5 s
 	for _, n := range []int{1, 12, 300} {
 		for seed := range uint64(50) {
-			c := NewBackoff(bounds(n, int(seed)%n), seed)
+			c := NewBackoff(platformConfig(n, int(seed)%n), seed)
 			now := c.FirstCall(1000 * time.Second)
 			calls := []Time{now}
 			for i := range 40 {
@@ -246,7 +246,7 @@
 	for seed := range uint64(5) {
 		paces := make([]*Backoff, n)
 		for me := range paces {
-			paces[me] = NewBackoff(bounds(n, me), seed<<32|uint64(me))
+			paces[me] = NewBackoff(platformConfig(n, me), seed<<32|uint64(me))
 			paces[me].FirstCall(100 * time.Second)
 		}
 		now := 101 * time.Second
@@ -260,7 +260,7 @@
 				}
 				backs = append(backs, back)
 			}
-			if p := peak(backs, now, paces[0].ReturnWindow()); p > 2 {
+			if p := peakToMean(backs, now, paces[0].ReturnWindow()); p > 2 {
 				t.Errorf("seed %d, break %d: the busiest 100 ms of the return has %.2f times the mean", seed, i+1, p)
 			}
 			now += 600 * time.Millisecond
@@ -272,7 +272,7 @@
 // that time out one after the other are followed ever later.
 func TestBreaksDoNotMakeATimeOutLonger(t *testing.T) {
 	for seed := range uint64(50) {
-		c := NewBackoff(bounds(300, int(seed)), seed)
+		c := NewBackoff(platformConfig(300, int(seed)), seed)
 		now := c.FirstCall(1000 * time.Second)
 		for range 6 {
 			c.RecordUsableLine(now + 10*time.Millisecond)
@@ -293,7 +293,7 @@
 // there were, and however long the call took, the next one is made in time to be served when that is due.
 func TestTheWaitBehindATimeOutLeavesTheTimeOfItsCall(t *testing.T) {
 	for seed := range uint64(50) {
-		b := bounds(300, int(seed))
+		b := platformConfig(300, int(seed))
 		c := NewBackoff(b, seed)
 		now := c.FirstCall(1000 * time.Second)
 		for _, took := range []time.Duration{0, time.Second, b.SilenceTimeout, time.Second + b.SilenceTimeout} {
--- a/internal/overload/repeats.go
+++ b/internal/overload/repeats.go
@@ -6,12 +6,12 @@
 )
 
 const (
-	repeatEarns = 0.5             // further attempts that a request earns while nobody is turned away
-	repeatLeast = 0.1             // and while all are
-	repeatTrick = 0.5             // and a second, so that a director with little to do isn't left without
-	repeatSaves = 6.0             // further attempts that may be saved up
-	repeatAge   = 4 * time.Second // after which what was seen of a crowd counts e times less
-	repeatLearn = 1.0 / 16        // weight of one attempt's end, for a director with much to do
+	retryMaxDeposit = 0.5             // further attempts that a request earns while nobody is turned away
+	retryMinDeposit = 0.1             // and while all are
+	retryRefillPerSecond = 0.5             // and a second, so that a director with little to do isn't left without
+	retryMaxBalance = 6.0             // further attempts that may be saved up
+	rejectionTimeConstant   = 4 * time.Second // after which what was seen of a crowd counts e times less
+	rejectionMinWeight = 1.0 / 16        // weight of one attempt's end, for a director with much to do
 )
 
 // RetryBudget is a director's budget for further attempts of its requests. In a crowd each attempt that is turned away
@@ -19,33 +19,33 @@
 // attempts for a request, seconds after its cause was gone. So requests earn further attempts, the fewer the larger
 // the part of attempts that are turned away. What can't be tried again is refused at once and says when to come.
 type RetryBudget struct {
-	saved float64
-	away  float64 // running part of the attempts that were turned away
-	at    Time    // when saved was right
-	seen  Time    // when away was
-	begun bool
+	balance float64
+	lastRejectionRate  float64 // running part of the attempts that were turned away
+	balanceAt    Time    // when saved was right
+	rejectionRateAt  Time    // when away was
+	started bool
 }
 
 // RecordRequest takes note of a request, which earns.
 func (r *RetryBudget) RecordRequest(now Time) {
-	r.advance(now)
+	r.refill(now)
 	crowd := r.RejectionRate(now)
-	r.earn(repeatLeast + (repeatEarns-repeatLeast)*(1-crowd)*(1-crowd))
+	r.deposit(retryMinDeposit + (retryMaxDeposit-retryMinDeposit)*(1-crowd)*(1-crowd))
 }
 
 // TryWithdraw takes a further attempt from the budget, if there is one. What is to be refused last, as repayments are, may
 // overdraw it by as much as can be saved up, but no more: seen in the laboratory, six attempts of each repayment
 // alone kept an origin busy that could have done all of them.
 func (r *RetryBudget) TryWithdraw(now Time, last bool) bool {
-	r.advance(now)
+	r.refill(now)
 	least := 1.0
 	if last {
-		least -= repeatSaves
+		least -= retryMaxBalance
 	}
-	if r.saved < least {
+	if r.balance < least {
 		return false
 	}
-	r.saved--
+	r.balance--
 	return true
 }
 
@@ -61,23 +61,23 @@
 		x = 1
 	}
 	// What is old has faded, and in its place comes what is new: a director that sees little learns by more.
-	weight := max(repeatLearn, (1-fade(now-r.seen, repeatAge))/2)
+	weight := max(rejectionMinWeight, (1-exponentialDecay(now-r.rejectionRateAt, rejectionTimeConstant))/2)
 	crowd := r.RejectionRate(now)
-	r.away, r.seen = crowd+(x-crowd)*weight, now
+	r.lastRejectionRate, r.rejectionRateAt = crowd+(x-crowd)*weight, now
 }
 
 // RejectionRate is the part of the attempts that are turned away, as far as that is known still: between 0 and 1.
-func (r *RetryBudget) RejectionRate(now Time) float64 { return r.away * fade(now-r.seen, repeatAge) }
+func (r *RetryBudget) RejectionRate(now Time) float64 { return r.lastRejectionRate * exponentialDecay(now-r.rejectionRateAt, rejectionTimeConstant) }
 
-func (r *RetryBudget) advance(now Time) {
-	if !r.begun {
-		r.begun, r.saved, r.at = true, repeatSaves, now
+func (r *RetryBudget) refill(now Time) {
+	if !r.started {
+		r.started, r.balance, r.balanceAt = true, retryMaxBalance, now
 	}
-	r.earn(repeatTrick * (now - r.at).Seconds())
-	r.at = now
+	r.deposit(retryRefillPerSecond * (now - r.balanceAt).Seconds())
+	r.balanceAt = now
 }
 
-func (r *RetryBudget) earn(n float64) { r.saved = min(repeatSaves, r.saved+n) }
+func (r *RetryBudget) deposit(n float64) { r.balance = min(retryMaxBalance, r.balance+n) }
 
-// fade is the part that is left of a belief of an age, by its time constant.
-func fade(age, life time.Duration) float64 { return math.Exp(-max(0, float64(age)) / float64(life)) }
+// exponentialDecay is the part that is left of a belief of an age, by its time constant.
+func exponentialDecay(age, life time.Duration) float64 { return math.Exp(-max(0, float64(age)) / float64(life)) }
--- a/internal/overload/repeats_test.go
+++ b/internal/overload/repeats_test.go
@@ -7,9 +7,9 @@
 	"pgregory.net/rapid"
 )
 
-// play sends requests at a rate for a time, of which a part of all attempts is turned away and tried again as the
+// playRequests sends requests at a rate for a time, of which a part of all attempts is turned away and tried again as the
 // budget allows; it tells the attempts for a request.
-func play(r *RetryBudget, from Time, perSecond, seconds float64, away func(n int) bool) (Time, float64) {
+func playRequests(r *RetryBudget, from Time, perSecond, seconds float64, away func(n int) bool) (Time, float64) {
 	requests, attempts, now := 0, 0, from
 	for range int(perSecond * seconds) {
 		now += Time(float64(time.Second) / perSecond)
@@ -32,17 +32,17 @@
 func TestCrowdDoesNotKeepItselfAlive(t *testing.T) {
 	for _, perSecond := range []float64{0.5, 5, 50} {
 		var r RetryBudget
-		now, calm := play(&r, time.Minute, perSecond, 20, func(n int) bool { return n%10 == 0 })
+		now, calm := playRequests(&r, time.Minute, perSecond, 20, func(n int) bool { return n%10 == 0 })
 		if calm < 1.05 {
 			t.Errorf("%v a second: %v attempts for a request in calm, want each failure tried again", perSecond, calm)
 		}
-		now, _ = play(&r, now, perSecond, 5, func(int) bool { return true })
-		now, crowd := play(&r, now, perSecond, 20, func(int) bool { return true })
+		now, _ = playRequests(&r, now, perSecond, 5, func(int) bool { return true })
+		now, crowd := playRequests(&r, now, perSecond, 20, func(int) bool { return true })
 		// What comes back each second beside what requests earn: all that a crowd can get.
-		if most := 1 + repeatLeast + repeatTrick/perSecond + 0.2; crowd > most {
+		if most := 1 + retryMinDeposit + retryRefillPerSecond/perSecond + 0.2; crowd > most {
 			t.Errorf("%v a second: %v attempts for a request in a crowd, %v at most", perSecond, crowd, most)
 		}
-		_, after := play(&r, now+5*time.Second, perSecond, 20, func(n int) bool { return n%10 == 0 })
+		_, after := playRequests(&r, now+5*time.Second, perSecond, 20, func(n int) bool { return n%10 == 0 })
 		if after < 1.05 {
 			t.Errorf("%v a second: %v attempts for a request after the crowd", perSecond, after)
 		}
@@ -59,8 +59,8 @@
 	if c := r.RejectionRate(time.Minute); c < 0.9 {
 		t.Errorf("all turned away: %v", c)
 	}
-	if c := r.RejectionRate(time.Minute + 5*repeatAge); c > 0.01 {
-		t.Errorf("and still %v after %v", c, 5*repeatAge)
+	if c := r.RejectionRate(time.Minute + 5*rejectionTimeConstant); c > 0.01 {
+		t.Errorf("and still %v after %v", c, 5*rejectionTimeConstant)
 	}
 }
 
@@ -85,7 +85,7 @@
 			if c := r.RejectionRate(now); c < 0 || c > 1 {
 				t.Fatalf("crowd %v", c)
 			}
-			if most := 2*repeatSaves + repeatEarns*float64(requests) + repeatTrick*now.Seconds(); float64(taken) > most+1e-6 {
+			if most := 2*retryMaxBalance + retryMaxDeposit*float64(requests) + retryRefillPerSecond*now.Seconds(); float64(taken) > most+1e-6 {
 				t.Fatalf("%d further attempts, %v at most", taken, most)
 			}
 		}
@@ -101,7 +101,7 @@
 	n := 0
 	for ; n < 100 && r.TryWithdraw(now, true); n++ {
 	}
-	if n != repeatSaves {
-		t.Errorf("%d further attempts beyond the budget, want %v", n, repeatSaves)
+	if n != retryMaxBalance {
+		t.Errorf("%d further attempts beyond the budget, want %v", n, retryMaxBalance)
 	}
 }
--- a/internal/overload/shield_test.go
+++ b/internal/overload/shield_test.go
@@ -38,23 +38,23 @@
 func TestShieldLowersOnceForAQueue(t *testing.T) {
 	s, now := NewOriginShield(300), 10*time.Second
 	s.RecordAnswer(now, now-time.Second, true)
-	if got := s.AdmitFraction(now); got != s.to {
-		t.Errorf("open for %v behind a late answer, want %v", got, s.to)
+	if got := s.AdmitFraction(now); got != s.decreaseFactor {
+		t.Errorf("open for %v behind a late answer, want %v", got, s.decreaseFactor)
 	}
 	s.RecordAnswer(now, now-time.Millisecond, true)
 	s.RecordAnswer(now, now-time.Millisecond, false)
-	if got := s.AdmitFraction(now); got != s.to {
+	if got := s.AdmitFraction(now); got != s.decreaseFactor {
 		t.Errorf("moved to %v by what was sent before", got)
 	}
 	s.RecordAnswer(now+time.Second, now, true)
-	if got := s.AdmitFraction(now + time.Second); got > 0.5*s.to {
+	if got := s.AdmitFraction(now + time.Second); got > 0.5*s.decreaseFactor {
 		t.Errorf("open for %v behind a second queue", got)
 	}
 	if got := s.AdmitFraction(now + time.Minute); got != 1 {
 		t.Errorf("open for %v a minute later", got)
 	}
-	if few := NewOriginShield(4); few.to <= 2*s.to || few.rise <= 5*s.rise {
-		t.Errorf("four directors lower to %v and open by %v, hundreds to %v and %v", few.to, few.rise, s.to, s.rise)
+	if few := NewOriginShield(4); few.decreaseFactor <= 2*s.decreaseFactor || few.recoveryPerSecond <= 5*s.recoveryPerSecond {
+		t.Errorf("four directors lower to %v and open by %v, hundreds to %v and %v", few.decreaseFactor, few.recoveryPerSecond, s.decreaseFactor, s.recoveryPerSecond)
 	}
 }
 
@@ -88,19 +88,19 @@
 			late := rapid.Bool().Draw(t, "late")
 			s.RecordAnswer(now, sent, late)
 			got := s.AdmitFraction(now)
-			if got < openLeast || got > 1 || (late && got > before) || (!late && got < before) {
+			if got < minAdmitFraction || got > 1 || (late && got > before) || (!late && got < before) {
 				t.Fatalf("from %v to %v, late %v", before, got, late)
 			}
-			if got < 0.999*before*s.to && got > openLeast {
+			if got < 0.999*before*s.decreaseFactor && got > minAdmitFraction {
 				t.Fatalf("from %v to %v by one answer", before, got)
 			}
 		}
 	})
 }
 
-// overload has many directors, each with few fills of its own, ask one source for three times what it can do, for
+// simulateOverload has many directors, each with few fills of its own, ask one source for three times what it can do, for
 // some seconds. It returns the part of the source's work that was of use: answered before the aim was over.
-func overload(seed uint64, directors int, shielded bool) (useful float64, served int) {
+func simulateOverload(seed uint64, directors int, shielded bool) (useful float64, served int) {
 	const (
 		service = 10 * time.Millisecond // of one fill: 100 a second
 		way     = 80 * time.Millisecond
@@ -162,8 +162,8 @@
 func TestShieldKeepsASharedSourceUseful(t *testing.T) {
 	for _, n := range []int{60, 300} {
 		for seed := range uint64(5) {
-			with, served := overload(seed, n, true)
-			without, _ := overload(seed, n, false)
+			with, served := simulateOverload(seed, n, true)
+			without, _ := simulateOverload(seed, n, false)
 			if with < 0.3 || served < 180 { // it opens again and again to find out, and what each knows is old
 				t.Errorf("%d directors, seed %d: %.2f of the fills in time, %d of them", n, seed, with, served)
 			}
