--- a/cmd/shaleyard/plan.go
+++ b/cmd/shaleyard/plan.go
@@ -17,7 +17,6 @@
 	"shaleyard/internal/director"
 	"shaleyard/internal/discovery"
 	"shaleyard/internal/failover"
-	"shaleyard/internal/overload"
 	"shaleyard/internal/strictconfig"
 	"shaleyard/internal/timer"
 	"shaleyard/routing"
@@ -112,7 +111,7 @@
 		return nil, nil, fmt.Errorf("%s: no services or no zones (dcs) in it", path)
 	}
 	known := &listed{}
-	f := discovery.New(&config.Limits{MaxMembers: 4096}, s, "", overload.NewBackoff(overload.BackoffConfig{Directors: 1, CallDuration: time.Second,
+	f := discovery.New(&config.Limits{MaxMembers: 4096}, s, "", discovery.NewBackoff(discovery.BackoffConfig{Directors: 1, CallDuration: time.Second,
 		ApplyWithin: 2 * time.Second, NotifiedAfter: 7 * time.Second}, 0), nil, known, &timer.Queue{}, func() routing.Time { return 0 }, zap.NewNop())
 	if err := f.Bootstrap(whole.Known); err != nil {
 		return nil, nil, fmt.Errorf("%s: known: %w", path, err)
--- a/cmd/shaleyard/program.go
+++ b/cmd/shaleyard/program.go
@@ -91,7 +91,7 @@
 	p.director.FlightRecorder, p.clients.FlightRecorder = p.flight, p.flight
 	p.life = lifecycle.New(spans(l, c.InheritedFD != 0), c.InheritedFD != 0)
 	p.life.OnTransition = p.changed
-	calls := overload.NewBackoff(overload.BackoffConfig{Directors: s.Directors, DirectorIndex: int(s.ID), ApplyWithin: l.DrainApplyWithin,
+	calls := discovery.NewBackoff(discovery.BackoffConfig{Directors: s.Directors, DirectorIndex: int(s.ID), ApplyWithin: l.DrainApplyWithin,
 		ApplyPurgeWithin: l.PurgeApplyWithin, StartWindow: l.InitialJitterWindow, NotifiedAfter: l.MaxEventDelay, SilenceTimeout: l.WatchSilenceTimeout, CallDuration: l.WatchCallTime, MinWait: l.MinWatchBackoff}, c.Seed)
 	p.feed = discovery.New(l, s, c.DiscoveryAddress, calls, p.loop, p.director, &p.agenda, p.now, p.log)
 	p.feed.OnFirstConnect = p.reachList
--- a/internal/discovery/anyorder_test.go
+++ b/internal/discovery/anyorder_test.go
@@ -14,17 +14,17 @@
 
 // randomService is a list randomService with events of its own, told on whatever streams are up. What it does badly is drawn.
 type randomService struct {
-	harness      *harness
-	rng    *rand.Rand
-	events int
-	watches    []*fakeWatch
-	dialsSeen   int // of the bench's dials
+	harness   *harness
+	rng       *rand.Rand
+	events    int
+	watches   []*fakeWatch
+	dialsSeen int // of the bench's dials
 }
 
 // fakeWatch is a stream to the service.
 type fakeWatch struct {
 	nettest.FakeConn
-	watch      *watch
+	watch  *watch
 	next   int // event that is told next
 	silent bool
 	ended  bool
--- a/internal/overload/list.go
+++ b/internal/discovery/backoff.go
@@ -1,18 +1,12 @@
-// Package pacing decides when and how often, where the decision module (rules) decides what: when a director
-// calls the list service, and how much of its further attempts and new connections it may still spend. It does
-// no I/O and reads no clock: time and random numbers are handed in. Directors don't talk to each other, so that
-// what hundreds of them do together must follow from what each one knows alone: its number, the size of the
-// fleet, its seed and what came of its own calls.
-package overload
+package discovery
 
 import (
 	"math"
 	"math/rand/v2"
 	"time"
-)
 
-// Time is the caller's clock, as rules.Time.
-type Time = time.Duration
+	"shaleyard/routing"
+)
 
 // WatchEnd says how a call of the list service, or the stream that came of it, has ended.
 type WatchEnd uint8
@@ -64,11 +58,11 @@
 
 // Figures of the pace that are not derived.
 const (
-	fullWindowFleet   = 8               // directors from which the full spread is used: fewer can't hurt the service
-	settleTime = 3 * time.Second // a stream that was good for less has served nobody: a flapping service
-	maxSavedCalls   = 4               // calls that may be made at once after a quiet time: a break, and its repair
-	backoffFactor  = 2.0             // times that a window grows with each call that is not served (exponential backoff)
-	goldenRatioConjugate  = 0.6180339887498949
+	fullWindowFleet      = 8               // directors from which the full spread is used: fewer can't hurt the service
+	settleTime           = 3 * time.Second // a stream that was good for less has served nobody: a flapping service
+	maxSavedCalls        = 4               // calls that may be made at once after a quiet time: a break, and its repair
+	backoffFactor        = 2.0             // times that a window grows with each call that is not served (exponential backoff)
+	goldenRatioConjugate = 0.6180339887498949
 )
 
 // Backoff paces one director's calls of the list service. The caller makes a call at the time that Start, Next
@@ -86,22 +80,22 @@
 // A service that serves and breaks by turns is called as soon as after a good stream, as what it has cut off is due as
 // soon, until the budget, a token bucket, is nearly spent. docs/lifecycles.md has the worst cases that come of it.
 type Backoff struct {
-	rng    *rand.Rand
-	config      BackoffConfig
-	startWindow time.Duration // over which the fleet spreads its first calls
-	returnWindow   time.Duration // and its return to a service that broke good streams
-	maxWaitAfterBreak  time.Duration // longest wait that leaves a call its time within Purge
-	maxWaitWhileDown   time.Duration // longest wait while the service is down
-	maxWait   time.Duration // longest wait at all
-
-	tokens   float64 // calls saved up
-	refilledAt   Time    // when tokens was right
-	failures int     // in a row, with no settled stream between
-	unservedCalls int     // calls in a row that were refused or timed out, with no good line between
-	unusableEnds    int     // ends in a row that were unfit, with no good line between
-	breaks   int     // of good streams: turns our place in the spread
-	usableSince Time    // first good line of the present stream
-	usable     bool
+	rng               *rand.Rand
+	config            BackoffConfig
+	startWindow       time.Duration // over which the fleet spreads its first calls
+	returnWindow      time.Duration // and its return to a service that broke good streams
+	maxWaitAfterBreak time.Duration // longest wait that leaves a call its time within Purge
+	maxWaitWhileDown  time.Duration // longest wait while the service is down
+	maxWait           time.Duration // longest wait at all
+
+	tokens        float64      // calls saved up
+	refilledAt    routing.Time // when tokens was right
+	failures      int          // in a row, with no settled stream between
+	unservedCalls int          // calls in a row that were refused or timed out, with no good line between
+	unusableEnds  int          // ends in a row that were unfit, with no good line between
+	breaks        int          // of good streams: turns our place in the spread
+	usableSince   routing.Time // first good line of the present stream
+	usable        bool
 }
 
 // NewBackoff returns the pace for the bounds. The seed should differ from director to director.
@@ -127,21 +121,21 @@
 func (c *Backoff) ReturnWindow() time.Duration { return c.returnWindow }
 
 // FirstCall is when to make the first call.
-func (c *Backoff) FirstCall(now Time) Time {
+func (c *Backoff) FirstCall(now routing.Time) routing.Time {
 	c.refilledAt = now
 	return c.reserveCall(now, c.slot(now, c.startWindow))
 }
 
 // RedirectCall is when to go over to another service, on order of the operators: all directors hear it at once. What only
 // the new one tells must be heard as after a break, though the present stream is followed until then.
-func (c *Backoff) RedirectCall(now Time) Time {
+func (c *Backoff) RedirectCall(now routing.Time) routing.Time {
 	c.breaks++
 	c.failures, c.unservedCalls, c.unusableEnds, c.usable = 0, 0, 0, false
 	return c.reserveCall(now, c.slot(now, c.returnWindow))
 }
 
 // RecordUsableLine notes a good line of the present stream.
-func (c *Backoff) RecordUsableLine(now Time) {
+func (c *Backoff) RecordUsableLine(now routing.Time) {
 	if !c.usable {
 		c.usable, c.usableSince = true, now
 		c.unservedCalls, c.unusableEnds = 0, 0
@@ -155,7 +149,7 @@
 func (c *Backoff) Failures() int { return c.failures }
 
 // NextCall is when to call again after the present call, or its stream, has ended.
-func (c *Backoff) NextCall(now Time, e WatchEnd) Time {
+func (c *Backoff) NextCall(now routing.Time, e WatchEnd) routing.Time {
 	served := c.usable && now-c.usableSince >= settleTime
 	c.usable = false
 	if served {
@@ -203,7 +197,7 @@
 // slot of its own in it: calls that fall due everywhere, at one moment or nearly so, make an even stream, however
 // long each process took to start or to notice. Within the slot the slot is random, so that two with one number
 // don't collide for good; it turns with each break, lest one director always comes last.
-func (c *Backoff) slot(now Time, spread time.Duration) time.Duration {
+func (c *Backoff) slot(now routing.Time, spread time.Duration) time.Duration {
 	if spread <= 0 {
 		return 0
 	}
@@ -226,14 +220,14 @@
 }
 
 // remainingBudget is the budget at a time: calls saved up.
-func (c *Backoff) remainingBudget(at Time) float64 {
+func (c *Backoff) remainingBudget(at routing.Time) float64 {
 	return min(maxSavedCalls, c.tokens+float64(at-c.refilledAt)/float64(c.maxWaitWhileDown))
 }
 
 // reserveCall takes a call off the budget, a token bucket that gains one for each soon. Where nothing is left the call waits for
 // the next one, which is no longer than soon: a service that serves and breaks by turns costs its directors one
 // call in that time, and no more.
-func (c *Backoff) reserveCall(now Time, wait time.Duration) Time {
+func (c *Backoff) reserveCall(now routing.Time, wait time.Duration) routing.Time {
 	at := now + wait
 	c.tokens = c.remainingBudget(at)
 	c.refilledAt = at
--- a/internal/overload/list_test.go
+++ b/internal/discovery/backoff_test.go
@@ -1,10 +1,12 @@
-package overload
+package discovery
 
 import (
 	"testing"
 	"time"
 
 	"pgregory.net/rapid"
+
+	"shaleyard/routing"
 )
 
 // platformConfig are those of the platform.
@@ -14,7 +16,7 @@
 }
 
 // peakToMean is the busiest 100 ms of calls over their mean in the span.
-func peakToMean(calls []Time, from, span Time) float64 {
+func peakToMean(calls []routing.Time, from, span routing.Time) float64 {
 	const step = 100 * time.Millisecond
 	bins := make([]int, int(span/step)+1)
 	most := 0
@@ -31,7 +33,7 @@
 func TestFleetSpreadsItsCalls(t *testing.T) {
 	for _, n := range []int{24, 60, 300} {
 		for seed := range uint64(5) {
-			var starts, backs []Time
+			var starts, backs []routing.Time
 			const begin, loss = 100 * time.Second, 200 * time.Second
 			for me := range n {
 				c := NewBackoff(platformConfig(n, me), seed<<32|uint64(me))
@@ -124,9 +126,9 @@
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 400).Draw(t, "directors")
 		c := NewBackoff(platformConfig(n, rapid.IntRange(0, n-1).Draw(t, "me")), rapid.Uint64().Draw(t, "seed"))
-		now := rapid.Custom(func(t *rapid.T) Time { return Time(rapid.Int64Range(0, 1e12).Draw(t, "ns")) }).Draw(t, "begin")
+		now := rapid.Custom(func(t *rapid.T) routing.Time { return routing.Time(rapid.Int64Range(0, 1e12).Draw(t, "ns")) }).Draw(t, "begin")
 		due := c.FirstCall(now)
-		calls := []Time{}
+		calls := []routing.Time{}
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			if due < now {
 				t.Fatalf("a call at %v, which has passed at %v", due, now)
@@ -211,7 +213,7 @@
 		for seed := range uint64(50) {
 			c := NewBackoff(platformConfig(n, int(seed)%n), seed)
 			now := c.FirstCall(1000 * time.Second)
-			calls := []Time{now}
+			calls := []routing.Time{now}
 			for i := range 40 {
 				c.RecordUsableLine(now + 10*time.Millisecond)
 				now += 20 * time.Millisecond
@@ -251,7 +253,7 @@
 		}
 		now := 101 * time.Second
 		for i := range 2 { // the next one is at random, as the budget is nearly spent
-			var backs []Time
+			var backs []routing.Time
 			for _, c := range paces {
 				c.RecordUsableLine(now)
 				back := c.NextCall(now, EndBroken)
--- a/internal/discovery/feed.go
+++ b/internal/discovery/feed.go
@@ -21,7 +21,6 @@
 	"shaleyard/internal/config"
 	"shaleyard/internal/director"
 	"shaleyard/internal/eventloop"
-	"shaleyard/internal/overload"
 	"shaleyard/internal/timer"
 	"shaleyard/routing"
 )
@@ -41,13 +40,13 @@
 }
 
 // EndCounts count the ends of calls by kind.
-type EndCounts [overload.EndSilent + 1]uint64
+type EndCounts [EndSilent + 1]uint64
 
 // MarshalJSON names the kinds.
 func (e EndCounts) MarshalJSON() ([]byte, error) {
 	m := map[string]uint64{}
 	for i, n := range e {
-		m[overload.WatchEnd(i).String()] = n
+		m[WatchEnd(i).String()] = n
 	}
 	return json.Marshal(m)
 }
@@ -58,31 +57,31 @@
 	// OnFirstConnect, where set, is called once, as the service is reached for the first time.
 	OnFirstConnect func()
 
-	limits  *config.Limits
-	address string
-	dialer  eventloop.Dialer
-	sink    Sink
-	timers  *timer.Queue
-	now     func() routing.Time
-	zones   map[string]int
-	kinds   map[string]int
-	backoff   *overload.Backoff
-	pendingAddress  string // address to go over to with the next dial; "": none
-	revision    uint64 // number of the last event taken
-	listVersion   uint64 // the latest list's version
-	endpoints    map[string]endpointState
-	serviceClock clock.PeerClock // the service's clock, as the stamps of purges show it
+	limits         *config.Limits
+	address        string
+	dialer         eventloop.Dialer
+	sink           Sink
+	timers         *timer.Queue
+	now            func() routing.Time
+	zones          map[string]int
+	kinds          map[string]int
+	backoff        *Backoff
+	pendingAddress string // address to go over to with the next dial; "": none
+	revision       uint64 // number of the last event taken
+	listVersion    uint64 // the latest list's version
+	endpoints      map[string]endpointState
+	serviceClock   clock.PeerClock // the service's clock, as the stamps of purges show it
 	watchesBehind  int             // streams in a row whose numbers were behind ours
-	resyncing  bool            // after a new start of the numbers, until the service's last event is reached
-	everConnected bool
-	lastUsableLine   routing.Time // the last line that could be used
-	dialTime  routing.Time // when the next call is made
-	active  *watch      // the one that is up and followed; nil: none
-	dialing    *watch      // the one that is being dialled; nil: none
-	redirecting  bool         // the operators have named another service, and it is not up yet
-	silenceTimer timer.Timer
-	redialTimer   timer.Timer // the next dial
-	log     *zap.Logger
+	resyncing      bool            // after a new start of the numbers, until the service's last event is reached
+	everConnected  bool
+	lastUsableLine routing.Time // the last line that could be used
+	dialTime       routing.Time // when the next call is made
+	active         *watch       // the one that is up and followed; nil: none
+	dialing        *watch       // the one that is being dialled; nil: none
+	redirecting    bool         // the operators have named another service, and it is not up yet
+	silenceTimer   timer.Timer
+	redialTimer    timer.Timer // the next dial
+	log            *zap.Logger
 }
 
 // endpointState is what the list last told of a member, also of one that has gone.
@@ -99,7 +98,7 @@
 const maxWatchesBehind = 5
 
 // New returns a follower of the feed at the address, for the settings' zones and kinds.
-func New(l *config.Limits, s *routing.Settings, address string, calls *overload.Backoff, d eventloop.Dialer, sink Sink,
+func New(l *config.Limits, s *routing.Settings, address string, calls *Backoff, d eventloop.Dialer, sink Sink,
 	a *timer.Queue, now func() routing.Time, log *zap.Logger) *Watcher {
 	f := &Watcher{limits: l, address: address, backoff: calls, dialer: d, sink: sink, timers: a, now: now,
 		zones: map[string]int{}, kinds: map[string]int{}, endpoints: map[string]endpointState{}, log: log}
@@ -172,7 +171,7 @@
 
 // endWatch gives a stream, or a dial that has failed, up and calls again in its time. A stream that ends while the next
 // one is being dialled is replaced by that.
-func (f *Watcher) endWatch(s *watch, e overload.WatchEnd) {
+func (f *Watcher) endWatch(s *watch, e WatchEnd) {
 	switch s {
 	case f.active:
 		f.active = nil
@@ -234,12 +233,12 @@
 
 // watch is one connection to the feed.
 type watch struct {
-	watcher      *Watcher
-	conn   eventloop.Conn
-	partial   []byte
-	productive  bool // a good line has come
+	watcher        *Watcher
+	conn           eventloop.Conn
+	partial        []byte
+	productive     bool // a good line has come
 	revisionBehind bool // its numbers were behind ours when last it told them
-	fullResync   bool // asked for everything: its first event takes the place of all that we have
+	fullResync     bool // asked for everything: its first event takes the place of all that we have
 }
 
 func (s *watch) Opened(c eventloop.Conn) {
@@ -265,7 +264,7 @@
 	}
 	sub := strconv.AppendUint([]byte("SUB "), from, 10)
 	if _, err := c.Writev([][]byte{append(sub, '\n')}); err != nil {
-		f.endWatch(s, overload.EndUnusable)
+		f.endWatch(s, EndUnusable)
 	}
 	if first && f.OnFirstConnect != nil {
 		f.OnFirstConnect()
@@ -277,10 +276,10 @@
 func (s *watch) Failed(err error) {
 	s.watcher.Counters.ConnectFailures++
 	if errors.Is(err, syscall.ECONNREFUSED) || errors.Is(err, syscall.ECONNRESET) {
-		s.watcher.endWatch(s, overload.EndRefused)
+		s.watcher.endWatch(s, EndRefused)
 		return
 	}
-	s.watcher.endWatch(s, overload.EndTimedOut)
+	s.watcher.endWatch(s, EndTimedOut)
 }
 
 // Closed calls again. What the feed has to tell counts as told while it is down, so a stream that was good is
@@ -293,22 +292,22 @@
 }
 
 // endOnClose is what the end of the stream means, by itself or for a line that can't be used: it was good until then, or not.
-func (s *watch) endOnClose() overload.WatchEnd {
+func (s *watch) endOnClose() WatchEnd {
 	if s.productive {
-		return overload.EndBroken
+		return EndBroken
 	}
-	return overload.EndUnusable
+	return EndUnusable
 }
 
 // endOnSilence is what silence on the stream means.
-func (s *watch) endOnSilence() overload.WatchEnd {
+func (s *watch) endOnSilence() WatchEnd {
 	switch {
 	case s.revisionBehind:
-		return overload.EndUnusable
+		return EndUnusable
 	case s.productive:
-		return overload.EndSilent
+		return EndSilent
 	}
-	return overload.EndTimedOut
+	return EndTimedOut
 }
 
 // Data takes whole lines. A line that can't be used closes the stream, and the next one starts behind the
@@ -355,9 +354,9 @@
 
 // event is an event, or with a number only the sign of life.
 type event struct {
-	Revision *uint64  `json:"n"`
+	Revision *uint64         `json:"n"`
 	Members  *endpointUpdate `json:"members"`
-	Purge    *purgeNotice   `json:"purge"`
+	Purge    *purgeNotice    `json:"purge"`
 }
 
 type endpointUpdate struct {
@@ -532,7 +531,9 @@
 }
 
 // serviceTime is when the purge was made, on the service's clock.
-func (p *purgeNotice) serviceTime() routing.Time { return routing.Time(p.MadeAt) * routing.Time(time.Millisecond) }
+func (p *purgeNotice) serviceTime() routing.Time {
+	return routing.Time(p.MadeAt) * routing.Time(time.Millisecond)
+}
 
 func (f *Watcher) applyPurge(p *purgeNotice) error {
 	told := director.Purge{RemoteIssuedAt: p.serviceTime(), IssuedAt: f.serviceClock.Local(p.serviceTime())}
--- a/internal/discovery/feed_test.go
+++ b/internal/discovery/feed_test.go
@@ -16,7 +16,6 @@
 	"shaleyard/internal/director"
 	"shaleyard/internal/eventloop"
 	"shaleyard/internal/nettest"
-	"shaleyard/internal/overload"
 	"shaleyard/internal/timer"
 	"shaleyard/routing"
 )
@@ -24,11 +23,11 @@
 // harness is a follower on scripted dials, with a clock that the test moves.
 type harness struct {
 	watcher      *Watcher
-	timers timer.Queue
-	clock  routing.Time
-	dials  []eventloop.Stream
-	notified   []string
-	purgesMadeAt   []routing.Time // of purges, on the follower's clock
+	timers       timer.Queue
+	clock        routing.Time
+	dials        []eventloop.Stream
+	notified     []string
+	purgesMadeAt []routing.Time // of purges, on the follower's clock
 }
 
 func (b *harness) Dial(_ string, _ time.Duration, s eventloop.Stream) { b.dials = append(b.dials, s) }
@@ -49,7 +48,7 @@
 	l := &config.Limits{MaxWatchLineBytes: 1000, WatchSilenceTimeout: 1300 * time.Millisecond, MinWatchBackoff: 100 * time.Millisecond,
 		MaxMembers: 2}
 	s := &routing.Settings{Zones: []string{"west", "here"}, Kinds: []string{"small", "origin"}}
-	calls := overload.NewBackoff(overload.BackoffConfig{Directors: directors, DirectorIndex: 200, ApplyWithin: 2 * time.Second,
+	calls := NewBackoff(BackoffConfig{Directors: directors, DirectorIndex: 200, ApplyWithin: 2 * time.Second,
 		ApplyPurgeWithin: 500 * time.Millisecond, NotifiedAfter: 7 * time.Second, SilenceTimeout: l.WatchSilenceTimeout, CallDuration: 500 * time.Millisecond, MinWait: l.MinWatchBackoff}, 1)
 	b.watcher = New(l, s, "a", calls, b, b, &b.timers, func() routing.Time { return b.clock }, zap.NewNop())
 	return b
@@ -341,7 +340,7 @@
 	if got := b.open().Written.String(); got != "SUB 0\n" || len(b.notified) != 0 {
 		t.Errorf("resumed with %q, told %v", got, b.notified)
 	}
-	if b.watcher.Counters.WatchEnds[overload.EndUnusable] != 1 {
+	if b.watcher.Counters.WatchEnds[EndUnusable] != 1 {
 		t.Errorf("ends %v, want one unfit", b.watcher.Counters.WatchEnds)
 	}
 }
@@ -352,7 +351,7 @@
 	l := b.open()
 	b.dials[0].Data([]byte(readyLine[:len(readyLine)/2]))
 	b.advance(1300 * time.Millisecond)
-	if !l.Closed || b.watcher.Counters.WatchEnds[overload.EndTimedOut] != 1 {
+	if !l.Closed || b.watcher.Counters.WatchEnds[EndTimedOut] != 1 {
 		t.Errorf("closed %v, ends %v, want one timed out", l.Closed, b.watcher.Counters.WatchEnds)
 	}
 }
--- a/internal/discovery/young_test.go
+++ b/internal/discovery/young_test.go
@@ -15,7 +15,6 @@
 	"shaleyard/internal/director"
 	"shaleyard/internal/eventloop"
 	"shaleyard/internal/nettest"
-	"shaleyard/internal/overload"
 	"shaleyard/internal/timer"
 	"shaleyard/routing"
 )
@@ -24,19 +23,19 @@
 const (
 	notifiedAfterBreak = 2 * time.Second
 	notifiedAfterStop  = 4 * time.Second
-	notifiedAtLatest  = 7 * time.Second
-	applySlack = 50 * time.Millisecond
-	never     = routing.Time(1 << 62)
+	notifiedAtLatest   = 7 * time.Second
+	applySlack         = 50 * time.Millisecond
+	never              = routing.Time(1 << 62)
 )
 
 // reading is one way to read the pages on when a purge counts as told.
 type reading int
 
 const (
-	sinceLastFault  reading = iota // behind the last fault before it counted as told: 2 s for a break, 4 s for a stop
+	sinceLastFault   reading = iota // behind the last fault before it counted as told: 2 s for a break, 4 s for a stop
 	sinceFirstFault                 // behind the first fault since all was told last
 	untilNextRequest                // as fresh, but at the next ask at the latest, whatever comes of that
-	sincePublication                  // 7 s after it was published, whatever happens
+	sincePublication                // 7 s after it was published, whatever happens
 	readingCount
 )
 
@@ -44,30 +43,30 @@
 
 // faultClass is a faultClass of sequences: what the service does to calls and streams.
 type faultClass struct {
-	name     string
-	breaks    bool          // streams that told all break, between events or amid one
-	stops   bool          // or stop while they stay open
-	maxVainRequests     int           // asks in a row, at most, whose streams break amid what was missed
-	maxStalls  int           // or that tell nothing more, or nothing at all, at most between two good lines
-	maxRefused  int           // dials refused, likewise
-	maxTimedOut int           // and timed out, likewise
-	dialDelay     time.Duration // a dial comes up within this
-	maxBurst    int           // calls, at most, between streams that are good for long; 0: any number
-	seedFactor     int           // as many times the seeds show its worst case
-	bound    [readingCount]time.Duration
+	name            string
+	breaks          bool          // streams that told all break, between events or amid one
+	stops           bool          // or stop while they stay open
+	maxVainRequests int           // asks in a row, at most, whose streams break amid what was missed
+	maxStalls       int           // or that tell nothing more, or nothing at all, at most between two good lines
+	maxRefused      int           // dials refused, likewise
+	maxTimedOut     int           // and timed out, likewise
+	dialDelay       time.Duration // a dial comes up within this
+	maxBurst        int           // calls, at most, between streams that are good for long; 0: any number
+	seedFactor      int           // as many times the seeds show its worst case
+	bound           [readingCount]time.Duration
 }
 
 // missedPurge is a purge that was not told at once.
 type missedPurge struct {
-	revision         int
+	revision  int
 	published routing.Time
-	notified      [readingCount]routing.Time
-	requested     bool
+	notified  [readingCount]routing.Time
+	requested bool
 }
 
 // worstCase is the latest heeding under one reading, and what led to it.
 type worstCase struct {
-	lateBy       time.Duration // beyond the time that the rule leaves; less than 0: as much was left
+	lateBy   time.Duration // beyond the time that the rule leaves; less than 0: as much was left
 	breaches int
 	sequence []historyEntry
 	shortest []historyEntry // of those that break the rule
@@ -94,15 +93,17 @@
 
 // deadlineChecker notes when each purge counts as told, and when it is heard.
 type deadlineChecker struct {
-	missed []missedPurge
-	lastFaultNotified  routing.Time // when what the last fault left untold counts as told
-	firstFaultNotified  routing.Time // likewise the first one since all was told
-	out    bool         // a fault has come since
-	history    []historyEntry  // since all was told
-	worst  [readingCount]worstCase
+	missed             []missedPurge
+	lastFaultNotified  routing.Time   // when what the last fault left untold counts as told
+	firstFaultNotified routing.Time   // likewise the first one since all was told
+	out                bool           // a fault has come since
+	history            []historyEntry // since all was told
+	worst              [readingCount]worstCase
 }
 
-func (j *deadlineChecker) note(now routing.Time, text string) { j.history = append(j.history, historyEntry{now, text}) }
+func (j *deadlineChecker) note(now routing.Time, text string) {
+	j.history = append(j.history, historyEntry{now, text})
+}
 
 // historyUntil is what led to the hearing of a purge.
 func (j *deadlineChecker) historyUntil(now routing.Time, m missedPurge, r reading) []historyEntry {
@@ -168,31 +169,31 @@
 // happens on the follower's agenda.
 type flappingService struct {
 	faultClass
-	watcher       *Watcher
-	timers  timer.Queue
-	limits  config.Limits
-	clock   routing.Time
-	rng     *rand.Rand
-	checker   deadlineChecker
-	published  int // published
-	applied   int // handed on
-	live    *flappingWatch
-	breakOnNextEvent     bool // the next event breaks the live stream
-	healthy    bool
-	completedOnce   bool // a stream has told all: what was published before it is a matter of the start
-	probabilities    [6]float64
-	life    time.Duration
-	callsSinceSettled   int // calls since a stream that settled
-	vainRequests   int // in a row
-	stalls  int
-	refusals int
-	timeouts int
+	watcher           *Watcher
+	timers            timer.Queue
+	limits            config.Limits
+	clock             routing.Time
+	rng               *rand.Rand
+	checker           deadlineChecker
+	published         int // published
+	applied           int // handed on
+	live              *flappingWatch
+	breakOnNextEvent  bool // the next event breaks the live stream
+	healthy           bool
+	completedOnce     bool // a stream has told all: what was published before it is a matter of the start
+	probabilities     [6]float64
+	life              time.Duration
+	callsSinceSettled int // calls since a stream that settled
+	vainRequests      int // in a row
+	stalls            int
+	refusals          int
+	timeouts          int
 }
 
 // flappingWatch is a stream to the flapper.
 type flappingWatch struct {
 	nettest.FakeConn
-	watch        *watch
+	watch    *watch
 	spoke    bool // a good line was told
 	stopping bool // it stops behind the next line
 }
@@ -206,7 +207,7 @@
 		ConnectTimeout: time.Second, DrainApplyWithin: 2 * time.Second, PurgeApplyWithin: 500 * time.Millisecond, WatchCallTime: 500 * time.Millisecond,
 		MaxEventDelay: notifiedAtLatest}
 	l := &v.limits
-	calls := overload.NewBackoff(overload.BackoffConfig{Directors: directors, DirectorIndex: v.rng.IntN(directors), ApplyWithin: l.DrainApplyWithin, ApplyPurgeWithin: l.PurgeApplyWithin,
+	calls := NewBackoff(BackoffConfig{Directors: directors, DirectorIndex: v.rng.IntN(directors), ApplyWithin: l.DrainApplyWithin, ApplyPurgeWithin: l.PurgeApplyWithin,
 		NotifiedAfter: l.MaxEventDelay, SilenceTimeout: l.WatchSilenceTimeout, CallDuration: l.WatchCallTime, MinWait: l.MinWatchBackoff}, seed)
 	v.watcher = New(l, &routing.Settings{}, "a", calls, v, v, &v.timers, func() routing.Time { return v.clock }, zap.NewNop())
 	for i := range v.probabilities {
@@ -446,7 +447,9 @@
 		lost := (n + 1) * (soon + tick)
 		return worstCaseBound(lost, notifiedAfterBreak, lost, notifiedAfterBreak, 0)
 	}
-	failed := func(lost time.Duration) [readingCount]time.Duration { return worstCaseBound(lost, notifiedAfterBreak, lost, notifiedAfterBreak, 0) }
+	failed := func(lost time.Duration) [readingCount]time.Duration {
+		return worstCaseBound(lost, notifiedAfterBreak, lost, notifiedAfterBreak, 0)
+	}
 	// A stall behind a stop takes the longer until all is told, but its allowance is longer still.
 	stalled := func(lost, last, asked time.Duration) [readingCount]time.Duration {
 		b := worstCaseBound(lost, notifiedAfterBreak, last, 0, asked)
--- a/internal/overload/admission.go
+++ b/internal/overload/admission.go
@@ -6,12 +6,12 @@
 )
 
 const (
-	admissionInitialWindow = 16.0                   // requests in hand with which a director starts
-	admissionUnboundedWindow  = 128.0                  // in hand from which work is let in without a bound of ours
-	admissionMinWindow = 4.0                    // in hand, however badly it goes
-	admissionPeriod  = 10 * time.Second       // and after which it is in any case
+	admissionInitialWindow   = 16.0                   // requests in hand with which a director starts
+	admissionUnboundedWindow = 128.0                  // in hand from which work is let in without a bound of ours
+	admissionMinWindow       = 4.0                    // in hand, however badly it goes
+	admissionPeriod          = 10 * time.Second       // and after which it is in any case
 	admissionInitialLatency  = 150 * time.Millisecond // for which an answer takes, before any has come
-	admissionLatencyWeight = 1.0 / 8                // weight of an answer in the running mean of that
+	admissionLatencyWeight   = 1.0 / 8                // weight of an answer in the running mean of that
 )
 
 // Admission is the pace at which a director takes work after a start, or after a pause: what it knows of caches and
@@ -22,10 +22,10 @@
 //
 // What is over is refused at once, and told to come back when there should be room, each at a time of its own.
 type Admission struct {
-	rng    *rand.Rand
-	window float64 // requests in hand that are allowed
-	startedAt  Time
-	meanLatency   time.Duration // running mean of the time to an answer
+	rng         *rand.Rand
+	window      float64 // requests in hand that are allowed
+	startedAt   Time
+	meanLatency time.Duration // running mean of the time to an answer
 	unbounded   bool          // no bound any more
 }
 
@@ -35,7 +35,9 @@
 }
 
 // Restart begins anew: what was known is old.
-func (a *Admission) Restart(now Time) { a.window, a.startedAt, a.unbounded = admissionInitialWindow, now, false }
+func (a *Admission) Restart(now Time) {
+	a.window, a.startedAt, a.unbounded = admissionInitialWindow, now, false
+}
 
 // Admit tells whether a request may be taken beside so many in hand, and if not, for how long to stay away.
 func (a *Admission) Admit(now Time, inHand int) (wait time.Duration, ok bool) {
--- a/internal/overload/belief.go
+++ b/internal/overload/belief.go
@@ -7,18 +7,20 @@
 // RecentObservation is something that holds of a server or not, as it was seen last, and was seen lately. Its zero: it does not.
 type RecentObservation struct {
 	observedAt Time
-	holds bool
+	holds      bool
 }
 
 // Record takes what has been seen.
 func (s *RecentObservation) Record(now Time, is bool) { s.observedAt, s.holds = now, is }
 
 // Holds tells whether it holds, as far as is still known.
-func (s *RecentObservation) Holds(now Time) bool { return s.holds && now-s.observedAt <= observationLifetime }
+func (s *RecentObservation) Holds(now Time) bool {
+	return s.holds && now-s.observedAt <= observationLifetime
+}
 
 // FailureStreak counts failures in a row. One that is long past is none: three that are minutes apart are no row.
 type FailureStreak struct {
-	count  int
+	count       int
 	lastFailure Time
 }
 
@@ -34,8 +36,8 @@
 // TokenBucket is a budget that refills at a rate: what has been spent flows off. The caller gives the rate each time, as
 // it changes; its zero is a budget of which nothing has been spent.
 type TokenBucket struct {
-	spent float64
-	updatedAt    Time
+	spent     float64
+	updatedAt Time
 }
 
 // Spent is what has not flowed off by now.
@@ -53,8 +55,8 @@
 // Mean is a running mean. It begins with a guess, which counts as one sample: a director that has just started learns
 // from its first few answers what it deals with, and not from its first hundred.
 type Mean struct {
-	Value float64
-	samples     float64 // samples so far, the guess among them
+	Value   float64
+	samples float64 // samples so far, the guess among them
 }
 
 // NewMean is a mean of which nothing has been seen.
--- a/internal/overload/conns.go
+++ b/internal/overload/conns.go
@@ -14,18 +14,18 @@
 // The first connection to a peer is the caller's own affair: whether a peer without one is asked at all is decided
 // by the router, whose looks at dead servers have a pace of their own.
 type ConnectLimiter struct {
-	rng   *rand.Rand
-	limit  int           // connections that the peer lets us have; 0: not known to be bounded
-	nextProbe Time          // when one more may be tried
-	probeInterval  time.Duration // between such tries; doubles while they fail
-	peerStarted Time          // start of the peer's life, as far as it is known to be late; 0: long ago
+	rng           *rand.Rand
+	limit         int           // connections that the peer lets us have; 0: not known to be bounded
+	nextProbe     Time          // when one more may be tried
+	probeInterval time.Duration // between such tries; doubles while they fail
+	peerStarted   Time          // start of the peer's life, as far as it is known to be late; 0: long ago
 }
 
 const (
-	maxConcurrentDials = 3                // connections being opened to one peer at a time
-	initialProbeInterval    = 2 * time.Second  // mean time until one more is tried where the peer had turned one away
-	maxProbeInterval = 16 * time.Second // and the longest mean, while tries fail
-	peerWarmUp   = 2 * time.Second  // span in which a peer that has just started gets its connections one by one
+	maxConcurrentDials   = 3                // connections being opened to one peer at a time
+	initialProbeInterval = 2 * time.Second  // mean time until one more is tried where the peer had turned one away
+	maxProbeInterval     = 16 * time.Second // and the longest mean, while tries fail
+	peerWarmUp           = 2 * time.Second  // span in which a peer that has just started gets its connections one by one
 )
 
 // NewConnectLimiter returns the decisions on one peer.
@@ -83,4 +83,6 @@
 }
 
 // warmingUp tells that the peer has only just started. All directors want it at once, and none knows of another.
-func (c *ConnectLimiter) warmingUp(now Time) bool { return c.peerStarted != 0 && now-c.peerStarted < peerWarmUp }
+func (c *ConnectLimiter) warmingUp(now Time) bool {
+	return c.peerStarted != 0 && now-c.peerStarted < peerWarmUp
+}
--- a/internal/overload/firsts.go
+++ b/internal/overload/firsts.go
@@ -4,8 +4,8 @@
 
 const (
 	// MaxProbes is how often a request asks a cache for what it holds alone before it brings a source.
-	MaxProbes  = 4
-	probeStartPeriod = 2 * time.Second // after its start a director knows of no cache what it holds
+	MaxProbes             = 4
+	probeStartPeriod      = 2 * time.Second // after its start a director knows of no cache what it holds
 	crowdedOriginFraction = 0.5             // part of the fills that the origin takes, under which it counts as crowded
 )
 
@@ -20,7 +20,7 @@
 // hundreds may have started with it.
 type ProbeBeforeFill struct {
 	startedAt Time
-	started bool
+	started   bool
 }
 
 // ShouldProbe tells whether a request that will likely miss asks the cache only for what it holds. It has done so looks
--- a/internal/overload/idle.go
+++ b/internal/overload/idle.go
@@ -7,9 +7,9 @@
 
 // Figures of how long an idle connection is used again. They are of the belief, not of any deployment.
 const (
-	idleTrustedFraction = 0.75             // part of an idle time under which a request was lost that is still trusted
+	idleTrustedFraction  = 0.75             // part of an idle time under which a request was lost that is still trusted
 	idleIncreaseFraction = 1.0 / 64         // part by which an idle time near the most that is trusted lifts it, if it held
-	idleTimeConstant  = 20 * time.Second // after which what was learnt counts e times less
+	idleTimeConstant     = 20 * time.Second // after which what was learnt counts e times less
 )
 
 // IdleTimeout decides for how long a connection that has nothing open is used again. A peer, or what lies between, may drop
@@ -18,7 +18,7 @@
 // at peers that have just lost some of their number. So it ages, and only what tells of idle times may shorten it.
 type IdleTimeout struct {
 	minimum, maximum time.Duration
-	timeout        time.Duration
+	timeout          time.Duration
 	updatedAt        Time // when keep was right
 }
 
--- a/internal/overload/limit.go
+++ b/internal/overload/limit.go
@@ -6,15 +6,15 @@
 )
 
 const (
-	limitTimeConstant  = 20 * time.Second // after which what has set a limit counts e times less
-	limitStep = 0.2              // part by which lateness lowers a limit, or work in time lifts it
+	limitTimeConstant = 20 * time.Second // after which what has set a limit counts e times less
+	limitStep         = 0.2              // part by which lateness lowers a limit, or work in time lifts it
 )
 
 // ConcurrencyLimit bounds the work that a director has out on one side of a server, in any measure that adds up. Lateness
 // lowers it, work done in time near it lifts it, and age lifts it too: a director among hundreds may hear of a
 // server every ten seconds, and what was late then says little of now. Its zero is no limit.
 type ConcurrencyLimit struct {
-	limit float64 // 0: none
+	limit     float64 // 0: none
 	updatedAt Time    // when that was right
 }
 
--- a/internal/overload/repeats.go
+++ b/internal/overload/repeats.go
@@ -6,12 +6,12 @@
 )
 
 const (
-	retryMaxDeposit = 0.5             // further attempts that a request earns while nobody is turned away
-	retryMinDeposit = 0.1             // and while all are
-	retryRefillPerSecond = 0.5             // and a second, so that a director with little to do isn't left without
-	retryMaxBalance = 6.0             // further attempts that may be saved up
-	rejectionTimeConstant   = 4 * time.Second // after which what was seen of a crowd counts e times less
-	rejectionMinWeight = 1.0 / 16        // weight of one attempt's end, for a director with much to do
+	retryMaxDeposit       = 0.5             // further attempts that a request earns while nobody is turned away
+	retryMinDeposit       = 0.1             // and while all are
+	retryRefillPerSecond  = 0.5             // and a second, so that a director with little to do isn't left without
+	retryMaxBalance       = 6.0             // further attempts that may be saved up
+	rejectionTimeConstant = 4 * time.Second // after which what was seen of a crowd counts e times less
+	rejectionMinWeight    = 1.0 / 16        // weight of one attempt's end, for a director with much to do
 )
 
 // RetryBudget is a director's budget for further attempts of its requests. In a crowd each attempt that is turned away
@@ -19,11 +19,11 @@
 // attempts for a request, seconds after its cause was gone. So requests earn further attempts, the fewer the larger
 // the part of attempts that are turned away. What can't be tried again is refused at once and says when to come.
 type RetryBudget struct {
-	balance float64
-	lastRejectionRate  float64 // running part of the attempts that were turned away
-	balanceAt    Time    // when saved was right
-	rejectionRateAt  Time    // when away was
-	started bool
+	balance           float64
+	lastRejectionRate float64 // running part of the attempts that were turned away
+	balanceAt         Time    // when saved was right
+	rejectionRateAt   Time    // when away was
+	started           bool
 }
 
 // RecordRequest takes note of a request, which earns.
@@ -67,7 +67,9 @@
 }
 
 // RejectionRate is the part of the attempts that are turned away, as far as that is known still: between 0 and 1.
-func (r *RetryBudget) RejectionRate(now Time) float64 { return r.lastRejectionRate * exponentialDecay(now-r.rejectionRateAt, rejectionTimeConstant) }
+func (r *RetryBudget) RejectionRate(now Time) float64 {
+	return r.lastRejectionRate * exponentialDecay(now-r.rejectionRateAt, rejectionTimeConstant)
+}
 
 func (r *RetryBudget) refill(now Time) {
 	if !r.started {
@@ -80,4 +82,6 @@
 func (r *RetryBudget) deposit(n float64) { r.balance = min(retryMaxBalance, r.balance+n) }
 
 // exponentialDecay is the part that is left of a belief of an age, by its time constant.
-func exponentialDecay(age, life time.Duration) float64 { return math.Exp(-max(0, float64(age)) / float64(life)) }
+func exponentialDecay(age, life time.Duration) float64 {
+	return math.Exp(-max(0, float64(age)) / float64(life))
+}
--- a/internal/overload/shield.go
+++ b/internal/overload/shield.go
@@ -7,12 +7,12 @@
 
 // Figures of the shield. Measured on the fixed test's join, herd and split days (docs/cold-start.md).
 const (
-	minAdmitFraction = 0.05  // part that is always let through, or nothing would be learnt
-	referenceRecoveryPerSecond   = 0.05  // part that opens in a second, for hundreds of directors
-	increaseFactor   = 1.5   // times that an answer in time opens the part
-	referenceFleet = 300.0 // directors for which opensBy holds: fewer see more of the source each, and dare more
-	minDecreaseFactor  = 0.3   // part of the part that an answer late by its source leaves, for hundreds of directors
-	decreaseExponent    = 0.2   // power of the fleet's size by which fewer directors lower it less
+	minAdmitFraction           = 0.05  // part that is always let through, or nothing would be learnt
+	referenceRecoveryPerSecond = 0.05  // part that opens in a second, for hundreds of directors
+	increaseFactor             = 1.5   // times that an answer in time opens the part
+	referenceFleet             = 300.0 // directors for which opensBy holds: fewer see more of the source each, and dare more
+	minDecreaseFactor          = 0.3   // part of the part that an answer late by its source leaves, for hundreds of directors
+	decreaseExponent           = 0.2   // power of the fleet's size by which fewer directors lower it less
 )
 
 // OriginShield decides which part of the fills may go on to a source that all directors share and none of them sees: the
@@ -26,12 +26,12 @@
 // Its decision is a part, not a number of places: a director that has one such fill out every other second has no
 // use for a limit on how many are out.
 type OriginShield struct {
-	decreaseFactor   float64 // part of the part that is left by a late answer
+	decreaseFactor    float64 // part of the part that is left by a late answer
 	recoveryPerSecond float64 // part that opens in a second
-	admitFraction float64
-	updatedAt   Time // when open was right
-	loweredAt  Time // when it was last lowered: what was sent before tells of the same queue again
-	confirmed bool // it was lowered by what was sent behind a late answer, too: one may be chance, two are a queue
+	admitFraction     float64
+	updatedAt         Time // when open was right
+	loweredAt         Time // when it was last lowered: what was sent before tells of the same queue again
+	confirmed         bool // it was lowered by what was sent behind a late answer, too: one may be chance, two are a queue
 	// worstLatency is how long what lowered it had taken by then.
 	worstLatency time.Duration
 }
