--- a/internal/overload/admission_test.go
+++ b/internal/overload/admission_test.go
@@ -1,83 +1,97 @@
 package overload
 
 import (
+	"slices"
 	"testing"
 	"time"
 
 	"pgregory.net/rapid"
 )
 
-// A flood that meets a director just after its start is let in as fast as answers come, and the rest is told to come
-// back, not all at once.
-func TestWorkIsLetInAsAnswersCome(t *testing.T) {
-	a := NewAdmission(1)
-	now, took := time.Minute, 100*time.Millisecond
-	inHand, most := 0, []int{}
-	for range 4 { // rounds of answers, with more work waiting than is ever let in
-		waits := map[time.Duration]bool{}
-		for range 1000 {
-			wait, ok := a.Admit(now, inHand)
-			if ok {
-				inHand++
-				continue
-			}
-			if wait < took/4 || wait > 4*took {
-				t.Fatalf("told to stay away for %v, an answer takes %v", wait, took)
-			}
-			waits[wait] = true
+// admitRound offers 1,000 requests at once and returns how many are in flight then, and the different times to retry
+// after.
+func admitRound(t *testing.T, a *Admission, now Time, latency time.Duration) (int, map[time.Duration]bool) {
+	t.Helper()
+	inFlight := 0
+	retries := map[time.Duration]bool{}
+	for range 1000 {
+		retryAfter, admitted := a.Admit(now, inFlight)
+		if admitted {
+			inFlight++
+			continue
+		}
+		if retryAfter < latency/4 || retryAfter > 4*latency {
+			t.Fatalf("told to retry after %v, an answer takes %v", retryAfter, latency)
 		}
-		most = append(most, inHand)
-		if a.Window() > 0 && len(waits) < 100 {
-			t.Errorf("only %d different times to come back", len(waits))
+		retries[retryAfter] = true
+	}
+	return inFlight, retries
+}
+
+// A flood that meets a director just after its start is admitted as fast as answers come, and the rest is told to come
+// back, not all at once.
+func TestAdmissionWindowGrowsWithAnswers(t *testing.T) {
+	admission := NewAdmission(1)
+	now, latency := time.Minute, 100*time.Millisecond
+	const rounds = 4
+	perRound := make([]int, 0, rounds)
+	for range rounds { // of answers, with more requests waiting than are ever admitted
+		inFlight, retries := admitRound(t, admission, now, latency)
+		perRound = append(perRound, inFlight)
+		if admission.Window() > 0 && len(retries) < 100 {
+			t.Errorf("only %d different times to come back", len(retries))
 		}
-		now += took
-		for ; inHand > 0; inHand-- {
-			a.RecordAnswer(true, took)
+		now += latency
+		for range inFlight {
+			admission.RecordAnswer(true, latency)
 		}
 	}
-	if most[0] != admissionInitialWindow || most[1] != 2*admissionInitialWindow || most[2] != 4*admissionInitialWindow || most[3] != 1000 {
-		t.Errorf("in hand in each round: %v, want it to double, and then to be unbounded", most)
+	want := []int{admissionInitialWindow, 2 * admissionInitialWindow, 4 * admissionInitialWindow, 1000}
+	if !slices.Equal(perRound, want) {
+		t.Errorf("in flight in each round: %v, want it to double, and then to be unbounded: %v", perRound, want)
 	}
 }
 
-// Where answers are refusals, less is let in, though never nothing; and after a while all is, whatever came.
-func TestWorkThatFailsLetsInLess(t *testing.T) {
-	a := NewAdmission(1)
+// Where requests are rejected or fail, fewer are admitted, though never none; and after a while all are, whatever came.
+func TestAdmissionWindowShrinksWithFailures(t *testing.T) {
+	admission := NewAdmission(1)
 	now := time.Minute
-	a.Admit(now, 0)
+	admission.Admit(now, 0)
 	for range 100 {
-		a.RecordAnswer(false, time.Second)
+		admission.RecordAnswer(false, time.Second)
 	}
-	if w := a.Window(); w != admissionMinWindow {
-		t.Errorf("window %d, want %v", w, admissionMinWindow)
+	if window := admission.Window(); window != admissionMinWindow {
+		t.Errorf("window %d, want %v", window, admissionMinWindow)
 	}
-	if _, ok := a.Admit(now, int(admissionMinWindow)); ok {
-		t.Error("more let in than the window")
+	if _, admitted := admission.Admit(now, int(admissionMinWindow)); admitted {
+		t.Error("more admitted than the window")
 	}
-	if _, ok := a.Admit(now+admissionPeriod, 1000); !ok {
-		t.Error("still bound long after the start")
+	if _, admitted := admission.Admit(now+admissionPeriod, 1000); !admitted {
+		t.Error("still bounded long after the start")
 	}
-	a.Restart(now + time.Hour)
-	if _, ok := a.Admit(now+time.Hour, int(admissionInitialWindow)); ok {
-		t.Error("after a pause all is let in at once")
+	admission.Restart(now + time.Hour)
+	if _, admitted := admission.Admit(now+time.Hour, int(admissionInitialWindow)); admitted {
+		t.Error("after a pause all is admitted at once")
 	}
 }
 
-// Whatever comes, work within the least window is let in, and a refusal says when to come back.
+// Whatever comes, requests within the least window are admitted, and a rejection says when to come back.
 func TestAdmissionNeverShuts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		a := NewAdmission(rapid.Uint64().Draw(t, "seed"))
+		admission := NewAdmission(rapid.Uint64().Draw(t, "seed"))
 		now := time.Minute
 		for range rapid.IntRange(1, 200).Draw(t, "events") {
 			now += time.Duration(rapid.Int64Range(0, int64(100*time.Millisecond)).Draw(t, "gap"))
 			if rapid.Bool().Draw(t, "answer") {
-				a.RecordAnswer(rapid.Bool().Draw(t, "served"), time.Duration(rapid.Int64Range(0, int64(time.Minute)).Draw(t, "took")))
+				served := rapid.Bool().Draw(t, "served")
+				latency := time.Duration(rapid.Int64Range(0, int64(time.Minute)).Draw(t, "took"))
+				admission.RecordAnswer(served, latency)
 				continue
 			}
-			inHand := rapid.IntRange(0, 200).Draw(t, "in hand")
-			wait, ok := a.Admit(now, inHand)
-			if !ok && (inHand < admissionMinWindow || wait <= 0) {
-				t.Fatalf("%d in hand, told to wait %v", inHand, wait)
+			inFlight := rapid.IntRange(0, 200).Draw(t, "in hand")
+			retryAfter, admitted := admission.Admit(now, inFlight)
+			if !admitted && (inFlight < admissionMinWindow || retryAfter <= 0) {
+				t.Fatalf("%d in flight, told to wait %v", inFlight, retryAfter)
 			}
 		}
 	})
