--- /dev/null
+++ b/internal/discovery/event.go
@@ -0,0 +1,102 @@
+package discovery
+
+import (
+	"net/netip"
+	"strings"
+	"time"
+
+	"shaleyard/internal/director"
+	"shaleyard/routing"
+)
+
+// maxNameLength bounds the bytes of an endpoint's name.
+const maxNameLength = 64
+
+// event is one line of a watch. With a revision only, it is a heartbeat.
+type event struct {
+	Revision *uint64         `json:"n"`
+	Update   *endpointUpdate `json:"members"`
+	Purge    *purgeNotice    `json:"purge"`
+}
+
+// isHeartbeat reports whether the event brings nothing but the service's latest revision.
+func (e *event) isHeartbeat() bool { return e.Update == nil && e.Purge == nil }
+
+// endpointUpdate is the whole list of endpoints, or the entries of it that have changed.
+type endpointUpdate struct {
+	Version   uint64     `json:"index"`
+	Snapshot  bool       `json:"snapshot"`
+	Endpoints []endpoint `json:"endpoints"`
+}
+
+type endpoint struct {
+	Name    string  `json:"name"`
+	Address string  `json:"address"`
+	Zone    string  `json:"zone"`
+	Type    string  `json:"type"`
+	Group   int     `json:"group"`
+	Status  string  `json:"status"`
+	Weight  float64 `json:"weight"`
+	SinceMS int64   `json:"since_ms"` // start, if it was late, as Unix milliseconds of the service's clock; 0: none
+}
+
+// purgeNotice announces the purge of an object, of a group, or of an object in a group.
+type purgeNotice struct {
+	Key    string `json:"key"` // hexadecimal
+	Group  *int   `json:"group"`
+	MadeAt int64  `json:"at"` // Unix milliseconds of the service's clock
+}
+
+// serviceTime is when the purge was made, on the service's clock.
+func (p *purgeNotice) serviceTime() routing.Time {
+	return routing.Time(p.MadeAt) * routing.Time(time.Millisecond)
+}
+
+// state returns the endpoint's state.
+func (e *endpoint) state() (routing.State, error) {
+	switch e.Status {
+	case "ready":
+		return routing.Ready, nil
+	case "draining":
+		return routing.Draining, nil
+	case "gone":
+		return routing.Gone, nil
+	}
+	return 0, &InvalidFieldError{Field: "status", Value: e.Status}
+}
+
+// validate checks the name, and the address of an endpoint that is not gone.
+func (e *endpoint) validate(state routing.State) error {
+	if e.Name == "" || len(e.Name) > maxNameLength || strings.ContainsAny(e.Name, ",=\r\n ") {
+		return &InvalidFieldError{Field: "name", Value: e.Name}
+	}
+	if _, err := netip.ParseAddrPort(e.Address); err != nil && state != routing.Gone {
+		return &InvalidFieldError{Field: "address", Value: e.Address}
+	}
+	return nil
+}
+
+// parseEndpoint converts an endpoint. usable is false where it is in a zone or of a kind that the settings do not know:
+// no request goes to it.
+func (w *Watcher) parseEndpoint(e *endpoint) (parsed director.Endpoint, usable bool, err error) {
+	state, err := e.state()
+	if err != nil {
+		return director.Endpoint{}, false, err
+	}
+	if err := e.validate(state); err != nil {
+		return director.Endpoint{}, false, err
+	}
+	zone, zoneKnown := w.zones[e.Zone]
+	kind, kindKnown := w.kinds[e.Type]
+	if state != routing.Gone && (!zoneKnown || !kindKnown) {
+		return director.Endpoint{}, false, nil
+	}
+	parsed = director.Endpoint{Name: e.Name, Address: e.Address, StartedUnixMilli: e.SinceMS}
+	parsed.Weight = e.Weight
+	parsed.Cell = e.Group
+	parsed.State = state
+	parsed.Started = w.startTime(e)
+	parsed.Zone = zone
+	parsed.Kind = kind
+	return parsed, true, nil
+}
