--- a/internal/discovery/apply.go
+++ b/internal/discovery/apply.go
@@ -45,9 +45,9 @@
 		if !bytes.Contains(text, []byte(`"purge"`)) {
 			continue
 		}
-		var e event
-		if json.Unmarshal(text, &e) == nil && e.Purge != nil {
-			w.serviceClock.Observe(e.Purge.serviceTime(), now)
+		var parsed event
+		if json.Unmarshal(text, &parsed) == nil && parsed.Purge != nil {
+			w.serviceClock.Observe(parsed.Purge.serviceTime(), now)
 		}
 	}
 }
@@ -58,34 +58,34 @@
 	if revision, err := strconv.ParseUint(string(bytes.TrimSpace(text)), 10, 64); err == nil {
 		return w.heartbeat(revision, source)
 	}
-	var e event
-	if err := json.Unmarshal(text, &e); err != nil {
+	var parsed event
+	if err := json.Unmarshal(text, &parsed); err != nil {
 		return fmt.Errorf("line %.80q: %w", text, err)
 	}
-	if e.Revision == nil {
+	if parsed.Revision == nil {
 		return fmt.Errorf("line %.80q: %w", text, errNoRevision)
 	}
-	if e.isHeartbeat() {
-		return w.heartbeat(*e.Revision, source)
+	if parsed.isHeartbeat() {
+		return w.heartbeat(*parsed.Revision, source)
 	}
-	isNew, err := w.checkRevision(&e, source)
+	isNew, err := w.checkRevision(&parsed, source)
 	if err != nil {
-		return fmt.Errorf("event %d: %w", *e.Revision, err)
+		return fmt.Errorf("event %d: %w", *parsed.Revision, err)
 	}
 	if !isNew {
 		return nil
 	}
-	if err := w.applyEvent(&e, source); err != nil {
-		return fmt.Errorf("event %d: %w", *e.Revision, err)
+	if err := w.applyEvent(&parsed, source); err != nil {
+		return fmt.Errorf("event %d: %w", *parsed.Revision, err)
 	}
 	return nil
 }
 
 // checkRevision reports whether the event is one to apply. It is an error if events before it are missing.
-func (w *Watcher) checkRevision(e *event, source *watch) (isNew bool, err error) {
-	revision := *e.Revision
+func (w *Watcher) checkRevision(received *event, source *watch) (isNew bool, err error) {
+	revision := *received.Revision
 	if source != nil && source.fullResync {
-		if revision != 1 || e.Update == nil || !e.Update.Snapshot {
+		if revision != 1 || received.Update == nil || !received.Update.Snapshot {
 			return false, errNotFullList
 		}
 		return true, nil
@@ -101,22 +101,22 @@
 
 // applyEvent hands the endpoints and the purge of an event to the sink. An event that is in error is not applied, or
 // only its endpoints are, and the revision stays.
-func (w *Watcher) applyEvent(e *event, source *watch) error {
-	if e.Update != nil {
-		endpoints, err := w.parseEndpoints(e.Update)
+func (w *Watcher) applyEvent(received *event, source *watch) error {
+	if received.Update != nil {
+		endpoints, err := w.parseEndpoints(received.Update)
 		if err != nil {
 			return err
 		}
 		if source != nil && source.fullResync {
 			w.resyncing = true
 		}
-		w.applyEndpoints(e.Update, endpoints)
+		w.applyEndpoints(received.Update, endpoints)
 	}
-	if e.Purge != nil {
+	if received.Purge != nil {
 		if source != nil { // learnServiceClock has observed those of the configuration.
-			w.serviceClock.Observe(e.Purge.serviceTime(), w.now())
+			w.serviceClock.Observe(received.Purge.serviceTime(), w.now())
 		}
-		if err := w.applyPurge(e.Purge); err != nil {
+		if err := w.applyPurge(received.Purge); err != nil {
 			return err
 		}
 	}
@@ -125,7 +125,7 @@
 		source.revisionBehind = false
 		w.watchesBehind = 0
 	}
-	w.revision = *e.Revision
+	w.revision = *received.Revision
 	w.Counters.Events++
 	return nil
 }
@@ -203,14 +203,14 @@
 
 // startTime is when an endpoint was started, on our clock; 0 if it was not started late. One start keeps its time,
 // whatever is learnt of the service's clock meanwhile: another time would be another incarnation of the endpoint.
-func (w *Watcher) startTime(e *endpoint) routing.Time {
-	if e.SinceMS == 0 {
+func (w *Watcher) startTime(entry *endpoint) routing.Time {
+	if entry.SinceMS == 0 {
 		return 0
 	}
-	if known, ok := w.endpoints[e.Name]; ok && known.sinceMS == e.SinceMS {
+	if known, ok := w.endpoints[entry.Name]; ok && known.sinceMS == entry.SinceMS {
 		return known.started
 	}
-	return w.serviceClock.Local(routing.Time(e.SinceMS) * routing.Time(time.Millisecond))
+	return w.serviceClock.Local(routing.Time(entry.SinceMS) * routing.Time(time.Millisecond))
 }
 
 // applyPurge hands a purge to the sink.
--- a/internal/discovery/backoff.go
+++ b/internal/discovery/backoff.go
@@ -79,17 +79,17 @@
 // NewBackoff returns the backoff of one director. The seed should differ from director to director.
 func NewBackoff(config BackoffConfig, seed uint64) *Backoff {
 	config.Directors = max(config.Directors, 1)
-	b := &Backoff{rng: rand.New(rand.NewPCG(seed, 2)), config: config, tokens: maxSavedCalls}
-	b.maxWaitWhileDown = max(config.ApplyWithin-config.CallDuration, config.MinWait)
-	b.maxWait = max(config.NotifiedAfter-config.CallDuration, b.maxWaitWhileDown)
+	backoff := &Backoff{rng: rand.New(rand.NewPCG(seed, 2)), config: config, tokens: maxSavedCalls}
+	backoff.maxWaitWhileDown = max(config.ApplyWithin-config.CallDuration, config.MinWait)
+	backoff.maxWait = max(config.NotifiedAfter-config.CallDuration, backoff.maxWaitWhileDown)
 	windowFraction := min(1, float64(config.Directors-1)/(fullWindowFleet-1))
-	b.maxWaitAfterBreak = min(b.maxWaitWhileDown, config.ApplyPurgeWithin*4/5)
-	b.returnWindow = time.Duration(windowFraction * float64(b.maxWaitAfterBreak))
-	b.startWindow = b.returnWindow
+	backoff.maxWaitAfterBreak = min(backoff.maxWaitWhileDown, config.ApplyPurgeWithin*4/5)
+	backoff.returnWindow = time.Duration(windowFraction * float64(backoff.maxWaitAfterBreak))
+	backoff.startWindow = backoff.returnWindow
 	if config.StartWindow > 0 {
-		b.startWindow = time.Duration(windowFraction * float64(min(b.maxWaitWhileDown, config.StartWindow)))
+		backoff.startWindow = time.Duration(windowFraction * float64(min(backoff.maxWaitWhileDown, config.StartWindow)))
 	}
-	return b
+	return backoff
 }
 
 // StartWindow is the time over which the fleet spreads its first calls.
--- a/internal/discovery/event.go
+++ b/internal/discovery/event.go
@@ -78,24 +78,24 @@
 
 // parseEndpoint converts an endpoint. usable is false where it is in a zone or of a kind that the settings do not know:
 // no request goes to it.
-func (w *Watcher) parseEndpoint(e *endpoint) (parsed director.Endpoint, usable bool, err error) {
-	state, err := e.state()
+func (w *Watcher) parseEndpoint(entry *endpoint) (parsed director.Endpoint, usable bool, err error) {
+	state, err := entry.state()
 	if err != nil {
 		return director.Endpoint{}, false, err
 	}
-	if err := e.validate(state); err != nil {
+	if err := entry.validate(state); err != nil {
 		return director.Endpoint{}, false, err
 	}
-	zone, zoneKnown := w.zones[e.Zone]
-	kind, kindKnown := w.kinds[e.Type]
+	zone, zoneKnown := w.zones[entry.Zone]
+	kind, kindKnown := w.kinds[entry.Type]
 	if state != routing.Gone && (!zoneKnown || !kindKnown) {
 		return director.Endpoint{}, false, nil
 	}
-	parsed = director.Endpoint{Name: e.Name, Address: e.Address, StartedUnixMilli: e.SinceMS}
-	parsed.Weight = e.Weight
-	parsed.Cell = e.Group
+	parsed = director.Endpoint{Name: entry.Name, Address: entry.Address, StartedUnixMilli: entry.SinceMS}
+	parsed.Weight = entry.Weight
+	parsed.Cell = entry.Group
 	parsed.State = state
-	parsed.Started = w.startTime(e)
+	parsed.Started = w.startTime(entry)
 	parsed.Zone = zone
 	parsed.Kind = kind
 	return parsed, true, nil
--- /dev/null
+++ b/internal/discovery/harness_test.go
@@ -0,0 +1,158 @@
+package discovery
+
+import (
+	"fmt"
+	"strings"
+	"testing"
+	"time"
+
+	"go.uber.org/zap"
+
+	"shaleyard/internal/config"
+	"shaleyard/internal/director"
+	"shaleyard/internal/eventloop"
+	"shaleyard/internal/nettest"
+	"shaleyard/internal/timer"
+	"shaleyard/routing"
+)
+
+// harness is a Watcher on scripted dials, with a clock that the test advances. It is the dialer and the sink, too.
+type harness struct {
+	watcher      *Watcher
+	timers       timer.Queue
+	now          routing.Time
+	dials        []*watch
+	notified     []string       // what the sink got, as text
+	purgesMadeAt []routing.Time // on the watcher's clock
+}
+
+// Dial implements eventloop.Dialer.
+func (h *harness) Dial(_ string, _ time.Duration, stream eventloop.Stream) {
+	h.dials = append(h.dials, stream.(*watch))
+}
+
+// UpdateEndpoints implements Sink.
+func (h *harness) UpdateEndpoints(full bool, version uint64, list []director.Endpoint) {
+	for _, endpoint := range list {
+		text := fmt.Sprintln(full, version, endpoint.Name, endpoint.Address,
+			endpoint.Zone, endpoint.Kind, endpoint.State, endpoint.Started)
+		h.notified = append(h.notified, strings.TrimSpace(text))
+	}
+}
+
+// Purge implements Sink.
+func (h *harness) Purge(purge director.Purge) {
+	h.notified = append(h.notified, fmt.Sprint("purge ", purge.ObjectKey, " ", purge.Group, " ", purge.RemoteIssuedAt))
+	h.purgesMadeAt = append(h.purgesMadeAt, purge.IssuedAt)
+}
+
+func newHarness() *harness { return newFleetHarness(1) }
+
+// newFleetHarness returns the harness of one director in a fleet. Its watcher has not been started.
+func newFleetHarness(directors int) *harness {
+	h := &harness{now: 1000 * time.Second}
+	limits := &config.Limits{
+		MaxWatchLineBytes:   1000,
+		WatchSilenceTimeout: 1300 * time.Millisecond,
+		MinWatchBackoff:     100 * time.Millisecond,
+		MaxMembers:          2,
+	}
+	settings := &routing.Settings{Zones: []string{"west", "here"}, Kinds: []string{"small", "origin"}}
+	backoff := NewBackoff(BackoffConfig{
+		Directors:        directors,
+		DirectorIndex:    200,
+		ApplyWithin:      2 * time.Second,
+		ApplyPurgeWithin: 500 * time.Millisecond,
+		NotifiedAfter:    7 * time.Second,
+		SilenceTimeout:   limits.WatchSilenceTimeout,
+		CallDuration:     500 * time.Millisecond,
+		MinWait:          limits.MinWatchBackoff,
+	}, 1)
+	now := func() routing.Time { return h.now }
+	h.watcher = New(limits, settings, "a", backoff, h, h, &h.timers, now, zap.NewNop())
+	return h
+}
+
+// startedHarness returns a harness whose first call has been made.
+func startedHarness(t *testing.T, directors int) *harness {
+	t.Helper()
+	h := newFleetHarness(directors)
+	h.watcher.Start()
+	h.advance(1500 * time.Millisecond)
+	if len(h.dials) != 1 {
+		t.Fatalf("%d dials after the start, want 1", len(h.dials))
+	}
+	return h
+}
+
+// lastDial is the latest call.
+func (h *harness) lastDial() *watch { return h.dials[len(h.dials)-1] }
+
+// open has the latest call succeed.
+func (h *harness) open() *nettest.FakeConn {
+	link := &nettest.FakeConn{}
+	h.lastDial().Opened(link)
+	return link
+}
+
+// wantSubscription has the latest call succeed, and fails the test unless it asks for the events behind a revision.
+func (h *harness) wantSubscription(t *testing.T, revision int) *nettest.FakeConn {
+	t.Helper()
+	link := h.open()
+	if got, want := link.Written.String(), fmt.Sprintf("SUB %d\n", revision); got != want {
+		t.Errorf("subscribed with %q, want %q", got, want)
+	}
+	return link
+}
+
+// receive has a call, counted from 0, receive text that can be used.
+func (h *harness) receive(t *testing.T, call int, text string) {
+	t.Helper()
+	if err := h.dials[call].Data([]byte(text)); err != nil {
+		t.Fatalf("%.60q: %v", text, err)
+	}
+}
+
+// receivePurge has the first call receive the purge that is the next event.
+func (h *harness) receivePurge(t *testing.T, revision uint64) {
+	t.Helper()
+	h.receive(t, 0, fmt.Sprintf("{\"n\":%d,\"purge\":{\"group\":1,\"at\":1}}\n", revision))
+	if h.watcher.revision != revision {
+		t.Fatalf("event %d was not applied, at %d", revision, h.watcher.revision)
+	}
+}
+
+// receiveHeartbeats has the first call receive a heartbeat each second for some seconds, from now on.
+func (h *harness) receiveHeartbeats(t *testing.T, seconds int) {
+	t.Helper()
+	for range seconds {
+		h.receive(t, 0, "0\n")
+		h.advance(time.Second)
+	}
+}
+
+// wantDials fails the test unless so many calls have been made.
+func (h *harness) wantDials(t *testing.T, want int, when string) {
+	t.Helper()
+	if len(h.dials) != want {
+		t.Fatalf("%d dials %s, want %d", len(h.dials), when, want)
+	}
+}
+
+// advance lets time pass and runs the timers that are due then.
+func (h *harness) advance(d time.Duration) {
+	h.now += d
+	h.timers.RunDue(h.now)
+}
+
+// Lines of the list service.
+const (
+	readyLine = `{"n":1,"members":{"index":7,"snapshot":true,"endpoints":[{"name":"s-1","address":"127.0.0.1:80",` +
+		`"zone":"here","type":"small","group":2,"status":"ready","weight":4,"since_ms":5}]}}`
+	drainingLine = `{"n":2,"members":{"index":8,"endpoints":[{"name":"s-1","address":"127.0.0.1:80",` +
+		`"zone":"here","type":"small","group":2,"status":"draining","weight":4,"since_ms":5}]}}`
+	olderListLine = `{"n":1,"members":{"index":6,"snapshot":true,"endpoints":[{"name":"s-1","address":"127.0.0.1:80",` +
+		`"zone":"here","type":"small","group":2,"status":"ready","weight":4,"since_ms":5}]}}`
+	unknownZoneLine = `{"n":4,"members":{"index":8,"endpoints":[{"name":"x","address":"127.0.0.1:81",` +
+		`"zone":"far","type":"small","status":"ready"}]}}`
+)
--- /dev/null
+++ b/internal/discovery/service_clock_test.go
@@ -0,0 +1,59 @@
+package discovery
+
+import (
+	"encoding/json"
+	"fmt"
+	"testing"
+	"time"
+
+	"shaleyard/internal/config"
+)
+
+// The service's clock is hours from ours, as either was stepped. The ages of purges follow from their stamps alone:
+// those of a backlog, and one that is announced as it is made, which is of now.
+func TestPurgesAreDatedByTheServicesClock(t *testing.T) {
+	for _, offset := range []time.Duration{-time.Hour, -5 * time.Second, 0, 5 * time.Second, time.Hour} {
+		t.Run(offset.String(), func(t *testing.T) {
+			h := newHarness()
+			stamp := func(ago time.Duration) int64 { return (h.now + offset - ago).Milliseconds() }
+			bootstrap := config.Bootstrap{Revision: 3, Events: []json.RawMessage{[]byte(readyLine)}}
+			for i, ago := range []time.Duration{9 * time.Second, time.Second} {
+				revision := i + 2
+				purge := fmt.Appendf(nil, `{"n":%d,"purge":{"group":%d,"at":%d}}`, revision, revision, stamp(ago))
+				bootstrap.Events = append(bootstrap.Events, purge)
+			}
+			if err := h.watcher.Bootstrap(bootstrap); err != nil {
+				t.Fatal(err)
+			}
+			h.watcher.Start()
+			h.advance(time.Second)
+			h.open()
+			h.receive(t, 0, fmt.Sprintf(`{"n":4,"purge":{"group":4,"at":%d}}`+"\n", stamp(0)))
+			start := h.now - time.Second
+			for i, want := range []time.Duration{8 * time.Second, 0, -time.Second} {
+				if age := start - h.purgesMadeAt[i]; age != want {
+					t.Errorf("purge %d is dated %v before the start, want %v", i+2, age, want)
+				}
+			}
+		})
+	}
+}
+
+// An endpoint's start keeps its time on our clock, whatever is learnt of the service's meanwhile: announced again, it
+// is no new incarnation.
+func TestAStartToldAgainIsTheSame(t *testing.T) {
+	h := newHarness()
+	bootstrap := config.Bootstrap{Revision: 1, Events: []json.RawMessage{[]byte(readyLine)}}
+	if err := h.watcher.Bootstrap(bootstrap); err != nil {
+		t.Fatal(err)
+	}
+	h.watcher.Start()
+	h.advance(time.Second)
+	h.open()
+	purge := fmt.Sprintf(`{"n":2,"purge":{"group":1,"at":%d}}`, (h.now - time.Minute).Milliseconds())
+	again := fmt.Sprintf(`{"n":3,%s`, readyLine[len(`{"n":1,`):])
+	h.receive(t, 0, purge+"\n"+again+"\n")
+	if first, second := h.notified[0], h.notified[2]; first != second {
+		t.Errorf("notified of %q, and again of %q", first, second)
+	}
+}
