--- a/internal/discovery/deadline_checker_test.go
+++ b/internal/discovery/deadline_checker_test.go
@@ -33,7 +33,7 @@
 	readingCount
 )
 
-// String names the reading as docs/lifecycles.md does.
+// String names the reading in the output of the tests; docs/lifecycles.md has it as fresh, first, ask and 7 s.
 func (r reading) String() string { return [...]string{"fresh", "first", "strict", "late"}[r] }
 
 // missedPurge is a purge that was not sent as it was published.
