--- a/internal/upstream/answers.go
+++ b/internal/upstream/answers.go
@@ -15,79 +15,79 @@
 
 // Data takes what has come in. An error closes the connection.
 func (c *conn) Data(b []byte) error {
-	c.f.Counters.BytesIn += uint64(len(b))
-	c.asked = 0
-	err := c.parser.feed(b, c.take)
-	if c.asked == 0 && len(c.open) > 0 {
-		c.asked = c.f.now()
+	c.pools.Counters.BytesIn += uint64(len(b))
+	c.awaitingSince = 0
+	err := c.parser.feed(b, c.handleResponse)
+	if c.awaitingSince == 0 && len(c.inFlight) > 0 {
+		c.awaitingSince = c.pools.now()
 	}
 	if c.phase == closed {
 		c.parser.release() // closed by what an answer brought about, with the next one begun
 	} else if err == nil {
-		c.rest()
+		c.releaseIfIdle()
 	}
 	if err != nil {
-		c.f.Counters.ProtocolErrors++
-		c.spoilt = true
-		return fmt.Errorf("%s: %w", c.p.name, err)
+		c.pools.Counters.ProtocolErrors++
+		c.protocolFailed = true
+		return fmt.Errorf("%s: %w", c.endpoint.name, err)
 	}
 	return nil
 }
 
-// take matches an answer to its attempt.
-func (c *conn) take(a answer) {
-	f := c.f
-	k := c.open[a.id]
+// handleResponse matches an answer to its attempt.
+func (c *conn) handleResponse(a response) {
+	f := c.pools
+	k := c.inFlight[a.id]
 	if k == nil || !k.written {
 		f.Counters.UnmatchedResponses++
 		a.body.Release()
 		return
 	}
 	f.Counters.Responses++
-	c.served++
-	f.idle.RecordReuse(f.now(), k.gap)
-	f.drop(k)
-	e, err := f.ending(a, k)
+	c.responses++
+	f.idleReuse.RecordReuse(f.now(), k.idleBefore)
+	f.removeAttempt(k)
+	e, err := f.decodeResponse(a, k)
 	if err != nil {
 		f.Counters.InvalidResponses++
 		a.body.Release()
 		e = director.AttemptResult{Result: routing.Errored}
 	}
 	if e.Result != routing.OK {
-		c.ghost(k.id) // a request that was served does not come again
+		c.expectLateResponse(k.requestID) // a request that was served does not come again
 	}
-	f.ender.AttemptEnded(k.h, e)
-	c.rest()
+	f.completions.AttemptEnded(k.handle, e)
+	c.releaseIfIdle()
 }
 
 var (
-	words = map[string]routing.Result{"OK": routing.OK, "SAME": routing.OK, "MISS": routing.Miss,
+	statusResults = map[string]routing.Result{"OK": routing.OK, "SAME": routing.OK, "MISS": routing.Miss,
 		"BUSY": routing.Rejected, "ERR": routing.Errored, "VOID": routing.Abandoned}
-	notes = map[string]routing.FillStatus{"HIT": routing.FillStatusHit, "MISS": routing.FillStatusFilled,
+	fillStatuses = map[string]routing.FillStatus{"HIT": routing.FillStatusHit, "MISS": routing.FillStatusFilled,
 		"MISS_ORIGIN": routing.FillStatusFilledByOrigin, "COLLAPSED": routing.FillStatusCoalesced, "STALE": routing.FillStatusStale,
 		"UP_BUSY": routing.FillStatusSourceRejected, "UP_DOWN": routing.FillStatusSourceUnreachable,
 		"UP_MISS": routing.FillStatusSourceMiss, "NO_FILL": routing.FillStatusNoFillSlot,
 		"ORIGIN_ERR": routing.FillStatusOriginFailed}
-	// reportWords are the wire's words for load figures that the settings name otherwise.
-	reportWords = map[string]string{"active": "inflight", "waiting": "queue", "cpu": "util",
+	// loadReportKeys are the wire's words for load figures that the settings name otherwise.
+	loadReportKeys = map[string]string{"active": "inflight", "waiting": "queue", "cpu": "util",
 		"avg_ms": "latency_ms", "rps": "qps", "err_rps": "eps"}
 )
 
-var errAnswer = errors.New("unusable answer")
+var errInvalidResponse = errors.New("unusable answer")
 
-// ending reads the words and fields of an answer.
-func (f *Pools) ending(a answer, k *call) (director.AttemptResult, error) {
-	result, ok := words[a.word]
+// decodeResponse reads the words and fields of an answer.
+func (f *Pools) decodeResponse(a response, k *activeAttempt) (director.AttemptResult, error) {
+	result, ok := statusResults[a.status]
 	if !ok {
-		return director.AttemptResult{}, errAnswer
+		return director.AttemptResult{}, errInvalidResponse
 	}
-	e := director.AttemptResult{Result: result, NotModified: a.word == "SAME", Body: a.body}
-	if e.NotModified && (k.known == "" || a.body.Len() > 0) {
-		return director.AttemptResult{}, errAnswer
+	e := director.AttemptResult{Result: result, NotModified: a.status == "SAME", Body: a.body}
+	if e.NotModified && (k.clientTag == "" || a.body.Len() > 0) {
+		return director.AttemptResult{}, errInvalidResponse
 	}
 	if a.fields == "" || a.fields == "-" {
 		if e.NotModified {
-			return director.AttemptResult{}, errAnswer
+			return director.AttemptResult{}, errInvalidResponse
 		}
 		return e, nil
 	}
@@ -95,42 +95,42 @@
 	for pair := range strings.SplitSeq(a.fields, ",") {
 		name, value, ok := strings.Cut(pair, "=")
 		if !ok {
-			return director.AttemptResult{}, errAnswer
+			return director.AttemptResult{}, errInvalidResponse
 		}
 		switch name {
 		case "n":
-			if e.FillStatus, ok = notes[value]; !ok {
-				return director.AttemptResult{}, errAnswer
+			if e.FillStatus, ok = fillStatuses[value]; !ok {
+				return director.AttemptResult{}, errInvalidResponse
 			}
 		case "fill":
 			ms, err := strconv.ParseFloat(value, 64)
 			if err != nil || !(ms >= 0) || ms > 1e9 {
-				return director.AttemptResult{}, errAnswer
+				return director.AttemptResult{}, errInvalidResponse
 			}
 			e.SourceWait = time.Duration(ms * float64(time.Millisecond))
 		case "l":
-			e.LoadReport = f.report(value)
+			e.LoadReport = f.decodeLoadReport(value)
 		case "rev":
-			named = value == k.known
+			named = value == k.clientTag
 		}
 	}
 	if e.NotModified && !named { // nobody has called the copy current that the client has
-		return director.AttemptResult{}, errAnswer
+		return director.AttemptResult{}, errInvalidResponse
 	}
 	return e, nil
 }
 
-// report puts the figures of a load report in the order of the settings. What can't be read is 0: a report
+// decodeLoadReport puts the figures of a load decodeLoadReport in the order of the settings. What can't be read is 0: a decodeLoadReport
 // is advice, and no reason to lose an answer.
-func (f *Pools) report(s string) []float32 {
-	if len(f.fields) == 0 {
+func (f *Pools) decodeLoadReport(s string) []float32 {
+	if len(f.loadReportFields) == 0 {
 		return nil
 	}
-	v := make([]float32, len(f.fields))
+	v := make([]float32, len(f.loadReportFields))
 	for pair := range strings.SplitSeq(s, ";") {
 		name, value, _ := strings.Cut(pair, ":")
-		for i, field := range f.fields {
-			if name == field || name == reportWords[field] {
+		for i, field := range f.loadReportFields {
+			if name == field || name == loadReportKeys[field] {
 				x, _ := strconv.ParseFloat(value, 32)
 				v[i] = float32(x)
 			}
--- a/internal/upstream/caches_test.go
+++ b/internal/upstream/caches_test.go
@@ -21,40 +21,40 @@
 	"shaleyard/routing"
 )
 
-// bench is a fleet on scripted dials, with a clock that the test moves.
-type bench struct {
-	f      *Pools
-	agenda timer.Queue
-	clock  routing.Time
-	dials  []eventloop.Stream
-	ends   map[handle.Handle]routing.Result
+// harness is a fleet on scripted dials, with a clock that the test moves.
+type harness struct {
+	pools   *Pools
+	timers  timer.Queue
+	now     routing.Time
+	dials   []eventloop.Stream
+	results map[handle.Handle]routing.Result
 }
 
-func (b *bench) Dial(_ string, _ time.Duration, s eventloop.Stream) { b.dials = append(b.dials, s) }
-func (b *bench) AttemptEnded(h handle.Handle, e director.AttemptResult) {
-	b.ends[h] = e.Result
+func (b *harness) Dial(_ string, _ time.Duration, s eventloop.Stream) { b.dials = append(b.dials, s) }
+func (b *harness) AttemptEnded(h handle.Handle, e director.AttemptResult) {
+	b.results[h] = e.Result
 	e.Body.Release()
 }
 
-func newBench() *bench {
-	b := &bench{clock: 1000 * time.Second, ends: map[handle.Handle]routing.Result{}}
+func newHarness() *harness {
+	b := &harness{now: 1000 * time.Second, results: map[handle.Handle]routing.Result{}}
 	l := &config.Limits{MaxUpstreamConns: 8, MaxAttemptsPerConn: 2, UpstreamIdleTimeout: 10 * time.Second, MinIdleTimeout: 50 * time.Millisecond,
 		IdleCloseRaceWindow: 50 * time.Millisecond, LateAnswerWindow: 5 * time.Second, UpstreamSilenceTimeout: time.Second,
 		MaxAnswerBodyBytes: 100, MaxAnswerFieldBytes: 100}
 	s := &routing.Settings{LoadReport: routing.LoadReportSettings{Fields: []string{"active", "x1"}}}
-	b.f = NewPools(l, s, buffer.NewPool(64, 64), b, b, &b.agenda, func() routing.Time { return b.clock }, zap.NewNop(), 1)
-	b.f.UpdateEndpoint(1, "c1", "a", 0)
+	b.pools = NewPools(l, s, buffer.NewPool(64, 64), b, b, &b.timers, func() routing.Time { return b.now }, zap.NewNop(), 1)
+	b.pools.UpdateEndpoint(1, "c1", "a", 0)
 	return b
 }
 
-func (b *bench) send(h handle.Handle, ref string) {
-	b.f.Send(h, 1, director.UpstreamRequest{Request: &director.Request{Ref: ref, Service: "s", Object: "o", Part: "0"},
+func (b *harness) send(h handle.Handle, ref string) {
+	b.pools.Send(h, 1, director.UpstreamRequest{Request: &director.Request{Ref: ref, Service: "s", Object: "o", Part: "0"},
 		Timeout: time.Second})
 }
 
-func (b *bench) want(t *testing.T, ends map[handle.Handle]routing.Result) {
+func (b *harness) wantResults(t *testing.T, ends map[handle.Handle]routing.Result) {
 	t.Helper()
-	if d := cmp.Diff(ends, b.ends); d != "" {
+	if d := cmp.Diff(ends, b.results); d != "" {
 		t.Error(d)
 	}
 }
@@ -73,7 +73,7 @@
 			"sort=media,asset=7f3a,slice=3,patience=1500,cap=1,do=peek,inm=k"},
 		{director.UpstreamRequest{Request: &keyed, Source: "s-1"}, "sort=media,asset=7f3a,slice=3,patience=1500,op=5c0f,up=s-1,inm=k"},
 	} {
-		if got := string(appendFields(nil, c.call, 1500*time.Millisecond)); got != c.want {
+		if got := string(appendRequestFields(nil, c.call, 1500*time.Millisecond)); got != c.want {
 			t.Errorf("got  %s\nwant %s", got, c.want)
 		}
 	}
@@ -81,23 +81,23 @@
 
 // Nothing that waited for a dial has run when it fails; what was written may have run when it is reset.
 func TestEndsAreExact(t *testing.T) {
-	b := newBench()
+	b := newHarness()
 	b.send(1, "r1")
 	b.dials[0].Failed(errors.New("refused"))
 	b.send(2, "r2")
 	b.dials[1].Opened(&nettest.FakeConn{})
 	b.dials[1].Closed()
-	b.f.Send(3, 99, director.UpstreamRequest{Request: &director.Request{Ref: "r3"}})
-	b.want(t, map[handle.Handle]routing.Result{1: routing.ConnectFailed, 2: routing.Reset, 3: routing.ConnectFailed})
-	if n := b.f.NumConns(); n != 0 {
+	b.pools.Send(3, 99, director.UpstreamRequest{Request: &director.Request{Ref: "r3"}})
+	b.wantResults(t, map[handle.Handle]routing.Result{1: routing.ConnectFailed, 2: routing.Reset, 3: routing.ConnectFailed})
+	if n := b.pools.NumConns(); n != 0 {
 		t.Errorf("%d connections left", n)
 	}
 }
 
 func TestStopTellsWhetherItWasWritten(t *testing.T) {
-	b := newBench()
+	b := newHarness()
 	b.send(1, "r1")
-	if b.f.Cancel(1) {
+	if b.pools.Cancel(1) {
 		t.Error("an attempt that waits for its dial counts as written")
 	}
 	l := &nettest.FakeConn{}
@@ -106,10 +106,10 @@
 		t.Errorf("after its stop %q was sent", got)
 	}
 	b.send(2, "r2")
-	if !b.f.Cancel(2) {
+	if !b.pools.Cancel(2) {
 		t.Error("a written attempt counts as not written")
 	}
-	if !strings.HasSuffix(l.Written.String(), bulk("STOP", "r2")) {
+	if !strings.HasSuffix(l.Written.String(), bulkArray("STOP", "r2")) {
 		t.Errorf("no STOP in %q", l.Written.String())
 	}
 }
@@ -117,44 +117,44 @@
 // An answer that crosses a STOP can't be told from that to a second attempt with the same id on the same
 // connection: the second one takes another.
 func TestSecondAttemptAvoidsTheStoppedOnesConnection(t *testing.T) {
-	b := newBench()
+	b := newHarness()
 	b.send(1, "r1")
 	b.dials[0].Opened(&nettest.FakeConn{})
-	b.f.Cancel(1)
+	b.pools.Cancel(1)
 	b.send(2, "r1")
 	if len(b.dials) != 2 {
 		t.Fatalf("%d dials, want a second one", len(b.dials))
 	}
 	b.dials[1].Opened(&nettest.FakeConn{})
-	b.dials[0].Data([]byte(bulk("r1", "OK", "n=HIT", "late")))
-	b.want(t, map[handle.Handle]routing.Result{})
-	b.dials[1].Data([]byte(bulk("r1", "MISS", "-", "")))
-	b.want(t, map[handle.Handle]routing.Result{2: routing.Miss})
+	b.dials[0].Data([]byte(bulkArray("r1", "OK", "n=HIT", "late")))
+	b.wantResults(t, map[handle.Handle]routing.Result{})
+	b.dials[1].Data([]byte(bulkArray("r1", "MISS", "-", "")))
+	b.wantResults(t, map[handle.Handle]routing.Result{2: routing.Miss})
 }
 
 // Attempts share a connection only where the peer's share is used up, as one spoilt answer ends all on it. What
 // is idle is used again, but not for the id it has just answered: a second copy may still come. A dial that
 // fails proves nothing while others work: a cache turns away more connections than it holds.
 func TestAttemptsSpreadOverConnections(t *testing.T) {
-	b := newBench()
-	b.f.limits.MaxConnsPerEndpoint = 2
+	b := newHarness()
+	b.pools.limits.MaxConnsPerEndpoint = 2
 	b.send(1, "r1")
 	b.dials[0].Opened(&nettest.FakeConn{})
 	b.send(2, "r2")
 	b.dials[1].Failed(errors.New("refused"))
-	b.want(t, map[handle.Handle]routing.Result{})
-	if b.f.calls[2].c != b.dials[0] || b.f.Counters.Reassigned != 1 {
+	b.wantResults(t, map[handle.Handle]routing.Result{})
+	if b.pools.attempts[2].conn != b.dials[0] || b.pools.Counters.Reassigned != 1 {
 		t.Error("the attempt behind a failed dial is not on the connection that works")
 	}
-	b.dials[0].Data([]byte(bulk("r1", "MISS", "-", "") + bulk("r2", "MISS", "-", "")))
+	b.dials[0].Data([]byte(bulkArray("r1", "MISS", "-", "") + bulkArray("r2", "MISS", "-", "")))
 	b.send(3, "r2")
-	if len(b.dials) != 3 || b.f.calls[3].c != b.dials[2] {
+	if len(b.dials) != 3 || b.pools.attempts[3].conn != b.dials[2] {
 		t.Errorf("%d dials: the second try of r2 is on the connection of the first", len(b.dials))
 	}
 	b.dials[2].Opened(&nettest.FakeConn{})
 	b.send(4, "r4")
 	b.send(5, "r5")
-	if len(b.dials) != 3 || b.f.calls[4].c != b.dials[0] {
+	if len(b.dials) != 3 || b.pools.attempts[4].conn != b.dials[0] {
 		t.Errorf("%d dials: r4 has no idle connection, or r5 one beyond the share", len(b.dials))
 	}
 }
@@ -162,12 +162,12 @@
 // What must not run twice takes a new connection though an idle one is there: a reset that crosses it on an
 // idle one would leave it unknown whether it ran.
 func TestOnceTakesANewConnection(t *testing.T) {
-	b := newBench()
-	b.f.limits.MaxConnsPerEndpoint = 4
+	b := newHarness()
+	b.pools.limits.MaxConnsPerEndpoint = 4
 	b.send(1, "r1")
 	b.dials[0].Opened(&nettest.FakeConn{})
-	b.dials[0].Data([]byte(bulk("r1", "OK", "-", "x")))
-	b.f.Send(2, 1, director.UpstreamRequest{Request: &director.Request{Ref: "r2"}, Timeout: time.Second, NonIdempotent: true})
+	b.dials[0].Data([]byte(bulkArray("r1", "OK", "-", "x")))
+	b.pools.Send(2, 1, director.UpstreamRequest{Request: &director.Request{Ref: "r2"}, Timeout: time.Second, NonIdempotent: true})
 	if len(b.dials) != 2 {
 		t.Errorf("%d dials, want a second one", len(b.dials))
 	}
@@ -184,22 +184,22 @@
 	}{
 		{300 * time.Millisecond, func(s eventloop.Stream) { s.Closed() }, false},
 		{300 * time.Millisecond, func(s eventloop.Stream) { s.Data([]byte("noise")); s.Closed() }, true},
-		{300 * time.Millisecond, func(s eventloop.Stream) { s.Data([]byte(bulk("r2", "OK", "-", "x"))); s.Closed() }, true},
+		{300 * time.Millisecond, func(s eventloop.Stream) { s.Data([]byte(bulkArray("r2", "OK", "-", "x"))); s.Closed() }, true},
 		{0, func(s eventloop.Stream) { s.Closed() }, true},
 	} {
-		b := newBench()
-		b.f.limits.MaxConnsPerEndpoint = 4
+		b := newHarness()
+		b.pools.limits.MaxConnsPerEndpoint = 4
 		b.send(1, "r1")
 		b.dials[0].Opened(&nettest.FakeConn{})
-		b.dials[0].Data([]byte(bulk("r1", "OK", "-", "x")))
-		b.clock += c.idle
+		b.dials[0].Data([]byte(bulkArray("r1", "OK", "-", "x")))
+		b.now += c.idle
 		b.send(2, "r2")
 		c.end(b.dials[0])
 		b.send(3, "r3")
 		b.dials[1].Opened(&nettest.FakeConn{})
-		b.dials[1].Data([]byte(bulk("r3", "OK", "-", "x")))
-		b.clock += 300 * time.Millisecond
-		b.agenda.RunDue(b.clock)
+		b.dials[1].Data([]byte(bulkArray("r3", "OK", "-", "x")))
+		b.now += 300 * time.Millisecond
+		b.timers.RunDue(b.now)
 		b.send(4, "r4")
 		if got := len(b.dials) == 2; got != c.want {
 			t.Errorf("after %v idle: used again %v, want %v", c.idle, got, c.want)
@@ -212,50 +212,50 @@
 // its connection alone tells of idle times, and what it tells ages.
 func TestOnlyCrossingsTeachIdleTimes(t *testing.T) {
 	for name, c := range map[string]struct {
-		end  func(*bench)
+		end  func(*harness)
 		want time.Duration // idle connections are used again for
 	}{
-		"crossed":               {func(b *bench) { b.dials[0].Closed() }, 225 * time.Millisecond},
-		"reset while it worked": {func(b *bench) { b.clock += 51 * time.Millisecond; b.dials[0].Closed() }, 10 * time.Second},
-		"the peer has died": {func(b *bench) {
+		"crossed":               {func(b *harness) { b.dials[0].Closed() }, 225 * time.Millisecond},
+		"reset while it worked": {func(b *harness) { b.now += 51 * time.Millisecond; b.dials[0].Closed() }, 10 * time.Second},
+		"the peer has died": {func(b *harness) {
 			b.dials[0].Closed()
-			b.clock += 10 * time.Millisecond
+			b.now += 10 * time.Millisecond
 			b.dials[1].Closed()
 		}, 10 * time.Second},
-		"an idle one first": {func(b *bench) { b.dials[1].Closed(); b.dials[0].Closed() }, 10 * time.Second},
-		"the next is refused": {func(b *bench) {
+		"an idle one first": {func(b *harness) { b.dials[1].Closed(); b.dials[0].Closed() }, 10 * time.Second},
+		"the next is refused": {func(b *harness) {
 			b.dials[0].Closed()
 			b.dials[1].Closed()
-			b.clock += 200 * time.Millisecond
+			b.now += 200 * time.Millisecond
 			b.send(9, "r9")
 			b.dials[2].Opened(&nettest.FakeConn{})
-			b.dials[2].Data([]byte(bulk("r9", "OK", "-", "x")))
-			b.clock += 300 * time.Millisecond
+			b.dials[2].Data([]byte(bulkArray("r9", "OK", "-", "x")))
+			b.now += 300 * time.Millisecond
 			b.send(10, "r10")
 			b.dials[2].Closed()
 			b.send(11, "r11")
 			b.dials[3].Failed(fmt.Errorf("connect: %w", syscall.ECONNREFUSED))
 		}, 10 * time.Second},
-		"a new life": {func(b *bench) { b.dials[0].Closed(); b.f.UpdateEndpoint(1, "c1", "a", b.clock) }, 10 * time.Second},
-		"gone":       {func(b *bench) { b.dials[0].Closed(); b.f.RemoveEndpoint(1) }, 10 * time.Second},
+		"a new life": {func(b *harness) { b.dials[0].Closed(); b.pools.UpdateEndpoint(1, "c1", "a", b.now) }, 10 * time.Second},
+		"gone":       {func(b *harness) { b.dials[0].Closed(); b.pools.RemoveEndpoint(1) }, 10 * time.Second},
 	} {
-		b := newBench()
-		b.f.limits.MaxConnsPerEndpoint = 4
+		b := newHarness()
+		b.pools.limits.MaxConnsPerEndpoint = 4
 		b.send(1, "r1")
 		b.send(2, "r2")
 		for i, ref := range []string{"r1", "r2"} {
 			b.dials[i].Opened(&nettest.FakeConn{})
-			b.dials[i].Data([]byte(bulk(ref, "OK", "-", "x")))
+			b.dials[i].Data([]byte(bulkArray(ref, "OK", "-", "x")))
 		}
-		b.clock += 300 * time.Millisecond
+		b.now += 300 * time.Millisecond
 		b.send(3, "r3")
-		if b.f.calls[3].c != b.dials[0] {
+		if b.pools.attempts[3].conn != b.dials[0] {
 			b.dials[0], b.dials[1] = b.dials[1], b.dials[0]
 		}
 		c.end(b)
-		b.clock += b.f.limits.IdleCloseRaceWindow
-		b.agenda.RunDue(b.clock)
-		if got := b.f.idle.Value(b.clock); got != c.want {
+		b.now += b.pools.limits.IdleCloseRaceWindow
+		b.timers.RunDue(b.now)
+		if got := b.pools.idleReuse.Value(b.now); got != c.want {
 			t.Errorf("%s: idle ones are used again for %v, want %v", name, got, c.want)
 		}
 	}
@@ -264,13 +264,13 @@
 // A dial that is reset, other than one that is refused, does not prove that nobody is there: nothing has run, and
 // it is made again, but not without end.
 func TestResetDialIsMadeAgain(t *testing.T) {
-	b := newBench()
+	b := newHarness()
 	b.send(1, "r1")
 	for i := range 3 {
-		b.want(t, map[handle.Handle]routing.Result{})
+		b.wantResults(t, map[handle.Handle]routing.Result{})
 		b.dials[i].Failed(fmt.Errorf("connect: %w", syscall.ECONNRESET))
 	}
-	b.want(t, map[handle.Handle]routing.Result{1: routing.ConnectFailed})
+	b.wantResults(t, map[handle.Handle]routing.Result{1: routing.ConnectFailed})
 	if len(b.dials) != 3 {
 		t.Errorf("%d dials, want 3", len(b.dials))
 	}
@@ -278,66 +278,66 @@
 
 // A silent connection that has nothing left open is of no use: it is closed, not passed over for good.
 func TestSilentConnectionIsClosedOnceEmpty(t *testing.T) {
-	b := newBench()
+	b := newHarness()
 	b.send(1, "r1")
 	l := &nettest.FakeConn{}
 	b.dials[0].Opened(l)
-	b.f.Cancel(1)
-	b.clock += 2 * time.Second
+	b.pools.Cancel(1)
+	b.now += 2 * time.Second
 	b.send(2, "r2")
-	if !l.Closed || b.f.NumConns() != 1 {
-		t.Errorf("closed %v, %d connections held, want the new one only", l.Closed, b.f.NumConns())
+	if !l.Closed || b.pools.NumConns() != 1 {
+		t.Errorf("closed %v, %d connections held, want the new one only", l.Closed, b.pools.NumConns())
 	}
 }
 
 // A machine that vanishes leaves its connections open and silent: the next attempt must dial, which proves
 // whether it is there. A short wait is no silence.
 func TestSilentConnectionTakesNothingNew(t *testing.T) {
-	b := newBench()
+	b := newHarness()
 	b.send(1, "r1")
 	b.dials[0].Opened(&nettest.FakeConn{})
-	b.f.Cancel(1)
-	b.clock += 900 * time.Millisecond
+	b.pools.Cancel(1)
+	b.now += 900 * time.Millisecond
 	b.send(2, "r2")
 	if len(b.dials) != 1 {
 		t.Errorf("%d dials after a short wait, want 1", len(b.dials))
 	}
-	b.clock += 200 * time.Millisecond
+	b.now += 200 * time.Millisecond
 	b.send(3, "r3")
 	if len(b.dials) != 2 {
 		t.Errorf("%d dials after a long silence, want 2", len(b.dials))
 	}
-	b.dials[0].Data([]byte(bulk("r2", "OK", "-", "x")))
-	b.f.Cancel(3)
+	b.dials[0].Data([]byte(bulkArray("r2", "OK", "-", "x")))
+	b.pools.Cancel(3)
 	b.send(4, "r4")
-	if len(b.dials) != 2 || b.f.calls[4].c != b.dials[0] {
+	if len(b.dials) != 2 || b.pools.attempts[4].conn != b.dials[0] {
 		t.Error("a connection that speaks again is not used")
 	}
-	b.dials[0].Data([]byte(bulk("r4", "OK", "-", "x")))
-	b.clock += 5 * time.Second // idle, not silent: nothing is owed
+	b.dials[0].Data([]byte(bulkArray("r4", "OK", "-", "x")))
+	b.now += 5 * time.Second // idle, not silent: nothing is owed
 	b.send(5, "r5")
-	if b.f.calls[5].c != b.dials[0] {
+	if b.pools.attempts[5].conn != b.dials[0] {
 		t.Error("an idle connection is not used")
 	}
 }
 
 // A restarted process, or a new member at an old address, must get nothing over its predecessor's sockets.
 func TestNewLifeGetsNewConnections(t *testing.T) {
-	b := newBench()
+	b := newHarness()
 	b.send(1, "r1")
 	l := &nettest.FakeConn{}
 	b.dials[0].Opened(l)
-	b.f.UpdateEndpoint(1, "c1", "a", b.clock+1)
-	b.want(t, map[handle.Handle]routing.Result{1: routing.Reset})
+	b.pools.UpdateEndpoint(1, "c1", "a", b.now+1)
+	b.wantResults(t, map[handle.Handle]routing.Result{1: routing.Reset})
 	b.send(2, "r2")
 	if len(b.dials) != 2 || !l.Closed {
 		t.Errorf("%d dials, old connection closed: %v", len(b.dials), l.Closed)
 	}
-	b.f.RemoveEndpoint(1)
+	b.pools.RemoveEndpoint(1)
 	b.dials[1].Opened(&nettest.FakeConn{})
-	b.dials[1].Data([]byte(bulk("r2", "OK", "-", "x")))
-	b.want(t, map[handle.Handle]routing.Result{1: routing.Reset, 2: routing.OK})
-	if n := b.f.NumConns(); n != 0 {
+	b.dials[1].Data([]byte(bulkArray("r2", "OK", "-", "x")))
+	b.wantResults(t, map[handle.Handle]routing.Result{1: routing.Reset, 2: routing.OK})
+	if n := b.pools.NumConns(); n != 0 {
 		t.Errorf("%d connections to a member that has gone", n)
 	}
 }
@@ -345,68 +345,68 @@
 // News of a start come late. What was opened to the new life already must stay: a reset would fail the
 // repayments that are out on it.
 func TestLateNewsOfAStartKeepNewConnections(t *testing.T) {
-	b := newBench()
+	b := newHarness()
 	b.send(1, "r1")
 	b.send(2, "r2")
 	b.send(3, "r3") // on a second connection, still being dialled when the news come
 	l := &nettest.FakeConn{}
-	b.clock += time.Second
+	b.now += time.Second
 	b.dials[0].Opened(l)
-	b.f.UpdateEndpoint(1, "c1", "a", b.clock-time.Second/2)
+	b.pools.UpdateEndpoint(1, "c1", "a", b.now-time.Second/2)
 	if l.Closed {
 		t.Error("a connection to the new life was closed")
 	}
-	b.want(t, map[handle.Handle]routing.Result{})
+	b.wantResults(t, map[handle.Handle]routing.Result{})
 }
 
 func TestBadAnswerFailsItsAttempt(t *testing.T) {
-	b := newBench()
+	b := newHarness()
 	b.send(1, "r1")
 	b.send(2, "r2")
 	b.dials[0].Opened(&nettest.FakeConn{})
-	b.dials[0].Data([]byte(bulk("r1", "SAME", "-", ""))) // no copy of the client was passed on
-	b.dials[0].Data([]byte(bulk("r2", "OK", "n=NEVER", "x")))
-	b.want(t, map[handle.Handle]routing.Result{1: routing.Errored, 2: routing.Errored})
+	b.dials[0].Data([]byte(bulkArray("r1", "SAME", "-", ""))) // no copy of the client was passed on
+	b.dials[0].Data([]byte(bulkArray("r2", "OK", "n=NEVER", "x")))
+	b.wantResults(t, map[handle.Handle]routing.Result{1: routing.Errored, 2: routing.Errored})
 }
 
 // A dial holds two descriptors until it has joined the loop. Accept ends the engine when they run out.
 func TestDescriptorsAreBounded(t *testing.T) {
-	b := newBench()
+	b := newHarness()
 	for h := handle.Handle(1); h <= 9; h++ {
 		b.send(h, "r"+string(rune('0'+h)))
 	}
 	if len(b.dials) != 4 {
 		t.Errorf("%d dials, want 4", len(b.dials))
 	}
-	b.want(t, map[handle.Handle]routing.Result{9: routing.Abandoned}) // our shortage, not the peer's failure
+	b.wantResults(t, map[handle.Handle]routing.Result{9: routing.Abandoned}) // our shortage, not the peer's failure
 	b.dials[0].Failed(errors.New("refused"))
 	b.dials[1].Opened(&nettest.FakeConn{})
 	b.dials[1].Closed()
 	b.dials[2].Opened(&nettest.FakeConn{})
-	if b.f.files != 3 {
-		t.Errorf("%d descriptors counted, want 3", b.f.files)
+	if b.pools.descriptorsInUse != 3 {
+		t.Errorf("%d descriptors counted, want 3", b.pools.descriptorsInUse)
 	}
 }
 
 func TestIdleConnectionIsClosed(t *testing.T) {
-	b := newBench()
+	b := newHarness()
 	b.send(1, "r1")
 	l := &nettest.FakeConn{}
 	b.dials[0].Opened(l)
-	b.dials[0].Data([]byte(bulk("r1", "OK", "l=inflight:7;x1:0.5", "x")))
-	b.agenda.RunDue(b.clock + 9*time.Second)
+	b.dials[0].Data([]byte(bulkArray("r1", "OK", "l=inflight:7;x1:0.5", "x")))
+	b.timers.RunDue(b.now + 9*time.Second)
 	if l.Closed {
 		t.Error("closed before the idle time")
 	}
-	b.agenda.RunDue(b.clock + 11*time.Second)
+	b.timers.RunDue(b.now + 11*time.Second)
 	if !l.Closed {
 		t.Error("still open after the idle time")
 	}
 }
 
 func TestReportFollowsTheSettings(t *testing.T) {
-	b := newBench()
-	if d := cmp.Diff([]float32{7, 0.5}, b.f.report("x0:1;inflight:7;x1:0.5")); d != "" {
+	b := newHarness()
+	if d := cmp.Diff([]float32{7, 0.5}, b.pools.decodeLoadReport("x0:1;inflight:7;x1:0.5")); d != "" {
 		t.Error(d)
 	}
 }
@@ -414,8 +414,8 @@
 // How many connections a peer takes shows only in dials that fail. From then on attempts share those that hold, and
 // no request tries the peer's patience anew; a new life of the peer is a new beginning.
 func TestPeerShortOfConnectionsIsNotAskedForMore(t *testing.T) {
-	b := newBench()
-	b.f.limits.MaxConnsPerEndpoint, b.f.limits.MaxUpstreamConns, b.f.limits.MaxAttemptsPerConn = 8, 32, 100
+	b := newHarness()
+	b.pools.limits.MaxConnsPerEndpoint, b.pools.limits.MaxUpstreamConns, b.pools.limits.MaxAttemptsPerConn = 8, 32, 100
 	b.send(1, "r1")
 	b.dials[0].Opened(&nettest.FakeConn{})
 	b.send(2, "r2")
@@ -426,10 +426,10 @@
 	if len(b.dials) != 2 {
 		t.Errorf("%d dials, want none behind the one that failed", len(b.dials))
 	}
-	if b.f.Counters.ConnectLimited != 20 || len(b.ends) != 0 {
-		t.Errorf("%d attempts shared a connection, want 20; ended: %v", b.f.Counters.ConnectLimited, b.ends)
+	if b.pools.Counters.ConnectLimited != 20 || len(b.results) != 0 {
+		t.Errorf("%d attempts shared a connection, want 20; ended: %v", b.pools.Counters.ConnectLimited, b.results)
 	}
-	b.f.UpdateEndpoint(1, "c1", "b", b.clock)
+	b.pools.UpdateEndpoint(1, "c1", "b", b.now)
 	b.send(50, "r50")
 	if len(b.dials) != 3 {
 		t.Errorf("%d dials, want one to the new life", len(b.dials))
@@ -439,11 +439,11 @@
 // A burst opens few connections at a time, and one to a peer that has only just started.
 func TestBurstOpensFewConnectionsAtATime(t *testing.T) {
 	for _, young := range []bool{false, true} {
-		b := newBench()
-		b.f.limits.MaxConnsPerEndpoint, b.f.limits.MaxUpstreamConns, b.f.limits.MaxAttemptsPerConn = 32, 64, 100
+		b := newHarness()
+		b.pools.limits.MaxConnsPerEndpoint, b.pools.limits.MaxUpstreamConns, b.pools.limits.MaxAttemptsPerConn = 32, 64, 100
 		want := 3
 		if young {
-			b.f.UpdateEndpoint(1, "c1", "a", b.clock)
+			b.pools.UpdateEndpoint(1, "c1", "a", b.now)
 			want = 1
 		}
 		for i := range 20 {
@@ -460,14 +460,14 @@
 func TestConnectionClosedUnusedCountsAsTurnedAway(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
-		before func(b *bench)
+		before func(b *harness)
 		dials  int
 	}{
-		{"turned away", func(*bench) {}, 2},
-		{"after a while", func(b *bench) { b.clock += time.Second }, 3},
+		{"turned away", func(*harness) {}, 2},
+		{"after a while", func(b *harness) { b.now += time.Second }, 3},
 	} {
-		b := newBench()
-		b.f.limits.MaxConnsPerEndpoint, b.f.limits.MaxUpstreamConns, b.f.limits.MaxAttemptsPerConn = 8, 32, 100
+		b := newHarness()
+		b.pools.limits.MaxConnsPerEndpoint, b.pools.limits.MaxUpstreamConns, b.pools.limits.MaxAttemptsPerConn = 8, 32, 100
 		b.send(1, "r1")
 		b.dials[0].Opened(&nettest.FakeConn{})
 		b.send(2, "r2")
--- a/internal/upstream/golden_test.go
+++ b/internal/upstream/golden_test.go
@@ -333,7 +333,7 @@
 
 func (s *wireScript) answer(dial int, words ...string) {
 	s.step("answer "+strings.Join(words, " "), func() {
-		text := bulk(words...)
+		text := bulkArray(words...)
 		s.recorder.deliver(s.recorder.dials[dial], text, len(text))
 	})
 }
@@ -513,40 +513,40 @@
 		for _, status := range []string{"OK", "SAME", "MISS", "BUSY", "ERR", "VOID"} {
 			for _, note := range []string{"HIT", "MISS", "MISS_ORIGIN", "COLLAPSED", "STALE", "UP_BUSY", "UP_DOWN", "UP_MISS",
 				"NO_FILL", "ORIGIN_ERR"} {
-				streams = append(streams, bulk(id, status, "n="+note+rest, ""))
+				streams = append(streams, bulkArray(id, status, "n="+note+rest, ""))
 			}
-			streams = append(streams, bulk(id, status), bulk(id, status, ""), bulk(id, status, "-"), bulk(id, status, "-", ""),
-				bulk(id, status, "-", "body"), bulk(id, status, "n=HIT,rev=tag1", strings.Repeat("x\r\n$", 16)))
+			streams = append(streams, bulkArray(id, status), bulkArray(id, status, ""), bulkArray(id, status, "-"), bulkArray(id, status, "-", ""),
+				bulkArray(id, status, "-", "body"), bulkArray(id, status, "n=HIT,rev=tag1", strings.Repeat("x\r\n$", 16)))
 		}
 	}
 	for _, fields := range []string{"rev=tag1,since=1", "rev=tag2,since=1", "since=1", "rev=", "rev=tag1,rev=tag2", "fill=0",
 		"fill=1e9", "fill=0.0000001", "other=x", "l=", "l=active:1;x1:2", "l=active:1;inflight:2", "l=inflight:2;active:1",
 		"l=x1:nan;cpu:1e99;rps:-1", "l=x1;cpu:;:3", "n=HIT,n=STALE"} {
-		streams = append(streams, bulk("r1", "SAME", fields, ""), bulk("r2", "OK", fields, "x"))
+		streams = append(streams, bulkArray("r1", "SAME", fields, ""), bulkArray("r2", "OK", fields, "x"))
 	}
 	return append(streams,
-		bulk("r2", "OK", "n=HIT", "two")+bulk("r1", "SAME", "rev=tag1", ""),
-		bulk("r1", "OK", "-", "one")+bulk("r1", "OK", "-", "again"),
-		bulk("r1", "BUSY")+bulk("r1", "BUSY")+bulk("r2", "MISS"),
-		bulk("other", "OK", "-", "foreign")+bulk("r1", "OK", "-", "own"),
-		bulk("", "", "", ""))
+		bulkArray("r2", "OK", "n=HIT", "two")+bulkArray("r1", "SAME", "rev=tag1", ""),
+		bulkArray("r1", "OK", "-", "one")+bulkArray("r1", "OK", "-", "again"),
+		bulkArray("r1", "BUSY")+bulkArray("r1", "BUSY")+bulkArray("r2", "MISS"),
+		bulkArray("other", "OK", "-", "foreign")+bulkArray("r1", "OK", "-", "own"),
+		bulkArray("", "", "", ""))
 }
 
 // unusableStreams hold whole answers that no attempt can use.
 func unusableStreams() (streams []string) {
 	for _, status := range []string{"", "ok", "OKAY", "UP", "STOP"} {
-		streams = append(streams, bulk("r1", status), bulk("r2", status, "n=HIT", "x"))
+		streams = append(streams, bulkArray("r1", status), bulkArray("r2", status, "n=HIT", "x"))
 	}
 	for _, fields := range []string{"n", "n=", "n=NEVER", "n=hit", "n=HIT,", ",n=HIT", "fill", "fill=", "fill=-1", "fill=x",
 		"fill=NaN", "fill=Inf", "fill=1e10", "fill=1000000001", "--", " -", "x", "n=HIT,x"} {
-		streams = append(streams, bulk("r1", "OK", fields, "x"), bulk("r2", "MISS", fields))
+		streams = append(streams, bulkArray("r1", "OK", fields, "x"), bulkArray("r2", "MISS", fields))
 	}
-	return append(streams, bulk("r1", "SAME", "rev=tag1", "x"), bulk("r2", "SAME", "rev=", ""))
+	return append(streams, bulkArray("r1", "SAME", "rev=tag1", "x"), bulkArray("r2", "SAME", "rev=", ""))
 }
 
 // brokenStreams are no arrays of bulk strings within the bounds, or end within one.
 func brokenStreams() []string {
-	whole := bulk("r1", "OK", "n=HIT", "body")
+	whole := bulkArray("r1", "OK", "n=HIT", "body")
 	streams := []string{"+OK\r\n", "-ERR no\r\n", ":1\r\n", "$2\r\nOK\r\n", "noise", "\r\n", "\n", "\x00", "*", "*\r\n", "*\n", "*2\n",
 		"*0\r\n", "*1\r\n", "*5\r\n", "*-1\r\n", "*+2\r\n", "*02\r\n", "* 2\r\n", "*2 \r\n", "*2\r\r\n", "*99999999999999999999\r\n",
 		"*" + strings.Repeat("0", 29) + "2\r\n", "*" + strings.Repeat("0", 30) + "2\r\n", "*" + strings.Repeat("0", 40),
@@ -557,7 +557,7 @@
 		"*3\r\n$2\r\nr1\r\n$2\r\nOK\r\n$200\r\n" + strings.Repeat("x", 200) + "\r\n", "*3\r\n$2\r\nr1\r\n$2\r\nOK\r\n$201\r\n",
 		"*4\r\n$2\r\nr1\r\n$2\r\nOK\r\n$1\r\n-\r\n$64\r\n" + strings.Repeat("b", 64) + "\r\n",
 		"*4\r\n$2\r\nr1\r\n$2\r\nOK\r\n$1\r\n-\r\n$65\r\n",
-		bulk("r1", "OK", "-", "x") + "noise", bulk("r1", "OK") + "*2\r\n$2\r\nr2\r\n$17\r\n", whole + whole[:9],
+		bulkArray("r1", "OK", "-", "x") + "noise", bulkArray("r1", "OK") + "*2\r\n$2\r\nr2\r\n$17\r\n", whole + whole[:9],
 	}
 	for cut := 1; cut < len(whole); cut++ {
 		streams = append(streams, whole[:cut])
@@ -570,7 +570,7 @@
 	recorder := newWireRecorder()
 	if spareBuffers > 0 {
 		recorder.buffers = buffer.NewPool(16, spareBuffers)
-		recorder.pools.pool = recorder.buffers
+		recorder.pools.buffers = recorder.buffers
 	}
 	first, second := goldenRequest(), goldenRequest()
 	first.Ref, first.IfNoneMatch, second.Ref = "r1", "tag1", "r2"
@@ -596,7 +596,7 @@
 		}
 		lines = append(lines, fmt.Sprintf("%q: %s", stream, whole))
 	}
-	stream := bulk("r1", "OK", "-", strings.Repeat("x", 64))
+	stream := bulkArray("r1", "OK", "-", strings.Repeat("x", 64))
 	for _, buffers := range []int{3, 4} {
 		got := readStream(stream, len(stream), buffers)
 		lines = append(lines, fmt.Sprintf("%d buffers, %q: %s", buffers, stream, got))
--- a/internal/upstream/requests.go
+++ b/internal/upstream/requests.go
@@ -10,40 +10,40 @@
 
 // What goes out: requests and their fields.
 
-// write puts an attempt on its connection. From here on it may run.
-func (f *Pools) write(k *call, q director.UpstreamRequest, until routing.Time) {
-	if k.before != 0 && f.now() >= k.before {
+// writeRequest puts an attempt on its connection. From here on it may run.
+func (f *Pools) writeRequest(k *activeAttempt, q director.UpstreamRequest, until routing.Time) {
+	if k.writeBefore != 0 && f.now() >= k.writeBefore {
 		f.Counters.WindowExpired++
-		f.drop(k)
-		f.ender.AttemptEnded(k.h, director.AttemptResult{Result: routing.Abandoned}) // it never ran
-		k.c.rest()
+		f.removeAttempt(k)
+		f.completions.AttemptEnded(k.handle, director.AttemptResult{Result: routing.Abandoned}) // it never ran
+		k.conn.releaseIfIdle()
 		return
 	}
 	r := q.Request
-	b := appendBulk(appendBulk(appendArray(f.head[:0], 4), "REQ"), r.Ref)
-	fields := appendFields(nil, q, until-f.now())
-	b = append(append(appendLen(b, len(fields)), fields...), "\r\n"...)
-	b = appendLen(b, r.Body.Len())
-	iov := append(f.iov[:0], b)
+	b := appendBulkString(appendBulkString(appendArrayHeader(f.headBuffer[:0], 4), "REQ"), r.Ref)
+	fields := appendRequestFields(nil, q, until-f.now())
+	b = append(append(appendBulkHeader(b, len(fields)), fields...), "\r\n"...)
+	b = appendBulkHeader(b, r.Body.Len())
+	iov := append(f.writeSegments[:0], b)
 	iov = append(r.Body.Segments(iov), []byte("\r\n"))
-	f.head, f.iov = b, iov
+	f.headBuffer, f.writeSegments = b, iov
 	k.written = true
-	if k.c.asked == 0 {
-		k.c.asked = f.now()
+	if k.conn.awaitingSince == 0 {
+		k.conn.awaitingSince = f.now()
 	}
 	f.Counters.RequestsSent++
 	for _, p := range iov {
 		f.Counters.BytesOut += uint64(len(p))
 	}
-	if _, err := k.c.link.Writev(iov); err != nil {
-		k.c.lost()
+	if _, err := k.conn.socket.Writev(iov); err != nil {
+		k.conn.writeFailed()
 	}
 }
 
-var howWords = [...]string{"share", "peek", "pass", "swr"}
+var fetchFlagWords = [...]string{"share", "peek", "pass", "swr"}
 
-// appendFields builds the FIELDS of a request.
-func appendFields(b []byte, q director.UpstreamRequest, patience time.Duration) []byte {
+// appendRequestFields builds the FIELDS of a request.
+func appendRequestFields(b []byte, q director.UpstreamRequest, patience time.Duration) []byte {
 	r := q.Request
 	b = append(append(b, "sort="...), r.Service...)
 	b = append(append(b, ",asset="...), r.Object...)
@@ -63,7 +63,7 @@
 	}
 	if q.FetchFlags != 0 {
 		sep := ",do="
-		for i, w := range howWords {
+		for i, w := range fetchFlagWords {
 			if q.FetchFlags&(1<<i) != 0 {
 				b = append(append(b, sep...), w...)
 				sep = "+"
--- a/internal/upstream/shortage_test.go
+++ b/internal/upstream/shortage_test.go
@@ -22,19 +22,19 @@
 		syscall.EHOSTUNREACH: routing.Unreachable, syscall.EACCES: routing.Unreachable, syscall.EPERM: routing.Unreachable, syscall.EADDRINUSE: routing.Unreachable,
 		syscall.ECONNREFUSED: routing.ConnectFailed, syscall.ECONNRESET: routing.ConnectFailed, syscall.ETIMEDOUT: routing.ConnectFailed,
 	} {
-		b := newBench()
+		b := newHarness()
 		b.send(1, "r1")
 		err := &net.OpError{Op: "dial", Err: os.NewSyscallError("connect", errno)}
-		for range 1 + redialsMost { // a reset dial is made again
-			if len(b.ends) == 0 {
+		for range 1 + maxRedials { // a reset dial is made again
+			if len(b.results) == 0 {
 				b.dials[len(b.dials)-1].Failed(fmt.Errorf("attempt: %w", err))
 			}
 		}
-		if d := cmp.Diff(map[handle.Handle]routing.Result{1: want}, b.ends); d != "" {
+		if d := cmp.Diff(map[handle.Handle]routing.Result{1: want}, b.results); d != "" {
 			t.Errorf("%v: %s", errno, d)
 		}
-		if own := b.f.Counters.LocalResourceErrors != 0; own != (want != routing.ConnectFailed) || b.f.NumConns() != 0 {
-			t.Errorf("%v: %d shortages counted, %d connections left", errno, b.f.Counters.LocalResourceErrors, b.f.NumConns())
+		if own := b.pools.Counters.LocalResourceErrors != 0; own != (want != routing.ConnectFailed) || b.pools.NumConns() != 0 {
+			t.Errorf("%v: %d shortages counted, %d connections left", errno, b.pools.Counters.LocalResourceErrors, b.pools.NumConns())
 		}
 	}
 }
