--- a/internal/upstream/answers.go
+++ b/internal/upstream/answers.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"shaleyard/internal/director"
+	"shaleyard/internal/resp"
 	"shaleyard/routing"
 )
 
@@ -17,12 +18,12 @@
 func (c *conn) Data(b []byte) error {
 	c.pools.Counters.BytesIn += uint64(len(b))
 	c.awaitingSince = 0
-	err := c.parser.feed(b, c.handleResponse)
+	err := c.parser.Feed(b, c.handleResponse)
 	if c.awaitingSince == 0 && len(c.inFlight) > 0 {
 		c.awaitingSince = c.pools.now()
 	}
 	if c.phase == closed {
-		c.parser.release() // closed by what an answer brought about, with the next one begun
+		c.parser.Release() // closed by what an answer brought about, with the next one begun
 	} else if err == nil {
 		c.releaseIfIdle()
 	}
@@ -35,12 +36,12 @@
 }
 
 // handleResponse matches an answer to its attempt.
-func (c *conn) handleResponse(a response) {
+func (c *conn) handleResponse(a resp.Response) {
 	f := c.pools
-	k := c.inFlight[a.id]
+	k := c.inFlight[a.ID]
 	if k == nil || !k.written {
 		f.Counters.UnmatchedResponses++
-		a.body.Release()
+		a.Body.Release()
 		return
 	}
 	f.Counters.Responses++
@@ -50,7 +51,7 @@
 	e, err := f.decodeResponse(a, k)
 	if err != nil {
 		f.Counters.InvalidResponses++
-		a.body.Release()
+		a.Body.Release()
 		e = director.AttemptResult{Result: routing.Errored}
 	}
 	if e.Result != routing.OK {
@@ -76,23 +77,23 @@
 var errInvalidResponse = errors.New("unusable answer")
 
 // decodeResponse reads the words and fields of an answer.
-func (f *Pools) decodeResponse(a response, k *activeAttempt) (director.AttemptResult, error) {
-	result, ok := statusResults[a.status]
+func (f *Pools) decodeResponse(a resp.Response, k *activeAttempt) (director.AttemptResult, error) {
+	result, ok := statusResults[a.Status]
 	if !ok {
 		return director.AttemptResult{}, errInvalidResponse
 	}
-	e := director.AttemptResult{Result: result, NotModified: a.status == "SAME", Body: a.body}
-	if e.NotModified && (k.clientTag == "" || a.body.Len() > 0) {
+	e := director.AttemptResult{Result: result, NotModified: a.Status == "SAME", Body: a.Body}
+	if e.NotModified && (k.clientTag == "" || a.Body.Len() > 0) {
 		return director.AttemptResult{}, errInvalidResponse
 	}
-	if a.fields == "" || a.fields == "-" {
+	if a.Fields == "" || a.Fields == "-" {
 		if e.NotModified {
 			return director.AttemptResult{}, errInvalidResponse
 		}
 		return e, nil
 	}
 	named := false // the client's copy, by its tag
-	for pair := range strings.SplitSeq(a.fields, ",") {
+	for pair := range strings.SplitSeq(a.Fields, ",") {
 		name, value, ok := strings.Cut(pair, "=")
 		if !ok {
 			return director.AttemptResult{}, errInvalidResponse
--- a/internal/upstream/caches.go
+++ b/internal/upstream/caches.go
@@ -15,6 +15,7 @@
 	"shaleyard/internal/eventloop"
 	"shaleyard/internal/handle"
 	"shaleyard/internal/overload"
+	"shaleyard/internal/resp"
 	"shaleyard/internal/timer"
 	"shaleyard/routing"
 )
@@ -266,7 +267,7 @@
 		return nil
 	}
 	c := &conn{pools: f, endpoint: p, inFlight: map[string]*activeAttempt{}, lateResponseIDs: map[string]routing.Time{}}
-	c.parser = parser{pool: f.buffers, maxFields: f.limits.MaxAnswerFieldBytes, maxBody: f.limits.MaxAnswerBodyBytes}
+	c.parser = resp.NewParser(f.buffers, resp.Limits{Fields: f.limits.MaxAnswerFieldBytes, Body: f.limits.MaxAnswerBodyBytes})
 	h, ok := f.conns.Add(c)
 	if !ok {
 		return nil
@@ -295,7 +296,7 @@
 	f.Counters.CancelsSent++
 	c.expectLateResponse(k.requestID)
 	if c.phase != closed {
-		b := appendBulkString(appendBulkString(appendArrayHeader(f.headBuffer[:0], 2), "STOP"), k.requestID)
+		b := resp.AppendBulkString(resp.AppendBulkString(resp.AppendArrayHeader(f.headBuffer[:0], 2), "STOP"), k.requestID)
 		f.headBuffer = b
 		if _, err := c.socket.Writev([][]byte{b}); err != nil {
 			c.writeFailed()
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -11,6 +11,7 @@
 	"shaleyard/internal/director"
 	"shaleyard/internal/eventloop"
 	"shaleyard/internal/handle"
+	"shaleyard/internal/resp"
 	"shaleyard/internal/timer"
 	"shaleyard/routing"
 )
@@ -35,7 +36,7 @@
 	phase           connPhase
 	handle          handle.Handle
 	socket          eventloop.Conn
-	parser          parser
+	parser          resp.Parser
 	inFlight        map[string]*activeAttempt
 	pending         []*activeAttempt        // wait until it is up
 	lateResponseIDs map[string]routing.Time // ids given up here, or answered other than well: another answer may still come
@@ -60,7 +61,7 @@
 	f := c.pools
 	f.timers.Cancel(&c.idleTimer)
 	f.conns.Remove(c.handle)
-	c.parser.release()
+	c.parser.Release()
 	c.endpoint.conns = slices.DeleteFunc(c.endpoint.conns, func(o *conn) bool { return o == c })
 	if c.endpoint.removed && len(c.endpoint.conns) == 0 && f.endpoints[c.endpoint.host] == c.endpoint {
 		delete(f.endpoints, c.endpoint.host)
@@ -117,7 +118,7 @@
 	if at, ghost := c.lateResponseIDs[id]; ghost && now-at <= f.limits.LateAnswerWindow {
 		return false
 	}
-	if len(c.inFlight) == 0 && c.parser.inProgress() {
+	if len(c.inFlight) == 0 && c.parser.InProgress() {
 		return false // what comes next would be read as the rest of an answer that was given up
 	}
 	if len(c.inFlight) == 0 && c.phase == ready && now-c.idleSince > f.idleReuse.Value(now) {
@@ -314,7 +315,7 @@
 	}
 	c.idleSince = c.pools.now()
 	wait := c.pools.limits.UpstreamIdleTimeout
-	if c.parser.inProgress() {
+	if c.parser.InProgress() {
 		wait = c.pools.limits.UpstreamSilenceTimeout // for the rest of an answer that was given up: some never end
 	}
 	c.pools.timers.Schedule(&c.idleTimer, c.idleSince+wait, func() {
--- a/internal/upstream/requests.go
+++ b/internal/upstream/requests.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"shaleyard/internal/director"
+	"shaleyard/internal/resp"
 	"shaleyard/routing"
 )
 
@@ -20,10 +21,10 @@
 		return
 	}
 	r := q.Request
-	b := appendBulkString(appendBulkString(appendArrayHeader(f.headBuffer[:0], 4), "REQ"), r.Ref)
+	b := resp.AppendBulkString(resp.AppendBulkString(resp.AppendArrayHeader(f.headBuffer[:0], 4), "REQ"), r.Ref)
 	fields := appendRequestFields(nil, q, until-f.now())
-	b = append(append(appendBulkHeader(b, len(fields)), fields...), "\r\n"...)
-	b = appendBulkHeader(b, r.Body.Len())
+	b = append(append(resp.AppendBulkHeader(b, len(fields)), fields...), "\r\n"...)
+	b = resp.AppendBulkHeader(b, r.Body.Len())
 	iov := append(f.writeSegments[:0], b)
 	iov = append(r.Body.Segments(iov), []byte("\r\n"))
 	f.headBuffer, f.writeSegments = b, iov
