--- /dev/null
+++ b/internal/upstream/harness_test.go
@@ -0,0 +1,107 @@
+package upstream
+
+import (
+	"fmt"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/google/go-cmp/cmp"
+	"go.uber.org/zap"
+
+	"shaleyard/internal/buffer"
+	"shaleyard/internal/config"
+	"shaleyard/internal/director"
+	"shaleyard/internal/eventloop"
+	"shaleyard/internal/handle"
+	"shaleyard/internal/nettest"
+	"shaleyard/internal/timer"
+	"shaleyard/routing"
+)
+
+// harness is one set of pools on scripted dials, with a clock that the test moves. It has one endpoint, host 1.
+type harness struct {
+	pools   *Pools
+	timers  timer.Queue
+	now     routing.Time
+	dials   []eventloop.Stream
+	results map[handle.Handle]routing.Result
+}
+
+func newHarness() *harness {
+	h := &harness{now: 1000 * time.Second, results: map[handle.Handle]routing.Result{}}
+	limits := &config.Limits{
+		MaxUpstreamConns:       8,
+		MaxAttemptsPerConn:     2,
+		UpstreamIdleTimeout:    10 * time.Second,
+		MinIdleTimeout:         50 * time.Millisecond,
+		IdleCloseRaceWindow:    50 * time.Millisecond,
+		LateAnswerWindow:       5 * time.Second,
+		UpstreamSilenceTimeout: time.Second,
+		MaxAnswerBodyBytes:     100,
+		MaxAnswerFieldBytes:    100,
+	}
+	settings := &routing.Settings{LoadReport: routing.LoadReportSettings{Fields: []string{"active", "x1"}}}
+	clock := func() routing.Time { return h.now }
+	h.pools = NewPools(limits, settings, buffer.NewPool(64, 64), h, h, &h.timers, clock, zap.NewNop(), 1)
+	h.pools.UpdateEndpoint(1, "c1", "a", 0)
+	return h
+}
+
+// Dial implements eventloop.Dialer.
+func (h *harness) Dial(_ string, _ time.Duration, stream eventloop.Stream) {
+	h.dials = append(h.dials, stream)
+}
+
+// AttemptEnded implements CompletionHandler.
+func (h *harness) AttemptEnded(attemptID handle.Handle, result director.AttemptResult) {
+	h.results[attemptID] = result.Result
+	result.Body.Release()
+}
+
+// send starts an attempt that takes up to a second.
+func (h *harness) send(attemptID handle.Handle, requestID string) {
+	request := &director.Request{Ref: requestID, Service: "s", Object: "o", Part: "0"}
+	h.pools.Send(attemptID, 1, director.UpstreamRequest{Request: request, Timeout: time.Second})
+}
+
+// open ends a dial well.
+func (h *harness) open(dial int) *nettest.FakeConn {
+	socket := &nettest.FakeConn{}
+	h.dials[dial].Opened(socket)
+	return socket
+}
+
+// receive hands a connection bytes that it must take.
+func (h *harness) receive(t *testing.T, dial int, text string) {
+	t.Helper()
+	if err := h.dials[dial].Data([]byte(text)); err != nil {
+		t.Errorf("connection %d does not take %q: %v", dial, text, err)
+	}
+}
+
+// respond hands a connection a response.
+func (h *harness) respond(t *testing.T, dial int, words ...string) {
+	t.Helper()
+	h.receive(t, dial, bulkArray(words...))
+}
+
+// runTimers runs what is due by now.
+func (h *harness) runTimers() { h.timers.RunDue(h.now) }
+
+func (h *harness) wantResults(t *testing.T, want map[handle.Handle]routing.Result) {
+	t.Helper()
+	if diff := cmp.Diff(want, h.results); diff != "" {
+		t.Errorf("results (-want +got):\n%s", diff)
+	}
+}
+
+// bulkArray is an array of bulk strings, built apart from package resp, so that the two check each other.
+func bulkArray(words ...string) string {
+	var text strings.Builder
+	fmt.Fprintf(&text, "*%d\r\n", len(words))
+	for _, word := range words {
+		fmt.Fprintf(&text, "$%d\r\n%s\r\n", len(word), word)
+	}
+	return text.String()
+}
