--- /dev/null
+++ b/internal/upstream/golden_request_test.go
@@ -0,0 +1,88 @@
+package upstream
+
+import (
+	"fmt"
+	"strings"
+	"testing"
+	"time"
+
+	"shaleyard/internal/director"
+	"shaleyard/internal/nettest"
+	"shaleyard/routing"
+)
+
+type upstreamRequest = director.UpstreamRequest
+
+// requestCase is a request with a body; change sets what is peculiar to it.
+type requestCase struct {
+	name   string
+	body   string
+	change func(*upstreamRequest, *director.Request)
+}
+
+// TestGoldenRequests pins the bytes of each request, with every field and every combination of switches.
+func TestGoldenRequests(t *testing.T) {
+	cases := append(requestFieldCases(), requestFigureCases()...)
+	lines := make([]string, 0, len(cases))
+	for _, tc := range cases {
+		recorder := newWireRecorder()
+		request := goldenRequest()
+		request.Body = recorder.body(t, tc.body)
+		call := director.UpstreamRequest{Request: &request, Timeout: 1500 * time.Millisecond}
+		tc.change(&call, &request)
+		recorder.pools.Send(1, 1, call)
+		link := &nettest.FakeConn{}
+		recorder.dials[0].Opened(link)
+		request.Body.Release()
+		lines = append(lines, fmt.Sprintf("%s: %q", tc.name, link.Written.String()))
+	}
+	compareGolden(t, "requests.txt", lines)
+}
+
+// requestFieldCases are requests with one field, with none and with all.
+func requestFieldCases() []requestCase {
+	return []requestCase{
+		{"plain", "", func(*upstreamRequest, *director.Request) {}},
+		{"source", "", func(call *upstreamRequest, _ *director.Request) { call.Source = "s-00c41f7a" }},
+		{"share", "", func(call *upstreamRequest, _ *director.Request) { call.FetchFlags = routing.CoalesceFill }},
+		{"peek", "", func(call *upstreamRequest, _ *director.Request) { call.FetchFlags = routing.OnlyIfCached }},
+		{"pass", "", func(call *upstreamRequest, _ *director.Request) { call.FetchFlags = routing.ParentNoStore }},
+		{"swr", "", func(call *upstreamRequest, _ *director.Request) {
+			call.FetchFlags = routing.StaleWhileRevalidate
+		}},
+		{"client's tag", "", func(_ *upstreamRequest, request *director.Request) {
+			request.IfNoneMatch = "4be0c1927d55a6f3"
+		}},
+		{"idempotency key", "", func(_ *upstreamRequest, request *director.Request) { request.IdempotencyKey = "5c0f" }},
+		{"must not run twice", "", func(call *upstreamRequest, _ *director.Request) { call.NonIdempotent = true }},
+		{"body", "written\r\n\x00\xff", func(*upstreamRequest, *director.Request) {}},
+		{"body in several buffers", strings.Repeat("0123456789", 10), func(*upstreamRequest, *director.Request) {}},
+		{"no words at all", "", func(_ *upstreamRequest, request *director.Request) { *request = director.Request{} }},
+		{"everything", "b", func(call *upstreamRequest, request *director.Request) {
+			request.IfNoneMatch, request.IdempotencyKey = "tag1", "key1"
+			call.Source, call.RetentionRank, call.FetchFlags, call.MaxAge = "origin", 3, 15, 2500*time.Millisecond
+		}},
+	}
+}
+
+// requestFigureCases are requests with the figures and combinations that a field may hold.
+func requestFigureCases() (cases []requestCase) {
+	add := func(name string, change func(*upstreamRequest, *director.Request)) {
+		cases = append(cases, requestCase{name: name, change: change})
+	}
+	for rank := range 4 {
+		add(fmt.Sprintf("rank %d", rank), func(call *upstreamRequest, _ *director.Request) { call.RetentionRank = uint8(rank) })
+	}
+	for switches := range 16 {
+		add(fmt.Sprintf("switches %04b", switches), func(call *upstreamRequest, _ *director.Request) {
+			call.Source, call.FetchFlags = "s-1", routing.FetchFlags(switches)
+		})
+	}
+	for _, age := range []time.Duration{0, 1, 999 * time.Microsecond, time.Millisecond, 8999 * time.Microsecond, time.Hour} {
+		add(fmt.Sprintf("oldest copy %v", age), func(call *upstreamRequest, _ *director.Request) { call.MaxAge = age })
+	}
+	for _, patience := range []time.Duration{0, 1, 1999 * time.Microsecond, 2 * time.Millisecond, time.Minute} {
+		add(fmt.Sprintf("patience %v", patience), func(call *upstreamRequest, _ *director.Request) { call.Timeout = patience })
+	}
+	return cases
+}
--- a/internal/upstream/pick_test.go
+++ b/internal/upstream/pick_test.go
@@ -152,7 +152,7 @@
 	h.pools.limits.MaxConnsPerEndpoint = 8
 	h.pools.limits.MaxUpstreamConns = 4
 	h.pools.limits.MaxReplacementDials = 2
-	var sockets []*nettest.FakeConn
+	sockets := make([]*nettest.FakeConn, 0, 3)
 	for i := range 3 {
 		h.send(handle.Handle(i+1), fmt.Sprintf("r%d", i+1))
 		sockets = append(sockets, h.open(i))
