--- a/internal/resp/parser_test.go
+++ b/internal/resp/parser_test.go
@@ -39,7 +39,7 @@
 	return got, err
 }
 
-func TestParserTakesAnswersInAnyPieces(t *testing.T) {
+func TestParserReadsResponsesInAnyPieces(t *testing.T) {
 	body := strings.Repeat("x\r\n$*", 20)
 	stream := array("id1", "OK", "n=HIT", body) + array("id2", "MISS") + array("id3", "ERR", "-", "")
 	want := [][]string{{"id1", "OK", "n=HIT", body}, {"id2", "MISS", "", ""}, {"id3", "ERR", "-", ""}}
@@ -58,7 +58,7 @@
 	}
 }
 
-// Whatever a peer sends, the memory it can make the parser hold is bounded.
+// Whatever an endpoint sends, the memory it can make the parser hold is bounded.
 func TestParserRefusesWhatIsNoAnswer(t *testing.T) {
 	for _, stream := range []string{
 		"+OK\r\n",
--- a/internal/upstream/pick_test.go
+++ b/internal/upstream/pick_test.go
@@ -174,7 +174,7 @@
 
 // How many connections an endpoint takes shows only in dials that fail. From then on attempts share those that hold, and no
 // request tries the endpoint's patience anew; a restart of the endpoint is a new beginning.
-func TestPeerShortOfConnectionsIsNotAskedForMore(t *testing.T) {
+func TestFailedDialLimitsFurtherConnections(t *testing.T) {
 	h := newHarness()
 	h.raiseLimits(8, 32)
 	h.send(1, "r1")
@@ -222,7 +222,7 @@
 
 // An endpoint that is full may accept a connection only to close it: that counts like a failed dial. One that has served,
 // or that is the only one, says nothing of capacity.
-func TestConnectionClosedUnusedCountsAsTurnedAway(t *testing.T) {
+func TestConnectionClosedUnusedCountsAsRejected(t *testing.T) {
 	for _, tc := range []struct {
 		name  string
 		age   time.Duration // of the connection when it is closed
--- a/internal/upstream/pools.go
+++ b/internal/upstream/pools.go
@@ -28,22 +28,37 @@
 	AttemptEnded(handle.Handle, director.AttemptResult)
 }
 
-// Counters count the events of all pools since the start of the process.
+// Counters count the events of all pools since the start of the process. They are printed by their names.
 type Counters struct {
-	// Connections.
-	Dials, DialFailures, Redials             uint64
-	ConnsLost, IdleTimeouts, StaleIdleConns  uint64
-	IdleEvictions, IdleCloseRaces            uint64
-	UnresponsiveConns, BackloggedConns       uint64
-	ConnectLimited                           uint64 // attempts that share a connection because no new one may be opened yet
-	DescriptorLimitHits, LocalResourceErrors uint64
-	// Endpoints.
-	EndpointRestarts, UnknownEndpoints uint64
-	// Attempts.
-	RequestsSent, CancelsSent, Reassigned, WindowExpired uint64
-	Responses, UnmatchedResponses, InvalidResponses      uint64
-	ProtocolErrors                                       uint64
-	BytesIn, BytesOut                                    uint64
+	Dials               uint64
+	DialFailures        uint64
+	Redials             uint64 // dials made again because one was reset
+	LocalResourceErrors uint64 // dials that failed for want of our own descriptors, ports or routes
+	DescriptorLimitHits uint64 // attempts that ended because all descriptors were in use
+	ConnectLimited      uint64 // attempts that share a connection because no further one may be opened yet
+
+	ConnsLost         uint64 // closed by the endpoint or the network
+	IdleTimeouts      uint64
+	StaleIdleConns    uint64 // closed instead of used again: idle for too long to be trusted
+	IdleEvictions     uint64 // idle connections closed to free a descriptor for another endpoint
+	IdleCloseRaces    uint64 // requests lost to the close of an idle connection
+	UnresponsiveConns uint64 // closed because a response was due for too long
+	BackloggedConns   uint64 // passed over because the endpoint has not taken all that was written
+
+	EndpointRestarts uint64
+	UnknownEndpoints uint64 // attempts on a host that is no endpoint
+
+	RequestsSent  uint64
+	CancelsSent   uint64
+	Reassigned    uint64 // attempts given to another connection because their dial failed
+	WindowExpired uint64 // attempts not written because their idempotency window had ended
+
+	Responses          uint64 // that answered an attempt
+	UnmatchedResponses uint64 // late, duplicate and foreign ones
+	InvalidResponses   uint64 // with a status or fields that can't be used
+	ProtocolErrors     uint64 // connections closed because what they received is no response
+	BytesIn            uint64
+	BytesOut           uint64
 }
 
 // Pools holds the endpoints and their connections.
