--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -2,7 +2,6 @@
 
 import (
 	"errors"
-	"slices"
 	"syscall"
 	"time"
 
@@ -11,45 +10,48 @@
 	"shaleyard/internal/director"
 	"shaleyard/internal/eventloop"
 	"shaleyard/internal/handle"
+	"shaleyard/internal/resp"
 	"shaleyard/internal/timer"
 	"shaleyard/routing"
 )
 
-// One connection to a peer: its phases, its dial, how it ends and what that teaches.
-
-// phase is where a connection is in its life; docs/lifecycles.md tells what each event does in each. It only goes
-// forward, in move.
-type phase uint8
+// connPhase is the state of a connection, in the terms of gRPC's connectivity states as far as they fit. It only moves
+// forward, in transition; docs/lifecycles.md lists what each event does in each phase.
+type connPhase uint8
 
 const (
-	dialling phase = iota // attempts wait in line for it
-	up                    // it takes attempts
-	dry                   // it takes nothing new: what is open on it may end
-	closed                // it has nothing open, and is none of its peer's any more
+	connecting connPhase = iota // attempts wait for it
+	ready                       // it takes attempts
+	draining                    // it takes no more attempts; those in flight may end
+	closed                      // it carries no attempts, and has left its endpoint's pool
 )
 
-// conn is a connection.
+// conn is a connection to an endpoint.
 type conn struct {
-	f      *Pools
-	p      *peer
-	phase  phase
-	handle handle.Handle
-	link   eventloop.Conn
-	parser parser
-	open   map[string]*call
-	line   []*call                 // wait until it is up
-	ghosts map[string]routing.Time // ids given up here, or answered other than well: another answer may still come
-	since  routing.Time            // when it was opened
-	asked  routing.Time            // first write since something was heard; 0: nothing is owed
-	used   routing.Time            // when it last took an attempt
-	rested routing.Time            // since when it has nothing open
-	spoilt bool                    // closed by us for what came on it
-	served int                     // answers that came
-	idle   timer.Timer
+	pools    *Pools
+	endpoint *endpoint
+	phase    connPhase
+	handle   handle.Handle
+	socket   eventloop.Conn // nil while connecting
+	parser   resp.Parser
+
+	inFlight map[string]*activeAttempt // by request id, those in pending included
+	pending  []*activeAttempt          // not written yet: it is connecting, or writes are suspended
+	// lateResponseIDs are the ids of attempts that were cancelled here, or got a response other than OK, and when: another
+	// response under such an id may still come.
+	lateResponseIDs map[string]routing.Time
+
+	openedAt       routing.Time
+	awaitingSince  routing.Time // the first write since something was received; 0: no response is due
+	lastUsedAt     routing.Time // when an attempt was assigned to it
+	idleSince      routing.Time // since when it has carried no attempt
+	idleTimer      timer.Timer
+	protocolFailed bool // we close it, because of what it received
+	responses      int  // received
 }
 
-// move takes the connection on to a later phase; it is the one place where the phase changes.
-func (c *conn) move(to phase) {
+// transition moves the connection to a later phase. It is the one place where the phase changes.
+func (c *conn) transition(to connPhase) {
 	if to <= c.phase {
 		return
 	}
@@ -57,268 +59,188 @@
 	if to != closed {
 		return
 	}
-	f := c.f
-	f.agenda.Cancel(&c.idle)
-	f.conns.Remove(c.handle)
-	c.parser.release()
-	c.p.conns = slices.DeleteFunc(c.p.conns, func(o *conn) bool { return o == c })
-	if c.p.left && len(c.p.conns) == 0 && f.peers[c.p.host] == c.p {
-		delete(f.peers, c.p.host)
-	}
+	c.pools.timers.Cancel(&c.idleTimer)
+	c.pools.conns.Remove(c.handle)
+	c.parser.Release()
+	c.pools.removeConn(c)
 }
 
-// put gives an attempt to its connection, which writes it as soon as it is up and nothing is held.
-func (c *conn) put(k *call) {
-	if len(c.open) == 0 && c.phase != dialling {
-		k.gap = c.f.now() - c.rested
-	}
-	k.c, c.open[k.id], c.used = c, k, c.f.now()
-	c.f.agenda.Cancel(&c.idle)
-	if c.phase == dialling || c.f.held {
-		c.line = append(c.line, k)
+// assign gives an attempt to the connection, which writes it as soon as it is open and writes are not suspended.
+func (c *conn) assign(attempt *activeAttempt) {
+	now := c.pools.now()
+	if len(c.inFlight) == 0 && c.phase != connecting {
+		attempt.idleBefore = now - c.idleSince
+	}
+	attempt.conn = c
+	c.inFlight[attempt.requestID] = attempt
+	c.lastUsedAt = now
+	c.pools.timers.Cancel(&c.idleTimer)
+	if c.phase == connecting || c.pools.writesSuspended {
+		c.pending = append(c.pending, attempt)
 		return
 	}
-	k.frame()
-}
-
-// flush writes what has waited for the connection, or for the end of a hold. What was given up meanwhile is not sent.
-func (c *conn) flush() {
-	line := c.line
-	c.line = nil
-	for _, k := range line {
-		if c.open[k.id] == k && c.phase != closed {
-			k.frame()
-		}
-	}
-}
-
-// before tells that c is the better of two: less open, up already, used later, so that what is not needed any
-// more comes to its idle time.
-func (c *conn) before(o *conn) bool {
-	switch {
-	case len(c.open) != len(o.open):
-		return len(c.open) < len(o.open)
-	case (c.phase == dialling) != (o.phase == dialling):
-		return c.phase != dialling
-	}
-	return c.used > o.used
+	c.pools.writeRequest(attempt)
 }
 
-// usable tells whether a connection can take an attempt under an id. One on which the id was given up, or was
-// answered but not well, can't: a late answer or a second copy could not be told from the new one's. Nor can a
-// silent one: a machine that has vanished leaves its connections open, and a new dial proves whether it is
-// there. A silent one that has nothing left open is of no more use and is closed. Nor can one that has not taken
-// all that was written: what comes behind would leave when the peer likes, past whatever calls it off.
-func (c *conn) usable(id string) bool {
-	f, now := c.f, c.f.now()
-	if _, taken := c.open[id]; taken || c.phase > up || len(c.open) >= f.limits.MaxAttemptsPerConn {
-		return false
-	}
-	if at, ghost := c.ghosts[id]; ghost && now-at <= f.limits.LateAnswerWindow {
-		return false
-	}
-	if len(c.open) == 0 && c.parser.midway() {
-		return false // what comes next would be read as the rest of an answer that was given up
-	}
-	if len(c.open) == 0 && c.phase == up && now-c.rested > f.idle.Value(now) {
-		f.Counters.StaleIdleConns++
-		c.shut()
-		return false
-	}
-	if c.asked != 0 && now-c.asked >= f.limits.UpstreamSilenceTimeout {
-		if len(c.open) == 0 {
-			f.Counters.UnresponsiveConns++
-			c.shut()
+// writePending writes the attempts that have waited, but for those that were cancelled meanwhile.
+func (c *conn) writePending() {
+	pending := c.pending
+	c.pending = nil
+	for _, attempt := range pending {
+		if c.inFlight[attempt.requestID] == attempt && c.phase != closed {
+			c.pools.writeRequest(attempt)
 		}
-		return false
 	}
-	if c.phase == up && c.link.OutboundBuffered() > 0 {
-		f.Counters.BackloggedConns++
-		return false
-	}
-	return true
 }
 
-// ghost looks out for an answer that crosses the STOP of its attempt, or that comes behind the first one.
-func (c *conn) ghost(id string) {
-	now := c.f.now()
-	if len(c.ghosts) >= 4*c.f.limits.MaxAttemptsPerConn {
-		for g, at := range c.ghosts {
-			if now-at > c.f.limits.LateAnswerWindow {
-				delete(c.ghosts, g)
+// lateResponsesPerStream bounds lateResponseIDs, as a multiple of the attempts that a connection may carry.
+const lateResponsesPerStream = 4
+
+// expectLateResponse notes that another response under an id may come: one that crossed the cancellation of its attempt, or
+// a duplicate.
+func (c *conn) expectLateResponse(requestID string) {
+	limit := lateResponsesPerStream * c.pools.limits.MaxAttemptsPerConn
+	now := c.pools.now()
+	if len(c.lateResponseIDs) >= limit {
+		for id, since := range c.lateResponseIDs {
+			if now-since > c.pools.limits.LateAnswerWindow {
+				delete(c.lateResponseIDs, id)
 			}
 		}
-		if len(c.ghosts) >= 4*c.f.limits.MaxAttemptsPerConn {
-			c.move(dry) // gives up so much that it can't be told apart: let it run dry
-			return
-		}
 	}
-	c.ghosts[id] = now
+	if len(c.lateResponseIDs) >= limit {
+		c.transition(draining) // there are too many to tell apart
+		return
+	}
+	c.lateResponseIDs[requestID] = now
 }
 
-// Opened is the end of a dial.
-func (c *conn) Opened(link eventloop.Conn) {
-	c.f.files--
-	c.link, c.since, c.rested = link, c.f.now(), c.f.now()
-	c.move(up)
-	c.p.pace.RecordSuccess(c.since, len(c.p.conns)-c.p.opening())
-	if c.phase == closed {
-		link.Close()
+// Opened implements eventloop.Stream: the dial has succeeded.
+func (c *conn) Opened(socket eventloop.Conn) {
+	c.pools.descriptorsInUse -= descriptorsPerDial - 1
+	now := c.pools.now()
+	c.socket = socket
+	c.openedAt = now
+	c.idleSince = now
+	c.transition(ready)
+	c.endpoint.connectLimiter.RecordSuccess(now, c.endpoint.numEstablished())
+	if c.phase == closed { // while it was being opened
+		socket.Close()
 		return
 	}
-	if !c.f.held {
-		c.flush()
+	if !c.pools.writesSuspended {
+		c.writePending()
 	}
-	c.rest()
+	c.releaseIfIdle()
 }
 
-// shortages are the results of attempts whose dial failed, by what we ourselves lacked.
-var shortages = map[eventloop.DialFailure]routing.Result{eventloop.PeerFailed: routing.ConnectFailed, eventloop.LocalResourcesExhausted: routing.LocalResourcesExhausted,
-	eventloop.Unreachable: routing.Unreachable}
+// dialFailureResults tell, by what we ourselves were short of, how the attempts on a dial that failed have ended.
+var dialFailureResults = map[eventloop.DialFailure]routing.Result{
+	eventloop.PeerFailed:              routing.ConnectFailed,
+	eventloop.LocalResourcesExhausted: routing.LocalResourcesExhausted,
+	eventloop.Unreachable:             routing.Unreachable,
+}
 
-// Failed is the other end of a dial: nothing that waited for it has run. What failed for our own want of descriptors, ports
-// or routes is no evidence against the peer.
+// Failed implements eventloop.Stream: the dial has failed, and none of the attempts that waited for it was executed. A failure
+// for want of descriptors, ports or routes of our own is no evidence against the endpoint.
 func (c *conn) Failed(err error) {
-	c.f.files -= 2
-	c.f.Counters.DialFailures++
-	c.f.note(c.p, "connect failed", zap.Int("attempts_waiting", len(c.open)), zap.NamedError("cause", err))
-	line := c.line
-	c.line = nil
-	result := shortages[eventloop.ClassifyDialError(err)]
+	c.pools.descriptorsInUse -= descriptorsPerDial
+	c.pools.Counters.DialFailures++
+	c.pools.logEndpoint(c.endpoint, "connect failed",
+		zap.Int("attempts_waiting", len(c.inFlight)), zap.NamedError("cause", err))
+	pending := c.pending
+	c.pending = nil
+	result := dialFailureResults[eventloop.ClassifyDialError(err)]
 	if result == routing.ConnectFailed {
-		c.p.pace.RecordFailure(c.f.now(), len(c.p.conns)-c.p.opening())
+		c.endpoint.connectLimiter.RecordFailure(c.pools.now(), c.endpoint.numEstablished())
 	} else {
-		c.f.Counters.LocalResourceErrors++
+		c.pools.Counters.LocalResourceErrors++
 	}
 	if errors.Is(err, syscall.ECONNREFUSED) {
-		c.f.agenda.Cancel(&c.p.crossed) // its process has ended
-	}
-	c.move(dry)
-	for _, k := range line {
-		if c.open[k.id] == k {
-			c.f.move(k, errors.Is(err, syscall.ECONNRESET))
+		// Its process has ended, which explains the connections it closed before.
+		c.pools.timers.Cancel(&c.endpoint.idleCloseRaceTimer)
+	}
+	c.transition(draining)
+	wasReset := errors.Is(err, syscall.ECONNRESET)
+	for _, attempt := range pending {
+		if c.inFlight[attempt.requestID] == attempt {
+			c.pools.reassign(attempt, wasReset)
 		}
 	}
-	c.gone(result)
+	c.terminate(result)
 }
 
-// turnedAway is the life of a connection that a peer has closed because it holds as many as it takes.
-const turnedAway = 100 * time.Millisecond
+// quickCloseLimit is the age up to which a connection that the endpoint closes unused counts as rejected: the endpoint holds
+// as many as it takes.
+const quickCloseLimit = 100 * time.Millisecond
 
-// redialsMost bounds the dials that one attempt makes because others were reset.
-const redialsMost = 2
-
-// move gives an attempt whose dial failed to another connection of the peer that works: a peer may hold no more
-// connections than it has, and that one more failed proves nothing about it then. A dial that was reset, other
-// than one that was refused, proves nothing in any case, and is made again.
-func (f *Pools) move(k *call, reset bool) {
-	from := k.c
-	to := (*conn)(nil)
-	for _, c := range slices.Clone(from.p.conns) {
-		if c.phase == up && c.usable(k.id) {
-			to = c
-			break
-		}
-	}
-	if to == nil && reset && k.redials < redialsMost {
-		if to = f.dial(from.p); to != nil {
-			f.Counters.Redials++
-			k.redials++
-		}
-	}
-	if to != nil {
-		f.Counters.Reassigned++
-		delete(from.open, k.id)
-		to.put(k)
-	}
-}
-
-// Closed is the end of a connection: what was written may have run.
+// Closed implements eventloop.Stream: an open connection has ended. Attempts that were written may have been executed.
 func (c *conn) Closed() {
-	c.f.files--
+	c.pools.descriptorsInUse--
 	if c.phase != closed {
-		c.f.Counters.ConnsLost++
-		if len(c.open) > 0 {
-			c.f.note(c.p, "connection lost", zap.Duration("after", c.f.now()-c.since), zap.Int("answers", c.served),
-				zap.Int("attempts_out", len(c.open)))
-		}
-		if !c.spoilt {
-			c.f.crossed(c)
-		}
-		if c.served == 0 && !c.spoilt && c.f.now()-c.since < turnedAway { // accepted only to be closed: a peer that is full
-			c.p.pace.RecordFailure(c.f.now(), len(c.p.conns)-c.p.opening()-1)
-		}
+		c.recordLoss()
 	}
-	c.gone(routing.Reset)
+	c.terminate(routing.Reset)
 }
 
-// crossed learns from a connection that was reset under the first request after it had been idle: a peer, or what lies
-// between, drops idle connections sooner than the settings tell, and idle ones are used again for less long from then on.
-// A reset that comes long behind the request did not cross it. Nor does a peer that has died say anything of idle times:
-// it ends all its connections at once, and refuses the next one. So the lesson waits for a moment, and is dropped if either
-// shows.
-func (f *Pools) crossed(c *conn) {
-	p, now := c.p, f.now()
-	alone := !p.crossed.Pending() && (p.ended == 0 || now-p.ended > f.limits.IdleCloseRaceWindow)
-	p.ended = now
-	f.agenda.Cancel(&p.crossed)
-	if !alone || len(c.open) != 1 {
+// recordLoss learns from a connection that ended without our doing.
+func (c *conn) recordLoss() {
+	c.pools.Counters.ConnsLost++
+	age := c.pools.now() - c.openedAt
+	if len(c.inFlight) > 0 {
+		c.pools.logEndpoint(c.endpoint, "connection lost", zap.Duration("after", age), zap.Int("answers", c.responses),
+			zap.Int("attempts_out", len(c.inFlight)))
+	}
+	if c.protocolFailed {
 		return
 	}
-	for _, k := range c.open {
-		if k.written && k.gap > 0 && now-k.at <= f.limits.IdleCloseRaceWindow {
-			f.agenda.Schedule(&p.crossed, now+f.limits.IdleCloseRaceWindow, func() {
-				f.Counters.IdleCloseRaces++
-				f.idle.RecordCloseRace(f.now(), k.gap)
-			})
-		}
+	c.pools.observeIdleCloseRace(c)
+	if c.responses == 0 && age < quickCloseLimit {
+		c.endpoint.connectLimiter.RecordFailure(c.pools.now(), c.endpoint.numEstablished()-1)
 	}
 }
 
-// lost ends a connection whose socket has failed under a write.
-func (c *conn) lost() { c.gone(routing.Reset) }
-
-// shut closes a connection from our side; what is open on it is given up.
-func (c *conn) shut() {
-	if link := c.link; link != nil && c.phase != closed {
-		link.Close()
+// close closes the connection from our side. Attempts in flight on it end as on a reset.
+func (c *conn) close() {
+	if c.socket != nil && c.phase != closed {
+		c.socket.Close()
 	}
-	c.gone(routing.Reset)
+	c.terminate(routing.Reset)
 }
 
-func (c *conn) gone(result routing.Result) {
+// terminate ends the connection, and all attempts in flight on it with a result. An attempt that was not written can't have
+// been reset; it was never executed.
+func (c *conn) terminate(result routing.Result) {
 	if c.phase == closed {
 		return
 	}
-	c.move(closed)
-	f := c.f
-	for _, k := range c.open {
-		r := result
-		if !k.written && r == routing.Reset {
-			r = routing.ConnectFailed
+	c.transition(closed)
+	for _, attempt := range c.inFlight {
+		ended := result
+		if !attempt.written && result == routing.Reset {
+			ended = routing.ConnectFailed
 		}
-		f.drop(k)
-		f.ender.AttemptEnded(k.h, director.AttemptResult{Result: r})
+		c.pools.endAttempt(attempt, director.AttemptResult{Result: ended})
 	}
 }
 
-// rest closes a connection that has nothing open: at once where it is not to be used again, else after the
-// idle time.
-func (c *conn) rest() {
-	if len(c.open) > 0 || c.phase == closed {
+// releaseIfIdle handles a connection that carries no attempt any more. It is closed at once if it can't be used again, else
+// after the idle timeout.
+func (c *conn) releaseIfIdle() {
+	if len(c.inFlight) > 0 || c.phase == closed {
 		return
 	}
-	if c.phase == dry || c.p.left {
-		c.shut()
+	if c.phase == draining || c.endpoint.removed {
+		c.close()
 		return
 	}
-	c.rested = c.f.now()
-	wait := c.f.limits.UpstreamIdleTimeout
-	if c.parser.midway() {
-		wait = c.f.limits.UpstreamSilenceTimeout // for the rest of an answer that was given up: some never end
+	c.idleSince = c.pools.now()
+	timeout := c.pools.limits.UpstreamIdleTimeout
+	if c.parser.InProgress() {
+		timeout = c.pools.limits.UpstreamSilenceTimeout // for the rest of a response that was given up: some never end
 	}
-	c.f.agenda.Schedule(&c.idle, c.rested+wait, func() {
-		c.f.Counters.IdleTimeouts++
-		c.shut()
+	c.pools.timers.Schedule(&c.idleTimer, c.idleSince+timeout, func() {
+		c.pools.Counters.IdleTimeouts++
+		c.close()
 	})
 }
