--- a/internal/resp/parser_test.go
+++ b/internal/resp/parser_test.go
@@ -59,7 +59,7 @@
 }
 
 // Whatever an endpoint sends, the memory it can make the parser hold is bounded.
-func TestParserRefusesWhatIsNoAnswer(t *testing.T) {
+func TestParserRejectsMalformedResponses(t *testing.T) {
 	for _, stream := range []string{
 		"+OK\r\n",
 		"*0\r\n",
--- a/internal/upstream/attempt_test.go
+++ b/internal/upstream/attempt_test.go
@@ -33,7 +33,7 @@
 	}
 }
 
-func TestStopTellsWhetherItWasWritten(t *testing.T) {
+func TestCancelReportsWhetherItWasWritten(t *testing.T) {
 	h := newHarness()
 	h.send(1, "r1")
 	if h.pools.Cancel(1) {
@@ -54,7 +54,7 @@
 
 // A response that crosses a STOP can't be told from that to a second attempt with the same id on the same connection: the
 // second one takes another.
-func TestSecondAttemptAvoidsTheStoppedOnesConnection(t *testing.T) {
+func TestSecondAttemptAvoidsTheCancelledOnesConnection(t *testing.T) {
 	h := newHarness()
 	h.send(1, "r1")
 	h.open(0)
@@ -71,7 +71,7 @@
 }
 
 // What waits for a dial and is cancelled is never written, however late the dial succeeds; what was written goes on.
-func TestRecalledAttemptIsNeverWritten(t *testing.T) {
+func TestCancelledAttemptIsNeverWritten(t *testing.T) {
 	h := newHarness()
 	h.pools.limits.MaxConnsPerEndpoint = 2
 	h.send(1, "r1")
@@ -94,7 +94,7 @@
 
 // While writes are suspended, a dial that succeeds, and one that fails beside a connection that works, write nothing: what
 // would cancel the attempts is unread yet.
-func TestNothingIsWrittenWhileHeld(t *testing.T) {
+func TestNothingIsWrittenWhileSuspended(t *testing.T) {
 	h := newHarness()
 	h.pools.limits.MaxConnsPerEndpoint = 2
 	h.pools.limits.MaxAttemptsPerConn = 10
--- a/internal/upstream/conn_test.go
+++ b/internal/upstream/conn_test.go
@@ -13,7 +13,7 @@
 )
 
 // A restarted process, or a new endpoint at an old address, must get nothing over its predecessor's sockets.
-func TestNewLifeGetsNewConnections(t *testing.T) {
+func TestRestartedEndpointGetsNewConnections(t *testing.T) {
 	h := newHarness()
 	h.send(1, "r1")
 	socket := h.open(0)
@@ -34,7 +34,7 @@
 
 // The endpoint list is late with starts. A connection that was opened to the new process already must stay: a reset would
 // fail the payments that are in flight on it.
-func TestLateNewsOfAStartKeepNewConnections(t *testing.T) {
+func TestLateNoticeOfARestartKeepsNewConnections(t *testing.T) {
 	h := newHarness()
 	h.send(1, "r1")
 	h.send(2, "r2")
@@ -65,7 +65,7 @@
 
 // Connects fail in every way that Linux documents. A shortage of our own is told apart from what the endpoint has done, and
 // neither ejects nor limits the endpoint; the attempt was never executed in any case.
-func TestOwnShortagesAreNoEvidence(t *testing.T) {
+func TestLocalShortagesAreNoEvidence(t *testing.T) {
 	for errno, want := range map[syscall.Errno]routing.Result{
 		syscall.EMFILE:        routing.LocalResourcesExhausted,
 		syscall.ENFILE:        routing.LocalResourcesExhausted,
--- a/internal/upstream/pick_test.go
+++ b/internal/upstream/pick_test.go
@@ -40,7 +40,7 @@
 
 // A request that is not idempotent takes a new connection though an idle one is there: a reset that crosses it on an idle
 // one would leave it unknown whether it was executed.
-func TestOnceTakesANewConnection(t *testing.T) {
+func TestNonIdempotentTakesANewConnection(t *testing.T) {
 	h := newHarness()
 	h.pools.limits.MaxConnsPerEndpoint = 4
 	h.send(1, "r1")
@@ -54,7 +54,7 @@
 
 // Where the endpoint's quota is used up, a request that is not idempotent takes the place of an idle connection, not the
 // connection itself: the endpoint's close may be on its way.
-func TestOnceTakesTheIdleOnesPlace(t *testing.T) {
+func TestNonIdempotentTakesTheIdleOnesPlace(t *testing.T) {
 	h := newHarness()
 	h.pools.limits.MaxConnsPerEndpoint = 1
 	h.send(1, "r1")
@@ -147,7 +147,7 @@
 }
 
 // Where idle connections hold all descriptors, the one that was idle for the longest makes room; those in use stay.
-func TestLongestIdleMakesRoomForADial(t *testing.T) {
+func TestLongestIdleIsEvictedForADial(t *testing.T) {
 	h := newHarness()
 	h.pools.limits.MaxConnsPerEndpoint = 8
 	h.pools.limits.MaxUpstreamConns = 4
--- a/internal/upstream/response_test.go
+++ b/internal/upstream/response_test.go
@@ -11,7 +11,7 @@
 	"shaleyard/routing"
 )
 
-func TestBadAnswerFailsItsAttempt(t *testing.T) {
+func TestInvalidResponseFailsItsAttempt(t *testing.T) {
 	h := newHarness()
 	h.send(1, "r1")
 	h.send(2, "r2")
@@ -29,7 +29,7 @@
 }
 
 // A copy is called current only where the cache names the copy that the client has.
-func TestCurrentMeansTheClientsOwnCopy(t *testing.T) {
+func TestNotModifiedNamesTheClientsOwnCopy(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
 		fields string
@@ -53,7 +53,7 @@
 
 // A duplicate of a response may come some time after the first, with others between them. Had the next attempt of that
 // request gone over the same connection, the duplicate would say of a payment that is in flight that it was never executed.
-func TestSecondAnswerMeetsNoLaterAttempt(t *testing.T) {
+func TestDuplicateResponseMeetsNoLaterAttempt(t *testing.T) {
 	h := newHarness()
 	h.send(1, "r1")
 	h.open(0)
@@ -77,7 +77,7 @@
 
 // Half a response has come when its attempt is cancelled: what is asked next on that connection would be answered into the
 // other half, which may never come. Once it has come, the connection is as good as any.
-func TestConnectionAmidAnAnswerTakesNothingNew(t *testing.T) {
+func TestConnectionAmidAResponseTakesNothingNew(t *testing.T) {
 	const missing = 5 // bytes
 	whole := bulkArray("r1", "OK", "-", "a long body")
 	half, rest := whole[:len(whole)-missing], whole[len(whole)-missing:]
