--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -16,7 +16,7 @@
 	"shaleyard/routing"
 )
 
-const bufferSize = 1 << 20
+const inputBufferBytes = 1 << 20
 
 func main() {
 	if err := serve(os.Stdin, os.Stdout); err != nil {
@@ -27,7 +27,7 @@
 
 // serve answers batches until the input ends.
 func serve(in io.Reader, out io.Writer) error {
-	batches := simwire.NewReader(bufio.NewReaderSize(in, bufferSize))
+	batches := simwire.NewReader(bufio.NewReaderSize(in, inputBufferBytes))
 	routers := map[uint16]*routing.Router{}
 	var reply simwire.Reply
 	for {
@@ -40,7 +40,7 @@
 		}
 		reply.Reset(b.Number)
 		for _, rec := range b.Records {
-			for _, a := range handle(routers, b.Clock, rec) {
+			for _, a := range handleRecord(routers, b.Clock, rec) {
 				if err := reply.Append(rec.Instance, a); err != nil {
 					return err
 				}
@@ -52,8 +52,8 @@
 	}
 }
 
-// handle gives one event to its instance. A panic or unusable settings become a Crash.
-func handle(routers map[uint16]*routing.Router, now routing.Time, rec simwire.Record) (actions []routing.Action) {
+// handleRecord gives one event to its instance. A panic or unusable settings become a Crash.
+func handleRecord(routers map[uint16]*routing.Router, now routing.Time, rec simwire.Record) (actions []routing.Action) {
 	defer func() {
 		if p := recover(); p != nil {
 			actions = []routing.Action{simwire.Crash{Text: fmt.Sprint("panic: ", p)}}
@@ -61,7 +61,7 @@
 	}()
 	switch e := rec.Event.(type) {
 	case simwire.StartInstance:
-		r, err := born(e)
+		r, err := newRouter(e)
 		if err != nil {
 			return []routing.Action{simwire.Crash{Text: err.Error()}}
 		}
@@ -77,7 +77,7 @@
 	return nil
 }
 
-func born(b simwire.StartInstance) (*routing.Router, error) {
+func newRouter(b simwire.StartInstance) (*routing.Router, error) {
 	var s routing.Settings
 	if err := json.Unmarshal(b.Settings, &s); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -22,9 +22,9 @@
 )
 
 const (
-	headerBytes  = 4 << 10         // of a call
-	callTime     = 5 * time.Second // from a connection's first moment to the end of its call
-	shutdownTime = 50 * time.Millisecond
+	maxHeaderBytes  = 4 << 10         // of a call
+	callTimeout     = 5 * time.Second // from a connection's first moment to the end of its call
+	shutdownTimeout = 50 * time.Millisecond
 )
 
 // Process is what operators ask and tell. Its methods must not wait for the event loop.
@@ -44,7 +44,7 @@
 	process  Process
 	listener *listener.Listener
 	http     *http.Server
-	most     int // connections held at once
+	maxConns     int // connections held at once
 
 	mu    sync.Mutex
 	conns []net.Conn // eldest first
@@ -57,13 +57,13 @@
 	if err != nil {
 		return nil, err
 	}
-	s := &Server{process: process, listener: l, most: most}
+	s := &Server{process: process, listener: l, maxConns: most}
 	calls := http.NewServeMux()
-	calls.HandleFunc("GET "+healthPath, s.health)
-	calls.HandleFunc("PUT "+drainPath, s.drain)
-	calls.HandleFunc("PUT "+resumePath, s.resume)
-	s.http = &http.Server{Handler: calls, ReadTimeout: callTime, WriteTimeout: callTime, MaxHeaderBytes: headerBytes,
-		ConnState: s.track, ErrorLog: log.New(io.Discard, "", 0)} // what callers do wrong is theirs to see
+	calls.HandleFunc("GET "+healthPath, s.handleHealth)
+	calls.HandleFunc("PUT "+drainPath, s.handleDrain)
+	calls.HandleFunc("PUT "+resumePath, s.handleResume)
+	s.http = &http.Server{Handler: calls, ReadTimeout: callTimeout, WriteTimeout: callTimeout, MaxHeaderBytes: maxHeaderBytes,
+		ConnState: s.trackConnection, ErrorLog: log.New(io.Discard, "", 0)} // what callers do wrong is theirs to see
 	s.http.SetKeepAlivesEnabled(false) // one call to a connection
 	return s, nil
 }
@@ -76,21 +76,21 @@
 
 // Close ends the server; calls that are being answered have a moment to end.
 func (s *Server) Close() {
-	ctx, cancel := context.WithTimeout(context.Background(), shutdownTime)
+	ctx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer cancel()
 	if s.http.Shutdown(ctx) != nil {
 		s.http.Close()
 	}
 }
 
-// track keeps the number of connections bounded: the eldest has had the most time for its call.
-func (s *Server) track(c net.Conn, state http.ConnState) {
+// trackConnection keeps the number of connections bounded: the eldest has had the most time for its call.
+func (s *Server) trackConnection(c net.Conn, state http.ConnState) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch state {
 	case http.StateNew:
 		s.conns = append(s.conns, c)
-		if len(s.conns) > s.most {
+		if len(s.conns) > s.maxConns {
 			s.conns[0].Close()
 			s.conns = s.conns[1:]
 		}
@@ -104,7 +104,7 @@
 	}
 }
 
-func (s *Server) health(w http.ResponseWriter, _ *http.Request) {
+func (s *Server) handleHealth(w http.ResponseWriter, _ *http.Request) {
 	if ready, why := s.process.Ready(); !ready {
 		http.Error(w, why, http.StatusServiceUnavailable)
 		return
@@ -112,20 +112,20 @@
 	w.WriteHeader(http.StatusOK)
 }
 
-func (s *Server) drain(w http.ResponseWriter, r *http.Request) {
+func (s *Server) handleDrain(w http.ResponseWriter, r *http.Request) {
 	s.process.Drain()
-	s.answer(w, r, http.StatusOK)
+	s.respond(w, r, http.StatusOK)
 }
 
-func (s *Server) resume(w http.ResponseWriter, r *http.Request) {
+func (s *Server) handleResume(w http.ResponseWriter, r *http.Request) {
 	if !s.process.Resume() {
-		s.answer(w, r, http.StatusConflict)
+		s.respond(w, r, http.StatusConflict)
 		return
 	}
-	s.answer(w, r, http.StatusOK)
+	s.respond(w, r, http.StatusOK)
 }
 
-func (s *Server) answer(w http.ResponseWriter, r *http.Request, status int) {
+func (s *Server) respond(w http.ResponseWriter, r *http.Request, status int) {
 	s.process.Called(r.Method, r.URL.Path, status)
 	w.WriteHeader(status)
 }
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -12,23 +12,23 @@
 	"time"
 )
 
-// process is told to drain and to resume, and is ready in between.
-type process struct {
+// fakeProcess is told to drain and to resume, and is ready in between.
+type fakeProcess struct {
 	drained, stopping atomic.Bool
 	called            atomic.Int64
 }
 
-func (p *process) Ready() (bool, string)      { return !p.drained.Load() && !p.stopping.Load(), "drained" }
-func (p *process) Drain()                     { p.drained.Store(true) }
-func (p *process) Called(string, string, int) { p.called.Add(1) }
-func (p *process) Resume() bool {
+func (p *fakeProcess) Ready() (bool, string)      { return !p.drained.Load() && !p.stopping.Load(), "drained" }
+func (p *fakeProcess) Drain()                     { p.drained.Store(true) }
+func (p *fakeProcess) Called(string, string, int) { p.called.Add(1) }
+func (p *fakeProcess) Resume() bool {
 	p.drained.Store(p.stopping.Load())
 	return !p.stopping.Load()
 }
 
-func serve(t *testing.T, most int) (*Server, *process) {
+func startServer(t *testing.T, most int) (*Server, *fakeProcess) {
 	t.Helper()
-	p := &process{}
+	p := &fakeProcess{}
 	s, err := Listen("127.0.0.1:0", most, p)
 	if err != nil {
 		t.Fatal(err)
@@ -38,8 +38,8 @@
 	return s, p
 }
 
-// connect opens a connection that ends with the test.
-func connect(t *testing.T, s *Server) net.Conn {
+// dialServer opens a connection that ends with the test.
+func dialServer(t *testing.T, s *Server) net.Conn {
 	t.Helper()
 	c, err := net.Dial("tcp", s.Address())
 	if err != nil {
@@ -49,10 +49,10 @@
 	return c
 }
 
-// status is the status of the answer to a call that is written as it is.
-func status(t *testing.T, s *Server, call string) int {
+// callStatus is the callStatus of the answer to a call that is written as it is.
+func callStatus(t *testing.T, s *Server, call string) int {
 	t.Helper()
-	c := connect(t, s)
+	c := dialServer(t, s)
 	c.SetDeadline(time.Now().Add(time.Second)) // operators wait no longer
 	io.WriteString(c, call)                    // the answer may come before the end of what is too long
 	answer, err := http.ReadResponse(bufio.NewReader(c), nil)
@@ -65,38 +65,38 @@
 	return answer.StatusCode
 }
 
-func call(method, path string) string {
+func requestText(method, path string) string {
 	return fmt.Sprintf("%s %s HTTP/1.1\r\nHost: director\r\n\r\n", method, path)
 }
 
 func TestEveryCallHasItsAnswer(t *testing.T) {
-	s, p := serve(t, 8)
+	s, p := startServer(t, 8)
 	for _, c := range []struct {
 		call string
 		want int
 	}{
-		{call("GET", "/healthcheck"), 200},
-		{call("PUT", "/healthcheck/fail"), 200},
-		{call("PUT", "/healthcheck/fail"), 200},
-		{call("GET", "/healthcheck"), 503},
-		{call("HEAD", "/healthcheck"), 503},
-		{call("PUT", "/healthcheck/ok"), 200},
-		{call("GET", "/healthcheck"), 200},
-		{call("PUT", "/healthcheck"), 405},
-		{call("GET", "/healthcheck/fail"), 405},
-		{call("DELETE", "/healthcheck/ok"), 405},
-		{call("GET", "/healthcheck/else"), 404},
-		{call("GET", "/"), 404},
+		{requestText("GET", "/healthcheck"), 200},
+		{requestText("PUT", "/healthcheck/fail"), 200},
+		{requestText("PUT", "/healthcheck/fail"), 200},
+		{requestText("GET", "/healthcheck"), 503},
+		{requestText("HEAD", "/healthcheck"), 503},
+		{requestText("PUT", "/healthcheck/ok"), 200},
+		{requestText("GET", "/healthcheck"), 200},
+		{requestText("PUT", "/healthcheck"), 405},
+		{requestText("GET", "/healthcheck/fail"), 405},
+		{requestText("DELETE", "/healthcheck/ok"), 405},
+		{requestText("GET", "/healthcheck/else"), 404},
+		{requestText("GET", "/"), 404},
 		{"nonsense\r\n\r\n", 400},
 		{"GET /healthcheck HTTP/1.1\r\nHost: director\r\nX: " + strings.Repeat("x", 64<<10) + "\r\n\r\n", 431},
 		{"PUT /healthcheck/ok HTTP/1.1\r\nHost: director\r\nContent-Length: 5\r\n\r\nhello", 200},
 	} {
-		if got := status(t, s, c.call); got != c.want {
+		if got := callStatus(t, s, c.call); got != c.want {
 			t.Errorf("%.40q: %d, want %d", c.call, got, c.want)
 		}
 	}
 	p.stopping.Store(true)
-	if got := status(t, s, call("PUT", "/healthcheck/ok")); got != 409 {
+	if got := callStatus(t, s, requestText("PUT", "/healthcheck/ok")); got != 409 {
 		t.Errorf("resumed while stopping: %d", got)
 	}
 	if n := p.called.Load(); n != 5 {
@@ -106,13 +106,13 @@
 
 // Callers connect by the hundreds and finish no call: whoever makes one has the answer in time all the same.
 func TestSilentCallersHoldNobodyUp(t *testing.T) {
-	s, _ := serve(t, 8)
+	s, _ := startServer(t, 8)
 	for round := range 5 {
 		for i := range 60 {
-			c := connect(t, s)
+			c := dialServer(t, s)
 			io.WriteString(c, []string{"", "GET /heal", "PUT /healthcheck/fail HTTP/1.1\r\nHost"}[i%3])
 		}
-		if got := status(t, s, call("GET", "/healthcheck")); got != 200 {
+		if got := callStatus(t, s, requestText("GET", "/healthcheck")); got != 200 {
 			t.Errorf("round %d: %d", round, got)
 		}
 	}
--- a/internal/buffer/buffer.go
+++ b/internal/buffer/buffer.go
@@ -9,22 +9,22 @@
 
 // Pool lends buffers of one size.
 type Pool struct {
-	size, most int
-	lent       int
+	size, limit int
+	inUse       int
 	free       [][]byte
 }
 
 // NewPool returns a pool of at most most buffers of size bytes.
-func NewPool(size, most int) *Pool { return &Pool{size: size, most: most} }
+func NewPool(size, most int) *Pool { return &Pool{size: size, limit: most} }
 
 // InUse is the number of buffers out.
-func (p *Pool) InUse() int { return p.lent }
+func (p *Pool) InUse() int { return p.inUse }
 
-func (p *Pool) get() ([]byte, error) {
-	if p.lent >= p.most {
+func (p *Pool) acquire() ([]byte, error) {
+	if p.inUse >= p.limit {
 		return nil, ErrExhausted
 	}
-	p.lent++
+	p.inUse++
 	if n := len(p.free); n > 0 {
 		b := p.free[n-1]
 		p.free = p.free[:n-1]
@@ -33,11 +33,11 @@
 	return make([]byte, 0, p.size), nil
 }
 
-// put takes a buffer back. What is beyond a quarter of the limit goes to the garbage collector, so that a
+// release takes a buffer back. What is beyond a quarter of the limit goes to the garbage collector, so that a
 // burst does not pin its memory for good.
-func (p *Pool) put(b []byte) {
-	p.lent--
-	if len(p.free) < p.most/4 {
+func (p *Pool) release(b []byte) {
+	p.inUse--
+	if len(p.free) < p.limit/4 {
 		p.free = append(p.free, b[:0])
 	}
 }
@@ -45,44 +45,44 @@
 // Chain is a string of buffers with one owner. Its zero value is empty and can't be written to.
 type Chain struct {
 	pool *Pool
-	bufs [][]byte
-	n    int
+	buffers [][]byte
+	length    int
 }
 
 // NewChain returns an empty chain on the pool.
 func (p *Pool) NewChain() Chain { return Chain{pool: p} }
 
 // Len is the number of bytes held.
-func (c *Chain) Len() int { return c.n }
+func (c *Chain) Len() int { return c.length }
 
 // Append adds a copy of b. After ErrExhausted a part may have been added; the chain can only be released.
 func (c *Chain) Append(b []byte) error {
 	for len(b) > 0 {
-		last := len(c.bufs) - 1
-		if last < 0 || len(c.bufs[last]) == cap(c.bufs[last]) {
-			nb, err := c.pool.get()
+		last := len(c.buffers) - 1
+		if last < 0 || len(c.buffers[last]) == cap(c.buffers[last]) {
+			nb, err := c.pool.acquire()
 			if err != nil {
 				return err
 			}
-			c.bufs = append(c.bufs, nb)
+			c.buffers = append(c.buffers, nb)
 			last++
 		}
-		buf := c.bufs[last]
+		buf := c.buffers[last]
 		k := min(len(b), cap(buf)-len(buf))
-		c.bufs[last] = append(buf, b[:k]...)
-		c.n += k
+		c.buffers[last] = append(buf, b[:k]...)
+		c.length += k
 		b = b[k:]
 	}
 	return nil
 }
 
 // Segments appends the chain's pieces to dst; they are valid until Release.
-func (c *Chain) Segments(dst [][]byte) [][]byte { return append(dst, c.bufs...) }
+func (c *Chain) Segments(dst [][]byte) [][]byte { return append(dst, c.buffers...) }
 
 // Release gives the buffers back and leaves the chain empty.
 func (c *Chain) Release() {
-	for _, b := range c.bufs {
-		c.pool.put(b)
+	for _, b := range c.buffers {
+		c.pool.release(b)
 	}
-	c.bufs, c.n = nil, 0
+	c.buffers, c.length = nil, 0
 }
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -27,7 +27,7 @@
 			made := now - delay
 			stamp := made - difference
 			p.Observe(stamp, now)
-			if at := p.Local(stamp); at < made-routing.Time(stepBack) {
+			if at := p.Local(stamp); at < made-routing.Time(clockStepThreshold) {
 				t.Fatalf("an event of %v ago is taken for one of %v ago", delay, now-at)
 			} else if at > now {
 				t.Fatalf("an event is taken for one of the future, by %v", at-now)
--- a/internal/clock/peer.go
+++ b/internal/clock/peer.go
@@ -7,11 +7,11 @@
 )
 
 const (
-	// stepBack is how far a peer's stamp may lie behind an earlier one before its clock counts as set back. Stamps of
+	// clockStepThreshold is how far a peer's stamp may lie behind an earlier one before its clock counts as set back. Stamps of
 	// events that were told out of turn lie behind by less.
-	stepBack = time.Second
-	// drift is the most by which two clocks move apart, as a part of the time that passes.
-	drift = 0.001
+	clockStepThreshold = time.Second
+	// maxDrift is the most by which two clocks move apart, as a part of the time that passes.
+	maxDrift = 0.001
 )
 
 // PeerClock brings the stamps of one peer's clock onto ours. A stamp that is told can't lie in the future: so the least by which
@@ -23,20 +23,20 @@
 type PeerClock struct {
 	seen   bool
 	offset routing.Time // ours less the peer's, at most
-	at     routing.Time // when offset was learnt
-	latest routing.Time // the peer's latest stamp
+	offsetAt     routing.Time // when offset was learnt
+	latestStamp routing.Time // the peer's latest stamp
 }
 
 // Observe learns from a stamp that the peer has put on something that had happened by now.
 func (p *PeerClock) Observe(stamp, now routing.Time) {
 	past := now - stamp
-	if !p.seen || stamp < p.latest-stepBack {
-		p.seen, p.offset, p.at, p.latest = true, past, now, stamp
+	if !p.seen || stamp < p.latestStamp-clockStepThreshold {
+		p.seen, p.offset, p.offsetAt, p.latestStamp = true, past, now, stamp
 		return
 	}
-	p.latest = max(p.latest, stamp)
-	p.offset = min(past, p.offset+routing.Time(float64(now-p.at)*drift))
-	p.at = now
+	p.latestStamp = max(p.latestStamp, stamp)
+	p.offset = min(past, p.offset+routing.Time(float64(now-p.offsetAt)*maxDrift))
+	p.offsetAt = now
 }
 
 // Local is the time on our clock at which the peer's clock showed a stamp.
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -135,8 +135,8 @@
 	Settings  json.RawMessage `json:"settings"`
 }
 
-// transport holds the settings that only sockets need.
-type transport struct {
+// transportSettings holds the settings that only sockets need.
+type transportSettings struct {
 	Ceilings struct {
 		ConnectTimeout time.Duration `json:"connectTimeout"`
 		Keepalive      time.Duration `json:"keepalive"`
@@ -144,8 +144,8 @@
 	} `json:"ceilings"`
 }
 
-// beat is the time between two signs of life of the feed (protocol page).
-const beat = time.Second
+// heartbeatInterval is the time between two signs of life of the feed (protocol page).
+const heartbeatInterval = time.Second
 
 // Load reads the file that EDGE_CONFIG names. EDGE_NAME and EDGE_LISTEN, where set, must not contradict it.
 // EDGE_FD, where set, is the descriptor of a socket that listens there already. EDGE_OPERATOR, where set, goes before the
@@ -214,7 +214,7 @@
 	if err := json.Unmarshal(d.Settings, &c.Settings); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	var t transport
+	var t transportSettings
 	if err := json.Unmarshal(d.Settings, &t); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
@@ -227,7 +227,7 @@
 	case !(l.Sockets >= 64) || l.Sockets > 1<<20:
 		return nil, fmt.Errorf("limits.sockets: %v, 64 at least", l.Sockets)
 	}
-	c.Limits = fill(d, t, &c.Settings)
+	c.Limits = deriveLimits(d, t, &c.Settings)
 	return c, nil
 }
 
@@ -243,9 +243,9 @@
 	return nil
 }
 
-// fill derives the limits. Of the memory, a third may hold bodies in buffers, a sixth what clients have not
+// deriveLimits derives the limits. Of the memory, a third may hold bodies in buffers, a sixth what clients have not
 // read; the rest is for the program and the collector's headroom.
-func fill(d document, t transport, s *routing.Settings) Limits {
+func deriveLimits(d document, t transportSettings, s *routing.Settings) Limits {
 	memory := int(d.Limits.MemoryMB * (1 << 20))
 	sockets := int(d.Limits.Sockets)
 	longest := time.Duration(0)
@@ -346,7 +346,7 @@
 	}
 	// What is told in silence is heard when the silence is over and the service was called again. A sign of life comes
 	// each second, so that nothing shorter than that, with room for the way, is a silence.
-	l.WatchSilenceTimeout = max(beat+beat/10, min(l.WatchSilenceTimeout, l.DrainApplyWithin-l.WatchCallTime-beat/5))
+	l.WatchSilenceTimeout = max(heartbeatInterval+heartbeatInterval/10, min(l.WatchSilenceTimeout, l.DrainApplyWithin-l.WatchCallTime-heartbeatInterval/5))
 	if v := s.Tiers.PurgeSlack; v > 0 {
 		l.PurgeApplyWithin = v
 	}
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -10,14 +10,14 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-const good = `{"name":"n1","listen":"127.0.0.1:8080","seed":"8c1f30d27a5be964",
+const validConfig = `{"name":"n1","listen":"127.0.0.1:8080","seed":"8c1f30d27a5be964",
  "limits":{"cores":1.0,"memory_mb":192,"sockets":1024},"feed":"127.0.0.1:2379",
  "known":{"n":1,"events":[{"n":1}]},
  "settings":{"services":[{"name":"a","aim":1,"deadline":5000000000}],
   "ceilings":{"connectTimeout":400000000,"keepalive":15000000000,"streamsPerConn":64,"openCap":100}}}`
 
 func TestLimitsFollowTheConfiguration(t *testing.T) {
-	c, err := Parse([]byte(good), 1<<20)
+	c, err := Parse([]byte(validConfig), 1<<20)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -29,7 +29,7 @@
 	}
 	for grace, want := range map[string]time.Duration{"2000000000": 1300 * time.Millisecond, "9000000000": 1300 * time.Millisecond,
 		"1500000000": 1100 * time.Millisecond, "1900000000": 1200 * time.Millisecond, "800000000": 1100 * time.Millisecond} {
-		text := strings.Replace(good, `"ceilings"`, `"guarantees":{"drainGrace":`+grace+`},"ceilings"`, 1)
+		text := strings.Replace(validConfig, `"ceilings"`, `"guarantees":{"drainGrace":`+grace+`},"ceilings"`, 1)
 		if c, err := Parse([]byte(text), 1<<20); err != nil || c.Limits.WatchSilenceTimeout != want {
 			t.Errorf("drains to be heeded within %s ns: a silence is %v, want %v (%v)", grace, c.Limits.WatchSilenceTimeout, want, err)
 		}
@@ -45,7 +45,7 @@
 
 // gnet's accept ends the engine when descriptors run out, so the smaller of the two limits counts.
 func TestProcessLimitCounts(t *testing.T) {
-	c, err := Parse([]byte(good), 256)
+	c, err := Parse([]byte(validConfig), 256)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -67,9 +67,9 @@
 		{`"sockets":1024`, `"sockets":3`, "limits.sockets"},
 		{`"settings":{`, `"settings":null,"x":{`, "settings"},
 		{`"aim":1`, `"aim":"1"`, "settings"},
-		{good, `{`, "config"},
+		{validConfig, `{`, "config"},
 	} {
-		_, err := Parse([]byte(strings.Replace(good, c.from, c.to, 1)), 1<<20)
+		_, err := Parse([]byte(strings.Replace(validConfig, c.from, c.to, 1)), 1<<20)
 		if err == nil || !strings.HasPrefix(err.Error(), c.field) {
 			t.Errorf("%s: error %v, want one that names %s", c.to, err, c.field)
 		}
@@ -78,7 +78,7 @@
 
 func TestEnvironmentMustNotContradict(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
-	if err := os.WriteFile(path, []byte(good), 0o600); err != nil {
+	if err := os.WriteFile(path, []byte(validConfig), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	for _, c := range []struct{ name, value, field string }{
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -59,7 +59,7 @@
 	if err := strictconfig.Decode(file, text, o); err != nil {
 		return nil, err
 	}
-	for _, b := range o.bounds() {
+	for _, b := range o.timeSettings() {
 		if *b.value != 0 && !(*b.value >= b.low && *b.value <= b.high) {
 			return nil, fmt.Errorf("%s:%d: %s: %v is not within %v and %v", file, strictconfig.FindLine(text, b.key), b.key, *b.value, b.low, b.high)
 		}
@@ -88,16 +88,16 @@
 	return o, nil
 }
 
-type bound struct {
+type timeSetting struct {
 	key       string
 	value     *float64
 	low, high float64
-	into      func(*Limits) *time.Duration
+	limit      func(*Limits) *time.Duration
 }
 
-// bounds are all times of the file, with their range in milliseconds and the limit that each sets.
-func (o *OperatorFile) bounds() []bound {
-	return []bound{
+// timeSettings are all times of the file, with their range in milliseconds and the limit that each sets.
+func (o *OperatorFile) timeSettings() []timeSetting {
+	return []timeSetting{
 		{"list.heed_ms", &o.Discovery.DrainApplyWithinMS, 100, 60_000, func(l *Limits) *time.Duration { return &l.DrainApplyWithin }},
 		{"list.purge_ms", &o.Discovery.PurgeApplyWithinMS, 10, 60_000, func(l *Limits) *time.Duration { return &l.PurgeApplyWithin }},
 		{"list.start_ms", &o.Discovery.InitialJitterWindowMS, 1, 60_000, func(l *Limits) *time.Duration { return &l.InitialJitterWindow }},
@@ -114,9 +114,9 @@
 
 // Apply puts what is set in place of the defaults.
 func (o *OperatorFile) Apply(l *Limits) {
-	for _, b := range o.bounds() {
+	for _, b := range o.timeSettings() {
 		if *b.value != 0 {
-			*b.into(l) = time.Duration(*b.value * float64(time.Millisecond))
+			*b.limit(l) = time.Duration(*b.value * float64(time.Millisecond))
 		}
 	}
 }
@@ -125,9 +125,9 @@
 func (o *OperatorFile) Describe() (lines []string) {
 	var l Limits
 	o.Apply(&l)
-	for _, b := range o.bounds() {
+	for _, b := range o.timeSettings() {
 		if *b.value != 0 {
-			lines = append(lines, fmt.Sprintf("%s: %v", b.key, *b.into(&l)))
+			lines = append(lines, fmt.Sprintf("%s: %v", b.key, *b.limit(&l)))
 		}
 	}
 	if o.Log.Level != "" {
--- a/internal/eventloop/accept.go
+++ b/internal/eventloop/accept.go
@@ -11,14 +11,14 @@
 	"shaleyard/internal/listener"
 )
 
-// arrival carries an accepted connection to OnOpen.
-type arrival struct{ opened bool }
+// acceptedConn carries an accepted connection to OnOpen.
+type acceptedConn struct{ opened bool }
 
-// enrolBackoff is the time between tries to hand an accepted connection to the loop.
-const enrolBackoff = 5 * time.Millisecond
+// registerBackoff is the time between tries to hand an accepted connection to the loop.
+const registerBackoff = 5 * time.Millisecond
 
-// listen opens the listener, or takes over the inherited one.
-func (l *Loop) listen(address string) error {
+// openListener opens the listener, or takes over the inherited one.
+func (l *Loop) openListener(address string) error {
 	open := func() (*listener.Listener, error) { return listener.Open(address) }
 	if l.InheritedFD != 0 {
 		open = func() (*listener.Listener, error) { return listener.Inherit(l.InheritedFD, address) }
@@ -41,52 +41,52 @@
 	l.listener.Pause()
 }
 
-// accept hands connections to the loop one at a time, so that what is on its way holds few descriptors.
-func (l *Loop) accept() {
+// acceptConnections hands connections to the loop one at a time, so that what is on its way holds few descriptors.
+func (l *Loop) acceptConnections() {
 	for {
 		c, err := l.listener.Accept()
 		if err != nil {
 			return // closed
 		}
-		l.arrive(c.(*net.TCPConn))
+		l.registerAccepted(c.(*net.TCPConn))
 	}
 }
 
-// arrive hands an accepted connection to the loop. Its client may have sent a request already, so that it must not be lost
+// registerAccepted hands an accepted connection to the loop. Its client may have sent a request already, so that it must not be lost
 // for want of a descriptor: a duplicate is kept until the loop has it.
-func (l *Loop) arrive(c *net.TCPConn) {
+func (l *Loop) registerAccepted(c *net.TCPConn) {
 	kept := -1
 	for kept < 0 {
-		if kept = duplicate(c); kept < 0 && !l.waitToEnroll(errNoDuplicate) {
+		if kept = duplicateDescriptor(c); kept < 0 && !l.waitToRegister(errDuplicateFailed) {
 			c.Close()
 			return
 		}
 	}
 	defer func() { unix.Close(kept) }()
 	for {
-		a := &arrival{}
-		err := l.enroll(c, a)
+		a := &acceptedConn{}
+		err := l.register(c, a)
 		if err == nil && a.opened {
 			return
 		}
 		if err == nil {
 			err = errNotRegistered
 		}
-		for c = nil; c == nil; c = restore(kept) {
-			if !l.waitToEnroll(err) {
+		for c = nil; c == nil; c = connFromDescriptor(kept) {
+			if !l.waitToRegister(err) {
 				return
 			}
 		}
 	}
 }
 
-// errNoDuplicate is a connection that could not be duplicated.
-var errNoDuplicate = errors.New("an accepted connection could not be duplicated")
+// errDuplicateFailed is a connection that could not be duplicated.
+var errDuplicateFailed = errors.New("an accepted connection could not be duplicated")
 
-// waitToEnroll waits before the next try to hand a connection over; false: the loop has been stopped.
-func (l *Loop) waitToEnroll(why error) bool {
+// waitToRegister waits before the next try to hand a connection over; false: the loop has been stopped.
+func (l *Loop) waitToRegister(why error) bool {
 	l.mu.Lock()
-	ended := l.ended
+	ended := l.stopped
 	l.mu.Unlock()
 	if ended {
 		return false
@@ -94,12 +94,12 @@
 	if l.AcceptFailed != nil {
 		l.AcceptFailed(why)
 	}
-	time.Sleep(enrolBackoff)
+	time.Sleep(registerBackoff)
 	return true
 }
 
-// duplicate is another descriptor of a connection; -1: there is none to be had.
-func duplicate(c *net.TCPConn) int {
+// duplicateDescriptor is another descriptor of a connection; -1: there is none to be had.
+func duplicateDescriptor(c *net.TCPConn) int {
 	kept := -1
 	raw, err := c.SyscallConn()
 	if err != nil {
@@ -113,8 +113,8 @@
 	return kept
 }
 
-// restore is a connection anew, from a descriptor that stays open; nil: it could not be made.
-func restore(kept int) *net.TCPConn {
+// connFromDescriptor is a connection anew, from a descriptor that stays open; nil: it could not be made.
+func connFromDescriptor(kept int) *net.TCPConn {
 	fd, err := unix.FcntlInt(uintptr(kept), unix.F_DUPFD_CLOEXEC, 0)
 	if err != nil {
 		return nil
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -51,16 +51,16 @@
 	Close() error
 }
 
-// socket is gnet's connection as a Conn.
-type socket struct{ gnet.Conn }
+// gnetConn is gnet's connection as a Conn.
+type gnetConn struct{ gnet.Conn }
 
 // CloseWrite implements Conn.
-func (s socket) CloseWrite() error {
+func (s gnetConn) CloseWrite() error {
 	return os.NewSyscallError("shutdown", syscall.Shutdown(s.Fd(), syscall.SHUT_WR))
 }
 
 // Unacknowledged implements Conn. Where the system can't tell it is 0.
-func (s socket) Unacknowledged() int {
+func (s gnetConn) Unacknowledged() int {
 	n, err := unix.IoctlGetInt(s.Fd(), unix.TIOCOUTQ)
 	if err != nil {
 		return 0
@@ -122,22 +122,22 @@
 
 	listener *listener.Listener
 
-	eng   gnet.Engine
-	el    gnet.EventLoop
-	bell  net.Conn
-	armed routing.Time
+	engine   gnet.Engine
+	gnetLoop    gnet.EventLoop
+	wakeupSocket  net.Conn
+	alarmAt routing.Time
 	alarm *time.Timer
-	seen  routing.Time // when the loop last looked at the world
-	ran   atomic.Int64 // the same, for other goroutines
-	rests routing.Time // until when deadlines wait behind a pause; 0: they don't
+	lastCheck  routing.Time // when the loop last looked at the world
+	lastRun   atomic.Int64 // the same, for other goroutines
+	settleUntil routing.Time // until when deadlines wait behind a pause; 0: they don't
 	mu    sync.Mutex
-	ended bool
-	err   error
+	stopped bool
+	wakeupErr   error
 }
 
 // Run listens on the address and serves until Stop.
 func (l *Loop) Run(address string) error {
-	if err := l.listen(address); err != nil {
+	if err := l.openListener(address); err != nil {
 		return fmt.Errorf("listen %s: %w", address, err)
 	}
 	defer l.listener.Close()
@@ -150,10 +150,10 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.err == nil && !l.ended { // gnet logs what ended it, and returns nothing
+	if l.wakeupErr == nil && !l.stopped { // gnet logs what ended it, and returns nothing
 		return errors.New("the event loop has ended without being stopped")
 	}
-	return l.err
+	return l.wakeupErr
 }
 
 func (l *Loop) options() []gnet.Option {
@@ -167,7 +167,7 @@
 	logf   func(string, ...any)
 	now    func() time.Time
 	mu     sync.Mutex
-	warned time.Time
+	lastWarning time.Time
 }
 
 func (l *logger) Debugf(string, ...any) {}
@@ -175,8 +175,8 @@
 func (l *logger) Warnf(format string, a ...any) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if now := l.now(); now.Sub(l.warned) >= time.Second {
-		l.warned = now
+	if now := l.now(); now.Sub(l.lastWarning) >= time.Second {
+		l.lastWarning = now
 		l.logf("gnet: "+format, a...)
 	}
 }
@@ -190,19 +190,19 @@
 func (l *Loop) Stop() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.ended {
+	if l.stopped {
 		return
 	}
-	l.ended = true
-	go l.eng.Stop(context.Background()) // it waits for the loop, which may be the caller
+	l.stopped = true
+	go l.engine.Stop(context.Background()) // it waits for the loop, which may be the caller
 }
 
 // Do runs f on the loop. It may be called from any goroutine once Boot has been called.
 func (l *Loop) Do(f func()) {
-	_ = l.el.Execute(context.Background(), gnet.RunnableFunc(func(context.Context) error {
-		l.wake()
+	_ = l.gnetLoop.Execute(context.Background(), gnet.RunnableFunc(func(context.Context) error {
+		l.checkForPause()
 		f()
-		l.arm()
+		l.resetAlarm()
 		return nil
 	}))
 }
@@ -210,12 +210,12 @@
 // engineAddress is a socket that gnet opens for itself; nothing is sent to it.
 const engineAddress = "udp://127.0.0.1:0"
 
-// doorbell is the context of the socket that hands the loop over.
-type doorbell struct{}
+// wakeupContext is the context of the socket that hands the loop over.
+type wakeupContext struct{}
 
 // OnBoot implements gnet.EventHandler. The engine has no event loop yet: the doorbell must wait for OnTick.
 func (l *Loop) OnBoot(eng gnet.Engine) gnet.Action {
-	l.eng = eng
+	l.engine = eng
 	return gnet.None
 }
 
@@ -223,24 +223,24 @@
 // registers the doorbell; there is nothing to do in later ones.
 func (l *Loop) OnTick() (time.Duration, gnet.Action) {
 	const never = 24 * time.Hour
-	if l.bell != nil {
+	if l.wakeupSocket != nil {
 		return never, gnet.None
 	}
-	if err := l.hang(); err != nil {
-		l.err = fmt.Errorf("doorbell: %w", err)
+	if err := l.registerWakeup(); err != nil {
+		l.wakeupErr = fmt.Errorf("doorbell: %w", err)
 		return never, gnet.Shutdown
 	}
 	return never, gnet.None
 }
 
-func (l *Loop) hang() error {
-	bell, err := ring()
+func (l *Loop) registerWakeup() error {
+	bell, err := openWakeupSocket()
 	if err != nil {
 		return err
 	}
-	l.bell = bell
-	ctx := gnet.NewContext(gnet.NewNetConnContext(context.Background(), bell), doorbell{})
-	registered, err := l.eng.Register(ctx)
+	l.wakeupSocket = bell
+	ctx := gnet.NewContext(gnet.NewNetConnContext(context.Background(), bell), wakeupContext{})
+	registered, err := l.engine.Register(ctx)
 	if err != nil {
 		return err
 	}
@@ -250,16 +250,16 @@
 	}
 	el := r.Conn.EventLoop()
 	return el.Execute(context.Background(), gnet.RunnableFunc(func(context.Context) error {
-		defer l.arm()
+		defer l.resetAlarm()
 		l.boot(el)
 		return nil
 	}))
 }
 
-// ring opens the doorbell: a UDP socket on loopback, connected to one of its own that is closed again. Where
+// openWakeupSocket opens the doorbell: a UDP socket on loopback, connected to one of its own that is closed again. Where
 // directors are played in numbers, a process has sockets of IPv4 alone, TCP and UDP, and a pair of Unix
 // sockets ended the program at its start; nothing is ever sent on this one.
-func ring() (net.Conn, error) {
+func openWakeupSocket() (net.Conn, error) {
 	peer, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
 		return nil, err
@@ -270,24 +270,24 @@
 
 // boot hands the loop over and boots, once, on the loop. Connections are accepted from then on.
 func (l *Loop) boot(el gnet.EventLoop) {
-	l.el = el
+	l.gnetLoop = el
 	l.Boot()
-	go l.accept()
+	go l.acceptConnections()
 }
 
 // OnOpen implements gnet.EventHandler.
 func (l *Loop) OnOpen(c gnet.Conn) ([]byte, gnet.Action) {
-	defer l.arm()
-	l.wake()
+	defer l.resetAlarm()
+	l.checkForPause()
 	switch x := c.Context().(type) {
-	case doorbell: // no client, and not to be closed as one that says nothing
-	case *dial:
+	case wakeupContext: // no client, and not to be closed as one that says nothing
+	case *pendingDial:
 		x.opened = true
 		c.SetContext(x.stream)
-		x.stream.Opened(socket{c})
-	case *arrival:
+		x.stream.Opened(gnetConn{c})
+	case *acceptedConn:
 		x.opened = true
-		s := l.Acceptor.Accept(socket{c})
+		s := l.Acceptor.Accept(gnetConn{c})
 		if s == nil {
 			return nil, gnet.Close
 		}
@@ -298,8 +298,8 @@
 
 // OnTraffic implements gnet.EventHandler.
 func (l *Loop) OnTraffic(c gnet.Conn) gnet.Action {
-	defer l.arm()
-	l.wake()
+	defer l.resetAlarm()
+	l.checkForPause()
 	s, ok := c.Context().(Session)
 	b, _ := c.Next(-1)
 	if !ok {
@@ -314,71 +314,71 @@
 
 // OnClose implements gnet.EventHandler.
 func (l *Loop) OnClose(c gnet.Conn, _ error) gnet.Action {
-	defer l.arm()
-	l.wake()
+	defer l.resetAlarm()
+	l.checkForPause()
 	if s, ok := c.Context().(Session); ok {
 		s.Closed()
 	}
 	return gnet.None
 }
 
-// wake notices that the loop was paused, between two events or amid one. What it believes is as old as the pause, and what
+// checkForPause notices that the loop was paused, between two events or amid one. What it believes is as old as the pause, and what
 // it should know waits in its sockets, in no order: so deadlines rest for a moment, and whoever decides is told.
-func (l *Loop) wake() {
+func (l *Loop) checkForPause() {
 	now := l.Now()
-	gap := now - l.seen
-	if l.PauseThreshold > 0 && l.seen != 0 && gap > l.PauseThreshold {
-		l.rests = now + min(l.SettleTime, gap/10)
+	gap := now - l.lastCheck
+	if l.PauseThreshold > 0 && l.lastCheck != 0 && gap > l.PauseThreshold {
+		l.settleUntil = now + min(l.SettleTime, gap/10)
 		l.Paused(gap)
 	}
-	l.seen = now
-	l.ran.Store(int64(now))
+	l.lastCheck = now
+	l.lastRun.Store(int64(now))
 }
 
 // CheckForPause notices whether the process has stood still amid the event that is being handled.
-func (l *Loop) CheckForPause() { l.wake() }
+func (l *Loop) CheckForPause() { l.checkForPause() }
 
 // LastRun is when the loop last ran. It may be called from any goroutine.
-func (l *Loop) LastRun() routing.Time { return routing.Time(l.ran.Load()) }
+func (l *Loop) LastRun() routing.Time { return routing.Time(l.lastRun.Load()) }
 
-// arm sets the alarm for the earliest deadline, or for the end of a rest.
-func (l *Loop) arm() {
-	l.wake()
-	if l.el == nil {
+// resetAlarm sets the alarm for the earliest deadline, or for the end of a rest.
+func (l *Loop) resetAlarm() {
+	l.checkForPause()
+	if l.gnetLoop == nil {
 		return // the doorbell opens before the boot, which arms for all that is due
 	}
 	at, ok := l.Timers.NextDeadline()
-	if l.rests != 0 {
-		at, ok = l.rests, true
+	if l.settleUntil != 0 {
+		at, ok = l.settleUntil, true
 	}
-	if !ok || (at == l.armed && l.alarm != nil) {
+	if !ok || (at == l.alarmAt && l.alarm != nil) {
 		return
 	}
-	l.armed = at
+	l.alarmAt = at
 	wait := max(0, at-l.Now())
 	if l.alarm == nil {
-		l.alarm = time.AfterFunc(wait, func() { l.Do(l.due) })
+		l.alarm = time.AfterFunc(wait, func() { l.Do(l.runDue) })
 		return
 	}
 	l.alarm.Reset(wait)
 }
 
-// due runs the deadlines that have come.
-func (l *Loop) due() {
-	l.armed = 0
+// runDue runs the deadlines that have come.
+func (l *Loop) runDue() {
+	l.alarmAt = 0
 	now := l.Now()
-	if now < l.rests {
+	if now < l.settleUntil {
 		return
 	}
-	if l.rests != 0 {
-		l.rests = 0
+	if l.settleUntil != 0 {
+		l.settleUntil = 0
 		l.Settled()
 	}
 	l.Timers.RunDue(now)
 }
 
-// dial carries a stream from its dial to OnOpen.
-type dial struct {
+// pendingDial carries a stream from its pendingDial to OnOpen.
+type pendingDial struct {
 	stream Stream
 	opened bool
 }
@@ -388,8 +388,8 @@
 	go func() {
 		c, err := net.DialTimeout("tcp", address, limit)
 		if err == nil {
-			d := &dial{stream: s}
-			if err = l.enroll(c, d); err == nil && !d.opened {
+			d := &pendingDial{stream: s}
+			if err = l.register(c, d); err == nil && !d.opened {
 				err = errNotRegistered
 			}
 		}
@@ -402,10 +402,10 @@
 // errNotRegistered is a connection that the loop could not wait on: it was closed before anything came or went on it.
 var errNotRegistered = errors.New("the event loop could not take the connection")
 
-// enroll hands a connection to the loop, which has called OnOpen when it returns without an error, unless the system
+// register hands a connection to the loop, which has called OnOpen when it returns without an error, unless the system
 // refused to wait on it. The connection is closed, but for a duplicate that the loop holds.
-func (l *Loop) enroll(c net.Conn, carries any) error {
-	joined, err := l.el.Enroll(gnet.NewContext(context.Background(), carries), c)
+func (l *Loop) register(c net.Conn, carries any) error {
+	joined, err := l.gnetLoop.Enroll(gnet.NewContext(context.Background(), carries), c)
 	if err != nil {
 		c.Close()
 		return err
--- a/internal/eventloop/loop_test.go
+++ b/internal/eventloop/loop_test.go
@@ -10,22 +10,22 @@
 	"shaleyard/routing"
 )
 
-// counted turns connections away and counts them.
-type counted struct{ n int }
+// countingAcceptor turns connections away and counts them.
+type countingAcceptor struct{ count int }
 
-func (c *counted) Accept(Conn) Session { c.n++; return nil }
+func (c *countingAcceptor) Accept(Conn) Session { c.count++; return nil }
 
 // Clients go on coming to a director that was down. One that is there before the loop has booted must wait until it has:
 // its request sets deadlines and dials, and without a handle on the loop that was a nil call.
 func TestFirstConnectionWaitsForTheBoot(t *testing.T) {
-	ln, fd := handDown(t)
+	ln, fd := openInheritable(t)
 	if _, err := net.Dial("tcp", ln.Addr().String()); err != nil {
 		t.Fatal(err)
 	}
-	conns, booted := make(accepted, 1), false
+	conns, booted := make(connChannel, 1), false
 	l := &Loop{Timers: &timer.Queue{}, Now: func() routing.Time { return routing.Time(time.Now().UnixNano()) },
 		Logf: t.Logf, InheritedFD: fd}
-	l.Acceptor = acceptFunc(func(c Conn) Session {
+	l.Acceptor = acceptorFunc(func(c Conn) Session {
 		if !booted {
 			t.Error("a connection came before the loop had booted")
 		}
@@ -45,21 +45,21 @@
 	}
 }
 
-// acceptFunc is a Front.
-type acceptFunc func(Conn) Session
+// acceptorFunc is a Front.
+type acceptorFunc func(Conn) Session
 
-func (f acceptFunc) Accept(c Conn) Session { return f(c) }
+func (f acceptorFunc) Accept(c Conn) Session { return f(c) }
 
-// accepted tells of each connection, and turns it away.
-type accepted chan Conn
+// connChannel tells of each connection, and turns it away.
+type connChannel chan Conn
 
-func (a accepted) Accept(c Conn) Session {
+func (a connChannel) Accept(c Conn) Session {
 	a <- c
 	return nil
 }
 
-// handDown opens a listener and duplicates its descriptor, as whoever starts the program would hand it down.
-func handDown(t *testing.T) (ln *net.TCPListener, fd int) {
+// openInheritable opens a listener and duplicates its descriptor, as whoever starts the program would hand it down.
+func openInheritable(t *testing.T) (ln *net.TCPListener, fd int) {
 	t.Helper()
 	ln, err := net.ListenTCP("tcp", &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
@@ -80,8 +80,8 @@
 // A program that is started with the address bound already, and the listening socket in its hands, ended at once
 // with "address already in use". It accepts on that socket, and leaves it open to others when it ends.
 func TestInheritedListenerIsAcceptedOn(t *testing.T) {
-	ln, fd := handDown(t)
-	address, conns := ln.Addr().String(), make(accepted, 1)
+	ln, fd := openInheritable(t)
+	address, conns := ln.Addr().String(), make(connChannel, 1)
 	up := make(chan struct{})
 	l := &Loop{Timers: &timer.Queue{}, Now: func() routing.Time { return routing.Time(time.Now().UnixNano()) },
 		Logf: t.Logf, Acceptor: conns, Boot: func() { close(up) }, InheritedFD: fd}
@@ -114,7 +114,7 @@
 // What is no listener at the configured address must not be accepted on: gnet would end over it, or clients of
 // another address would be served.
 func TestInheritedDescriptorIsChecked(t *testing.T) {
-	_, elsewhere := handDown(t)
+	_, elsewhere := openInheritable(t)
 	silent, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM, 0)
 	if err != nil {
 		t.Fatal(err)
@@ -148,7 +148,7 @@
 // of Unix sockets and every director ended at its start; the loop must boot with no client and no such pair.
 func TestBootsOnAnIPv4Doorbell(t *testing.T) {
 	booted := make(chan struct{})
-	front := &counted{}
+	front := &countingAcceptor{}
 	l := &Loop{Timers: &timer.Queue{}, Now: func() routing.Time { return routing.Time(time.Now().UnixNano()) },
 		Logf: t.Logf, Acceptor: front, Boot: func() { close(booted) }}
 	ended := make(chan error)
@@ -159,10 +159,10 @@
 		t.Fatal("the loop did not boot without a client")
 	}
 	l.Do(func() {
-		if at, ok := l.bell.LocalAddr().(*net.UDPAddr); !ok || at.IP.To4() == nil {
-			t.Errorf("the doorbell is at %v, not an IPv4 socket", l.bell.LocalAddr())
+		if at, ok := l.wakeupSocket.LocalAddr().(*net.UDPAddr); !ok || at.IP.To4() == nil {
+			t.Errorf("the doorbell is at %v, not an IPv4 socket", l.wakeupSocket.LocalAddr())
 		}
-		if front.n != 0 {
+		if front.count != 0 {
 			t.Error("the doorbell was taken for a client, and would be closed as one that says nothing")
 		}
 		l.Stop()
@@ -177,7 +177,7 @@
 func TestNoAlarmBeforeTheBoot(t *testing.T) {
 	l := &Loop{Timers: &timer.Queue{}, Now: func() routing.Time { return time.Hour }}
 	l.Timers.ScheduleFunc(0, func() {})
-	l.arm()
+	l.resetAlarm()
 	if l.alarm != nil {
 		l.alarm.Stop()
 		t.Error("an alarm is set before the loop has booted")
@@ -193,7 +193,7 @@
 	l.Paused = func(gap time.Duration) { told = append(told, "paused "+gap.String()) }
 	l.alarm = time.NewTimer(time.Hour)
 	defer l.alarm.Stop()
-	look := func() { l.wake(); l.due(); l.arm() }
+	look := func() { l.checkForPause(); l.runDue(); l.resetAlarm() }
 	l.Timers.ScheduleFunc(clock+50*time.Millisecond, func() { ran++ })
 	look()
 	clock += 290 * time.Millisecond
@@ -214,14 +214,14 @@
 	if ran != 2 || len(told) != 2 {
 		t.Errorf("ran %d, told %v behind it", ran, told)
 	}
-	l.wake()
+	l.checkForPause()
 	clock += 2 * time.Second // amid an event
 	l.CheckForPause()
 	if len(told) != 3 || told[2] != "paused 2s" {
 		t.Errorf("told %v behind a pause amid an event", told)
 	}
 	clock += time.Second
-	l.arm()
+	l.resetAlarm()
 	if len(told) != 4 || told[3] != "paused 1s" {
 		t.Errorf("told %v behind a pause at the end of an event", told)
 	}
--- a/internal/eventloop/shortage.go
+++ b/internal/eventloop/shortage.go
@@ -17,8 +17,8 @@
 )
 
 var (
-	socketErrors = []syscall.Errno{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.ENOSPC, syscall.EINTR}
-	wayErrors    = []syscall.Errno{syscall.EADDRNOTAVAIL, syscall.EADDRINUSE, syscall.EAGAIN, syscall.ENETUNREACH,
+	exhaustionErrors = []syscall.Errno{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.ENOSPC, syscall.EINTR}
+	unreachableErrors    = []syscall.Errno{syscall.EADDRNOTAVAIL, syscall.EADDRINUSE, syscall.EAGAIN, syscall.ENETUNREACH,
 		syscall.EHOSTUNREACH, syscall.ENETDOWN, syscall.EACCES, syscall.EPERM, syscall.EALREADY}
 )
 
@@ -26,9 +26,9 @@
 func ClassifyDialError(err error) DialFailure {
 	is := func(errno syscall.Errno) bool { return errors.Is(err, errno) }
 	switch {
-	case errors.Is(err, errNotRegistered), slices.ContainsFunc(socketErrors, is):
+	case errors.Is(err, errNotRegistered), slices.ContainsFunc(exhaustionErrors, is):
 		return LocalResourcesExhausted
-	case slices.ContainsFunc(wayErrors, is):
+	case slices.ContainsFunc(unreachableErrors, is):
 		return Unreachable
 	}
 	return PeerFailed
--- a/internal/flightrecorder/flight.go
+++ b/internal/flightrecorder/flight.go
@@ -73,7 +73,7 @@
 type Recorder struct {
 	ring []Event
 	next int    // where the next event goes
-	n    uint64 // events ever recorded
+	total    uint64 // events ever recorded
 }
 
 // NewRecorder returns a recorder of so many events.
@@ -84,7 +84,7 @@
 	if r == nil || cap(r.ring) == 0 {
 		return
 	}
-	r.n++
+	r.total++
 	if len(r.ring) < cap(r.ring) {
 		r.ring = append(r.ring, e)
 		return
@@ -98,7 +98,7 @@
 	if r == nil {
 		return 0
 	}
-	return r.n
+	return r.total
 }
 
 // Latest is a copy of the latest events, oldest first, most at most.
--- a/internal/listener/listen.go
+++ b/internal/listener/listen.go
@@ -16,8 +16,8 @@
 
 // Pauses between tries of an accept that fails: the first, doubled with each failure up to the longest.
 const (
-	firstBackoff   = 5 * time.Millisecond
-	longestBackoff = 200 * time.Millisecond
+	initialBackoff   = 5 * time.Millisecond
+	maxBackoff = 200 * time.Millisecond
 )
 
 // Listener is a listening socket. Accept fails only once it is closed; Pause and Resume may be called from any goroutine.
@@ -25,15 +25,15 @@
 	// AcceptFailed, where set, is told of each accept that failed and is tried again. It is set before the first Accept.
 	AcceptFailed func(error)
 
-	accepting acceptor
+	inner deadlineListener
 	mu        sync.Mutex
-	changed   *sync.Cond // paused or closed
+	stateChanged   *sync.Cond // paused or closed
 	paused    bool
 	closed    bool
 }
 
-// acceptor is what a Listener needs of a TCP listener.
-type acceptor interface {
+// deadlineListener is what a Listener needs of a TCP listener.
+type deadlineListener interface {
 	net.Listener
 	SetDeadline(time.Time) error
 }
@@ -45,7 +45,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return wrap(l.(*net.TCPListener)), nil
+	return newListener(l.(*net.TCPListener)), nil
 }
 
 // Inherit takes over a descriptor that must be a socket that listens at the address. Other processes may hold the same
@@ -66,26 +66,26 @@
 		l.Close()
 		return nil, fmt.Errorf("inherited descriptor %d listens at %s", descriptor, l.Addr())
 	}
-	return wrap(tcp), nil
+	return newListener(tcp), nil
 }
 
-func wrap(a acceptor) *Listener {
-	l := &Listener{accepting: a}
-	l.changed = sync.NewCond(&l.mu)
+func newListener(a deadlineListener) *Listener {
+	l := &Listener{inner: a}
+	l.stateChanged = sync.NewCond(&l.mu)
 	return l
 }
 
 // Addr is the address at which the socket listens.
-func (l *Listener) Addr() net.Addr { return l.accepting.Addr() }
+func (l *Listener) Addr() net.Addr { return l.inner.Addr() }
 
 // Accept waits for a connection. While the Listener is paused, connections wait in the system's queue.
 func (l *Listener) Accept() (net.Conn, error) {
-	backoff := firstBackoff
+	backoff := initialBackoff
 	for {
-		if !l.mayAccept() {
+		if !l.waitUntilAccepting() {
 			return nil, net.ErrClosed
 		}
-		c, err := l.accepting.Accept()
+		c, err := l.inner.Accept()
 		switch {
 		case err == nil:
 			return c, nil
@@ -98,16 +98,16 @@
 			l.AcceptFailed(err)
 		}
 		time.Sleep(backoff)
-		backoff = min(2*backoff, longestBackoff)
+		backoff = min(2*backoff, maxBackoff)
 	}
 }
 
-// mayAccept waits until the Listener is not paused; false: it is closed.
-func (l *Listener) mayAccept() bool {
+// waitUntilAccepting waits until the Listener is not paused; false: it is closed.
+func (l *Listener) waitUntilAccepting() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for l.paused && !l.closed {
-		l.changed.Wait()
+		l.stateChanged.Wait()
 	}
 	return !l.closed
 }
@@ -120,7 +120,7 @@
 		return
 	}
 	l.paused = true
-	_ = l.accepting.SetDeadline(time.Unix(1, 0)) // ends an Accept that waits; it fails only where the socket is closed
+	_ = l.inner.SetDeadline(time.Unix(1, 0)) // ends an Accept that waits; it fails only where the socket is closed
 }
 
 // Resume accepts again.
@@ -131,8 +131,8 @@
 		return
 	}
 	l.paused = false
-	_ = l.accepting.SetDeadline(time.Time{})
-	l.changed.Broadcast()
+	_ = l.inner.SetDeadline(time.Time{})
+	l.stateChanged.Broadcast()
 }
 
 // Close ends Accept for good.
@@ -140,6 +140,6 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.closed = true
-	l.changed.Broadcast()
-	return l.accepting.Close()
+	l.stateChanged.Broadcast()
+	return l.inner.Close()
 }
--- a/internal/listener/listen_test.go
+++ b/internal/listener/listen_test.go
@@ -9,15 +9,15 @@
 	"time"
 )
 
-// failing is a listener whose accepts fail as scripted before they succeed.
-type failing struct {
+// failingListener is a listener whose accepts fail as scripted before they succeed.
+type failingListener struct {
 	net.Listener
 	errors []error
 }
 
-func (f *failing) SetDeadline(time.Time) error { return nil }
+func (f *failingListener) SetDeadline(time.Time) error { return nil }
 
-func (f *failing) Accept() (net.Conn, error) {
+func (f *failingListener) Accept() (net.Conn, error) {
 	if len(f.errors) > 0 {
 		err := f.errors[0]
 		f.errors = f.errors[1:]
@@ -33,7 +33,7 @@
 		syscall.EPERM, syscall.EPROTO, syscall.ENETDOWN, syscall.ENOPROTOOPT, syscall.EHOSTDOWN, syscall.ENONET, syscall.EHOSTUNREACH,
 		syscall.EOPNOTSUPP, syscall.ENETUNREACH, syscall.EINTR, syscall.ETIMEDOUT, syscall.ENOSR, syscall.ESOCKTNOSUPPORT, syscall.EINVAL} {
 		told := 0
-		l := wrap(&failing{errors: []error{errno, errno}})
+		l := newListener(&failingListener{errors: []error{errno, errno}})
 		l.AcceptFailed = func(err error) {
 			if told++; !errors.Is(err, errno) {
 				t.Errorf("%v was told as %v", errno, err)
@@ -75,7 +75,7 @@
 	dial()
 	<-accepted
 	l.Pause()
-	file, err := l.accepting.(*net.TCPListener).File()
+	file, err := l.inner.(*net.TCPListener).File()
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/simwire/wire.go
+++ b/internal/simwire/wire.go
@@ -14,46 +14,46 @@
 
 // Codes of events.
 const (
-	evInbound   = 16
-	evAnswer    = 17
-	evFirst     = 18
-	evExpired   = 19
-	evWake      = 20
-	evDirectory = 21
-	evCrashNow  = 22
-	evDatagram  = 23
-	evPool      = 24
-	evVoided    = 25
-	evStatus    = 26
-	evBorn      = 27
+	eventRequest   = 16
+	eventOutcome    = 17
+	eventStarted     = 18
+	eventExpired   = 19
+	eventTimer      = 20
+	eventMembers = 21
+	eventStopInstance  = 22
+	eventPeerMessage  = 23
+	eventMemberBank      = 24
+	eventPurge    = 25
+	eventProbeResult    = 26
+	eventStartInstance      = 27
 )
 
 // Codes of actions.
 const (
-	acForward   = 16
-	acSleep     = 17
-	acSnapshot  = 18
-	acLog       = 19
-	acUndo      = 20
-	acPullVia   = 21
-	acListen    = 22
-	acFailure   = 23
-	acPoll      = 24
-	acSay       = 25
-	acCrash     = 26
-	acFreeLinks = 27
-	acShed      = 28
+	actionForward   = 16
+	actionSetTimer     = 17
+	actionSnapshot  = 18
+	actionLog       = 19
+	actionCancel      = 20
+	actionFetch   = 21
+	actionSubscribe    = 22
+	actionFail   = 23
+	actionProbe      = 24
+	actionPeerMessage       = 25
+	actionCrash     = 26
+	actionCloseIdle = 27
+	actionReject      = 28
 )
 
 const (
-	headerLen = 20
-	memberLen = 24
-	banks     = 16
-	maxBatch  = 1 << 30
-	maxText   = 1<<16 - 1
+	batchHeaderBytes = 20
+	memberBytes = 24
+	bankCount     = 16
+	maxBatchBytes  = 1 << 30
+	maxTextBytes   = 1<<16 - 1
 )
 
-var results = map[uint16]routing.Result{
+var resultsByCode = map[uint16]routing.Result{
 	100: routing.OK, 101: routing.Miss, 301: routing.Errored, 302: routing.Rejected, 303: routing.TimedOut,
 	304: routing.ConnectFailed, 305: routing.Reset, 306: routing.Cancelled, 307: routing.Abandoned,
 }
@@ -85,18 +85,18 @@
 
 // Reader reads batches.
 type Reader struct {
-	r     io.Reader
-	buf   []byte
-	banks [banks][]routing.Endpoint
+	input     io.Reader
+	buffer   []byte
+	banks [bankCount][]routing.Endpoint
 }
 
 // NewReader returns a Reader on r.
-func NewReader(r io.Reader) *Reader { return &Reader{r: r} }
+func NewReader(r io.Reader) *Reader { return &Reader{input: r} }
 
 // Next returns the next batch, or io.EOF at a clean end. Lists are resolved in the order of the records.
 func (r *Reader) Next() (*Batch, error) {
-	var h [headerLen]byte
-	if _, err := io.ReadFull(r.r, h[:]); err != nil {
+	var h [batchHeaderBytes]byte
+	if _, err := io.ReadFull(r.input, h[:]); err != nil {
 		if errors.Is(err, io.EOF) {
 			return nil, io.EOF
 		}
@@ -104,14 +104,14 @@
 	}
 	b := &Batch{Number: binary.BigEndian.Uint32(h[:]), Clock: routing.Time(binary.BigEndian.Uint64(h[12:]))}
 	count, size := binary.BigEndian.Uint32(h[4:]), binary.BigEndian.Uint32(h[8:])
-	if size > maxBatch || uint64(count)*5 > uint64(size) {
+	if size > maxBatchBytes || uint64(count)*5 > uint64(size) {
 		return nil, fmt.Errorf("batch %d: %d records in %d bytes", b.Number, count, size)
 	}
-	if uint32(cap(r.buf)) < size {
-		r.buf = make([]byte, size)
+	if uint32(cap(r.buffer)) < size {
+		r.buffer = make([]byte, size)
 	}
-	p := r.buf[:size]
-	if _, err := io.ReadFull(r.r, p); err != nil {
+	p := r.buffer[:size]
+	if _, err := io.ReadFull(r.input, p); err != nil {
 		return nil, fmt.Errorf("batch %d: %w", b.Number, io.ErrUnexpectedEOF)
 	}
 	b.Records = make([]Record, 0, count)
@@ -123,9 +123,9 @@
 		if uint64(n) > uint64(len(p)-5) {
 			return nil, fmt.Errorf("batch %d: record %d (code %d) is cut short", b.Number, k, code)
 		}
-		f := fields{p: p[5 : 5+n]}
+		f := fieldDecoder{rest: p[5 : 5+n]}
 		p = p[5+n:]
-		rec, isEvent := r.record(code, &f)
+		rec, isEvent := r.decodeRecord(code, &f)
 		if f.err != nil {
 			return nil, fmt.Errorf("batch %d: record %d (code %d): %w", b.Number, k, code, f.err)
 		}
@@ -139,12 +139,12 @@
 	return b, nil
 }
 
-// record decodes one record; a POOL is no event of an instance but fills a bank.
-func (r *Reader) record(code byte, f *fields) (Record, bool) {
-	if code == evPool {
+// decodeRecord decodes one decodeRecord; a POOL is no event of an instance but fills a bank.
+func (r *Reader) decodeRecord(code byte, f *fieldDecoder) (Record, bool) {
+	if code == eventMemberBank {
 		bank := f.u16()
-		list := f.members()
-		if bank >= banks {
+		list := f.memberList()
+		if bank >= bankCount {
 			f.fail("bank %d", bank)
 			return Record{}, false
 		}
@@ -153,44 +153,44 @@
 	}
 	rec := Record{Instance: f.u16()}
 	switch code {
-	case evBorn:
-		rec.Event = StartInstance{Seed: f.u64(), Settings: append([]byte(nil), f.bytes(int(f.u32()))...)}
-	case evCrashNow:
+	case eventStartInstance:
+		rec.Event = StartInstance{Seed: f.u64(), Settings: append([]byte(nil), f.take(int(f.u32()))...)}
+	case eventStopInstance:
 		rec.Event = StopInstance{}
-	case evDirectory:
+	case eventMembers:
 		m := routing.EndpointUpdate{Kind: routing.UpdateKind(f.u8()), Version: f.u64()}
 		bank := f.u16()
-		if m.Kind > routing.UpdateFailed || (bank >= banks && m.Kind != routing.UpdateFailed) {
+		if m.Kind > routing.UpdateFailed || (bank >= bankCount && m.Kind != routing.UpdateFailed) {
 			f.fail("list kind %d, bank %d", m.Kind, bank)
 		} else if m.Kind != routing.UpdateFailed {
 			m.Endpoints = r.banks[bank]
 		}
 		rec.Event = m
-	case evInbound:
+	case eventRequest:
 		q := routing.Request{ID: f.u32(), Class: int(f.u16()), Tenant: int(f.u16()), Object: f.u64(),
 			Deadline: f.time(), SizeKB: f.f32(), Group: int(f.f32()), Part: int(f.f32())}
 		flags := f.u16()
 		q.ClientRetry, q.Write = flags&2 != 0, flags&4 != 0
 		rec.Event = q
-	case evFirst:
+	case eventStarted:
 		rec.Event = routing.StreamStarted{ID: f.u32(), Attempt: int(f.u16()), Host: f.host(), Elapsed: f.time()}
-	case evAnswer:
+	case eventOutcome:
 		rec.Event = routing.Outcome{ID: f.u32(), Attempt: int(f.u16()), Host: f.host(), Result: f.result(),
 			Elapsed: f.time(), RequestDone: f.u8() != 0, FillStatus: routing.FillStatus(f.u32()), SourceWait: f.time(),
-			LoadReport: f.report()}
-	case evExpired:
+			LoadReport: f.loadReport()}
+	case eventExpired:
 		rec.Event = routing.RequestClosed{ID: f.u32()}
-	case evWake:
+	case eventTimer:
 		rec.Event = routing.TimerFired{Token: f.u64()}
-	case evStatus:
+	case eventProbeResult:
 		after := f.time()
 		res := f.result()
-		rec.Event = routing.ProbeResult{Elapsed: after, Result: res, Host: f.host(), LoadReport: f.report()}
-	case evDatagram:
+		rec.Event = routing.ProbeResult{Elapsed: after, Result: res, Host: f.host(), LoadReport: f.loadReport()}
+	case eventPeerMessage:
 		m := routing.PeerMessage{From: f.u32()}
-		m.Data = append([]byte(nil), f.bytes(int(f.u16()))...)
+		m.Data = append([]byte(nil), f.take(int(f.u16()))...)
 		rec.Event = m
-	case evVoided:
+	case eventPurge:
 		rec.Event = routing.Purge{Age: f.time(), Group: int(f.u16()), Object: f.u64()}
 	default:
 		f.fail("unknown code")
@@ -198,43 +198,43 @@
 	return rec, true
 }
 
-// fields takes fields off a record; after the first error all are zero.
-type fields struct {
-	p   []byte
+// fieldDecoder takes fieldDecoder off a record; after the first error all are zero.
+type fieldDecoder struct {
+	rest   []byte
 	err error
 }
 
-func (f *fields) fail(format string, a ...any) {
+func (f *fieldDecoder) fail(format string, a ...any) {
 	if f.err == nil {
 		f.err = fmt.Errorf(format, a...)
 	}
 }
 
-func (f *fields) bytes(n int) []byte {
-	if f.err != nil || n > len(f.p) {
+func (f *fieldDecoder) take(n int) []byte {
+	if f.err != nil || n > len(f.rest) {
 		f.fail("fields are cut short")
 		return nil
 	}
-	b := f.p[:n]
-	f.p = f.p[n:]
+	b := f.rest[:n]
+	f.rest = f.rest[n:]
 	return b
 }
 
-func (f *fields) uint(n int) (v uint64) {
-	for _, c := range f.bytes(n) {
+func (f *fieldDecoder) uint(n int) (v uint64) {
+	for _, c := range f.take(n) {
 		v = v<<8 | uint64(c)
 	}
 	return v
 }
 
-func (f *fields) u8() uint8          { return uint8(f.uint(1)) }
-func (f *fields) u16() uint16        { return uint16(f.uint(2)) }
-func (f *fields) u32() uint32        { return uint32(f.uint(4)) }
-func (f *fields) u64() uint64        { return f.uint(8) }
-func (f *fields) time() routing.Time { return routing.Time(f.uint(8)) }
-func (f *fields) host() routing.Host { return routing.Host(f.uint(6)) }
-func (f *fields) f32() float64       { return float64(math.Float32frombits(f.u32())) }
-func (f *fields) report() []float32 {
+func (f *fieldDecoder) u8() uint8          { return uint8(f.uint(1)) }
+func (f *fieldDecoder) u16() uint16        { return uint16(f.uint(2)) }
+func (f *fieldDecoder) u32() uint32        { return uint32(f.uint(4)) }
+func (f *fieldDecoder) u64() uint64        { return f.uint(8) }
+func (f *fieldDecoder) time() routing.Time { return routing.Time(f.uint(8)) }
+func (f *fieldDecoder) host() routing.Host { return routing.Host(f.uint(6)) }
+func (f *fieldDecoder) f32() float64       { return float64(math.Float32frombits(f.u32())) }
+func (f *fieldDecoder) loadReport() []float32 {
 	n := int(f.u8())
 	if n == 0 || f.err != nil {
 		return nil
@@ -246,18 +246,18 @@
 	return v
 }
 
-func (f *fields) result() routing.Result {
+func (f *fieldDecoder) result() routing.Result {
 	code := f.u16()
-	r, ok := results[code]
+	r, ok := resultsByCode[code]
 	if !ok {
 		f.fail("unknown ending %d", code)
 	}
 	return r
 }
 
-func (f *fields) members() []routing.Endpoint {
+func (f *fieldDecoder) memberList() []routing.Endpoint {
 	n := int(f.u32())
-	if f.err != nil || n > len(f.p)/memberLen {
+	if f.err != nil || n > len(f.rest)/memberBytes {
 		f.fail("list is cut short")
 		return nil
 	}
@@ -275,46 +275,46 @@
 }
 
 // Reply collects the actions that answer one batch.
-type Reply struct{ buf []byte }
+type Reply struct{ buffer []byte }
 
 // Reset starts the reply to the batch of that number.
 func (w *Reply) Reset(number uint32) {
-	w.buf = binary.BigEndian.AppendUint32(w.buf[:0], number)
-	w.buf = binary.BigEndian.AppendUint32(w.buf, 0)
+	w.buffer = binary.BigEndian.AppendUint32(w.buffer[:0], number)
+	w.buffer = binary.BigEndian.AppendUint32(w.buffer, 0)
 }
 
 // Bytes completes the header and returns the reply; it is valid until the next Reset.
 func (w *Reply) Bytes() []byte {
-	binary.BigEndian.PutUint32(w.buf[4:], uint32(len(w.buf)-8))
-	return w.buf
+	binary.BigEndian.PutUint32(w.buffer[4:], uint32(len(w.buffer)-8))
+	return w.buffer
 }
 
-func (w *Reply) u8(v uint8)          { w.buf = append(w.buf, v) }
-func (w *Reply) u16(v uint16)        { w.buf = binary.BigEndian.AppendUint16(w.buf, v) }
-func (w *Reply) u32(v uint32)        { w.buf = binary.BigEndian.AppendUint32(w.buf, v) }
-func (w *Reply) u64(v uint64)        { w.buf = binary.BigEndian.AppendUint64(w.buf, v) }
+func (w *Reply) u8(v uint8)          { w.buffer = append(w.buffer, v) }
+func (w *Reply) u16(v uint16)        { w.buffer = binary.BigEndian.AppendUint16(w.buffer, v) }
+func (w *Reply) u32(v uint32)        { w.buffer = binary.BigEndian.AppendUint32(w.buffer, v) }
+func (w *Reply) u64(v uint64)        { w.buffer = binary.BigEndian.AppendUint64(w.buffer, v) }
 func (w *Reply) time(t routing.Time) { w.u64(uint64(t)) }
 func (w *Reply) host(h routing.Host) { w.u16(uint16(h >> 32)); w.u32(uint32(h)) }
 func (w *Reply) text(s []byte) {
-	s = s[:min(len(s), maxText)]
+	s = s[:min(len(s), maxTextBytes)]
 	w.u16(uint16(len(s)))
-	w.buf = append(w.buf, s...)
+	w.buffer = append(w.buffer, s...)
 }
 
 // Append adds an action of an instance: a rules action or a Crash.
 func (w *Reply) Append(instance uint16, action any) error {
-	start := len(w.buf)
-	w.buf = append(w.buf, 0, 0, 0, 0, 0)
+	start := len(w.buffer)
+	w.buffer = append(w.buffer, 0, 0, 0, 0, 0)
 	w.u16(instance)
 	code := byte(0)
 	switch a := action.(type) {
 	case routing.Forward:
-		code = acForward
+		code = actionForward
 		w.u32(a.ID)
 		w.time(a.Timeout)
 		w.host(a.Host)
 	case routing.Fetch:
-		code = acPullVia
+		code = actionFetch
 		w.u32(a.ID)
 		w.u8(uint8(a.Flags))
 		w.time(a.Timeout)
@@ -323,50 +323,50 @@
 		w.host(a.Host)
 		w.time(a.MaxAge)
 	case routing.Cancel:
-		code = acUndo
+		code = actionCancel
 		w.u32(a.ID)
 		w.u16(uint16(a.Attempt))
 	case routing.Reject:
-		code = acShed
+		code = actionReject
 		w.u32(a.ID)
 		w.time(a.RetryAfter)
 	case routing.Fail:
-		code = acFailure
+		code = actionFail
 		w.u32(a.ID)
 	case routing.SetTimer:
-		code = acSleep
+		code = actionSetTimer
 		w.u64(a.Token)
 		w.time(a.At)
 	case routing.Probe:
-		code = acPoll
+		code = actionProbe
 		w.host(a.Host)
 	case routing.CloseIdleConnections:
-		code = acFreeLinks
+		code = actionCloseIdle
 		w.host(a.Host)
 	case routing.SendPeerMessage:
-		code = acSay
+		code = actionPeerMessage
 		w.u32(a.To)
 		w.text(a.Data)
 	case routing.Subscribe:
-		code = acListen
+		code = actionSubscribe
 		on := uint8(0)
 		if a.Enabled {
 			on = 1
 		}
 		w.u8(on)
 	case routing.PollEndpoints:
-		code = acSnapshot
+		code = actionSnapshot
 	case routing.Log:
-		code = acLog
+		code = actionLog
 		w.text([]byte(a.Message))
 	case Crash:
-		code = acCrash
+		code = actionCrash
 		w.text([]byte(a.Text))
 	default:
-		w.buf = w.buf[:start]
+		w.buffer = w.buffer[:start]
 		return fmt.Errorf("unknown action %T", action)
 	}
-	w.buf[start] = code
-	binary.BigEndian.PutUint32(w.buf[start+1:], uint32(len(w.buf)-start-5))
+	w.buffer[start] = code
+	binary.BigEndian.PutUint32(w.buffer[start+1:], uint32(len(w.buffer)-start-5))
 	return nil
 }
--- a/internal/simwire/wire_test.go
+++ b/internal/simwire/wire_test.go
@@ -11,7 +11,7 @@
 	"shaleyard/routing"
 )
 
-func unhex(t testing.TB, s string) []byte {
+func decodeHex(t testing.TB, s string) []byte {
 	t.Helper()
 	b, err := hex.DecodeString(strings.Join(strings.Fields(s), ""))
 	if err != nil {
@@ -20,21 +20,21 @@
 	return b
 }
 
-func frame(t testing.TB, count int, records string) []byte {
-	body := unhex(t, records)
+func batchBytes(t testing.TB, count int, records string) []byte {
+	body := decodeHex(t, records)
 	head := []byte{0, 0, 0, 12, 0, 0, 0, byte(count), 0, 0, 0, byte(len(body)), 0, 0, 0, 1, 0xf5, 0x68, 0xbf, 0x90}
 	return append(head, body...)
 }
 
-const clock = routing.Time(0x1f568bf90)
+const batchClock = routing.Time(0x1f568bf90)
 
-func host(ip [4]byte, port uint64) routing.Host {
+func hostAddress(ip [4]byte, port uint64) routing.Host {
 	return routing.Host(uint64(ip[0])<<40 | uint64(ip[1])<<32 | uint64(ip[2])<<24 | uint64(ip[3])<<16 | port)
 }
 
 var (
-	hostA = host([4]byte{0x0a, 0x12, 0x4a, 0x07}, 0x138b)
-	hostB = host([4]byte{0x0a, 0x90, 0x11, 0xf2}, 0x13b4)
+	hostA = hostAddress([4]byte{0x0a, 0x12, 0x4a, 0x07}, 0x138b)
+	hostB = hostAddress([4]byte{0x0a, 0x90, 0x11, 0xf2}, 0x13b4)
 )
 
 func TestDecode(t *testing.T) {
@@ -88,11 +88,11 @@
 			{3, StartInstance{Seed: 9, Settings: []byte("{}")}}}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			b, err := NewReader(bytes.NewReader(frame(t, tc.count, tc.hex))).Next()
+			b, err := NewReader(bytes.NewReader(batchBytes(t, tc.count, tc.hex))).Next()
 			if err != nil {
 				t.Fatal(err)
 			}
-			if b.Number != 12 || b.Clock != clock {
+			if b.Number != 12 || b.Clock != batchClock {
 				t.Errorf("header %d, %d", b.Number, b.Clock)
 			}
 			if !reflect.DeepEqual(b.Records, tc.want) {
@@ -128,7 +128,7 @@
 		if err := w.Append(3, tc.action); err != nil {
 			t.Fatal(err)
 		}
-		body := unhex(t, tc.want)
+		body := decodeHex(t, tc.want)
 		want := append([]byte{0, 0, 0, 12, 0, 0, 0, byte(len(body))}, body...)
 		if got := w.Bytes(); !bytes.Equal(got, want) {
 			t.Errorf("%T\ngot  %x\nwant %x", tc.action, got, want)
@@ -141,22 +141,22 @@
 }
 
 func TestMalformed(t *testing.T) {
-	whole := frame(t, 1, "14 0000000a 0003 000000000000004d")
+	whole := batchBytes(t, 1, "14 0000000a 0003 000000000000004d")
 	for n := 1; n < len(whole); n++ {
 		if _, err := NewReader(bytes.NewReader(whole[:n])).Next(); err == nil || err == io.EOF {
 			t.Errorf("%d of %d bytes: error %v", n, len(whole), err)
 		}
 	}
 	for name, f := range map[string][]byte{
-		"unknown code":         frame(t, 1, "63 00000002 0003"),
-		"short fields":         frame(t, 1, "14 00000004 0003 0000"),
-		"record past the end":  frame(t, 1, "14 000000ff 0003"),
-		"bytes left over":      frame(t, 0, "14 00000002 0003"),
-		"unknown ending":       frame(t, 1, "1a 00000013 0003 0000000000000005 0001 0a124a07 138b 00"),
-		"bank out of range":    frame(t, 1, "18 00000006 0010 00000000"),
-		"list longer than it":  frame(t, 1, "18 00000006 0001 00000009"),
-		"text longer than it":  frame(t, 1, "17 00000008 0003 00000002 0009"),
-		"list of unknown kind": frame(t, 1, "15 0000000d 0003 07 0000000000000029 0000"),
+		"unknown code":         batchBytes(t, 1, "63 00000002 0003"),
+		"short fields":         batchBytes(t, 1, "14 00000004 0003 0000"),
+		"record past the end":  batchBytes(t, 1, "14 000000ff 0003"),
+		"bytes left over":      batchBytes(t, 0, "14 00000002 0003"),
+		"unknown ending":       batchBytes(t, 1, "1a 00000013 0003 0000000000000005 0001 0a124a07 138b 00"),
+		"bank out of range":    batchBytes(t, 1, "18 00000006 0010 00000000"),
+		"list longer than it":  batchBytes(t, 1, "18 00000006 0001 00000009"),
+		"text longer than it":  batchBytes(t, 1, "17 00000008 0003 00000002 0009"),
+		"list of unknown kind": batchBytes(t, 1, "15 0000000d 0003 07 0000000000000029 0000"),
 	} {
 		if _, err := NewReader(bytes.NewReader(f)).Next(); err == nil {
 			t.Errorf("%s: no error", name)
@@ -169,15 +169,15 @@
 
 // FuzzReader feeds arbitrary bytes: every batch decodes or errs, and reading ends.
 func FuzzReader(f *testing.F) {
-	f.Add(frame(f, 1, "14 0000000a 0003 000000000000004d"))
-	f.Add(frame(f, 1, "18 00000006 0001 00000000"))
-	f.Add(frame(f, 1, "19 00000014 0003 000000000510ff40 000b 0000007c55d20a01"))
+	f.Add(batchBytes(f, 1, "14 0000000a 0003 000000000000004d"))
+	f.Add(batchBytes(f, 1, "18 00000006 0001 00000000"))
+	f.Add(batchBytes(f, 1, "19 00000014 0003 000000000510ff40 000b 0000007c55d20a01"))
 	f.Fuzz(func(t *testing.T, b []byte) {
-		if len(b) > headerLen && b[8] != 0 {
+		if len(b) > batchHeaderBytes && b[8] != 0 {
 			return // a huge length is only a long read
 		}
 		r := NewReader(bytes.NewReader(b))
-		for range len(b)/headerLen + 1 {
+		for range len(b)/batchHeaderBytes + 1 {
 			if _, err := r.Next(); err != nil {
 				return
 			}
--- a/internal/strictconfig/strict.go
+++ b/internal/strictconfig/strict.go
@@ -33,14 +33,14 @@
 // a table on one line, that line. 0: it stands in none.
 func FindLine(text []byte, key string) int {
 	for ; key != ""; key = key[:max(0, strings.LastIndexByte(key, '.'))] {
-		if n := line(text, key); n > 0 {
+		if n := findExactLine(text, key); n > 0 {
 			return n
 		}
 	}
 	return 0
 }
 
-func line(text []byte, key string) int {
+func findExactLine(text []byte, key string) int {
 	table, name := "", key
 	if dot := strings.LastIndexByte(key, '.'); dot >= 0 {
 		table, name = key[:dot], key[dot+1:]
