--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -44,7 +44,7 @@
 	process  Process
 	listener *listener.Listener
 	http     *http.Server
-	maxConns     int // connections held at once
+	maxConns int // connections held at once
 
 	mu    sync.Mutex
 	conns []net.Conn // eldest first
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -18,7 +18,9 @@
 	called            atomic.Int64
 }
 
-func (p *fakeProcess) Ready() (bool, string)      { return !p.drained.Load() && !p.stopping.Load(), "drained" }
+func (p *fakeProcess) Ready() (bool, string) {
+	return !p.drained.Load() && !p.stopping.Load(), "drained"
+}
 func (p *fakeProcess) Drain()                     { p.drained.Store(true) }
 func (p *fakeProcess) Called(string, string, int) { p.called.Add(1) }
 func (p *fakeProcess) Resume() bool {
--- a/internal/buffer/buffer.go
+++ b/internal/buffer/buffer.go
@@ -11,7 +11,7 @@
 type Pool struct {
 	size, limit int
 	inUse       int
-	free       [][]byte
+	free        [][]byte
 }
 
 // NewPool returns a pool of at most most buffers of size bytes.
@@ -44,9 +44,9 @@
 
 // Chain is a string of buffers with one owner. Its zero value is empty and can't be written to.
 type Chain struct {
-	pool *Pool
+	pool    *Pool
 	buffers [][]byte
-	length    int
+	length  int
 }
 
 // NewChain returns an empty chain on the pool.
--- a/internal/clock/peer.go
+++ b/internal/clock/peer.go
@@ -21,9 +21,9 @@
 //
 // The zero PeerClock has seen no stamp and takes both clocks for the same.
 type PeerClock struct {
-	seen   bool
-	offset routing.Time // ours less the peer's, at most
-	offsetAt     routing.Time // when offset was learnt
+	seen        bool
+	offset      routing.Time // ours less the peer's, at most
+	offsetAt    routing.Time // when offset was learnt
 	latestStamp routing.Time // the peer's latest stamp
 }
 
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -92,7 +92,7 @@
 	key       string
 	value     *float64
 	low, high float64
-	limit      func(*Limits) *time.Duration
+	limit     func(*Limits) *time.Duration
 }
 
 // timeSettings are all times of the file, with their range in milliseconds and the limit that each sets.
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -122,17 +122,17 @@
 
 	listener *listener.Listener
 
-	engine   gnet.Engine
-	gnetLoop    gnet.EventLoop
-	wakeupSocket  net.Conn
-	alarmAt routing.Time
-	alarm *time.Timer
-	lastCheck  routing.Time // when the loop last looked at the world
-	lastRun   atomic.Int64 // the same, for other goroutines
-	settleUntil routing.Time // until when deadlines wait behind a pause; 0: they don't
-	mu    sync.Mutex
-	stopped bool
-	wakeupErr   error
+	engine       gnet.Engine
+	gnetLoop     gnet.EventLoop
+	wakeupSocket net.Conn
+	alarmAt      routing.Time
+	alarm        *time.Timer
+	lastCheck    routing.Time // when the loop last looked at the world
+	lastRun      atomic.Int64 // the same, for other goroutines
+	settleUntil  routing.Time // until when deadlines wait behind a pause; 0: they don't
+	mu           sync.Mutex
+	stopped      bool
+	wakeupErr    error
 }
 
 // Run listens on the address and serves until Stop.
@@ -164,9 +164,9 @@
 // logger passes on what gnet has to say in earnest, from whatever goroutine: of warnings one a second, as gnet
 // has one for each event that finds its connection closed, and clients could bring those in any number.
 type logger struct {
-	logf   func(string, ...any)
-	now    func() time.Time
-	mu     sync.Mutex
+	logf        func(string, ...any)
+	now         func() time.Time
+	mu          sync.Mutex
 	lastWarning time.Time
 }
 
--- a/internal/eventloop/shortage.go
+++ b/internal/eventloop/shortage.go
@@ -17,8 +17,8 @@
 )
 
 var (
-	exhaustionErrors = []syscall.Errno{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.ENOSPC, syscall.EINTR}
-	unreachableErrors    = []syscall.Errno{syscall.EADDRNOTAVAIL, syscall.EADDRINUSE, syscall.EAGAIN, syscall.ENETUNREACH,
+	exhaustionErrors  = []syscall.Errno{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.ENOSPC, syscall.EINTR}
+	unreachableErrors = []syscall.Errno{syscall.EADDRNOTAVAIL, syscall.EADDRINUSE, syscall.EAGAIN, syscall.ENETUNREACH,
 		syscall.EHOSTUNREACH, syscall.ENETDOWN, syscall.EACCES, syscall.EPERM, syscall.EALREADY}
 )
 
--- a/internal/flightrecorder/flight.go
+++ b/internal/flightrecorder/flight.go
@@ -71,9 +71,9 @@
 
 // Recorder keeps the latest events. It is used on the event loop alone; the nil Recorder keeps nothing.
 type Recorder struct {
-	ring []Event
-	next int    // where the next event goes
-	total    uint64 // events ever recorded
+	ring  []Event
+	next  int    // where the next event goes
+	total uint64 // events ever recorded
 }
 
 // NewRecorder returns a recorder of so many events.
--- a/internal/listener/listen.go
+++ b/internal/listener/listen.go
@@ -16,8 +16,8 @@
 
 // Pauses between tries of an accept that fails: the first, doubled with each failure up to the longest.
 const (
-	initialBackoff   = 5 * time.Millisecond
-	maxBackoff = 200 * time.Millisecond
+	initialBackoff = 5 * time.Millisecond
+	maxBackoff     = 200 * time.Millisecond
 )
 
 // Listener is a listening socket. Accept fails only once it is closed; Pause and Resume may be called from any goroutine.
@@ -25,11 +25,11 @@
 	// AcceptFailed, where set, is told of each accept that failed and is tried again. It is set before the first Accept.
 	AcceptFailed func(error)
 
-	inner deadlineListener
-	mu        sync.Mutex
-	stateChanged   *sync.Cond // paused or closed
-	paused    bool
-	closed    bool
+	inner        deadlineListener
+	mu           sync.Mutex
+	stateChanged *sync.Cond // paused or closed
+	paused       bool
+	closed       bool
 }
 
 // deadlineListener is what a Listener needs of a TCP listener.
--- a/internal/simwire/wire.go
+++ b/internal/simwire/wire.go
@@ -14,43 +14,43 @@
 
 // Codes of events.
 const (
-	eventRequest   = 16
-	eventOutcome    = 17
-	eventStarted     = 18
-	eventExpired   = 19
-	eventTimer      = 20
-	eventMembers = 21
+	eventRequest       = 16
+	eventOutcome       = 17
+	eventStarted       = 18
+	eventExpired       = 19
+	eventTimer         = 20
+	eventMembers       = 21
 	eventStopInstance  = 22
-	eventPeerMessage  = 23
-	eventMemberBank      = 24
-	eventPurge    = 25
-	eventProbeResult    = 26
-	eventStartInstance      = 27
+	eventPeerMessage   = 23
+	eventMemberBank    = 24
+	eventPurge         = 25
+	eventProbeResult   = 26
+	eventStartInstance = 27
 )
 
 // Codes of actions.
 const (
-	actionForward   = 16
-	actionSetTimer     = 17
-	actionSnapshot  = 18
-	actionLog       = 19
+	actionForward     = 16
+	actionSetTimer    = 17
+	actionSnapshot    = 18
+	actionLog         = 19
 	actionCancel      = 20
-	actionFetch   = 21
-	actionSubscribe    = 22
-	actionFail   = 23
-	actionProbe      = 24
-	actionPeerMessage       = 25
-	actionCrash     = 26
-	actionCloseIdle = 27
+	actionFetch       = 21
+	actionSubscribe   = 22
+	actionFail        = 23
+	actionProbe       = 24
+	actionPeerMessage = 25
+	actionCrash       = 26
+	actionCloseIdle   = 27
 	actionReject      = 28
 )
 
 const (
 	batchHeaderBytes = 20
-	memberBytes = 24
-	bankCount     = 16
-	maxBatchBytes  = 1 << 30
-	maxTextBytes   = 1<<16 - 1
+	memberBytes      = 24
+	bankCount        = 16
+	maxBatchBytes    = 1 << 30
+	maxTextBytes     = 1<<16 - 1
 )
 
 var resultsByCode = map[uint16]routing.Result{
@@ -85,9 +85,9 @@
 
 // Reader reads batches.
 type Reader struct {
-	input     io.Reader
-	buffer   []byte
-	banks [bankCount][]routing.Endpoint
+	input  io.Reader
+	buffer []byte
+	banks  [bankCount][]routing.Endpoint
 }
 
 // NewReader returns a Reader on r.
@@ -200,8 +200,8 @@
 
 // fieldDecoder takes fieldDecoder off a record; after the first error all are zero.
 type fieldDecoder struct {
-	rest   []byte
-	err error
+	rest []byte
+	err  error
 }
 
 func (f *fieldDecoder) fail(format string, a ...any) {
