--- a/internal/eventloop/accept.go
+++ b/internal/eventloop/accept.go
@@ -14,25 +14,32 @@
 // acceptedConn carries an accepted connection to OnOpen.
 type acceptedConn struct{ opened bool }
 
-// registerBackoff is the time between tries to hand an accepted connection to the loop.
+// registerBackoff is the time between attempts to hand an accepted connection to the loop.
 const registerBackoff = 5 * time.Millisecond
 
+// errDuplicateFailed reports that an accepted connection could not be duplicated.
+var errDuplicateFailed = errors.New("an accepted connection could not be duplicated")
+
 // openListener opens the listener, or takes over the inherited one.
 func (l *Loop) openListener(address string) error {
-	open := func() (*listener.Listener, error) { return listener.Open(address) }
-	if l.InheritedFD != 0 {
-		open = func() (*listener.Listener, error) { return listener.Inherit(l.InheritedFD, address) }
-	}
-	listener, err := open()
+	opened, err := l.openOrInherit(address)
 	if err != nil {
 		return err
 	}
-	listener.AcceptFailed = l.AcceptFailed
-	l.listener = listener
+	opened.AcceptFailed = l.AcceptFailed
+	l.listener = opened
 	return nil
 }
 
-// SetAccepting says whether connections are accepted; else they wait in the system's queue. It may be called from Boot on.
+func (l *Loop) openOrInherit(address string) (*listener.Listener, error) {
+	if l.InheritedFD != 0 {
+		return listener.Inherit(l.InheritedFD, address)
+	}
+	return listener.Open(address)
+}
+
+// SetAccepting turns accepting on or off; while it is off, connections wait in the system's queue. It may be called from
+// Boot on, from any goroutine.
 func (l *Loop) SetAccepting(on bool) {
 	if on {
 		l.listener.Resume()
@@ -41,90 +48,108 @@
 	l.listener.Pause()
 }
 
-// acceptConnections hands connections to the loop one at a time, so that what is on its way holds few descriptors.
+// acceptConnections hands connections to the loop one at a time, so that those on their way hold few descriptors.
 func (l *Loop) acceptConnections() {
 	for {
-		c, err := l.listener.Accept()
+		conn, err := l.listener.Accept()
 		if err != nil {
 			return // closed
 		}
-		l.registerAccepted(c.(*net.TCPConn))
+		l.registerAccepted(conn.(*net.TCPConn))
 	}
 }
 
-// registerAccepted hands an accepted connection to the loop. Its client may have sent a request already, so that it must not be lost
-// for want of a descriptor: a duplicate is kept until the loop has it.
-func (l *Loop) registerAccepted(c *net.TCPConn) {
-	kept := -1
-	for kept < 0 {
-		if kept = duplicateDescriptor(c); kept < 0 && !l.waitToRegister(errDuplicateFailed) {
-			c.Close()
-			return
-		}
+// registerAccepted hands an accepted connection to the loop. Its client may have sent a request already, so that the
+// connection must not be lost for want of a descriptor: a duplicate is kept until the loop has taken it.
+func (l *Loop) registerAccepted(conn *net.TCPConn) {
+	duplicate, ok := l.duplicateUntilStopped(conn)
+	if !ok {
+		conn.Close()
+		return
 	}
-	defer func() { unix.Close(kept) }()
+	defer unix.Close(duplicate)
 	for {
-		a := &acceptedConn{}
-		err := l.register(c, a)
-		if err == nil && a.opened {
+		accepted := &acceptedConn{}
+		err := l.register(conn, accepted)
+		if err == nil && accepted.opened {
 			return
 		}
 		if err == nil {
 			err = errNotRegistered
 		}
-		for c = nil; c == nil; c = connFromDescriptor(kept) {
-			if !l.waitToRegister(err) {
-				return
-			}
+		if conn, ok = l.restoreUntilStopped(duplicate, err); !ok {
+			return
 		}
 	}
 }
 
-// errDuplicateFailed is a connection that could not be duplicated.
-var errDuplicateFailed = errors.New("an accepted connection could not be duplicated")
+// duplicateUntilStopped duplicates a connection's descriptor, however often that fails; false: the loop was stopped.
+func (l *Loop) duplicateUntilStopped(conn *net.TCPConn) (descriptor int, ok bool) {
+	for {
+		descriptor, err := duplicateDescriptor(conn)
+		if err == nil {
+			return descriptor, true
+		}
+		if !l.waitToRegister(errDuplicateFailed) {
+			return 0, false
+		}
+	}
+}
 
-// waitToRegister waits before the next try to hand a connection over; false: the loop has been stopped.
-func (l *Loop) waitToRegister(why error) bool {
+// restoreUntilStopped makes the connection again from its duplicate, after a wait, when it could not be registered for a
+// reason; false: the loop was stopped.
+func (l *Loop) restoreUntilStopped(duplicate int, reason error) (conn *net.TCPConn, ok bool) {
+	for conn == nil {
+		if !l.waitToRegister(reason) {
+			return nil, false
+		}
+		conn = connFromDescriptor(duplicate)
+	}
+	return conn, true
+}
+
+// waitToRegister waits before the next attempt to hand a connection over; false: the loop was stopped.
+func (l *Loop) waitToRegister(reason error) bool {
 	l.mu.Lock()
-	ended := l.stopped
+	stopped := l.stopped
 	l.mu.Unlock()
-	if ended {
+	if stopped {
 		return false
 	}
 	if l.AcceptFailed != nil {
-		l.AcceptFailed(why)
+		l.AcceptFailed(reason)
 	}
 	time.Sleep(registerBackoff)
 	return true
 }
 
-// duplicateDescriptor is another descriptor of a connection; -1: there is none to be had.
-func duplicateDescriptor(c *net.TCPConn) int {
-	kept := -1
-	raw, err := c.SyscallConn()
+// duplicateDescriptor duplicates the descriptor of a connection.
+func duplicateDescriptor(conn *net.TCPConn) (duplicate int, err error) {
+	raw, err := conn.SyscallConn()
 	if err != nil {
-		return kept
+		return 0, err
 	}
-	_ = raw.Control(func(fd uintptr) {
-		if n, err := unix.FcntlInt(fd, unix.F_DUPFD_CLOEXEC, 0); err == nil {
-			kept = n
-		}
+	controlErr := raw.Control(func(fd uintptr) {
+		duplicate, err = unix.FcntlInt(fd, unix.F_DUPFD_CLOEXEC, 0)
 	})
-	return kept
+	if controlErr != nil {
+		return 0, controlErr
+	}
+	return duplicate, err
 }
 
-// connFromDescriptor is a connection anew, from a descriptor that stays open; nil: it could not be made.
-func connFromDescriptor(kept int) *net.TCPConn {
-	fd, err := unix.FcntlInt(uintptr(kept), unix.F_DUPFD_CLOEXEC, 0)
+// connFromDescriptor makes a connection from a descriptor that stays open; nil: it could not be made.
+func connFromDescriptor(descriptor int) *net.TCPConn {
+	fd, err := unix.FcntlInt(uintptr(descriptor), unix.F_DUPFD_CLOEXEC, 0)
 	if err != nil {
 		return nil
 	}
 	file := os.NewFile(uintptr(fd), "accepted connection")
 	defer file.Close()
-	c, err := net.FileConn(file)
+	conn, err := net.FileConn(file)
 	if err != nil {
 		return nil
 	}
-	tcp, _ := c.(*net.TCPConn)
+	tcp, _ := conn.(*net.TCPConn)
 	return tcp
 }
