--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -135,8 +135,9 @@
 		return
 	}
 	l.stopped = true
+	engine := l.engine
 	go func() { // it waits for the loop, which may be the caller
-		_ = l.engine.Stop(context.Background()) // it fails only where the engine has ended already
+		_ = engine.Stop(context.Background()) // it fails only where the engine has ended already
 	}()
 }
 
--- a/internal/listener/listen.go
+++ b/internal/listener/listener.go
@@ -1,6 +1,6 @@
-// Package listen opens listening sockets, or takes over inherited ones, and accepts on them without ever giving up: an
-// accept that fails for a moment, for want of descriptors, buffers or memory or because the network is down, is tried
-// again.
+// Package listener opens listening sockets, or takes over inherited ones, and accepts on them without ever giving up: an
+// accept that fails temporarily, for want of descriptors, buffers or memory or because the network is down, is retried
+// with exponential backoff.
 package listener
 
 import (
@@ -14,15 +14,18 @@
 	"time"
 )
 
-// Pauses between tries of an accept that fails: the first, doubled with each failure up to the longest.
+// Waits between attempts of an accept that fails: the first, doubled with each failure up to the longest.
 const (
 	initialBackoff = 5 * time.Millisecond
 	maxBackoff     = 200 * time.Millisecond
 )
 
+// ErrNotListening reports an inherited descriptor that is no listening socket.
+var ErrNotListening = errors.New("does not listen")
+
 // Listener is a listening socket. Accept fails only once it is closed; Pause and Resume may be called from any goroutine.
 type Listener struct {
-	// AcceptFailed, where set, is told of each accept that failed and is tried again. It is set before the first Accept.
+	// AcceptFailed, where set, is called for each accept that failed and is retried. It is set before the first Accept.
 	AcceptFailed func(error)
 
 	inner        deadlineListener
@@ -40,37 +43,40 @@
 
 // Open listens at an address.
 func Open(address string) (*Listener, error) {
-	config := net.ListenConfig{KeepAlive: -1} // clients that fall silent are ended by their own times
-	l, err := config.Listen(context.Background(), "tcp", address)
+	config := net.ListenConfig{KeepAlive: -1} // silent clients are disconnected by timeouts of our own
+	opened, err := config.Listen(context.Background(), "tcp", address)
 	if err != nil {
 		return nil, err
 	}
-	return newListener(l.(*net.TCPListener)), nil
+	return newListener(opened.(*net.TCPListener)), nil
 }
 
 // Inherit takes over a descriptor that must be a socket that listens at the address. Other processes may hold the same
 // socket: closing the Listener leaves it open to them.
 func Inherit(descriptor int, address string) (*Listener, error) {
 	listening, err := syscall.GetsockoptInt(descriptor, syscall.SOL_SOCKET, syscall.SO_ACCEPTCONN)
-	if err != nil || listening == 0 {
-		return nil, fmt.Errorf("inherited descriptor %d does not listen (%v)", descriptor, err)
+	if err != nil {
+		return nil, fmt.Errorf("inherited descriptor %d %w (%w)", descriptor, ErrNotListening, err)
+	}
+	if listening == 0 {
+		return nil, fmt.Errorf("inherited descriptor %d %w", descriptor, ErrNotListening)
 	}
 	file := os.NewFile(uintptr(descriptor), "inherited listener")
 	defer file.Close() // FileListener has a duplicate
-	l, err := net.FileListener(file)
+	inherited, err := net.FileListener(file)
 	if err != nil {
 		return nil, fmt.Errorf("inherited descriptor %d: %w", descriptor, err)
 	}
-	tcp, ok := l.(*net.TCPListener)
-	if !ok || l.Addr().String() != address {
-		l.Close()
-		return nil, fmt.Errorf("inherited descriptor %d listens at %s", descriptor, l.Addr())
+	tcp, ok := inherited.(*net.TCPListener)
+	if !ok || inherited.Addr().String() != address {
+		inherited.Close()
+		return nil, fmt.Errorf("inherited descriptor %d listens at %s", descriptor, inherited.Addr())
 	}
 	return newListener(tcp), nil
 }
 
-func newListener(a deadlineListener) *Listener {
-	l := &Listener{inner: a}
+func newListener(inner deadlineListener) *Listener {
+	l := &Listener{inner: inner}
 	l.stateChanged = sync.NewCond(&l.mu)
 	return l
 }
@@ -78,17 +84,18 @@
 // Addr is the address at which the socket listens.
 func (l *Listener) Addr() net.Addr { return l.inner.Addr() }
 
-// Accept waits for a connection. While the Listener is paused, connections wait in the system's queue.
+// Accept waits for a connection. While the Listener is paused, connections wait in the system's queue. Its one error is
+// net.ErrClosed.
 func (l *Listener) Accept() (net.Conn, error) {
 	backoff := initialBackoff
 	for {
 		if !l.waitUntilAccepting() {
 			return nil, net.ErrClosed
 		}
-		c, err := l.inner.Accept()
+		conn, err := l.inner.Accept()
 		switch {
 		case err == nil:
-			return c, nil
+			return conn, nil
 		case errors.Is(err, net.ErrClosed):
 			return nil, net.ErrClosed
 		case errors.Is(err, os.ErrDeadlineExceeded): // paused
--- a/internal/listener/listen_test.go
+++ b/internal/listener/listener_test.go
@@ -23,25 +23,33 @@
 		f.errors = f.errors[1:]
 		return nil, &net.OpError{Op: "accept", Err: os.NewSyscallError("accept4", err)}
 	}
-	c, _ := net.Pipe()
-	return c, nil
+	conn, _ := net.Pipe()
+	return conn, nil
 }
 
-// Whatever way accept fails that Linux documents, the next one is tried; only a closed listener ends it.
+// acceptErrors are the errors of accept that Linux documents.
+var acceptErrors = []syscall.Errno{syscall.ECONNABORTED, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM,
+	syscall.EPERM, syscall.EPROTO, syscall.ENETDOWN, syscall.ENOPROTOOPT, syscall.EHOSTDOWN, syscall.ENONET,
+	syscall.EHOSTUNREACH, syscall.EOPNOTSUPP, syscall.ENETUNREACH, syscall.EINTR, syscall.ETIMEDOUT, syscall.ENOSR,
+	syscall.ESOCKTNOSUPPORT, syscall.EINVAL}
+
+// However accept fails, it is retried; only a closed listener ends it.
 func TestAcceptOutlivesEveryError(t *testing.T) {
-	for _, errno := range []syscall.Errno{syscall.ECONNABORTED, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM,
-		syscall.EPERM, syscall.EPROTO, syscall.ENETDOWN, syscall.ENOPROTOOPT, syscall.EHOSTDOWN, syscall.ENONET, syscall.EHOSTUNREACH,
-		syscall.EOPNOTSUPP, syscall.ENETUNREACH, syscall.EINTR, syscall.ETIMEDOUT, syscall.ENOSR, syscall.ESOCKTNOSUPPORT, syscall.EINVAL} {
-		told := 0
-		l := newListener(&failingListener{errors: []error{errno, errno}})
-		l.AcceptFailed = func(err error) {
-			if told++; !errors.Is(err, errno) {
-				t.Errorf("%v was told as %v", errno, err)
+	for _, errno := range acceptErrors {
+		t.Run(errno.Error(), func(t *testing.T) {
+			failures := 0
+			l := newListener(&failingListener{errors: []error{errno, errno}})
+			l.AcceptFailed = func(err error) {
+				failures++
+				if !errors.Is(err, errno) {
+					t.Errorf("%v was reported as %v", errno, err)
+				}
 			}
-		}
-		if c, err := l.Accept(); err != nil || c == nil || told != 2 {
-			t.Errorf("%v: %v, told %d times, want a connection behind two failures", errno, err, told)
-		}
+			conn, err := l.Accept()
+			if err != nil || conn == nil || failures != 2 {
+				t.Errorf("%v: %v, %d failures reported, want a connection after two", errno, err, failures)
+			}
+		})
 	}
 }
 
@@ -56,21 +64,21 @@
 	accepted := make(chan net.Conn)
 	go func() {
 		for {
-			c, err := l.Accept()
+			conn, err := l.Accept()
 			if err != nil {
 				close(accepted)
 				return
 			}
-			accepted <- c
+			accepted <- conn
 		}
 	}()
 	dial := func() {
 		t.Helper()
-		c, err := net.Dial("tcp", l.Addr().String())
+		conn, err := net.Dial("tcp", l.Addr().String())
 		if err != nil {
 			t.Fatal(err)
 		}
-		t.Cleanup(func() { c.Close() })
+		t.Cleanup(func() { conn.Close() })
 	}
 	dial()
 	<-accepted
@@ -94,6 +102,6 @@
 	<-accepted
 	l.Close()
 	if _, more := <-accepted; more {
-		t.Error("accepted behind the close")
+		t.Error("accepted after the close")
 	}
 }
