--- /dev/null
+++ b/internal/flightrecorder/event.go
@@ -0,0 +1,94 @@
+package flightrecorder
+
+import (
+	"go.uber.org/zap/zapcore"
+
+	"shaleyard/routing"
+)
+
+// Kind is the kind of an event.
+type Kind uint8
+
+// The kinds of events.
+const (
+	ConnOpened      Kind = iota // a client's connection was accepted
+	ConnClosing                 // we began to close it, for a reason
+	ConnClosed                  // nothing reaches the client any more
+	RequestAccepted             // a request was read and is owed an answer
+	RequestRejected             // a request was rejected before routing, for a reason
+	RequestEnded                // a request was answered, or cancelled by its client
+	AttemptSent                 // an attempt was sent upstream
+	AttemptEnded                // an attempt has ended, for a reason
+)
+
+var kindNames = [...]string{
+	ConnOpened:      "conn_opened",
+	ConnClosing:     "conn_closing",
+	ConnClosed:      "conn_closed",
+	RequestAccepted: "request_accepted",
+	RequestRejected: "request_rejected",
+	RequestEnded:    "request_ended",
+	AttemptSent:     "attempt_sent",
+	AttemptEnded:    "attempt_ended",
+}
+
+// String is the kind's name in the log.
+func (k Kind) String() string {
+	if int(k) >= len(kindNames) {
+		return "unknown"
+	}
+	return kindNames[k]
+}
+
+// Reason is why an event has happened, as a constant text of the package that records it.
+type Reason string
+
+// Event is one thing that has happened. Fields that do not apply are 0.
+type Event struct {
+	At      routing.Time
+	Kind    Kind
+	Reason  Reason
+	Conn    uint64       // the client's connection, counted from 1
+	Request uint32       // handle of the request
+	Attempt int          // its number within the request, from 0: a higher one is a retry or a hedge
+	Host    routing.Host // to which the attempt was sent
+	Count   int          // open requests of a connection, or bytes dropped on it
+}
+
+// MarshalLogObject implements zapcore.ObjectMarshaler.
+func (e Event) MarshalLogObject(encoder zapcore.ObjectEncoder) error {
+	encoder.AddInt64("at_us", e.At.Microseconds())
+	encoder.AddString("kind", e.Kind.String())
+	if e.Reason != "" {
+		encoder.AddString("reason", string(e.Reason))
+	}
+	if e.Conn != 0 {
+		encoder.AddUint64("conn", e.Conn)
+	}
+	if e.Request != 0 {
+		encoder.AddUint32("request", e.Request)
+	}
+	if e.Kind == AttemptSent || e.Kind == AttemptEnded {
+		encoder.AddInt("attempt", e.Attempt)
+	}
+	if e.Host != 0 {
+		encoder.AddUint64("host", uint64(e.Host))
+	}
+	if e.Count != 0 {
+		encoder.AddInt("count", e.Count)
+	}
+	return nil
+}
+
+// Events are events in their order.
+type Events []Event
+
+// MarshalLogArray implements zapcore.ArrayMarshaler.
+func (events Events) MarshalLogArray(encoder zapcore.ArrayEncoder) error {
+	for _, event := range events {
+		if err := encoder.AppendObject(event); err != nil {
+			return err
+		}
+	}
+	return nil
+}
--- a/internal/flightrecorder/flight_test.go
+++ b/internal/flightrecorder/recorder_test.go
@@ -5,16 +5,16 @@
 )
 
 func TestTheLatestEventsAreKeptInOrder(t *testing.T) {
-	r := NewRecorder(4)
+	recorder := NewRecorder(4)
 	for i := range 7 {
-		r.Record(Event{Count: i})
+		recorder.Record(Event{Count: i})
 		want := min(i+1, 4)
-		got := r.Latest(10)
+		got := recorder.Latest(10)
 		if len(got) != want || got[0].Count != i+1-want || got[want-1].Count != i {
-			t.Fatalf("behind event %d: %v", i, got)
+			t.Fatalf("after event %d: %v", i, got)
 		}
 	}
-	if got := r.Latest(2); len(got) != 2 || got[1].Count != 6 {
+	if got := recorder.Latest(2); len(got) != 2 || got[1].Count != 6 {
 		t.Errorf("the latest two: %v", got)
 	}
 	var none *Recorder
