--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -1,6 +1,7 @@
 package config
 
 import (
+	"errors"
 	"os"
 	"path/filepath"
 	"strings"
@@ -8,6 +9,8 @@
 	"time"
 
 	"github.com/google/go-cmp/cmp"
+
+	"shaleyard/internal/strictconfig"
 )
 
 const validConfig = `{"name":"n1","listen":"127.0.0.1:8080","seed":"8c1f30d27a5be964",
@@ -16,26 +19,40 @@
  "settings":{"services":[{"name":"a","aim":1,"deadline":5000000000}],
   "ceilings":{"connectTimeout":400000000,"keepalive":15000000000,"streamsPerConn":64,"openCap":100}}}`
 
-func TestLimitsFollowTheConfiguration(t *testing.T) {
-	c, err := Parse([]byte(validConfig), 1<<20)
+// manyDescriptors is a limit of the process that does not bind.
+const manyDescriptors = 1 << 20
+
+func mustParse(t *testing.T, text string, descriptors uint64) *Config {
+	t.Helper()
+	c, err := Parse([]byte(text), descriptors)
 	if err != nil {
 		t.Fatal(err)
 	}
-	l := c.Limits
-	got := []any{l.MaxClientConns, l.ConnectTimeout, l.UpstreamIdleTimeout, l.MaxAttemptsPerConn, l.MaxOpenRequests, l.StopDeadline}
+	return c
+}
+
+// checkErrorKey checks that an error names a key, in its text and by its type.
+func checkErrorKey(t *testing.T, err error, key string) {
+	t.Helper()
+	var fault *strictconfig.Error
+	if err == nil || !strings.HasPrefix(err.Error(), key) {
+		t.Errorf("error %v, want one that names %s", err, key)
+	} else if !errors.As(err, &fault) || !strings.HasPrefix(fault.Key, key) {
+		t.Errorf("error %v is a %T without the key %s", err, err, key)
+	}
+}
+
+func TestLimitsFollowTheConfiguration(t *testing.T) {
+	l := mustParse(t, validConfig, manyDescriptors).Limits
+	got := []any{l.MaxClientConns, l.ConnectTimeout, l.UpstreamIdleTimeout, l.MaxAttemptsPerConn, l.MaxOpenRequests,
+		l.StopDeadline}
 	want := []any{341, 400 * time.Millisecond, 11250 * time.Millisecond, 64, 100, 3650 * time.Millisecond}
 	if d := cmp.Diff(want, got); d != "" {
 		t.Error(d)
 	}
-	for grace, want := range map[string]time.Duration{"2000000000": 1300 * time.Millisecond, "9000000000": 1300 * time.Millisecond,
-		"1500000000": 1100 * time.Millisecond, "1900000000": 1200 * time.Millisecond, "800000000": 1100 * time.Millisecond} {
-		text := strings.Replace(validConfig, `"ceilings"`, `"guarantees":{"drainGrace":`+grace+`},"ceilings"`, 1)
-		if c, err := Parse([]byte(text), 1<<20); err != nil || c.Limits.WatchSilenceTimeout != want {
-			t.Errorf("drains to be heeded within %s ns: a silence is %v, want %v (%v)", grace, c.Limits.WatchSilenceTimeout, want, err)
-		}
-	}
-	// gnet's accept ends the engine when descriptors run out: the shares must leave a reserve.
-	if sum := l.MaxClientConns + l.MaxLingeringConns + l.MaxUpstreamConns + l.MaxReplacementDials; sum > l.Descriptors-20 {
+	// An accept by gnet would end the engine when descriptors run out: the shares must leave a reserve.
+	sum := l.MaxClientConns + l.MaxLingeringConns + l.MaxUpstreamConns + l.MaxReplacementDials
+	if sum > l.Descriptors-20 {
 		t.Errorf("%d descriptors shared out of %d", sum, l.Descriptors)
 	}
 	if held := int64(l.BufferCount*l.BufferSize + l.TotalBacklogBytes); held > l.MemoryBytes {
@@ -43,36 +60,55 @@
 	}
 }
 
-// gnet's accept ends the engine when descriptors run out, so the smaller of the two limits counts.
-func TestProcessLimitCounts(t *testing.T) {
-	c, err := Parse([]byte(validConfig), 256)
-	if err != nil {
-		t.Fatal(err)
+// A silence must be noticed in time for a drain to be applied, but nothing shorter than a heartbeat is one.
+func TestSilenceFollowsTheTimeToApplyADrain(t *testing.T) {
+	for _, tc := range []struct {
+		drainGrace string // nanoseconds
+		want       time.Duration
+	}{
+		{"2000000000", 1300 * time.Millisecond},
+		{"9000000000", 1300 * time.Millisecond},
+		{"1500000000", 1100 * time.Millisecond},
+		{"1900000000", 1200 * time.Millisecond},
+		{"800000000", 1100 * time.Millisecond},
+	} {
+		t.Run(tc.drainGrace, func(t *testing.T) {
+			guarantees := `"guarantees":{"drainGrace":` + tc.drainGrace + `},"ceilings"`
+			c := mustParse(t, strings.Replace(validConfig, `"ceilings"`, guarantees, 1), manyDescriptors)
+			if got := c.Limits.WatchSilenceTimeout; got != tc.want {
+				t.Errorf("a silence is %v, want %v", got, tc.want)
+			}
+		})
 	}
+}
+
+// The smaller of the two limits counts.
+func TestProcessLimitCounts(t *testing.T) {
+	c := mustParse(t, validConfig, 256)
 	if c.Limits.Descriptors != 256 || c.Limits.MaxClientConns != 85 {
 		t.Errorf("%d descriptors, %d for clients", c.Limits.Descriptors, c.Limits.MaxClientConns)
 	}
 }
 
 func TestBadConfigurationNamesItsField(t *testing.T) {
-	for _, c := range []struct{ from, to, field string }{
-		{`"name":"n1"`, `"name":""`, "name"},
-		{`"name":"n1"`, `"name":7`, "name"},
-		{`"listen":"127.0.0.1:8080"`, `"listen":"nowhere"`, "listen"},
-		{`"feed":"127.0.0.1:2379"`, `"feed":""`, "feed"},
-		{`"seed":"8c1f30d27a5be964"`, `"seed":"x"`, "seed"},
-		{`"cores":1.0`, `"cores":0`, "limits.cores"},
-		{`"memory_mb":192`, `"memory_mb":"much"`, "limits.memory_mb"},
-		{`"memory_mb":192`, `"memory_mb":1`, "limits.memory_mb"},
-		{`"sockets":1024`, `"sockets":3`, "limits.sockets"},
-		{`"settings":{`, `"settings":null,"x":{`, "settings"},
-		{`"aim":1`, `"aim":"1"`, "settings"},
-		{validConfig, `{`, "config"},
+	for _, tc := range []struct{ name, from, to, key string }{
+		{"name empty", `"name":"n1"`, `"name":""`, "name"},
+		{"name a number", `"name":"n1"`, `"name":7`, "name"},
+		{"listen no address", `"listen":"127.0.0.1:8080"`, `"listen":"nowhere"`, "listen"},
+		{"feed empty", `"feed":"127.0.0.1:2379"`, `"feed":""`, "feed"},
+		{"seed no number", `"seed":"8c1f30d27a5be964"`, `"seed":"x"`, "seed"},
+		{"no cores", `"cores":1.0`, `"cores":0`, "limits.cores"},
+		{"memory a text", `"memory_mb":192`, `"memory_mb":"much"`, "limits.memory_mb"},
+		{"memory too small", `"memory_mb":192`, `"memory_mb":1`, "limits.memory_mb"},
+		{"sockets too few", `"sockets":1024`, `"sockets":3`, "limits.sockets"},
+		{"settings null", `"settings":{`, `"settings":null,"x":{`, "settings"},
+		{"setting of a wrong type", `"aim":1`, `"aim":"1"`, "settings"},
+		{"no JSON", validConfig, `{`, "config"},
 	} {
-		_, err := Parse([]byte(strings.Replace(validConfig, c.from, c.to, 1)), 1<<20)
-		if err == nil || !strings.HasPrefix(err.Error(), c.field) {
-			t.Errorf("%s: error %v, want one that names %s", c.to, err, c.field)
-		}
+		t.Run(tc.name, func(t *testing.T) {
+			_, err := Parse([]byte(strings.Replace(validConfig, tc.from, tc.to, 1)), manyDescriptors)
+			checkErrorKey(t, err, tc.key)
+		})
 	}
 }
 
@@ -81,21 +117,22 @@
 	if err := os.WriteFile(path, []byte(validConfig), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	for _, c := range []struct{ name, value, field string }{
-		{"EDGE_CONFIG", "", "EDGE_CONFIG"},
-		{"EDGE_NAME", "n2", "EDGE_NAME"},
-		{"EDGE_LISTEN", "127.0.0.1:8081", "EDGE_LISTEN"},
-		{"EDGE_FD", "x", "EDGE_FD"},
-		{"EDGE_FD", "2", "EDGE_FD"}, // the log
+	load := func(env map[string]string) (*Config, error) {
+		return Load(func(name string) string { return env[name] }, manyDescriptors)
+	}
+	for _, tc := range []struct{ variable, value string }{
+		{"EDGE_CONFIG", ""},
+		{"EDGE_NAME", "n2"},
+		{"EDGE_LISTEN", "127.0.0.1:8081"},
+		{"EDGE_FD", "x"},
+		{"EDGE_FD", "2"}, // the log
 	} {
-		env := map[string]string{"EDGE_CONFIG": path, c.name: c.value}
-		_, err := Load(func(name string) string { return env[name] }, 1<<20)
-		if err == nil || !strings.HasPrefix(err.Error(), c.field) {
-			t.Errorf("%s=%s: error %v, want one that names %s", c.name, c.value, err, c.field)
-		}
+		t.Run(tc.variable+"="+tc.value, func(t *testing.T) {
+			_, err := load(map[string]string{"EDGE_CONFIG": path, tc.variable: tc.value})
+			checkErrorKey(t, err, tc.variable)
+		})
 	}
-	env := map[string]string{"EDGE_CONFIG": path, "EDGE_NAME": "n1", "EDGE_FD": "7"}
-	c, err := Load(func(name string) string { return env[name] }, 1<<20)
+	c, err := load(map[string]string{"EDGE_CONFIG": path, "EDGE_NAME": "n1", "EDGE_FD": "7"})
 	if err != nil || c.InheritedFD != 7 {
 		t.Errorf("%+v, %v", c, err)
 	}
