--- a/internal/strictconfig/strict_test.go
+++ b/internal/strictconfig/strict_test.go
@@ -66,7 +66,8 @@
 	if !errors.Is(located, cause) || located.Error() != "x.toml:4: clients.zipf: too large" {
 		t.Errorf("%v", located)
 	}
-	if other := errors.New("another"); Locate(other, "x.toml", []byte(sample)) != other {
+	other := errors.New("another")
+	if located := Locate(other, "x.toml", []byte(sample)); !errors.Is(located, other) || located.Error() != "another" {
 		t.Error("an error without a key was changed")
 	}
 }
