--- a/cmd/simhost/golden_test.go
+++ b/cmd/simhost/golden_test.go
@@ -281,9 +281,10 @@
 }
 
 func TestGoldenNamesAreUnique(t *testing.T) {
-	var names []string
-	for _, s := range goldenSequences() {
-		names = append(names, s.name)
+	sequences := goldenSequences()
+	names := make([]string, 0, len(sequences))
+	for _, sequence := range sequences {
+		names = append(names, sequence.name)
 	}
 	slices.Sort(names)
 	if unique := slices.Compact(slices.Clone(names)); len(unique) != len(names) {
--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -1,5 +1,5 @@
-// Command simhost hosts many routers on the simulator's wire: it decodes events, hands each to its
-// instance's router and encodes the actions. It decides nothing.
+// Command simhost runs many routers for the simulator: it decodes the events that it reads, hands each to its instance's
+// router and writes the encoded actions. It decides nothing.
 package main
 
 import (
@@ -16,6 +16,7 @@
 	"shaleyard/routing"
 )
 
+// inputBufferBytes is room for a batch of ordinary size.
 const inputBufferBytes = 1 << 20
 
 func main() {
@@ -25,23 +26,26 @@
 	}
 }
 
+// instances are the routers that run now, by the number of their instance.
+type instances map[uint16]*routing.Router
+
 // serve answers batches until the input ends.
 func serve(in io.Reader, out io.Writer) error {
 	batches := simwire.NewReader(bufio.NewReaderSize(in, inputBufferBytes))
-	routers := map[uint16]*routing.Router{}
+	running := instances{}
 	var reply simwire.Reply
 	for {
-		b, err := batches.Next()
+		batch, err := batches.Next()
 		if errors.Is(err, io.EOF) {
 			return nil
 		}
 		if err != nil {
 			return err
 		}
-		reply.Reset(b.Number)
-		for _, rec := range b.Records {
-			for _, a := range handleRecord(routers, b.Clock, rec) {
-				if err := reply.Append(rec.Instance, a); err != nil {
+		reply.Reset(batch.Number)
+		for _, record := range batch.Records {
+			for _, action := range running.handle(batch.Clock, record) {
+				if err := reply.Append(record.Instance, action); err != nil {
 					return err
 				}
 			}
@@ -52,42 +56,51 @@
 	}
 }
 
-// handleRecord gives one event to its instance. A panic or unusable settings become a Crash.
-func handleRecord(routers map[uint16]*routing.Router, now routing.Time, rec simwire.Record) (actions []routing.Action) {
+// handle gives one event to its instance. A panic of the router becomes a Crash, as the other instances go on.
+func (i instances) handle(now routing.Time, record simwire.Record) (actions []routing.Action) {
 	defer func() {
-		if p := recover(); p != nil {
-			actions = []routing.Action{simwire.Crash{Text: fmt.Sprint("panic: ", p)}}
+		if cause := recover(); cause != nil {
+			actions = []routing.Action{simwire.Crash{Text: fmt.Sprint("panic: ", cause)}}
 		}
 	}()
-	switch e := rec.Event.(type) {
+	switch event := record.Event.(type) {
 	case simwire.StartInstance:
-		r, err := newRouter(e)
-		if err != nil {
-			return []routing.Action{simwire.Crash{Text: err.Error()}}
-		}
-		routers[rec.Instance] = r
-		return nil
+		return i.start(record.Instance, event)
 	case simwire.StopInstance:
-		delete(routers, rec.Instance)
+		delete(i, record.Instance)
 		return nil
 	}
-	if r := routers[rec.Instance]; r != nil {
-		return r.Handle(now, rec.Event)
+	router := i[record.Instance]
+	if router == nil {
+		return nil
+	}
+	return router.Handle(now, record.Event)
+}
+
+// start starts an instance. Settings that can't work become a Crash.
+func (i instances) start(number uint16, event simwire.StartInstance) []routing.Action {
+	router, err := newRouter(event)
+	if err != nil {
+		return []routing.Action{simwire.Crash{Text: err.Error()}}
 	}
+	i[number] = router
 	return nil
 }
 
-func newRouter(b simwire.StartInstance) (*routing.Router, error) {
-	var s routing.Settings
-	if err := json.Unmarshal(b.Settings, &s); err != nil {
+// newRouter makes a router that plans for lost sites as a director does without an operators' file. Where the settings
+// give no topology to plan for, it goes on without a plan.
+func newRouter(event simwire.StartInstance) (*routing.Router, error) {
+	var settings routing.Settings
+	if err := json.Unmarshal(event.Settings, &settings); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	r, err := routing.New(s, b.Seed)
+	router, err := routing.New(settings, event.Seed)
 	if err != nil {
 		return nil, err
 	}
-	if a, err := failover.NewLocalPlanner(&s, failover.Overrides{}, nil); err == nil {
-		r.SetSiteOptions(sitehealth.Options{Plan: a.Shares}) // as the real director does without an operators' file
+	planner, err := failover.NewLocalPlanner(&settings, failover.Overrides{}, nil)
+	if err == nil {
+		router.SetSiteOptions(sitehealth.Options{Plan: planner.Shares})
 	}
-	return r, nil
+	return router, nil
 }
--- a/cmd/simhost/main_test.go
+++ b/cmd/simhost/main_test.go
@@ -10,29 +10,33 @@
 	"ceilings":{"maxAttempts":3},"familyInfo":{"masterKind":2,"secondTierKind":1},"unknownKey":[1]}`
 
 func encodeRecord(code byte, fields ...any) []byte {
-	var f bytes.Buffer
-	for _, v := range fields {
-		_ = binary.Write(&f, binary.BigEndian, v)
+	var body bytes.Buffer
+	for _, field := range fields {
+		_ = binary.Write(&body, binary.BigEndian, field) // a Buffer takes all
 	}
-	return append(binary.BigEndian.AppendUint32([]byte{code}, uint32(f.Len())), f.Bytes()...)
+	return append(binary.BigEndian.AppendUint32([]byte{code}, uint32(body.Len())), body.Bytes()...)
 }
 
 func encodeBatch(records ...[]byte) []byte {
 	body := bytes.Join(records, nil)
-	b := binary.BigEndian.AppendUint32([]byte{0, 0, 0, 5}, uint32(len(records)))
-	b = binary.BigEndian.AppendUint32(b, uint32(len(body)))
-	return append(binary.BigEndian.AppendUint64(b, 7e9), body...)
+	header := binary.BigEndian.AppendUint32([]byte{0, 0, 0, 5}, uint32(len(records)))
+	header = binary.BigEndian.AppendUint32(header, uint32(len(body)))
+	header = binary.BigEndian.AppendUint64(header, 7e9)
+	return append(header, body...)
 }
 
 func startRecord(instance uint16, settings string) []byte {
 	return encodeRecord(27, instance, uint64(1), uint32(len(settings)), []byte(settings))
 }
 
-// actionCodes lists the actionCodes of the actions in a reply.
+// actionCodes lists the codes of the actions in a reply.
 func actionCodes(t *testing.T, reply []byte) (list []byte) {
 	t.Helper()
-	for p := reply[8:]; len(p) > 0; p = p[5+binary.BigEndian.Uint32(p[1:]):] {
-		list = append(list, p[0])
+	actions := reply[8:]
+	for len(actions) > 0 {
+		list = append(list, actions[0])
+		size := binary.BigEndian.Uint32(actions[1:])
+		actions = actions[5+size:]
 	}
 	return list
 }
@@ -51,8 +55,8 @@
 		{"no host: the request is held", encodeBatch(startRecord(3, validSettings), pool, list, ask), []byte{17, 17}},
 		{"settings that are no JSON", encodeBatch(startRecord(3, "{")), []byte{26}},
 		{"settings that cannot work", encodeBatch(startRecord(3, "{}")), []byte{26}},
-		{"killed and born anew in one batch", encodeBatch(startRecord(3, validSettings), pool, list, encodeRecord(22, uint16(3)), list,
-			startRecord(3, validSettings), list), []byte{17, 17}},
+		{"stopped and started again in one batch", encodeBatch(startRecord(3, validSettings), pool, list,
+			encodeRecord(22, uint16(3)), list, startRecord(3, validSettings), list), []byte{17, 17}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			var out bytes.Buffer
@@ -67,9 +71,18 @@
 }
 
 func TestServeStopsAtMalformedInput(t *testing.T) {
-	for _, in := range [][]byte{encodeBatch()[:7], encodeBatch(encodeRecord(99, uint16(1))), encodeBatch(encodeRecord(20, uint16(1)))} {
-		if err := serve(bytes.NewReader(in), &bytes.Buffer{}); err == nil {
-			t.Errorf("%x: no error", in)
-		}
+	for _, tc := range []struct {
+		name string
+		in   []byte
+	}{
+		{"header cut short", encodeBatch()[:7]},
+		{"unknown code", encodeBatch(encodeRecord(99, uint16(1)))},
+		{"fields cut short", encodeBatch(encodeRecord(20, uint16(1)))},
+	} {
+		t.Run(tc.name, func(t *testing.T) {
+			if err := serve(bytes.NewReader(tc.in), &bytes.Buffer{}); err == nil {
+				t.Errorf("%x: no error", tc.in)
+			}
+		})
 	}
 }
--- a/internal/simwire/wire_test.go
+++ b/internal/simwire/simwire_test.go
@@ -3,6 +3,7 @@
 import (
 	"bytes"
 	"encoding/hex"
+	"errors"
 	"io"
 	"reflect"
 	"strings"
@@ -11,19 +12,22 @@
 	"shaleyard/routing"
 )
 
-func decodeHex(t testing.TB, s string) []byte {
+func decodeHex(t testing.TB, digits string) []byte {
 	t.Helper()
-	b, err := hex.DecodeString(strings.Join(strings.Fields(s), ""))
+	decoded, err := hex.DecodeString(strings.Join(strings.Fields(digits), ""))
 	if err != nil {
 		t.Fatal(err)
 	}
-	return b
+	return decoded
 }
 
+// batchBytes is batch 12 with so many records, given in hex.
 func batchBytes(t testing.TB, count int, records string) []byte {
+	t.Helper()
 	body := decodeHex(t, records)
-	head := []byte{0, 0, 0, 12, 0, 0, 0, byte(count), 0, 0, 0, byte(len(body)), 0, 0, 0, 1, 0xf5, 0x68, 0xbf, 0x90}
-	return append(head, body...)
+	batch := make([]byte, 0, batchHeaderBytes+len(body))
+	batch = append(batch, 0, 0, 0, 12, 0, 0, 0, byte(count), 0, 0, 0, byte(len(body)), 0, 0, 0, 1, 0xf5, 0x68, 0xbf, 0x90)
+	return append(batch, body...)
 }
 
 const batchClock = routing.Time(0x1f568bf90)
@@ -88,97 +92,115 @@
 			{3, StartInstance{Seed: 9, Settings: []byte("{}")}}}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			b, err := NewReader(bytes.NewReader(batchBytes(t, tc.count, tc.hex))).Next()
+			batch, err := decodeFirst(batchBytes(t, tc.count, tc.hex))
 			if err != nil {
 				t.Fatal(err)
 			}
-			if b.Number != 12 || b.Clock != batchClock {
-				t.Errorf("header %d, %d", b.Number, b.Clock)
+			if batch.Number != 12 || batch.Clock != batchClock {
+				t.Errorf("header %d, %d", batch.Number, batch.Clock)
 			}
-			if !reflect.DeepEqual(b.Records, tc.want) {
-				t.Errorf("got  %+v\nwant %+v", b.Records, tc.want)
+			if !reflect.DeepEqual(batch.Records, tc.want) {
+				t.Errorf("got  %+v\nwant %+v", batch.Records, tc.want)
 			}
 		})
 	}
 }
 
 func TestEncode(t *testing.T) {
+	fetch := routing.Fetch{ID: 0x5d3a91c4, Host: hostA, Source: hostB, RetentionRank: 2,
+		Flags: routing.CoalesceFill | routing.StaleWhileRevalidate, Timeout: 900000000, MaxAge: 1500000000}
 	for _, tc := range []struct {
+		name   string
 		action any
 		want   string
 	}{
-		{routing.Forward{ID: 0x5d3a91c4, Timeout: 80000000, Host: hostA}, "10 00000014 0003 5d3a91c4 0000000004c4b400 0a124a07 138b"},
-		{routing.SetTimer{Token: 77, At: 0x213362490}, "11 00000012 0003 000000000000004d 0000000213362490"},
-		{routing.Log{Message: "two servers known"}, "13 00000015 0003 0011 74776f2073657276657273206b6e6f776e"},
-		{routing.Fetch{ID: 0x5d3a91c4, Host: hostA, Source: hostB, RetentionRank: 2, Flags: routing.CoalesceFill | routing.StaleWhileRevalidate,
-			Timeout: 900000000, MaxAge: 1500000000},
-			"15 00000024 0003 5d3a91c4 09 0000000035a4e900 02 0a9011f2 13b4 0a124a07 138b 0000000059682f00"},
-		{routing.SendPeerMessage{To: routing.AllPeers, Data: []byte("hi 7")}, "19 0000000c 0003 ffffffff 0004 68692037"},
-		{routing.Cancel{ID: 1, Attempt: 2}, "14 00000008 0003 00000001 0002"},
-		{routing.Reject{ID: 1, RetryAfter: 5}, "1c 0000000e 0003 00000001 0000000000000005"},
-		{routing.Fail{ID: 1}, "17 00000006 0003 00000001"},
-		{routing.Probe{Host: hostA}, "18 00000008 0003 0a124a07 138b"},
-		{routing.CloseIdleConnections{Host: hostA}, "1b 00000008 0003 0a124a07 138b"},
-		{routing.Subscribe{Enabled: true}, "16 00000003 0003 01"},
-		{routing.PollEndpoints{}, "12 00000002 0003"},
-		{Crash{Text: "x"}, "1a 00000005 0003 0001 78"},
+		{"forward", routing.Forward{ID: 0x5d3a91c4, Timeout: 80000000, Host: hostA},
+			"10 00000014 0003 5d3a91c4 0000000004c4b400 0a124a07 138b"},
+		{"set timer", routing.SetTimer{Token: 77, At: 0x213362490}, "11 00000012 0003 000000000000004d 0000000213362490"},
+		{"log", routing.Log{Message: "two servers known"}, "13 00000015 0003 0011 74776f2073657276657273206b6e6f776e"},
+		{"fetch", fetch, "15 00000024 0003 5d3a91c4 09 0000000035a4e900 02 0a9011f2 13b4 0a124a07 138b 0000000059682f00"},
+		{"peer message", routing.SendPeerMessage{To: routing.AllPeers, Data: []byte("hi 7")},
+			"19 0000000c 0003 ffffffff 0004 68692037"},
+		{"cancel", routing.Cancel{ID: 1, Attempt: 2}, "14 00000008 0003 00000001 0002"},
+		{"reject", routing.Reject{ID: 1, RetryAfter: 5}, "1c 0000000e 0003 00000001 0000000000000005"},
+		{"fail", routing.Fail{ID: 1}, "17 00000006 0003 00000001"},
+		{"probe", routing.Probe{Host: hostA}, "18 00000008 0003 0a124a07 138b"},
+		{"close idle connections", routing.CloseIdleConnections{Host: hostA}, "1b 00000008 0003 0a124a07 138b"},
+		{"subscribe", routing.Subscribe{Enabled: true}, "16 00000003 0003 01"},
+		{"unsubscribe", routing.Subscribe{}, "16 00000003 0003 00"},
+		{"poll endpoints", routing.PollEndpoints{}, "12 00000002 0003"},
+		{"crash", Crash{Text: "x"}, "1a 00000005 0003 0001 78"},
 	} {
-		var w Reply
-		w.Reset(12)
-		if err := w.Append(3, tc.action); err != nil {
-			t.Fatal(err)
-		}
-		body := decodeHex(t, tc.want)
-		want := append([]byte{0, 0, 0, 12, 0, 0, 0, byte(len(body))}, body...)
-		if got := w.Bytes(); !bytes.Equal(got, want) {
-			t.Errorf("%T\ngot  %x\nwant %x", tc.action, got, want)
-		}
+		t.Run(tc.name, func(t *testing.T) {
+			var reply Reply
+			reply.Reset(12)
+			if err := reply.Append(3, tc.action); err != nil {
+				t.Fatal(err)
+			}
+			body := decodeHex(t, tc.want)
+			want := append([]byte{0, 0, 0, 12, 0, 0, 0, byte(len(body))}, body...)
+			if got := reply.Bytes(); !bytes.Equal(got, want) {
+				t.Errorf("%T\ngot  %x\nwant %x", tc.action, got, want)
+			}
+		})
 	}
-	var w Reply
-	if err := w.Append(3, 7); err == nil {
+	var reply Reply
+	if err := reply.Append(3, 7); err == nil {
 		t.Error("an unknown action was encoded")
 	}
 }
 
-func TestMalformed(t *testing.T) {
+// decodeFirst decodes the first batch of an input.
+func decodeFirst(input []byte) (*Batch, error) { return NewReader(bytes.NewReader(input)).Next() }
+
+func TestCutShort(t *testing.T) {
 	whole := batchBytes(t, 1, "14 0000000a 0003 000000000000004d")
 	for n := 1; n < len(whole); n++ {
-		if _, err := NewReader(bytes.NewReader(whole[:n])).Next(); err == nil || err == io.EOF {
+		if _, err := decodeFirst(whole[:n]); err == nil || errors.Is(err, io.EOF) {
 			t.Errorf("%d of %d bytes: error %v", n, len(whole), err)
 		}
 	}
-	for name, f := range map[string][]byte{
-		"unknown code":         batchBytes(t, 1, "63 00000002 0003"),
-		"short fields":         batchBytes(t, 1, "14 00000004 0003 0000"),
-		"record past the end":  batchBytes(t, 1, "14 000000ff 0003"),
-		"bytes left over":      batchBytes(t, 0, "14 00000002 0003"),
-		"unknown ending":       batchBytes(t, 1, "1a 00000013 0003 0000000000000005 0001 0a124a07 138b 00"),
-		"bank out of range":    batchBytes(t, 1, "18 00000006 0010 00000000"),
-		"list longer than it":  batchBytes(t, 1, "18 00000006 0001 00000009"),
-		"text longer than it":  batchBytes(t, 1, "17 00000008 0003 00000002 0009"),
-		"list of unknown kind": batchBytes(t, 1, "15 0000000d 0003 07 0000000000000029 0000"),
-	} {
-		if _, err := NewReader(bytes.NewReader(f)).Next(); err == nil {
-			t.Errorf("%s: no error", name)
-		}
-	}
-	if _, err := NewReader(bytes.NewReader(nil)).Next(); err != io.EOF {
+	if _, err := decodeFirst(nil); !errors.Is(err, io.EOF) {
 		t.Errorf("clean end: %v", err)
 	}
 }
 
+func TestMalformed(t *testing.T) {
+	for _, tc := range []struct {
+		name    string
+		count   int
+		records string
+	}{
+		{"unknown code", 1, "63 00000002 0003"},
+		{"short fields", 1, "14 00000004 0003 0000"},
+		{"record past the end", 1, "14 000000ff 0003"},
+		{"bytes left over", 0, "14 00000002 0003"},
+		{"unknown result", 1, "1a 00000013 0003 0000000000000005 0001 0a124a07 138b 00"},
+		{"bank out of range", 1, "18 00000006 0010 00000000"},
+		{"list longer than it", 1, "18 00000006 0001 00000009"},
+		{"text longer than it", 1, "17 00000008 0003 00000002 0009"},
+		{"list of unknown kind", 1, "15 0000000d 0003 07 0000000000000029 0000"},
+	} {
+		t.Run(tc.name, func(t *testing.T) {
+			if _, err := decodeFirst(batchBytes(t, tc.count, tc.records)); err == nil {
+				t.Error("no error")
+			}
+		})
+	}
+}
+
 // FuzzReader feeds arbitrary bytes: every batch decodes or errs, and reading ends.
 func FuzzReader(f *testing.F) {
 	f.Add(batchBytes(f, 1, "14 0000000a 0003 000000000000004d"))
 	f.Add(batchBytes(f, 1, "18 00000006 0001 00000000"))
 	f.Add(batchBytes(f, 1, "19 00000014 0003 000000000510ff40 000b 0000007c55d20a01"))
-	f.Fuzz(func(t *testing.T, b []byte) {
-		if len(b) > batchHeaderBytes && b[8] != 0 {
+	f.Fuzz(func(t *testing.T, input []byte) {
+		if len(input) > batchHeaderBytes && input[8] != 0 {
 			return // a huge length is only a long read
 		}
-		r := NewReader(bytes.NewReader(b))
-		for range len(b)/batchHeaderBytes + 1 {
-			if _, err := r.Next(); err != nil {
+		reader := NewReader(bytes.NewReader(input))
+		for range len(input)/batchHeaderBytes + 1 {
+			if _, err := reader.Next(); err != nil {
 				return
 			}
 		}
