--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -1,5 +1,6 @@
-// Package admin serves operators' calls over HTTP, aside of the event loop: whether the process is ready, and its drain.
-// Callers that send nothing, or more than a call has, hold none of the others up.
+// Package admin serves operators' calls over HTTP, beside the event loop: whether the process is ready, and its drain.
+// The number of connections and the time of a call are bounded, so that callers which send nothing, or more than a call
+// has, do not delay the others.
 package admin
 
 import (
@@ -8,6 +9,7 @@
 	"log"
 	"net"
 	"net/http"
+	"slices"
 	"sync"
 	"time"
 
@@ -21,49 +23,56 @@
 	resumePath = "/healthcheck/ok"
 )
 
+// Bounds of a call.
 const (
-	maxHeaderBytes  = 4 << 10         // of a call
-	callTimeout     = 5 * time.Second // from a connection's first moment to the end of its call
-	shutdownTimeout = 50 * time.Millisecond
+	maxHeaderBytes  = 4 << 10
+	callTimeout     = 5 * time.Second       // from a connection's accept to the end of its call
+	shutdownTimeout = 50 * time.Millisecond // for calls that are being answered when the server closes
 )
 
-// Process is what operators ask and tell. Its methods must not wait for the event loop.
+// Process is what operators query and control. Its methods must not wait for the event loop.
 type Process interface {
-	// Ready tells whether the front may send clients here, and if not, why.
+	// Ready reports whether the front may send clients here, and if not, why.
 	Ready() (ready bool, why string)
-	// Drain empties the process.
+	// Drain starts a drain.
 	Drain()
-	// Resume ends a drain; false: the process can't come back.
+	// Resume cancels a drain; false: it can't be cancelled any more.
 	Resume() bool
-	// Called is told of each call but those that ask whether the process is ready.
+	// Called is called for each call except health checks.
 	Called(method, path string, status int)
 }
 
-// Server answers operators' calls.
+// Server answers operators' calls. Its methods may be called from any goroutine.
 type Server struct {
 	process  Process
 	listener *listener.Listener
 	http     *http.Server
-	maxConns int // connections held at once
+	maxConns int
 
 	mu    sync.Mutex
-	conns []net.Conn // eldest first
+	conns []net.Conn // oldest first
 }
 
-// Listen opens the operators' address for a process; of connections at most so many are held at once, and the eldest goes
+// Listen opens the operators' address for a process. At most maxConns connections are held at once; the oldest is closed
 // for a new one.
-func Listen(address string, most int, process Process) (*Server, error) {
-	l, err := listener.Open(address)
+func Listen(address string, maxConns int, process Process) (*Server, error) {
+	opened, err := listener.Open(address)
 	if err != nil {
 		return nil, err
 	}
-	s := &Server{process: process, listener: l, maxConns: most}
+	s := &Server{process: process, listener: opened, maxConns: maxConns}
 	calls := http.NewServeMux()
 	calls.HandleFunc("GET "+healthPath, s.handleHealth)
 	calls.HandleFunc("PUT "+drainPath, s.handleDrain)
 	calls.HandleFunc("PUT "+resumePath, s.handleResume)
-	s.http = &http.Server{Handler: calls, ReadTimeout: callTimeout, WriteTimeout: callTimeout, MaxHeaderBytes: maxHeaderBytes,
-		ConnState: s.trackConnection, ErrorLog: log.New(io.Discard, "", 0)} // what callers do wrong is theirs to see
+	s.http = &http.Server{
+		Handler:        calls,
+		ReadTimeout:    callTimeout,
+		WriteTimeout:   callTimeout,
+		MaxHeaderBytes: maxHeaderBytes,
+		ConnState:      s.trackConnection,
+		ErrorLog:       log.New(io.Discard, "", 0), // callers' faults are reported to the callers
+	}
 	s.http.SetKeepAlivesEnabled(false) // one call to a connection
 	return s, nil
 }
@@ -74,7 +83,7 @@
 // Serve answers calls until Close.
 func (s *Server) Serve() { _ = s.http.Serve(s.listener) }
 
-// Close ends the server; calls that are being answered have a moment to end.
+// Close ends the server. Calls that are being answered have shutdownTimeout to end.
 func (s *Server) Close() {
 	ctx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer cancel()
@@ -83,49 +92,57 @@
 	}
 }
 
-// trackConnection keeps the number of connections bounded: the eldest has had the most time for its call.
-func (s *Server) trackConnection(c net.Conn, state http.ConnState) {
+// trackConnection bounds the number of connections. The oldest gives way, as it has had the most time for its call.
+func (s *Server) trackConnection(conn net.Conn, state http.ConnState) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch state {
 	case http.StateNew:
-		s.conns = append(s.conns, c)
-		if len(s.conns) > s.maxConns {
-			s.conns[0].Close()
-			s.conns = s.conns[1:]
-		}
+		s.addConnection(conn)
 	case http.StateClosed, http.StateHijacked:
-		for i, o := range s.conns {
-			if o == c {
-				s.conns = append(s.conns[:i], s.conns[i+1:]...)
-				return
-			}
-		}
+		s.removeConnection(conn)
+	}
+}
+
+func (s *Server) addConnection(conn net.Conn) {
+	s.conns = append(s.conns, conn)
+	if len(s.conns) <= s.maxConns {
+		return
+	}
+	s.conns[0].Close()
+	s.conns = s.conns[1:]
+}
+
+func (s *Server) removeConnection(conn net.Conn) {
+	i := slices.Index(s.conns, conn)
+	if i >= 0 {
+		s.conns = slices.Delete(s.conns, i, i+1)
 	}
 }
 
-func (s *Server) handleHealth(w http.ResponseWriter, _ *http.Request) {
-	if ready, why := s.process.Ready(); !ready {
-		http.Error(w, why, http.StatusServiceUnavailable)
+func (s *Server) handleHealth(response http.ResponseWriter, _ *http.Request) {
+	ready, why := s.process.Ready()
+	if !ready {
+		http.Error(response, why, http.StatusServiceUnavailable)
 		return
 	}
-	w.WriteHeader(http.StatusOK)
+	response.WriteHeader(http.StatusOK)
 }
 
-func (s *Server) handleDrain(w http.ResponseWriter, r *http.Request) {
+func (s *Server) handleDrain(response http.ResponseWriter, request *http.Request) {
 	s.process.Drain()
-	s.respond(w, r, http.StatusOK)
+	s.respond(response, request, http.StatusOK)
 }
 
-func (s *Server) handleResume(w http.ResponseWriter, r *http.Request) {
+func (s *Server) handleResume(response http.ResponseWriter, request *http.Request) {
 	if !s.process.Resume() {
-		s.respond(w, r, http.StatusConflict)
+		s.respond(response, request, http.StatusConflict)
 		return
 	}
-	s.respond(w, r, http.StatusOK)
+	s.respond(response, request, http.StatusOK)
 }
 
-func (s *Server) respond(w http.ResponseWriter, r *http.Request, status int) {
-	s.process.Called(r.Method, r.URL.Path, status)
-	w.WriteHeader(status)
+func (s *Server) respond(response http.ResponseWriter, request *http.Request, status int) {
+	s.process.Called(request.Method, request.URL.Path, status)
+	response.WriteHeader(status)
 }
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,6 +1,5 @@
-// Package clock measures time. Every span is taken from the system's monotonic clock, so that a wall clock that is
-// stepped moves no deadline. Stamps of peers, which are Unix times of clocks that are not ours, are brought onto our clock
-// by Peer.
+// Package clock measures time. All durations are taken from the system's monotonic clock, so that a step of the wall clock
+// moves no deadline. Timestamps of peers, which are Unix times of other clocks, are converted to our clock by PeerClock.
 package clock
 
 import (
@@ -9,7 +8,7 @@
 	"shaleyard/routing"
 )
 
-// Clock is the one clock of a process: monotonic, and counted from the Unix epoch as the wall clock told it at the start.
+// Clock is the one clock of a process: monotonic, and counted from the Unix epoch as the wall clock had it at the start.
 // It is safe for concurrent use.
 type Clock struct {
 	start time.Time    // holds a monotonic reading
@@ -22,5 +21,5 @@
 	return &Clock{start: start, epoch: routing.Time(start.UnixNano())}
 }
 
-// Now is the time. It never goes back, and runs on at the same pace whatever happens to the wall clock.
+// Now is the time. It never goes back, and advances at the same rate whatever happens to the wall clock.
 func (c *Clock) Now() routing.Time { return c.epoch + time.Since(c.start) }
