--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -103,14 +103,14 @@
 	if err != nil {
 		return nil, keyError(envConfig, err)
 	}
-	c, err := parse(text, descriptors, getenv(envOperator))
+	parsed, err := parse(text, descriptors, getenv(envOperator))
 	if err != nil {
 		return nil, err
 	}
-	if err := c.applyEnvironment(getenv); err != nil {
+	if err := parsed.applyEnvironment(getenv); err != nil {
 		return nil, err
 	}
-	return c, nil
+	return parsed, nil
 }
 
 // applyEnvironment checks the name and address against the environment, and takes the inherited descriptor from there.
@@ -138,47 +138,47 @@
 
 // parse checks a configuration. The address for operators' calls, where given, takes precedence over the file's.
 func parse(text []byte, descriptors uint64, operator string) (*Config, error) {
-	d, err := decodeDocument(text)
+	doc, err := decodeDocument(text)
 	if err != nil {
 		return nil, err
 	}
-	d.Operator = cmp.Or(operator, d.Operator)
-	if err := d.checkIdentity(); err != nil {
+	doc.Operator = cmp.Or(operator, doc.Operator)
+	if err := doc.checkIdentity(); err != nil {
 		return nil, err
 	}
-	c := &Config{
-		Name:             d.Name,
-		ListenAddress:    d.Listen,
-		DiscoveryAddress: d.Discovery,
-		OperatorAddress:  d.Operator,
-		Bootstrap:        d.Bootstrap,
+	parsed := &Config{
+		Name:             doc.Name,
+		ListenAddress:    doc.Listen,
+		DiscoveryAddress: doc.Discovery,
+		OperatorAddress:  doc.Operator,
+		Bootstrap:        doc.Bootstrap,
 	}
-	c.Seed, err = strconv.ParseUint(d.Seed, 16, 64)
+	parsed.Seed, err = strconv.ParseUint(doc.Seed, 16, 64)
 	if err != nil {
-		return nil, keyErrorf("seed", "%q is no hex number of 64 bits", d.Seed)
+		return nil, keyErrorf("seed", "%q is no hex number of 64 bits", doc.Seed)
 	}
-	transport, err := c.decodeSettings(d.Settings)
+	transport, err := parsed.decodeSettings(doc.Settings)
 	if err != nil {
 		return nil, err
 	}
-	d.Limits.Sockets = min(d.Limits.Sockets, float64(descriptors))
-	if err := d.checkResources(); err != nil {
+	doc.Limits.Sockets = min(doc.Limits.Sockets, float64(descriptors))
+	if err := doc.checkResources(); err != nil {
 		return nil, err
 	}
-	c.Limits = deriveLimits(d, transport, &c.Settings)
-	return c, nil
+	parsed.Limits = deriveLimits(doc, transport, &parsed.Settings)
+	return parsed, nil
 }
 
-func decodeDocument(text []byte) (d document, err error) {
-	err = json.Unmarshal(text, &d)
+func decodeDocument(text []byte) (doc document, err error) {
+	err = json.Unmarshal(text, &doc)
 	var wrongType *json.UnmarshalTypeError
 	switch {
 	case err == nil:
-		return d, nil
+		return doc, nil
 	case errors.As(err, &wrongType):
-		return d, keyErrorf(wrongType.Field, "can't be a %s", wrongType.Value)
+		return doc, keyErrorf(wrongType.Field, "can't be a %s", wrongType.Value)
 	}
-	return d, keyError("config", err)
+	return doc, keyError("config", err)
 }
 
 // checkIdentity checks the director's name and the addresses.
@@ -203,14 +203,14 @@
 
 // checkResources checks what the process may use. The comparisons are written so that NaN fails them.
 func (d *document) checkResources() error {
-	limits := &d.Limits
+	resources := &d.Limits
 	switch {
-	case !(limits.Cores > 0):
-		return keyErrorf("limits.cores", "%v", limits.Cores)
-	case !(limits.MemoryMB >= leastMemoryMB) || limits.MemoryMB > mostMemoryMB:
-		return keyErrorf("limits.memory_mb", "%v, %d at least", limits.MemoryMB, leastMemoryMB)
-	case !(limits.Sockets >= leastSockets) || limits.Sockets > mostSockets:
-		return keyErrorf("limits.sockets", "%v, %d at least", limits.Sockets, leastSockets)
+	case !(resources.Cores > 0):
+		return keyErrorf("limits.cores", "%v", resources.Cores)
+	case !(resources.MemoryMB >= leastMemoryMB) || resources.MemoryMB > mostMemoryMB:
+		return keyErrorf("limits.memory_mb", "%v, %d at least", resources.MemoryMB, leastMemoryMB)
+	case !(resources.Sockets >= leastSockets) || resources.Sockets > mostSockets:
+		return keyErrorf("limits.sockets", "%v, %d at least", resources.Sockets, leastSockets)
 	}
 	return nil
 }
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -43,20 +43,20 @@
 }
 
 func TestLimitsFollowTheConfiguration(t *testing.T) {
-	l := mustParse(t, validConfig, manyDescriptors).Limits
-	got := []any{l.MaxClientConns, l.ConnectTimeout, l.UpstreamIdleTimeout, l.MaxAttemptsPerConn, l.MaxOpenRequests,
-		l.StopDeadline}
+	limits := mustParse(t, validConfig, manyDescriptors).Limits
+	got := []any{limits.MaxClientConns, limits.ConnectTimeout, limits.UpstreamIdleTimeout,
+		limits.MaxAttemptsPerConn, limits.MaxOpenRequests, limits.StopDeadline}
 	want := []any{341, 400 * time.Millisecond, 11250 * time.Millisecond, 64, 100, 3650 * time.Millisecond}
 	if d := cmp.Diff(want, got); d != "" {
 		t.Error(d)
 	}
 	// An accept by gnet would end the engine when descriptors run out: the shares must leave a reserve.
-	sum := l.MaxClientConns + l.MaxLingeringConns + l.MaxUpstreamConns + l.MaxReplacementDials
-	if sum > l.Descriptors-20 {
-		t.Errorf("%d descriptors shared out of %d", sum, l.Descriptors)
+	sum := limits.MaxClientConns + limits.MaxLingeringConns + limits.MaxUpstreamConns + limits.MaxReplacementDials
+	if sum > limits.Descriptors-20 {
+		t.Errorf("%d descriptors shared out of %d", sum, limits.Descriptors)
 	}
-	if held := int64(l.BufferCount*l.BufferSize + l.TotalBacklogBytes); held > l.MemoryBytes {
-		t.Errorf("bodies may hold %d bytes of %d", held, l.MemoryBytes)
+	if held := int64(limits.BufferCount*limits.BufferSize + limits.TotalBacklogBytes); held > limits.MemoryBytes {
+		t.Errorf("bodies may hold %d bytes of %d", held, limits.MemoryBytes)
 	}
 }
 
--- a/internal/config/derive.go
+++ b/internal/config/derive.go
@@ -42,26 +42,26 @@
 
 // deriveLimits works out all limits from the resources of the process and the settings. Of the memory, a third may hold
 // bodies in buffers and a sixth what clients have not read; the rest is for the program and the collector's headroom.
-func deriveLimits(d document, t transportSettings, s *routing.Settings) Limits {
-	memoryBytes := int(d.Limits.MemoryMB * (1 << 20))
-	shares := shareDescriptors(int(d.Limits.Sockets), d.Operator != "")
-	l := Limits{
-		Cores:       d.Limits.Cores,
+func deriveLimits(doc document, transport transportSettings, settings *routing.Settings) Limits {
+	memoryBytes := int(doc.Limits.MemoryMB * (1 << 20))
+	shares := shareDescriptors(int(doc.Limits.Sockets), doc.Operator != "")
+	limits := Limits{
+		Cores:       doc.Limits.Cores,
 		MemoryBytes: int64(memoryBytes) * 3 / 4,
 		Descriptors: shares.total,
 	}
-	l.setClients(shares, memoryBytes, s)
-	l.setUpstream(shares, t)
-	l.setDiscovery(s)
-	l.setBuffers(memoryBytes)
-	l.setDrain(shares)
-	l.setStop(s)
-	l.setPauses()
-	l.setLogs()
-	return l
+	limits.setClients(shares, memoryBytes, settings)
+	limits.setUpstream(shares, transport)
+	limits.setDiscovery(settings)
+	limits.setBuffers(memoryBytes)
+	limits.setDrain(shares)
+	limits.setStop(settings)
+	limits.setPauses()
+	limits.setLogs()
+	return limits
 }
 
-func (l *Limits) setClients(shares descriptorShares, memoryBytes int, s *routing.Settings) {
+func (l *Limits) setClients(shares descriptorShares, memoryBytes int, settings *routing.Settings) {
 	l.MaxClientConns = shares.clients
 	l.MaxRequestsPerConn = 32
 	l.MaxFrameBytes = 96 << 10
@@ -81,12 +81,12 @@
 	l.MaxOpenRequests = 4096
 	l.MaxRequestTimeout = 10 * time.Minute
 	l.OverdueGracePeriod = 25 * time.Millisecond
-	if s.SiteLimits.MaxOpenRequests > 0 {
-		l.MaxOpenRequests = min(l.MaxOpenRequests, s.SiteLimits.MaxOpenRequests)
+	if settings.SiteLimits.MaxOpenRequests > 0 {
+		l.MaxOpenRequests = min(l.MaxOpenRequests, settings.SiteLimits.MaxOpenRequests)
 	}
 }
 
-func (l *Limits) setUpstream(shares descriptorShares, t transportSettings) {
+func (l *Limits) setUpstream(shares descriptorShares, transport transportSettings) {
 	l.MaxUpstreamConns = shares.upstream
 	l.MaxReplacementDials = shares.replacementDials
 	l.MaxConnsPerEndpoint = min(max(shares.upstream/8, 1), 32)
@@ -99,27 +99,27 @@
 	l.LateAnswerWindow = 5 * time.Second
 	l.MaxAnswerBodyBytes = 240_000
 	l.MaxAnswerFieldBytes = 4 << 10
-	if timeout := t.Ceilings.ConnectTimeout; timeout > 0 {
+	if timeout := transport.Ceilings.ConnectTimeout; timeout > 0 {
 		l.ConnectTimeout = timeout
 	}
-	if keepAlive := t.Ceilings.Keepalive; keepAlive > 0 {
+	if keepAlive := transport.Ceilings.Keepalive; keepAlive > 0 {
 		l.UpstreamIdleTimeout = keepAlive * 3 / 4 // before the peer does: an attempt that crosses its close may have executed
 	}
-	if streams := t.Ceilings.StreamsPerConn; streams > 0 {
+	if streams := transport.Ceilings.StreamsPerConn; streams > 0 {
 		l.MaxAttemptsPerConn = min(streams, math.MaxInt16)
 	}
 }
 
-func (l *Limits) setDiscovery(s *routing.Settings) {
+func (l *Limits) setDiscovery(settings *routing.Settings) {
 	l.setDiscoveryDefaults()
-	if grace := s.Guarantees.DrainGrace; grace > 0 {
+	if grace := settings.Guarantees.DrainGrace; grace > 0 {
 		l.DrainApplyWithin = grace
 	}
 	// An event during a silence is received once the silence has been noticed and the service called again. A heartbeat
 	// comes each second, so that nothing shorter than that, with a margin for the network, is a silence.
 	longest := l.DrainApplyWithin - l.WatchCallTime - heartbeatInterval/5
 	l.WatchSilenceTimeout = max(heartbeatInterval+heartbeatInterval/10, min(l.WatchSilenceTimeout, longest))
-	if slack := s.Tiers.PurgeSlack; slack > 0 {
+	if slack := settings.Tiers.PurgeSlack; slack > 0 {
 		l.PurgeApplyWithin = slack
 	}
 }
@@ -152,9 +152,9 @@
 
 // setStop follows the protocol page: SIGKILL comes no sooner after SIGTERM than the longest request timeout, counted as
 // longestStopTimeout where it is longer, and stopMargin.
-func (l *Limits) setStop(s *routing.Settings) {
+func (l *Limits) setStop(settings *routing.Settings) {
 	longest := time.Duration(0)
-	for _, class := range s.Classes {
+	for _, class := range settings.Classes {
 		longest = max(longest, class.Timeout)
 	}
 	killed := min(longest, longestStopTimeout) + stopMargin
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -99,15 +99,15 @@
 // checkDiscoveryTimes checks times of the list service that depend on one another: a call that takes as long as an event
 // may be delayed leaves no time to spread the fleet's calls over.
 func (o *OperatorFile) checkDiscoveryTimes() error {
-	l := Limits{}
-	l.setDiscoveryDefaults()
-	o.Apply(&l)
-	if l.WatchCallTime >= l.DrainApplyWithin {
-		return keyErrorf("list.call_ms", "a call of %v leaves nothing of the %v to heed a drain", l.WatchCallTime,
-			l.DrainApplyWithin)
+	limits := Limits{}
+	limits.setDiscoveryDefaults()
+	o.Apply(&limits)
+	if limits.WatchCallTime >= limits.DrainApplyWithin {
+		return keyErrorf("list.call_ms", "a call of %v leaves nothing of the %v to heed a drain", limits.WatchCallTime,
+			limits.DrainApplyWithin)
 	}
-	if l.MaxEventDelay < l.DrainApplyWithin {
-		return keyErrorf("list.late_ms", "%v is less than the %v to heed a drain", l.MaxEventDelay, l.DrainApplyWithin)
+	if limits.MaxEventDelay < limits.DrainApplyWithin {
+		return keyErrorf("list.late_ms", "%v is less than the %v to heed a drain", limits.MaxEventDelay, limits.DrainApplyWithin)
 	}
 	return nil
 }
@@ -125,46 +125,46 @@
 	list, pause := &o.Discovery, &o.Pause
 	return []timeSetting{
 		{"list.heed_ms", &list.DrainApplyWithinMS, 100, 60_000,
-			func(l *Limits) *time.Duration { return &l.DrainApplyWithin }},
+			func(limits *Limits) *time.Duration { return &limits.DrainApplyWithin }},
 		{"list.purge_ms", &list.PurgeApplyWithinMS, 10, 60_000,
-			func(l *Limits) *time.Duration { return &l.PurgeApplyWithin }},
+			func(limits *Limits) *time.Duration { return &limits.PurgeApplyWithin }},
 		{"list.start_ms", &list.InitialJitterWindowMS, 1, 60_000,
-			func(l *Limits) *time.Duration { return &l.InitialJitterWindow }},
+			func(limits *Limits) *time.Duration { return &limits.InitialJitterWindow }},
 		{"list.late_ms", &list.MaxEventDelayMS, 100, 600_000,
-			func(l *Limits) *time.Duration { return &l.MaxEventDelay }},
+			func(limits *Limits) *time.Duration { return &limits.MaxEventDelay }},
 		{"list.call_ms", &list.CallTimeMS, 1, 60_000,
-			func(l *Limits) *time.Duration { return &l.WatchCallTime }},
+			func(limits *Limits) *time.Duration { return &limits.WatchCallTime }},
 		{"list.retry_ms", &list.MinBackoffMS, 10, 60_000,
-			func(l *Limits) *time.Duration { return &l.MinWatchBackoff }},
+			func(limits *Limits) *time.Duration { return &limits.MinWatchBackoff }},
 		{"list.silence_ms", &list.SilenceTimeoutMS, 1_050, 60_000,
-			func(l *Limits) *time.Duration { return &l.WatchSilenceTimeout }},
+			func(limits *Limits) *time.Duration { return &limits.WatchSilenceTimeout }},
 		{"list.wait_ms", &list.InitialListTimeoutMS, 1, 600_000,
-			func(l *Limits) *time.Duration { return &l.InitialListTimeout }},
+			func(limits *Limits) *time.Duration { return &limits.InitialListTimeout }},
 		{"pause.limit_ms", &pause.ThresholdMS, 60, 60_000,
-			func(l *Limits) *time.Duration { return &l.PauseThreshold }},
+			func(limits *Limits) *time.Duration { return &limits.PauseThreshold }},
 		{"pause.settle_ms", &pause.SettleTimeMS, 1, 1_000,
-			func(l *Limits) *time.Duration { return &l.PauseSettleTime }},
+			func(limits *Limits) *time.Duration { return &limits.PauseSettleTime }},
 		{"log.counters_every_ms", &o.Log.CountersIntervalMS, 100, 3_600_000,
-			func(l *Limits) *time.Duration { return &l.CountersInterval }},
+			func(limits *Limits) *time.Duration { return &limits.CountersInterval }},
 	}
 }
 
 // Apply replaces the defaults by what the file sets.
-func (o *OperatorFile) Apply(l *Limits) {
+func (o *OperatorFile) Apply(limits *Limits) {
 	for _, setting := range o.timeSettings() {
 		if *setting.value != 0 {
-			*setting.limit(l) = time.Duration(*setting.value * float64(time.Millisecond))
+			*setting.limit(limits) = time.Duration(*setting.value * float64(time.Millisecond))
 		}
 	}
 }
 
 // Describe lists what the file sets, each time with its unit.
 func (o *OperatorFile) Describe() (lines []string) {
-	var l Limits
-	o.Apply(&l)
+	var limits Limits
+	o.Apply(&limits)
 	for _, setting := range o.timeSettings() {
 		if *setting.value != 0 {
-			lines = append(lines, fmt.Sprintf("%s: %v", setting.key, *setting.limit(&l)))
+			lines = append(lines, fmt.Sprintf("%s: %v", setting.key, *setting.limit(&limits)))
 		}
 	}
 	if o.Log.Level != "" {
