--- /dev/null
+++ b/internal/listener/listener_test.go
@@ -0,0 +1,107 @@
+package listener
+
+import (
+	"errors"
+	"net"
+	"os"
+	"syscall"
+	"testing"
+	"time"
+)
+
+// failingListener is a listener whose accepts fail as scripted before they succeed.
+type failingListener struct {
+	net.Listener
+	errors []error
+}
+
+func (f *failingListener) SetDeadline(time.Time) error { return nil }
+
+func (f *failingListener) Accept() (net.Conn, error) {
+	if len(f.errors) > 0 {
+		err := f.errors[0]
+		f.errors = f.errors[1:]
+		return nil, &net.OpError{Op: "accept", Err: os.NewSyscallError("accept4", err)}
+	}
+	conn, _ := net.Pipe()
+	return conn, nil
+}
+
+// acceptErrors are the errors of accept that Linux documents.
+var acceptErrors = []syscall.Errno{syscall.ECONNABORTED, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM,
+	syscall.EPERM, syscall.EPROTO, syscall.ENETDOWN, syscall.ENOPROTOOPT, syscall.EHOSTDOWN, syscall.ENONET,
+	syscall.EHOSTUNREACH, syscall.EOPNOTSUPP, syscall.ENETUNREACH, syscall.EINTR, syscall.ETIMEDOUT, syscall.ENOSR,
+	syscall.ESOCKTNOSUPPORT, syscall.EINVAL}
+
+// However accept fails, it is retried; only a closed listener ends it.
+func TestAcceptOutlivesEveryError(t *testing.T) {
+	for _, errno := range acceptErrors {
+		t.Run(errno.Error(), func(t *testing.T) {
+			failures := 0
+			l := newListener(&failingListener{errors: []error{errno, errno}})
+			l.AcceptFailed = func(err error) {
+				failures++
+				if !errors.Is(err, errno) {
+					t.Errorf("%v was reported as %v", errno, err)
+				}
+			}
+			conn, err := l.Accept()
+			if err != nil || conn == nil || failures != 2 {
+				t.Errorf("%v: %v, %d failures reported, want a connection after two", errno, err, failures)
+			}
+		})
+	}
+}
+
+// A paused listener leaves connections in the queue, where a process that shares the socket finds them; resumed, it
+// accepts what still waits.
+func TestPausedListenerLeavesTheQueueToOthers(t *testing.T) {
+	l, err := Open("127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer l.Close()
+	accepted := make(chan net.Conn)
+	go func() {
+		for {
+			conn, err := l.Accept()
+			if err != nil {
+				close(accepted)
+				return
+			}
+			accepted <- conn
+		}
+	}()
+	dial := func() {
+		t.Helper()
+		conn, err := net.Dial("tcp", l.Addr().String())
+		if err != nil {
+			t.Fatal(err)
+		}
+		t.Cleanup(func() { conn.Close() })
+	}
+	dial()
+	<-accepted
+	l.Pause()
+	file, err := l.inner.(*net.TCPListener).File()
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer file.Close()
+	other, err := net.FileListener(file)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer other.Close()
+	dial()
+	if _, err := other.Accept(); err != nil {
+		t.Fatalf("the process that shares the socket: %v", err)
+	}
+	dial()
+	l.Resume()
+	<-accepted
+	l.Close()
+	if _, more := <-accepted; more {
+		t.Error("accepted after the close")
+	}
+}
