--- a/routing/bench_test.go
+++ b/routing/bench_test.go
@@ -11,11 +11,11 @@
 func BenchmarkHandle(b *testing.B) {
 	for _, members := range []int{12, 250} {
 		b.Run(fmt.Sprint(members), func(b *testing.B) {
-			r, err := New(siteSettings(), 1)
+			r, err := New(testSettings(), 1)
 			if err != nil {
 				b.Fatal(err)
 			}
-			now, list := 100*time.Second, siteMembers(5)
+			now, list := 100*time.Second, testEndpoints(5)
 			for i := len(list); i < members; i++ {
 				list = append(list, Endpoint{Host: Host(2000 + i), Zone: 2, State: Ready, Weight: 6})
 			}
--- a/routing/cold.go
+++ b/routing/cold.go
@@ -6,42 +6,42 @@
 
 // The budget of servers that have started lately (slow start).
 
-// share is the part of its capacity that a server can give now.
-func (d *Router) share(s *server) float64 {
-	if s.cold == 0 || s.role == origin || d.now-s.cold > s.ramp {
-		s.cold = 0
+// slowStartShare is the part of its capacity that a server can give now.
+func (d *Router) slowStartShare(s *serverState) float64 {
+	if s.warmingUpSince == 0 || s.tier == originTier || d.now-s.warmingUpSince > s.slowStartDuration {
+		s.warmingUpSince = 0
 		return 1
 	}
-	return min(1, s.coldFrom+(1-s.coldFrom)*max(0, float64(d.now-s.cold)/float64(s.ramp)))
+	return min(1, s.slowStartFraction+(1-s.slowStartFraction)*max(0, float64(d.now-s.warmingUpSince)/float64(s.slowStartDuration)))
 }
 
-// coldRate is the sending time a second that a cold server may get from us: our part of the cold budget.
-func (d *Router) coldRate(s *server) float64 {
-	capacity := d.carriedByLike(s) // our part of it, in transfers
-	if s.sized {
-		capacity = s.Weight / s.seats
+// slowStartRate is the sending time a second that a cold server may get from us: our part of the cold budget.
+func (d *Router) slowStartRate(s *serverState) float64 {
+	capacity := d.meanRecentWork(s) // our part of it, in transfers
+	if s.weightIsCapacity {
+		capacity = s.Weight / s.sharingDirectors
 	}
-	return coldUse * s.multiple * d.share(s) * capacity
+	return slowStartBudgetFraction * s.overloadMultiple * d.slowStartShare(s) * capacity
 }
 
-// affordable is the cold budget of a server, as target or as source: whether work more may reach it.
-func (d *Router) affordable(s *server, work float64) bool {
-	if s == nil || s.cold == 0 || s.role == origin {
+// fitsSlowStart is the cold budget of a server, as target or as source: whether work more may reach it.
+func (d *Router) fitsSlowStart(s *serverState, work float64) bool {
+	if s == nil || s.warmingUpSince == 0 || s.tier == originTier {
 		return true
 	}
-	rate := d.coldRate(s)
-	spent := s.spent.Spent(d.now, rate)
-	return spent == 0 || spent+work <= rate*d.s.Guarantees.OverloadWindow.Seconds()/2
+	rate := d.slowStartRate(s)
+	spent := s.slowStartBucket.Spent(d.now, rate)
+	return spent == 0 || spent+work <= rate*d.settings.Guarantees.OverloadWindow.Seconds()/2
 }
 
-// carriedByLike is what warm servers of like kind carry for us, in transfers: a low estimate of our part.
-func (d *Router) carriedByLike(s *server) float64 {
+// meanRecentWork is what warm servers of like kind carry for us, in transfers: a low estimate of our part.
+func (d *Router) meanRecentWork(s *serverState) float64 {
 	sum, n := 0.0, 0.0
-	for _, o := range d.like(s) {
-		if o.cold == 0 && !o.ejected {
-			sum += o.carried * math.Exp(-float64(d.now-o.carriedAt)/float64(carryOver)) / carryOver.Seconds()
+	for _, o := range d.sameTier(s) {
+		if o.warmingUpSince == 0 && !o.ejected {
+			sum += o.recentWork * math.Exp(-float64(d.now-o.recentWorkAt)/float64(recentWorkTimeConstant)) / recentWorkTimeConstant.Seconds()
 			n++
 		}
 	}
-	return max(coldCarry/float64(max(d.s.Directors, 1)), sum/max(n, 1))
+	return max(unknownCapacityTransfers/float64(max(d.settings.Directors, 1)), sum/max(n, 1))
 }
--- a/routing/ending.go
+++ b/routing/ending.go
@@ -9,38 +9,38 @@
 
 // retryAfter: a refused client stays away as requests wait here; from a lost site, until a look.
 func (d *Router) retryAfter() time.Duration {
-	if !d.s.SiteLimits.RetryAfterAllowed {
+	if !d.settings.SiteLimits.RetryAfterAllowed {
 		return 0
 	}
-	wait := min(max(holdFor, d.sites.NextProbeIn(d.now, d.s.Zone)), d.s.SiteLimits.MaxRetryAfter*3/4)
-	return wait + time.Duration(d.rng.Int64N(int64(min(wait, d.s.SiteLimits.MaxRetryAfter-wait))+1))
+	wait := min(max(minPostponement, d.sites.NextProbeIn(d.now, d.settings.Zone)), d.settings.SiteLimits.MaxRetryAfter*3/4)
+	return wait + time.Duration(d.rng.Int64N(int64(min(wait, d.settings.SiteLimits.MaxRetryAfter-wait))+1))
 }
 
-// end is the one place where a request is answered by us. A refusal is given where the rules allow it.
-func (d *Router) end(r *request, why Reason) {
-	defer d.forget(r)
-	c := &d.s.Classes[r.Class]
-	ran := slices.ContainsFunc(r.tries, func(a *attempt) bool { return a.mayRun })
+// endRequest is the one place where a request is answered by us. A refusal is given where the rules allow it.
+func (d *Router) endRequest(r *requestState, why Reason) {
+	defer d.forgetRequest(r)
+	c := &d.settings.Classes[r.Class]
+	ran := slices.ContainsFunc(r.attempts, func(a *attemptState) bool { return a.mayHaveExecuted })
 	if c.Idempotency == "read_like" || !ran || (c.Idempotency == "idempotency_key" && c.DedupScope == "all") {
-		d.do(Reject{ID: r.ID, RetryAfter: d.retryAfter(), Reason: why})
+		d.emit(Reject{ID: r.ID, RetryAfter: d.retryAfter(), Reason: why})
 		return
 	}
-	d.do(Fail{ID: r.ID, Reason: why})
+	d.emit(Fail{ID: r.ID, Reason: why})
 }
 
-// forget drops a request that is over and calls off what is still out for it.
-func (d *Router) forget(r *request) {
-	delete(d.reqs, r.ID)
-	for _, a := range r.tries {
-		if !r.stream {
-			d.cancel(a)
+// forgetRequest drops a request that is over and calls off what is still out for it.
+func (d *Router) forgetRequest(r *requestState) {
+	delete(d.requests, r.ID)
+	for _, a := range r.attempts {
+		if !r.streaming {
+			d.cancelAttempt(a)
 		}
 	}
 }
 
-func (d *Router) cancel(a *attempt) {
-	if d.s.SiteLimits.CancelAllowed && a.out && !a.called {
-		a.called = true
-		d.do(Cancel{ID: a.id, Attempt: a.no})
+func (d *Router) cancelAttempt(a *attemptState) {
+	if d.settings.SiteLimits.CancelAllowed && a.inFlight && !a.cancelRequested {
+		a.cancelRequested = true
+		d.emit(Cancel{ID: a.requestID, Attempt: a.number})
 	}
 }
--- a/routing/harness_test.go
+++ b/routing/harness_test.go
@@ -9,8 +9,8 @@
 
 const ms = time.Millisecond
 
-// siteSettings is a small invented site: one location with a hub, an origin, and three kinds of effects.
-func siteSettings() Settings {
+// testSettings is a small invented site: one location with a hub, an origin, and three kinds of effects.
+func testSettings() Settings {
 	return Settings{
 		Directors: 2, Quantum: 2 * ms, DiscoveryMode: "automatic", WeightMode: "nominal", Zone: 1,
 		Zones: []string{"hub", "here", "there"}, Kinds: []string{"edge", "parent", "origin"},
@@ -39,7 +39,7 @@
 	hostEdge   = Host(100) // and following
 )
 
-func siteMembers(edges int) []Endpoint {
+func testEndpoints(edges int) []Endpoint {
 	list := []Endpoint{{Host: hostOrigin, Kind: 2, State: Ready, Weight: 20},
 		{Host: hostParent, Kind: 1, State: Ready, Weight: 12}, {Host: hostParent + 1, Kind: 1, State: Ready, Weight: 12}}
 	for i := range edges {
@@ -48,143 +48,145 @@
 	return append(list, Endpoint{Host: 700, Zone: 2, State: Ready, Weight: 6})
 }
 
-type tried struct {
-	host, source Host
-	sent         Time
-	out, mayRun  bool
+type sentAttempt struct {
+	host, source              Host
+	sentAt                    Time
+	inFlight, mayHaveExecuted bool
 }
 
-type open struct {
+type openRequest struct {
 	Request
-	tries []tried
-	ended bool
+	attempts []sentAttempt
+	ended    bool
 }
 
-type due struct {
-	at  Time
-	ev  Event
-	seq int
+type scheduledEvent struct {
+	at       Time
+	event    Event
+	sequence int
 }
 
-type told struct {
+type notifiedPurge struct {
 	Purge
 	at Time
 }
 
-type spent struct {
+type workCharge struct {
 	at   Time
 	work float64
 }
 
-// world plays the dispatcher's surroundings and asserts the five rules as one dispatcher can see them.
-type world struct {
-	t       *testing.T
-	s       Settings
-	r       *Router
-	rng     *rand.Rand
-	now     Time
-	members map[Host]Endpoint
-	reqs    map[uint32]*open
-	queue   []due
-	purges  []told
-	cold    map[Host][]spent
-	answer  func(w *world, o *open, n int) (Result, FillStatus, time.Duration)
-	sent    []Fetch
-	acts    []Action
-	seq     int
-	broken  string
+// testEnv plays the dispatcher's surroundings and asserts the five rules as one dispatcher can see them.
+type testEnv struct {
+	t                *testing.T
+	settings         Settings
+	router           *Router
+	rng              *rand.Rand
+	now              Time
+	endpoints        map[Host]Endpoint
+	requests         map[uint32]*openRequest
+	pending          []scheduledEvent
+	purges           []notifiedPurge
+	slowStartCharges map[Host][]workCharge
+	answer           func(w *testEnv, o *openRequest, n int) (Result, FillStatus, time.Duration)
+	fetches          []Fetch
+	actions          []Action
+	nextSequence     int
+	violation        string
 }
 
-func newWorld(t *testing.T, s Settings, seed uint64) *world {
+func newTestEnv(t *testing.T, s Settings, seed uint64) *testEnv {
 	t.Helper()
 	r, err := New(s, seed)
 	if err != nil {
 		t.Fatal(err)
 	}
-	w := &world{t: t, s: s, r: r, rng: rand.New(rand.NewPCG(seed, 2)), members: map[Host]Endpoint{},
-		reqs: map[uint32]*open{}, cold: map[Host][]spent{}, now: 100 * time.Second}
-	w.answer = func(*world, *open, int) (Result, FillStatus, time.Duration) { return OK, FillStatusHit, 50 * ms }
+	w := &testEnv{t: t, settings: s, router: r, rng: rand.New(rand.NewPCG(seed, 2)), endpoints: map[Host]Endpoint{},
+		requests: map[uint32]*openRequest{}, slowStartCharges: map[Host][]workCharge{}, now: 100 * time.Second}
+	w.answer = func(*testEnv, *openRequest, int) (Result, FillStatus, time.Duration) {
+		return OK, FillStatusHit, 50 * ms
+	}
 	return w
 }
 
-func (w *world) fail(format string, a ...any) {
-	if w.broken == "" {
-		w.broken = fmt.Sprintf(format, a...)
+func (w *testEnv) violatef(format string, a ...any) {
+	if w.violation == "" {
+		w.violation = fmt.Sprintf(format, a...)
 	}
 }
 
-func (w *world) later(after time.Duration, ev Event) {
-	w.seq++
-	w.queue = append(w.queue, due{w.now + after, ev, w.seq})
+func (w *testEnv) schedule(after time.Duration, ev Event) {
+	w.nextSequence++
+	w.pending = append(w.pending, scheduledEvent{w.now + after, ev, w.nextSequence})
 }
 
-func (w *world) list(kind UpdateKind, list ...Endpoint) {
+func (w *testEnv) updateEndpoints(kind UpdateKind, list ...Endpoint) {
 	if kind != UpdateDelta {
-		for h, m := range w.members {
+		for h, m := range w.endpoints {
 			m.State = Gone
-			w.members[h] = m
+			w.endpoints[h] = m
 		}
 	}
 	for _, m := range list {
-		if m.Started != w.members[m.Host].Started {
-			delete(w.cold, m.Host) // a new life has a budget of its own
+		if m.Started != w.endpoints[m.Host].Started {
+			delete(w.slowStartCharges, m.Host) // a new life has a budget of its own
 		}
-		w.members[m.Host] = m
+		w.endpoints[m.Host] = m
 	}
 	w.handle(EndpointUpdate{Kind: kind, Endpoints: list})
 }
 
-func (w *world) ask(q Request) *open {
-	o := &open{Request: q}
-	w.reqs[q.ID] = o
+func (w *testEnv) submit(q Request) *openRequest {
+	o := &openRequest{Request: q}
+	w.requests[q.ID] = o
 	w.handle(q)
 	return o
 }
 
-func (w *world) purge(p Purge) {
-	w.purges = append(w.purges, told{p, w.now})
+func (w *testEnv) purge(p Purge) {
+	w.purges = append(w.purges, notifiedPurge{p, w.now})
 	w.handle(p)
 }
 
-// run lets time pass, delivering what is due in order.
-func (w *world) run(until Time) {
+// runUntil lets time pass, delivering what is due in order.
+func (w *testEnv) runUntil(until Time) {
 	for {
 		best := -1
-		for i, d := range w.queue {
-			if d.at <= until && (best < 0 || d.at < w.queue[best].at ||
-				(d.at == w.queue[best].at && d.seq < w.queue[best].seq)) {
+		for i, d := range w.pending {
+			if d.at <= until && (best < 0 || d.at < w.pending[best].at ||
+				(d.at == w.pending[best].at && d.sequence < w.pending[best].sequence)) {
 				best = i
 			}
 		}
 		if best < 0 {
 			break
 		}
-		d := w.queue[best]
-		w.queue = append(w.queue[:best], w.queue[best+1:]...)
+		d := w.pending[best]
+		w.pending = append(w.pending[:best], w.pending[best+1:]...)
 		w.now = max(w.now, d.at)
-		if o, ok := d.ev.(Outcome); ok {
-			w.outcome(o)
+		if o, ok := d.event.(Outcome); ok {
+			w.deliverOutcome(o)
 			continue
 		}
-		w.handle(d.ev)
+		w.handle(d.event)
 	}
 	w.now = max(w.now, until)
-	for _, o := range w.reqs {
-		if !o.ended && w.now > o.Deadline+w.s.Guarantees.AnswerGrace {
-			w.fail("request %d lost", o.ID)
+	for _, o := range w.requests {
+		if !o.ended && w.now > o.Deadline+w.settings.Guarantees.AnswerGrace {
+			w.violatef("request %d lost", o.ID)
 		}
 	}
 }
 
-func (w *world) outcome(o Outcome) {
-	q := w.reqs[o.ID]
-	a := &q.tries[o.Attempt]
-	if !a.out {
+func (w *testEnv) deliverOutcome(o Outcome) {
+	q := w.requests[o.ID]
+	a := &q.attempts[o.Attempt]
+	if !a.inFlight {
 		return
 	}
-	a.out = false
-	a.mayRun = !(o.Result == Rejected || o.Result == ConnectFailed || o.Result == Abandoned || o.Result == Miss)
-	o.Elapsed = w.now - a.sent
+	a.inFlight = false
+	a.mayHaveExecuted = !(o.Result == Rejected || o.Result == ConnectFailed || o.Result == Abandoned || o.Result == Miss)
+	o.Elapsed = w.now - a.sentAt
 	if o.Result == OK {
 		q.ended = true
 	}
@@ -192,68 +194,68 @@
 	w.handle(o)
 }
 
-func (w *world) handle(ev Event) {
-	acts := append([]Action(nil), w.r.Handle(w.now, ev)...)
-	w.acts = append(w.acts, acts...)
+func (w *testEnv) handle(ev Event) {
+	acts := append([]Action(nil), w.router.Handle(w.now, ev)...)
+	w.actions = append(w.actions, acts...)
 	for _, act := range acts {
 		switch a := act.(type) {
 		case Fetch:
-			w.sent = append(w.sent, a)
-			w.attempt(a.ID, a.Host, a.Source, a.Timeout, a.MaxAge)
+			w.fetches = append(w.fetches, a)
+			w.checkAttempt(a.ID, a.Host, a.Source, a.Timeout, a.MaxAge)
 		case Forward:
-			w.attempt(a.ID, a.Host, a.Host, a.Timeout, 0)
+			w.checkAttempt(a.ID, a.Host, a.Host, a.Timeout, 0)
 		case Cancel:
-			w.later(2*ms, Outcome{ID: a.ID, Attempt: a.Attempt, Result: Cancelled, Host: w.reqs[a.ID].tries[a.Attempt].host})
+			w.schedule(2*ms, Outcome{ID: a.ID, Attempt: a.Attempt, Result: Cancelled, Host: w.requests[a.ID].attempts[a.Attempt].host})
 		case Reject:
-			w.final(a.ID, true)
+			w.checkFinal(a.ID, true)
 		case Fail:
-			w.final(a.ID, false)
+			w.checkFinal(a.ID, false)
 		case SetTimer:
-			w.later(max(a.At-w.now, ms), TimerFired{a.Token})
+			w.schedule(max(a.At-w.now, ms), TimerFired{a.Token})
 		}
 	}
 }
 
-func (w *world) final(id uint32, refused bool) {
-	o := w.reqs[id]
+func (w *testEnv) checkFinal(id uint32, refused bool) {
+	o := w.requests[id]
 	if o.ended {
-		w.fail("request %d ended twice", id)
+		w.violatef("request %d ended twice", id)
 	}
 	o.ended = true
-	c := w.s.Classes[o.Class]
-	for _, a := range o.tries {
-		if refused && a.mayRun && (c.Idempotency == "non_idempotent" || (c.Idempotency == "idempotency_key" && c.DedupScope != "all")) {
-			w.fail("request %d refused though it may have run", id)
+	c := w.settings.Classes[o.Class]
+	for _, a := range o.attempts {
+		if refused && a.mayHaveExecuted && (c.Idempotency == "non_idempotent" || (c.Idempotency == "idempotency_key" && c.DedupScope != "all")) {
+			w.violatef("request %d refused though it may have run", id)
 		}
 	}
 }
 
-// attempt checks one attempt against the rules and has the world answer it.
-func (w *world) attempt(id uint32, host, source Host, timeout, age time.Duration) {
-	o := w.reqs[id]
-	c, f := w.s.Classes[o.Class], w.s.Tiers
+// checkAttempt checks one checkAttempt against the rules and has the world answer it.
+func (w *testEnv) checkAttempt(id uint32, host, source Host, timeout, age time.Duration) {
+	o := w.requests[id]
+	c, f := w.settings.Classes[o.Class], w.settings.Tiers
 	if o.ended {
-		w.fail("attempt for ended request %d", id)
+		w.violatef("attempt for ended request %d", id)
 	}
-	if len(o.tries) >= w.s.SiteLimits.MaxAttempts {
-		w.fail("request %d: too many attempts", id)
+	if len(o.attempts) >= w.settings.SiteLimits.MaxAttempts {
+		w.violatef("request %d: too many attempts", id)
 	}
 	for _, h := range []Host{host, source} {
-		if m, ok := w.members[h]; !ok || m.State != Ready {
-			w.fail("request %d: host %d is draining, gone or unknown", id, h)
+		if m, ok := w.endpoints[h]; !ok || m.State != Ready {
+			w.violatef("request %d: host %d is draining, gone or unknown", id, h)
 		}
 	}
-	m := w.members[host]
-	for _, a := range o.tries {
-		if a.out && !w.s.SiteLimits.HedgingAllowed {
-			w.fail("request %d: two attempts out", id)
+	m := w.endpoints[host]
+	for _, a := range o.attempts {
+		if a.inFlight && !w.settings.SiteLimits.HedgingAllowed {
+			w.violatef("request %d: two attempts out", id)
 		}
-		if a.mayRun && c.Idempotency == "non_idempotent" {
-			w.fail("request %d: unsafe sent again", id)
+		if a.mayHaveExecuted && c.Idempotency == "non_idempotent" {
+			w.violatef("request %d: unsafe sent again", id)
 		}
-		if a.mayRun && c.Idempotency == "idempotency_key" && (w.now >= a.sent+c.DedupWindow ||
-			(c.DedupScope == "zone" && w.members[a.host].Zone != m.Zone) || (c.DedupScope == "cell" && w.members[a.host].Cell != m.Cell)) {
-			w.fail("request %d: keyed sent again outside its group or window", id)
+		if a.mayHaveExecuted && c.Idempotency == "idempotency_key" && (w.now >= a.sentAt+c.DedupWindow ||
+			(c.DedupScope == "zone" && w.endpoints[a.host].Zone != m.Zone) || (c.DedupScope == "cell" && w.endpoints[a.host].Cell != m.Cell)) {
+			w.violatef("request %d: keyed sent again outside its group or window", id)
 		}
 	}
 	for _, p := range w.purges {
@@ -261,19 +263,19 @@
 		made := p.at - p.Age
 		if hit && m.Kind != f.OriginKind && w.now > p.at+f.PurgeSlack && w.now < made+f.PurgePropagation {
 			if age <= 0 || age > max(1, w.now-made) {
-				w.fail("request %d: age %v admits a copy from before a purge %v ago", id, age, w.now-made)
+				w.violatef("request %d: age %v admits a copy from before a purge %v ago", id, age, w.now-made)
 			}
 		}
 	}
-	n := len(o.tries)
-	o.tries = append(o.tries, tried{host, source, w.now, true, true})
+	n := len(o.attempts)
+	o.attempts = append(o.attempts, sentAttempt{host, source, w.now, true, true})
 	res, note, after := w.answer(w, o, n)
 	if f.FillStatusReported == "off" || (f.FillStatusReported == "hit" && note > FillStatusCoalesced) {
 		note = FillStatusUnknown
 	}
-	w.charge(host)
+	w.chargeSlowStart(host)
 	if source != host && (note != FillStatusHit || f.FillStatusReported == "off") {
-		w.charge(source)
+		w.chargeSlowStart(source)
 	}
 	limit := o.Deadline - w.now
 	if timeout > 0 {
@@ -282,25 +284,25 @@
 	if after >= limit {
 		res, note, after = TimedOut, FillStatusUnknown, limit
 	}
-	w.later(max(after, ms), Outcome{ID: id, Attempt: n, Host: host, Result: res, FillStatus: note})
+	w.schedule(max(after, ms), Outcome{ID: id, Attempt: n, Host: host, Result: res, FillStatus: note})
 }
 
-// charge books an attempt on a cold server's budget: our part of what all may send.
-func (w *world) charge(h Host) {
-	m, f, g := w.members[h], w.s.Tiers, w.s.Guarantees
+// chargeSlowStart books an attempt on a cold server's budget: our part of what all may send.
+func (w *testEnv) chargeSlowStart(h Host) {
+	m, f, g := w.endpoints[h], w.settings.Tiers, w.settings.Guarantees
 	if m.Started == 0 || m.Kind == f.OriginKind {
 		return
 	}
-	from, ramp, multiple, seats := g.SlowStartFraction, g.SlowStartDuration, g.OverloadMultiple, w.s.Tiers.DirectorsByZone[m.Zone]
+	from, ramp, multiple, seats := g.SlowStartFraction, g.SlowStartDuration, g.OverloadMultiple, w.settings.Tiers.DirectorsByZone[m.Zone]
 	if m.Kind == f.ParentKind {
-		from, ramp, multiple, seats = f.ParentSlowStartFraction, f.ParentSlowStartDuration, f.ParentOverloadMultiple, w.s.Directors
+		from, ramp, multiple, seats = f.ParentSlowStartFraction, f.ParentSlowStartDuration, f.ParentOverloadMultiple, w.settings.Directors
 	}
 	if w.now-m.Started > ramp {
 		return
 	}
-	w.cold[h] = append(w.cold[h], spent{w.now, 0.05})
+	w.slowStartCharges[h] = append(w.slowStartCharges[h], workCharge{w.now, 0.05})
 	sum := 0.0
-	for _, s := range w.cold[h] {
+	for _, s := range w.slowStartCharges[h] {
 		if s.at > w.now-g.OverloadWindow {
 			sum += s.work
 		}
@@ -308,6 +310,6 @@
 	share := from + (1-from)*float64(w.now-g.OverloadWindow-m.Started)/float64(ramp)
 	allowed := multiple * max(from, share) * m.Weight / float64(seats) * g.OverloadWindow.Seconds()
 	if sum > allowed {
-		w.fail("cold host %d: %.2f s of work in its span, %.2f allowed", h, sum, allowed)
+		w.violatef("cold host %d: %.2f s of work in its span, %.2f allowed", h, sum, allowed)
 	}
 }
--- a/routing/outcomes.go
+++ b/routing/outcomes.go
@@ -9,169 +9,169 @@
 
 // What the end of an attempt means for its request and for what is believed of servers.
 
-// outcome takes the one end of an attempt.
-func (d *Router) outcome(o Outcome) {
+// handleOutcome takes the one end of an attempt.
+func (d *Router) handleOutcome(o Outcome) {
 	k := uint64(o.ID)<<16 | uint64(o.Attempt)
-	a, r := d.tries[k], d.reqs[o.ID]
+	a, r := d.attempts[k], d.requests[o.ID]
 	if a == nil {
 		return
 	}
-	delete(d.tries, k)
-	is := func(b *attempt) bool { return a == b }
-	a.target.to.out = slices.DeleteFunc(a.target.to.out, is)
+	delete(d.attempts, k)
+	is := func(b *attemptState) bool { return a == b }
+	a.target.asTarget.inFlight = slices.DeleteFunc(a.target.asTarget.inFlight, is)
 	if a.source != nil {
-		a.source.from.out = slices.DeleteFunc(a.source.from.out, is)
-	}
-	a.out = false
-	a.target.sending -= a.work
-	_, side := blamed(a)
-	side.load -= a.work
-	a.mayRun = !slices.Contains([]Result{Rejected, ConnectFailed, Abandoned, Miss, LocalResourcesExhausted, Unreachable}, o.Result)
-	d.learn(a, r, o)
+		a.source.asSource.inFlight = slices.DeleteFunc(a.source.asSource.inFlight, is)
+	}
+	a.inFlight = false
+	a.target.totalInFlightWork -= a.work
+	_, side := attributedTo(a)
+	side.inFlightWork -= a.work
+	a.mayHaveExecuted = !slices.Contains([]Result{Rejected, ConnectFailed, Abandoned, Miss, LocalResourcesExhausted, Unreachable}, o.Result)
+	d.recordOutcome(a, r, o)
 	if r == nil {
 		return
 	}
-	r.out--
-	if r.copies > 0 && a.no > 0 && o.Result == OK {
-		d.copies = min(d.copies+copyEarns, copyMost)
+	r.inFlight--
+	if r.hedges > 0 && a.number > 0 && o.Result == OK {
+		d.hedgeTokens = min(d.hedgeTokens+hedgeTokensPerWin, maxHedgeTokens)
 	}
 	switch {
 	case o.RequestDone:
-		d.forget(r)
-	case r.out > 0:
+		d.forgetRequest(r)
+	case r.inFlight > 0:
 	case d.now >= r.Deadline:
-		d.end(r, ReasonDeadlineExceeded)
-	case turnedAway(o) && !d.repeats.TryWithdraw(d.now, r.passOn):
-		d.end(r, ReasonRetryBudgetExhausted)
-	case d.lesson(r, a, o), a.mayRun && o.Result != Errored && !d.s.SiteLimits.HedgingAllowed:
-		d.hold(r) // also where what calls an attempt off may be overtaken: two would be out at once
+		d.endRequest(r, ReasonDeadlineExceeded)
+	case suggestsOverload(o) && !d.retryBudget.TryWithdraw(d.now, r.uncacheable):
+		d.endRequest(r, ReasonRetryBudgetExhausted)
+	case d.applyFailure(r, a, o), a.mayHaveExecuted && o.Result != Errored && !d.settings.SiteLimits.HedgingAllowed:
+		d.postpone(r) // also where what calls an attempt off may be overtaken: two would be out at once
 	default:
 		d.advance(r)
 	}
 }
 
-// turnedAway tells that an attempt has failed as in a crowd: to try again at once adds to it.
-func turnedAway(o Outcome) bool {
+// suggestsOverload tells that an attempt has failed as in a crowd: to try again at once adds to it.
+func suggestsOverload(o Outcome) bool {
 	return o.Result == Rejected || o.Result == ConnectFailed || o.Result == TimedOut
 }
 
-// lesson notes what a failure rules out for its request, and tells whether it must wait: who is full stays
+// applyFailure notes what a failure rules out for its request, and tells whether it must wait: who is full stays
 // full for a moment, and to go elsewhere at once doubles a jam. Harm: it waits though another had room.
-func (d *Router) lesson(r *request, a *attempt, o Outcome) (wait bool) {
+func (d *Router) applyFailure(r *requestState, a *attemptState, o Outcome) (wait bool) {
 	src, full := a.source, o.Result == Rejected && (o.FillStatus == FillStatusUnknown || o.FillStatus == FillStatusNoFillSlot)
-	untold := full && o.FillStatus == FillStatusUnknown && d.s.Tiers.FillStatusReported != "all" // who refused: the source may have
+	untold := full && o.FillStatus == FillStatusUnknown && d.settings.Tiers.FillStatusReported != "all" // who refused: the source may have
 	switch {
 	case src == nil || (full && !untold) || (o.Result != Miss && o.Result != Rejected && o.Result != TimedOut):
-	case src.role == edge:
-		r.tier = max(r.tier, parent)
-		for i, h := range r.held.by {
-			if h.host == src {
-				r.held.by[i] = holder{}
+	case src.tier == edgeTier:
+		r.minSourceTier = max(r.minSourceTier, parentTier)
+		for i, h := range r.location.hints {
+			if h.server == src {
+				r.location.hints[i] = locationHint{}
 			}
 		}
-	case !src.ejected && !a.look:
-		r.tier = origin
+	case !src.ejected && !a.halfOpenProbe:
+		r.minSourceTier = originTier
 	}
 	switch o.Result {
 	case Errored, TimedOut, ConnectFailed, Reset, Unreachable:
-		r.avoid = append(r.avoid, a.target)
+		r.avoidTargets = append(r.avoidTargets, a.target)
 	case LocalResourcesExhausted:
 		return true // no other server can be reached either
 	case Miss:
-		if r.looked = r.looked || (src == nil && o.FillStatus == FillStatusCoalesced); o.FillStatus != FillStatusCoalesced {
-			r.looks = overload.MaxProbes // none fills it: it may be filled at once
+		if r.triedOnlyIfCached = r.triedOnlyIfCached || (src == nil && o.FillStatus == FillStatusCoalesced); o.FillStatus != FillStatusCoalesced {
+			r.onlyIfCachedCount = overload.MaxProbes // none fills it: it may be filled at once
 		}
-		return src == nil && r.looked && !a.look && !r.shut
+		return src == nil && r.triedOnlyIfCached && !a.halfOpenProbe && !r.shielded
 	}
 	return full
 }
 
-// learn updates what we know of the servers, the class and the table.
-func (d *Router) learn(a *attempt, r *request, o Outcome) {
+// recordOutcome updates what we know of the servers, the class and the table.
+func (d *Router) recordOutcome(a *attemptState, r *requestState, o Outcome) {
 	t := a.target
-	if a.look {
-		looked(a).looking = false
+	if a.halfOpenProbe {
+		probedServer(a).probing = false
 	}
 	switch o.Result {
 	case Cancelled, Abandoned, LocalResourcesExhausted, Unreachable:
 		return // says nothing
 	}
-	d.repeats.RecordAttempt(d.now, o.Result == OK, turnedAway(o))
+	d.retryBudget.RecordAttempt(d.now, o.Result == OK, suggestsOverload(o))
 	failed := o.FillStatus == FillStatusOriginFailed
-	if a.source != nil && a.source.role != edge && (failed || o.FillStatus == FillStatusFilledByOrigin) {
-		late := o.Elapsed > a.aim && o.Elapsed-o.SourceWait <= a.aim // by the source, not by the cache or the link
-		d.shield.RecordAnswer(d.now, a.sent, late || failed)
+	if a.source != nil && a.source.tier != edgeTier && (failed || o.FillStatus == FillStatusFilledByOrigin) {
+		late := o.Elapsed > a.latencyObjective && o.Elapsed-o.SourceWait <= a.latencyObjective // by the source, not by the cache or the link
+		d.originShield.RecordAnswer(d.now, a.sentAt, late || failed)
 	}
-	d.throttle(a, o)
-	d.judge(a, o)
+	d.adjustLimit(a, o)
+	d.recordHealth(a, o)
 	if o.Result == OK || o.Result == TimedOut {
-		d.timed(a)
+		d.sampleLatencyRatio(a)
 	}
-	if src := a.source; o.FillStatus == FillStatusHit && src != nil && src.cold != 0 { // no fill reached the source
-		src.spent.Spend(-max(0, a.work-d.coldRate(src)*(d.now-a.sent).Seconds()))
+	if src := a.source; o.FillStatus == FillStatusHit && src != nil && src.warmingUpSince != 0 { // no fill reached the source
+		src.slowStartBucket.Spend(-max(0, a.work-d.slowStartRate(src)*(d.now-a.sentAt).Seconds()))
 	}
 	if o.Result != OK {
 		return
 	}
 	c := &d.classes[a.class]
 	if c.latency.Observe(o.Elapsed.Seconds()); o.FillStatus == FillStatusFilledByOrigin {
-		d.waited.Observe(o.SourceWait.Seconds())
+		d.originFillWait.Observe(o.SourceWait.Seconds())
 	}
-	if r != nil && r.told > 0 {
-		c.work.Observe(r.told)
+	if r != nil && r.declaredWork > 0 {
+		c.work.Observe(r.declaredWork)
 	} else if o.FillStatus == FillStatusHit || o.FillStatus == FillStatusUnknown {
 		c.work.Observe(o.Elapsed.Seconds())
 	}
-	t.carried = t.carried*math.Exp(-float64(d.now-t.carriedAt)/float64(carryOver)) + a.work
-	t.carriedAt = d.now
-	if r != nil && t.role == edge && !r.passOn {
-		if r.held.by[0].host != t {
-			r.held.by[1] = r.held.by[0]
+	t.recentWork = t.recentWork*math.Exp(-float64(d.now-t.recentWorkAt)/float64(recentWorkTimeConstant)) + a.work
+	t.recentWorkAt = d.now
+	if r != nil && t.tier == edgeTier && !r.uncacheable {
+		if r.location.hints[0].server != t {
+			r.location.hints[1] = r.location.hints[0]
 		}
-		r.held.by[0] = holder{t, d.now}
+		r.location.hints[0] = locationHint{t, d.now}
 	}
 }
 
-// judge takes an outcome as evidence on its target and its source.
-func (d *Router) judge(a *attempt, o Outcome) {
+// recordHealth takes an outcome as evidence on its target and its source.
+func (d *Router) recordHealth(a *attemptState, o Outcome) {
 	t, src := a.target, a.source
 	switch o.Result {
 	case OK, Miss, Rejected, Errored:
-		t.heard = d.now
-		t.seen.RecordResponse(d.now)
-		if t.ejected && (a.look || o.Result == OK) {
+		t.lastAnswerAsTarget = d.now
+		t.siteMember.RecordResponse(d.now)
+		if t.ejected && (a.halfOpenProbe || o.Result == OK) {
 			d.readmit(t)
 		}
 	case ConnectFailed:
-		t.seen.RecordRefusal(d.now)
+		t.siteMember.RecordRefusal(d.now)
 		d.eject(t, "connection failed")
 	case TimedOut:
-		t.seen.RecordTimeout(d.now, a.sent)
+		t.siteMember.RecordTimeout(d.now, a.sentAt)
 	}
-	if a.look && (o.Result == TimedOut || o.Result == Reset) { // else a reset tells nothing
-		d.eject(looked(a), "look unanswered")
+	if a.halfOpenProbe && (o.Result == TimedOut || o.Result == Reset) { // else a reset tells nothing
+		d.eject(probedServer(a), "look unanswered")
 	}
 	untold := o.FillStatus == FillStatusUnknown && (o.Result == OK || o.Result == Miss)
 	switch {
 	case src == nil:
 	case o.FillStatus == FillStatusSourceUnreachable:
 		// Quickly: it is down. Late: perhaps crowded, and to eject it would crowd the others in a cascade.
-		n, down := src.missed.Add(d.now), o.SourceWait < quickly
-		if src.seen.RecordSourceFailure(d.now, a.sent, down); src.ejected || down || (n >= 3 && src.seen.HasHealthyPeer(d.now)) {
+		n, down := src.failedFills.Add(d.now), o.SourceWait < quickFailure
+		if src.siteMember.RecordSourceFailure(d.now, a.sentAt, down); src.ejected || down || (n >= 3 && src.siteMember.HasHealthyPeer(d.now)) {
 			d.eject(src, "source not reached")
 		}
 	case untold, o.FillStatus == FillStatusSourceRejected, o.FillStatus == FillStatusSourceMiss, o.FillStatus == FillStatusOriginFailed,
 		o.FillStatus >= FillStatusFilled && o.FillStatus <= FillStatusCoalesced:
-		src.missed, src.spoke = overload.FailureStreak{}, d.now
-		src.seen.RecordResponse(d.now)
+		src.failedFills, src.lastAnswerAsSource = overload.FailureStreak{}, d.now
+		src.siteMember.RecordResponse(d.now)
 		if src.ejected {
 			d.readmit(src)
 		}
 	}
 }
 
-// looked is the half-open server that a look is about.
-func looked(a *attempt) *server {
+// probedServer is the half-open server that a look is about.
+func probedServer(a *attemptState) *serverState {
 	if a.target.ejected || a.source == nil {
 		return a.target
 	}
--- a/routing/refusal_test.go
+++ b/routing/refusal_test.go
@@ -19,22 +19,22 @@
 		"not allowed": {false, false, 500 * ms, 0, 0},
 		"site lost":   {true, true, 5 * time.Second, 250 * ms, 500 * ms},
 	} {
-		w := simpleWorld(t, func(s *Settings) {
+		w := newSimpleEnv(t, func(s *Settings) {
 			s.SiteLimits.RetryAfterAllowed, s.SiteLimits.MaxRetryAfter = c.allowed, c.longest
 		})
-		w.answer = func(*world, *open, int) (Result, FillStatus, time.Duration) {
+		w.answer = func(*testEnv, *openRequest, int) (Result, FillStatus, time.Duration) {
 			return Rejected, FillStatusUnknown, 5 * ms
 		}
 		if c.lost {
-			w.list(UpdateFull) // nobody is left to ask
-			w.run(w.now + 100*ms)
+			w.updateEndpoints(UpdateFull) // nobody is left to ask
+			w.runUntil(w.now + 100*ms)
 		}
-		if o := w.read(1, 7, 0); c.lost && !o.ended {
+		if o := w.submitRead(1, 7, 0); c.lost && !o.ended {
 			t.Errorf("%s: held, though it can only fail", name)
 		}
-		w.run(w.now + 4*time.Second)
+		w.runUntil(w.now + 4*time.Second)
 		got := -1 * ms
-		for _, a := range w.acts {
+		for _, a := range w.actions {
 			if r, ok := a.(Reject); ok {
 				got = r.RetryAfter
 			}
@@ -48,12 +48,12 @@
 // A request that is bound to be given up must not be held on: its answer is owed at once.
 func TestGivenUpIsAnsweredAtOnce(t *testing.T) {
 	for seed := range uint64(20) {
-		w := newWorld(t, siteSettings(), seed)
-		w.list(UpdateCached, siteMembers(4)...)
-		w.list(UpdateFull)
-		o := w.read(1, 7, 0)
-		limit := w.s.Classes[0].LatencyObjective/2 + holdFor
-		w.run(w.now + limit)
+		w := newTestEnv(t, testSettings(), seed)
+		w.updateEndpoints(UpdateCached, testEndpoints(4)...)
+		w.updateEndpoints(UpdateFull)
+		o := w.submitRead(1, 7, 0)
+		limit := w.settings.Classes[0].LatencyObjective/2 + minPostponement
+		w.runUntil(w.now + limit)
 		if !o.ended {
 			t.Fatalf("seed %d: still held %v after it came", seed, limit)
 		}
--- a/routing/routing.go
+++ b/routing/routing.go
@@ -11,160 +11,162 @@
 // Which server a request goes to, and where a miss is filled from.
 
 // advance sends the request's next attempt, holds it for a moment, or ends it.
-func (d *Router) advance(r *request) {
+func (d *Router) advance(r *requestState) {
 	switch {
-	case len(r.tries) >= d.s.SiteLimits.MaxAttempts:
-		d.end(r, ReasonAttemptsExhausted)
+	case len(r.attempts) >= d.settings.SiteLimits.MaxAttempts:
+		d.endRequest(r, ReasonAttemptsExhausted)
 	case d.now >= r.Deadline:
-		d.end(r, ReasonDeadlineExceeded)
+		d.endRequest(r, ReasonDeadlineExceeded)
 	case d.route(r):
 	case d.sites.OwnBranchUnavailable():
-		d.end(r, ReasonSiteLost)
+		d.endRequest(r, ReasonSiteLost)
 	case !d.maySend(r, nil):
-		d.end(r, ReasonMayHaveExecuted)
-	case r.shut && r.tier == origin:
-		d.end(r, ReasonOriginShielded)
-	case d.now-r.since > d.s.Classes[r.Class].LatencyObjective/2:
-		d.end(r, ReasonNoServerInTime)
+		d.endRequest(r, ReasonMayHaveExecuted)
+	case r.shielded && r.minSourceTier == originTier:
+		d.endRequest(r, ReasonOriginShielded)
+	case d.now-r.receivedAt > d.settings.Classes[r.Class].LatencyObjective/2:
+		d.endRequest(r, ReasonNoServerInTime)
 	default:
-		d.hold(r)
+		d.postpone(r)
 	}
 }
 
-// hold keeps a request back for a moment that doubles each time, with jitter so that held requests spread,
+// postpone keeps a request back for a moment that doubles each time, with jitter so that held requests spread,
 // and not past the time at which it would be given up: the answer to that is owed at once.
-func (d *Router) hold(r *request) {
-	wait := holdFor << min(r.holds, 5)
+func (d *Router) postpone(r *requestState) {
+	wait := minPostponement << min(r.postponements, 5)
 	wait += time.Duration(d.rng.Int64N(int64(wait)))
-	wait = min(wait, max(holdFor, r.since+d.s.Classes[r.Class].LatencyObjective/2-d.now))
-	r.holds, r.waiting = r.holds+1, true
-	d.do(SetTimer{Token: requestTimer | uint64(r.ID), At: min(d.now+wait, r.Deadline)})
+	wait = min(wait, max(minPostponement, r.receivedAt+d.settings.Classes[r.Class].LatencyObjective/2-d.now))
+	r.postponements, r.waiting = r.postponements+1, true
+	d.emit(SetTimer{Token: requestTimer | uint64(r.ID), At: min(d.now+wait, r.Deadline)})
 }
 
 // route tries the ordinary path and its departures; it tells whether an attempt has left. Past a cache at its
 // limit, or swamped while another is not, the next in rank is asked that is not slow. Harm: one fill more.
-func (d *Router) route(r *request) bool {
-	d.rank(d.caches, r.Object)
-	d.rank(d.upper, r.Object)
-	work, last := d.cost(r), origin
-	free := func(t *server) bool { return !t.ejected && !d.slow(t) && !d.swamped(r, t, spillUpTo) }
-	room := slices.ContainsFunc(d.caches, free)
-	for _, t := range d.caches {
+func (d *Router) route(r *requestState) bool {
+	d.rank(d.localCaches, r.Object)
+	d.rank(d.upstreams, r.Object)
+	work, last := d.transferWork(r), originTier
+	free := func(t *serverState) bool {
+		return !t.ejected && !d.isSlow(t) && !d.linkSaturated(r, t, spilloverLoadFraction)
+	}
+	room := slices.ContainsFunc(d.localCaches, free)
+	for _, t := range d.localCaches {
 		switch {
-		case slices.Contains(r.avoid, t), r.passOn && (t.ejected || d.s.Tiers.BypassAllowed):
+		case slices.Contains(r.avoidTargets, t), r.uncacheable && (t.ejected || d.settings.Tiers.BypassAllowed):
 		case t.ejected:
-			if d.mayLook(t) && d.send(r, t, nil) {
+			if d.mayProbe(t) && d.send(r, t, nil) {
 				return true
 			}
-		case room && d.swamped(r, t, 1),
-			d.full(&t.to, work) && (d.likelyFill(r, t) || d.full(&t.to, work-hitRoom*t.to.limit.Value(d.now))):
-			last = parent
-		case last == parent && (!free(t) || t.to.load > spillUpTo*t.to.limit.Value(d.now)):
-		case d.fill(r, t):
+		case room && d.linkSaturated(r, t, 1),
+			d.atLimit(&t.asTarget, work) && (d.isLikelyFill(r, t) || d.atLimit(&t.asTarget, work-hitLimitHeadroom*t.asTarget.concurrencyLimit.Value(d.now))):
+			last = parentTier
+		case last == parentTier && (!free(t) || t.asTarget.inFlightWork > spilloverLoadFraction*t.asTarget.concurrencyLimit.Value(d.now)):
+		case d.fetchThrough(r, t):
 			return true
-		case r.looked:
+		case r.triedOnlyIfCached:
 			return false
 		}
 	}
 	return d.bypass(r, last)
 }
 
-// fill asks a cache, with the tiers' source: sibling, parent, origin. One at its limit is passed over; where
+// fetchThrough asks a cache, with the tiers' source: sibling, parent, origin. One at its limit is passed over; where
 // all are, the cache is asked once for what it holds. By a crowded origin some get only what parents hold.
-func (d *Router) fill(r *request, t *server) bool {
-	if s := d.sibling(r, t); (s != nil && d.send(r, t, s)) || d.askMasters(r) {
+func (d *Router) fetchThrough(r *requestState, t *serverState) bool {
+	if s := d.siblingSource(r, t); (s != nil && d.send(r, t, s)) || d.askPeers(r) {
 		return true
 	}
-	limited, full := d.likelyFill(r, t) && !r.passOn, false
-	if limited && !r.drawn {
-		r.drawn, r.shut = true, d.rng.Float64() >= min(d.shield.AdmitFraction(d.now), d.sites.FillShare(d.now, r.Class))
+	limited, full := d.isLikelyFill(r, t) && !r.uncacheable, false
+	if limited && !r.shieldDecided {
+		r.shieldDecided, r.shielded = true, d.rng.Float64() >= min(d.originShield.AdmitFraction(d.now), d.sites.FillShare(d.now, r.Class))
 	}
-	tells := limited && !r.shut && !d.s.Tiers.CoalescesFills && d.s.Tiers.FillStatusReported == "all"
-	if tells && d.firsts.ShouldProbe(d.now, t.cold != 0, d.shield.AdmitFraction(d.now), max(r.looks, len(r.tries))) &&
-		d.affordable(t, 2*d.cost(r)) { // what it lacks is then filled there
+	tells := limited && !r.shielded && !d.settings.Tiers.CoalescesFills && d.settings.Tiers.FillStatusReported == "all"
+	if tells && d.probeBeforeFill.ShouldProbe(d.now, t.warmingUpSince != 0, d.originShield.AdmitFraction(d.now), max(r.onlyIfCachedCount, len(r.attempts))) &&
+		d.fitsSlowStart(t, 2*d.transferWork(r)) { // what it lacks is then filled there
 		return d.send(r, t, nil)
 	}
-	for _, s := range d.upper {
+	for _, s := range d.upstreams {
 		switch {
-		case s.role == parent && !d.maySource(r, s):
-		case limited && (d.full(&s.from, d.cost(r)) || (r.shut && s.role == origin)):
+		case s.tier == parentTier && !d.maySourceFrom(r, s):
+		case limited && (d.atLimit(&s.asSource, d.transferWork(r)) || (r.shielded && s.tier == originTier)):
 			full = true
 		case d.send(r, t, s):
 			return true
 		}
 	}
-	stale := r.shut && r.tier == origin && d.s.Tiers.StaleWindow[r.Class] > 0
-	if !full || r.looked || (!stale && (r.looks > 0 || r.shut)) {
+	stale := r.shielded && r.minSourceTier == originTier && d.settings.Tiers.StaleWindow[r.Class] > 0
+	if !full || r.triedOnlyIfCached || (!stale && (r.onlyIfCachedCount > 0 || r.shielded)) {
 		return false
 	}
-	r.looked = true
+	r.triedOnlyIfCached = true
 	return d.send(r, t, nil)
 }
 
 // bypass goes straight to a parent or the origin, where site and limits allow it: where no cache may be
 // asked, or (parents only) the one picked has all it can answer in time. Harm: nothing is kept.
-func (d *Router) bypass(r *request, last role) bool {
-	for _, s := range d.upper {
-		master := d.upper[len(d.upper)-1]
+func (d *Router) bypass(r *requestState, last tier) bool {
+	for _, s := range d.upstreams {
+		master := d.upstreams[len(d.upstreams)-1]
 		switch {
-		case !d.s.Tiers.BypassAllowed || s.role > last || (r.shut && !r.passOn):
-		case s.role == parent && master.role == origin && d.maySource(r, s) &&
-			!d.full(&s.from, 2*d.cost(r)) && d.send(r, s, master):
+		case !d.settings.Tiers.BypassAllowed || s.tier > last || (r.shielded && !r.uncacheable):
+		case s.tier == parentTier && master.tier == originTier && d.maySourceFrom(r, s) &&
+			!d.atLimit(&s.asSource, 2*d.transferWork(r)) && d.send(r, s, master):
 			return true
-		case s.role == origin && (r.passOn || !d.full(&s.from, d.cost(r))) && d.send(r, s, nil):
+		case s.tier == originTier && (r.uncacheable || !d.atLimit(&s.asSource, d.transferWork(r))) && d.send(r, s, nil):
 			return true
 		}
 	}
 	return false
 }
 
-// maySource tells whether a parent may be the request's source: a miss or refusal has moved it up a tier.
-func (d *Router) maySource(r *request, p *server) bool {
-	return r.tier <= parent && !r.passOn && (!p.ejected || d.mayLook(p))
+// maySourceFrom tells whether a parent may be the request's source: a miss or refusal has moved it up a tier.
+func (d *Router) maySourceFrom(r *requestState, p *serverState) bool {
+	return r.minSourceTier <= parentTier && !r.uncacheable && (!p.ejected || d.mayProbe(p))
 }
 
-// sibling is the ordinary path's source: the table's other holder; or the far cache that a master named.
-func (d *Router) sibling(r *request, target *server) *server {
-	if r.tier > edge || r.passOn || (d.s.Tiers.SiblingFills != "location" && d.s.Tiers.SiblingFills != "any") {
+// siblingSource is the ordinary path's source: the table's other holder; or the far cache that a master named.
+func (d *Router) siblingSource(r *requestState, target *serverState) *serverState {
+	if r.minSourceTier > edgeTier || r.uncacheable || (d.settings.Tiers.SiblingFills != "location" && d.settings.Tiers.SiblingFills != "any") {
 		return nil
 	}
-	if far := d.servers[r.far]; d.usable(far) {
+	if far := d.servers[r.remoteSource]; d.isUsable(far) {
 		return far
 	}
-	return d.holder(r, target)
+	return d.hintedSource(r, target)
 }
 
 // rank orders a group by weighted rendezvous hash of the object: parents of our hub, of others, the origin.
-func (d *Router) rank(group []*server, object uint64) {
+func (d *Router) rank(group []*serverState, object uint64) {
 	var hash rand.PCG
 	for _, s := range group {
 		hash.Seed(object, uint64(s.Host))
 		u := (float64(hash.Uint64()>>11) + 0.5) / (1 << 53)
-		switch s.score = -d.weight(s) / math.Log(u); {
-		case s.role == origin:
-			s.score = math.Inf(-1)
-		case s.role == parent && d.sites.WeightFactor(s.Zone) > 0:
-			s.score *= d.sites.WeightFactor(s.Zone)
-		case s.role == parent && s.Zone == d.s.Tiers.HubByZone[d.s.Zone] && d.mayLook(s):
-			s.score = math.Inf(1) // our hub is lost: the next request is the look
-		case s.role == parent:
-			s.score = -1 / s.score // after all that get some by plan, in the same order
+		switch s.rankScore = -d.effectiveWeight(s) / math.Log(u); {
+		case s.tier == originTier:
+			s.rankScore = math.Inf(-1)
+		case s.tier == parentTier && d.sites.WeightFactor(s.Zone) > 0:
+			s.rankScore *= d.sites.WeightFactor(s.Zone)
+		case s.tier == parentTier && s.Zone == d.settings.Tiers.HubByZone[d.settings.Zone] && d.mayProbe(s):
+			s.rankScore = math.Inf(1) // our hub is lost: the next request is the look
+		case s.tier == parentTier:
+			s.rankScore = -1 / s.rankScore // after all that get some by plan, in the same order
 		}
 	}
-	slices.SortFunc(group, func(a, b *server) int {
-		return cmp.Or(cmp.Compare(b.score, a.score), cmp.Compare(a.Host, b.Host))
+	slices.SortFunc(group, func(a, b *serverState) int {
+		return cmp.Or(cmp.Compare(b.rankScore, a.rankScore), cmp.Compare(a.Host, b.Host))
 	})
 }
 
-// weight is what a server can take now, compared with others. A cache that answers slower than the faster
-// third of its location loses weight by degrees; what all share (a slow origin, a full link) moves nothing.
-func (d *Router) weight(s *server) float64 {
-	w := d.share(s)
-	if s.sized {
+// effectiveWeight is what a server can take now, compared with others. A cache that answers slower than the faster
+// third of its location loses effectiveWeight by degrees; what all share (a slow origin, a full link) moves nothing.
+func (d *Router) effectiveWeight(s *serverState) float64 {
+	w := d.slowStartShare(s)
+	if s.weightIsCapacity {
 		w *= s.Weight
 	}
-	if s.role == edge {
-		w *= math.Exp(-paceShun * max(0, s.pace-d.pace-paceSlack))
+	if s.tier == edgeTier {
+		w *= math.Exp(-latencyRatioPenalty * max(0, s.logLatencyRatio-d.baselineLogLatencyRatio-latencyRatioTolerance))
 	}
 	return w
 }
--- a/routing/settings.go
+++ b/routing/settings.go
@@ -82,14 +82,14 @@
 // SetSiteOptions sets what is done when whole sites are lost. It comes before the first event.
 func (d *Router) SetSiteOptions(o sitehealth.Options) { d.sites.Options = o }
 
-// changed logs a change of a site's state: each has a line of its own, with its evidence.
-func (d *Router) changed(c sitehealth.StateChange) { d.do(Log{Message: c.String()}) }
+// logSiteChange logs a change of a site's state: each has a line of its own, with its evidence.
+func (d *Router) logSiteChange(c sitehealth.StateChange) { d.emit(Log{Message: c.String()}) }
 
 // SiteCounters counts what was seen of whole sites.
 func (d *Router) SiteCounters() sitehealth.Counters { return d.sites.Counters }
 
-// fill gives lists that were left out their full length, with zeros.
-func (s *Settings) fill() {
+// applyDefaults gives lists that were left out their full length, with zeros.
+func (s *Settings) applyDefaults() {
 	n, z, f := len(s.Classes), max(len(s.Zones), 1), &s.Tiers
 	f.FreshnessLifetime = append(f.FreshnessLifetime, make([]time.Duration, n-len(f.FreshnessLifetime))...)
 	f.StaleWindow = append(f.StaleWindow, make([]time.Duration, n-len(f.StaleWindow))...)
--- a/routing/settings_test.go
+++ b/routing/settings_test.go
@@ -12,25 +12,25 @@
 	"shaleyard/internal/sitehealth"
 )
 
-// leaves calls f for each value of a document that holds no others, with its path and a way to replace it.
-func leaves(path string, v any, set func(any), f func(path string, v any, set func(any))) {
+// walkLeaves calls f for each value of a document that holds no others, with its path and a way to replace it.
+func walkLeaves(path string, v any, set func(any), f func(path string, v any, set func(any))) {
 	switch x := v.(type) {
 	case map[string]any:
 		for _, k := range slices.Sorted(maps.Keys(x)) {
-			leaves(path+"."+k, x[k], func(n any) { x[k] = n }, f)
+			walkLeaves(path+"."+k, x[k], func(n any) { x[k] = n }, f)
 		}
 	case []any:
 		for i := range x {
-			leaves(fmt.Sprintf("%s[%d]", path, i), x[i], func(n any) { x[i] = n }, f)
+			walkLeaves(fmt.Sprintf("%s[%d]", path, i), x[i], func(n any) { x[i] = n }, f)
 		}
 	default:
 		f(strings.TrimPrefix(path, "."), v, set)
 	}
 }
 
-// use plays a few seconds with a router: a list with a cold cache and a drain, requests of all classes, answers and
+// exerciseRouter plays a few seconds with a router: a list with a cold cache and a drain, requests of all classes, answers and
 // failures of all kinds, a purge, refusals.
-func use(r *Router, classes int) {
+func exerciseRouter(r *Router, classes int) {
 	now := 1000 * time.Second
 	var due []time.Duration
 	next := map[uint32]int{}
@@ -59,7 +59,7 @@
 			}
 		}
 	}
-	list := siteMembers(3)
+	list := testEndpoints(3)
 	list[1].Started = now - time.Second
 	list = append(list, Endpoint{Host: 150, Zone: 1, State: Ready, Weight: 6, Started: now - time.Second})
 	handle(EndpointUpdate{Kind: UpdateFull, Version: 1, Endpoints: list})
@@ -81,7 +81,7 @@
 // Settings of other deployments may leave anything out, and may hold what nobody thought of. What can't work is an error
 // that names the key, before anything listens; all else plays, and nothing panics.
 func TestOddSettingsAreNamedOrPlay(t *testing.T) {
-	plain := siteSettings()
+	plain := testSettings()
 	plain.SiteLimits.RetryAfterAllowed, plain.SiteLimits.MaxRetryAfter = true, 500*ms
 	text, err := json.Marshal(plain)
 	if err != nil {
@@ -101,7 +101,7 @@
 		}
 		var doc any
 		json.Unmarshal(text, &doc)
-		leaves("", doc, nil, func(p string, _ any, set func(any)) {
+		walkLeaves("", doc, nil, func(p string, _ any, set func(any)) {
 			if p == path {
 				set(json.RawMessage(odd))
 			}
@@ -121,7 +121,7 @@
 		if err == nil {
 			if r, err = New(s, 1); err == nil {
 				r.SetSiteOptions(sitehealth.Options{})
-				use(r, len(s.Classes))
+				exerciseRouter(r, len(s.Classes))
 				return
 			}
 		}
@@ -131,7 +131,7 @@
 	}
 	var doc any
 	json.Unmarshal(text, &doc)
-	leaves("", doc, nil, func(path string, v any, _ func(any)) {
+	walkLeaves("", doc, nil, func(path string, v any, _ func(any)) {
 		odd := []any{nil, "odd", -1, 0, true}
 		if _, ok := v.(float64); ok {
 			odd = append(odd, 1e18, -1e18, 0.5)
--- a/routing/upkeep.go
+++ b/routing/upkeep.go
@@ -8,61 +8,61 @@
 
 // What is done by time alone: overdue attempts, second copies, forgetting.
 
-// tick takes attempts that are out for long as samples of pace, and sweeps.
-func (d *Router) tick() {
-	d.do(SetTimer{Token: tickTimer, At: d.now + tickEvery})
-	d.sites.Tick(d.now, d.shield.AdmitFraction(d.now), d.changed)
-	for _, s := range d.caches {
+// handleTick takes attempts that are out for long as samples of pace, and sweeps.
+func (d *Router) handleTick() {
+	d.emit(SetTimer{Token: tickTimer, At: d.now + tickInterval})
+	d.sites.Tick(d.now, d.originShield.AdmitFraction(d.now), d.logSiteChange)
+	for _, s := range d.localCaches {
 		if d.sites.OwnBranchUnavailable() && !s.ejected {
 			d.eject(s, "site lost")
 		}
-		for _, a := range s.to.out {
-			if d.now-a.sent > max(a.doubled, 2*a.expect) {
-				if a.doubled == 0 && !a.fill { // a fill may wait for its source
-					s.seen.RecordTimeout(d.now, a.sent)
+		for _, a := range s.asTarget.inFlight {
+			if d.now-a.sentAt > max(a.nextSampleAfter, 2*a.expectedLatency) {
+				if a.nextSampleAfter == 0 && !a.likelyFill { // a fill may wait for its source
+					s.siteMember.RecordTimeout(d.now, a.sentAt)
 				}
-				d.timed(a)
+				d.sampleLatencyRatio(a)
 			}
-			if a.fill && a.source.spoke > a.sent && s.heard > a.sent && !d.slow(s) && d.now-a.sent > a.aim {
-				d.shield.RecordAnswer(d.now, a.sent, true) // neither hangs, so the origin does
+			if a.likelyFill && a.source.lastAnswerAsSource > a.sentAt && s.lastAnswerAsTarget > a.sentAt && !d.isSlow(s) && d.now-a.sentAt > a.latencyObjective {
+				d.originShield.RecordAnswer(d.now, a.sentAt, true) // neither hangs, so the origin does
 			}
-			d.again(a)
+			d.hedge(a)
 		}
 	}
 	d.sweep()
 }
 
-// again asks the cache of a lost attempt once more, for what it holds. Copies that bring answers earn more.
-func (d *Router) again(a *attempt) {
-	r, t := d.reqs[a.id], a.target
-	if !d.s.SiteLimits.HedgingAllowed || d.s.Classes[a.class].Idempotency != "read_like" || r == nil || a.look ||
-		r.copies >= copiesEach || r.out != r.copies+1 || a.no != len(r.tries)-1 ||
-		d.copies < 1 || !d.lost(a) || t.to.load+2*a.work > t.to.limit.Value(d.now) {
+// hedge asks the cache of a lost attempt once more, for what it holds. Copies that bring answers earn more.
+func (d *Router) hedge(a *attemptState) {
+	r, t := d.requests[a.requestID], a.target
+	if !d.settings.SiteLimits.HedgingAllowed || d.settings.Classes[a.class].Idempotency != "read_like" || r == nil || a.halfOpenProbe ||
+		r.hedges >= maxHedgesPerRequest || r.inFlight != r.hedges+1 || a.number != len(r.attempts)-1 ||
+		d.hedgeTokens < 1 || !d.seemsLost(a) || t.asTarget.inFlightWork+2*a.work > t.asTarget.concurrencyLimit.Value(d.now) {
 		return
 	}
 	if d.send(r, t, nil) {
-		r.copies++
-		d.copies--
+		r.hedges++
+		d.hedgeTokens--
 	}
 }
 
 // sweep drops old purges and turns the table's generations.
 func (d *Router) sweep() {
-	if d.now-d.swept < time.Second {
+	if d.now-d.sweptAt < time.Second {
 		return
 	}
-	d.swept = d.now
+	d.sweptAt = d.now
 	paces := []float64{0}
-	for _, s := range d.caches {
-		s.pace *= paceFades
-		paces = append(paces, s.pace)
+	for _, s := range d.localCaches {
+		s.logLatencyRatio *= latencyRatioDecay
+		paces = append(paces, s.logLatencyRatio)
 	}
 	slices.Sort(paces[1:])
-	d.pace = paces[min(len(paces)-1, (len(paces)+2)/3)] // of the faster third
-	maps.DeleteFunc(d.purges, func(_ purgeKey, p purge) bool {
-		return d.now-p.told > max(d.s.Tiers.PurgePropagation, entryAge)+time.Second
+	d.baselineLogLatencyRatio = paces[min(len(paces)-1, (len(paces)+2)/3)] // of the faster third
+	maps.DeleteFunc(d.purges, func(_ purgeKey, p purgeRecord) bool {
+		return d.now-p.notifiedAt > max(d.settings.Tiers.PurgePropagation, siblingHintLifetime)+time.Second
 	})
-	if d.now-d.turned > seenAge {
-		d.turn()
+	if d.now-d.rotatedAt > hintLifetime {
+		d.rotateLocations()
 	}
 }
