--- a/routing/bench_test.go
+++ b/routing/bench_test.go
@@ -11,7 +11,7 @@
 func BenchmarkHandle(b *testing.B) {
 	for _, members := range []int{12, 250} {
 		b.Run(fmt.Sprint(members), func(b *testing.B) {
-			r, err := New(testSettings(), 1)
+			router, err := New(testSettings(), 1)
 			if err != nil {
 				b.Fatal(err)
 			}
@@ -19,14 +19,14 @@
 			for i := len(list); i < members; i++ {
 				list = append(list, Endpoint{Host: Host(2000 + i), Zone: 2, State: Ready, Weight: 6})
 			}
-			r.Handle(now, EndpointUpdate{Kind: UpdateCached, Endpoints: list})
+			router.Handle(now, EndpointUpdate{Kind: UpdateCached, Endpoints: list})
 			b.ReportAllocs()
 			b.ResetTimer()
 			for i := range b.N {
 				id := uint32(i + 1)
 				now += 100 * time.Microsecond
-				r.Handle(now, Request{ID: id, Class: 1, Object: uint64(i % 500), Deadline: now + time.Second})
-				r.Handle(now, Outcome{ID: id, Result: OK, FillStatus: FillStatusHit, Elapsed: 40 * ms, RequestDone: true})
+				router.Handle(now, Request{ID: id, Class: 1, Object: uint64(i % 500), Deadline: now + time.Second})
+				router.Handle(now, Outcome{ID: id, Result: OK, FillStatus: FillStatusHit, Elapsed: 40 * ms, RequestDone: true})
 			}
 		})
 	}
--- a/routing/cold.go
+++ b/routing/cold.go
@@ -7,41 +7,41 @@
 // The budget of servers that have started lately (slow start).
 
 // slowStartShare is the part of its capacity that a server can give now.
-func (d *Router) slowStartShare(s *serverState) float64 {
-	if s.warmingUpSince == 0 || s.tier == originTier || d.now-s.warmingUpSince > s.slowStartDuration {
-		s.warmingUpSince = 0
+func (r *Router) slowStartShare(server *serverState) float64 {
+	if server.warmingUpSince == 0 || server.tier == originTier || r.now-server.warmingUpSince > server.slowStartDuration {
+		server.warmingUpSince = 0
 		return 1
 	}
-	return min(1, s.slowStartFraction+(1-s.slowStartFraction)*max(0, float64(d.now-s.warmingUpSince)/float64(s.slowStartDuration)))
+	return min(1, server.slowStartFraction+(1-server.slowStartFraction)*max(0, float64(r.now-server.warmingUpSince)/float64(server.slowStartDuration)))
 }
 
 // slowStartRate is the sending time a second that a cold server may get from us: our part of the cold budget.
-func (d *Router) slowStartRate(s *serverState) float64 {
-	capacity := d.meanRecentWork(s) // our part of it, in transfers
-	if s.weightIsCapacity {
-		capacity = s.Weight / s.sharingDirectors
+func (r *Router) slowStartRate(server *serverState) float64 {
+	capacity := r.meanRecentWork(server) // our part of it, in transfers
+	if server.weightIsCapacity {
+		capacity = server.Weight / server.sharingDirectors
 	}
-	return slowStartBudgetFraction * s.overloadMultiple * d.slowStartShare(s) * capacity
+	return slowStartBudgetFraction * server.overloadMultiple * r.slowStartShare(server) * capacity
 }
 
 // fitsSlowStart is the cold budget of a server, as target or as source: whether work more may reach it.
-func (d *Router) fitsSlowStart(s *serverState, work float64) bool {
-	if s == nil || s.warmingUpSince == 0 || s.tier == originTier {
+func (r *Router) fitsSlowStart(server *serverState, work float64) bool {
+	if server == nil || server.warmingUpSince == 0 || server.tier == originTier {
 		return true
 	}
-	rate := d.slowStartRate(s)
-	spent := s.slowStartBucket.Spent(d.now, rate)
-	return spent == 0 || spent+work <= rate*d.settings.Guarantees.OverloadWindow.Seconds()/2
+	rate := r.slowStartRate(server)
+	spent := server.slowStartBucket.Spent(r.now, rate)
+	return spent == 0 || spent+work <= rate*r.settings.Guarantees.OverloadWindow.Seconds()/2
 }
 
 // meanRecentWork is what warm servers of like kind carry for us, in transfers: a low estimate of our part.
-func (d *Router) meanRecentWork(s *serverState) float64 {
-	sum, n := 0.0, 0.0
-	for _, o := range d.sameTier(s) {
-		if o.warmingUpSince == 0 && !o.ejected {
-			sum += o.recentWork * math.Exp(-float64(d.now-o.recentWorkAt)/float64(recentWorkTimeConstant)) / recentWorkTimeConstant.Seconds()
-			n++
+func (r *Router) meanRecentWork(server *serverState) float64 {
+	sum, count := 0.0, 0.0
+	for _, other := range r.sameTier(server) {
+		if other.warmingUpSince == 0 && !other.ejected {
+			sum += other.recentWork * math.Exp(-float64(r.now-other.recentWorkAt)/float64(recentWorkTimeConstant)) / recentWorkTimeConstant.Seconds()
+			count++
 		}
 	}
-	return max(unknownCapacityTransfers/float64(max(d.settings.Directors, 1)), sum/max(n, 1))
+	return max(unknownCapacityTransfers/float64(max(r.settings.Directors, 1)), sum/max(count, 1))
 }
--- a/routing/ejection.go
+++ b/routing/ejection.go
@@ -8,35 +8,35 @@
 
 // Servers that are out of use, and the single requests that look whether they are back.
 
-func (d *Router) mayProbe(s *serverState) bool {
-	return s.ejected && d.now >= s.probeAfter && !s.probing
+func (r *Router) mayProbe(server *serverState) bool {
+	return server.ejected && r.now >= server.probeAfter && !server.probing
 }
 
 // eject takes a server out until a look finds it alive; the time doubles while looks fail.
-func (d *Router) eject(s *serverState, why string) {
-	if s.tier == originTier {
+func (r *Router) eject(server *serverState, cause string) {
+	if server.tier == originTier {
 		return
 	}
-	if !s.ejected {
-		s.ejected, s.ejectedAt, s.ejectionBackoff = true, d.now, initialEjection/2
-		d.logf("eject %x: %s, %d attempts out", uint64(s.Host), why, len(s.asTarget.inFlight))
-	} else if d.now < s.probeAfter {
+	if !server.ejected {
+		server.ejected, server.ejectedAt, server.ejectionBackoff = true, r.now, initialEjection/2
+		r.logf("eject %x: %s, %d attempts out", uint64(server.Host), cause, len(server.asTarget.inFlight))
+	} else if r.now < server.probeAfter {
 		return
 	}
-	s.ejectionBackoff = min(2*s.ejectionBackoff, maxEjection, d.sites.ProbeInterval())
-	s.probeAfter = d.now + s.ejectionBackoff
-	for _, a := range slices.Concat(s.asTarget.inFlight, s.asSource.inFlight) { // what may be sent again elsewhere is called off
-		r, safe := d.requests[a.requestID], d.settings.Classes[a.class].Idempotency == "read_like"
-		if r != nil && !r.streaming && safe && len(r.attempts) < d.settings.SiteLimits.MaxAttempts {
-			d.cancelAttempt(a)
+	server.ejectionBackoff = min(2*server.ejectionBackoff, maxEjection, r.sites.ProbeInterval())
+	server.probeAfter = r.now + server.ejectionBackoff
+	for _, attempt := range slices.Concat(server.asTarget.inFlight, server.asSource.inFlight) { // what may be sent again elsewhere is called off
+		request, safe := r.requests[attempt.requestID], r.settings.Classes[attempt.class].Idempotency == "read_like"
+		if request != nil && !request.streaming && safe && len(request.attempts) < r.settings.SiteLimits.MaxAttempts {
+			r.cancelAttempt(attempt)
 		}
 	}
 }
 
-func (d *Router) readmit(s *serverState) {
-	d.logf("readmit %x after %v", uint64(s.Host), d.now-s.ejectedAt)
-	s.ejected, s.failedFills, s.ejectionBackoff = false, overload.FailureStreak{}, 0
-	for _, o := range d.sameTier(s) { // what was lost together often comes back so
-		o.probeAfter = min(o.probeAfter, d.now)
+func (r *Router) readmit(server *serverState) {
+	r.logf("readmit %x after %v", uint64(server.Host), r.now-server.ejectedAt)
+	server.ejected, server.failedFills, server.ejectionBackoff = false, overload.FailureStreak{}, 0
+	for _, other := range r.sameTier(server) { // what was lost together often comes back so
+		other.probeAfter = min(other.probeAfter, r.now)
 	}
 }
--- a/routing/harness_test.go
+++ b/routing/harness_test.go
@@ -95,221 +95,221 @@
 	violation        string
 }
 
-func newTestEnv(t *testing.T, s Settings, seed uint64) *testEnv {
+func newTestEnv(t *testing.T, settings Settings, seed uint64) *testEnv {
 	t.Helper()
-	r, err := New(s, seed)
+	router, err := New(settings, seed)
 	if err != nil {
 		t.Fatal(err)
 	}
-	w := &testEnv{t: t, settings: s, router: r, rng: rand.New(rand.NewPCG(seed, 2)), endpoints: map[Host]Endpoint{},
+	env := &testEnv{t: t, settings: settings, router: router, rng: rand.New(rand.NewPCG(seed, 2)), endpoints: map[Host]Endpoint{},
 		requests: map[uint32]*openRequest{}, slowStartCharges: map[Host][]workCharge{}, now: 100 * time.Second}
-	w.answer = func(*testEnv, *openRequest, int) (Result, FillStatus, time.Duration) {
+	env.answer = func(*testEnv, *openRequest, int) (Result, FillStatus, time.Duration) {
 		return OK, FillStatusHit, 50 * ms
 	}
-	return w
+	return env
 }
 
-func (w *testEnv) violatef(format string, a ...any) {
-	if w.violation == "" {
-		w.violation = fmt.Sprintf(format, a...)
+func (e *testEnv) violatef(format string, args ...any) {
+	if e.violation == "" {
+		e.violation = fmt.Sprintf(format, args...)
 	}
 }
 
-func (w *testEnv) schedule(after time.Duration, ev Event) {
-	w.nextSequence++
-	w.pending = append(w.pending, scheduledEvent{w.now + after, ev, w.nextSequence})
+func (e *testEnv) schedule(after time.Duration, event Event) {
+	e.nextSequence++
+	e.pending = append(e.pending, scheduledEvent{e.now + after, event, e.nextSequence})
 }
 
-func (w *testEnv) updateEndpoints(kind UpdateKind, list ...Endpoint) {
+func (e *testEnv) updateEndpoints(kind UpdateKind, list ...Endpoint) {
 	if kind != UpdateDelta {
-		for h, m := range w.endpoints {
-			m.State = Gone
-			w.endpoints[h] = m
+		for host, endpoint := range e.endpoints {
+			endpoint.State = Gone
+			e.endpoints[host] = endpoint
 		}
 	}
-	for _, m := range list {
-		if m.Started != w.endpoints[m.Host].Started {
-			delete(w.slowStartCharges, m.Host) // a new life has a budget of its own
+	for _, endpoint := range list {
+		if endpoint.Started != e.endpoints[endpoint.Host].Started {
+			delete(e.slowStartCharges, endpoint.Host) // a new life has a budget of its own
 		}
-		w.endpoints[m.Host] = m
+		e.endpoints[endpoint.Host] = endpoint
 	}
-	w.handle(EndpointUpdate{Kind: kind, Endpoints: list})
+	e.handle(EndpointUpdate{Kind: kind, Endpoints: list})
 }
 
-func (w *testEnv) submit(q Request) *openRequest {
-	o := &openRequest{Request: q}
-	w.requests[q.ID] = o
-	w.handle(q)
-	return o
+func (e *testEnv) submit(request Request) *openRequest {
+	open := &openRequest{Request: request}
+	e.requests[request.ID] = open
+	e.handle(request)
+	return open
 }
 
-func (w *testEnv) purge(p Purge) {
-	w.purges = append(w.purges, notifiedPurge{p, w.now})
-	w.handle(p)
+func (e *testEnv) purge(purge Purge) {
+	e.purges = append(e.purges, notifiedPurge{purge, e.now})
+	e.handle(purge)
 }
 
 // runUntil lets time pass, delivering what is due in order.
-func (w *testEnv) runUntil(until Time) {
+func (e *testEnv) runUntil(until Time) {
 	for {
 		best := -1
-		for i, d := range w.pending {
-			if d.at <= until && (best < 0 || d.at < w.pending[best].at ||
-				(d.at == w.pending[best].at && d.sequence < w.pending[best].sequence)) {
+		for i, scheduled := range e.pending {
+			if scheduled.at <= until && (best < 0 || scheduled.at < e.pending[best].at ||
+				(scheduled.at == e.pending[best].at && scheduled.sequence < e.pending[best].sequence)) {
 				best = i
 			}
 		}
 		if best < 0 {
 			break
 		}
-		d := w.pending[best]
-		w.pending = append(w.pending[:best], w.pending[best+1:]...)
-		w.now = max(w.now, d.at)
-		if o, ok := d.event.(Outcome); ok {
-			w.deliverOutcome(o)
+		scheduled := e.pending[best]
+		e.pending = append(e.pending[:best], e.pending[best+1:]...)
+		e.now = max(e.now, scheduled.at)
+		if outcome, ok := scheduled.event.(Outcome); ok {
+			e.deliverOutcome(outcome)
 			continue
 		}
-		w.handle(d.event)
+		e.handle(scheduled.event)
 	}
-	w.now = max(w.now, until)
-	for _, o := range w.requests {
-		if !o.ended && w.now > o.Deadline+w.settings.Guarantees.AnswerGrace {
-			w.violatef("request %d lost", o.ID)
+	e.now = max(e.now, until)
+	for _, request := range e.requests {
+		if !request.ended && e.now > request.Deadline+e.settings.Guarantees.AnswerGrace {
+			e.violatef("request %d lost", request.ID)
 		}
 	}
 }
 
-func (w *testEnv) deliverOutcome(o Outcome) {
-	q := w.requests[o.ID]
-	a := &q.attempts[o.Attempt]
-	if !a.inFlight {
+func (e *testEnv) deliverOutcome(outcome Outcome) {
+	request := e.requests[outcome.ID]
+	attempt := &request.attempts[outcome.Attempt]
+	if !attempt.inFlight {
 		return
 	}
-	a.inFlight = false
-	a.mayHaveExecuted = !(o.Result == Rejected || o.Result == ConnectFailed || o.Result == Abandoned || o.Result == Miss)
-	o.Elapsed = w.now - a.sentAt
-	if o.Result == OK {
-		q.ended = true
+	attempt.inFlight = false
+	attempt.mayHaveExecuted = !(outcome.Result == Rejected || outcome.Result == ConnectFailed || outcome.Result == Abandoned || outcome.Result == Miss)
+	outcome.Elapsed = e.now - attempt.sentAt
+	if outcome.Result == OK {
+		request.ended = true
 	}
-	o.RequestDone = q.ended
-	w.handle(o)
+	outcome.RequestDone = request.ended
+	e.handle(outcome)
 }
 
-func (w *testEnv) handle(ev Event) {
-	acts := append([]Action(nil), w.router.Handle(w.now, ev)...)
-	w.actions = append(w.actions, acts...)
-	for _, act := range acts {
-		switch a := act.(type) {
+func (e *testEnv) handle(event Event) {
+	actions := append([]Action(nil), e.router.Handle(e.now, event)...)
+	e.actions = append(e.actions, actions...)
+	for _, action := range actions {
+		switch a := action.(type) {
 		case Fetch:
-			w.fetches = append(w.fetches, a)
-			w.checkAttempt(a.ID, a.Host, a.Source, a.Timeout, a.MaxAge)
+			e.fetches = append(e.fetches, a)
+			e.checkAttempt(a.ID, a.Host, a.Source, a.Timeout, a.MaxAge)
 		case Forward:
-			w.checkAttempt(a.ID, a.Host, a.Host, a.Timeout, 0)
+			e.checkAttempt(a.ID, a.Host, a.Host, a.Timeout, 0)
 		case Cancel:
-			w.schedule(2*ms, Outcome{ID: a.ID, Attempt: a.Attempt, Result: Cancelled, Host: w.requests[a.ID].attempts[a.Attempt].host})
+			e.schedule(2*ms, Outcome{ID: a.ID, Attempt: a.Attempt, Result: Cancelled, Host: e.requests[a.ID].attempts[a.Attempt].host})
 		case Reject:
-			w.checkFinal(a.ID, true)
+			e.checkFinal(a.ID, true)
 		case Fail:
-			w.checkFinal(a.ID, false)
+			e.checkFinal(a.ID, false)
 		case SetTimer:
-			w.schedule(max(a.At-w.now, ms), TimerFired{a.Token})
+			e.schedule(max(a.At-e.now, ms), TimerFired{a.Token})
 		}
 	}
 }
 
-func (w *testEnv) checkFinal(id uint32, refused bool) {
-	o := w.requests[id]
-	if o.ended {
-		w.violatef("request %d ended twice", id)
+func (e *testEnv) checkFinal(id uint32, rejected bool) {
+	request := e.requests[id]
+	if request.ended {
+		e.violatef("request %d ended twice", id)
 	}
-	o.ended = true
-	c := w.settings.Classes[o.Class]
-	for _, a := range o.attempts {
-		if refused && a.mayHaveExecuted && (c.Idempotency == "non_idempotent" || (c.Idempotency == "idempotency_key" && c.DedupScope != "all")) {
-			w.violatef("request %d refused though it may have run", id)
+	request.ended = true
+	class := e.settings.Classes[request.Class]
+	for _, attempt := range request.attempts {
+		if rejected && attempt.mayHaveExecuted && (class.Idempotency == "non_idempotent" || (class.Idempotency == "idempotency_key" && class.DedupScope != "all")) {
+			e.violatef("request %d refused though it may have run", id)
 		}
 	}
 }
 
 // checkAttempt checks one checkAttempt against the rules and has the world answer it.
-func (w *testEnv) checkAttempt(id uint32, host, source Host, timeout, age time.Duration) {
-	o := w.requests[id]
-	c, f := w.settings.Classes[o.Class], w.settings.Tiers
-	if o.ended {
-		w.violatef("attempt for ended request %d", id)
+func (e *testEnv) checkAttempt(id uint32, host, source Host, timeout, maxAge time.Duration) {
+	request := e.requests[id]
+	class, tiers := e.settings.Classes[request.Class], e.settings.Tiers
+	if request.ended {
+		e.violatef("attempt for ended request %d", id)
 	}
-	if len(o.attempts) >= w.settings.SiteLimits.MaxAttempts {
-		w.violatef("request %d: too many attempts", id)
+	if len(request.attempts) >= e.settings.SiteLimits.MaxAttempts {
+		e.violatef("request %d: too many attempts", id)
 	}
 	for _, h := range []Host{host, source} {
-		if m, ok := w.endpoints[h]; !ok || m.State != Ready {
-			w.violatef("request %d: host %d is draining, gone or unknown", id, h)
+		if endpoint, ok := e.endpoints[h]; !ok || endpoint.State != Ready {
+			e.violatef("request %d: host %d is draining, gone or unknown", id, h)
 		}
 	}
-	m := w.endpoints[host]
-	for _, a := range o.attempts {
-		if a.inFlight && !w.settings.SiteLimits.HedgingAllowed {
-			w.violatef("request %d: two attempts out", id)
+	endpoint := e.endpoints[host]
+	for _, earlier := range request.attempts {
+		if earlier.inFlight && !e.settings.SiteLimits.HedgingAllowed {
+			e.violatef("request %d: two attempts out", id)
 		}
-		if a.mayHaveExecuted && c.Idempotency == "non_idempotent" {
-			w.violatef("request %d: unsafe sent again", id)
+		if earlier.mayHaveExecuted && class.Idempotency == "non_idempotent" {
+			e.violatef("request %d: unsafe sent again", id)
 		}
-		if a.mayHaveExecuted && c.Idempotency == "idempotency_key" && (w.now >= a.sentAt+c.DedupWindow ||
-			(c.DedupScope == "zone" && w.endpoints[a.host].Zone != m.Zone) || (c.DedupScope == "cell" && w.endpoints[a.host].Cell != m.Cell)) {
-			w.violatef("request %d: keyed sent again outside its group or window", id)
+		if earlier.mayHaveExecuted && class.Idempotency == "idempotency_key" && (e.now >= earlier.sentAt+class.DedupWindow ||
+			(class.DedupScope == "zone" && e.endpoints[earlier.host].Zone != endpoint.Zone) || (class.DedupScope == "cell" && e.endpoints[earlier.host].Cell != endpoint.Cell)) {
+			e.violatef("request %d: keyed sent again outside its group or window", id)
 		}
 	}
-	for _, p := range w.purges {
-		hit := p.Object == o.Object || (p.Object == 0 && p.Group == o.Group)
+	for _, p := range e.purges {
+		applies := p.Object == request.Object || (p.Object == 0 && p.Group == request.Group)
 		made := p.at - p.Age
-		if hit && m.Kind != f.OriginKind && w.now > p.at+f.PurgeSlack && w.now < made+f.PurgePropagation {
-			if age <= 0 || age > max(1, w.now-made) {
-				w.violatef("request %d: age %v admits a copy from before a purge %v ago", id, age, w.now-made)
+		if applies && endpoint.Kind != tiers.OriginKind && e.now > p.at+tiers.PurgeSlack && e.now < made+tiers.PurgePropagation {
+			if maxAge <= 0 || maxAge > max(1, e.now-made) {
+				e.violatef("request %d: age %v admits a copy from before a purge %v ago", id, maxAge, e.now-made)
 			}
 		}
 	}
-	n := len(o.attempts)
-	o.attempts = append(o.attempts, sentAttempt{host, source, w.now, true, true})
-	res, note, after := w.answer(w, o, n)
-	if f.FillStatusReported == "off" || (f.FillStatusReported == "hit" && note > FillStatusCoalesced) {
-		note = FillStatusUnknown
+	number := len(request.attempts)
+	request.attempts = append(request.attempts, sentAttempt{host, source, e.now, true, true})
+	result, status, after := e.answer(e, request, number)
+	if tiers.FillStatusReported == "off" || (tiers.FillStatusReported == "hit" && status > FillStatusCoalesced) {
+		status = FillStatusUnknown
 	}
-	w.chargeSlowStart(host)
-	if source != host && (note != FillStatusHit || f.FillStatusReported == "off") {
-		w.chargeSlowStart(source)
+	e.chargeSlowStart(host)
+	if source != host && (status != FillStatusHit || tiers.FillStatusReported == "off") {
+		e.chargeSlowStart(source)
 	}
-	limit := o.Deadline - w.now
+	limit := request.Deadline - e.now
 	if timeout > 0 {
 		limit = min(limit, timeout)
 	}
 	if after >= limit {
-		res, note, after = TimedOut, FillStatusUnknown, limit
+		result, status, after = TimedOut, FillStatusUnknown, limit
 	}
-	w.schedule(max(after, ms), Outcome{ID: id, Attempt: n, Host: host, Result: res, FillStatus: note})
+	e.schedule(max(after, ms), Outcome{ID: id, Attempt: number, Host: host, Result: result, FillStatus: status})
 }
 
 // chargeSlowStart books an attempt on a cold server's budget: our part of what all may send.
-func (w *testEnv) chargeSlowStart(h Host) {
-	m, f, g := w.endpoints[h], w.settings.Tiers, w.settings.Guarantees
-	if m.Started == 0 || m.Kind == f.OriginKind {
+func (e *testEnv) chargeSlowStart(host Host) {
+	endpoint, tiers, guarantees := e.endpoints[host], e.settings.Tiers, e.settings.Guarantees
+	if endpoint.Started == 0 || endpoint.Kind == tiers.OriginKind {
 		return
 	}
-	from, ramp, multiple, seats := g.SlowStartFraction, g.SlowStartDuration, g.OverloadMultiple, w.settings.Tiers.DirectorsByZone[m.Zone]
-	if m.Kind == f.ParentKind {
-		from, ramp, multiple, seats = f.ParentSlowStartFraction, f.ParentSlowStartDuration, f.ParentOverloadMultiple, w.settings.Directors
+	fraction, ramp, multiple, directors := guarantees.SlowStartFraction, guarantees.SlowStartDuration, guarantees.OverloadMultiple, e.settings.Tiers.DirectorsByZone[endpoint.Zone]
+	if endpoint.Kind == tiers.ParentKind {
+		fraction, ramp, multiple, directors = tiers.ParentSlowStartFraction, tiers.ParentSlowStartDuration, tiers.ParentOverloadMultiple, e.settings.Directors
 	}
-	if w.now-m.Started > ramp {
+	if e.now-endpoint.Started > ramp {
 		return
 	}
-	w.slowStartCharges[h] = append(w.slowStartCharges[h], workCharge{w.now, 0.05})
+	e.slowStartCharges[host] = append(e.slowStartCharges[host], workCharge{e.now, 0.05})
 	sum := 0.0
-	for _, s := range w.slowStartCharges[h] {
-		if s.at > w.now-g.OverloadWindow {
-			sum += s.work
+	for _, charge := range e.slowStartCharges[host] {
+		if charge.at > e.now-guarantees.OverloadWindow {
+			sum += charge.work
 		}
 	}
-	share := from + (1-from)*float64(w.now-g.OverloadWindow-m.Started)/float64(ramp)
-	allowed := multiple * max(from, share) * m.Weight / float64(seats) * g.OverloadWindow.Seconds()
+	share := fraction + (1-fraction)*float64(e.now-guarantees.OverloadWindow-endpoint.Started)/float64(ramp)
+	allowed := multiple * max(fraction, share) * endpoint.Weight / float64(directors) * guarantees.OverloadWindow.Seconds()
 	if sum > allowed {
-		w.violatef("cold host %d: %.2f s of work in its span, %.2f allowed", h, sum, allowed)
+		e.violatef("cold host %d: %.2f s of work in its span, %.2f allowed", host, sum, allowed)
 	}
 }
--- a/routing/holdings.go
+++ b/routing/holdings.go
@@ -7,62 +7,62 @@
 // What caches are believed to hold, and the purges that void it.
 
 // recordUse counts a recordUse of the object and returns what the table says of it.
-func (d *Router) recordUse(k objectKey) *contentLocation {
-	e := cmp.Or(d.currentLocations[k], d.previousLocations[k], &contentLocation{})
-	e.uses++
-	if len(d.currentLocations) >= maxTableEntries {
-		d.rotateLocations()
+func (r *Router) recordUse(key objectKey) *contentLocation {
+	location := cmp.Or(r.currentLocations[key], r.previousLocations[key], &contentLocation{})
+	location.uses++
+	if len(r.currentLocations) >= maxTableEntries {
+		r.rotateLocations()
 	}
-	d.currentLocations[k] = e
-	return e
+	r.currentLocations[key] = location
+	return location
 }
 
-func (d *Router) rotateLocations() {
-	d.currentLocations, d.previousLocations, d.rotatedAt = d.previousLocations, d.currentLocations, d.now
-	clear(d.currentLocations)
+func (r *Router) rotateLocations() {
+	r.currentLocations, r.previousLocations, r.rotatedAt = r.previousLocations, r.currentLocations, r.now
+	clear(r.currentLocations)
 }
 
 // hintedSource is a cache, other than one, that the table believes to hold a copy that will do; nil: none.
-func (d *Router) hintedSource(r *requestState, other *serverState) *serverState {
-	for _, h := range r.location.hints {
-		if h.server != other && d.isUsable(h.server) && d.now-h.answeredAt <= siblingHintLifetime && d.isValid(r, h) && !d.isSlow(h.server) {
-			return h.server
+func (r *Router) hintedSource(request *requestState, other *serverState) *serverState {
+	for _, hint := range request.location.hints {
+		if hint.server != other && r.isUsable(hint.server) && r.now-hint.answeredAt <= siblingHintLifetime && r.isValid(request, hint) && !r.isSlow(hint.server) {
+			return hint.server
 		}
 	}
 	return nil
 }
 
 // isLikelyFill tells that the table does not know the cache as a holder of a copy that will do.
-func (d *Router) isLikelyFill(r *requestState, t *serverState) bool {
-	by := &r.location.hints
-	return !(by[0].server == t && d.isValid(r, by[0])) && !(by[1].server == t && d.isValid(r, by[1]))
+func (r *Router) isLikelyFill(request *requestState, cache *serverState) bool {
+	hints := &request.location.hints
+	return !(hints[0].server == cache && r.isValid(request, hints[0])) && !(hints[1].server == cache && r.isValid(request, hints[1]))
 }
 
 // isValid tells that neither age, nor a purge, nor a restart has voided what the table says.
-func (d *Router) isValid(r *requestState, h locationHint) bool {
-	p, purged := d.latestPurge(r)
-	return d.now-h.answeredAt <= hintLifetime && h.answeredAt >= h.server.invalidatedAt && !(purged && h.answeredAt <= p.notifiedAt)
+func (r *Router) isValid(request *requestState, hint locationHint) bool {
+	record, purged := r.latestPurge(request)
+	return r.now-hint.answeredAt <= hintLifetime && hint.answeredAt >= hint.server.invalidatedAt && !(purged && hint.answeredAt <= record.notifiedAt)
 }
 
 // latestPurge is the latest purge that touches the request.
-func (d *Router) latestPurge(r *requestState) (p purgeRecord, ok bool) {
-	for _, k := range [...]purgeKey{{object: r.Object}, {group: r.Group + 1}, {}} {
-		if q := d.purges[k]; q.notifiedAt > 0 && (!ok || q.purgedAt > p.purgedAt) {
-			p, ok = q, true
+func (r *Router) latestPurge(request *requestState) (latest purgeRecord, ok bool) {
+	for _, key := range [...]purgeKey{{object: request.Object}, {group: request.Group + 1}, {}} {
+		if record := r.purges[key]; record.notifiedAt > 0 && (!ok || record.purgedAt > latest.purgedAt) {
+			latest, ok = record, true
 		}
 	}
-	return p, ok
+	return latest, ok
 }
 
 // handlePurge notes a purge. Holders of the object are void from now on.
-func (d *Router) handlePurge(p Purge) {
-	k := purgeKey{object: p.Object}
-	if p.Object == 0 {
-		k.group = p.Group + 1
+func (r *Router) handlePurge(purge Purge) {
+	key := purgeKey{object: purge.Object}
+	if purge.Object == 0 {
+		key.group = purge.Group + 1
 	}
-	if len(d.purges) >= maxTableEntries {
-		k = purgeKey{} // more than we keep one by one: all older copies count as purged
-		clear(d.purges)
+	if len(r.purges) >= maxTableEntries {
+		key = purgeKey{} // more than we keep one by one: all older copies count as purged
+		clear(r.purges)
 	}
-	d.purges[k] = purgeRecord{purgedAt: max(d.now-p.Age, d.purges[k].purgedAt), notifiedAt: d.now}
+	r.purges[key] = purgeRecord{purgedAt: max(r.now-purge.Age, r.purges[key].purgedAt), notifiedAt: r.now}
 }
--- a/routing/limits.go
+++ b/routing/limits.go
@@ -9,83 +9,83 @@
 // Limits of the work out at servers.
 
 // atLimit tells that a side has as much out as it answers in time.
-func (d *Router) atLimit(s *roleLoad, work float64) bool {
-	return s.concurrencyLimit.Full(d.now, s.inFlightWork, work, d.rng.Float64)
+func (r *Router) atLimit(load *roleLoad, work float64) bool {
+	return load.concurrencyLimit.Full(r.now, load.inFlightWork, work, r.rng.Float64)
 }
 
 // linkSaturated tells that a cache has more out than a part of what its link, at its pace, can send within the aim.
-func (d *Router) linkSaturated(r *requestState, t *serverState, part float64) bool {
-	c, work := &d.settings.Classes[r.Class], d.transferWork(r)
-	return t.weightIsCapacity && t.totalInFlightWork+work > part*d.effectiveWeight(t)/t.sharingDirectors*(c.LatencyObjective.Seconds()+c.LatencyObjectivePerSize*work)
+func (r *Router) linkSaturated(request *requestState, cache *serverState, fraction float64) bool {
+	class, work := &r.settings.Classes[request.Class], r.transferWork(request)
+	return cache.weightIsCapacity && cache.totalInFlightWork+work > fraction*r.effectiveWeight(cache)/cache.sharingDirectors*(class.LatencyObjective.Seconds()+class.LatencyObjectivePerSize*work)
 }
 
 // transferWork is what a request counts on budgets and limits, in seconds of sending: never under its class's mean.
-func (d *Router) transferWork(r *requestState) float64 {
-	return max(d.classes[r.Class].work.Value, r.declaredWork)
+func (r *Router) transferWork(request *requestState) float64 {
+	return max(r.classes[request.Class].work.Value, request.declaredWork)
 }
 
 // largestMeanWork is the mean sending time of the class with the largestMeanWork objects, in seconds.
-func (d *Router) largestMeanWork() float64 {
+func (r *Router) largestMeanWork() float64 {
 	byWork := func(a, b classStats) int { return cmp.Compare(a.work.Value, b.work.Value) }
-	return slices.MaxFunc(d.classes, byWork).work.Value
+	return slices.MaxFunc(r.classes, byWork).work.Value
 }
 
 // adjustLimit keeps the limits of our work out. A limit belongs to what was late or refused: a hit's to the
 // cache, a fill's to its source; work in time near it raises it. All that are late in one crowd lower it
 // together to a part of the load beside which they would have been in time. Harm: large objects look late.
-func (d *Router) adjustLimit(a *attemptState, o Outcome) {
-	t, s := attributedTo(a)
+func (r *Router) adjustLimit(attempt *attemptState, outcome Outcome) {
+	server, load := attributedTo(attempt)
 	switch {
-	case a.target.tier != edgeTier:
-	case o.FillStatus == FillStatusHit, o.Result == TimedOut && a.target.lastAnswerAsTarget <= a.sentAt:
-		t, s = a.target, &a.target.asTarget
-	case o.Result == TimedOut && a.source != nil: // the cache speaks, so a source hangs
-		t, s = a.source, &a.source.asSource
+	case attempt.target.tier != edgeTier:
+	case outcome.FillStatus == FillStatusHit, outcome.Result == TimedOut && attempt.target.lastAnswerAsTarget <= attempt.sentAt:
+		server, load = attempt.target, &attempt.target.asTarget
+	case outcome.Result == TimedOut && attempt.source != nil: // the cache speaks, so a source hangs
+		server, load = attempt.source, &attempt.source.asSource
 	}
-	if a.halfOpenProbe || (o.Result != OK && o.Result != Rejected && o.Result != TimedOut) {
+	if attempt.halfOpenProbe || (outcome.Result != OK && outcome.Result != Rejected && outcome.Result != TimedOut) {
 		return
 	}
-	late := o.Elapsed > a.latencyObjective
-	switch to := &a.target.asTarget; {
-	case s == to && (o.FillStatus == FillStatusHit || o.Result != OK):
-		to.lastHitLate.Record(d.now, late || o.Result != OK)
-	case a.target.tier == edgeTier && o.Result == OK && o.Elapsed-o.SourceWait > a.latencyObjective && to.lastHitLate.Holds(d.now):
-		t, s = a.target, to // hits are late there too, and the source did not keep it waiting
+	late := outcome.Elapsed > attempt.latencyObjective
+	switch targetLoad := &attempt.target.asTarget; {
+	case load == targetLoad && (outcome.FillStatus == FillStatusHit || outcome.Result != OK):
+		targetLoad.lastHitLate.Record(r.now, late || outcome.Result != OK)
+	case attempt.target.tier == edgeTier && outcome.Result == OK && outcome.Elapsed-outcome.SourceWait > attempt.latencyObjective && targetLoad.lastHitLate.Holds(r.now):
+		server, load = attempt.target, targetLoad // hits are late there too, and the source did not keep it waiting
 	}
-	if o.Result == OK && !late && (s == &a.target.asTarget || o.FillStatus == FillStatusFilledByOrigin) {
-		s.lastTimelySentAt = max(s.lastTimelySentAt, a.sentAt)
+	if outcome.Result == OK && !late && (load == &attempt.target.asTarget || outcome.FillStatus == FillStatusFilledByOrigin) {
+		load.lastTimelySentAt = max(load.lastTimelySentAt, attempt.sentAt)
 	}
-	if o.Result == TimedOut && d.seemsLost(a) {
+	if outcome.Result == TimedOut && r.seemsLost(attempt) {
 		return // guards hits against refusals beside a cache with room: nothing is crowded
 	}
-	if o.Result == OK && !late {
-		s.concurrencyLimit.Increase(d.now, s.inFlightWork, a.work)
+	if outcome.Result == OK && !late {
+		load.concurrencyLimit.Increase(r.now, load.inFlightWork, attempt.work)
 		return
 	}
-	top := max(initialLimitTransfers*a.work/t.sharingDirectors, maxLimitLoadFactor*(s.inFlightWork+a.work))
-	fit := limitFitFraction * max(a.inFlightWorkAtSend, s.inFlightWork+a.work) * a.latencyObjective.Seconds() / max(o.Elapsed, a.latencyObjective).Seconds()
-	s.concurrencyLimit.Decrease(d.now, top, fit, minLimitTransfers*d.largestMeanWork()/t.sharingDirectors)
+	top := max(initialLimitTransfers*attempt.work/server.sharingDirectors, maxLimitLoadFactor*(load.inFlightWork+attempt.work))
+	fitting := limitFitFraction * max(attempt.inFlightWorkAtSend, load.inFlightWork+attempt.work) * attempt.latencyObjective.Seconds() / max(outcome.Elapsed, attempt.latencyObjective).Seconds()
+	load.concurrencyLimit.Decrease(r.now, top, fitting, minLimitTransfers*r.largestMeanWork()/server.sharingDirectors)
 }
 
 // attributedTo is the side that an attempt counts on: a likely fill on its source, a hit on the cache, and what
 // goes to a parent or the origin like a fill from it. Fills that hang must not shut hits out.
-func attributedTo(a *attemptState) (*serverState, *roleLoad) {
+func attributedTo(attempt *attemptState) (*serverState, *roleLoad) {
 	switch {
-	case a.target.tier != edgeTier:
-		return a.target, &a.target.asSource
-	case a.likelyFill:
-		return a.source, &a.source.asSource
+	case attempt.target.tier != edgeTier:
+		return attempt.target, &attempt.target.asSource
+	case attempt.likelyFill:
+		return attempt.source, &attempt.source.asSource
 	}
-	return a.target, &a.target.asTarget
+	return attempt.target, &attempt.target.asTarget
 }
 
 // seemsLost: overdue beyond its size and the cache's pace, while what was sent after it came the same way in time.
-func (d *Router) seemsLost(a *attemptState) bool {
-	_, side := attributedTo(a)
-	should := a.declaredWork
-	if a.likelyFill {
-		should += d.originFillWait.Value
+func (r *Router) seemsLost(attempt *attemptState) bool {
+	_, load := attributedTo(attempt)
+	expected := attempt.declaredWork
+	if attempt.likelyFill {
+		expected += r.originFillWait.Value
 	}
-	due := hedgeLatencyFactor*should*math.Exp(max(0, a.target.logLatencyRatio)) + hedgeObjectiveFraction*d.settings.Classes[a.class].LatencyObjective.Seconds()
-	return side.lastTimelySentAt > a.sentAt && (d.now-a.sentAt).Seconds() >= due
+	due := hedgeLatencyFactor*expected*math.Exp(max(0, attempt.target.logLatencyRatio)) + hedgeObjectiveFraction*r.settings.Classes[attempt.class].LatencyObjective.Seconds()
+	return load.lastTimelySentAt > attempt.sentAt && (r.now-attempt.sentAt).Seconds() >= due
 }
--- a/routing/members.go
+++ b/routing/members.go
@@ -9,85 +9,85 @@
 // What the list of servers tells.
 
 // handleEndpointUpdate follows the list. Draining and gone servers are dropped at once, as targets and as sources.
-func (d *Router) handleEndpointUpdate(m EndpointUpdate) {
-	if m.Kind == UpdateFailed {
-		again := d.settings.Guarantees.PollWithin/8 + time.Duration(d.rng.Int64N(int64(time.Second)))
-		d.emit(SetTimer{Token: resubscribeTimer, At: d.now + again})
+func (r *Router) handleEndpointUpdate(update EndpointUpdate) {
+	if update.Kind == UpdateFailed {
+		again := r.settings.Guarantees.PollWithin/8 + time.Duration(r.rng.Int64N(int64(time.Second)))
+		r.emit(SetTimer{Token: resubscribeTimer, At: r.now + again})
 		return
 	}
-	if m.Kind != UpdateDelta {
-		for _, s := range d.orderedServers {
-			s.listed = false
+	if update.Kind != UpdateDelta {
+		for _, server := range r.orderedServers {
+			server.listed = false
 		}
 	}
-	for _, e := range m.Endpoints {
-		d.updateEndpoint(e)
+	for _, endpoint := range update.Endpoints {
+		r.updateEndpoint(endpoint)
 	}
-	slices.SortFunc(d.orderedServers, func(a, b *serverState) int { return cmp.Compare(a.Host, b.Host) })
-	d.localCaches, d.upstreams = d.localCaches[:0], d.upstreams[:0]
-	d.orderedServers = slices.DeleteFunc(d.orderedServers, func(s *serverState) bool {
+	slices.SortFunc(r.orderedServers, func(a, b *serverState) int { return cmp.Compare(a.Host, b.Host) })
+	r.localCaches, r.upstreams = r.localCaches[:0], r.upstreams[:0]
+	r.orderedServers = slices.DeleteFunc(r.orderedServers, func(server *serverState) bool {
 		switch {
-		case !s.listed || s.State != Ready:
-			if s.listed || len(s.asTarget.inFlight) > 0 || len(s.asSource.inFlight) > 0 {
+		case !server.listed || server.State != Ready:
+			if server.listed || len(server.asTarget.inFlight) > 0 || len(server.asSource.inFlight) > 0 {
 				return false
 			}
-			delete(d.servers, s.Host)
-			s.siteMember.Remove()
+			delete(r.servers, server.Host)
+			server.siteMember.Remove()
 			return true
-		case s.tier != edgeTier:
-			d.upstreams = append(d.upstreams, s)
-		case s.Zone == d.settings.Zone:
-			d.localCaches = append(d.localCaches, s)
+		case server.tier != edgeTier:
+			r.upstreams = append(r.upstreams, server)
+		case server.Zone == r.settings.Zone:
+			r.localCaches = append(r.localCaches, server)
 		}
 		return false
 	})
 }
 
 // updateEndpoint takes one entry; a new start time voids holdings and health of the old life.
-func (d *Router) updateEndpoint(e Endpoint) {
-	s := d.servers[e.Host]
-	if s == nil {
-		if e.State == Gone || e.Zone < 0 || e.Zone >= len(d.settings.Tiers.DirectorsByZone) {
+func (r *Router) updateEndpoint(endpoint Endpoint) {
+	server := r.servers[endpoint.Host]
+	if server == nil {
+		if endpoint.State == Gone || endpoint.Zone < 0 || endpoint.Zone >= len(r.settings.Tiers.DirectorsByZone) {
 			return
 		}
-		s = &serverState{}
-		d.servers[e.Host] = s
-		d.orderedServers = append(d.orderedServers, s)
-	} else if e.Started != s.Started && e.State != Gone {
-		s.ejected, s.ejectionBackoff, s.probing, s.logLatencyRatio = false, 0, false, 0
-		s.invalidatedAt = d.now
+		server = &serverState{}
+		r.servers[endpoint.Host] = server
+		r.orderedServers = append(r.orderedServers, server)
+	} else if endpoint.Started != server.Started && endpoint.State != Gone {
+		server.ejected, server.ejectionBackoff, server.probing, server.logLatencyRatio = false, 0, false, 0
+		server.invalidatedAt = r.now
 	}
-	if e.Started != 0 && e.Started != s.Started {
-		s.warmingUpSince = e.Started
-		owes := max(d.largestMeanWork(), d.longestObjective) // all hear at once; who is new has not seen what a call takes
-		s.slowStartBucket.Spend(d.rng.Float64()*owes - s.slowStartBucket.Spent(d.now, 0))
+	if endpoint.Started != 0 && endpoint.Started != server.Started {
+		server.warmingUpSince = endpoint.Started
+		initialCharge := max(r.largestMeanWork(), r.longestObjective) // all hear at once; who is new has not seen what a call takes
+		server.slowStartBucket.Spend(r.rng.Float64()*initialCharge - server.slowStartBucket.Spent(r.now, 0))
 	}
-	f, g := &d.settings.Tiers, &d.settings.Guarantees
-	s.Endpoint, s.listed, s.sharingDirectors = e, e.State != Gone, float64(max(d.settings.Directors, 1))
-	s.slowStartFraction, s.slowStartDuration, s.overloadMultiple = g.SlowStartFraction, g.SlowStartDuration, g.OverloadMultiple
-	s.weightIsCapacity = (d.settings.WeightMode == "nominal" || d.settings.WeightMode == "rough") && s.Weight > 0
+	tiers, guarantees := &r.settings.Tiers, &r.settings.Guarantees
+	server.Endpoint, server.listed, server.sharingDirectors = endpoint, endpoint.State != Gone, float64(max(r.settings.Directors, 1))
+	server.slowStartFraction, server.slowStartDuration, server.overloadMultiple = guarantees.SlowStartFraction, guarantees.SlowStartDuration, guarantees.OverloadMultiple
+	server.weightIsCapacity = (r.settings.WeightMode == "nominal" || r.settings.WeightMode == "rough") && server.Weight > 0
 	switch {
-	case e.Kind == f.OriginKind:
-		s.tier = originTier
-	case e.Kind == f.ParentKind:
-		s.tier = parentTier
-		s.slowStartFraction, s.slowStartDuration, s.overloadMultiple = f.ParentSlowStartFraction, f.ParentSlowStartDuration, f.ParentOverloadMultiple
-	case e.Zone == d.settings.Zone:
-		s.sharingDirectors = float64(max(f.DirectorsByZone[e.Zone], 1))
+	case endpoint.Kind == tiers.OriginKind:
+		server.tier = originTier
+	case endpoint.Kind == tiers.ParentKind:
+		server.tier = parentTier
+		server.slowStartFraction, server.slowStartDuration, server.overloadMultiple = tiers.ParentSlowStartFraction, tiers.ParentSlowStartDuration, tiers.ParentOverloadMultiple
+	case endpoint.Zone == r.settings.Zone:
+		server.sharingDirectors = float64(max(tiers.DirectorsByZone[endpoint.Zone], 1))
 	}
-	if s.tier != originTier {
-		s.siteMember = d.sites.UpdateMember(d.now, s.siteMember, e.Zone, e.Weight, e.State == Ready, e.Started)
+	if server.tier != originTier {
+		server.siteMember = r.sites.UpdateMember(r.now, server.siteMember, endpoint.Zone, endpoint.Weight, endpoint.State == Ready, endpoint.Started)
 	}
 }
 
 // sameTier are the servers of the same part: caches of our location, or parents.
-func (d *Router) sameTier(s *serverState) []*serverState {
-	if s.tier == edgeTier {
-		return d.localCaches
+func (r *Router) sameTier(server *serverState) []*serverState {
+	if server.tier == edgeTier {
+		return r.localCaches
 	}
-	return slices.DeleteFunc(slices.Clone(d.upstreams), func(o *serverState) bool { return o.tier != s.tier })
+	return slices.DeleteFunc(slices.Clone(r.upstreams), func(other *serverState) bool { return other.tier != server.tier })
 }
 
-func (d *Router) isUsable(s *serverState) bool {
-	return s != nil && s.listed && s.State == Ready && !s.ejected && d.servers[s.Host] == s
+func (r *Router) isUsable(server *serverState) bool {
+	return server != nil && server.listed && server.State == Ready && !server.ejected && r.servers[server.Host] == server
 }
--- a/routing/outcomes.go
+++ b/routing/outcomes.go
@@ -10,170 +10,170 @@
 // What the end of an attempt means for its request and for what is believed of servers.
 
 // handleOutcome takes the one end of an attempt.
-func (d *Router) handleOutcome(o Outcome) {
-	k := uint64(o.ID)<<16 | uint64(o.Attempt)
-	a, r := d.attempts[k], d.requests[o.ID]
-	if a == nil {
+func (r *Router) handleOutcome(outcome Outcome) {
+	key := uint64(outcome.ID)<<16 | uint64(outcome.Attempt)
+	attempt, request := r.attempts[key], r.requests[outcome.ID]
+	if attempt == nil {
 		return
 	}
-	delete(d.attempts, k)
-	is := func(b *attemptState) bool { return a == b }
-	a.target.asTarget.inFlight = slices.DeleteFunc(a.target.asTarget.inFlight, is)
-	if a.source != nil {
-		a.source.asSource.inFlight = slices.DeleteFunc(a.source.asSource.inFlight, is)
-	}
-	a.inFlight = false
-	a.target.totalInFlightWork -= a.work
-	_, side := attributedTo(a)
-	side.inFlightWork -= a.work
-	a.mayHaveExecuted = !slices.Contains([]Result{Rejected, ConnectFailed, Abandoned, Miss, LocalResourcesExhausted, Unreachable}, o.Result)
-	d.recordOutcome(a, r, o)
-	if r == nil {
+	delete(r.attempts, key)
+	isAttempt := func(other *attemptState) bool { return attempt == other }
+	attempt.target.asTarget.inFlight = slices.DeleteFunc(attempt.target.asTarget.inFlight, isAttempt)
+	if attempt.source != nil {
+		attempt.source.asSource.inFlight = slices.DeleteFunc(attempt.source.asSource.inFlight, isAttempt)
+	}
+	attempt.inFlight = false
+	attempt.target.totalInFlightWork -= attempt.work
+	_, load := attributedTo(attempt)
+	load.inFlightWork -= attempt.work
+	attempt.mayHaveExecuted = !slices.Contains([]Result{Rejected, ConnectFailed, Abandoned, Miss, LocalResourcesExhausted, Unreachable}, outcome.Result)
+	r.recordOutcome(attempt, request, outcome)
+	if request == nil {
 		return
 	}
-	r.inFlight--
-	if r.hedges > 0 && a.number > 0 && o.Result == OK {
-		d.hedgeTokens = min(d.hedgeTokens+hedgeTokensPerWin, maxHedgeTokens)
+	request.inFlight--
+	if request.hedges > 0 && attempt.number > 0 && outcome.Result == OK {
+		r.hedgeTokens = min(r.hedgeTokens+hedgeTokensPerWin, maxHedgeTokens)
 	}
 	switch {
-	case o.RequestDone:
-		d.forgetRequest(r)
-	case r.inFlight > 0:
-	case d.now >= r.Deadline:
-		d.endRequest(r, ReasonDeadlineExceeded)
-	case suggestsOverload(o) && !d.retryBudget.TryWithdraw(d.now, r.uncacheable):
-		d.endRequest(r, ReasonRetryBudgetExhausted)
-	case d.applyFailure(r, a, o), a.mayHaveExecuted && o.Result != Errored && !d.settings.SiteLimits.HedgingAllowed:
-		d.postpone(r) // also where what calls an attempt off may be overtaken: two would be out at once
+	case outcome.RequestDone:
+		r.forgetRequest(request)
+	case request.inFlight > 0:
+	case r.now >= request.Deadline:
+		r.endRequest(request, ReasonDeadlineExceeded)
+	case suggestsOverload(outcome) && !r.retryBudget.TryWithdraw(r.now, request.uncacheable):
+		r.endRequest(request, ReasonRetryBudgetExhausted)
+	case r.applyFailure(request, attempt, outcome), attempt.mayHaveExecuted && outcome.Result != Errored && !r.settings.SiteLimits.HedgingAllowed:
+		r.postpone(request) // also where what calls an attempt off may be overtaken: two would be out at once
 	default:
-		d.advance(r)
+		r.advance(request)
 	}
 }
 
 // suggestsOverload tells that an attempt has failed as in a crowd: to try again at once adds to it.
-func suggestsOverload(o Outcome) bool {
-	return o.Result == Rejected || o.Result == ConnectFailed || o.Result == TimedOut
+func suggestsOverload(outcome Outcome) bool {
+	return outcome.Result == Rejected || outcome.Result == ConnectFailed || outcome.Result == TimedOut
 }
 
 // applyFailure notes what a failure rules out for its request, and tells whether it must wait: who is full stays
 // full for a moment, and to go elsewhere at once doubles a jam. Harm: it waits though another had room.
-func (d *Router) applyFailure(r *requestState, a *attemptState, o Outcome) (wait bool) {
-	src, full := a.source, o.Result == Rejected && (o.FillStatus == FillStatusUnknown || o.FillStatus == FillStatusNoFillSlot)
-	untold := full && o.FillStatus == FillStatusUnknown && d.settings.Tiers.FillStatusReported != "all" // who refused: the source may have
+func (r *Router) applyFailure(request *requestState, attempt *attemptState, outcome Outcome) (wait bool) {
+	source, rejectedAsFull := attempt.source, outcome.Result == Rejected && (outcome.FillStatus == FillStatusUnknown || outcome.FillStatus == FillStatusNoFillSlot)
+	untold := rejectedAsFull && outcome.FillStatus == FillStatusUnknown && r.settings.Tiers.FillStatusReported != "all" // who refused: the source may have
 	switch {
-	case src == nil || (full && !untold) || (o.Result != Miss && o.Result != Rejected && o.Result != TimedOut):
-	case src.tier == edgeTier:
-		r.minSourceTier = max(r.minSourceTier, parentTier)
-		for i, h := range r.location.hints {
-			if h.server == src {
-				r.location.hints[i] = locationHint{}
+	case source == nil || (rejectedAsFull && !untold) || (outcome.Result != Miss && outcome.Result != Rejected && outcome.Result != TimedOut):
+	case source.tier == edgeTier:
+		request.minSourceTier = max(request.minSourceTier, parentTier)
+		for i, hint := range request.location.hints {
+			if hint.server == source {
+				request.location.hints[i] = locationHint{}
 			}
 		}
-	case !src.ejected && !a.halfOpenProbe:
-		r.minSourceTier = originTier
+	case !source.ejected && !attempt.halfOpenProbe:
+		request.minSourceTier = originTier
 	}
-	switch o.Result {
+	switch outcome.Result {
 	case Errored, TimedOut, ConnectFailed, Reset, Unreachable:
-		r.avoidTargets = append(r.avoidTargets, a.target)
+		request.avoidTargets = append(request.avoidTargets, attempt.target)
 	case LocalResourcesExhausted:
 		return true // no other server can be reached either
 	case Miss:
-		if r.triedOnlyIfCached = r.triedOnlyIfCached || (src == nil && o.FillStatus == FillStatusCoalesced); o.FillStatus != FillStatusCoalesced {
-			r.onlyIfCachedCount = overload.MaxProbes // none fills it: it may be filled at once
+		if request.triedOnlyIfCached = request.triedOnlyIfCached || (source == nil && outcome.FillStatus == FillStatusCoalesced); outcome.FillStatus != FillStatusCoalesced {
+			request.onlyIfCachedCount = overload.MaxProbes // none fills it: it may be filled at once
 		}
-		return src == nil && r.triedOnlyIfCached && !a.halfOpenProbe && !r.shielded
+		return source == nil && request.triedOnlyIfCached && !attempt.halfOpenProbe && !request.shielded
 	}
-	return full
+	return rejectedAsFull
 }
 
 // recordOutcome updates what we know of the servers, the class and the table.
-func (d *Router) recordOutcome(a *attemptState, r *requestState, o Outcome) {
-	t := a.target
-	if a.halfOpenProbe {
-		probedServer(a).probing = false
+func (r *Router) recordOutcome(attempt *attemptState, request *requestState, outcome Outcome) {
+	target := attempt.target
+	if attempt.halfOpenProbe {
+		probedServer(attempt).probing = false
 	}
-	switch o.Result {
+	switch outcome.Result {
 	case Cancelled, Abandoned, LocalResourcesExhausted, Unreachable:
 		return // says nothing
 	}
-	d.retryBudget.RecordAttempt(d.now, o.Result == OK, suggestsOverload(o))
-	failed := o.FillStatus == FillStatusOriginFailed
-	if a.source != nil && a.source.tier != edgeTier && (failed || o.FillStatus == FillStatusFilledByOrigin) {
-		late := o.Elapsed > a.latencyObjective && o.Elapsed-o.SourceWait <= a.latencyObjective // by the source, not by the cache or the link
-		d.originShield.RecordAnswer(d.now, a.sentAt, late || failed)
+	r.retryBudget.RecordAttempt(r.now, outcome.Result == OK, suggestsOverload(outcome))
+	failed := outcome.FillStatus == FillStatusOriginFailed
+	if attempt.source != nil && attempt.source.tier != edgeTier && (failed || outcome.FillStatus == FillStatusFilledByOrigin) {
+		late := outcome.Elapsed > attempt.latencyObjective && outcome.Elapsed-outcome.SourceWait <= attempt.latencyObjective // by the source, not by the cache or the link
+		r.originShield.RecordAnswer(r.now, attempt.sentAt, late || failed)
 	}
-	d.adjustLimit(a, o)
-	d.recordHealth(a, o)
-	if o.Result == OK || o.Result == TimedOut {
-		d.sampleLatencyRatio(a)
+	r.adjustLimit(attempt, outcome)
+	r.recordHealth(attempt, outcome)
+	if outcome.Result == OK || outcome.Result == TimedOut {
+		r.sampleLatencyRatio(attempt)
 	}
-	if src := a.source; o.FillStatus == FillStatusHit && src != nil && src.warmingUpSince != 0 { // no fill reached the source
-		src.slowStartBucket.Spend(-max(0, a.work-d.slowStartRate(src)*(d.now-a.sentAt).Seconds()))
+	if source := attempt.source; outcome.FillStatus == FillStatusHit && source != nil && source.warmingUpSince != 0 { // no fill reached the source
+		source.slowStartBucket.Spend(-max(0, attempt.work-r.slowStartRate(source)*(r.now-attempt.sentAt).Seconds()))
 	}
-	if o.Result != OK {
+	if outcome.Result != OK {
 		return
 	}
-	c := &d.classes[a.class]
-	if c.latency.Observe(o.Elapsed.Seconds()); o.FillStatus == FillStatusFilledByOrigin {
-		d.originFillWait.Observe(o.SourceWait.Seconds())
+	stats := &r.classes[attempt.class]
+	if stats.latency.Observe(outcome.Elapsed.Seconds()); outcome.FillStatus == FillStatusFilledByOrigin {
+		r.originFillWait.Observe(outcome.SourceWait.Seconds())
 	}
-	if r != nil && r.declaredWork > 0 {
-		c.work.Observe(r.declaredWork)
-	} else if o.FillStatus == FillStatusHit || o.FillStatus == FillStatusUnknown {
-		c.work.Observe(o.Elapsed.Seconds())
+	if request != nil && request.declaredWork > 0 {
+		stats.work.Observe(request.declaredWork)
+	} else if outcome.FillStatus == FillStatusHit || outcome.FillStatus == FillStatusUnknown {
+		stats.work.Observe(outcome.Elapsed.Seconds())
 	}
-	t.recentWork = t.recentWork*math.Exp(-float64(d.now-t.recentWorkAt)/float64(recentWorkTimeConstant)) + a.work
-	t.recentWorkAt = d.now
-	if r != nil && t.tier == edgeTier && !r.uncacheable {
-		if r.location.hints[0].server != t {
-			r.location.hints[1] = r.location.hints[0]
+	target.recentWork = target.recentWork*math.Exp(-float64(r.now-target.recentWorkAt)/float64(recentWorkTimeConstant)) + attempt.work
+	target.recentWorkAt = r.now
+	if request != nil && target.tier == edgeTier && !request.uncacheable {
+		if request.location.hints[0].server != target {
+			request.location.hints[1] = request.location.hints[0]
 		}
-		r.location.hints[0] = locationHint{t, d.now}
+		request.location.hints[0] = locationHint{target, r.now}
 	}
 }
 
 // recordHealth takes an outcome as evidence on its target and its source.
-func (d *Router) recordHealth(a *attemptState, o Outcome) {
-	t, src := a.target, a.source
-	switch o.Result {
+func (r *Router) recordHealth(attempt *attemptState, outcome Outcome) {
+	target, source := attempt.target, attempt.source
+	switch outcome.Result {
 	case OK, Miss, Rejected, Errored:
-		t.lastAnswerAsTarget = d.now
-		t.siteMember.RecordResponse(d.now)
-		if t.ejected && (a.halfOpenProbe || o.Result == OK) {
-			d.readmit(t)
+		target.lastAnswerAsTarget = r.now
+		target.siteMember.RecordResponse(r.now)
+		if target.ejected && (attempt.halfOpenProbe || outcome.Result == OK) {
+			r.readmit(target)
 		}
 	case ConnectFailed:
-		t.siteMember.RecordRefusal(d.now)
-		d.eject(t, "connection failed")
+		target.siteMember.RecordRefusal(r.now)
+		r.eject(target, "connection failed")
 	case TimedOut:
-		t.siteMember.RecordTimeout(d.now, a.sentAt)
+		target.siteMember.RecordTimeout(r.now, attempt.sentAt)
 	}
-	if a.halfOpenProbe && (o.Result == TimedOut || o.Result == Reset) { // else a reset tells nothing
-		d.eject(probedServer(a), "look unanswered")
+	if attempt.halfOpenProbe && (outcome.Result == TimedOut || outcome.Result == Reset) { // else a reset tells nothing
+		r.eject(probedServer(attempt), "look unanswered")
 	}
-	untold := o.FillStatus == FillStatusUnknown && (o.Result == OK || o.Result == Miss)
+	untold := outcome.FillStatus == FillStatusUnknown && (outcome.Result == OK || outcome.Result == Miss)
 	switch {
-	case src == nil:
-	case o.FillStatus == FillStatusSourceUnreachable:
+	case source == nil:
+	case outcome.FillStatus == FillStatusSourceUnreachable:
 		// Quickly: it is down. Late: perhaps crowded, and to eject it would crowd the others in a cascade.
-		n, down := src.failedFills.Add(d.now), o.SourceWait < quickFailure
-		if src.siteMember.RecordSourceFailure(d.now, a.sentAt, down); src.ejected || down || (n >= 3 && src.siteMember.HasHealthyPeer(d.now)) {
-			d.eject(src, "source not reached")
+		failures, down := source.failedFills.Add(r.now), outcome.SourceWait < quickFailure
+		if source.siteMember.RecordSourceFailure(r.now, attempt.sentAt, down); source.ejected || down || (failures >= 3 && source.siteMember.HasHealthyPeer(r.now)) {
+			r.eject(source, "source not reached")
 		}
-	case untold, o.FillStatus == FillStatusSourceRejected, o.FillStatus == FillStatusSourceMiss, o.FillStatus == FillStatusOriginFailed,
-		o.FillStatus >= FillStatusFilled && o.FillStatus <= FillStatusCoalesced:
-		src.failedFills, src.lastAnswerAsSource = overload.FailureStreak{}, d.now
-		src.siteMember.RecordResponse(d.now)
-		if src.ejected {
-			d.readmit(src)
+	case untold, outcome.FillStatus == FillStatusSourceRejected, outcome.FillStatus == FillStatusSourceMiss, outcome.FillStatus == FillStatusOriginFailed,
+		outcome.FillStatus >= FillStatusFilled && outcome.FillStatus <= FillStatusCoalesced:
+		source.failedFills, source.lastAnswerAsSource = overload.FailureStreak{}, r.now
+		source.siteMember.RecordResponse(r.now)
+		if source.ejected {
+			r.readmit(source)
 		}
 	}
 }
 
 // probedServer is the half-open server that a look is about.
-func probedServer(a *attemptState) *serverState {
-	if a.target.ejected || a.source == nil {
-		return a.target
+func probedServer(attempt *attemptState) *serverState {
+	if attempt.target.ejected || attempt.source == nil {
+		return attempt.target
 	}
-	return a.source
+	return attempt.source
 }
--- a/routing/pace.go
+++ b/routing/pace.go
@@ -8,16 +8,16 @@
 
 // sampleLatencyRatio takes the time that an attempt has taken so far as a sample of its cache's pace: at its end, and
 // while it is out each time that it has doubled, as a slow cache's answers come too late to learn from.
-func (d *Router) sampleLatencyRatio(a *attemptState) {
-	t, took := a.target, d.now-a.sentAt
-	if t.tier != edgeTier || a.halfOpenProbe {
+func (r *Router) sampleLatencyRatio(attempt *attemptState) {
+	target, took := attempt.target, r.now-attempt.sentAt
+	if target.tier != edgeTier || attempt.halfOpenProbe {
 		return
 	}
-	a.nextSampleAfter = 2 * took
-	t.logLatencyRatio += (math.Log(max(took.Seconds(), 1e-3)/a.expectedLatency.Seconds()) - t.logLatencyRatio) * latencyRatioSampleWeight
+	attempt.nextSampleAfter = 2 * took
+	target.logLatencyRatio += (math.Log(max(took.Seconds(), 1e-3)/attempt.expectedLatency.Seconds()) - target.logLatencyRatio) * latencyRatioSampleWeight
 }
 
 // isSlow tells that a cache takes far longer than the others of the location: fills from it would, too.
-func (d *Router) isSlow(s *serverState) bool {
-	return s.logLatencyRatio > d.baselineLogLatencyRatio+latencyRatioTolerance
+func (r *Router) isSlow(server *serverState) bool {
+	return server.logLatencyRatio > r.baselineLogLatencyRatio+latencyRatioTolerance
 }
--- a/routing/peer.go
+++ b/routing/peer.go
@@ -22,18 +22,18 @@
 }
 
 func (m locationMessage) encode() []byte {
-	b := binary.BigEndian.AppendUint16([]byte{locationMessageVersion, m.kind}, uint16(m.zone))
-	b = binary.BigEndian.AppendUint32(b, uint32(m.key.part))
-	b = binary.BigEndian.AppendUint64(b, m.key.object)
-	return binary.BigEndian.AppendUint64(b, uint64(m.holder))
+	data := binary.BigEndian.AppendUint16([]byte{locationMessageVersion, m.kind}, uint16(m.zone))
+	data = binary.BigEndian.AppendUint32(data, uint32(m.key.part))
+	data = binary.BigEndian.AppendUint64(data, m.key.object)
+	return binary.BigEndian.AppendUint64(data, uint64(m.holder))
 }
 
-func decodeLocationMessage(b []byte) (m locationMessage, ok bool) {
-	if len(b) != locationMessageLen || b[0] != locationMessageVersion || (b[1] != locationQuery && b[1] != locationReply) {
-		return m, false
+func decodeLocationMessage(data []byte) (message locationMessage, ok bool) {
+	if len(data) != locationMessageLen || data[0] != locationMessageVersion || (data[1] != locationQuery && data[1] != locationReply) {
+		return message, false
 	}
-	m.kind, m.zone = b[1], int(binary.BigEndian.Uint16(b[2:]))
-	m.key = objectKey{binary.BigEndian.Uint64(b[8:]), int(binary.BigEndian.Uint32(b[4:]))}
-	m.holder = Host(binary.BigEndian.Uint64(b[16:]))
-	return m, true
+	message.kind, message.zone = data[1], int(binary.BigEndian.Uint16(data[2:]))
+	message.key = objectKey{binary.BigEndian.Uint64(data[8:]), int(binary.BigEndian.Uint32(data[4:]))}
+	message.holder = Host(binary.BigEndian.Uint64(data[16:]))
+	return message, true
 }
--- a/routing/peering.go
+++ b/routing/peering.go
@@ -8,38 +8,38 @@
 
 // askPeers asks the routers zero of other locations who holds the object, when no parent is up, peers may
 // talk and any cache may be a source. The request waits for the class's aim at the longest.
-func (d *Router) askPeers(r *requestState) bool {
-	if r.askedPeers || r.uncacheable || !d.settings.SiteLimits.PeerMessagesAllowed || d.settings.Tiers.SiblingFills != "any" ||
-		slices.ContainsFunc(d.upstreams, func(s *serverState) bool { return s.tier == parentTier && d.isUsable(s) }) {
+func (r *Router) askPeers(request *requestState) bool {
+	if request.askedPeers || request.uncacheable || !r.settings.SiteLimits.PeerMessagesAllowed || r.settings.Tiers.SiblingFills != "any" ||
+		slices.ContainsFunc(r.upstreams, func(server *serverState) bool { return server.tier == parentTier && r.isUsable(server) }) {
 		return false
 	}
-	d.awaitingPeers = slices.DeleteFunc(d.awaitingPeers, func(o *requestState) bool { return !o.waiting || d.requests[o.ID] != o })
-	d.awaitingPeers = append(d.awaitingPeers, r)
-	r.askedPeers, r.waiting = true, true
-	key := objectKey{r.Object, r.Part}
-	d.emit(SendPeerMessage{To: AllPeers, Data: locationMessage{locationQuery, d.settings.Zone, key, 0}.encode()})
-	d.emit(SetTimer{Token: requestTimer | uint64(r.ID), At: min(d.now+d.settings.Classes[r.Class].LatencyObjective, r.Deadline)})
+	r.awaitingPeers = slices.DeleteFunc(r.awaitingPeers, func(other *requestState) bool { return !other.waiting || r.requests[other.ID] != other })
+	r.awaitingPeers = append(r.awaitingPeers, request)
+	request.askedPeers, request.waiting = true, true
+	key := objectKey{request.Object, request.Part}
+	r.emit(SendPeerMessage{To: AllPeers, Data: locationMessage{locationQuery, r.settings.Zone, key, 0}.encode()})
+	r.emit(SetTimer{Token: requestTimer | uint64(request.ID), At: min(r.now+r.settings.Classes[request.Class].LatencyObjective, request.Deadline)})
 	return true
 }
 
 // handlePeerMessage answers a query as the location's router zero (none lower was heard of), or takes a reply.
-func (d *Router) handlePeerMessage(m PeerMessage) {
-	q, ok := decodeLocationMessage(m.Data)
+func (r *Router) handlePeerMessage(received PeerMessage) {
+	message, ok := decodeLocationMessage(received.Data)
 	switch {
-	case !ok || m.From == d.settings.ID:
-	case q.zone == d.settings.Zone:
-		d.lowerPeerSeen = d.lowerPeerSeen || m.From < d.settings.ID
-	case q.kind == locationQuery && !d.lowerPeerSeen:
-		asked := &requestState{Request: Request{Object: q.key.object, Group: -1}, location: d.recordUse(q.key)}
-		if h := d.hintedSource(asked, nil); h != nil {
-			q.holder = h.Host
+	case !ok || received.From == r.settings.ID:
+	case message.zone == r.settings.Zone:
+		r.lowerPeerSeen = r.lowerPeerSeen || received.From < r.settings.ID
+	case message.kind == locationQuery && !r.lowerPeerSeen:
+		asked := &requestState{Request: Request{Object: message.key.object, Group: -1}, location: r.recordUse(message.key)}
+		if holder := r.hintedSource(asked, nil); holder != nil {
+			message.holder = holder.Host
 		}
-		d.emit(SendPeerMessage{To: m.From, Data: locationMessage{locationReply, d.settings.Zone, q.key, q.holder}.encode()})
-	case q.kind == locationReply && q.holder != 0:
-		for _, r := range slices.Clone(d.awaitingPeers) {
-			if r.waiting && d.requests[r.ID] == r && q.key == (objectKey{r.Object, r.Part}) {
-				r.remoteSource, r.waiting = q.holder, false
-				d.advance(r)
+		r.emit(SendPeerMessage{To: received.From, Data: locationMessage{locationReply, r.settings.Zone, message.key, message.holder}.encode()})
+	case message.kind == locationReply && message.holder != 0:
+		for _, request := range slices.Clone(r.awaitingPeers) {
+			if request.waiting && r.requests[request.ID] == request && message.key == (objectKey{request.Object, request.Part}) {
+				request.remoteSource, request.waiting = message.holder, false
+				r.advance(request)
 			}
 		}
 	}
--- a/routing/router.go
+++ b/routing/router.go
@@ -12,88 +12,88 @@
 // The router takes one event at a time and answers with actions.
 
 // New returns a router for the settings, or an error that names the field that cannot work.
-func New(s Settings, seed uint64) (*Router, error) {
-	if err := s.validate(); err != nil {
+func New(settings Settings, seed uint64) (*Router, error) {
+	if err := settings.validate(); err != nil {
 		return nil, err
 	}
-	s.applyDefaults()
-	d := &Router{settings: s, rng: rand.New(rand.NewPCG(seed, 1)), servers: map[Host]*serverState{},
+	settings.applyDefaults()
+	router := &Router{settings: settings, rng: rand.New(rand.NewPCG(seed, 1)), servers: map[Host]*serverState{},
 		requests: map[uint32]*requestState{}, attempts: map[uint64]*attemptState{},
 		currentLocations: map[objectKey]*contentLocation{}, previousLocations: map[objectKey]*contentLocation{},
-		purges: map[purgeKey]purgeRecord{}, originShield: overload.NewOriginShield(s.Directors),
-		sites: sitehealth.New(sitehealth.Config{ZoneNames: s.Zones, OwnZone: s.Zone, HubZone: s.Tiers.HubByZone[s.Zone]})}
-	for _, c := range s.Classes { // sending is a part of the aim, or nothing would be in time
-		aim := c.LatencyObjective.Seconds()
-		d.longestObjective = max(d.longestObjective, aim)
-		d.classes = append(d.classes, classStats{overload.NewMean(aim * initialWorkFraction), overload.NewMean(aim)})
+		purges: map[purgeKey]purgeRecord{}, originShield: overload.NewOriginShield(settings.Directors),
+		sites: sitehealth.New(sitehealth.Config{ZoneNames: settings.Zones, OwnZone: settings.Zone, HubZone: settings.Tiers.HubByZone[settings.Zone]})}
+	for _, class := range settings.Classes { // sending is a part of the aim, or nothing would be in time
+		objective := class.LatencyObjective.Seconds()
+		router.longestObjective = max(router.longestObjective, objective)
+		router.classes = append(router.classes, classStats{overload.NewMean(objective * initialWorkFraction), overload.NewMean(objective)})
 	}
-	return d, nil
+	return router, nil
 }
 
 // Handle takes one event and returns the actions; the slice is valid until the next call.
-func (d *Router) Handle(now Time, ev Event) []Action {
-	d.now, d.actions = now, d.actions[:0]
-	if !d.started {
-		d.started = true
-		d.emit(SetTimer{Token: tickTimer, At: now + tickInterval})
-		if d.settings.DiscoveryMode == "subscribe" {
-			d.emit(Subscribe{Enabled: true})
+func (r *Router) Handle(now Time, event Event) []Action {
+	r.now, r.actions = now, r.actions[:0]
+	if !r.started {
+		r.started = true
+		r.emit(SetTimer{Token: tickTimer, At: now + tickInterval})
+		if r.settings.DiscoveryMode == "subscribe" {
+			r.emit(Subscribe{Enabled: true})
 		}
 	}
-	switch e := ev.(type) {
+	switch e := event.(type) {
 	case EndpointUpdate:
-		d.handleEndpointUpdate(e)
+		r.handleEndpointUpdate(e)
 	case Request:
-		e.Class = min(max(e.Class, 0), len(d.settings.Classes)-1)
-		r := &requestState{Request: e, receivedAt: now, location: d.recordUse(objectKey{e.Object, e.Part})}
-		if f := d.settings.Tiers.TransferKBPerSecond; f > 0 {
-			r.declaredWork = e.SizeKB / f
+		e.Class = min(max(e.Class, 0), len(r.settings.Classes)-1)
+		request := &requestState{Request: e, receivedAt: now, location: r.recordUse(objectKey{e.Object, e.Part})}
+		if rate := r.settings.Tiers.TransferKBPerSecond; rate > 0 {
+			request.declaredWork = e.SizeKB / rate
 		}
-		r.uncacheable = e.Write || d.settings.Tiers.Uncacheable[e.Class]
-		d.requests[e.ID] = r
-		d.hedgeTokens = min(d.hedgeTokens+hedgeTokensPerRequest, maxHedgeTokens)
-		d.retryBudget.RecordRequest(d.now)
-		d.advance(r)
+		request.uncacheable = e.Write || r.settings.Tiers.Uncacheable[e.Class]
+		r.requests[e.ID] = request
+		r.hedgeTokens = min(r.hedgeTokens+hedgeTokensPerRequest, maxHedgeTokens)
+		r.retryBudget.RecordRequest(r.now)
+		r.advance(request)
 	case StreamStarted:
-		if r := d.requests[e.ID]; r != nil {
-			r.streaming = true
+		if request := r.requests[e.ID]; request != nil {
+			request.streaming = true
 		}
 	case Outcome:
-		d.handleOutcome(e)
+		r.handleOutcome(e)
 	case RequestClosed:
-		if r := d.requests[e.ID]; r != nil {
-			d.forgetRequest(r)
+		if request := r.requests[e.ID]; request != nil {
+			r.forgetRequest(request)
 		}
 	case ShortenDeadline:
-		if r := d.requests[e.ID]; r != nil {
-			r.Deadline = min(r.Deadline, e.Deadline)
+		if request := r.requests[e.ID]; request != nil {
+			request.Deadline = min(request.Deadline, e.Deadline)
 		}
 	case TimerFired:
-		switch r := d.requests[uint32(e.Token)]; {
+		switch request := r.requests[uint32(e.Token)]; {
 		case e.Token == tickTimer:
-			d.handleTick()
+			r.handleTick()
 		case e.Token == resubscribeTimer:
-			d.emit(Subscribe{Enabled: true})
-		case r != nil && r.waiting:
-			r.waiting, r.shieldDecided, r.shielded = false, false, false
-			r.avoidTargets, r.minSourceTier = r.avoidTargets[:0], min(r.minSourceTier, parentTier)
-			d.advance(r)
+			r.emit(Subscribe{Enabled: true})
+		case request != nil && request.waiting:
+			request.waiting, request.shieldDecided, request.shielded = false, false, false
+			request.avoidTargets, request.minSourceTier = request.avoidTargets[:0], min(request.minSourceTier, parentTier)
+			r.advance(request)
 		}
 	case PeerMessage:
-		d.handlePeerMessage(e)
+		r.handlePeerMessage(e)
 	case Purge:
-		d.handlePurge(e)
+		r.handlePurge(e)
 	}
-	return d.actions
+	return r.actions
 }
 
-func (d *Router) emit(a Action) { d.actions = append(d.actions, a) }
+func (r *Router) emit(action Action) { r.actions = append(r.actions, action) }
 
 // logf writes at most one line a second: enough to follow, too little to flood.
-func (d *Router) logf(format string, a ...any) {
-	if d.now >= d.nextLogAt {
-		d.nextLogAt = d.now + time.Second
-		d.emit(Log{Message: fmt.Sprintf(format, a...)})
+func (r *Router) logf(format string, args ...any) {
+	if r.now >= r.nextLogAt {
+		r.nextLogAt = r.now + time.Second
+		r.emit(Log{Message: fmt.Sprintf(format, args...)})
 	}
 }
 
--- a/routing/routing.go
+++ b/routing/routing.go
@@ -11,109 +11,109 @@
 // Which server a request goes to, and where a miss is filled from.
 
 // advance sends the request's next attempt, holds it for a moment, or ends it.
-func (d *Router) advance(r *requestState) {
+func (r *Router) advance(request *requestState) {
 	switch {
-	case len(r.attempts) >= d.settings.SiteLimits.MaxAttempts:
-		d.endRequest(r, ReasonAttemptsExhausted)
-	case d.now >= r.Deadline:
-		d.endRequest(r, ReasonDeadlineExceeded)
-	case d.route(r):
-	case d.sites.OwnBranchUnavailable():
-		d.endRequest(r, ReasonSiteLost)
-	case !d.maySend(r, nil):
-		d.endRequest(r, ReasonMayHaveExecuted)
-	case r.shielded && r.minSourceTier == originTier:
-		d.endRequest(r, ReasonOriginShielded)
-	case d.now-r.receivedAt > d.settings.Classes[r.Class].LatencyObjective/2:
-		d.endRequest(r, ReasonNoServerInTime)
+	case len(request.attempts) >= r.settings.SiteLimits.MaxAttempts:
+		r.endRequest(request, ReasonAttemptsExhausted)
+	case r.now >= request.Deadline:
+		r.endRequest(request, ReasonDeadlineExceeded)
+	case r.route(request):
+	case r.sites.OwnBranchUnavailable():
+		r.endRequest(request, ReasonSiteLost)
+	case !r.maySend(request, nil):
+		r.endRequest(request, ReasonMayHaveExecuted)
+	case request.shielded && request.minSourceTier == originTier:
+		r.endRequest(request, ReasonOriginShielded)
+	case r.now-request.receivedAt > r.settings.Classes[request.Class].LatencyObjective/2:
+		r.endRequest(request, ReasonNoServerInTime)
 	default:
-		d.postpone(r)
+		r.postpone(request)
 	}
 }
 
 // postpone keeps a request back for a moment that doubles each time, with jitter so that held requests spread,
 // and not past the time at which it would be given up: the answer to that is owed at once.
-func (d *Router) postpone(r *requestState) {
-	wait := minPostponement << min(r.postponements, 5)
-	wait += time.Duration(d.rng.Int64N(int64(wait)))
-	wait = min(wait, max(minPostponement, r.receivedAt+d.settings.Classes[r.Class].LatencyObjective/2-d.now))
-	r.postponements, r.waiting = r.postponements+1, true
-	d.emit(SetTimer{Token: requestTimer | uint64(r.ID), At: min(d.now+wait, r.Deadline)})
+func (r *Router) postpone(request *requestState) {
+	wait := minPostponement << min(request.postponements, 5)
+	wait += time.Duration(r.rng.Int64N(int64(wait)))
+	wait = min(wait, max(minPostponement, request.receivedAt+r.settings.Classes[request.Class].LatencyObjective/2-r.now))
+	request.postponements, request.waiting = request.postponements+1, true
+	r.emit(SetTimer{Token: requestTimer | uint64(request.ID), At: min(r.now+wait, request.Deadline)})
 }
 
 // route tries the ordinary path and its departures; it tells whether an attempt has left. Past a cache at its
 // limit, or swamped while another is not, the next in rank is asked that is not slow. Harm: one fill more.
-func (d *Router) route(r *requestState) bool {
-	d.rank(d.localCaches, r.Object)
-	d.rank(d.upstreams, r.Object)
-	work, last := d.transferWork(r), originTier
-	free := func(t *serverState) bool {
-		return !t.ejected && !d.isSlow(t) && !d.linkSaturated(r, t, spilloverLoadFraction)
+func (r *Router) route(request *requestState) bool {
+	r.rank(r.localCaches, request.Object)
+	r.rank(r.upstreams, request.Object)
+	work, last := r.transferWork(request), originTier
+	free := func(cache *serverState) bool {
+		return !cache.ejected && !r.isSlow(cache) && !r.linkSaturated(request, cache, spilloverLoadFraction)
 	}
-	room := slices.ContainsFunc(d.localCaches, free)
-	for _, t := range d.localCaches {
+	room := slices.ContainsFunc(r.localCaches, free)
+	for _, cache := range r.localCaches {
 		switch {
-		case slices.Contains(r.avoidTargets, t), r.uncacheable && (t.ejected || d.settings.Tiers.BypassAllowed):
-		case t.ejected:
-			if d.mayProbe(t) && d.send(r, t, nil) {
+		case slices.Contains(request.avoidTargets, cache), request.uncacheable && (cache.ejected || r.settings.Tiers.BypassAllowed):
+		case cache.ejected:
+			if r.mayProbe(cache) && r.send(request, cache, nil) {
 				return true
 			}
-		case room && d.linkSaturated(r, t, 1),
-			d.atLimit(&t.asTarget, work) && (d.isLikelyFill(r, t) || d.atLimit(&t.asTarget, work-hitLimitHeadroom*t.asTarget.concurrencyLimit.Value(d.now))):
+		case room && r.linkSaturated(request, cache, 1),
+			r.atLimit(&cache.asTarget, work) && (r.isLikelyFill(request, cache) || r.atLimit(&cache.asTarget, work-hitLimitHeadroom*cache.asTarget.concurrencyLimit.Value(r.now))):
 			last = parentTier
-		case last == parentTier && (!free(t) || t.asTarget.inFlightWork > spilloverLoadFraction*t.asTarget.concurrencyLimit.Value(d.now)):
-		case d.fetchThrough(r, t):
+		case last == parentTier && (!free(cache) || cache.asTarget.inFlightWork > spilloverLoadFraction*cache.asTarget.concurrencyLimit.Value(r.now)):
+		case r.fetchThrough(request, cache):
 			return true
-		case r.triedOnlyIfCached:
+		case request.triedOnlyIfCached:
 			return false
 		}
 	}
-	return d.bypass(r, last)
+	return r.bypass(request, last)
 }
 
 // fetchThrough asks a cache, with the tiers' source: sibling, parent, origin. One at its limit is passed over; where
 // all are, the cache is asked once for what it holds. By a crowded origin some get only what parents hold.
-func (d *Router) fetchThrough(r *requestState, t *serverState) bool {
-	if s := d.siblingSource(r, t); (s != nil && d.send(r, t, s)) || d.askPeers(r) {
+func (r *Router) fetchThrough(request *requestState, cache *serverState) bool {
+	if source := r.siblingSource(request, cache); (source != nil && r.send(request, cache, source)) || r.askPeers(request) {
 		return true
 	}
-	limited, full := d.isLikelyFill(r, t) && !r.uncacheable, false
-	if limited && !r.shieldDecided {
-		r.shieldDecided, r.shielded = true, d.rng.Float64() >= min(d.originShield.AdmitFraction(d.now), d.sites.FillShare(d.now, r.Class))
+	limited, full := r.isLikelyFill(request, cache) && !request.uncacheable, false
+	if limited && !request.shieldDecided {
+		request.shieldDecided, request.shielded = true, r.rng.Float64() >= min(r.originShield.AdmitFraction(r.now), r.sites.FillShare(r.now, request.Class))
 	}
-	tells := limited && !r.shielded && !d.settings.Tiers.CoalescesFills && d.settings.Tiers.FillStatusReported == "all"
-	if tells && d.probeBeforeFill.ShouldProbe(d.now, t.warmingUpSince != 0, d.originShield.AdmitFraction(d.now), max(r.onlyIfCachedCount, len(r.attempts))) &&
-		d.fitsSlowStart(t, 2*d.transferWork(r)) { // what it lacks is then filled there
-		return d.send(r, t, nil)
+	tells := limited && !request.shielded && !r.settings.Tiers.CoalescesFills && r.settings.Tiers.FillStatusReported == "all"
+	if tells && r.probeBeforeFill.ShouldProbe(r.now, cache.warmingUpSince != 0, r.originShield.AdmitFraction(r.now), max(request.onlyIfCachedCount, len(request.attempts))) &&
+		r.fitsSlowStart(cache, 2*r.transferWork(request)) { // what it lacks is then filled there
+		return r.send(request, cache, nil)
 	}
-	for _, s := range d.upstreams {
+	for _, source := range r.upstreams {
 		switch {
-		case s.tier == parentTier && !d.maySourceFrom(r, s):
-		case limited && (d.atLimit(&s.asSource, d.transferWork(r)) || (r.shielded && s.tier == originTier)):
+		case source.tier == parentTier && !r.maySourceFrom(request, source):
+		case limited && (r.atLimit(&source.asSource, r.transferWork(request)) || (request.shielded && source.tier == originTier)):
 			full = true
-		case d.send(r, t, s):
+		case r.send(request, cache, source):
 			return true
 		}
 	}
-	stale := r.shielded && r.minSourceTier == originTier && d.settings.Tiers.StaleWindow[r.Class] > 0
-	if !full || r.triedOnlyIfCached || (!stale && (r.onlyIfCachedCount > 0 || r.shielded)) {
+	stale := request.shielded && request.minSourceTier == originTier && r.settings.Tiers.StaleWindow[request.Class] > 0
+	if !full || request.triedOnlyIfCached || (!stale && (request.onlyIfCachedCount > 0 || request.shielded)) {
 		return false
 	}
-	r.triedOnlyIfCached = true
-	return d.send(r, t, nil)
+	request.triedOnlyIfCached = true
+	return r.send(request, cache, nil)
 }
 
 // bypass goes straight to a parent or the origin, where site and limits allow it: where no cache may be
 // asked, or (parents only) the one picked has all it can answer in time. Harm: nothing is kept.
-func (d *Router) bypass(r *requestState, last tier) bool {
-	for _, s := range d.upstreams {
-		master := d.upstreams[len(d.upstreams)-1]
+func (r *Router) bypass(request *requestState, lastTier tier) bool {
+	for _, upstream := range r.upstreams {
+		master := r.upstreams[len(r.upstreams)-1]
 		switch {
-		case !d.settings.Tiers.BypassAllowed || s.tier > last || (r.shielded && !r.uncacheable):
-		case s.tier == parentTier && master.tier == originTier && d.maySourceFrom(r, s) &&
-			!d.atLimit(&s.asSource, 2*d.transferWork(r)) && d.send(r, s, master):
+		case !r.settings.Tiers.BypassAllowed || upstream.tier > lastTier || (request.shielded && !request.uncacheable):
+		case upstream.tier == parentTier && master.tier == originTier && r.maySourceFrom(request, upstream) &&
+			!r.atLimit(&upstream.asSource, 2*r.transferWork(request)) && r.send(request, upstream, master):
 			return true
-		case s.tier == originTier && (r.uncacheable || !d.atLimit(&s.asSource, d.transferWork(r))) && d.send(r, s, nil):
+		case upstream.tier == originTier && (request.uncacheable || !r.atLimit(&upstream.asSource, r.transferWork(request))) && r.send(request, upstream, nil):
 			return true
 		}
 	}
@@ -121,36 +121,36 @@
 }
 
 // maySourceFrom tells whether a parent may be the request's source: a miss or refusal has moved it up a tier.
-func (d *Router) maySourceFrom(r *requestState, p *serverState) bool {
-	return r.minSourceTier <= parentTier && !r.uncacheable && (!p.ejected || d.mayProbe(p))
+func (r *Router) maySourceFrom(request *requestState, parent *serverState) bool {
+	return request.minSourceTier <= parentTier && !request.uncacheable && (!parent.ejected || r.mayProbe(parent))
 }
 
 // siblingSource is the ordinary path's source: the table's other holder; or the far cache that a master named.
-func (d *Router) siblingSource(r *requestState, target *serverState) *serverState {
-	if r.minSourceTier > edgeTier || r.uncacheable || (d.settings.Tiers.SiblingFills != "location" && d.settings.Tiers.SiblingFills != "any") {
+func (r *Router) siblingSource(request *requestState, target *serverState) *serverState {
+	if request.minSourceTier > edgeTier || request.uncacheable || (r.settings.Tiers.SiblingFills != "location" && r.settings.Tiers.SiblingFills != "any") {
 		return nil
 	}
-	if far := d.servers[r.remoteSource]; d.isUsable(far) {
-		return far
+	if remote := r.servers[request.remoteSource]; r.isUsable(remote) {
+		return remote
 	}
-	return d.hintedSource(r, target)
+	return r.hintedSource(request, target)
 }
 
 // rank orders a group by weighted rendezvous hash of the object: parents of our hub, of others, the origin.
-func (d *Router) rank(group []*serverState, object uint64) {
+func (r *Router) rank(group []*serverState, object uint64) {
 	var hash rand.PCG
-	for _, s := range group {
-		hash.Seed(object, uint64(s.Host))
-		u := (float64(hash.Uint64()>>11) + 0.5) / (1 << 53)
-		switch s.rankScore = -d.effectiveWeight(s) / math.Log(u); {
-		case s.tier == originTier:
-			s.rankScore = math.Inf(-1)
-		case s.tier == parentTier && d.sites.WeightFactor(s.Zone) > 0:
-			s.rankScore *= d.sites.WeightFactor(s.Zone)
-		case s.tier == parentTier && s.Zone == d.settings.Tiers.HubByZone[d.settings.Zone] && d.mayProbe(s):
-			s.rankScore = math.Inf(1) // our hub is lost: the next request is the look
-		case s.tier == parentTier:
-			s.rankScore = -1 / s.rankScore // after all that get some by plan, in the same order
+	for _, server := range group {
+		hash.Seed(object, uint64(server.Host))
+		uniform := (float64(hash.Uint64()>>11) + 0.5) / (1 << 53)
+		switch server.rankScore = -r.effectiveWeight(server) / math.Log(uniform); {
+		case server.tier == originTier:
+			server.rankScore = math.Inf(-1)
+		case server.tier == parentTier && r.sites.WeightFactor(server.Zone) > 0:
+			server.rankScore *= r.sites.WeightFactor(server.Zone)
+		case server.tier == parentTier && server.Zone == r.settings.Tiers.HubByZone[r.settings.Zone] && r.mayProbe(server):
+			server.rankScore = math.Inf(1) // our hub is lost: the next request is the look
+		case server.tier == parentTier:
+			server.rankScore = -1 / server.rankScore // after all that get some by plan, in the same order
 		}
 	}
 	slices.SortFunc(group, func(a, b *serverState) int {
@@ -160,13 +160,13 @@
 
 // effectiveWeight is what a server can take now, compared with others. A cache that answers slower than the faster
 // third of its location loses effectiveWeight by degrees; what all share (a slow origin, a full link) moves nothing.
-func (d *Router) effectiveWeight(s *serverState) float64 {
-	w := d.slowStartShare(s)
-	if s.weightIsCapacity {
-		w *= s.Weight
+func (r *Router) effectiveWeight(server *serverState) float64 {
+	weight := r.slowStartShare(server)
+	if server.weightIsCapacity {
+		weight *= server.Weight
 	}
-	if s.tier == edgeTier {
-		w *= math.Exp(-latencyRatioPenalty * max(0, s.logLatencyRatio-d.baselineLogLatencyRatio-latencyRatioTolerance))
+	if server.tier == edgeTier {
+		weight *= math.Exp(-latencyRatioPenalty * max(0, server.logLatencyRatio-r.baselineLogLatencyRatio-latencyRatioTolerance))
 	}
-	return w
+	return weight
 }
--- a/routing/settings.go
+++ b/routing/settings.go
@@ -10,38 +10,38 @@
 // validate names the first field that cannot work. What is not here may hold anything: a word that is not known counts as
 // the most careful one (an effect as non_idempotent, weights and lateral as off), an index out of range as none.
 func (s *Settings) validate() error {
-	n, z := len(s.Classes), len(s.Zones)
-	f, g, c := &s.Tiers, &s.Guarantees, &s.SiteLimits
+	classes, zones := len(s.Classes), len(s.Zones)
+	tiers, guarantees, limits := &s.Tiers, &s.Guarantees, &s.SiteLimits
 	switch {
-	case n == 0:
+	case classes == 0:
 		return fmt.Errorf("services: no classes")
-	case s.Zone < 0 || s.Zone >= max(z, 1):
-		return fmt.Errorf("zone: %d is not among %d dcs", s.Zone, z)
-	case c.MaxAttempts < 1:
-		return fmt.Errorf("ceilings.maxAttempts: %d", c.MaxAttempts)
+	case s.Zone < 0 || s.Zone >= max(zones, 1):
+		return fmt.Errorf("zone: %d is not among %d dcs", s.Zone, zones)
+	case limits.MaxAttempts < 1:
+		return fmt.Errorf("ceilings.maxAttempts: %d", limits.MaxAttempts)
 	}
 	type least struct {
 		key string
 		is  float64
 	}
 	notNegative := []least{{"quantum", float64(s.Quantum)},
-		{"ceilings.maxRetryAfter", float64(c.MaxRetryAfter)}, {"ceilings.openCap", float64(c.MaxOpenRequests)},
-		{"guarantees.askWithin", float64(g.PollWithin)}, {"guarantees.cold", float64(g.SlowStartDuration)},
-		{"guarantees.coldFrom", g.SlowStartFraction}, {"guarantees.drainGrace", float64(g.DrainGrace)},
-		{"guarantees.fall", float64(g.OverloadWindow)}, {"guarantees.graceToAnswer", float64(g.AnswerGrace)},
-		{"guarantees.tipMultiple", g.OverloadMultiple},
-		{"familyInfo.originBears", float64(f.OriginTolerance)}, {"familyInfo.parentColdFrom", f.ParentSlowStartFraction},
-		{"familyInfo.parentFallMultiple", f.ParentOverloadMultiple}, {"familyInfo.parentRamp", float64(f.ParentSlowStartDuration)},
-		{"familyInfo.purgeSlack", float64(f.PurgeSlack)}, {"familyInfo.purgeTakes", float64(f.PurgePropagation)}}
-	for i, k := range s.Classes {
-		at := fmt.Sprintf("services[%d].", i)
-		notNegative = append(notNegative, least{at + "dedupWindow", float64(k.DedupWindow)},
-			least{at + "aimStretch", k.LatencyObjectivePerSize}, least{at + "worth", k.PriorityWeight}, least{at + "lateWorth", k.LatePriorityWeight})
+		{"ceilings.maxRetryAfter", float64(limits.MaxRetryAfter)}, {"ceilings.openCap", float64(limits.MaxOpenRequests)},
+		{"guarantees.askWithin", float64(guarantees.PollWithin)}, {"guarantees.cold", float64(guarantees.SlowStartDuration)},
+		{"guarantees.coldFrom", guarantees.SlowStartFraction}, {"guarantees.drainGrace", float64(guarantees.DrainGrace)},
+		{"guarantees.fall", float64(guarantees.OverloadWindow)}, {"guarantees.graceToAnswer", float64(guarantees.AnswerGrace)},
+		{"guarantees.tipMultiple", guarantees.OverloadMultiple},
+		{"familyInfo.originBears", float64(tiers.OriginTolerance)}, {"familyInfo.parentColdFrom", tiers.ParentSlowStartFraction},
+		{"familyInfo.parentFallMultiple", tiers.ParentOverloadMultiple}, {"familyInfo.parentRamp", float64(tiers.ParentSlowStartDuration)},
+		{"familyInfo.purgeSlack", float64(tiers.PurgeSlack)}, {"familyInfo.purgeTakes", float64(tiers.PurgePropagation)}}
+	for i, class := range s.Classes {
+		prefix := fmt.Sprintf("services[%d].", i)
+		notNegative = append(notNegative, least{prefix + "dedupWindow", float64(class.DedupWindow)},
+			least{prefix + "aimStretch", class.LatencyObjectivePerSize}, least{prefix + "worth", class.PriorityWeight}, least{prefix + "lateWorth", class.LatePriorityWeight})
 		switch {
-		case k.LatencyObjective <= 0:
-			return fmt.Errorf("%saim: %v, must be above 0", at, k.LatencyObjective)
-		case k.Timeout <= 0:
-			return fmt.Errorf("%sdeadline: %v, must be above 0", at, k.Timeout)
+		case class.LatencyObjective <= 0:
+			return fmt.Errorf("%saim: %v, must be above 0", prefix, class.LatencyObjective)
+		case class.Timeout <= 0:
+			return fmt.Errorf("%sdeadline: %v, must be above 0", prefix, class.Timeout)
 		}
 	}
 	for _, l := range notNegative {
@@ -49,30 +49,30 @@
 			return fmt.Errorf("%s: negative", l.key)
 		}
 	}
-	if len(f.HubByZone) > s.Zone {
-		if h := f.HubByZone[s.Zone]; h < 0 || h >= max(z, 1) {
-			return fmt.Errorf("familyInfo.hubByZone[%d]: our hub %d is not among %d dcs", s.Zone, h, z)
+	if len(tiers.HubByZone) > s.Zone {
+		if hub := tiers.HubByZone[s.Zone]; hub < 0 || hub >= max(zones, 1) {
+			return fmt.Errorf("familyInfo.hubByZone[%d]: our hub %d is not among %d dcs", s.Zone, hub, zones)
 		}
 	}
 	for _, l := range []struct {
 		name      string
 		got, want int
 	}{
-		{"classFresh", len(f.FreshnessLifetime), n}, {"staleFor", len(f.StaleWindow), n},
-		{"staleEarns", len(f.StaleValue), n}, {"passOn", len(f.Uncacheable), n},
-		{"seatsByZone", len(f.DirectorsByZone), z}, {"hubByZone", len(f.HubByZone), z},
+		{"classFresh", len(tiers.FreshnessLifetime), classes}, {"staleFor", len(tiers.StaleWindow), classes},
+		{"staleEarns", len(tiers.StaleValue), classes}, {"passOn", len(tiers.Uncacheable), classes},
+		{"seatsByZone", len(tiers.DirectorsByZone), zones}, {"hubByZone", len(tiers.HubByZone), zones},
 	} {
 		if l.got != 0 && l.got != l.want {
 			return fmt.Errorf("familyInfo.%s: %d entries, want %d", l.name, l.got, l.want)
 		}
 	}
-	for i, d := range f.FreshnessLifetime {
-		if d < 0 {
+	for i, duration := range tiers.FreshnessLifetime {
+		if duration < 0 {
 			return fmt.Errorf("familyInfo.classFresh[%d]: negative", i)
 		}
 	}
-	for i, d := range f.StaleWindow {
-		if d < 0 {
+	for i, duration := range tiers.StaleWindow {
+		if duration < 0 {
 			return fmt.Errorf("familyInfo.staleFor[%d]: negative", i)
 		}
 	}
@@ -80,20 +80,20 @@
 }
 
 // SetSiteOptions sets what is done when whole sites are lost. It comes before the first event.
-func (d *Router) SetSiteOptions(o sitehealth.Options) { d.sites.Options = o }
+func (r *Router) SetSiteOptions(options sitehealth.Options) { r.sites.Options = options }
 
 // logSiteChange logs a change of a site's state: each has a line of its own, with its evidence.
-func (d *Router) logSiteChange(c sitehealth.StateChange) { d.emit(Log{Message: c.String()}) }
+func (r *Router) logSiteChange(change sitehealth.StateChange) { r.emit(Log{Message: change.String()}) }
 
 // SiteCounters counts what was seen of whole sites.
-func (d *Router) SiteCounters() sitehealth.Counters { return d.sites.Counters }
+func (r *Router) SiteCounters() sitehealth.Counters { return r.sites.Counters }
 
 // applyDefaults gives lists that were left out their full length, with zeros.
 func (s *Settings) applyDefaults() {
-	n, z, f := len(s.Classes), max(len(s.Zones), 1), &s.Tiers
-	f.FreshnessLifetime = append(f.FreshnessLifetime, make([]time.Duration, n-len(f.FreshnessLifetime))...)
-	f.StaleWindow = append(f.StaleWindow, make([]time.Duration, n-len(f.StaleWindow))...)
-	f.Uncacheable = append(f.Uncacheable, make([]bool, n-len(f.Uncacheable))...)
-	f.DirectorsByZone = append(f.DirectorsByZone, make([]int, z-len(f.DirectorsByZone))...)
-	f.HubByZone = append(f.HubByZone, make([]int, z-len(f.HubByZone))...)
+	classes, zones, tiers := len(s.Classes), max(len(s.Zones), 1), &s.Tiers
+	tiers.FreshnessLifetime = append(tiers.FreshnessLifetime, make([]time.Duration, classes-len(tiers.FreshnessLifetime))...)
+	tiers.StaleWindow = append(tiers.StaleWindow, make([]time.Duration, classes-len(tiers.StaleWindow))...)
+	tiers.Uncacheable = append(tiers.Uncacheable, make([]bool, classes-len(tiers.Uncacheable))...)
+	tiers.DirectorsByZone = append(tiers.DirectorsByZone, make([]int, zones-len(tiers.DirectorsByZone))...)
+	tiers.HubByZone = append(tiers.HubByZone, make([]int, zones-len(tiers.HubByZone))...)
 }
--- a/routing/settings_test.go
+++ b/routing/settings_test.go
@@ -13,49 +13,49 @@
 )
 
 // walkLeaves calls f for each value of a document that holds no others, with its path and a way to replace it.
-func walkLeaves(path string, v any, set func(any), f func(path string, v any, set func(any))) {
-	switch x := v.(type) {
+func walkLeaves(path string, value any, set func(any), visit func(path string, value any, set func(any))) {
+	switch node := value.(type) {
 	case map[string]any:
-		for _, k := range slices.Sorted(maps.Keys(x)) {
-			walkLeaves(path+"."+k, x[k], func(n any) { x[k] = n }, f)
+		for _, key := range slices.Sorted(maps.Keys(node)) {
+			walkLeaves(path+"."+key, node[key], func(replacement any) { node[key] = replacement }, visit)
 		}
 	case []any:
-		for i := range x {
-			walkLeaves(fmt.Sprintf("%s[%d]", path, i), x[i], func(n any) { x[i] = n }, f)
+		for i := range node {
+			walkLeaves(fmt.Sprintf("%s[%d]", path, i), node[i], func(replacement any) { node[i] = replacement }, visit)
 		}
 	default:
-		f(strings.TrimPrefix(path, "."), v, set)
+		visit(strings.TrimPrefix(path, "."), value, set)
 	}
 }
 
 // exerciseRouter plays a few seconds with a router: a list with a cold cache and a drain, requests of all classes, answers and
 // failures of all kinds, a purge, refusals.
-func exerciseRouter(r *Router, classes int) {
+func exerciseRouter(router *Router, classes int) {
 	now := 1000 * time.Second
 	var due []time.Duration
 	next := map[uint32]int{}
 	var handle func(Event)
-	handle = func(ev Event) {
-		for _, a := range slices.Clone(r.Handle(now, ev)) {
-			switch a := a.(type) {
+	handle = func(event Event) {
+		for _, action := range slices.Clone(router.Handle(now, event)) {
+			switch action := action.(type) {
 			case SetTimer:
 				if len(due) < 10_000 {
-					due = append(due, a.At)
+					due = append(due, action.At)
 				}
-				if a.Token != tickTimer && len(due) < 5_000 {
-					handle(TimerFired{Token: a.Token})
+				if action.Token != tickTimer && len(due) < 5_000 {
+					handle(TimerFired{Token: action.Token})
 				}
 			case Fetch, Forward:
 				id, host := uint32(0), Host(0)
-				if f, ok := a.(Fetch); ok {
-					id, host = f.ID, f.Host
+				if fetch, ok := action.(Fetch); ok {
+					id, host = fetch.ID, fetch.Host
 				} else {
-					id, host = a.(Forward).ID, a.(Forward).Host
+					id, host = action.(Forward).ID, action.(Forward).Host
 				}
-				no := next[id]
+				number := next[id]
 				next[id]++
-				handle(Outcome{ID: id, Attempt: no, Host: host, Elapsed: 30 * ms, LoadReport: []float32{1, 2, 3, 4},
-					Result: Result((int(id) + no) % (int(Miss) + 1)), FillStatus: FillStatus(int(id) % (int(FillStatusOriginFailed) + 1))})
+				handle(Outcome{ID: id, Attempt: number, Host: host, Elapsed: 30 * ms, LoadReport: []float32{1, 2, 3, 4},
+					Result: Result((int(id) + number) % (int(Miss) + 1)), FillStatus: FillStatus(int(id) % (int(FillStatusOriginFailed) + 1))})
 			}
 		}
 	}
@@ -88,21 +88,21 @@
 		t.Fatal(err)
 	}
 	count := 0
-	try := func(path string, v any) {
+	try := func(path string, value any) {
 		count++
 		defer func() {
 			if p := recover(); p != nil {
-				t.Errorf("%s = %v: %v", path, v, p)
+				t.Errorf("%s = %v: %v", path, value, p)
 			}
 		}()
-		odd, err := json.Marshal(v)
+		odd, err := json.Marshal(value)
 		if err != nil {
 			t.Fatal(err)
 		}
 		var doc any
 		json.Unmarshal(text, &doc)
-		walkLeaves("", doc, nil, func(p string, _ any, set func(any)) {
-			if p == path {
+		walkLeaves("", doc, nil, func(leafPath string, _ any, set func(any)) {
+			if leafPath == path {
 				set(json.RawMessage(odd))
 			}
 		})
@@ -115,29 +115,29 @@
 			key = key[:i]
 		}
 		key = key[strings.LastIndexByte(key, '.')+1:]
-		var s Settings
-		err = json.Unmarshal(changed, &s)
-		var r *Router
+		var settings Settings
+		err = json.Unmarshal(changed, &settings)
+		var router *Router
 		if err == nil {
-			if r, err = New(s, 1); err == nil {
-				r.SetSiteOptions(sitehealth.Options{})
-				exerciseRouter(r, len(s.Classes))
+			if router, err = New(settings, 1); err == nil {
+				router.SetSiteOptions(sitehealth.Options{})
+				exerciseRouter(router, len(settings.Classes))
 				return
 			}
 		}
 		if !strings.Contains(err.Error(), key) {
-			t.Errorf("%s = %v: the error does not name the key: %v", path, v, err)
+			t.Errorf("%s = %v: the error does not name the key: %v", path, value, err)
 		}
 	}
 	var doc any
 	json.Unmarshal(text, &doc)
-	walkLeaves("", doc, nil, func(path string, v any, _ func(any)) {
+	walkLeaves("", doc, nil, func(path string, value any, _ func(any)) {
 		odd := []any{nil, "odd", -1, 0, true}
-		if _, ok := v.(float64); ok {
+		if _, ok := value.(float64); ok {
 			odd = append(odd, 1e18, -1e18, 0.5)
 		}
-		for _, o := range odd {
-			try(path, o)
+		for _, replacement := range odd {
+			try(path, replacement)
 		}
 	})
 	if count < 500 {
--- a/routing/upkeep.go
+++ b/routing/upkeep.go
@@ -9,60 +9,60 @@
 // What is done by time alone: overdue attempts, second copies, forgetting.
 
 // handleTick takes attempts that are out for long as samples of pace, and sweeps.
-func (d *Router) handleTick() {
-	d.emit(SetTimer{Token: tickTimer, At: d.now + tickInterval})
-	d.sites.Tick(d.now, d.originShield.AdmitFraction(d.now), d.logSiteChange)
-	for _, s := range d.localCaches {
-		if d.sites.OwnBranchUnavailable() && !s.ejected {
-			d.eject(s, "site lost")
+func (r *Router) handleTick() {
+	r.emit(SetTimer{Token: tickTimer, At: r.now + tickInterval})
+	r.sites.Tick(r.now, r.originShield.AdmitFraction(r.now), r.logSiteChange)
+	for _, cache := range r.localCaches {
+		if r.sites.OwnBranchUnavailable() && !cache.ejected {
+			r.eject(cache, "site lost")
 		}
-		for _, a := range s.asTarget.inFlight {
-			if d.now-a.sentAt > max(a.nextSampleAfter, 2*a.expectedLatency) {
-				if a.nextSampleAfter == 0 && !a.likelyFill { // a fill may wait for its source
-					s.siteMember.RecordTimeout(d.now, a.sentAt)
+		for _, attempt := range cache.asTarget.inFlight {
+			if r.now-attempt.sentAt > max(attempt.nextSampleAfter, 2*attempt.expectedLatency) {
+				if attempt.nextSampleAfter == 0 && !attempt.likelyFill { // a fill may wait for its source
+					cache.siteMember.RecordTimeout(r.now, attempt.sentAt)
 				}
-				d.sampleLatencyRatio(a)
+				r.sampleLatencyRatio(attempt)
 			}
-			if a.likelyFill && a.source.lastAnswerAsSource > a.sentAt && s.lastAnswerAsTarget > a.sentAt && !d.isSlow(s) && d.now-a.sentAt > a.latencyObjective {
-				d.originShield.RecordAnswer(d.now, a.sentAt, true) // neither hangs, so the origin does
+			if attempt.likelyFill && attempt.source.lastAnswerAsSource > attempt.sentAt && cache.lastAnswerAsTarget > attempt.sentAt && !r.isSlow(cache) && r.now-attempt.sentAt > attempt.latencyObjective {
+				r.originShield.RecordAnswer(r.now, attempt.sentAt, true) // neither hangs, so the origin does
 			}
-			d.hedge(a)
+			r.hedge(attempt)
 		}
 	}
-	d.sweep()
+	r.sweep()
 }
 
 // hedge asks the cache of a lost attempt once more, for what it holds. Copies that bring answers earn more.
-func (d *Router) hedge(a *attemptState) {
-	r, t := d.requests[a.requestID], a.target
-	if !d.settings.SiteLimits.HedgingAllowed || d.settings.Classes[a.class].Idempotency != "read_like" || r == nil || a.halfOpenProbe ||
-		r.hedges >= maxHedgesPerRequest || r.inFlight != r.hedges+1 || a.number != len(r.attempts)-1 ||
-		d.hedgeTokens < 1 || !d.seemsLost(a) || t.asTarget.inFlightWork+2*a.work > t.asTarget.concurrencyLimit.Value(d.now) {
+func (r *Router) hedge(attempt *attemptState) {
+	request, target := r.requests[attempt.requestID], attempt.target
+	if !r.settings.SiteLimits.HedgingAllowed || r.settings.Classes[attempt.class].Idempotency != "read_like" || request == nil || attempt.halfOpenProbe ||
+		request.hedges >= maxHedgesPerRequest || request.inFlight != request.hedges+1 || attempt.number != len(request.attempts)-1 ||
+		r.hedgeTokens < 1 || !r.seemsLost(attempt) || target.asTarget.inFlightWork+2*attempt.work > target.asTarget.concurrencyLimit.Value(r.now) {
 		return
 	}
-	if d.send(r, t, nil) {
-		r.hedges++
-		d.hedgeTokens--
+	if r.send(request, target, nil) {
+		request.hedges++
+		r.hedgeTokens--
 	}
 }
 
 // sweep drops old purges and turns the table's generations.
-func (d *Router) sweep() {
-	if d.now-d.sweptAt < time.Second {
+func (r *Router) sweep() {
+	if r.now-r.sweptAt < time.Second {
 		return
 	}
-	d.sweptAt = d.now
+	r.sweptAt = r.now
 	paces := []float64{0}
-	for _, s := range d.localCaches {
-		s.logLatencyRatio *= latencyRatioDecay
-		paces = append(paces, s.logLatencyRatio)
+	for _, cache := range r.localCaches {
+		cache.logLatencyRatio *= latencyRatioDecay
+		paces = append(paces, cache.logLatencyRatio)
 	}
 	slices.Sort(paces[1:])
-	d.baselineLogLatencyRatio = paces[min(len(paces)-1, (len(paces)+2)/3)] // of the faster third
-	maps.DeleteFunc(d.purges, func(_ purgeKey, p purgeRecord) bool {
-		return d.now-p.notifiedAt > max(d.settings.Tiers.PurgePropagation, siblingHintLifetime)+time.Second
+	r.baselineLogLatencyRatio = paces[min(len(paces)-1, (len(paces)+2)/3)] // of the faster third
+	maps.DeleteFunc(r.purges, func(_ purgeKey, record purgeRecord) bool {
+		return r.now-record.notifiedAt > max(r.settings.Tiers.PurgePropagation, siblingHintLifetime)+time.Second
 	})
-	if d.now-d.rotatedAt > hintLifetime {
-		d.rotateLocations()
+	if r.now-r.rotatedAt > hintLifetime {
+		r.rotateLocations()
 	}
 }
