--- a/internal/director/director.go
+++ b/internal/director/director.go
@@ -278,9 +278,9 @@
 			d.cancel(r, a.Attempt)
 		}
 	case routing.Reject:
-		d.end(a.ID, Response{Outcome: Rejected, RetryAfter: a.RetryAfter, Reason: flightrecorder.Reason(a.Reason)})
+		d.end(a.ID, Response{Outcome: Rejected, RetryAfter: a.RetryAfter, Reason: flightrecorder.Reason(a.Reason.String())})
 	case routing.Fail:
-		d.end(a.ID, Response{Outcome: Failed, Reason: flightrecorder.Reason(a.Reason)})
+		d.end(a.ID, Response{Outcome: Failed, Reason: flightrecorder.Reason(a.Reason.String())})
 	case routing.SetTimer:
 		d.agenda.ScheduleFunc(a.At, func() { d.post(event{ev: routing.TimerFired{Token: a.Token}}) })
 	case routing.Log:
--- a/routing/router.go
+++ b/routing/router.go
@@ -98,3 +98,12 @@
 }
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
+
+// SetSiteOptions sets what is done when whole sites are lost. It must be called before the first event.
+func (r *Router) SetSiteOptions(options sitehealth.Options) { r.sites.Options = options }
+
+// SiteCounters counts what was seen of whole sites.
+func (r *Router) SiteCounters() sitehealth.Counters { return r.sites.Counters }
+
+// logSiteChange logs every change of a site's state with its evidence; these are rare.
+func (r *Router) logSiteChange(change sitehealth.StateChange) { r.emit(Log{Message: change.String()}) }
