--- a/routing/ending.go
+++ b/routing/ending.go
@@ -5,42 +5,61 @@
 	"time"
 )
 
-// How requests end: every one through end or with the answer of a server.
+// How requests end: each with the answer of a server, or through endRequest.
 
-// retryAfter: a refused client stays away as requests wait here; from a lost site, until a look.
-func (r *Router) retryAfter() time.Duration {
-	if !r.settings.SiteLimits.RetryAfterAllowed {
-		return 0
+// endRequest answers a request with a rejection, or with a failure where an attempt may have executed and the
+// client must not simply repeat it.
+func (r *Router) endRequest(request *requestState, reason Reason) {
+	if r.mayReject(request) {
+		r.emit(Reject{ID: request.ID, RetryAfter: r.retryAfter(), Reason: reason})
+	} else {
+		r.emit(Fail{ID: request.ID, Reason: reason})
 	}
-	wait := min(max(minPostponement, r.sites.NextProbeIn(r.now, r.settings.Zone)), r.settings.SiteLimits.MaxRetryAfter*3/4)
-	return wait + time.Duration(r.rng.Int64N(int64(min(wait, r.settings.SiteLimits.MaxRetryAfter-wait))+1))
+	r.forgetRequest(request)
 }
 
-// endRequest is the one place where a request is answered by us. A refusal is given where the rules allow it.
-func (r *Router) endRequest(request *requestState, reason Reason) {
-	defer r.forgetRequest(request)
+// mayReject tells whether the client may safely repeat the request: nothing has executed, or a repeat does no
+// harm wherever it arrives.
+func (r *Router) mayReject(request *requestState) bool {
 	class := &r.settings.Classes[request.Class]
-	mayHaveExecuted := slices.ContainsFunc(request.attempts, func(attempt *attemptState) bool { return attempt.mayHaveExecuted })
-	if class.Idempotency == "read_like" || !mayHaveExecuted || (class.Idempotency == "idempotency_key" && class.DedupScope == "all") {
-		r.emit(Reject{ID: request.ID, RetryAfter: r.retryAfter(), Reason: reason})
-		return
+	switch {
+	case class.Idempotency == IdempotencyReadLike:
+		return true
+	case class.Idempotency == IdempotencyKeyed && class.DedupScope == DedupScopeAll:
+		return true
 	}
-	r.emit(Fail{ID: request.ID, Reason: reason})
+	mayHaveExecuted := func(attempt *attemptState) bool { return attempt.mayHaveExecuted }
+	return !slices.ContainsFunc(request.attempts, mayHaveExecuted)
 }
 
-// forgetRequest drops a request that is over and calls off what is still out for it.
+// retryAfter is for how long a rejected client should stay away: as long as requests are postponed here, or
+// until a lost site is probed again; with jitter, and within what the site allows. 0: the client is not told.
+func (r *Router) retryAfter() time.Duration {
+	limits := &r.settings.SiteLimits
+	if !limits.RetryAfterAllowed {
+		return 0
+	}
+	wait := max(minPostponement, r.sites.NextProbeIn(r.now, r.settings.Zone))
+	wait = min(wait, limits.MaxRetryAfter*3/4)
+	jitter := min(wait, limits.MaxRetryAfter-wait)
+	return wait + time.Duration(r.rng.Int64N(int64(jitter)+1))
+}
+
+// forgetRequest drops a request that is over, and cancels what is in flight for it.
 func (r *Router) forgetRequest(request *requestState) {
 	delete(r.requests, request.ID)
+	if request.streaming {
+		return
+	}
 	for _, attempt := range request.attempts {
-		if !request.streaming {
-			r.cancelAttempt(attempt)
-		}
+		r.cancelAttempt(attempt)
 	}
 }
 
 func (r *Router) cancelAttempt(attempt *attemptState) {
-	if r.settings.SiteLimits.CancelAllowed && attempt.inFlight && !attempt.cancelRequested {
-		attempt.cancelRequested = true
-		r.emit(Cancel{ID: attempt.requestID, Attempt: attempt.number})
+	if !r.settings.SiteLimits.CancelAllowed || !attempt.inFlight || attempt.cancelRequested {
+		return
 	}
+	attempt.cancelRequested = true
+	r.emit(Cancel{ID: attempt.requestID, Attempt: attempt.number})
 }
--- /dev/null
+++ b/routing/request.go
@@ -0,0 +1,112 @@
+package routing
+
+import "time"
+
+// The life of a request: it arrives, and is sent, postponed or ended until it has its answer.
+
+func (r *Router) handleRequest(event Request) {
+	event.Class = min(max(event.Class, 0), len(r.settings.Classes)-1)
+	request := &requestState{
+		Request:     event,
+		receivedAt:  r.now,
+		uncacheable: event.Write || r.settings.Tiers.Uncacheable[event.Class],
+		location:    r.recordUse(objectKey{event.Object, event.Part}),
+	}
+	if rate := r.settings.Tiers.TransferKBPerSecond; rate > 0 {
+		request.declaredWork = event.SizeKB / rate
+	}
+	r.requests[event.ID] = request
+	r.hedgeTokens = min(r.hedgeTokens+hedgeTokensPerRequest, maxHedgeTokens)
+	r.retryBudget.RecordRequest(r.now)
+	r.advance(request)
+}
+
+func (r *Router) handleShortenDeadline(event ShortenDeadline) {
+	if request := r.requests[event.ID]; request != nil {
+		request.Deadline = min(request.Deadline, event.Deadline)
+	}
+}
+
+func (r *Router) handleStreamStarted(event StreamStarted) {
+	if request := r.requests[event.ID]; request != nil {
+		request.streaming = true
+	}
+}
+
+func (r *Router) handleRequestClosed(event RequestClosed) {
+	if request := r.requests[event.ID]; request != nil {
+		r.forgetRequest(request)
+	}
+}
+
+// handleRequestTimer takes up a request that was postponed, or that no peer has answered. What failed before
+// may work by now, so most of what its attempts have ruled out is forgotten.
+func (r *Router) handleRequestTimer(id uint32) {
+	request := r.requests[id]
+	if request == nil || !request.waiting {
+		return
+	}
+	request.waiting = false
+	request.shieldDecided = false
+	request.shielded = false
+	request.avoidTargets = request.avoidTargets[:0]
+	request.minSourceTier = min(request.minSourceTier, parentTier)
+	r.advance(request)
+}
+
+// advance sends the request's next attempt, postpones the request, or ends it.
+func (r *Router) advance(request *requestState) {
+	if len(request.attempts) >= r.settings.SiteLimits.MaxAttempts {
+		r.endRequest(request, ReasonAttemptsExhausted)
+		return
+	}
+	if r.now >= request.Deadline {
+		r.endRequest(request, ReasonDeadlineExceeded)
+		return
+	}
+	if r.route(request) {
+		return
+	}
+	if reason := r.reasonToEnd(request); reason != ReasonNone {
+		r.endRequest(request, reason)
+		return
+	}
+	r.postpone(request)
+}
+
+// reasonToEnd tells why it is useless to postpone a request that no server takes now; ReasonNone: it is not.
+func (r *Router) reasonToEnd(request *requestState) Reason {
+	switch {
+	case r.sites.OwnBranchUnavailable():
+		return ReasonSiteLost
+	case !r.maySend(request, nil):
+		return ReasonMayHaveExecuted
+	case request.shielded && request.minSourceTier == originTier:
+		return ReasonOriginShielded
+	case r.now-request.receivedAt > r.latencyObjective(request)/2:
+		return ReasonNoServerInTime
+	}
+	return ReasonNone
+}
+
+// postpone lets a request wait. The time doubles with each postponement, and has jitter so that requests that
+// were postponed together spread. It does not reach past the time at which the request would be ended: that
+// answer is owed at once.
+func (r *Router) postpone(request *requestState) {
+	wait := minPostponement << min(request.postponements, maxPostponementDoublings)
+	wait += time.Duration(r.rng.Int64N(int64(wait)))
+	untilEnded := request.receivedAt + r.latencyObjective(request)/2 - r.now
+	wait = min(wait, max(minPostponement, untilEnded))
+	request.postponements++
+	request.waiting = true
+	r.setRequestTimer(request, r.now+wait)
+}
+
+func (r *Router) setRequestTimer(request *requestState, at Time) {
+	r.emit(SetTimer{Token: requestTimer | uint64(request.ID), At: min(at, request.Deadline)})
+}
+
+// latencyObjective is that of the request's class, without its part by size.
+func (r *Router) latencyObjective(request *requestState) time.Duration {
+	return r.settings.Classes[request.Class].LatencyObjective
+}
--- /dev/null
+++ b/routing/send.go
@@ -0,0 +1,157 @@
+package routing
+
+import (
+	"cmp"
+	"math"
+	"time"
+)
+
+// Every attempt leaves through send: the rules that bind all of them are checked here.
+
+// send sends an attempt of the request to target, with a source for a miss (nil: none), and tells whether it
+// may.
+func (r *Router) send(request *requestState, target, source *serverState) bool {
+	if !r.mayAttempt(request, target) || !r.hasCapacityFor(request, target, source) {
+		return false
+	}
+	target.slowStartBucket.Spend(r.transferWork(request))
+	maxAge := r.maxAge(request)
+	attempt := r.newAttempt(request, target, source)
+	r.register(request, attempt)
+	r.emitAttempt(request, attempt, maxAge)
+	return true
+}
+
+// mayAttempt tells whether the request may be attempted at target at all.
+func (r *Router) mayAttempt(request *requestState, target *serverState) bool {
+	limits := &r.settings.SiteLimits
+	if len(request.attempts) >= limits.MaxAttempts || r.now >= request.Deadline || request.streaming {
+		return false
+	}
+	if !r.maySend(request, target) {
+		return false
+	}
+	return request.inFlight == 0 || limits.HedgingAllowed
+}
+
+// hasCapacityFor tells whether target and source may get new work, and have it in their slow-start budgets.
+func (r *Router) hasCapacityFor(request *requestState, target, source *serverState) bool {
+	work := r.transferWork(request)
+	claim := r.sites.AdmissionCost(request.location.uses, request.uncacheable)
+	if !target.takesAttempts() || !r.fitsSlowStart(target, work*claim) {
+		return false
+	}
+	if source == nil {
+		return true
+	}
+	return source.takesAttempts() && r.fitsSlowStart(source, work)
+}
+
+// maxAge is the oldest copy that will do: the class's freshness lifetime (0), plus its stale window where the
+// origin is shielded, as a stale answer is worth more than a rejection; but nothing from before a purge.
+func (r *Router) maxAge(request *requestState) time.Duration {
+	tiers := &r.settings.Tiers
+	lifetime := tiers.FreshnessLifetime[request.Class]
+	maxAge := time.Duration(0)
+	if request.shielded && request.minSourceTier == originTier && lifetime > 0 {
+		maxAge = lifetime + tiers.StaleWindow[request.Class]
+	}
+	if purge, purged := r.latestPurge(request); purged {
+		sincePurge := max(1, r.now-purge.purgedAt)
+		maxAge = min(sincePurge, cmp.Or(maxAge, lifetime, math.MaxInt64))
+	}
+	return maxAge
+}
+
+func (r *Router) newAttempt(request *requestState, target, source *serverState) *attemptState {
+	class, stats := &r.settings.Classes[request.Class], &r.classes[request.Class]
+	work := r.transferWork(request)
+	return &attemptState{
+		requestID:        request.ID,
+		number:           len(request.attempts),
+		class:            request.Class,
+		target:           target,
+		source:           source,
+		sentAt:           r.now,
+		work:             work,
+		declaredWork:     cmp.Or(request.declaredWork, work),
+		expectedLatency:  seconds(stats.latency.Value * work / stats.work.Value),
+		latencyObjective: class.LatencyObjective + seconds(class.LatencyObjectivePerSize*work),
+		halfOpenProbe:    target.ejected || (source != nil && source.ejected),
+		likelyFill:       source != nil && r.isLikelyFill(request, target),
+		inFlight:         true,
+		mayHaveExecuted:  true,
+	}
+}
+
+// register enters an attempt in the books of its request and its servers.
+func (r *Router) register(request *requestState, attempt *attemptState) {
+	request.attempts = append(request.attempts, attempt)
+	request.inFlight++
+	request.waiting = false
+	r.attempts[attemptKey(attempt.requestID, attempt.number)] = attempt
+
+	target := attempt.target
+	target.asTarget.inFlight = append(target.asTarget.inFlight, attempt)
+	target.totalInFlightWork += attempt.work
+	_, load := attributedTo(attempt)
+	load.inFlightWork += attempt.work
+	attempt.inFlightWorkAtSend = load.inFlightWork
+	if source := attempt.source; source != nil {
+		source.slowStartBucket.Spend(attempt.work)
+		source.asSource.inFlight = append(source.asSource.inFlight, attempt)
+	}
+	if attempt.halfOpenProbe {
+		probedServer(attempt).probing = true
+	}
+}
+
+// attemptKey identifies an attempt among those of all requests.
+func attemptKey(requestID uint32, number int) uint64 { return uint64(requestID)<<16 | uint64(number) }
+
+// emitAttempt emits a Fetch; or for the origin, which has no source, a Forward.
+func (r *Router) emitAttempt(request *requestState, attempt *attemptState, maxAge time.Duration) {
+	timeout := time.Duration(0)
+	if attempt.halfOpenProbe {
+		timeout = r.latencyObjective(request) / 2
+	}
+	if attempt.target.tier == originTier {
+		r.emit(Forward{
+			ID:                   request.ID,
+			Host:                 attempt.target.Host,
+			Timeout:              timeout,
+			IdempotencyWindowEnd: request.idempotencyWindowEnd,
+		})
+		return
+	}
+	source := cmp.Or(attempt.source, attempt.target)
+	r.emit(Fetch{
+		ID:                   request.ID,
+		Host:                 attempt.target.Host,
+		Source:               source.Host,
+		RetentionRank:        uint8(min(request.location.uses, maxRetentionRank)),
+		Flags:                r.fetchFlags(request, attempt),
+		Timeout:              timeout,
+		MaxAge:               maxAge,
+		IdempotencyWindowEnd: request.idempotencyWindowEnd,
+	})
+}
+
+func (r *Router) fetchFlags(request *requestState, attempt *attemptState) FetchFlags {
+	var flags FetchFlags
+	if r.settings.Tiers.CoalescesFills {
+		flags |= CoalesceFill
+	}
+	if r.settings.Tiers.FreshnessLifetime[request.Class] > 0 {
+		flags |= StaleWhileRevalidate
+	}
+	source := attempt.source
+	if source == nil {
+		return flags
+	}
+	// A sibling must not fill in turn, nor a parent under half-open probe, nor one before a shielded origin.
+	if source.tier == edgeTier || source.ejected || (request.shielded && source.tier == parentTier) {
+		flags |= OnlyIfCached
+	}
+	return flags
+}
