--- a/routing/limits.go
+++ b/routing/limits.go
@@ -1,74 +1,115 @@
 package routing
 
-import (
-	"cmp"
-	"math"
-	"slices"
-)
+import "math"
 
-// Limits of the work out at servers.
+// Concurrency limits: how much work may be in flight at a server.
 
-// atLimit tells that a side has as much out as it answers in time.
-func (r *Router) atLimit(load *roleLoad, work float64) bool {
-	return load.concurrencyLimit.Full(r.now, load.inFlightWork, work, r.rng.Float64)
+// transferWork is what a request counts on budgets and limits, in seconds of transfer time: the mean of its
+// class, or what its declared size takes, where that is more.
+func (r *Router) transferWork(request *requestState) float64 {
+	return max(r.classes[request.Class].work.Value, request.declaredWork)
 }
 
-// linkSaturated tells that a cache has more out than a part of what its link, at its pace, can send within the aim.
-func (r *Router) linkSaturated(request *requestState, cache *serverState, fraction float64) bool {
-	class, work := &r.settings.Classes[request.Class], r.transferWork(request)
-	return cache.weightIsCapacity && cache.totalInFlightWork+work > fraction*r.effectiveWeight(cache)/cache.sharingDirectors*(class.LatencyObjective.Seconds()+class.LatencyObjectivePerSize*work)
+// largestMeanWork is the mean transfer time of the class with the largest objects, in seconds.
+func (r *Router) largestMeanWork() float64 {
+	largest := math.Inf(-1)
+	for i := range r.classes {
+		largest = max(largest, r.classes[i].work.Value)
+	}
+	return largest
 }
 
-// transferWork is what a request counts on budgets and limits, in seconds of sending: never under its class's mean.
-func (r *Router) transferWork(request *requestState) float64 {
-	return max(r.classes[request.Class].work.Value, request.declaredWork)
+// atLimit tells that a server's concurrency limit in a role leaves no room for more work. It may draw a
+// random number: under a limit of less than one request, requests pass by chance.
+func (r *Router) atLimit(load *roleLoad, work float64) bool {
+	return load.concurrencyLimit.Full(r.now, load.inFlightWork, work, r.rng.Float64)
 }
 
-// largestMeanWork is the mean sending time of the class with the largestMeanWork objects, in seconds.
-func (r *Router) largestMeanWork() float64 {
-	byWork := func(a, b classStats) int { return cmp.Compare(a.work.Value, b.work.Value) }
-	return slices.MaxFunc(r.classes, byWork).work.Value
+// linkSaturated tells that, with the request, a cache has more work in flight than a fraction of what its
+// link can send within the latency objective.
+func (r *Router) linkSaturated(request *requestState, cache *serverState, fraction float64) bool {
+	if !cache.weightIsCapacity {
+		return false
+	}
+	class, work := &r.settings.Classes[request.Class], r.transferWork(request)
+	objective := class.LatencyObjective.Seconds() + class.LatencyObjectivePerSize*work
+	capacity := fraction * r.effectiveWeight(cache) / cache.sharingDirectors * objective
+	return cache.totalInFlightWork+work > capacity
 }
 
-// adjustLimit keeps the limits of our work out. A limit belongs to what was late or refused: a hit's to the
-// cache, a fill's to its source; work in time near it raises it. All that are late in one crowd lower it
-// together to a part of the load beside which they would have been in time. Harm: large objects look late.
+// adjustLimit lowers the concurrency limit of the server and role that made an attempt late or rejected it,
+// and raises it for an answer in time. All answers that are late in one overload lower it together, to a part
+// of the load beside which they would have been in time. The price is that objects which are large for their
+// class look late.
 func (r *Router) adjustLimit(attempt *attemptState, outcome Outcome) {
-	server, load := attributedTo(attempt)
-	switch {
-	case attempt.target.tier != edgeTier:
-	case outcome.FillStatus == FillStatusHit, outcome.Result == TimedOut && attempt.target.lastAnswerAsTarget <= attempt.sentAt:
-		server, load = attempt.target, &attempt.target.asTarget
-	case outcome.Result == TimedOut && attempt.source != nil: // the cache speaks, so a source hangs
-		server, load = attempt.source, &attempt.source.asSource
+	if attempt.halfOpenProbe {
+		return
 	}
-	if attempt.halfOpenProbe || (outcome.Result != OK && outcome.Result != Rejected && outcome.Result != TimedOut) {
+	if outcome.Result != OK && outcome.Result != Rejected && outcome.Result != TimedOut {
 		return
 	}
 	late := outcome.Elapsed > attempt.latencyObjective
-	switch targetLoad := &attempt.target.asTarget; {
-	case load == targetLoad && (outcome.FillStatus == FillStatusHit || outcome.Result != OK):
-		targetLoad.lastHitLate.Record(r.now, late || outcome.Result != OK)
-	case attempt.target.tier == edgeTier && outcome.Result == OK && outcome.Elapsed-outcome.SourceWait > attempt.latencyObjective && targetLoad.lastHitLate.Holds(r.now):
-		server, load = attempt.target, targetLoad // hits are late there too, and the source did not keep it waiting
-	}
-	if outcome.Result == OK && !late && (load == &attempt.target.asTarget || outcome.FillStatus == FillStatusFilledByOrigin) {
+	timely := outcome.Result == OK && !late
+	server, load := r.attributeOutcome(attempt, outcome)
+	if timely && (load == &attempt.target.asTarget || outcome.FillStatus == FillStatusFilledByOrigin) {
 		load.lastTimelySentAt = max(load.lastTimelySentAt, attempt.sentAt)
 	}
 	if outcome.Result == TimedOut && r.seemsLost(attempt) {
-		return // guards hits against refusals beside a cache with room: nothing is crowded
+		return // a lost answer is no overload, and must not end in rejected hits
 	}
-	if outcome.Result == OK && !late {
+	if timely {
 		load.concurrencyLimit.Increase(r.now, load.inFlightWork, attempt.work)
 		return
 	}
-	top := max(initialLimitTransfers*attempt.work/server.sharingDirectors, maxLimitLoadFactor*(load.inFlightWork+attempt.work))
-	fitting := limitFitFraction * max(attempt.inFlightWorkAtSend, load.inFlightWork+attempt.work) * attempt.latencyObjective.Seconds() / max(outcome.Elapsed, attempt.latencyObjective).Seconds()
-	load.concurrencyLimit.Decrease(r.now, top, fitting, minLimitTransfers*r.largestMeanWork()/server.sharingDirectors)
+	r.lowerLimit(server, load, attempt, outcome)
+}
+
+func (r *Router) lowerLimit(server *serverState, load *roleLoad, attempt *attemptState, outcome Outcome) {
+	present := load.inFlightWork + attempt.work
+	highest := max(initialLimitTransfers*attempt.work/server.sharingDirectors, maxLimitLoadFactor*present)
+	elapsed := max(outcome.Elapsed, attempt.latencyObjective)
+	fitting := limitFitFraction * max(attempt.inFlightWorkAtSend, present) *
+		attempt.latencyObjective.Seconds() / elapsed.Seconds()
+	lowest := minLimitTransfers * r.largestMeanWork() / server.sharingDirectors
+	load.concurrencyLimit.Decrease(r.now, highest, fitting, lowest)
 }
 
-// attributedTo is the side that an attempt counts on: a likely fill on its source, a hit on the cache, and what
-// goes to a parent or the origin like a fill from it. Fills that hang must not shut hits out.
+// attributeOutcome is the server, and its role, whose limit an outcome adjusts. It also notes whether a hit
+// of the target was late.
+func (r *Router) attributeOutcome(attempt *attemptState, outcome Outcome) (*serverState, *roleLoad) {
+	server, load := answering(attempt, outcome)
+	target := attempt.target
+	isOK := outcome.Result == OK
+	late := outcome.Elapsed > attempt.latencyObjective
+	lateWithoutSource := outcome.Elapsed-outcome.SourceWait > attempt.latencyObjective
+	switch {
+	case load == &target.asTarget && (outcome.FillStatus == FillStatusHit || !isOK):
+		target.asTarget.lastHitLate.Record(r.now, late || !isOK)
+	case target.tier == edgeTier && isOK && lateWithoutSource && target.asTarget.lastHitLate.Holds(r.now):
+		return target, &target.asTarget // its hits are late, too, and the source did not keep it waiting
+	}
+	return server, load
+}
+
+// answering is the server, and its role, from which the answer came or should have come.
+func answering(attempt *attemptState, outcome Outcome) (*serverState, *roleLoad) {
+	target, source := attempt.target, attempt.source
+	timedOut := outcome.Result == TimedOut
+	targetIsSilent := target.lastAnswerAsTarget <= attempt.sentAt
+	switch {
+	case target.tier != edgeTier:
+		return attributedTo(attempt)
+	case outcome.FillStatus == FillStatusHit, timedOut && targetIsSilent:
+		return target, &target.asTarget
+	case timedOut && source != nil: // the cache answers others, so its source hangs
+		return source, &source.asSource
+	}
+	return attributedTo(attempt)
+}
+
+// attributedTo is the server, and its role, on which an attempt counts while it is in flight: for a likely
+// fill the source, for a hit the cache; parents and the origin count as sources, also as targets. So fills
+// that hang do not keep hits from a cache.
 func attributedTo(attempt *attemptState) (*serverState, *roleLoad) {
 	switch {
 	case attempt.target.tier != edgeTier:
@@ -78,14 +119,3 @@
 	}
 	return attempt.target, &attempt.target.asTarget
 }
-
-// seemsLost: overdue beyond its size and the cache's pace, while what was sent after it came the same way in time.
-func (r *Router) seemsLost(attempt *attemptState) bool {
-	_, load := attributedTo(attempt)
-	expected := attempt.declaredWork
-	if attempt.likelyFill {
-		expected += r.originFillWait.Value
-	}
-	due := hedgeLatencyFactor*expected*math.Exp(max(0, attempt.target.logLatencyRatio)) + hedgeObjectiveFraction*r.settings.Classes[attempt.class].LatencyObjective.Seconds()
-	return load.lastTimelySentAt > attempt.sentAt && (r.now-attempt.sentAt).Seconds() >= due
-}
