--- a/routing/harness_test.go
+++ b/routing/env_test.go
@@ -313,3 +313,25 @@
 		e.violatef("cold host %d: %.2f s of work in its span, %.2f allowed", host, sum, allowed)
 	}
 }
+
+func newSimpleEnv(t *testing.T, change func(*Settings)) *testEnv {
+	settings := testSettings()
+	if change != nil {
+		change(&settings)
+	}
+	env := newTestEnv(t, settings, 1)
+	env.updateEndpoints(UpdateCached, testEndpoints(4)...)
+	return env
+}
+
+func (e *testEnv) submitRead(id uint32, object uint64, class int) *openRequest {
+	return e.submit(Request{ID: id, Class: class, Object: object, Group: int(object % 8),
+		Deadline: e.now + e.settings.Classes[class].Timeout})
+}
+
+func (e *testEnv) assertNoViolation() {
+	e.t.Helper()
+	if e.violation != "" {
+		e.t.Fatal(e.violation)
+	}
+}
--- a/routing/settings_test.go
+++ b/routing/validate_test.go
@@ -144,3 +144,27 @@
 		t.Errorf("only %d changes were tried", count)
 	}
 }
+
+func TestNewNamesTheField(t *testing.T) {
+	for field, change := range map[string]func(*Settings){
+		"services":             func(settings *Settings) { settings.Classes = nil },
+		"zone":                 func(settings *Settings) { settings.Zone = 3 },
+		"ceilings.maxAttempts": func(settings *Settings) { settings.SiteLimits.MaxAttempts = 0 },
+		"guarantees":           func(settings *Settings) { settings.Guarantees.OverloadWindow = -1 },
+		"seatsByZone":          func(settings *Settings) { settings.Tiers.DirectorsByZone = []int{1} },
+		"classFresh":           func(settings *Settings) { settings.Tiers.FreshnessLifetime = settings.Tiers.FreshnessLifetime[:1] },
+		"services[1]":          func(settings *Settings) { settings.Classes[1].LatencyObjective = 0 },
+		"familyInfo":           func(settings *Settings) { settings.Tiers.PurgePropagation = -1 },
+	} {
+		settings := testSettings()
+		change(&settings)
+		if _, err := New(settings, 1); err == nil || !strings.Contains(err.Error(), field) {
+			t.Errorf("%s: error %v", field, err)
+		}
+	}
+	settings := testSettings()
+	settings.Tiers = TierSettings{ParentKind: -1, OriginKind: 2}
+	if _, err := New(settings, 1); err != nil {
+		t.Errorf("optional lists left out: %v", err)
+	}
+}
