--- a/routing/ejection_test.go
+++ b/routing/ejection_test.go
@@ -5,88 +5,90 @@
 	"time"
 )
 
-// Found in the first incidents: a crowded link ends many transfers late and at once; its caches were ejected as
-// silent though they were only busy. No cache is ejected for being late.
+// A saturated link ends many transfers late and at once. Its caches are busy, not silent: no cache is ejected for
+// being late. Found in the first incidents.
 func TestBusyIsNotSilent(t *testing.T) {
 	env := newSimpleEnv(t, nil)
-	env.answer = func(*testEnv, *openRequest, int) (Result, FillStatus, time.Duration) {
-		return OK, FillStatusHit, 400 * ms
-	}
+	env.answer = always(OK, FillStatusHit, 400*ms)
 	for id := uint32(1); id <= 400; id++ {
-		env.submitRead(id, uint64(id), 0)
+		env.submitRead(id, uint64(id), classBig)
 		if id%40 == 0 { // forty at once, all answered 700 ms later, nothing in between
-			env.answer = func(*testEnv, *openRequest, int) (Result, FillStatus, time.Duration) {
-				return OK, FillStatusFilled, 700 * ms
-			}
-			env.runUntil(env.now + 800*ms)
+			env.answer = always(OK, FillStatusFilled, 700*ms)
+			env.run(800 * ms)
 		}
 	}
-	env.runUntil(env.now + time.Second)
-	for _, action := range env.actions {
-		if line, ok := action.(Log); ok {
-			t.Errorf("log: %s", line.Message)
-		}
+	env.run(time.Second)
+	for _, line := range actionsOf[Log](env.actions) {
+		t.Errorf("log: %s", line.Message)
 	}
 	env.assertNoViolation()
 }
 
-// Found by reading: a parent once ejected was never readmitted as a source.
+// An ejected parent is probed as a source, too, and readmitted when it is back.
 func TestEjectedParentIsLookedAtAndReadmitted(t *testing.T) {
 	env := newSimpleEnv(t, func(settings *Settings) { settings.Tiers.BypassAllowed = false })
 	down := true
-	env.answer = func(env *testEnv, request *openRequest, n int) (Result, FillStatus, time.Duration) {
-		source := request.attempts[n].source
+	env.answer = func(env *testEnv, request *openRequest, attempt int) (Result, FillStatus, time.Duration) {
+		source := request.attempts[attempt].source
+		latest := env.fetches[len(env.fetches)-1]
 		switch {
 		case source == hostParent && down:
 			return Rejected, FillStatusSourceUnreachable, 300 * ms
-		case env.fetches[len(env.fetches)-1].Flags&OnlyIfCached != 0:
+		case latest.Flags&OnlyIfCached != 0:
 			return Miss, FillStatusSourceMiss, 5 * ms
 		}
 		return OK, FillStatusFilled, 10 * ms
 	}
 	id := uint32(0)
-	step := func(n int) {
-		for range n {
+	submit := func(count int) {
+		for range count {
 			id++
-			env.submitRead(id, uint64(id)*7919, 0)
-			env.runUntil(env.now + 20*ms)
+			env.submitRead(id, uint64(id)*7919, classBig)
+			env.run(20 * ms)
 		}
 	}
-	step(100)
+	submit(100)
 	if !env.router.servers[hostParent].ejected {
 		t.Fatal("an unreachable parent was not ejected")
 	}
 	down = false
-	step(500)
+	submit(500)
 	if env.router.servers[hostParent].ejected {
 		t.Error("a parent that is back was not readmitted")
 	}
 	env.assertNoViolation()
 }
 
-// Found on a day at full size: a crowded parent's fills ran out of time, it was ejected, its load crowded the next, and so
-// on. A failure that comes quickly ejects at once, a slow one only at the third in a row.
+// An overloaded parent lets fills time out. To eject it would overload the next one, and so on; so a failure ejects at
+// once only if it comes quickly, and else at the third in a row. Found in an incident of the whole site.
 func TestSlowFailuresDoNotEjectAtOnce(t *testing.T) {
 	for _, tc := range []struct {
-		waited time.Duration
-		fails  int
-		want   bool
-	}{{time.Millisecond, 1, true}, {2 * time.Second, 1, false}, {2 * time.Second, 2, false}, {2 * time.Second, 3, true}} {
-		env := newSimpleEnv(t, nil)
-		parent := env.router.servers[hostParent]
-		for range tc.fails {
-			env.router.recordHealth(&attemptState{target: env.router.servers[hostEdge], source: parent},
-				Outcome{Result: Rejected, FillStatus: FillStatusSourceUnreachable, SourceWait: tc.waited})
-		}
-		if parent.ejected != tc.want {
-			t.Errorf("%d failures after %v: ejected %v", tc.fails, tc.waited, parent.ejected)
-		}
+		name     string
+		wait     time.Duration
+		failures int
+		want     bool
+	}{
+		{"one quick failure", time.Millisecond, 1, true},
+		{"one slow failure", 2 * time.Second, 1, false},
+		{"two slow failures", 2 * time.Second, 2, false},
+		{"three slow failures", 2 * time.Second, 3, true},
+	} {
+		t.Run(tc.name, func(t *testing.T) {
+			env := newSimpleEnv(t, nil)
+			cache, parent := env.router.servers[hostEdge], env.router.servers[hostParent]
+			for range tc.failures {
+				env.router.recordHealth(&attemptState{target: cache, source: parent},
+					Outcome{Result: Rejected, FillStatus: FillStatusSourceUnreachable, SourceWait: tc.wait})
+			}
+			if parent.ejected != tc.want {
+				t.Errorf("%d failures after %v: ejected %v", tc.failures, tc.wait, parent.ejected)
+			}
+		})
 	}
 }
 
-// Found on sockets: one answer in a hundred arrives spoilt and ends its connection. Ejecting the cache for it
-// crowded the others of its location, and so did taking some in a row for its death on a day on which idle
-// connections are reset under requests. A dead one refuses the next connection.
+// A reset connection says little: an answer may arrive damaged, and idle connections are reset under requests. To eject
+// for it, or for several in a row, overloads the other caches. A cache that is down refuses the next connection.
 func TestResetsDoNotEject(t *testing.T) {
 	env := newSimpleEnv(t, nil)
 	cache := env.router.servers[hostEdge]
@@ -104,6 +106,6 @@
 	env.now, env.router.now = cache.probeAfter, cache.probeAfter
 	env.router.recordHealth(&attemptState{target: cache, halfOpenProbe: true}, Outcome{Result: Reset})
 	if cache.ejectionBackoff <= backoff {
-		t.Error("a look that was reset does not keep it out for longer")
+		t.Error("a probe that was reset does not lengthen the ejection")
 	}
 }
--- a/routing/ending_test.go
+++ b/routing/ending_test.go
@@ -5,57 +5,57 @@
 	"time"
 )
 
-// A refusal that says nothing of a wait brings the client back at once, into the same jam. Where all of the site is
-// lost, nothing is gained before the next look there.
+// A rejection without a Retry-After brings the client back at once, into the same overload. Where all of the site is
+// lost, nothing is gained before the next probe there.
 func TestRefusalTellsWhenToComeBack(t *testing.T) {
 	for name, tc := range map[string]struct {
-		lost        bool
-		allowed     bool
-		longest     time.Duration
-		least, most time.Duration
+		siteLost        bool
+		allowed         bool
+		maxRetryAfter   time.Duration
+		atLeast, atMost time.Duration
 	}{
 		"allowed":     {false, true, 500 * ms, 50 * ms, 100 * ms},
 		"cut short":   {false, true, 20 * ms, 15 * ms, 20 * ms},
 		"not allowed": {false, false, 500 * ms, 0, 0},
 		"site lost":   {true, true, 5 * time.Second, 250 * ms, 500 * ms},
 	} {
-		env := newSimpleEnv(t, func(settings *Settings) {
-			settings.SiteLimits.RetryAfterAllowed, settings.SiteLimits.MaxRetryAfter = tc.allowed, tc.longest
-		})
-		env.answer = func(*testEnv, *openRequest, int) (Result, FillStatus, time.Duration) {
-			return Rejected, FillStatusUnknown, 5 * ms
-		}
-		if tc.lost {
-			env.updateEndpoints(UpdateFull) // nobody is left to ask
-			env.runUntil(env.now + 100*ms)
-		}
-		if request := env.submitRead(1, 7, 0); tc.lost && !request.ended {
-			t.Errorf("%s: held, though it can only fail", name)
-		}
-		env.runUntil(env.now + 4*time.Second)
-		got := -1 * ms
-		for _, action := range env.actions {
-			if reject, ok := action.(Reject); ok {
+		t.Run(name, func(t *testing.T) {
+			env := newSimpleEnv(t, func(settings *Settings) {
+				settings.SiteLimits.RetryAfterAllowed = tc.allowed
+				settings.SiteLimits.MaxRetryAfter = tc.maxRetryAfter
+			})
+			env.answer = always(Rejected, FillStatusUnknown, 5*ms)
+			if tc.siteLost {
+				env.updateEndpoints(UpdateFull) // no server is left
+				env.run(100 * ms)
+			}
+			request := env.submitRead(1, 7, classBig)
+			if tc.siteLost && !request.ended {
+				t.Error("postponed, though it can only fail")
+			}
+			env.run(4 * time.Second)
+			got := -1 * ms
+			for _, reject := range actionsOf[Reject](env.actions) {
 				got = reject.RetryAfter
 			}
-		}
-		if got < tc.least || got > tc.most {
-			t.Errorf("%s: told to stay away %v, want %v to %v", name, got, tc.least, tc.most)
-		}
+			if got < tc.atLeast || got > tc.atMost {
+				t.Errorf("Retry-After %v, want %v to %v", got, tc.atLeast, tc.atMost)
+			}
+		})
 	}
 }
 
-// A request that is bound to be given up must not be held on: its answer is owed at once.
+// A request that is bound to be rejected must not be postponed further: its answer is owed at once.
 func TestGivenUpIsAnsweredAtOnce(t *testing.T) {
 	for seed := range uint64(20) {
 		env := newTestEnv(t, testSettings(), seed)
 		env.updateEndpoints(UpdateCached, testEndpoints(4)...)
 		env.updateEndpoints(UpdateFull)
-		request := env.submitRead(1, 7, 0)
-		limit := env.settings.Classes[0].LatencyObjective/2 + minPostponement
-		env.runUntil(env.now + limit)
+		request := env.submitRead(1, 7, classBig)
+		limit := env.settings.Classes[classBig].LatencyObjective/2 + minPostponement
+		env.run(limit)
 		if !request.ended {
-			t.Fatalf("seed %d: still held %v after it came", seed, limit)
+			t.Fatalf("seed %d: still not ended %v after it came", seed, limit)
 		}
 	}
 }
--- a/routing/env_test.go
+++ b/routing/env_test.go
@@ -2,7 +2,9 @@
 
 import (
 	"fmt"
+	"math"
 	"math/rand/v2"
+	"shaleyard/internal/overload"
 	"slices"
 	"testing"
 	"time"
@@ -361,3 +363,15 @@
 		e.t.Fatal(e.violation)
 	}
 }
+
+// setLoad sets a server's concurrency limit in a role, and the work that is in flight.
+func (e *testEnv) setLoad(load *roleLoad, limit, inFlightWork float64) {
+	load.concurrencyLimit = overload.NewConcurrencyLimit(e.router.now, limit)
+	load.inFlightWork = inFlightWork
+}
+
+// limit is the present concurrency limit of a server in a role, and whether it has one.
+func (e *testEnv) limit(load *roleLoad) (limit float64, limited bool) {
+	limit = load.concurrencyLimit.Value(e.router.now)
+	return limit, !math.IsInf(limit, 1)
+}
--- a/routing/fill_test.go
+++ b/routing/fill_test.go
@@ -3,154 +3,172 @@
 import (
 	"testing"
 	"time"
-
-	"shaleyard/internal/overload"
 )
 
-// Found on slow-origin days: hits that other routers' traffic had made were refused with the fills.
+// Where no source may be asked for a fill, hits must still be served: the cache is asked for a cached copy only. Found
+// on days with a slow origin.
 func TestBeyondTheFillLimitAsksForWhatIsHeld(t *testing.T) {
 	env := newSimpleEnv(t, nil)
 	for _, upstream := range env.router.upstreams {
-		upstream.asSource.concurrencyLimit = overload.NewConcurrencyLimit(env.router.now, 1e-9)
+		env.setLoad(&upstream.asSource, 1e-9, 0)
 	}
-	env.answer = func(env *testEnv, request *openRequest, n int) (Result, FillStatus, time.Duration) {
+	env.answer = func(_ *testEnv, request *openRequest, _ int) (Result, FillStatus, time.Duration) {
 		if request.Object == 42 {
 			return OK, FillStatusHit, 10 * ms
 		}
 		return Miss, FillStatusCoalesced, ms
 	}
-	env.submitRead(1, 42, 0)
+	env.submitRead(1, 42, classBig)
 	if fetch := env.fetches[0]; fetch.Source != fetch.Host {
 		t.Errorf("a fill beyond the limit: %+v", fetch)
 	}
-	held := env.submitRead(2, 43, 0)
-	env.runUntil(env.now + 5*ms)
-	if len(env.fetches) != 2 || held.ended {
-		t.Errorf("%d attempts, ended %v: a fill beyond the limit must wait", len(env.fetches), held.ended)
+	missing := env.submitRead(2, 43, classBig)
+	env.run(5 * ms)
+	if len(env.fetches) != 2 || missing.ended {
+		t.Errorf("%d attempts, ended %v: a fill beyond the limit must wait", len(env.fetches), missing.ended)
 	}
 	env.assertNoViolation()
 }
 
-// Found on join+mass: with each director's few fills queued at the origin, all were late for seconds. A long wait
-// there keeps most fills from it, at once and for all parents; what parents hold still comes, and what must not be
-// kept goes to the origin as ever.
+// With the few fills of each director queued at the origin, all were late for seconds. So a long wait there keeps most
+// fills from it, at once and through all parents. What parents have cached still comes, and what must not be cached
+// goes to the origin as ever.
 func TestCrowdedOriginIsAskedBySome(t *testing.T) {
 	env := newSimpleEnv(t, func(settings *Settings) { settings.Directors = 300 })
-	env.answer = func(env *testEnv, request *openRequest, n int) (Result, FillStatus, time.Duration) {
-		return OK, FillStatusFilledByOrigin, 100 * ms
-	}
+	env.answer = always(OK, FillStatusFilledByOrigin, 100*ms)
 	env.router.originShield.RecordAnswer(env.now, env.now, true)
 	for id := uint32(2); id < 202; id++ {
-		env.submitRead(id, uint64(id), 1)
+		env.submitRead(id, uint64(id), classSmall)
 	}
-	peeks := 0
+	onlyIfCached := 0
 	for _, fetch := range env.fetches {
 		if fetch.Flags&OnlyIfCached != 0 {
-			peeks++
+			onlyIfCached++
 		}
-		if env.endpoints[fetch.Source].Kind != 1 {
+		if env.endpoints[fetch.Source].Kind != kindParent {
 			t.Fatalf("a fill past the parents: %+v", fetch)
 		}
 	}
-	if n := len(env.fetches); n != 200 || peeks < 110 || peeks > 170 { // seven in ten
-		t.Errorf("%d of %d fills ask parents only for what they hold", peeks, n)
+	fills := len(env.fetches)
+	if fills != 200 || onlyIfCached < 110 || onlyIfCached > 170 { // seven in ten
+		t.Errorf("%d of %d fills ask parents only for what they have cached", onlyIfCached, fills)
 	}
-	env.runUntil(env.now + 200*ms)
+
+	env.run(200 * ms)
 	env.router.originShield.RecordAnswer(env.now, env.now, true)
-	env.answer = func(env *testEnv, request *openRequest, n int) (Result, FillStatus, time.Duration) {
-		return Miss, FillStatusSourceMiss, 10 * ms
-	}
-	refused, stale := 0, 0
+	env.answer = always(Miss, FillStatusSourceMiss, 10*ms)
+	rejected, stale := 0, 0
 	for id := uint32(301); id <= 500; id++ {
-		class := int(id) % 2 // of these, the second's copies may be served past their fresh time
+		class := int(id) % 2 // copies of the second class may be served stale
 		request := env.submitRead(id, uint64(id), class)
-		env.runUntil(env.now + 25*ms)
+		env.run(25 * ms)
 		if !request.ended {
 			continue
 		}
-		var last Fetch
-		for _, fetch := range env.fetches {
-			if fetch.ID == id {
-				last = fetch
-			}
-		}
+		last := env.lastFetch(id)
 		if last.Source == last.Host && last.MaxAge == 18*time.Second {
 			stale++
-		} else if class == 1 {
-			t.Errorf("%d: refused without a look for a copy in its grace: %+v", id, last)
+		} else if class == classSmall {
+			t.Errorf("%d: rejected without a request for a stale copy: %+v", id, last)
 		}
-		if len(request.attempts) == 1+class { // with one look at the parent, and no wait
-			refused++
+		if len(request.attempts) == 1+class { // one at the parent, and no wait
+			rejected++
 		}
 	}
-	if refused < 100 || refused > 180 || stale < 50 || stale > 90 {
-		t.Errorf("%d of 200 that only the origin has were refused at once, %d behind a look for a stale copy", refused, stale)
+	if rejected < 100 || rejected > 180 || stale < 50 || stale > 90 {
+		t.Errorf("of 200 that only the origin has, %d were rejected at once, %d after a request for a stale copy",
+			rejected, stale)
 	}
-	pay := len(env.actions)
-	env.submit(Request{ID: 999, Class: 3, Object: 7, Deadline: env.now + time.Second})
-	if _, ok := env.actions[pay].(Forward); !ok {
-		t.Errorf("a write was kept from the origin: %+v", env.actions[pay])
+
+	before := len(env.actions)
+	env.submit(Request{ID: 999, Class: classUnsafe, Object: 7, Deadline: env.now + time.Second})
+	if _, ok := env.actions[before].(Forward); !ok {
+		t.Errorf("a write was kept from the origin: %+v", env.actions[before])
 	}
 	env.assertNoViolation()
 }
 
-// Where caches don't join fills, each request that misses during a fill begins another. A cold cache is asked what it
-// holds first; told that a fill is under way the request waits for that, told that none is it brings a source at once.
+// lastFetch is the last attempt of a request.
+func (e *testEnv) lastFetch(id uint32) (last Fetch) {
+	for _, fetch := range e.fetches {
+		if fetch.ID == id {
+			last = fetch
+		}
+	}
+	return last
+}
+
+// Where caches don't coalesce fills, each request that misses during a fill begins another. A cache that warms up is
+// asked for a cached copy first. If a fill is under way, the request waits for that; if none is, it brings a source at
+// once.
 func TestFirstFillsLookBeforeTheyFill(t *testing.T) {
+	coalescing := func(settings *Settings) { settings.Tiers.CoalescesFills = true }
+	silent := func(settings *Settings) { settings.Tiers.FillStatusReported = FillStatusReportedOff }
 	for _, tc := range []struct {
-		name         string
-		change       func(*Settings)
-		cold, busy   bool // the cache has just started; another's fill is under way in it
-		looks, fills int  // looks: at least, as the cold budget has them wait, too
+		name          string
+		change        func(*Settings)
+		warmingUp     bool
+		busy          bool // a fill of another request is under way in the cache
+		probes, fills int  // probes: at least, as the slow-start budget has them wait, too
 	}{
 		{"none under way", nil, true, false, 1, 1},
 		{"one under way", nil, true, true, 2, 0},
 		{"warm cache", nil, false, false, 0, 1},
-		{"caches join fills", func(settings *Settings) { settings.Tiers.CoalescesFills = true }, true, false, 0, 1},
-		{"caches tell nothing", func(settings *Settings) { settings.Tiers.FillStatusReported = "off" }, true, false, 0, 1},
+		{"caches coalesce fills", coalescing, true, false, 0, 1},
+		{"caches report no fill status", silent, true, false, 0, 1},
 	} {
-		env := newSimpleEnv(t, func(settings *Settings) {
-			settings.Tiers.CoalescesFills = false
-			if tc.change != nil {
-				tc.change(settings)
+		t.Run(tc.name, func(t *testing.T) {
+			env := newSimpleEnv(t, func(settings *Settings) {
+				settings.Tiers.CoalescesFills = false
+				if tc.change != nil {
+					tc.change(settings)
+				}
+			})
+			env.submitRead(1, 41, classBig) // the first request begins the director's own first seconds
+			env.run(10 * time.Second)
+			if tc.warmingUp {
+				env.restartCaches()
 			}
-		})
-		env.submitRead(1, 41, 0) // the first request begins the director's own first seconds
-		env.runUntil(env.now + 10*time.Second)
-		if tc.cold {
-			list := testEndpoints(4)
-			for i := range list {
-				if list[i].Kind == 0 {
-					list[i].Started = env.now
+			before, fillDone := len(env.fetches), env.now+60*ms
+			env.answer = func(env *testEnv, request *openRequest, attempt int) (Result, FillStatus, time.Duration) {
+				isProbe := request.attempts[attempt].source == request.attempts[attempt].host
+				switch {
+				case isProbe && tc.busy && env.now >= fillDone:
+					return OK, FillStatusHit, ms
+				case isProbe && tc.busy:
+					return Miss, FillStatusCoalesced, ms
+				case isProbe:
+					return Miss, FillStatusUnknown, ms
 				}
+				return OK, FillStatusFilled, 40 * ms
 			}
-			env.updateEndpoints(UpdateFull, list...)
-		}
-		before, done := len(env.fetches), env.now+60*ms
-		env.answer = func(env *testEnv, request *openRequest, n int) (Result, FillStatus, time.Duration) {
-			switch looks := request.attempts[n].source == request.attempts[n].host; {
-			case looks && tc.busy && env.now >= done:
-				return OK, FillStatusHit, ms
-			case looks && tc.busy:
-				return Miss, FillStatusCoalesced, ms
-			case looks:
-				return Miss, FillStatusUnknown, ms
+			request := env.submitRead(2, 42, classBig)
+			env.run(300 * ms)
+			probes, fills := 0, 0
+			for _, fetch := range env.fetches[before:] {
+				if fetch.Source == fetch.Host {
+					probes++
+				} else {
+					fills++
+				}
 			}
-			return OK, FillStatusFilled, 40 * ms
-		}
-		env.submitRead(2, 42, 0)
-		env.runUntil(env.now + 300*ms)
-		looks, fills := 0, 0
-		for _, fetch := range env.fetches[before:] {
-			if fetch.Source == fetch.Host {
-				looks++
-			} else {
-				fills++
+			tooMany := tc.probes == 0 && probes > 0
+			if probes < tc.probes || tooMany || fills != tc.fills || !request.ended {
+				t.Errorf("%d probes and %d fills, want %d at least and %d; ended: %v",
+					probes, fills, tc.probes, tc.fills, request.ended)
 			}
+			env.assertNoViolation()
+		})
+	}
+}
+
+// restartCaches starts all caches anew, now.
+func (e *testEnv) restartCaches() {
+	list := testEndpoints(4)
+	for i := range list {
+		if list[i].Kind == kindEdge {
+			list[i].Started = e.now
 		}
-		if looks < tc.looks || (tc.looks == 0 && looks > 0) || fills != tc.fills || !env.requests[2].ended {
-			t.Errorf("%s: %d looks and %d fills, want %d at least and %d; ended: %v", tc.name, looks, fills, tc.looks, tc.fills, env.requests[2].ended)
-		}
-		env.assertNoViolation()
 	}
+	e.updateEndpoints(UpdateFull, list...)
 }
--- a/routing/limits_test.go
+++ b/routing/limits_test.go
@@ -11,13 +11,11 @@
 // Found in the first incidents: in overload all answers came late. The excess must wait and be refused early.
 func TestLateAnswersLowerTheCrowd(t *testing.T) {
 	env := newSimpleEnv(t, nil)
-	env.answer = func(*testEnv, *openRequest, int) (Result, FillStatus, time.Duration) {
-		return OK, FillStatusHit, 1900 * ms
-	}
+	env.answer = always(OK, FillStatusHit, 1900*ms)
 	most := 0
 	for id := uint32(1); id <= 3000; id++ {
 		env.submitRead(id, uint64(id%40), 1)
-		env.runUntil(env.now + 4*ms)
+		env.run(4 * ms)
 		if out := len(env.router.attempts); id > 2000 {
 			most = max(most, out)
 		}
@@ -43,9 +41,7 @@
 	env.submitRead(1, 42, 0)
 	env.runUntil(env.now + 100*ms) // a holder of 42 is known
 	cache := env.router.servers[env.fetches[0].Host]
-	env.answer = func(*testEnv, *openRequest, int) (Result, FillStatus, time.Duration) {
-		return OK, FillStatusFilled, 3 * time.Second
-	}
+	env.answer = always(OK, FillStatusFilled, 3*time.Second)
 	for id := uint32(10); id < 30; id++ {
 		env.submitRead(id, uint64(id), 0)
 	}
--- a/routing/locations_test.go
+++ b/routing/locations_test.go
@@ -9,7 +9,7 @@
 	env := newSimpleEnv(t, nil)
 	env.submitRead(1, 42, 0)
 	first := env.fetches[0].Host
-	env.runUntil(env.now + siblingHintLifetime + 200*ms)
+	env.run(siblingHintLifetime + 200*ms)
 	endpoint := env.endpoints[first]
 	endpoint.Weight = 0.0001
 	env.updateEndpoints(UpdateDelta, endpoint)
@@ -36,7 +36,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			env := newSimpleEnv(t, nil)
 			env.purge(tc.purge)
-			env.runUntil(env.now + tc.wait)
+			env.run(tc.wait)
 			env.submitRead(1, 42, tc.class)
 			if got := env.fetches[0].MaxAge; got != tc.want {
 				t.Errorf("age %v, want %v", got, tc.want)
@@ -50,7 +50,7 @@
 	env := newSimpleEnv(t, nil)
 	env.submitRead(1, 42, 0)
 	first := env.fetches[0].Host
-	env.runUntil(env.now + 100*ms)
+	env.run(100 * ms)
 	env.purge(Purge{Object: 42, Age: 10 * ms})
 	endpoint := env.endpoints[first]
 	endpoint.Weight = 0.0001
@@ -65,7 +65,7 @@
 func TestPurgedHolderIsNoHolder(t *testing.T) {
 	env := newSimpleEnv(t, nil)
 	o := env.submitRead(1, 42, 0)
-	env.runUntil(env.now + 100*ms)
+	env.run(100 * ms)
 	target := env.router.servers[env.fetches[0].Host]
 	request := &requestState{Request: o.Request, location: env.router.recordUse(objectKey{o.Object, o.Part})}
 	if env.router.isLikelyFill(request, target) {
--- a/routing/peers_test.go
+++ b/routing/peers_test.go
@@ -40,14 +40,14 @@
 		t.Errorf("not filled from the far cache: %+v", fetch)
 	}
 	env.submitRead(3, 44, 0) // nobody answers: after the aim, the origin
-	env.runUntil(env.now + 600*ms)
+	env.run(600 * ms)
 	if fetch := env.fetches[2]; fetch.Source != hostOrigin {
 		t.Errorf("not filled from the origin: %+v", fetch)
 	}
 
 	answering := newSimpleEnv(t, allowPeers)
 	answering.submitRead(1, 43, 0)
-	answering.runUntil(answering.now + 100*ms)
+	answering.run(100 * ms)
 	answering.actions = nil
 	answering.handle(PeerMessage{From: 1, Data: locationMessage{locationQuery, 2, key, 0}.encode()})
 	want := SendPeerMessage{To: 1, Data: locationMessage{locationReply, 1, key, answering.fetches[0].Host}.encode()}
--- a/routing/property_test.go
+++ b/routing/property_test.go
@@ -68,7 +68,7 @@
 		object := uint64(rng.ExpFloat64() * 40)
 		timeout := time.Duration(float64(settings.Classes[class].Timeout) * (0.3 + 0.7*rng.Float64()))
 		env.submit(Request{ID: id, Class: class, Object: object + 1, Group: int(object % 8), Deadline: env.now + timeout})
-		env.runUntil(env.now + time.Duration(rng.ExpFloat64()*20)*ms)
+		env.run(time.Duration(rng.ExpFloat64()*20) * ms)
 		switch draw := rng.IntN(300); {
 		case draw < 4:
 			env.purge(Purge{Object: object + 1, Group: int(object % 8), Age: time.Duration(rng.IntN(400)) * ms})
@@ -95,6 +95,6 @@
 			env.handle(RequestClosed{ID: id})
 		}
 	}
-	env.runUntil(env.now + 10*time.Second)
+	env.run(10 * time.Second)
 	return env
 }
--- a/routing/retry_test.go
+++ b/routing/retry_test.go
@@ -17,11 +17,11 @@
 		return OK, FillStatusFilled, 10 * ms
 	}
 	env.submitRead(1, 42, 0)
-	env.runUntil(env.now + 20*ms)
+	env.run(20 * ms)
 	if len(env.fetches) != 1 {
 		t.Fatalf("sent again at once: %+v", env.fetches)
 	}
-	env.runUntil(env.now + time.Second)
+	env.run(time.Second)
 	if len(env.fetches) != 2 || env.fetches[1].Host != env.fetches[0].Host {
 		t.Errorf("sent %+v", env.fetches)
 	}
@@ -67,9 +67,9 @@
 	}
 	for id := uint32(1); id <= 60; id++ {
 		env.submitRead(id, uint64(id), 0)
-		env.runUntil(env.now + 20*ms)
+		env.run(20 * ms)
 	}
-	env.runUntil(env.now + 10*time.Second)
+	env.run(10 * time.Second)
 	tries := 0
 	for id := uint32(31); id <= 60; id++ {
 		tries += len(env.requests[id].attempts)
@@ -81,7 +81,7 @@
 		t.Errorf("%d attempts for 30 requests while all are refused", tries)
 	}
 	pay := env.submitRead(100, 100, 3)
-	env.runUntil(env.now + 2*time.Second)
+	env.run(2 * time.Second)
 	if len(pay.attempts) < 3 {
 		t.Errorf("a repayment that never ran got %d attempts", len(pay.attempts))
 	}
--- a/routing/route_test.go
+++ b/routing/route_test.go
@@ -15,7 +15,7 @@
 	if env.endpoints[first.Host].Kind != 0 || env.endpoints[first.Source].Kind != 1 || first.Flags&OnlyIfCached != 0 {
 		t.Fatalf("first attempt %+v", first)
 	}
-	env.runUntil(env.now + time.Second)
+	env.run(time.Second)
 	env.submitRead(2, 42, 0)
 	if second := env.fetches[1]; second.Host != first.Host || second.Source != first.Source {
 		t.Errorf("same object went to %+v, before to %+v", second, first)
@@ -30,7 +30,7 @@
 	env.submitRead(1, 42, 0)
 	first := env.fetches[0].Host
 	endpoint := env.endpoints[first]
-	env.runUntil(env.now + 100*ms)
+	env.run(100 * ms)
 	back := endpoint
 	back.Weight = 0.0001 // the pick moves away from the holder, which stays in use
 	env.updateEndpoints(UpdateDelta, back)
@@ -41,7 +41,7 @@
 		return OK, FillStatusFilled, 10 * ms
 	}
 	env.submitRead(2, 42, 0)
-	env.runUntil(env.now + 100*ms)
+	env.run(100 * ms)
 	if len(env.fetches) != 3 {
 		t.Fatalf("sent %+v", env.fetches)
 	}
@@ -67,7 +67,7 @@
 			for id := uint32(1); id < 40; id++ {
 				env.submitRead(id, uint64(id), int(id%2))
 			}
-			env.runUntil(env.now + 6*time.Second)
+			env.run(6 * time.Second)
 			env.assertNoViolation()
 			if len(list) > 0 && !env.requests[1].ended {
 				t.Error("not ended")
--- a/routing/router_test.go
+++ b/routing/router_test.go
@@ -20,11 +20,11 @@
 	for i := range 3 * maxTableEntries {
 		id := uint32(i + 1)
 		env.submitRead(id, uint64(i), 1)
-		env.runUntil(env.now + 100*time.Microsecond)
+		env.run(100 * time.Microsecond)
 		env.router.Handle(env.now, Purge{Object: uint64(i + 1)})
 		delete(env.requests, id-5000)
 	}
-	env.runUntil(env.now + 5*time.Second)
+	env.run(5 * time.Second)
 	for i := range 1000 {
 		env.updateEndpoints(UpdateFull, append(testEndpoints(4), Endpoint{Host: Host(10000 + i), Zone: 1, State: Ready, Weight: 1})...)
 	}
--- a/routing/send_test.go
+++ b/routing/send_test.go
@@ -19,11 +19,9 @@
 		{3, Errored, 1, false},
 	} {
 		env := newSimpleEnv(t, nil)
-		env.answer = func(*testEnv, *openRequest, int) (Result, FillStatus, time.Duration) {
-			return tc.result, FillStatusUnknown, 10 * ms
-		}
+		env.answer = always(tc.result, FillStatusUnknown, 10*ms)
 		request := env.submitRead(1, 42, tc.class)
-		env.runUntil(env.now + 3*time.Second)
+		env.run(3 * time.Second)
 		if !request.ended {
 			t.Errorf("class %d: not ended", tc.class)
 		}
--- a/routing/sites_test.go
+++ b/routing/sites_test.go
@@ -64,7 +64,7 @@
 		t.Errorf("fills come from %v, three quarters of them were planned from the second", by)
 	}
 	down = false
-	env.runUntil(env.now + 4*time.Second)
+	env.run(4 * time.Second)
 	env.fillsByZone(900, 10)
 	if by := env.fillsByZone(1000, 100); by[0] != 100 {
 		t.Errorf("it is back as it was, and fills come from %v", by)
@@ -85,20 +85,20 @@
 	}
 	for i := range 60 { // the caches are known as holders
 		env.submitRead(uint32(1+i), uint64(1000+i%20), 0)
-		env.runUntil(env.now + 20*ms)
+		env.run(20 * ms)
 	}
 	silent = true
 	pay := env.submitRead(100, 5000, 3)
 	for i := range 60 {
 		env.submitRead(uint32(200+i), uint64(1000+i%20), 0)
-		env.runUntil(env.now + 50*ms)
+		env.run(50 * ms)
 	}
 	refused, asked := 0, len(env.fetches)
 	for i := range 100 {
 		if request := env.submitRead(uint32(300+i), uint64(1000+i%20), 0); request.ended {
 			refused++
 		}
-		env.runUntil(env.now + 20*ms)
+		env.run(20 * ms)
 	}
 	if looks := len(env.fetches) - asked; looks > 12 || refused < 88 {
 		t.Errorf("of 100 requests in 2 s to a branch that is silent, %d were refused at once and %d sent", refused, looks)
@@ -107,16 +107,16 @@
 		t.Errorf("the repayment was sent %d times", len(pay.attempts))
 	}
 	silent = false
-	env.runUntil(env.now + 5*time.Second)
+	env.run(5 * time.Second)
 	for i := range 40 {
 		env.submitRead(uint32(500+i), uint64(1000+i%20), 0)
-		env.runUntil(env.now + 50*ms)
+		env.run(50 * ms)
 	}
 	for i := range 40 {
 		if request := env.submitRead(uint32(600+i), uint64(1000+i%20), 0); request.ended {
 			t.Fatalf("request %d is refused 2 s after all of them speak again", i)
 		}
-		env.runUntil(env.now + 20*ms)
+		env.run(20 * ms)
 	}
 	env.assertNoViolation()
 }
