--- a/routing/locations_test.go
+++ b/routing/locations_test.go
@@ -5,17 +5,18 @@
 	"time"
 )
 
+// negligibleWeight moves the rank of a cache behind the others; it stays in use.
+const negligibleWeight = 0.0001
+
 func TestHolderAgesOut(t *testing.T) {
 	env := newSimpleEnv(t, nil)
-	env.submitRead(1, 42, 0)
-	first := env.fetches[0].Host
+	env.submitRead(1, 42, classBig)
+	holder := env.fetches[0].Host
 	env.run(siblingHintLifetime + 200*ms)
-	endpoint := env.endpoints[first]
-	endpoint.Weight = 0.0001
-	env.updateEndpoints(UpdateDelta, endpoint)
-	env.submitRead(2, 42, 0)
-	if s := env.fetches[1]; s.Source == first {
-		t.Errorf("a holder older than %v was still believed: %+v", siblingHintLifetime, s)
+	env.setWeight(holder, negligibleWeight)
+	env.submitRead(2, 42, classBig)
+	if fetch := env.fetches[1]; fetch.Source == holder {
+		t.Errorf("a hint older than %v was still believed: %+v", siblingHintLifetime, fetch)
 	}
 }
 
@@ -27,11 +28,11 @@
 		wait  time.Duration
 		want  time.Duration // 0: the class's own age
 	}{
-		{"object", Purge{Age: 300 * ms, Object: 42}, 0, 0, 300 * ms},
-		{"whole group", Purge{Age: 300 * ms, Group: 2}, 0, time.Second, 1300 * ms},
-		{"never wider than fresh", Purge{Age: 7900 * ms, Object: 42}, 1, 500 * ms, 8 * time.Second},
-		{"at least 1 ns", Purge{Object: 42}, 0, 0, 1},
-		{"other group", Purge{Age: 300 * ms, Group: 3}, 0, 0, 0},
+		{"object", Purge{Age: 300 * ms, Object: 42}, classBig, 0, 300 * ms},
+		{"whole group", Purge{Age: 300 * ms, Group: 2}, classBig, time.Second, 1300 * ms},
+		{"never wider than fresh", Purge{Age: 7900 * ms, Object: 42}, classSmall, 500 * ms, 8 * time.Second},
+		{"at least 1 ns", Purge{Object: 42}, classBig, 0, 1},
+		{"other group", Purge{Age: 300 * ms, Group: 3}, classBig, 0, 0},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			env := newSimpleEnv(t, nil)
@@ -48,31 +49,30 @@
 
 func TestPurgeVoidsHolder(t *testing.T) {
 	env := newSimpleEnv(t, nil)
-	env.submitRead(1, 42, 0)
-	first := env.fetches[0].Host
+	env.submitRead(1, 42, classBig)
+	holder := env.fetches[0].Host
 	env.run(100 * ms)
 	env.purge(Purge{Object: 42, Age: 10 * ms})
-	endpoint := env.endpoints[first]
-	endpoint.Weight = 0.0001
-	env.updateEndpoints(UpdateDelta, endpoint)
-	env.submitRead(2, 42, 0)
-	if s := env.fetches[1]; s.Source == first {
-		t.Errorf("a voided holder was named as source: %+v", s)
+	env.setWeight(holder, negligibleWeight)
+	env.submitRead(2, 42, classBig)
+	if fetch := env.fetches[1]; fetch.Source == holder {
+		t.Errorf("a cache with a purged copy was named as source: %+v", fetch)
 	}
 }
 
-// Found after flushes: holders voided by a purge were still counted as holders, so fills passed for hits.
+// A purged hint does not make a request a likely hit. Found after purges of whole groups: fills passed for hits.
 func TestPurgedHolderIsNoHolder(t *testing.T) {
 	env := newSimpleEnv(t, nil)
-	o := env.submitRead(1, 42, 0)
+	submitted := env.submitRead(1, 42, classBig)
 	env.run(100 * ms)
 	target := env.router.servers[env.fetches[0].Host]
-	request := &requestState{Request: o.Request, location: env.router.recordUse(objectKey{o.Object, o.Part})}
+	key := objectKey{submitted.Object, submitted.Part}
+	request := &requestState{Request: submitted.Request, location: env.router.recordUse(key)}
 	if env.router.isLikelyFill(request, target) {
-		t.Error("a holder counts as none")
+		t.Error("a holder is not known as one")
 	}
-	env.purge(Purge{Group: int(o.Group), Age: ms})
+	env.purge(Purge{Group: submitted.Group, Age: ms})
 	if !env.router.isLikelyFill(request, target) {
-		t.Error("a purged holder counts as holder")
+		t.Error("a purged holder counts as one")
 	}
 }
--- a/routing/peers_test.go
+++ b/routing/peers_test.go
@@ -5,52 +5,57 @@
 	"testing"
 )
 
-// Far masters are asked only when no parent is up, peers may talk and caches elsewhere may be sources.
+func newPeersEnv(t *testing.T) *testEnv {
+	t.Helper()
+	return newSimpleEnv(t, func(settings *Settings) {
+		settings.SiteLimits.PeerMessagesAllowed = true
+		settings.Tiers.SiblingFills = SiblingFillsAny
+	})
+}
+
+// Directors of other zones are asked only when no parent is usable, peer messages are allowed and caches of other zones
+// may be sources.
 func TestFarMasters(t *testing.T) {
-	allowPeers := func(settings *Settings) {
-		settings.SiteLimits.PeerMessagesAllowed, settings.Tiers.SiblingFills = true, "any"
-	}
-	env := newSimpleEnv(t, allowPeers)
-	env.submitRead(1, 42, 0)
+	const remoteCache = Host(700)
+	key := objectKey{43, 0}
+	env := newPeersEnv(t)
+	env.submitRead(1, 42, classBig)
 	if len(env.fetches) != 1 {
-		t.Fatal("masters were asked though parents are up")
-	}
-	for _, parent := range []Host{hostParent, hostParent + 1} {
-		endpoint := env.endpoints[parent]
-		endpoint.State = Draining
-		env.updateEndpoints(UpdateDelta, endpoint)
+		t.Fatal("peers were asked though parents are usable")
 	}
+	env.setState(hostParent, Draining)
+	env.setState(hostParent+1, Draining)
 	env.actions = nil
-	env.submitRead(2, 43, 0)
+	env.submitRead(2, 43, classBig)
 	var query []byte
-	for _, action := range env.actions {
-		if message, ok := action.(SendPeerMessage); ok {
-			query = message.Data
-		}
+	for _, message := range actionsOf[SendPeerMessage](env.actions) {
+		query = message.Data
 	}
 	if len(query) == 0 || len(query) > 256 || len(env.fetches) != 1 {
 		t.Fatalf("actions %v", env.actions)
 	}
 	for i := range query {
-		env.handle(PeerMessage{From: 1, Data: query[:i]}) // garbage is passed over
+		env.handle(PeerMessage{From: 1, Data: query[:i]}) // a message cut short is ignored
 	}
-	key := objectKey{43, 0}
-	env.handle(PeerMessage{From: 1, Data: locationMessage{locationReply, 2, key, 700}.encode()})
-	if fetch := env.fetches[1]; fetch.Source != 700 || fetch.Flags&OnlyIfCached == 0 {
-		t.Errorf("not filled from the far cache: %+v", fetch)
+	reply := locationMessage{kind: locationReply, zone: 2, key: key, holder: remoteCache}
+	env.handle(PeerMessage{From: 1, Data: reply.encode()})
+	if fetch := env.fetches[1]; fetch.Source != remoteCache || fetch.Flags&OnlyIfCached == 0 {
+		t.Errorf("not filled from the remote cache: %+v", fetch)
 	}
-	env.submitRead(3, 44, 0) // nobody answers: after the aim, the origin
+	env.submitRead(3, 44, classBig) // nobody answers: after the latency objective, the origin
 	env.run(600 * ms)
 	if fetch := env.fetches[2]; fetch.Source != hostOrigin {
 		t.Errorf("not filled from the origin: %+v", fetch)
 	}
 
-	answering := newSimpleEnv(t, allowPeers)
-	answering.submitRead(1, 43, 0)
+	answering := newPeersEnv(t)
+	answering.submitRead(1, 43, classBig)
 	answering.run(100 * ms)
 	answering.actions = nil
-	answering.handle(PeerMessage{From: 1, Data: locationMessage{locationQuery, 2, key, 0}.encode()})
-	want := SendPeerMessage{To: 1, Data: locationMessage{locationReply, 1, key, answering.fetches[0].Host}.encode()}
+	question := locationMessage{kind: locationQuery, zone: 2, key: key}
+	answering.handle(PeerMessage{From: 1, Data: question.encode()})
+	answer := locationMessage{kind: locationReply, zone: 1, key: key, holder: answering.fetches[0].Host}
+	want := SendPeerMessage{To: 1, Data: answer.encode()}
 	if !reflect.DeepEqual(answering.actions, []Action{want}) {
 		t.Errorf("answered %v, want %v", answering.actions, want)
 	}
--- a/routing/property_test.go
+++ b/routing/property_test.go
@@ -2,12 +2,13 @@
 
 import (
 	"fmt"
+	"math/rand/v2"
 	"reflect"
 	"testing"
 	"time"
 )
 
-// TestRulesHold drives routers with seeded legal sequences under varied settings and asserts the five rules.
+// TestRulesHold plays seeded legal sequences of events under varied settings, and checks that the site's rules hold.
 func TestRulesHold(t *testing.T) {
 	for seed := range uint64(60) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -22,70 +23,55 @@
 
 func TestSameEventsSameActions(t *testing.T) {
 	for seed := range uint64(4) {
-		if first, second := runRandomSequence(t, seed), runRandomSequence(t, seed); !reflect.DeepEqual(first.actions, second.actions) {
+		first, second := runRandomSequence(t, seed), runRandomSequence(t, seed)
+		if !reflect.DeepEqual(first.actions, second.actions) {
 			t.Fatalf("seed %d: two runs differ", seed)
 		}
 	}
 }
 
+// oneOf draws an element of a list.
+func oneOf[T any](rng *rand.Rand, list ...T) T { return list[rng.IntN(len(list))] }
+
 // runRandomSequence plays a minute of random requests, answers, purges, drains and restarts.
 func runRandomSequence(t *testing.T, seed uint64) *testEnv {
-	settings := testSettings()
-	settings.SiteLimits.HedgingAllowed = seed%2 == 0
-	settings.SiteLimits.CancelAllowed = seed%3 != 0
-	settings.Tiers.BypassAllowed = seed%5 != 0
-	settings.Tiers.CoalescesFills = seed%4 != 0
-	settings.Tiers.FillStatusReported = []string{"all", "hit", "off"}[seed%3]
-	settings.Tiers.SiblingFills = []string{"off", "location", "any"}[seed/3%3]
-	settings.Classes[2].DedupScope = []string{"all", "zone", "cell"}[seed%3]
-	env := newTestEnv(t, settings, seed)
-	rng := env.rng
-	list := testEndpoints(4)
+	t.Helper()
+	env := newTestEnv(t, variedSettings(seed), seed)
+	rng, list := env.rng, testEndpoints(4)
 	env.updateEndpoints(UpdateCached, list...)
-	sick := Host(0)
-	env.answer = func(env *testEnv, request *openRequest, n int) (Result, FillStatus, time.Duration) {
-		attempt := request.attempts[n]
-		if attempt.host == sick || attempt.source == sick {
+	silent := Host(0)
+	env.answer = func(_ *testEnv, request *openRequest, number int) (Result, FillStatus, time.Duration) {
+		attempt := request.attempts[number]
+		if attempt.host == silent || attempt.source == silent {
 			return OK, FillStatusFilled, time.Hour
 		}
-		after := time.Duration(rng.ExpFloat64()*60) * ms
-		switch draw := rng.IntN(20); {
-		case draw < 13:
-			return OK, FillStatusHit, after
-		case draw < 15:
-			return OK, FillStatusFilled, 2 * after
-		case draw == 15:
-			return Miss, FillStatusSourceMiss, after
-		case draw == 16:
-			return Rejected, []FillStatus{FillStatusUnknown, FillStatusSourceRejected, FillStatusSourceUnreachable, FillStatusNoFillSlot}[rng.IntN(4)], after
-		case draw == 17:
-			return []Result{Errored, ConnectFailed, Reset}[rng.IntN(3)], FillStatusUnknown, after
-		}
-		return OK, FillStatusHit, 20 * after
+		return randomAnswer(rng)
 	}
 	for id := uint32(1); id <= 3000; id++ {
-		class := []int{0, 1, 0, 1, 1, 2, 3}[rng.IntN(7)]
+		class := oneOf(rng, classBig, classSmall, classBig, classSmall, classSmall, classKeyed, classUnsafe)
 		object := uint64(rng.ExpFloat64() * 40)
-		timeout := time.Duration(float64(settings.Classes[class].Timeout) * (0.3 + 0.7*rng.Float64()))
-		env.submit(Request{ID: id, Class: class, Object: object + 1, Group: int(object % 8), Deadline: env.now + timeout})
+		group := int(object % 8)
+		timeout := time.Duration(float64(env.settings.Classes[class].Timeout) * (0.3 + 0.7*rng.Float64()))
+		env.submit(Request{ID: id, Class: class, Object: object + 1, Group: group, Deadline: env.now + timeout})
 		env.run(time.Duration(rng.ExpFloat64()*20) * ms)
 		switch draw := rng.IntN(300); {
 		case draw < 4:
-			env.purge(Purge{Object: object + 1, Group: int(object % 8), Age: time.Duration(rng.IntN(400)) * ms})
+			env.purge(Purge{Object: object + 1, Group: group, Age: time.Duration(rng.IntN(400)) * ms})
 		case draw == 4:
 			env.purge(Purge{Group: rng.IntN(8), Age: time.Duration(rng.IntN(400)) * ms})
 		case draw < 8:
 			endpoint := list[1+rng.IntN(6)]
-			endpoint.State = []State{Draining, Gone, Ready}[rng.IntN(3)]
+			endpoint.State = oneOf(rng, Draining, Gone, Ready)
 			env.updateEndpoints(UpdateDelta, endpoint)
 		case draw < 10:
 			endpoint := list[1+rng.IntN(6)]
-			endpoint.Started, endpoint.State = env.now-time.Duration(rng.IntN(2000))*ms, Ready
+			endpoint.Started = env.now - time.Duration(rng.IntN(2000))*ms
+			endpoint.State = Ready
 			env.updateEndpoints(UpdateDelta, endpoint)
 		case draw == 10:
-			sick = list[rng.IntN(7)].Host
+			silent = list[rng.IntN(7)].Host
 		case draw == 11:
-			sick = 0
+			silent = 0
 		case draw == 12:
 			env.updateEndpoints(UpdateFull, list...)
 		case draw == 13:
@@ -98,3 +84,37 @@
 	env.run(10 * time.Second)
 	return env
 }
+
+func variedSettings(seed uint64) Settings {
+	settings := testSettings()
+	settings.SiteLimits.HedgingAllowed = seed%2 == 0
+	settings.SiteLimits.CancelAllowed = seed%3 != 0
+	settings.Tiers.BypassAllowed = seed%5 != 0
+	settings.Tiers.CoalescesFills = seed%4 != 0
+	reported := []string{FillStatusReportedAll, FillStatusReportedHit, FillStatusReportedOff}
+	settings.Tiers.FillStatusReported = reported[seed%3]
+	siblings := []string{SiblingFillsOff, SiblingFillsLocation, SiblingFillsAny}
+	settings.Tiers.SiblingFills = siblings[seed/3%3]
+	scopes := []string{DedupScopeAll, DedupScopeZone, DedupScopeCell}
+	settings.Classes[classKeyed].DedupScope = scopes[seed%3]
+	return settings
+}
+
+// randomAnswer is mostly a hit, sometimes a fill, a miss, a rejection or a failure, and sometimes late.
+func randomAnswer(rng *rand.Rand) (Result, FillStatus, time.Duration) {
+	after := time.Duration(rng.ExpFloat64()*60) * ms
+	switch draw := rng.IntN(20); {
+	case draw < 13:
+		return OK, FillStatusHit, after
+	case draw < 15:
+		return OK, FillStatusFilled, 2 * after
+	case draw == 15:
+		return Miss, FillStatusSourceMiss, after
+	case draw == 16:
+		return Rejected, oneOf(rng, FillStatusUnknown, FillStatusSourceRejected, FillStatusSourceUnreachable,
+			FillStatusNoFillSlot), after
+	case draw == 17:
+		return oneOf(rng, Errored, ConnectFailed, Reset), FillStatusUnknown, after
+	}
+	return OK, FillStatusHit, 20 * after
+}
