--- a/routing/retry_test.go
+++ b/routing/retry_test.go
@@ -1,22 +1,22 @@
 package routing
 
 import (
-	"slices"
+	"fmt"
 	"testing"
 	"time"
 )
 
-// Found in the first incidents: requests turned away as full went on at once to the next cache, which doubled
-// fills and load in a jam. They must wait, and come back to the same cache.
+// A request that a cache rejects for want of capacity must wait, and come back to the same cache. Found in the first
+// incidents: such requests went on at once to the next cache, which doubled fills and load under overload.
 func TestFullMakesTheRequestWait(t *testing.T) {
 	env := newSimpleEnv(t, nil)
-	env.answer = func(env *testEnv, request *openRequest, n int) (Result, FillStatus, time.Duration) {
-		if n == 0 {
+	env.answer = func(_ *testEnv, _ *openRequest, attempt int) (Result, FillStatus, time.Duration) {
+		if attempt == 0 {
 			return Rejected, FillStatusNoFillSlot, ms
 		}
 		return OK, FillStatusFilled, 10 * ms
 	}
-	env.submitRead(1, 42, 0)
+	env.submitRead(1, 42, classBig)
 	env.run(20 * ms)
 	if len(env.fetches) != 1 {
 		t.Fatalf("sent again at once: %+v", env.fetches)
@@ -28,69 +28,82 @@
 	env.assertNoViolation()
 }
 
-// Found on zone+brink of map-tiles, where no second copies are allowed: an attempt that is called off is out until its
-// cache hears of that, and the next one, over another connection, came there before. It waits for a moment; where second
-// copies are allowed, and behind an answer, it leaves at once.
+// An attempt that is cancelled stays in flight until its cache hears of that, and a retry over another connection may
+// arrive before. Where hedging is not allowed it waits for a moment; where it is, and after an answer, it is sent at
+// once. Found in an incident of a site without hedging.
 func TestNextAttemptDoesNotOvertakeTheStop(t *testing.T) {
 	for _, tc := range []struct {
-		copies bool
-		result Result
-		atOnce bool
-	}{{false, Cancelled, false}, {false, Reset, false}, {false, TimedOut, false}, {true, Cancelled, true}, {true, Reset, true},
-		{false, ConnectFailed, true}, {false, Abandoned, true}, {false, Errored, true}, {true, Unreachable, true}, {true, LocalResourcesExhausted, false}} {
-		env := newSimpleEnv(t, func(settings *Settings) { settings.SiteLimits.HedgingAllowed = tc.copies })
-		env.router.Handle(env.now, Request{ID: 900, Object: 42, Deadline: env.now + 4*time.Second})
-		attempt := env.router.requests[900].attempts[0]
-		left := func(actions []Action) bool {
-			return slices.ContainsFunc(actions, func(action Action) bool { _, ok := action.(Fetch); return ok })
-		}
-		env.now += 20 * ms
-		if got := left(env.router.Handle(env.now, Outcome{ID: 900, Host: attempt.target.Host, Result: tc.result, Elapsed: 20 * ms})); got != tc.atOnce {
-			t.Errorf("second copies %v, %v: the next attempt left at once %v, want %v", tc.copies, tc.result, got, tc.atOnce)
-		}
-		if tc.atOnce {
-			continue
-		}
-		env.now += 2 * minPostponement
-		if !left(env.router.Handle(env.now, TimerFired{Token: requestTimer | 900})) {
-			t.Errorf("second copies %v, %v: no further attempt", tc.copies, tc.result)
-		}
+		hedging bool
+		result  Result
+		atOnce  bool
+	}{
+		{false, Cancelled, false},
+		{false, Reset, false},
+		{false, TimedOut, false},
+		{true, Cancelled, true},
+		{true, Reset, true},
+		{false, ConnectFailed, true},
+		{false, Abandoned, true},
+		{false, Errored, true},
+		{true, Unreachable, true},
+		{true, LocalResourcesExhausted, false},
+	} {
+		t.Run(fmt.Sprintf("hedging %v, %v", tc.hedging, tc.result), func(t *testing.T) {
+			env := newSimpleEnv(t, func(settings *Settings) { settings.SiteLimits.HedgingAllowed = tc.hedging })
+			isSent := func(event Event) bool {
+				return len(actionsOf[Fetch](env.router.Handle(env.now, event))) > 0
+			}
+			env.router.Handle(env.now, Request{ID: 900, Object: 42, Deadline: env.now + 4*time.Second})
+			target := env.router.requests[900].attempts[0].target
+			env.now += 20 * ms
+			got := isSent(Outcome{ID: 900, Host: target.Host, Result: tc.result, Elapsed: 20 * ms})
+			if got != tc.atOnce {
+				t.Errorf("retried at once: %v, want %v", got, tc.atOnce)
+			}
+			if tc.atOnce {
+				return
+			}
+			env.now += 2 * minPostponement
+			if !isSent(TimerFired{Token: requestTimer | 900}) {
+				t.Error("no retry")
+			}
+		})
 	}
 }
 
-// Seen on join+mass: attempts for a request rose to 2.4 while caches refused, and stayed there. In a crowd the budget
-// ends, and what is over is refused at once; a repayment that provably never ran is tried on.
+// Retries have a budget: under overload it ends, and requests are rejected at once. Writes that provably never executed
+// are retried all the same. Seen before: 2.4 attempts for each request as long as caches rejected.
 func TestFurtherAttemptsHaveABudget(t *testing.T) {
 	env := newSimpleEnv(t, nil)
-	env.answer = func(env *testEnv, request *openRequest, n int) (Result, FillStatus, time.Duration) {
+	env.answer = func(_ *testEnv, request *openRequest, _ int) (Result, FillStatus, time.Duration) {
 		return Rejected, rejectionStatus(request), 5 * ms
 	}
 	for id := uint32(1); id <= 60; id++ {
-		env.submitRead(id, uint64(id), 0)
+		env.submitRead(id, uint64(id), classBig)
 		env.run(20 * ms)
 	}
 	env.run(10 * time.Second)
-	tries := 0
+	attempts := 0
 	for id := uint32(31); id <= 60; id++ {
-		tries += len(env.requests[id].attempts)
+		attempts += len(env.requests[id].attempts)
 		if !env.requests[id].ended {
 			t.Errorf("request %d not ended", id)
 		}
 	}
-	if tries > 45 {
-		t.Errorf("%d attempts for 30 requests while all are refused", tries)
+	if attempts > 45 {
+		t.Errorf("%d attempts for 30 requests while all are rejected", attempts)
 	}
-	pay := env.submitRead(100, 100, 3)
+	write := env.submitRead(100, 100, classUnsafe)
 	env.run(2 * time.Second)
-	if len(pay.attempts) < 3 {
-		t.Errorf("a repayment that never ran got %d attempts", len(pay.attempts))
+	if len(write.attempts) < 3 {
+		t.Errorf("a write that never executed got %d attempts", len(write.attempts))
 	}
 	env.assertNoViolation()
 }
 
-// rejectionStatus is what a cache tells with a refusal: fills find no slot.
+// rejectionStatus is what a cache reports with a rejection: fills find no slot.
 func rejectionStatus(request *openRequest) FillStatus {
-	if request.Class == 3 {
+	if request.Class == classUnsafe {
 		return FillStatusUnknown
 	}
 	return FillStatusNoFillSlot
--- a/routing/route_test.go
+++ b/routing/route_test.go
@@ -1,60 +1,58 @@
 package routing
 
 import (
+	"fmt"
 	"slices"
 	"testing"
 	"time"
-
-	"shaleyard/internal/overload"
 )
 
 func TestOrdinaryPathFillsFromHubParent(t *testing.T) {
 	env := newSimpleEnv(t, nil)
-	env.submitRead(1, 42, 0)
+	env.submitRead(1, 42, classBig)
 	first := env.fetches[0]
-	if env.endpoints[first.Host].Kind != 0 || env.endpoints[first.Source].Kind != 1 || first.Flags&OnlyIfCached != 0 {
+	target, source := env.endpoints[first.Host], env.endpoints[first.Source]
+	if target.Kind != kindEdge || source.Kind != kindParent || first.Flags&OnlyIfCached != 0 {
 		t.Fatalf("first attempt %+v", first)
 	}
 	env.run(time.Second)
-	env.submitRead(2, 42, 0)
+	env.submitRead(2, 42, classBig)
 	if second := env.fetches[1]; second.Host != first.Host || second.Source != first.Source {
 		t.Errorf("same object went to %+v, before to %+v", second, first)
 	}
 	env.assertNoViolation()
 }
 
-// A pick that drains moves to the next cache; until then known holders of the location are the source. A
-// sibling that lacks the object sends the retry to the parent.
+// A cache that gets an object for the first time fills it from another cache of the zone that holds it. If that one
+// lacks it, the retry fills from a parent.
 func TestSiblingFillThenUpATier(t *testing.T) {
 	env := newSimpleEnv(t, nil)
-	env.submitRead(1, 42, 0)
-	first := env.fetches[0].Host
-	endpoint := env.endpoints[first]
+	env.submitRead(1, 42, classBig)
+	holder := env.fetches[0].Host
 	env.run(100 * ms)
-	back := endpoint
-	back.Weight = 0.0001 // the pick moves away from the holder, which stays in use
-	env.updateEndpoints(UpdateDelta, back)
-	env.answer = func(env *testEnv, request *openRequest, n int) (Result, FillStatus, time.Duration) {
-		if n == 0 {
+	env.setWeight(holder, negligibleWeight) // the object moves on, and the holder stays in use
+	env.answer = func(_ *testEnv, _ *openRequest, attempt int) (Result, FillStatus, time.Duration) {
+		if attempt == 0 {
 			return Miss, FillStatusSourceMiss, 10 * ms
 		}
 		return OK, FillStatusFilled, 10 * ms
 	}
-	env.submitRead(2, 42, 0)
+	env.submitRead(2, 42, classBig)
 	env.run(100 * ms)
 	if len(env.fetches) != 3 {
 		t.Fatalf("sent %+v", env.fetches)
 	}
-	if s := env.fetches[1]; s.Source != first || s.Flags&OnlyIfCached == 0 {
-		t.Errorf("no sibling fill from %d: %+v", first, s)
+	fromSibling, fromParent := env.fetches[1], env.fetches[2]
+	if fromSibling.Source != holder || fromSibling.Flags&OnlyIfCached == 0 {
+		t.Errorf("no sibling fill from %d: %+v", holder, fromSibling)
 	}
-	if p := env.fetches[2]; env.endpoints[p.Source].Kind != 1 || p.Host != env.fetches[1].Host {
-		t.Errorf("the miss did not move up a tier: %+v", p)
+	if env.endpoints[fromParent.Source].Kind != kindParent || fromParent.Host != fromSibling.Host {
+		t.Errorf("the miss did not move up a tier: %+v", fromParent)
 	}
 	env.assertNoViolation()
 }
 
-// Locations with one cache, no parent or no cache at all are legal.
+// Zones with one cache, no parent or no cache at all are legal.
 func TestThinLocations(t *testing.T) {
 	for name, list := range map[string][]Endpoint{
 		"one cache, no parent": {testEndpoints(1)[0], testEndpoints(1)[3]},
@@ -76,136 +74,153 @@
 	}
 }
 
-// Found at full size: limits were kept at caches, though the parent was what was late.
+// Limits are kept at the source of fills: past a parent at its limit, the next one is the source.
 func TestParentAtItsLimitIsPassedOver(t *testing.T) {
 	env := newSimpleEnv(t, nil)
-	env.submitRead(1, 42, 0)
-	first := env.router.servers[env.fetches[0].Source]
-	first.asSource.concurrencyLimit, first.asSource.inFlightWork = overload.NewConcurrencyLimit(env.router.now, 1), 1
+	env.submitRead(1, 42, classBig)
+	first := env.fetches[0]
+	env.setLoad(&env.router.servers[first.Source].asSource, 1, 1)
 	env.purge(Purge{Object: 42}) // so that it is a likely fill again
-	env.submitRead(2, 42, 0)
-	if fetch := env.fetches[1]; fetch.Source == first.Host || env.endpoints[fetch.Source].Kind != 1 || fetch.Host != env.fetches[0].Host {
-		t.Errorf("not filled from the next parent: %+v", fetch)
+	env.submitRead(2, 42, classBig)
+	second := env.fetches[1]
+	isParent := env.endpoints[second.Source].Kind == kindParent
+	if second.Source == first.Source || !isParent || second.Host != first.Host {
+		t.Errorf("not filled from the next parent: %+v", second)
 	}
 	env.assertNoViolation()
 }
 
-// Found on ageing days: requests waited for slow caches though links and parents had room. Nothing goes straight where
-// the site does not allow it.
+// Where all caches are at their limits or ejected, requests go straight to parents and the origin, if the site allows
+// it. Found with slow caches, for which requests waited though links and parents had capacity.
 func TestFullCacheIsBypassed(t *testing.T) {
 	for _, allowed := range []bool{true, false} {
-		env := newSimpleEnv(t, func(settings *Settings) { settings.Tiers.BypassAllowed = allowed })
-		for _, cache := range env.router.localCaches {
-			cache.asTarget.concurrencyLimit, cache.asTarget.inFlightWork = overload.NewConcurrencyLimit(env.router.now, 1), 1
-		}
-		env.submitRead(1, 42, 0)
-		if straight := len(env.fetches) == 1 && env.endpoints[env.fetches[0].Host].Kind == 1; straight != allowed {
-			t.Errorf("allowed %v: sent %+v", allowed, env.fetches)
-		}
-		for _, cache := range env.router.localCaches {
-			cache.ejected, cache.probeAfter = true, env.now+time.Hour
-		}
-		n := len(env.fetches)
-		env.submitRead(2, 43, 0)
-		if left := len(env.fetches) > n; left != allowed {
-			t.Errorf("all out, allowed %v: sent %+v", allowed, env.fetches[n:])
-		}
-		env.assertNoViolation()
+		t.Run(fmt.Sprintf("allowed %v", allowed), func(t *testing.T) {
+			env := newSimpleEnv(t, func(settings *Settings) { settings.Tiers.BypassAllowed = allowed })
+			for _, cache := range env.router.localCaches {
+				env.setLoad(&cache.asTarget, 1, 1)
+			}
+			env.submitRead(1, 42, classBig)
+			bypassed := len(env.fetches) == 1 && env.endpoints[env.fetches[0].Host].Kind == kindParent
+			if bypassed != allowed {
+				t.Errorf("all at their limits: sent %+v", env.fetches)
+			}
+			for _, cache := range env.router.localCaches {
+				cache.ejected, cache.probeAfter = true, env.now+time.Hour
+			}
+			before := len(env.fetches)
+			env.submitRead(2, 43, classBig)
+			if sent := len(env.fetches) > before; sent != allowed {
+				t.Errorf("all ejected: sent %+v", env.fetches[before:])
+			}
+			env.assertNoViolation()
+		})
 	}
 }
 
-// Found on the day garble+fleet: a cache that had become eight times slower was at its limit, and what the hash gave
-// to it was refused beside another cache at a third of its link. The next in rank takes it, but only with room.
+// Past a cache at its limit the next in rank takes the object, but only with capacity to spare. Found with a cache that
+// had become eight times slower: its objects were rejected beside a cache at a third of its link.
 func TestNextCacheTakesWhatTheFirstHasNoRoomFor(t *testing.T) {
 	for _, tc := range []struct {
 		load float64 // of the next cache, against a limit of 8
 		want bool
-	}{{0, true}, {4.7, true}, {4.9, false}, {7, false}} {
-		env := newSimpleEnv(t, func(settings *Settings) { settings.Tiers.BypassAllowed = false })
-		env.router.rank(env.router.localCaches, 42)
-		first, next := env.router.localCaches[0], env.router.localCaches[1]
-		for i, cache := range env.router.localCaches {
-			cache.asTarget.concurrencyLimit = overload.NewConcurrencyLimit(env.router.now, 8)
-			if cache.asTarget.inFlightWork = 8; i == 1 {
-				cache.asTarget.inFlightWork = tc.load
+	}{
+		{0, true},
+		{4.7, true},
+		{4.9, false},
+		{7, false},
+	} {
+		t.Run(fmt.Sprintf("load %v", tc.load), func(t *testing.T) {
+			env := newSimpleEnv(t, func(settings *Settings) { settings.Tiers.BypassAllowed = false })
+			env.router.rank(env.router.localCaches, 42)
+			first, next := env.router.localCaches[0], env.router.localCaches[1]
+			for _, cache := range env.router.localCaches {
+				env.setLoad(&cache.asTarget, 8, 8)
 			}
-		}
-		n := len(env.actions)
-		env.submitRead(1, 42, 1)
-		sent := false
-		for _, action := range env.actions[n:] {
-			if fetch, ok := action.(Fetch); ok {
-				sent = true
+			next.asTarget.inFlightWork = tc.load
+			before := len(env.actions)
+			env.submitRead(1, 42, classSmall)
+			sent := actionsOf[Fetch](env.actions[before:])
+			for _, fetch := range sent {
 				if fetch.Host != next.Host {
-					t.Errorf("load %v: sent to %x, want %x, the next behind %x", tc.load, fetch.Host, next.Host, first.Host)
+					t.Errorf("sent to %x, want %x, the next after %x", fetch.Host, next.Host, first.Host)
 				}
 			}
-		}
-		if sent != tc.want {
-			t.Errorf("load %v: sent %v, want %v", tc.load, sent, tc.want)
-		}
+			if (len(sent) > 0) != tc.want {
+				t.Errorf("sent %v, want %v", sent, tc.want)
+			}
+		})
 	}
 }
 
-// Found on the day fleet: of 33 fills from a sibling that had become slow, 13 timed out and 20 took fifteen times
-// as long as their size asked. It goes on serving hits at its own pace, but is no source; a parent is.
+// A cache that has become slow still serves hits, but is no source for other caches; a parent is. Found with a slow
+// sibling: its fills timed out, or took fifteen times as long as their size explains.
 func TestSlowSiblingFillsNothing(t *testing.T) {
 	for _, slow := range []bool{false, true} {
-		env := newSimpleEnv(t, nil)
-		env.router.rank(env.router.localCaches, 42)
-		other := env.router.localCaches[1]
-		request := &requestState{Request: Request{Object: 42, Group: 2}, location: &contentLocation{}}
-		request.location.hints[0] = locationHint{other, env.router.now}
-		if slow {
-			other.logLatencyRatio = env.router.baselineLogLatencyRatio + latencyRatioTolerance + 0.1
-		}
-		if got := env.router.siblingSource(request, env.router.localCaches[0]); (got == nil) != slow {
-			t.Errorf("slow: %v, and the sibling is %v", slow, got)
-		}
+		t.Run(fmt.Sprintf("slow %v", slow), func(t *testing.T) {
+			env := newSimpleEnv(t, nil)
+			router := env.router
+			router.rank(router.localCaches, 42)
+			target, sibling := router.localCaches[0], router.localCaches[1]
+			request := &requestState{Request: Request{Object: 42, Group: 2}, location: &contentLocation{}}
+			request.location.hints[0] = locationHint{sibling, router.now}
+			if slow {
+				sibling.logLatencyRatio = router.baselineLogLatencyRatio + latencyRatioTolerance + 0.1
+			}
+			if got := router.siblingSource(request, target); (got == nil) != slow {
+				t.Errorf("the sibling is %v", got)
+			}
+		})
 	}
 }
 
-// Found on the day fleet and in the simulator's crowds: the cache that the hash picks had more out than its link can
-// send in time, beside others with room. The next takes it, unless that is slow, or hardly better off.
+// Where the cache that ranks first has more work in flight than its link can send in time, the next one takes the
+// object, unless that one is slow or hardly better off.
 func TestSwampedCacheLeavesTheRestToOthers(t *testing.T) {
 	for _, tc := range []struct {
 		name        string
-		first, next float64 // parts of what the link can send in time that are out
-		slow        bool
-		want        int // place in rank of the cache that is asked
+		first, next float64 // work in flight, over what the link can send in time
+		nextSlow    bool
+		want        int // rank of the cache that is asked
 	}{
 		{"room at the first", 0.9, 0, false, 0},
-		{"first swamped", 1.1, 0.3, false, 1},
-		{"both swamped", 1.2, 1.1, false, 0},
+		{"first saturated", 1.1, 0.3, false, 1},
+		{"both saturated", 1.2, 1.1, false, 0},
 		{"next hardly better off", 1.1, 0.7, false, 0},
 		{"next slow", 1.1, 0, true, 0},
 	} {
-		env := newSimpleEnv(t, nil)
-		env.router.rank(env.router.localCaches, 42)
-		caches := slices.Clone(env.router.localCaches)
-		class := &env.settings.Classes[1]
-		probe := &requestState{Request: Request{Class: 1}}
-		for i, cache := range caches {
-			cache.weightIsCapacity, cache.Weight, cache.logLatencyRatio = true, 10, 0
-			part := 2.0
-			if i < 2 {
-				part = []float64{tc.first, tc.next}[i]
+		t.Run(tc.name, func(t *testing.T) {
+			env := newSimpleEnv(t, nil)
+			router := env.router
+			router.rank(router.localCaches, 42)
+			caches := slices.Clone(router.localCaches)
+			for _, cache := range caches {
+				env.saturate(cache, 2)
 			}
-			work := env.router.transferWork(probe)
-			cache.totalInFlightWork = part*cache.Weight/cache.sharingDirectors*(class.LatencyObjective.Seconds()+class.LatencyObjectivePerSize*work) - work
-		}
-		if tc.slow {
-			caches[1].logLatencyRatio = env.router.baselineLogLatencyRatio + latencyRatioTolerance + 0.01
-		}
-		n := len(env.actions)
-		env.submitRead(1, 42, 1)
-		for _, action := range env.actions[n:] {
-			if fetch, ok := action.(Fetch); ok && fetch.Host != caches[tc.want].Host {
-				t.Errorf("%s: %x was asked, want %x", tc.name, fetch.Host, caches[tc.want].Host)
+			env.saturate(caches[0], tc.first)
+			env.saturate(caches[1], tc.next)
+			if tc.nextSlow {
+				caches[1].logLatencyRatio = router.baselineLogLatencyRatio + latencyRatioTolerance + 0.01
 			}
-		}
-		if len(env.actions) == n {
-			t.Errorf("%s: none was asked", tc.name)
-		}
+			before := len(env.actions)
+			env.submitRead(1, 42, classSmall)
+			for _, fetch := range actionsOf[Fetch](env.actions[before:]) {
+				if fetch.Host != caches[tc.want].Host {
+					t.Errorf("%x was asked, want %x", fetch.Host, caches[tc.want].Host)
+				}
+			}
+			if len(env.actions) == before {
+				t.Error("none was asked")
+			}
+		})
 	}
 }
+
+// saturate gives a cache so much work in flight that, with one more small request, it is this multiple of what its link
+// can send in time.
+func (e *testEnv) saturate(cache *serverState, multiple float64) {
+	class := &e.settings.Classes[classSmall]
+	work := e.router.transferWork(&requestState{Request: Request{Class: classSmall}})
+	cache.weightIsCapacity, cache.Weight, cache.logLatencyRatio = true, 10, 0
+	objective := class.LatencyObjective.Seconds() + class.LatencyObjectivePerSize*work
+	cache.totalInFlightWork = multiple*cache.Weight/cache.sharingDirectors*objective - work
+}
--- a/routing/router_test.go
+++ b/routing/router_test.go
@@ -7,8 +7,17 @@
 
 func TestUnknownEventIsPassedOver(t *testing.T) {
 	env := newSimpleEnv(t, nil)
-	for _, event := range []Event{nil, 7, Outcome{ID: 99}, RequestClosed{ID: 99}, TimerFired{Token: 1<<32 | 99}, StreamStarted{ID: 99},
-		PeerMessage{From: 1, Data: []byte("junk")}, ProbeResult{}, EndpointUpdate{Kind: UpdateFull}} {
+	for _, event := range []Event{
+		nil,
+		7,
+		Outcome{ID: 99},
+		RequestClosed{ID: 99},
+		TimerFired{Token: 1<<32 | 99},
+		StreamStarted{ID: 99},
+		PeerMessage{From: 1, Data: []byte("junk")},
+		ProbeResult{},
+		EndpointUpdate{Kind: UpdateFull},
+	} {
 		if got := env.router.Handle(env.now, event); len(got) != 0 {
 			t.Errorf("%T: actions %v", event, got)
 		}
@@ -17,27 +26,29 @@
 
 func TestMemoryIsBounded(t *testing.T) {
 	env := newSimpleEnv(t, nil)
+	router := env.router
 	for i := range 3 * maxTableEntries {
 		id := uint32(i + 1)
-		env.submitRead(id, uint64(i), 1)
+		env.submitRead(id, uint64(i), classSmall)
 		env.run(100 * time.Microsecond)
-		env.router.Handle(env.now, Purge{Object: uint64(i + 1)})
+		router.Handle(env.now, Purge{Object: uint64(i + 1)})
 		delete(env.requests, id-5000)
 	}
 	env.run(5 * time.Second)
 	for i := range 1000 {
-		env.updateEndpoints(UpdateFull, append(testEndpoints(4), Endpoint{Host: Host(10000 + i), Zone: 1, State: Ready, Weight: 1})...)
+		passing := Endpoint{Host: Host(10000 + i), Zone: 1, State: Ready, Weight: 1}
+		env.updateEndpoints(UpdateFull, append(testEndpoints(4), passing)...)
 	}
-	if n := len(env.router.currentLocations) + len(env.router.previousLocations); n > 2*maxTableEntries {
-		t.Errorf("%d table entries", n)
+	if entries := len(router.currentLocations) + len(router.previousLocations); entries > 2*maxTableEntries {
+		t.Errorf("%d table entries", entries)
 	}
-	if n := len(env.router.purges); n > maxTableEntries {
-		t.Errorf("%d purges", n)
+	if purges := len(router.purges); purges > maxTableEntries {
+		t.Errorf("%d purges", purges)
 	}
-	if n := len(env.router.servers); n > 20 {
-		t.Errorf("%d servers kept", n)
+	if servers := len(router.servers); servers > 20 {
+		t.Errorf("%d servers kept", servers)
 	}
-	if len(env.router.requests) != 0 || len(env.router.attempts) != 0 {
-		t.Errorf("%d requests and %d attempts left over", len(env.router.requests), len(env.router.attempts))
+	if len(router.requests) != 0 || len(router.attempts) != 0 {
+		t.Errorf("%d requests and %d attempts left over", len(router.requests), len(router.attempts))
 	}
 }
--- a/routing/send_test.go
+++ b/routing/send_test.go
@@ -1,6 +1,7 @@
 package routing
 
 import (
+	"fmt"
 	"testing"
 	"time"
 
@@ -11,106 +12,127 @@
 	for _, tc := range []struct {
 		class  int
 		result Result
-		sends  int
-		refuse bool
 	}{
-		{2, Reset, 1, false}, // the only host of the zone is the origin: it may be asked again in its zone
-		{3, Reset, 1, false},
-		{3, Errored, 1, false},
+		{classKeyed, Reset}, // the only host of the zone is the origin: it may be asked again in its zone
+		{classUnsafe, Reset},
+		{classUnsafe, Errored},
 	} {
-		env := newSimpleEnv(t, nil)
-		env.answer = always(tc.result, FillStatusUnknown, 10*ms)
-		request := env.submitRead(1, 42, tc.class)
-		env.run(3 * time.Second)
-		if !request.ended {
-			t.Errorf("class %d: not ended", tc.class)
-		}
-		env.assertNoViolation()
+		t.Run(fmt.Sprintf("class %d, %v", tc.class, tc.result), func(t *testing.T) {
+			env := newSimpleEnv(t, nil)
+			env.answer = always(tc.result, FillStatusUnknown, 10*ms)
+			request := env.submitRead(1, 42, tc.class)
+			env.run(3 * time.Second)
+			if !request.ended {
+				t.Error("not ended")
+			}
+			env.assertNoViolation()
+		})
 	}
 }
 
-// Once a second copy may not be out, and what must not run twice does not: break each check of the gate and this
-// test fails.
+// Each rule that binds all attempts is broken in turn: send refuses. Without any of its checks this test fails.
 func TestGateRefuses(t *testing.T) {
-	env := newSimpleEnv(t, nil)
-	request := &requestState{Request: Request{ID: 1, Deadline: env.now + time.Second}, location: &contentLocation{}}
-	env.router.requests[1] = request
-	edge, parent, origin := env.router.servers[hostEdge], env.router.servers[hostParent], env.router.servers[hostOrigin]
-	env.router.now = env.now
-	for name, apply := range map[string]func() func(){
-		"drain of target":  func() func() { edge.State = Draining; return func() { edge.State = Ready } },
-		"drain of source":  func() func() { parent.State = Draining; return func() { parent.State = Ready } },
-		"gone source":      func() func() { parent.listed = false; return func() { parent.listed = true } },
-		"second copy":      func() func() { request.inFlight = 1; return func() { request.inFlight = 0 } },
-		"over":             func() func() { request.Deadline = env.now; return func() { request.Deadline += time.Second } },
-		"stream":           func() func() { request.streaming = true; return func() { request.streaming = false } },
-		"attempts used up": func() func() { request.attempts = make([]*attemptState, 5); return func() { request.attempts = nil } },
-		"unsafe may have run": func() func() {
-			request.Class, request.attempts = 3, []*attemptState{{target: origin, mayHaveExecuted: true}}
-			return func() { request.Class, request.attempts = 0, nil }
+	for name, breakRule := range map[string]func(env *testEnv, request *requestState, target, source *serverState){
+		"target draining": func(_ *testEnv, _ *requestState, target, _ *serverState) { target.State = Draining },
+		"source draining": func(_ *testEnv, _ *requestState, _, source *serverState) { source.State = Draining },
+		"source gone":     func(_ *testEnv, _ *requestState, _, source *serverState) { source.listed = false },
+		"hedge":           func(_ *testEnv, request *requestState, _, _ *serverState) { request.inFlight = 1 },
+		"deadline":        func(env *testEnv, request *requestState, _, _ *serverState) { request.Deadline = env.now },
+		"streaming":       func(_ *testEnv, request *requestState, _, _ *serverState) { request.streaming = true },
+		"attempts exhausted": func(_ *testEnv, request *requestState, _, _ *serverState) {
+			request.attempts = make([]*attemptState, 5)
 		},
-		"keyed beyond its window": func() func() {
-			request.Class, request.attempts = 2, []*attemptState{{target: edge, mayHaveExecuted: true, sentAt: env.now - time.Second}}
-			return func() { request.Class, request.attempts = 0, nil }
+		"non-idempotent, may have executed": func(env *testEnv, request *requestState, _, _ *serverState) {
+			request.Class = classUnsafe
+			request.attempts = []*attemptState{{target: env.router.servers[hostOrigin], mayHaveExecuted: true}}
 		},
-		"keyed beyond its group": func() func() {
-			request.Class, request.attempts = 2, []*attemptState{{target: origin, mayHaveExecuted: true, sentAt: env.now}}
-			return func() { request.Class, request.attempts = 0, nil }
+		"keyed after its window": func(env *testEnv, request *requestState, target, _ *serverState) {
+			request.Class = classKeyed
+			window := env.settings.Classes[classKeyed].DedupWindow
+			request.attempts = []*attemptState{{target: target, mayHaveExecuted: true, sentAt: env.now - window}}
 		},
-		"cold target": func() func() {
-			edge.warmingUpSince, edge.slowStartBucket = env.now, exhaustedBucket(env.now)
-			return func() { edge.warmingUpSince, edge.slowStartBucket = 0, overload.TokenBucket{} }
+		"keyed outside its scope": func(env *testEnv, request *requestState, _, _ *serverState) {
+			request.Class = classKeyed
+			origin := env.router.servers[hostOrigin]
+			request.attempts = []*attemptState{{target: origin, mayHaveExecuted: true, sentAt: env.now}}
 		},
-		"cold source": func() func() {
-			parent.warmingUpSince, parent.slowStartBucket = env.now, exhaustedBucket(env.now)
-			return func() { parent.warmingUpSince, parent.slowStartBucket = 0, overload.TokenBucket{} }
+		"target warming up": func(env *testEnv, _ *requestState, target, _ *serverState) {
+			target.warmingUpSince, target.slowStartBucket = env.now, exhaustedBucket(env.now)
+		},
+		"source warming up": func(env *testEnv, _ *requestState, _, source *serverState) {
+			source.warmingUpSince, source.slowStartBucket = env.now, exhaustedBucket(env.now)
 		},
 	} {
-		undo := apply()
-		if env.router.send(request, edge, parent) {
-			t.Errorf("%s: an attempt left", name)
-			request.attempts, request.inFlight = nil, 0
-		}
-		undo()
+		t.Run(name, func(t *testing.T) {
+			env, request := newSendEnv(t)
+			target, source := env.router.servers[hostEdge], env.router.servers[hostParent]
+			breakRule(env, request, target, source)
+			if env.router.send(request, target, source) {
+				t.Error("an attempt was sent")
+			}
+		})
 	}
-	if !env.router.send(request, edge, parent) {
-		t.Error("a permitted attempt did not leave")
+	t.Run("nothing", func(t *testing.T) {
+		env, request := newSendEnv(t)
+		if !env.router.send(request, env.router.servers[hostEdge], env.router.servers[hostParent]) {
+			t.Error("a permitted attempt was not sent")
+		}
+	})
+}
+
+// newSendEnv has a request that was never attempted.
+func newSendEnv(t *testing.T) (*testEnv, *requestState) {
+	t.Helper()
+	env := newSimpleEnv(t, nil)
+	request := &requestState{
+		Request:  Request{ID: 1, Deadline: env.now + time.Second},
+		location: &contentLocation{},
 	}
+	env.router.requests[1] = request
+	env.router.now = env.now
+	return env, request
 }
 
-// A repeat of a keyed request must have been written, with room for the way, before the window of the first attempt that
-// may have run has ended; the window is counted from that attempt, not from a later one, and not from one that
-// provably never ran.
+// A repeat of a keyed request must have been written, with a margin for network delay, before the window of the first
+// attempt that may have executed ends. The window counts from that attempt, not from a later one, and not from one that
+// provably never executed.
 func TestRepeatIsBoundToTheFirstWindow(t *testing.T) {
 	env := newSimpleEnv(t, nil)
-	edge, origin := env.router.servers[hostEdge], env.router.servers[hostOrigin]
-	request := &requestState{Request: Request{ID: 1, Class: 2, Deadline: env.now + 2*time.Second}, uncacheable: true, location: &contentLocation{},
-		attempts: []*attemptState{{target: edge, sentAt: env.now - 900*ms},
-			{target: edge, sentAt: env.now - 300*ms, mayHaveExecuted: true}, {target: edge, sentAt: env.now - 100*ms, mayHaveExecuted: true}}}
-	env.router.requests[1], env.router.now, env.router.actions = request, env.now, nil
-	if !env.router.send(request, edge, origin) {
-		t.Fatal("a repeat inside its window did not leave")
+	router := env.router
+	edge, origin := router.servers[hostEdge], router.servers[hostOrigin]
+	request := &requestState{
+		Request:     Request{ID: 1, Class: classKeyed, Deadline: env.now + 2*time.Second},
+		uncacheable: true,
+		location:    &contentLocation{},
+		attempts: []*attemptState{
+			{target: edge, sentAt: env.now - 900*ms},
+			{target: edge, sentAt: env.now - 300*ms, mayHaveExecuted: true},
+			{target: edge, sentAt: env.now - 100*ms, mayHaveExecuted: true},
+		},
 	}
-	var before Time
-	for _, action := range env.router.actions {
-		if fetch, ok := action.(Fetch); ok {
-			before = fetch.IdempotencyWindowEnd
-		}
+	router.requests[1], router.now, router.actions = request, env.now, nil
+	if !router.send(request, edge, origin) {
+		t.Fatal("a repeat inside its window was not sent")
+	}
+	var windowEnd Time
+	for _, fetch := range actionsOf[Fetch](router.actions) {
+		windowEnd = fetch.IdempotencyWindowEnd
 	}
-	if want := env.now + 650*ms; before != want {
-		t.Errorf("to be written within %v, want %v", before-env.now, want-env.now)
+	if want := env.now + 650*ms; windowEnd != want {
+		t.Errorf("to be written within %v, want %v", windowEnd-env.now, want-env.now)
 	}
-	env.router.now = before
-	if env.router.maySend(request, edge) {
-		t.Error("a repeat may leave with no room for the way")
+	router.now = windowEnd
+	if router.maySend(request, edge) {
+		t.Error("a repeat may be sent without the margin")
 	}
-	request.Class, request.attempts = 0, nil
-	if env.router.maySend(request, edge); request.idempotencyWindowEnd != 0 {
+	request.Class, request.attempts = classBig, nil
+	router.maySend(request, edge)
+	if request.idempotencyWindowEnd != 0 {
 		t.Error("a read is bound to a window")
 	}
 }
 
-// exhaustedBucket is a cold budget of which much more has been spent than it has.
+// exhaustedBucket is a token bucket of which much more has been spent than it holds.
 func exhaustedBucket(now Time) (bucket overload.TokenBucket) {
 	bucket.Spent(now, 0)
 	bucket.Spend(1e3)
