--- a/routing/latency.go
+++ b/routing/latency.go
@@ -28,7 +28,7 @@
 
 // decayLatencyRatios lets what is known of slow caches fade, and sets the baseline of the faster third.
 func (r *Router) decayLatencyRatios() {
-	ratios := []float64{0}
+	ratios := make([]float64, 1, len(r.localCaches)+1)
 	for _, cache := range r.localCaches {
 		cache.logLatencyRatio *= latencyRatioDecay
 		ratios = append(ratios, cache.logLatencyRatio)
--- a/routing/sites_test.go
+++ b/routing/sites_test.go
@@ -7,114 +7,123 @@
 	"shaleyard/internal/sitehealth"
 )
 
-// newThreeHubEnv is simpleWorld with hubs of two parents each, in zones 0, 2 and 3, of which zone 0 is ours.
+// newThreeHubEnv has hubs of two parents each in zones 0, 2 and 3, of which zone 0 is the own hub.
 func newThreeHubEnv(t *testing.T) *testEnv {
+	t.Helper()
 	settings := testSettings()
 	settings.Zones = []string{"hub", "here", "second", "third"}
-	settings.Tiers.DirectorsByZone, settings.Tiers.HubByZone = []int{0, 1, 0, 0}, []int{0, 0, 2, 3}
+	settings.Tiers.DirectorsByZone = []int{0, 1, 0, 0}
+	settings.Tiers.HubByZone = []int{0, 0, 2, 3}
 	settings.Tiers.BypassAllowed = false
 	env := newTestEnv(t, settings, 1)
-	list := testEndpoints(4)[:7] // the origin, our hub's two, four caches
+	list := testEndpoints(4)[:7] // the origin, two parents of the own hub, four caches
 	for i := range 4 {
-		list = append(list, Endpoint{Host: hostParent + 10 + Host(i), Kind: 1, Zone: 2 + i/2, State: Ready, Weight: 12})
+		host, zone := hostParent+10+Host(i), 2+i/2
+		list = append(list, Endpoint{Host: host, Kind: kindParent, Zone: zone, State: Ready, Weight: 12})
 	}
 	env.updateEndpoints(UpdateCached, list...)
 	return env
 }
 
-// fillsByZone asks for so many objects, 20 ms one after another, and counts their fills by the zone of the source.
-func (e *testEnv) fillsByZone(first, n int) map[int]int {
-	from, by := len(e.fetches), map[int]int{}
-	for i := range n {
-		e.submitRead(uint32(first+i), uint64(1000+first+i), 0)
-		e.runUntil(e.now + 20*ms)
-	}
-	e.runUntil(e.now + 200*ms)
-	for _, fetch := range e.fetches[from:] {
-		if endpoint := e.endpoints[fetch.Source]; endpoint.Kind == 1 {
-			by[endpoint.Zone]++
+// fillsByZone submits requests for different objects, one every 20 ms, and counts their fills by the zone of the parent.
+func (e *testEnv) fillsByZone(first, count int) map[int]int {
+	before, byZone := len(e.fetches), map[int]int{}
+	for i := range count {
+		e.submitRead(uint32(first+i), uint64(1000+first+i), classBig)
+		e.run(20 * ms)
+	}
+	e.run(200 * ms)
+	for _, fetch := range e.fetches[before:] {
+		if source := e.endpoints[fetch.Source]; source.Kind == kindParent {
+			byZone[source.Zone]++
 		}
 	}
-	return by
+	return byZone
 }
 
-// A lost hub's fills are shared as the plan says; looks go there first, and it has them back once it answers.
+// A lost hub's fills are shared as the failover plan says. Half-open probes go to the lost hub first, and it has its
+// fills back once it answers.
 func TestLostHubIsReplacedByPlan(t *testing.T) {
 	env := newThreeHubEnv(t)
 	env.router.SetSiteOptions(sitehealth.Options{Plan: func([]int, []float64) sitehealth.FailoverShares {
 		return sitehealth.FailoverShares{HubShares: []float64{0, 0, 0.75, 0.25}}
 	}})
 	down := false
-	env.answer = func(env *testEnv, request *openRequest, n int) (Result, FillStatus, time.Duration) {
-		if endpoint := env.endpoints[request.attempts[n].source]; down && endpoint.Kind == 1 && endpoint.Zone == 0 {
+	env.answer = func(env *testEnv, request *openRequest, attempt int) (Result, FillStatus, time.Duration) {
+		source := env.endpoints[request.attempts[attempt].source]
+		if down && source.Kind == kindParent && source.Zone == 0 {
 			return Miss, FillStatusSourceUnreachable, 5 * ms
 		}
 		return OK, FillStatusFilled, 10 * ms
 	}
-	if by := env.fillsByZone(1, 100); by[0] != 100 {
-		t.Errorf("all is well, and fills come from %v", by)
+	if fills := env.fillsByZone(1, 100); fills[0] != 100 {
+		t.Errorf("all is well, and fills come from %v", fills)
 	}
 	down = true
 	env.fillsByZone(200, 20) // it is noticed
-	by := env.fillsByZone(400, 400)
-	if looks := by[0]; looks == 0 || looks > 20 {
-		t.Errorf("%d looks at a hub that is lost for 8 s", looks)
+	fills := env.fillsByZone(400, 400)
+	if probes := fills[0]; probes == 0 || probes > 20 {
+		t.Errorf("%d probes of a hub that is lost for 8 s", probes)
 	}
-	if part := float64(by[2]) / float64(by[2]+by[3]); part < 0.67 || part > 0.83 {
-		t.Errorf("fills come from %v, three quarters of them were planned from the second", by)
+	if share := float64(fills[2]) / float64(fills[2]+fills[3]); share < 0.67 || share > 0.83 {
+		t.Errorf("fills come from %v, three quarters of them were planned from the second hub", fills)
 	}
 	down = false
 	env.run(4 * time.Second)
 	env.fillsByZone(900, 10)
-	if by := env.fillsByZone(1000, 100); by[0] != 100 {
-		t.Errorf("it is back as it was, and fills come from %v", by)
+	if fills := env.fillsByZone(1000, 100); fills[0] != 100 {
+		t.Errorf("the hub is back, and fills come from %v", fills)
 	}
 	env.assertNoViolation()
 }
 
-// Caches that say nothing are looked at one request at a time, and what could only run out is refused at once; a repayment
-// that has left is not refused. When they speak again, all are taken up soon.
+// Caches that are silent are probed one request at a time, and what could only time out is rejected at once; a write
+// that was sent is not. When they answer again, all are used soon.
 func TestSilentBranchIsOnlyLookedAt(t *testing.T) {
 	env := newThreeHubEnv(t)
 	silent := false
-	env.answer = func(env *testEnv, request *openRequest, n int) (Result, FillStatus, time.Duration) {
+	env.answer = func(*testEnv, *openRequest, int) (Result, FillStatus, time.Duration) {
 		if silent {
-			return OK, FillStatusHit, time.Hour // runs out
+			return OK, FillStatusHit, time.Hour // times out
 		}
 		return OK, FillStatusHit, 10 * ms
 	}
+	read := func(id, index int) *openRequest { return env.submitRead(uint32(id), uint64(1000+index%20), classBig) }
 	for i := range 60 { // the caches are known as holders
-		env.submitRead(uint32(1+i), uint64(1000+i%20), 0)
+		read(1+i, i)
 		env.run(20 * ms)
 	}
+
 	silent = true
-	pay := env.submitRead(100, 5000, 3)
+	write := env.submitRead(100, 5000, classUnsafe)
 	for i := range 60 {
-		env.submitRead(uint32(200+i), uint64(1000+i%20), 0)
+		read(200+i, i)
 		env.run(50 * ms)
 	}
-	refused, asked := 0, len(env.fetches)
+	rejected, before := 0, len(env.fetches)
 	for i := range 100 {
-		if request := env.submitRead(uint32(300+i), uint64(1000+i%20), 0); request.ended {
-			refused++
+		if request := read(300+i, i); request.ended {
+			rejected++
 		}
 		env.run(20 * ms)
 	}
-	if looks := len(env.fetches) - asked; looks > 12 || refused < 88 {
-		t.Errorf("of 100 requests in 2 s to a branch that is silent, %d were refused at once and %d sent", refused, looks)
+	if probes := len(env.fetches) - before; probes > 12 || rejected < 88 {
+		t.Errorf("of 100 requests in 2 s to a zone that is silent, %d were rejected at once and %d sent",
+			rejected, probes)
 	}
-	if len(pay.attempts) != 1 {
-		t.Errorf("the repayment was sent %d times", len(pay.attempts))
+	if len(write.attempts) != 1 {
+		t.Errorf("the write was sent %d times", len(write.attempts))
 	}
+
 	silent = false
 	env.run(5 * time.Second)
 	for i := range 40 {
-		env.submitRead(uint32(500+i), uint64(1000+i%20), 0)
+		read(500+i, i)
 		env.run(50 * ms)
 	}
 	for i := range 40 {
-		if request := env.submitRead(uint32(600+i), uint64(1000+i%20), 0); request.ended {
-			t.Fatalf("request %d is refused 2 s after all of them speak again", i)
+		if request := read(600+i, i); request.ended {
+			t.Fatalf("request %d is rejected 2 s after all of them answer again", i)
 		}
 		env.run(20 * ms)
 	}
--- a/routing/validate.go
+++ b/routing/validate.go
@@ -60,40 +60,53 @@
 
 func classKey(index int, key string) string { return fmt.Sprintf("services[%d].%s", index, key) }
 
+// number is a setting that must not be negative.
+type number struct {
+	key   string
+	value float64
+}
+
 func (s *Settings) checkNotNegative() error {
-	type setting struct {
-		key   string
-		value float64
-	}
 	limits, guarantees, tiers := &s.SiteLimits, &s.Guarantees, &s.Tiers
-	notNegative := []setting{
-		{"quantum", float64(s.Quantum)},
-		{"ceilings.maxRetryAfter", float64(limits.MaxRetryAfter)},
-		{"ceilings.openCap", float64(limits.MaxOpenRequests)},
-		{"guarantees.askWithin", float64(guarantees.PollWithin)},
-		{"guarantees.cold", float64(guarantees.SlowStartDuration)},
-		{"guarantees.coldFrom", guarantees.SlowStartFraction},
-		{"guarantees.drainGrace", float64(guarantees.DrainGrace)},
-		{"guarantees.fall", float64(guarantees.OverloadWindow)},
-		{"guarantees.graceToAnswer", float64(guarantees.AnswerGrace)},
-		{"guarantees.tipMultiple", guarantees.OverloadMultiple},
-		{"familyInfo.originBears", float64(tiers.OriginTolerance)},
-		{"familyInfo.parentColdFrom", tiers.ParentSlowStartFraction},
-		{"familyInfo.parentFallMultiple", tiers.ParentOverloadMultiple},
-		{"familyInfo.parentRamp", float64(tiers.ParentSlowStartDuration)},
-		{"familyInfo.purgeSlack", float64(tiers.PurgeSlack)},
-		{"familyInfo.purgeTakes", float64(tiers.PurgePropagation)},
+	err := checkNumbers(
+		number{"quantum", float64(s.Quantum)},
+		number{"ceilings.maxRetryAfter", float64(limits.MaxRetryAfter)},
+		number{"ceilings.openCap", float64(limits.MaxOpenRequests)},
+		number{"guarantees.askWithin", float64(guarantees.PollWithin)},
+		number{"guarantees.cold", float64(guarantees.SlowStartDuration)},
+		number{"guarantees.coldFrom", guarantees.SlowStartFraction},
+		number{"guarantees.drainGrace", float64(guarantees.DrainGrace)},
+		number{"guarantees.fall", float64(guarantees.OverloadWindow)},
+		number{"guarantees.graceToAnswer", float64(guarantees.AnswerGrace)},
+		number{"guarantees.tipMultiple", guarantees.OverloadMultiple},
+		number{"familyInfo.originBears", float64(tiers.OriginTolerance)},
+		number{"familyInfo.parentColdFrom", tiers.ParentSlowStartFraction},
+		number{"familyInfo.parentFallMultiple", tiers.ParentOverloadMultiple},
+		number{"familyInfo.parentRamp", float64(tiers.ParentSlowStartDuration)},
+		number{"familyInfo.purgeSlack", float64(tiers.PurgeSlack)},
+		number{"familyInfo.purgeTakes", float64(tiers.PurgePropagation)},
+	)
+	if err != nil {
+		return err
 	}
 	for i, class := range s.Classes {
-		notNegative = append(notNegative,
-			setting{classKey(i, "dedupWindow"), float64(class.DedupWindow)},
-			setting{classKey(i, "aimStretch"), class.LatencyObjectivePerSize},
-			setting{classKey(i, "worth"), class.PriorityWeight},
-			setting{classKey(i, "lateWorth"), class.LatePriorityWeight})
+		err := checkNumbers(
+			number{classKey(i, "dedupWindow"), float64(class.DedupWindow)},
+			number{classKey(i, "aimStretch"), class.LatencyObjectivePerSize},
+			number{classKey(i, "worth"), class.PriorityWeight},
+			number{classKey(i, "lateWorth"), class.LatePriorityWeight},
+		)
+		if err != nil {
+			return err
+		}
 	}
-	for _, setting := range notNegative {
-		if setting.value < 0 {
-			return settingError(setting.key, "negative")
+	return nil
+}
+
+func checkNumbers(numbers ...number) error {
+	for _, number := range numbers {
+		if number.value < 0 {
+			return settingError(number.key, "negative")
 		}
 	}
 	return nil
--- a/routing/validate_test.go
+++ b/routing/validate_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/json"
+	"errors"
 	"fmt"
 	"maps"
 	"slices"
@@ -12,7 +13,122 @@
 	"shaleyard/internal/sitehealth"
 )
 
-// walkLeaves calls f for each value of a document that holds no others, with its path and a way to replace it.
+func TestNewNamesTheField(t *testing.T) {
+	for key, change := range map[string]func(*Settings){
+		"services":             func(s *Settings) { s.Classes = nil },
+		"zone":                 func(s *Settings) { s.Zone = 3 },
+		"ceilings.maxAttempts": func(s *Settings) { s.SiteLimits.MaxAttempts = 0 },
+		"guarantees":           func(s *Settings) { s.Guarantees.OverloadWindow = -1 },
+		"seatsByZone":          func(s *Settings) { s.Tiers.DirectorsByZone = []int{1} },
+		"classFresh":           func(s *Settings) { s.Tiers.FreshnessLifetime = s.Tiers.FreshnessLifetime[:1] },
+		"services[1]":          func(s *Settings) { s.Classes[1].LatencyObjective = 0 },
+		"familyInfo":           func(s *Settings) { s.Tiers.PurgePropagation = -1 },
+	} {
+		t.Run(key, func(t *testing.T) {
+			settings := testSettings()
+			change(&settings)
+			_, err := New(settings, 1)
+			if err == nil || !strings.Contains(err.Error(), key) {
+				t.Errorf("error %v", err)
+			}
+			var settingErr *SettingError
+			if !errors.As(err, &settingErr) || !strings.Contains(settingErr.Key, key) {
+				t.Errorf("%v is not a SettingError with the key", err)
+			}
+		})
+	}
+	settings := testSettings()
+	settings.Tiers = TierSettings{ParentKind: -1, OriginKind: 2}
+	if _, err := New(settings, 1); err != nil {
+		t.Errorf("optional lists left out: %v", err)
+	}
+}
+
+// Settings of other deployments may leave anything out, and may hold anything. What cannot work is an error that names
+// the key, before anything listens; a router with other settings plays, and never panics.
+func TestOddSettingsAreNamedOrPlay(t *testing.T) {
+	plain := testSettings()
+	plain.SiteLimits.RetryAfterAllowed, plain.SiteLimits.MaxRetryAfter = true, 500*ms
+	text, err := json.Marshal(plain)
+	if err != nil {
+		t.Fatal(err)
+	}
+	count := 0
+	walkLeaves("", decodeJSON(t, text), nil, func(path string, value any, _ func(any)) {
+		odd := []any{nil, "odd", -1, 0, true}
+		if _, ok := value.(float64); ok {
+			odd = append(odd, 1e18, -1e18, 0.5)
+		}
+		for _, replacement := range odd {
+			count++
+			tryOddSetting(t, text, path, replacement)
+		}
+	})
+	if count < 500 {
+		t.Errorf("only %d changes were tried", count)
+	}
+}
+
+// tryOddSetting replaces the value at a path of the settings.
+func tryOddSetting(t *testing.T, text []byte, path string, value any) {
+	t.Helper()
+	defer func() {
+		if panicked := recover(); panicked != nil {
+			t.Errorf("%s = %v: %v", path, value, panicked)
+		}
+	}()
+	odd, err := json.Marshal(value)
+	if err != nil {
+		t.Fatal(err)
+	}
+	document := decodeJSON(t, text)
+	walkLeaves("", document, nil, func(leafPath string, _ any, set func(any)) {
+		if leafPath == path {
+			set(json.RawMessage(odd))
+		}
+	})
+	changed, err := json.Marshal(document)
+	if err != nil {
+		t.Fatal(err)
+	}
+	err = playWith(changed)
+	if err != nil && !strings.Contains(err.Error(), keyOf(path)) {
+		t.Errorf("%s = %v: the error does not name the key: %v", path, value, err)
+	}
+}
+
+// playWith exercises a router with settings as JSON, or returns why it cannot.
+func playWith(text []byte) error {
+	var settings Settings
+	if err := json.Unmarshal(text, &settings); err != nil {
+		return err
+	}
+	router, err := New(settings, 1)
+	if err != nil {
+		return err
+	}
+	router.SetSiteOptions(sitehealth.Options{})
+	exerciseRouter(router, len(settings.Classes))
+	return nil
+}
+
+// keyOf is the key of a path that an error must name. Indices are part of it for classes only.
+func keyOf(path string) string {
+	if i := strings.IndexByte(path, '['); i >= 0 && !strings.HasPrefix(path, "services") {
+		path = path[:i]
+	}
+	return path[strings.LastIndexByte(path, '.')+1:]
+}
+
+func decodeJSON(t *testing.T, text []byte) (document any) {
+	t.Helper()
+	if err := json.Unmarshal(text, &document); err != nil {
+		t.Fatal(err)
+	}
+	return document
+}
+
+// walkLeaves calls visit for each value of a document that holds no others, with its path and a way to replace it.
 func walkLeaves(path string, value any, set func(any), visit func(path string, value any, set func(any))) {
 	switch node := value.(type) {
 	case map[string]any:
@@ -28,143 +144,60 @@
 	}
 }
 
-// exerciseRouter plays a few seconds with a router: a list with a cold cache and a drain, requests of all classes, answers and
-// failures of all kinds, a purge, refusals.
+// exerciser answers the actions of a router at once, with results of all kinds.
+type exerciser struct {
+	router   *Router
+	now      Time
+	timers   int
+	attempts map[uint32]int // sent, by request
+}
+
+// exerciseRouter plays a few seconds with a router: a list with a cache that warms up and a drain, requests of all
+// classes, answers and failures of all kinds, a purge, rejections.
 func exerciseRouter(router *Router, classes int) {
-	now := 1000 * time.Second
-	var due []time.Duration
-	next := map[uint32]int{}
-	var handle func(Event)
-	handle = func(event Event) {
-		for _, action := range slices.Clone(router.Handle(now, event)) {
-			switch action := action.(type) {
-			case SetTimer:
-				if len(due) < 10_000 {
-					due = append(due, action.At)
-				}
-				if action.Token != tickTimer && len(due) < 5_000 {
-					handle(TimerFired{Token: action.Token})
-				}
-			case Fetch, Forward:
-				id, host := uint32(0), Host(0)
-				if fetch, ok := action.(Fetch); ok {
-					id, host = fetch.ID, fetch.Host
-				} else {
-					id, host = action.(Forward).ID, action.(Forward).Host
-				}
-				number := next[id]
-				next[id]++
-				handle(Outcome{ID: id, Attempt: number, Host: host, Elapsed: 30 * ms, LoadReport: []float32{1, 2, 3, 4},
-					Result: Result((int(id) + number) % (int(Miss) + 1)), FillStatus: FillStatus(int(id) % (int(FillStatusOriginFailed) + 1))})
-			}
-		}
-	}
+	e := &exerciser{router: router, now: 1000 * time.Second, attempts: map[uint32]int{}}
 	list := testEndpoints(3)
-	list[1].Started = now - time.Second
-	list = append(list, Endpoint{Host: 150, Zone: 1, State: Ready, Weight: 6, Started: now - time.Second})
-	handle(EndpointUpdate{Kind: UpdateFull, Version: 1, Endpoints: list})
+	list[1].Started = e.now - time.Second
+	list = append(list, Endpoint{Host: 150, Zone: 1, State: Ready, Weight: 6, Started: e.now - time.Second})
+	e.handle(EndpointUpdate{Kind: UpdateFull, Version: 1, Endpoints: list})
 	for i := range uint32(200) {
-		handle(Request{ID: i + 1, Class: int(i) % (classes + 1), Object: uint64(i % 50), Deadline: now + time.Second, SizeKB: float64(i)})
-		now += 20 * ms
-		handle(TimerFired{Token: tickTimer})
+		class := int(i) % (classes + 1) // one of them is out of range
+		e.handle(Request{ID: i + 1, Class: class, Object: uint64(i % 50), Deadline: e.now + time.Second, SizeKB: float64(i)})
+		e.now += 20 * ms
+		e.handle(TimerFired{Token: tickTimer})
 		switch i {
 		case 50:
-			handle(Purge{Object: 7})
+			e.handle(Purge{Object: 7})
 		case 70:
-			handle(EndpointUpdate{Kind: UpdateDelta, Version: 2, Endpoints: []Endpoint{{Host: hostEdge, Zone: 1, State: Draining, Weight: 6}}})
+			draining := Endpoint{Host: hostEdge, Zone: 1, State: Draining, Weight: 6}
+			e.handle(EndpointUpdate{Kind: UpdateDelta, Version: 2, Endpoints: []Endpoint{draining}})
 		case 90:
-			handle(EndpointUpdate{Kind: UpdateFailed})
+			e.handle(EndpointUpdate{Kind: UpdateFailed})
 		}
 	}
 }
 
-// Settings of other deployments may leave anything out, and may hold what nobody thought of. What can't work is an error
-// that names the key, before anything listens; all else plays, and nothing panics.
-func TestOddSettingsAreNamedOrPlay(t *testing.T) {
-	plain := testSettings()
-	plain.SiteLimits.RetryAfterAllowed, plain.SiteLimits.MaxRetryAfter = true, 500*ms
-	text, err := json.Marshal(plain)
-	if err != nil {
-		t.Fatal(err)
-	}
-	count := 0
-	try := func(path string, value any) {
-		count++
-		defer func() {
-			if p := recover(); p != nil {
-				t.Errorf("%s = %v: %v", path, value, p)
-			}
-		}()
-		odd, err := json.Marshal(value)
-		if err != nil {
-			t.Fatal(err)
-		}
-		var doc any
-		json.Unmarshal(text, &doc)
-		walkLeaves("", doc, nil, func(leafPath string, _ any, set func(any)) {
-			if leafPath == path {
-				set(json.RawMessage(odd))
+func (e *exerciser) handle(event Event) {
+	for _, action := range slices.Clone(e.router.Handle(e.now, event)) {
+		switch action := action.(type) {
+		case SetTimer:
+			e.timers++
+			if action.Token != tickTimer && e.timers < 5_000 {
+				e.handle(TimerFired{Token: action.Token})
 			}
-		})
-		changed, err := json.Marshal(doc)
-		if err != nil {
-			t.Fatal(err)
-		}
-		key := path
-		if i := strings.IndexByte(key, '['); i >= 0 && !strings.HasPrefix(key, "services") {
-			key = key[:i]
-		}
-		key = key[strings.LastIndexByte(key, '.')+1:]
-		var settings Settings
-		err = json.Unmarshal(changed, &settings)
-		var router *Router
-		if err == nil {
-			if router, err = New(settings, 1); err == nil {
-				router.SetSiteOptions(sitehealth.Options{})
-				exerciseRouter(router, len(settings.Classes))
-				return
-			}
-		}
-		if !strings.Contains(err.Error(), key) {
-			t.Errorf("%s = %v: the error does not name the key: %v", path, value, err)
-		}
-	}
-	var doc any
-	json.Unmarshal(text, &doc)
-	walkLeaves("", doc, nil, func(path string, value any, _ func(any)) {
-		odd := []any{nil, "odd", -1, 0, true}
-		if _, ok := value.(float64); ok {
-			odd = append(odd, 1e18, -1e18, 0.5)
-		}
-		for _, replacement := range odd {
-			try(path, replacement)
+		case Fetch:
+			e.endAttempt(action.ID, action.Host)
+		case Forward:
+			e.endAttempt(action.ID, action.Host)
 		}
-	})
-	if count < 500 {
-		t.Errorf("only %d changes were tried", count)
 	}
 }
 
-func TestNewNamesTheField(t *testing.T) {
-	for field, change := range map[string]func(*Settings){
-		"services":             func(settings *Settings) { settings.Classes = nil },
-		"zone":                 func(settings *Settings) { settings.Zone = 3 },
-		"ceilings.maxAttempts": func(settings *Settings) { settings.SiteLimits.MaxAttempts = 0 },
-		"guarantees":           func(settings *Settings) { settings.Guarantees.OverloadWindow = -1 },
-		"seatsByZone":          func(settings *Settings) { settings.Tiers.DirectorsByZone = []int{1} },
-		"classFresh":           func(settings *Settings) { settings.Tiers.FreshnessLifetime = settings.Tiers.FreshnessLifetime[:1] },
-		"services[1]":          func(settings *Settings) { settings.Classes[1].LatencyObjective = 0 },
-		"familyInfo":           func(settings *Settings) { settings.Tiers.PurgePropagation = -1 },
-	} {
-		settings := testSettings()
-		change(&settings)
-		if _, err := New(settings, 1); err == nil || !strings.Contains(err.Error(), field) {
-			t.Errorf("%s: error %v", field, err)
-		}
-	}
-	settings := testSettings()
-	settings.Tiers = TierSettings{ParentKind: -1, OriginKind: 2}
-	if _, err := New(settings, 1); err != nil {
-		t.Errorf("optional lists left out: %v", err)
-	}
+func (e *exerciser) endAttempt(id uint32, host Host) {
+	number := e.attempts[id]
+	e.attempts[id]++
+	result := Result((int(id) + number) % (int(Miss) + 1))
+	status := FillStatus(int(id) % (int(FillStatusOriginFailed) + 1))
+	e.handle(Outcome{ID: id, Attempt: number, Host: host, Elapsed: 30 * ms, LoadReport: []float32{1, 2, 3, 4},
+		Result: result, FillStatus: status})
 }
