--- a/routing/ejection.go
+++ b/routing/ejection.go
@@ -35,7 +35,7 @@
 		server.ejected = true
 		server.ejectedAt = r.now
 		server.ejectionBackoff = initialEjection / 2
-		r.logf("eject %x: %s, %d attempts out", uint64(server.Host), cause, len(server.asTarget.inFlight))
+		r.logf("eject server %x: %s, %d attempts in flight", uint64(server.Host), cause, len(server.asTarget.inFlight))
 	}
 	server.ejectionBackoff = min(2*server.ejectionBackoff, maxEjection, r.sites.ProbeInterval())
 	server.probeAfter = r.now + server.ejectionBackoff
@@ -58,7 +58,7 @@
 // readmit takes an ejected server back. Servers that were lost together often come back together, so that the
 // others of its tier may be probed at once.
 func (r *Router) readmit(server *serverState) {
-	r.logf("readmit %x after %v", uint64(server.Host), r.now-server.ejectedAt)
+	r.logf("readmit server %x after %v", uint64(server.Host), r.now-server.ejectedAt)
 	server.ejected = false
 	server.failedFills = overload.FailureStreak{}
 	server.ejectionBackoff = 0
--- a/routing/health.go
+++ b/routing/health.go
@@ -9,7 +9,7 @@
 	r.recordTargetHealth(attempt, outcome)
 	// Apart from half-open probes, a reset says nothing: a server that is down refuses the next connection.
 	if attempt.halfOpenProbe && (outcome.Result == TimedOut || outcome.Result == Reset) {
-		r.eject(probedServer(attempt), "look unanswered")
+		r.eject(probedServer(attempt), "half-open probe failed")
 	}
 	if attempt.source != nil {
 		r.recordSourceHealth(attempt, outcome)
@@ -27,7 +27,7 @@
 		}
 	case ConnectFailed:
 		target.siteMember.RecordRefusal(r.now)
-		r.eject(target, "connection failed")
+		r.eject(target, "connect failed")
 	case TimedOut:
 		target.siteMember.RecordTimeout(r.now, attempt.sentAt)
 	}
@@ -61,6 +61,6 @@
 	isDown := outcome.SourceWait < quickFailure
 	source.siteMember.RecordSourceFailure(r.now, attempt.sentAt, isDown)
 	if source.ejected || isDown || (failures >= slowFailures && source.siteMember.HasHealthyPeer(r.now)) {
-		r.eject(source, "source not reached")
+		r.eject(source, "unreachable as a source")
 	}
 }
--- a/routing/reason.go
+++ b/routing/reason.go
@@ -18,13 +18,13 @@
 // reasonTexts appear in the flight recorder and in logs.
 var reasonTexts = [...]string{
 	ReasonNone:                 "",
-	ReasonDeadlineExceeded:     "its time is over",
-	ReasonAttemptsExhausted:    "no attempt is left",
-	ReasonMayHaveExecuted:      "an attempt may have run, and may not be repeated",
-	ReasonSiteLost:             "our site is lost",
-	ReasonNoServerInTime:       "no server could take it within half its aim",
-	ReasonRetryBudgetExhausted: "the budget for further attempts is spent",
-	ReasonOriginShielded:       "the origin is spared",
+	ReasonDeadlineExceeded:     "deadline exceeded",
+	ReasonAttemptsExhausted:    "attempts exhausted",
+	ReasonMayHaveExecuted:      "an attempt may have executed",
+	ReasonSiteLost:             "own site lost",
+	ReasonNoServerInTime:       "no server in time",
+	ReasonRetryBudgetExhausted: "retry budget exhausted",
+	ReasonOriginShielded:       "origin shielded",
 }
 
 // String is the reason as text; empty for ReasonNone.
--- a/routing/result.go
+++ b/routing/result.go
@@ -21,15 +21,15 @@
 var resultNames = [...]string{
 	OK:                      "ok",
 	Errored:                 "errored",
-	Rejected:                "refused",
+	Rejected:                "rejected",
 	TimedOut:                "timed_out",
 	ConnectFailed:           "connect_failed",
 	Reset:                   "reset",
 	Cancelled:               "cancelled",
-	Abandoned:               "moot",
+	Abandoned:               "abandoned",
 	Miss:                    "miss",
-	LocalResourcesExhausted: "no_socket",
-	Unreachable:             "no_way",
+	LocalResourcesExhausted: "local_resources_exhausted",
+	Unreachable:             "unreachable",
 }
 
 // ResultCount is the number of results.
