--- a/routing/ejection_test.go
+++ b/routing/ejection_test.go
@@ -7,7 +7,7 @@
 
 // A saturated link ends many transfers late and at once. Its caches are busy, not silent: no cache is ejected for
 // being late. Found in the first incidents.
-func TestBusyIsNotSilent(t *testing.T) {
+func TestLateAnswersDoNotEject(t *testing.T) {
 	env := newSimpleEnv(t, nil)
 	env.answer = always(OK, FillStatusHit, 400*ms)
 	for id := uint32(1); id <= 400; id++ {
@@ -25,7 +25,7 @@
 }
 
 // An ejected parent is probed as a source, too, and readmitted when it is back.
-func TestEjectedParentIsLookedAtAndReadmitted(t *testing.T) {
+func TestEjectedParentIsProbedAndReadmitted(t *testing.T) {
 	env := newSimpleEnv(t, func(settings *Settings) { settings.Tiers.BypassAllowed = false })
 	down := true
 	env.answer = func(env *testEnv, request *openRequest, attempt int) (Result, FillStatus, time.Duration) {
--- a/routing/fill_test.go
+++ b/routing/fill_test.go
@@ -7,7 +7,7 @@
 
 // Where no source may be asked for a fill, hits must still be served: the cache is asked for a cached copy only. Found
 // on days with a slow origin.
-func TestBeyondTheFillLimitAsksForWhatIsHeld(t *testing.T) {
+func TestSourcesAtTheirLimitsLeaveCachedCopies(t *testing.T) {
 	env := newSimpleEnv(t, nil)
 	for _, upstream := range env.router.upstreams {
 		env.setLoad(&upstream.asSource, 1e-9, 0)
@@ -33,7 +33,7 @@
 // With the few fills of each director queued at the origin, all were late for seconds. So a long wait there keeps most
 // fills from it, at once and through all parents. What parents have cached still comes, and what must not be cached
 // goes to the origin as ever.
-func TestCrowdedOriginIsAskedBySome(t *testing.T) {
+func TestOverloadedOriginIsShielded(t *testing.T) {
 	env := newSimpleEnv(t, func(settings *Settings) { settings.Directors = 300 })
 	env.answer = always(OK, FillStatusFilledByOrigin, 100*ms)
 	env.router.originShield.RecordAnswer(env.now, env.now, true)
@@ -101,7 +101,7 @@
 // Where caches don't coalesce fills, each request that misses during a fill begins another. A cache that warms up is
 // asked for a cached copy first. If a fill is under way, the request waits for that; if none is, it brings a source at
 // once.
-func TestFirstFillsLookBeforeTheyFill(t *testing.T) {
+func TestProbeBeforeFill(t *testing.T) {
 	coalescing := func(settings *Settings) { settings.Tiers.CoalescesFills = true }
 	silent := func(settings *Settings) { settings.Tiers.FillStatusReported = FillStatusReportedOff }
 	for _, tc := range []struct {
--- a/routing/hedging_test.go
+++ b/routing/hedging_test.go
@@ -10,7 +10,7 @@
 // explains, not more often than maxHedgesPerRequest, nor if it must not execute twice, nor under overload, nor where
 // nothing that was sent later has been answered. Found on a day on which four of six caches lost a third of all
 // requests for 10 s.
-func TestLostAnswerIsAskedForAgain(t *testing.T) {
+func TestLostAnswerIsHedged(t *testing.T) {
 	unchanged := func(*testEnv, *requestState) {}
 	for _, tc := range []struct {
 		name   string
@@ -91,7 +91,7 @@
 
 // A hedge that brings the answer earns more tokens than it cost, so that losses pay for their own hedges; one that
 // comes after the first answer earns nothing, so that an overload ends them.
-func TestCopiesThatBringTheAnswerEarnTheNext(t *testing.T) {
+func TestHedgesThatWinEarnTokens(t *testing.T) {
 	for _, tc := range []struct {
 		name  string
 		first int // attempt that is answered first
@@ -122,7 +122,7 @@
 
 // A lost answer is no overload, and lowers no limit; an answer that is late with all the others does. Found on a day
 // with losses: limits came down until hits were rejected beside a cache that had room.
-func TestNoLimitComesDownForWhatIsLost(t *testing.T) {
+func TestLostAnswerLowersNoLimit(t *testing.T) {
 	for name, lost := range map[string]bool{"lost": true, "late": false} {
 		t.Run(name, func(t *testing.T) {
 			env := newSimpleEnv(t, nil)
--- a/routing/latency_test.go
+++ b/routing/latency_test.go
@@ -6,7 +6,7 @@
 )
 
 // A cache that has fallen silent is avoided for its latency alone, and used again once it answers.
-func TestSilentCacheIsShunned(t *testing.T) {
+func TestSilentCacheIsAvoided(t *testing.T) {
 	env := newSimpleEnv(t, nil)
 	silent := Host(0)
 	env.answer = func(_ *testEnv, request *openRequest, attempt int) (Result, FillStatus, time.Duration) {
@@ -48,7 +48,7 @@
 }
 
 // A cache that is slower than its neighbours loses objects by degrees.
-func TestSlowCacheLosesItsObjectsByDegrees(t *testing.T) {
+func TestSlowCacheLosesObjectsByDegrees(t *testing.T) {
 	for _, tc := range []struct {
 		name            string
 		slower          int // times
--- a/routing/limits_test.go
+++ b/routing/limits_test.go
@@ -7,7 +7,7 @@
 )
 
 // When all answers come late, the excess must wait and be rejected early. Found in the first incidents.
-func TestLateAnswersLowerTheCrowd(t *testing.T) {
+func TestLateAnswersLowerLimits(t *testing.T) {
 	env := newSimpleEnv(t, nil)
 	env.answer = always(OK, FillStatusHit, 1900*ms)
 	mostInFlight := 0
@@ -28,7 +28,7 @@
 }
 
 // Fills that hang count on their source, and don't keep hits from the cache. Found on a day with a slow origin.
-func TestHangingFillsDoNotShutOutHits(t *testing.T) {
+func TestHangingFillsDoNotBlockHits(t *testing.T) {
 	env := newSimpleEnv(t, func(settings *Settings) { settings.Tiers.BypassAllowed = false })
 	env.submitRead(1, 42, classBig)
 	env.run(100 * ms) // a holder of 42 is known
@@ -58,7 +58,7 @@
 
 // A time-out lowers the limit of the server that is silent. Found with an origin that stopped for seconds: fills that
 // were taken for hits timed out, and healthy caches then rejected hits.
-func TestTimeOutBlamesWhoIsSilent(t *testing.T) {
+func TestTimeoutLowersTheLimitOfTheSilentServer(t *testing.T) {
 	for name, answers := range map[string]bool{"cache answers": true, "cache is silent": false} {
 		t.Run(name, func(t *testing.T) {
 			env := newSimpleEnv(t, nil)
@@ -80,7 +80,7 @@
 
 // A late fill is due to its cache where hits are late, too, and the source did not keep it waiting. Found with a
 // saturated cache: the limits of all its sources came down until nothing was filled at all.
-func TestLateFillBlamesWhoMadeItLate(t *testing.T) {
+func TestLateFillLowersTheLimitOfItsCause(t *testing.T) {
 	for _, tc := range []struct {
 		name         string
 		hitLatency   time.Duration // of the cache's latest hit
@@ -114,7 +114,7 @@
 // All late answers of one overload lower a limit together, to a part of the load beside which they would have been in
 // time; one that is still late at that load lowers it further. Before, each took a fifth off: a healthy cache got 14
 // requests a second instead of 70 until its limit had grown again.
-func TestOneCrowdDoesNotShutACache(t *testing.T) {
+func TestOneOverloadLowersALimitOnce(t *testing.T) {
 	env := newSimpleEnv(t, nil)
 	cache := env.router.servers[hostEdge]
 	class := &env.settings.Classes[classBig]
@@ -133,7 +133,7 @@
 }
 
 // What only the origin can do goes through, though its limit is reached by fills. Found on days with writes.
-func TestLimitsSpareWhatOnlyTheOriginCanDo(t *testing.T) {
+func TestLimitsDoNotBindWhatOnlyTheOriginCanDo(t *testing.T) {
 	env := newSimpleEnv(t, nil)
 	origin := env.router.servers[hostOrigin]
 	env.setLoad(&origin.asSource, 0.1, 5)
--- a/routing/locations_test.go
+++ b/routing/locations_test.go
@@ -8,7 +8,7 @@
 // negligibleWeight moves the rank of a cache behind the others; it stays in use.
 const negligibleWeight = 0.0001
 
-func TestHolderAgesOut(t *testing.T) {
+func TestLocationHintExpires(t *testing.T) {
 	env := newSimpleEnv(t, nil)
 	env.submitRead(1, 42, classBig)
 	holder := env.fetches[0].Host
@@ -47,7 +47,7 @@
 	}
 }
 
-func TestPurgeVoidsHolder(t *testing.T) {
+func TestPurgedHolderIsNoSource(t *testing.T) {
 	env := newSimpleEnv(t, nil)
 	env.submitRead(1, 42, classBig)
 	holder := env.fetches[0].Host
@@ -61,7 +61,7 @@
 }
 
 // A purged hint does not make a request a likely hit. Found after purges of whole groups: fills passed for hits.
-func TestPurgedHolderIsNoHolder(t *testing.T) {
+func TestPurgedHolderIsALikelyFill(t *testing.T) {
 	env := newSimpleEnv(t, nil)
 	submitted := env.submitRead(1, 42, classBig)
 	env.run(100 * ms)
--- a/routing/peers_test.go
+++ b/routing/peers_test.go
@@ -15,7 +15,7 @@
 
 // Directors of other zones are asked only when no parent is usable, peer messages are allowed and caches of other zones
 // may be sources.
-func TestFarMasters(t *testing.T) {
+func TestPeersAreAskedForRemoteHolders(t *testing.T) {
 	const remoteCache = Host(700)
 	key := objectKey{43, 0}
 	env := newPeersEnv(t)
--- a/routing/retry_test.go
+++ b/routing/retry_test.go
@@ -8,7 +8,7 @@
 
 // A request that a cache rejects for want of capacity must wait, and come back to the same cache. Found in the first
 // incidents: such requests went on at once to the next cache, which doubled fills and load under overload.
-func TestFullMakesTheRequestWait(t *testing.T) {
+func TestRejectionForCapacityPostponesTheRequest(t *testing.T) {
 	env := newSimpleEnv(t, nil)
 	env.answer = func(_ *testEnv, _ *openRequest, attempt int) (Result, FillStatus, time.Duration) {
 		if attempt == 0 {
@@ -31,7 +31,7 @@
 // An attempt that is cancelled stays in flight until its cache hears of that, and a retry over another connection may
 // arrive before. Where hedging is not allowed it waits for a moment; where it is, and after an answer, it is sent at
 // once. Found in an incident of a site without hedging.
-func TestNextAttemptDoesNotOvertakeTheStop(t *testing.T) {
+func TestRetryDoesNotOvertakeTheCancellation(t *testing.T) {
 	for _, tc := range []struct {
 		hedging bool
 		result  Result
--- a/routing/route_test.go
+++ b/routing/route_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-func TestOrdinaryPathFillsFromHubParent(t *testing.T) {
+func TestMissIsFilledFromAParentOfTheHub(t *testing.T) {
 	env := newSimpleEnv(t, nil)
 	env.submitRead(1, 42, classBig)
 	first := env.fetches[0]
@@ -25,7 +25,7 @@
 
 // A cache that gets an object for the first time fills it from another cache of the zone that holds it. If that one
 // lacks it, the retry fills from a parent.
-func TestSiblingFillThenUpATier(t *testing.T) {
+func TestSiblingIsAskedBeforeParent(t *testing.T) {
 	env := newSimpleEnv(t, nil)
 	env.submitRead(1, 42, classBig)
 	holder := env.fetches[0].Host
@@ -53,7 +53,7 @@
 }
 
 // Zones with one cache, no parent or no cache at all are legal.
-func TestThinLocations(t *testing.T) {
+func TestZonesWithFewServers(t *testing.T) {
 	for name, list := range map[string][]Endpoint{
 		"one cache, no parent": {testEndpoints(1)[0], testEndpoints(1)[3]},
 		"only the origin":      testEndpoints(0)[:1],
@@ -75,7 +75,7 @@
 }
 
 // Limits are kept at the source of fills: past a parent at its limit, the next one is the source.
-func TestParentAtItsLimitIsPassedOver(t *testing.T) {
+func TestParentAtItsLimitIsSkipped(t *testing.T) {
 	env := newSimpleEnv(t, nil)
 	env.submitRead(1, 42, classBig)
 	first := env.fetches[0]
@@ -119,7 +119,7 @@
 
 // Past a cache at its limit the next in rank takes the object, but only with capacity to spare. Found with a cache that
 // had become eight times slower: its objects were rejected beside a cache at a third of its link.
-func TestNextCacheTakesWhatTheFirstHasNoRoomFor(t *testing.T) {
+func TestSpilloverNeedsCapacity(t *testing.T) {
 	for _, tc := range []struct {
 		load float64 // of the next cache, against a limit of 8
 		want bool
@@ -154,7 +154,7 @@
 
 // A cache that has become slow still serves hits, but is no source for other caches; a parent is. Found with a slow
 // sibling: its fills timed out, or took fifteen times as long as their size explains.
-func TestSlowSiblingFillsNothing(t *testing.T) {
+func TestSlowSiblingIsNoSource(t *testing.T) {
 	for _, slow := range []bool{false, true} {
 		t.Run(fmt.Sprintf("slow %v", slow), func(t *testing.T) {
 			env := newSimpleEnv(t, nil)
@@ -175,7 +175,7 @@
 
 // Where the cache that ranks first has more work in flight than its link can send in time, the next one takes the
 // object, unless that one is slow or hardly better off.
-func TestSwampedCacheLeavesTheRestToOthers(t *testing.T) {
+func TestSaturatedCacheSpillsOver(t *testing.T) {
 	for _, tc := range []struct {
 		name        string
 		first, next float64 // work in flight, over what the link can send in time
--- a/routing/router_test.go
+++ b/routing/router_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-func TestUnknownEventIsPassedOver(t *testing.T) {
+func TestUnknownEventsAreIgnored(t *testing.T) {
 	env := newSimpleEnv(t, nil)
 	for _, event := range []Event{
 		nil,
--- a/routing/send_test.go
+++ b/routing/send_test.go
@@ -31,7 +31,7 @@
 }
 
 // Each rule that binds all attempts is broken in turn: send refuses. Without any of its checks this test fails.
-func TestGateRefuses(t *testing.T) {
+func TestSendKeepsTheRules(t *testing.T) {
 	for name, breakRule := range map[string]func(env *testEnv, request *requestState, target, source *serverState){
 		"target draining": func(_ *testEnv, _ *requestState, target, _ *serverState) { target.State = Draining },
 		"source draining": func(_ *testEnv, _ *requestState, _, source *serverState) { source.State = Draining },
--- a/routing/sites_test.go
+++ b/routing/sites_test.go
@@ -79,7 +79,7 @@
 
 // Caches that are silent are probed one request at a time, and what could only time out is rejected at once; a write
 // that was sent is not. When they answer again, all are used soon.
-func TestSilentBranchIsOnlyLookedAt(t *testing.T) {
+func TestSilentZoneIsOnlyProbed(t *testing.T) {
 	env := newThreeHubEnv(t)
 	silent := false
 	env.answer = func(*testEnv, *openRequest, int) (Result, FillStatus, time.Duration) {
