--- a/routing/ejection.go
+++ b/routing/ejection.go
@@ -35,7 +35,8 @@
 		server.ejected = true
 		server.ejectedAt = r.now
 		server.ejectionBackoff = initialEjection / 2
-		r.logf("eject server %x: %s, %d attempts in flight", uint64(server.Host), cause, len(server.asTarget.inFlight))
+		inFlight := len(server.asTarget.inFlight)
+		r.logf("eject server %x: %s, %d attempts in flight", uint64(server.Host), cause, inFlight)
 	}
 	server.ejectionBackoff = min(2*server.ejectionBackoff, maxEjection, r.sites.ProbeInterval())
 	server.probeAfter = r.now + server.ejectionBackoff
--- a/routing/route.go
+++ b/routing/route.go
@@ -114,7 +114,8 @@
 	}
 	request.shieldDecided = true
 	draw := r.rng.Float64()
-	request.shielded = draw >= min(r.originShield.AdmitFraction(r.now), r.sites.FillShare(r.now, request.Class))
+	admitted := min(r.originShield.AdmitFraction(r.now), r.sites.FillShare(r.now, request.Class))
+	request.shielded = draw >= admitted
 }
 
 // shouldProbeBeforeFill tells that the cache is asked for a cached copy first, as others may be filling the
--- a/routing/tuning.go
+++ b/routing/tuning.go
@@ -15,7 +15,7 @@
 
 // Timers and retries.
 const (
-	tickInterval             = 50 * time.Millisecond // of checks of what is in flight: well under any objective
+	tickInterval             = 50 * time.Millisecond // of checks: well under any latency objective
 	minPostponement          = 50 * time.Millisecond // before a request that no server takes is tried again
 	maxPostponementDoublings = 5
 	windowSafetyMargin       = 50 * time.Millisecond // of an idempotency window, left for network delay
