--- a/cmd/testbed/main.go
+++ b/cmd/testbed/main.go
@@ -25,12 +25,12 @@
 
 // Exit codes.
 const (
-	pass     = 0
-	broken   = 1
-	unusable = 2 // not usable as called
+	exitPass       = 0
+	exitViolations = 1
+	exitUsage      = 2 // not usable as called
 )
 
-type commands struct {
+type cli struct {
 	Run   runCommand   `cmd:"" help:"Play an experiment."`
 	List  listCommand  `cmd:"" help:"List the experiments of a folder."`
 	Check checkCommand `cmd:"" help:"Judge a record again."`
@@ -39,16 +39,16 @@
 func main() { os.Exit(run(os.Args[1:], os.Stdout, os.Stderr)) }
 
 func run(args []string, out, errs io.Writer) (code int) {
-	var c commands
+	var c cli
 	parser, err := kong.New(&c, kong.Name("yardlab"), kong.Description("The fleet laboratory of shaleyard."),
-		kong.Writers(out, errs), kong.Exit(func(n int) { panic(exit(n)) }))
+		kong.Writers(out, errs), kong.Exit(func(n int) { panic(exitCode(n)) }))
 	if err != nil {
 		fmt.Fprintln(errs, "yardlab:", err)
-		return unusable
+		return exitUsage
 	}
 	defer func() {
 		if r := recover(); r != nil {
-			n, ok := r.(exit)
+			n, ok := r.(exitCode)
 			if !ok {
 				panic(r)
 			}
@@ -58,26 +58,26 @@
 	ctx, err := parser.Parse(args)
 	if err != nil {
 		fmt.Fprintln(errs, "yardlab:", err)
-		return unusable
+		return exitUsage
 	}
 	err = ctx.Run(&console{out, errs})
-	var v verdictError
+	var v violationsError
 	switch {
 	case errors.As(err, &v):
-		return broken
+		return exitViolations
 	case err != nil:
 		fmt.Fprintln(errs, "yardlab:", err)
-		return unusable
+		return exitUsage
 	}
-	return pass
+	return exitPass
 }
 
-type exit int
+type exitCode int
 
-// verdictError says that a rule or a bound was broken; the verdict has been printed.
-type verdictError struct{}
+// violationsError says that a rule or a bound was broken; the verdict has been printed.
+type violationsError struct{}
 
-func (verdictError) Error() string { return "a rule or a bound is broken" }
+func (violationsError) Error() string { return "a rule or a bound is broken" }
 
 type console struct{ out, errs io.Writer }
 
@@ -91,8 +91,8 @@
 	Out       string  `help:"Folder for record.jsonl, result.json and the directors' logs; made if need be."`
 }
 
-// result is what result.json holds.
-type result struct {
+// report is what report.json holds.
+type report struct {
 	Experiment string              `json:"experiment"`
 	Seed       uint64              `json:"seed"`
 	Directors  int                 `json:"directors"`
@@ -137,14 +137,14 @@
 		return err
 	}
 	defer func() { _ = logger.Sync() }()
-	v, err := play(ctx, x, c.Binary, c.Out, logger)
+	v, err := playExperiment(ctx, x, c.Binary, c.Out, logger)
 	if err != nil {
 		return err
 	}
-	r := result{Experiment: x.Name, Seed: x.Seed, Directors: x.Directors, Metrics: v.Metrics}
+	r := report{Experiment: x.Name, Seed: x.Seed, Directors: x.Directors, Metrics: v.Metrics}
 	r.Violations = append([]checker.Violation{}, v.Violations...)
 	if c.Baseline != "" {
-		b, err := play(ctx, x, c.Baseline, filepath.Join(c.Out, "baseline"), logger)
+		b, err := playExperiment(ctx, x, c.Baseline, filepath.Join(c.Out, "baseline"), logger)
 		if err != nil {
 			return fmt.Errorf("baseline: %w", err)
 		}
@@ -162,14 +162,14 @@
 	if err := os.WriteFile(filepath.Join(c.Out, "result.json"), append(text, '\n'), 0o644); err != nil {
 		return err
 	}
-	print(o.out, &r)
+	printReport(o.out, &r)
 	if len(r.Violations) > 0 {
-		return verdictError{}
+		return violationsError{}
 	}
 	return nil
 }
 
-func play(ctx context.Context, x *testbed.Experiment, binary, dir string, logger *zap.Logger) (*checker.Verdict, error) {
+func playExperiment(ctx context.Context, x *testbed.Experiment, binary, dir string, logger *zap.Logger) (*checker.Verdict, error) {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return nil, err
 	}
@@ -180,10 +180,10 @@
 	if err := testbed.Run(ctx, x, testbed.Options{Binary: binary, Dir: dir, Progress: progress}); err != nil {
 		return nil, err
 	}
-	return check(filepath.Join(dir, "record.jsonl"))
+	return checkHistory(filepath.Join(dir, "record.jsonl"))
 }
 
-func check(path string) (*checker.Verdict, error) {
+func checkHistory(path string) (*checker.Verdict, error) {
 	f, err := os.Open(path)
 	if err != nil {
 		return nil, err
@@ -196,7 +196,7 @@
 	return v, nil
 }
 
-func print(w io.Writer, r *result) {
+func printReport(w io.Writer, r *report) {
 	fmt.Fprintf(w, "%s, seed %d, %d directors: %s\n", r.Experiment, r.Seed, r.Directors, r.Verdict)
 	for _, n := range checker.MetricNames {
 		fmt.Fprintf(w, "  %-28s %10.3f", n, r.Metrics[n])
@@ -246,17 +246,17 @@
 
 // Run judges a record.
 func (c *checkCommand) Run(o *console) error {
-	v, err := check(c.History)
+	v, err := checkHistory(c.History)
 	if err != nil {
 		return err
 	}
-	r := result{Experiment: c.History, Verdict: "pass", Violations: v.Violations, Metrics: v.Metrics}
+	r := report{Experiment: c.History, Verdict: "pass", Violations: v.Violations, Metrics: v.Metrics}
 	if len(v.Violations) > 0 {
 		r.Verdict = "fail"
 	}
-	print(o.out, &r)
+	printReport(o.out, &r)
 	if len(v.Violations) > 0 {
-		return verdictError{}
+		return violationsError{}
 	}
 	return nil
 }
--- a/cmd/testbed/main_test.go
+++ b/cmd/testbed/main_test.go
@@ -13,7 +13,7 @@
 	"shaleyard/internal/checker"
 )
 
-func write(t *testing.T, name, text string) string {
+func writeFile(t *testing.T, name, text string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), name)
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -23,27 +23,27 @@
 }
 
 func TestExitStatus(t *testing.T) {
-	good := write(t, "good.jsonl", `{"ms":1,"kind":"meta"}`+"\n")
-	bad := write(t, "bad.jsonl", `{"ms":1,"kind":"run","ref":"p"}`+"\n"+`{"ms":2,"kind":"run","ref":"p"}`+"\n")
-	odd := write(t, "odd.toml", "directors = 4\nspeed = 1\n")
+	good := writeFile(t, "good.jsonl", `{"ms":1,"kind":"meta"}`+"\n")
+	bad := writeFile(t, "bad.jsonl", `{"ms":1,"kind":"run","ref":"p"}`+"\n"+`{"ms":2,"kind":"run","ref":"p"}`+"\n")
+	odd := writeFile(t, "odd.toml", "directors = 4\nspeed = 1\n")
 	for _, c := range []struct {
 		args   []string
 		status int
 		says   string
 	}{
-		{[]string{"check", good}, pass, "pass"},
-		{[]string{"check", bad}, broken, "p ran twice"},
-		{[]string{"check", odd}, unusable, "line 1"},
-		{[]string{"check", good + "x"}, unusable, "no such file"},
-		{[]string{"run", odd}, unusable, "odd.toml:2: speed: no such key"},
-		{[]string{"run", "../../experiments/skew.toml", "--directors", "500"}, unusable, "--directors: 500"},
-		{[]string{"run", "../../experiments/skew.toml", "--load", "0"}, unusable, "--load: 0"},
-		{[]string{"run", "../../experiments/skew.toml", "--binary", good + "x"}, unusable, "--binary"},
-		{[]string{"list", "../../experiments"}, pass, "stopped-half"},
-		{[]string{"list"}, unusable, "no experiments in"},
-		{[]string{"list", filepath.Dir(odd)}, unusable, "odd.toml:2"},
-		{[]string{"fly"}, unusable, "unexpected argument"},
-		{[]string{"--help"}, pass, "Play an experiment"},
+		{[]string{"check", good}, exitPass, "pass"},
+		{[]string{"check", bad}, exitViolations, "p ran twice"},
+		{[]string{"check", odd}, exitUsage, "line 1"},
+		{[]string{"check", good + "x"}, exitUsage, "no such file"},
+		{[]string{"run", odd}, exitUsage, "odd.toml:2: speed: no such key"},
+		{[]string{"run", "../../experiments/skew.toml", "--directors", "500"}, exitUsage, "--directors: 500"},
+		{[]string{"run", "../../experiments/skew.toml", "--load", "0"}, exitUsage, "--load: 0"},
+		{[]string{"run", "../../experiments/skew.toml", "--binary", good + "x"}, exitUsage, "--binary"},
+		{[]string{"list", "../../experiments"}, exitPass, "stopped-half"},
+		{[]string{"list"}, exitUsage, "no experiments in"},
+		{[]string{"list", filepath.Dir(odd)}, exitUsage, "odd.toml:2"},
+		{[]string{"fly"}, exitUsage, "unexpected argument"},
+		{[]string{"--help"}, exitPass, "Play an experiment"},
 	} {
 		var out strings.Builder
 		if got := run(c.args, &out, &out); got != c.status || !strings.Contains(out.String(), c.says) {
@@ -52,8 +52,8 @@
 	}
 }
 
-// directors are the processes whose configuration lies below a folder.
-func directors(t *testing.T, dir string) (n int) {
+// directorProcesses are the processes whose configuration lies below a folder.
+func directorProcesses(t *testing.T, dir string) (n int) {
 	t.Helper()
 	all, err := filepath.Glob("/proc/[0-9]*/environ")
 	if err != nil {
@@ -67,8 +67,8 @@
 	return n
 }
 
-// wait polls for something that another process does; the time is only so that a failure ends.
-func wait(t *testing.T, what string, done func() bool) {
+// waitUntil polls for something that another process does; the time is only so that a failure ends.
+func waitUntil(t *testing.T, what string, done func() bool) {
 	t.Helper()
 	for end := time.Now().Add(20 * time.Second); !done(); time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(end) {
@@ -87,7 +87,7 @@
 	}
 	director, out := filepath.Join(bin, "shaleyard"), t.TempDir()
 	var said strings.Builder
-	short := write(t, "short.toml", "directors = 3\nseconds = 1.0\n[[bound]]\nfigure = \"requests\"\nmost = 1.0\n")
+	short := writeFile(t, "short.toml", "directors = 3\nseconds = 1.0\n[[bound]]\nfigure = \"requests\"\nmost = 1.0\n")
 	status := run([]string{"run", short, "--binary", director, "--baseline", director, "--out", out, "--seed", "7"}, &said, &said)
 	text, err := os.ReadFile(filepath.Join(out, "result.json"))
 	if err != nil {
@@ -103,23 +103,23 @@
 	if err := json.Unmarshal(text, &r); err != nil {
 		t.Fatal(err)
 	}
-	if status != broken || r.Verdict != "fail" || r.Experiment != "short" || r.Seed != 7 || r.Directors != 3 ||
+	if status != exitViolations || r.Verdict != "fail" || r.Experiment != "short" || r.Seed != 7 || r.Directors != 3 ||
 		len(r.Broken) != 1 || r.Broken[0].Rule != "bound" || r.Figures["requests"] < 50 || r.Baseline["requests"] < 50 {
 		t.Errorf("status %d, result %+v", status, r)
 	}
-	long := write(t, "long.toml", "directors = 4\nseconds = 300.0\n")
+	long := writeFile(t, "long.toml", "directors = 4\nseconds = 300.0\n")
 	for _, s := range []syscall.Signal{syscall.SIGINT, syscall.SIGKILL} {
 		dir := t.TempDir()
 		lab := exec.Command(filepath.Join(bin, "testbed"), "run", long, "--binary", director, "--out", dir)
 		if err := lab.Start(); err != nil {
 			t.Fatal(err)
 		}
-		wait(t, "its directors don't start", func() bool { return directors(t, dir) == 4 })
+		waitUntil(t, "its directors don't start", func() bool { return directorProcesses(t, dir) == 4 })
 		lab.Process.Signal(s)
 		lab.Wait()
-		if got := lab.ProcessState.ExitCode(); s == syscall.SIGINT && got != unusable {
-			t.Errorf("interrupted: status %d, want %d", got, unusable)
+		if got := lab.ProcessState.ExitCode(); s == syscall.SIGINT && got != exitUsage {
+			t.Errorf("interrupted: status %d, want %d", got, exitUsage)
 		}
-		wait(t, "processes are left behind "+s.String(), func() bool { return directors(t, dir) == 0 })
+		waitUntil(t, "processes are left behind "+s.String(), func() bool { return directorProcesses(t, dir) == 0 })
 	}
 }
--- a/examples/toy/main.go
+++ b/examples/toy/main.go
@@ -28,7 +28,7 @@
 	pay := flag.String("pay", "", "send the director this repayment and end")
 	flag.Parse()
 	if *get != "" || *pay != "" {
-		if err := call(*director, *get, *pay); err != nil {
+		if err := sendRequest(*director, *get, *pay); err != nil {
 			log.Fatal("toy: ", err)
 		}
 		return
@@ -38,9 +38,9 @@
 		name, address string
 		serve         func(net.Conn) error
 	}{
-		{"cache", *cache, (&store{name: "cache", held: map[string]bool{}}).serve},
-		{"origin", *origin, (&store{name: "origin", all: true}).serve},
-		{"feed", *feed, tell},
+		{"cache", *cache, (&store{name: "cache", cached: map[string]bool{}}).serve},
+		{"origin", *origin, (&store{name: "origin", isOrigin: true}).serve},
+		{"feed", *feed, serveFeed},
 	} {
 		l, err := net.Listen("tcp", s.address)
 		if err != nil {
@@ -67,8 +67,8 @@
 	}
 }
 
-// tell is the control feed: nothing happens, which it says every second.
-func tell(c net.Conn) error {
+// serveFeed is the control feed: nothing happens, which it says every second.
+func serveFeed(c net.Conn) error {
 	line, err := bufio.NewReader(c).ReadString('\n')
 	if err != nil {
 		return err
@@ -87,25 +87,25 @@
 
 // store is a cache or, where it holds all, the origin.
 type store struct {
-	name string
-	all  bool
-	mu   sync.Mutex
-	held map[string]bool
+	name     string
+	isOrigin bool
+	mu       sync.Mutex
+	cached   map[string]bool
 }
 
-// take tells how an object was got, and holds it from now on where it is to be kept.
-func (s *store) take(fields map[string]string) (word, note string) {
+// lookUp tells how an object was got, and holds it from now on where it is to be kept.
+func (s *store) lookUp(fields map[string]string) (word, note string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	key := fields["asset"] + "/" + fields["slice"]
 	switch {
-	case s.all || s.held[key]:
+	case s.isOrigin || s.cached[key]:
 		return "OK", "HIT"
 	case fields["up"] == "":
 		return "MISS", ""
 	}
 	if fields["sort"] != "repayment" && fields["store"] != "" && fields["store"] != "0" {
-		s.held[key] = true
+		s.cached[key] = true
 	}
 	return "OK", "MISS_ORIGIN"
 }
@@ -113,7 +113,7 @@
 func (s *store) serve(c net.Conn) error {
 	r := bufio.NewReader(c)
 	for {
-		words, err := command(r)
+		words, err := readCommand(r)
 		if err != nil {
 			return err
 		}
@@ -125,20 +125,20 @@
 			name, value, _ := strings.Cut(f, "=")
 			fields[name] = value
 		}
-		word, note := s.take(fields)
+		word, note := s.lookUp(fields)
 		log.Printf("%s: %s %s: %s %s", s.name, words[1], words[2], word, note)
 		body, answer := "", "-"
 		if word == "OK" {
 			body = fmt.Sprintf("object %s, part %s, %d bytes sent\n", fields["asset"], fields["slice"], len(words[3]))
 			answer = fmt.Sprintf("rev=1,since=%d,n=%s", time.Now().UnixMilli(), note)
 		}
-		if _, err := c.Write(array(words[1], word, answer, body)); err != nil {
+		if _, err := c.Write(encodeArray(words[1], word, answer, body)); err != nil {
 			return err
 		}
 	}
 }
 
-func array(words ...string) []byte {
+func encodeArray(words ...string) []byte {
 	b := fmt.Appendf(nil, "*%d\r\n", len(words))
 	for _, w := range words {
 		b = fmt.Appendf(b, "$%d\r\n%s\r\n", len(w), w)
@@ -146,7 +146,7 @@
 	return b
 }
 
-func command(r *bufio.Reader) ([]string, error) {
+func readCommand(r *bufio.Reader) ([]string, error) {
 	number := func(mark string) (int, error) {
 		line, err := r.ReadString('\n')
 		if err != nil {
@@ -177,8 +177,8 @@
 	return words, nil
 }
 
-// call sends one request and prints how it was answered.
-func call(director, object, payment string) error {
+// sendRequest sends one request and prints how it was answered.
+func sendRequest(director, object, payment string) error {
 	c, err := net.Dial("tcp", director)
 	if err != nil {
 		return err
--- a/internal/checker/check_test.go
+++ b/internal/checker/check_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// good is a record in which everything is as it should be.
-var good = []string{
+// cleanHistory is a record in which everything is as it should be.
+var cleanHistory = []string{
 	`{"ms":1,"kind":"meta","what":"story","n":2}`,
 	`{"ms":2,"kind":"life","who":"c1","what":"up","class":"edge","weight":10}`,
 	`{"ms":2,"kind":"life","who":"c2","what":"up","class":"edge","weight":10,"cold_from":0.5,"ramp":10000,"fall":1000,"multiple":2}`,
@@ -31,10 +31,10 @@
 	`{"ms":9010,"kind":"process","who":"d1","what":"gone","class":"killed"}`,
 }
 
-// judge judges the good record with lines more, in order of time, and without those that hold a text.
-func judge(t *testing.T, without string, more ...string) *Verdict {
+// checkWith judges the good record with lines more, in order of time, and without those that hold a text.
+func checkWith(t *testing.T, without string, more ...string) *Verdict {
 	t.Helper()
-	lines := slices.DeleteFunc(slices.Clone(good), func(l string) bool { return without != "" && strings.Contains(l, without) })
+	lines := slices.DeleteFunc(slices.Clone(cleanHistory), func(l string) bool { return without != "" && strings.Contains(l, without) })
 	lines = append(lines, more...)
 	at := func(l string) (ms float64) {
 		if _, err := fmt.Sscanf(l, `{"ms":%f`, &ms); err != nil {
@@ -51,20 +51,20 @@
 }
 
 const (
-	ask2   = `{"ms":200,"kind":"ask","ref":"r2","director":"d0","class":"media","object":"o1","allow":1000}`
-	drain  = `{"ms":1000,"kind":"news","who":"c1","what":"draining","n":2}`
-	purge  = `{"ms":1000,"kind":"news","what":"purge","object":"o1","since":1000,"n":2}`
-	older  = `{"ms":3021,"kind":"done","who":"c1","director":"d0","ref":"r2","what":"OK","since":900}`
-	asked  = `{"ms":3000,"kind":"ask","ref":"r2","director":"d0","class":"media","object":"o1","allow":1000}`
-	ask3   = `{"ms":200,"kind":"ask","ref":"r3","director":"d0","class":"media","object":"o1","allow":1000}`
-	left   = `{"ms":250,"kind":"leave","ref":"r2","director":"d0","what":"close"}`
-	left3  = `{"ms":250,"kind":"leave","ref":"r3","director":"d0","what":"cancel"}`
-	start2 = `{"ms":100,"kind":"process","who":"d2","what":"start"}`
-	last   = `{"ms":20000,"kind":"lag","value":0}`
-	served = `{"ms":3030,"kind":"answer","ref":"r2","director":"d0","what":"served","since":900}`
+	secondAsk            = `{"ms":200,"kind":"ask","ref":"r2","director":"d0","class":"media","object":"o1","allow":1000}`
+	drainEvent           = `{"ms":1000,"kind":"news","who":"c1","what":"draining","n":2}`
+	purgeEvent           = `{"ms":1000,"kind":"news","what":"purge","object":"o1","since":1000,"n":2}`
+	staleAnswerFromCache = `{"ms":3021,"kind":"done","who":"c1","director":"d0","ref":"r2","what":"OK","since":900}`
+	lateAsk              = `{"ms":3000,"kind":"ask","ref":"r2","director":"d0","class":"media","object":"o1","allow":1000}`
+	thirdAsk             = `{"ms":200,"kind":"ask","ref":"r3","director":"d0","class":"media","object":"o1","allow":1000}`
+	departure            = `{"ms":250,"kind":"leave","ref":"r2","director":"d0","what":"close"}`
+	thirdDeparture       = `{"ms":250,"kind":"leave","ref":"r3","director":"d0","what":"cancel"}`
+	thirdStart           = `{"ms":100,"kind":"process","who":"d2","what":"start"}`
+	lastEvent            = `{"ms":20000,"kind":"lag","value":0}`
+	lateAnswer           = `{"ms":3030,"kind":"answer","ref":"r2","director":"d0","what":"served","since":900}`
 )
 
-func req(ms int, who string) string {
+func requestEvent(ms int, who string) string {
 	return fmt.Sprintf(`{"ms":%d,"kind":"req","who":%q,"director":"d0","ref":"r2","object":"o1","work":0.02}`, ms, who)
 }
 
@@ -88,65 +88,65 @@
 		rule          string // "": all is kept
 	}{
 		{"as it should be", "", nil, ""},
-		{"never answered", "", []string{ask2}, "answer"},
-		{"lost", "", []string{ask2, `{"ms":300,"kind":"answer","ref":"r2","director":"d0","what":"lost"}`}, "answer"},
-		{"spoilt", "", []string{ask2, `{"ms":300,"kind":"answer","ref":"r2","director":"d0","what":"spoilt"}`}, "answer"},
-		{"late", "", []string{ask2, `{"ms":1260,"kind":"answer","ref":"r2","director":"d0","what":"failed"}`}, "answer"},
-		{"just in time", "", []string{ask2, `{"ms":1240,"kind":"answer","ref":"r2","director":"d0","what":"failed"}`}, ""},
-		{"late on a machine that lags", "", []string{ask2, `{"ms":1200,"kind":"lag","value":20}`,
+		{"never answered", "", []string{secondAsk}, "answer"},
+		{"lost", "", []string{secondAsk, `{"ms":300,"kind":"answer","ref":"r2","director":"d0","what":"lost"}`}, "answer"},
+		{"spoilt", "", []string{secondAsk, `{"ms":300,"kind":"answer","ref":"r2","director":"d0","what":"spoilt"}`}, "answer"},
+		{"late", "", []string{secondAsk, `{"ms":1260,"kind":"answer","ref":"r2","director":"d0","what":"failed"}`}, "answer"},
+		{"just in time", "", []string{secondAsk, `{"ms":1240,"kind":"answer","ref":"r2","director":"d0","what":"failed"}`}, ""},
+		{"late on a machine that lags", "", []string{secondAsk, `{"ms":1200,"kind":"lag","value":20}`,
 			`{"ms":1300,"kind":"answer","ref":"r2","director":"d0","what":"failed"}`}, ""},
 		{"twice", "", []string{`{"ms":300,"kind":"answer","ref":"r1","director":"d0","what":"refused"}`}, "answer"},
 		{"a stray answer", "", []string{`{"ms":300,"kind":"stray","who":"d0","n":3}`}, "answer"},
-		{"lost with its director", "", []string{ask2, `{"ms":250,"kind":"process","who":"d0","what":"kill"}`,
+		{"lost with its director", "", []string{secondAsk, `{"ms":250,"kind":"process","who":"d0","what":"kill"}`,
 			`{"ms":260,"kind":"answer","ref":"r2","director":"d0","what":"lost"}`,
 			`{"ms":265,"kind":"process","who":"d0","what":"gone","class":"killed"}`}, ""},
-		{"lost by a planned stop", "", []string{ask2, `{"ms":150,"kind":"process","who":"d0","what":"term"}`,
+		{"lost by a planned stop", "", []string{secondAsk, `{"ms":150,"kind":"process","who":"d0","what":"term"}`,
 			`{"ms":260,"kind":"answer","ref":"r2","director":"d0","what":"lost"}`}, "answer"},
 		{"taken long after a planned stop", "", []string{`{"ms":2200,"kind":"ask","ref":"r2","director":"d0","class":"media","object":"o1","allow":1000}`,
 			`{"ms":1400,"kind":"process","who":"d0","what":"term"}`,
 			`{"ms":2260,"kind":"answer","ref":"r2","director":"d0","what":"lost"}`}, ""},
-		{"late from a stopped one", "", []string{ask2, `{"ms":300,"kind":"process","who":"d0","what":"stop"}`,
+		{"late from a stopped one", "", []string{secondAsk, `{"ms":300,"kind":"process","who":"d0","what":"stop"}`,
 			`{"ms":5300,"kind":"process","who":"d0","what":"cont"}`,
 			`{"ms":5400,"kind":"answer","ref":"r2","director":"d0","what":"failed"}`}, ""},
 		{"ran twice", "", []string{`{"ms":155,"kind":"run","who":"s-origin","ref":"p1"}`}, "repayment"},
 		{"ran and refused", `"served","since":150`, []string{`{"ms":160,"kind":"answer","ref":"p1","director":"d1","what":"refused"}`}, "repayment"},
 		{"ran and failed", `"served","since":150`, []string{`{"ms":160,"kind":"answer","ref":"p1","director":"d1","what":"failed"}`}, ""},
-		{"to a draining cache", "", []string{drain, req(3100, "c1")}, "drain"},
-		{"soon to a draining cache", "", []string{drain, req(3040, "c1")}, ""},
-		{"filled from a draining cache", "", []string{drain, `{"ms":3100,"kind":"source","who":"c1","director":"d0","ref":"r1"}`}, "drain"},
+		{"to a draining cache", "", []string{drainEvent, requestEvent(3100, "c1")}, "drain"},
+		{"soon to a draining cache", "", []string{drainEvent, requestEvent(3040, "c1")}, ""},
+		{"filled from a draining cache", "", []string{drainEvent, `{"ms":3100,"kind":"source","who":"c1","director":"d0","ref":"r1"}`}, "drain"},
 		{"the drain was not told yet", "", []string{`{"ms":900,"kind":"list","what":"down","value":1}`,
-			`{"ms":1000,"kind":"news","who":"c1","what":"draining unheard","n":2}`, req(3100, "c1")}, ""},
+			`{"ms":1000,"kind":"news","who":"c1","what":"draining unheard","n":2}`, requestEvent(3100, "c1")}, ""},
 		{"told late, and heeded later still", "", []string{`{"ms":900,"kind":"list","what":"down","value":1}`,
 			`{"ms":1000,"kind":"news","who":"c1","what":"draining unheard","n":2}`,
-			`{"ms":2000,"kind":"told","director":"d0","n":2}`, req(4100, "c1")}, "drain"},
+			`{"ms":2000,"kind":"told","director":"d0","n":2}`, requestEvent(4100, "c1")}, "drain"},
 		{"counts as told after 7 s", "", []string{`{"ms":900,"kind":"list","what":"down","value":1}`,
 			`{"ms":1000,"kind":"news","who":"c1","what":"draining unheard","n":2}`,
 			`{"ms":10100,"kind":"req","who":"c1","director":"d0","ref":"r1","work":0.02}`}, "drain"},
-		{"started with the drain", "", []string{drain, `{"ms":3000,"kind":"process","who":"d0","what":"start","n":1}`, req(3100, "c1")}, ""},
+		{"started with the drain", "", []string{drainEvent, `{"ms":3000,"kind":"process","who":"d0","what":"start","n":1}`, requestEvent(3100, "c1")}, ""},
 		{"a cold cache pushed over by two", "", crowd(120), "cold"},
 		{"a cold cache that bears it", "", crowd(90), ""},
 		{"a cold cache pushed over by who was not told", "", append(crowd(120), `{"ms":900,"kind":"news","who":"c2","what":"ready","n":2}`), ""},
-		{"an older copy than the purge", "", []string{purge, asked, req(3001, "c1"), older, served}, "purge"},
+		{"an older copy than the purge", "", []string{purgeEvent, lateAsk, requestEvent(3001, "c1"), staleAnswerFromCache, lateAnswer}, "purge"},
 		{"the purge was just told", "", []string{`{"ms":2600,"kind":"news","what":"purge","object":"o1","since":2600,"n":2}`,
-			asked, req(3001, "c1"), older, served}, ""},
-		{"a copy since the purge", "", []string{purge, asked, req(3001, "c1"), strings.Replace(older, "900", "1001", 1), served}, ""},
-		{"begun after its client had gone, three times", "", append([]string{ask2, left}, req(361, "c1"), req(370, "c1"), req(380, "c1")), "left"},
-		{"begun after its client had gone, twice", "", append([]string{ask2, left}, req(361, "c1"), req(370, "c1")), ""},
-		{"begun just after its client had gone", "", append([]string{ask2, left}, req(320, "c1"), req(340, "c1"), req(349, "c1")), ""},
-		{"sent on though their clients left as they waited", "", []string{ask2, left, req(600, "c1"), ask3, left3,
-			strings.Replace(req(600, "c1"), "r2", "r3", 1)}, "left"},
-		{"one of them sent on", "", []string{ask2, left, req(600, "c1"), ask3, left3}, ""},
-		{"the client of one that is out leaves", "", []string{ask2, req(210, "c1"), left}, ""},
-		{"not ready in time", "", []string{start2, `{"ms":10200,"kind":"ready","who":"d2","value":10100}`, last}, "ready"},
-		{"never ready", "", []string{start2, last}, "ready"},
-		{"ready in time", "", []string{start2, `{"ms":9900,"kind":"ready","who":"d2","value":9800}`, last}, ""},
-		{"killed before it was ready", "", []string{start2, `{"ms":5000,"kind":"process","who":"d2","what":"kill"}`, last}, ""},
+			lateAsk, requestEvent(3001, "c1"), staleAnswerFromCache, lateAnswer}, ""},
+		{"a copy since the purge", "", []string{purgeEvent, lateAsk, requestEvent(3001, "c1"), strings.Replace(staleAnswerFromCache, "900", "1001", 1), lateAnswer}, ""},
+		{"begun after its client had gone, three times", "", append([]string{secondAsk, departure}, requestEvent(361, "c1"), requestEvent(370, "c1"), requestEvent(380, "c1")), "left"},
+		{"begun after its client had gone, twice", "", append([]string{secondAsk, departure}, requestEvent(361, "c1"), requestEvent(370, "c1")), ""},
+		{"begun just after its client had gone", "", append([]string{secondAsk, departure}, requestEvent(320, "c1"), requestEvent(340, "c1"), requestEvent(349, "c1")), ""},
+		{"sent on though their clients left as they waited", "", []string{secondAsk, departure, requestEvent(600, "c1"), thirdAsk, thirdDeparture,
+			strings.Replace(requestEvent(600, "c1"), "r2", "r3", 1)}, "left"},
+		{"one of them sent on", "", []string{secondAsk, departure, requestEvent(600, "c1"), thirdAsk, thirdDeparture}, ""},
+		{"the client of one that is out leaves", "", []string{secondAsk, requestEvent(210, "c1"), departure}, ""},
+		{"not ready in time", "", []string{thirdStart, `{"ms":10200,"kind":"ready","who":"d2","value":10100}`, lastEvent}, "ready"},
+		{"never ready", "", []string{thirdStart, lastEvent}, "ready"},
+		{"ready in time", "", []string{thirdStart, `{"ms":9900,"kind":"ready","who":"d2","value":9800}`, lastEvent}, ""},
+		{"killed before it was ready", "", []string{thirdStart, `{"ms":5000,"kind":"process","who":"d2","what":"kill"}`, lastEvent}, ""},
 		{"thirty directors with one call each", "", each(30, 0.4), "cold"},
 		{"twenty directors with one call each", "", each(20, 0.4), ""},
 		{"a crash", "", []string{`{"ms":4000,"kind":"process","who":"d1","what":"gone","class":"status 2"}`}, "crash"},
 		{"bad words", "", []string{`{"ms":4000,"kind":"fault","who":"c1","what":"can't use"}`}, "protocol"},
 	} {
-		v := judge(t, c.without, c.more...)
+		v := checkWith(t, c.without, c.more...)
 		var rules []string
 		for _, b := range v.Violations {
 			rules = append(rules, b.Rule)
@@ -170,7 +170,7 @@
 			more = append(more, fmt.Sprintf(`{"ms":%d,"kind":"call","director":"e%d","what":"served","value":1}`, 2400+i, i))
 		}
 	}
-	f := judge(t, "", more...).Metrics
+	f := checkWith(t, "", more...).Metrics
 	if f["list_peak_ratio"] < 14 || f["list_peak_ratio"] > 16 { // all 20 in one of 15 bins
 		t.Errorf("peak ratio %v, want about 15", f["list_peak_ratio"])
 	}
@@ -196,7 +196,7 @@
 			more = append(more, fmt.Sprintf(`{"ms":%d,"kind":"req","who":"c1","director":"d0","ref":%q,"object":"o9","work":0.001}`, at+10, ref))
 		}
 	}
-	if got := judge(t, "", more...).Metrics["attempts_after"]; got != 2 {
+	if got := checkWith(t, "", more...).Metrics["attempts_after"]; got != 2 {
 		t.Errorf("%v attempts for a request, want (3+2+1)/3", got)
 	}
 }
@@ -213,8 +213,8 @@
 		more = append(more, fmt.Sprintf(`{"ms":300,"kind":"ask","ref":%q,"director":"d0","class":"media","object":"o9","allow":1000,"work":%d}`, ref, 1+i),
 			fmt.Sprintf(`{"ms":310,"kind":"answer","ref":%q,"director":"d0","what":%q}`, ref, what))
 	}
-	more = append(more, ask2, left)
-	f := judge(t, "", more...).Metrics
+	more = append(more, secondAsk, departure)
+	f := checkWith(t, "", more...).Metrics
 	if got, want := f["large_share"], (1.0/4)/(19.0/40); got != want {
 		t.Errorf("share of the largest %v, want %v", got, want)
 	}
--- a/internal/checker/sites.go
+++ b/internal/checker/sites.go
@@ -9,28 +9,28 @@
 )
 
 const (
-	siteBin   = 500.0   // for shares over time
-	peakBin   = 1_000.0 // over which a survivor's work is summed
-	before    = 3_000.0 // ahead of the first loss, for what was served then
-	lateAlarm = 6_000.0 // after a site is back, for which being called lost is no false alarm
-	notFound  = 10_000.0
+	siteBinWidth   = 500.0   // for shares over time
+	peakWindow     = 1_000.0 // over which a survivor's work is summed
+	baselinePeriod = 3_000.0 // ahead of the first loss, for what was served then
+	alarmGrace     = 6_000.0 // after a site is back, for which being called lost is no false alarm
+	undetectedMS   = 10_000.0
 )
 
-// loss is one loss of a site, from what broke it until it was back.
-type loss struct {
+// siteLoss is one siteLoss of a site, from what broke it until it was back.
+type siteLoss struct {
 	site     string
-	how      string
+	fault    string
 	share    float64 // of its servers
 	from, to float64
 }
 
-func (r *record) losses() (list []loss) {
-	for _, l := range r.lines {
+func (r *history) siteLosses() (list []siteLoss) {
+	for _, l := range r.events {
 		if l.Kind != "site" {
 			continue
 		}
 		if l.What != "back" {
-			list = append(list, loss{l.Who, l.What, l.Value, l.AtMS, forever})
+			list = append(list, siteLoss{l.Who, l.What, l.Value, l.AtMS, forever})
 			continue
 		}
 		for i := len(list) - 1; i >= 0; i-- {
@@ -43,11 +43,11 @@
 	return list
 }
 
-// homeOf tells for each director which sites it has to do with: its branch, by what it was asked, and the branch's hub.
-func (r *record) homeOf() map[string][]string {
+// homeSites tells for each director which sites it has to do with: its branch, by what it was asked, and the branch's hub.
+func (r *history) homeSites() map[string][]string {
 	home := map[string][]string{}
 	hub := map[string]string{}
-	for _, l := range r.lines {
+	for _, l := range r.events {
 		switch l.Kind {
 		case "home":
 			hub[l.Who] = l.What
@@ -60,15 +60,15 @@
 	return home
 }
 
-// siteFigures reads how the loss of sites was borne.
-func (r *record) siteFigures(f map[string]float64) {
-	losses := r.losses()
-	r.alarms(f, losses)
+// siteMetrics reads how the loss of sites was borne.
+func (r *history) siteMetrics(f map[string]float64) {
+	losses := r.siteLosses()
+	r.falseAlarms(f, losses)
 	if len(losses) == 0 {
 		return
 	}
-	end := r.lines[len(r.lines)-1].AtMS
-	for _, l := range r.lines {
+	end := r.events[len(r.events)-1].AtMS
+	for _, l := range r.events {
 		if l.Kind == "load" && l.What == "end" {
 			end = l.AtMS
 		}
@@ -77,25 +77,25 @@
 	for _, x := range losses {
 		to = max(to, min(x.to, end))
 	}
-	r.sharesIn(f, from, to)
-	f["served_share_bound"] = r.bound(from, to)
+	r.sharesDuring(f, from, to)
+	f["served_share_bound"] = r.servableShare(from, to)
 	f["survivor_peak"] = r.survivorPeak(losses)
-	f["detect_ms_p95"] = r.detected(losses)
-	f["return_ms_90"] = r.returned(from, to, end)
+	f["detect_ms_p95"] = r.detectionTime(losses)
+	f["return_ms_90"] = r.recoveryTime(from, to, end)
 }
 
-// sharesIn counts what was asked within a span by class: served, and refused.
-func (r *record) sharesIn(f map[string]float64, from, to float64) {
-	asks := map[string]line{}
+// sharesDuring counts what was asked within a span by class: served, and refused.
+func (r *history) sharesDuring(f map[string]float64, from, to float64) {
+	asks := map[string]event{}
 	var first, served float64
 	tries, refused := map[string]float64{}, map[string]float64{}
-	class := func(l line) string {
+	class := func(l event) string {
 		if l.Class == "repayment" {
 			return l.Class
 		}
 		return "other"
 	}
-	for _, l := range r.lines {
+	for _, l := range r.events {
 		switch {
 		case l.Kind == "nowhere" && l.AtMS >= from && l.AtMS < to:
 			first++
@@ -116,53 +116,53 @@
 			}
 		}
 	}
-	f["served_share_loss"] = min(1, over(served, first))
-	f["repayments_refused_share"] = over(refused["repayment"], tries["repayment"])
-	f["others_refused_share"] = over(refused["other"], tries["other"])
+	f["served_share_loss"] = min(1, ratio(served, first))
+	f["repayments_refused_share"] = ratio(refused["repayment"], tries["repayment"])
+	f["others_refused_share"] = ratio(refused["other"], tries["other"])
 	f["repayments_refused_excess"] = f["repayments_refused_share"] - f["others_refused_share"]
 }
 
 // capacity is what a server can do at a time, in transfers; 0 while it is down.
 type capacity struct {
-	up, down float64
-	line     line
+	from, until float64
+	start       event
 }
 
 func (c capacity) at(ms float64) float64 {
-	if ms < c.up || ms >= c.down {
+	if ms < c.from || ms >= c.until {
 		return 0
 	}
-	if c.line.Ramp <= 0 {
-		return c.line.Weight
+	if c.start.Ramp <= 0 {
+		return c.start.Weight
 	}
-	return c.line.Weight * min(1, c.line.ColdFrom+(1-c.line.ColdFrom)*(ms-c.up)/c.line.Ramp)
+	return c.start.Weight * min(1, c.start.ColdFrom+(1-c.start.ColdFrom)*(ms-c.from)/c.start.Ramp)
 }
 
 // capacities are those of all servers by name; one that says nothing, or turns all away, can do nothing.
-func (r *record) capacities() map[string]capacity {
+func (r *history) capacities() map[string]capacity {
 	all := map[string]capacity{}
-	for _, l := range r.lines {
+	for _, l := range r.events {
 		if l.Kind != "life" {
 			continue
 		}
 		if l.What == "up" {
 			all[l.Who] = capacity{l.AtMS, forever, l}
 		} else if c, ok := all[l.Who]; ok {
-			c.down = min(c.down, l.AtMS)
+			c.until = min(c.until, l.AtMS)
 			all[l.Who] = c
 		}
 	}
 	return all
 }
 
-// bound is the part of the first tries in a span that could be served by one who sees all, by true capacity: each
+// servableShare is the part of the first tries in a span that could be served by one who sees all, by true capacity: each
 // branch by its own caches, as those of others are a fault, and repayments of all branches by the origin too. It is a
 // linear program with one constraint that branches share, so that its optimum is found by serving reads first, which
 // need no more than the branch, and then repayments with what is left of both.
-func (r *record) bound(from, to float64) float64 {
+func (r *history) servableShare(from, to float64) float64 {
 	work, origin := 0.0, math.Inf(1)
 	caches := r.capacities()
-	broken := r.losses()
+	broken := r.siteLosses()
 	type key struct {
 		branch string
 		bin    int
@@ -170,7 +170,7 @@
 	reads, writes := map[key]float64{}, map[key]float64{}
 	var branches []string
 	asked := 0.0
-	for _, l := range r.lines {
+	for _, l := range r.events {
 		switch l.Kind {
 		case "capacity":
 			origin = l.Value
@@ -180,7 +180,7 @@
 			if l.Retry || l.AtMS < from || l.AtMS >= to {
 				continue
 			}
-			k := key{l.Site, int((l.AtMS - from) / siteBin)}
+			k := key{l.Site, int((l.AtMS - from) / siteBinWidth)}
 			if l.Class == "repayment" {
 				writes[k]++
 			} else {
@@ -195,22 +195,22 @@
 		return 0
 	}
 	served := 0.0
-	for bin := 0; float64(bin)*siteBin < to-from; bin++ {
-		at := from + (float64(bin)+0.5)*siteBin
-		left := origin * siteBin / 1000
+	for bin := 0; float64(bin)*siteBinWidth < to-from; bin++ {
+		at := from + (float64(bin)+0.5)*siteBinWidth
+		left := origin * siteBinWidth / 1000
 		for _, b := range branches {
 			can := 0.0
 			for _, c := range caches {
-				if c.line.Site == b {
+				if c.start.Site == b {
 					can += c.at(at)
 				}
 			}
 			for _, x := range broken { // that of processes which ended is told by their lives
-				if x.site == b && at >= x.from && at < x.to && x.how != "site-kill" {
+				if x.site == b && at >= x.from && at < x.to && x.fault != "site-kill" {
 					can *= 1 - x.share
 				}
 			}
-			room := can / work * siteBin / 1000
+			room := can / work * siteBinWidth / 1000
 			k := key{b, bin}
 			r := min(reads[k], room)
 			w := min(writes[k], room-r, left)
@@ -222,55 +222,57 @@
 }
 
 // survivorPeak is the busiest second of any server of a site that is not lost just then, over its capacity.
-func (r *record) survivorPeak(losses []loss) (peak float64) {
+func (r *history) survivorPeak(losses []siteLoss) (peak float64) {
 	caches := r.capacities()
 	type key struct {
 		who string
 		bin int
 	}
 	got := map[key]float64{}
-	during := func(x loss, ms float64) bool { return ms >= x.from && ms < x.to+lateAlarm }
-	for _, l := range r.lines {
+	during := func(x siteLoss, ms float64) bool { return ms >= x.from && ms < x.to+alarmGrace }
+	for _, l := range r.events {
 		if l.Kind != "req" && l.Kind != "source" {
 			continue
 		}
-		any := slices.ContainsFunc(losses, func(x loss) bool { return during(x, l.AtMS) })
-		own := slices.ContainsFunc(losses, func(x loss) bool { return during(x, l.AtMS) && x.site == caches[l.Who].line.Site })
+		any := slices.ContainsFunc(losses, func(x siteLoss) bool { return during(x, l.AtMS) })
+		own := slices.ContainsFunc(losses, func(x siteLoss) bool { return during(x, l.AtMS) && x.site == caches[l.Who].start.Site })
 		if any && !own {
-			got[key{l.Who, int(l.AtMS / peakBin)}] += l.Work
+			got[key{l.Who, int(l.AtMS / peakWindow)}] += l.Work
 		}
 	}
 	for k, work := range got {
-		if can := caches[k.who].at((float64(k.bin) + 0.5) * peakBin); can > 0 {
-			peak = max(peak, work/(can*peakBin/1000))
+		if can := caches[k.who].at((float64(k.bin) + 0.5) * peakWindow); can > 0 {
+			peak = max(peak, work/(can*peakWindow/1000))
 		}
 	}
 	return peak
 }
 
-// gone tells that a director calls a site lost.
-func gone(what string) bool { return what == "lost" || what == "cut off" || what == "relapsed" }
+// isUnavailableState tells that a director calls a site lost.
+func isUnavailableState(what string) bool {
+	return what == "lost" || what == "cut off" || what == "relapsed"
+}
 
-// detected is the time after which a director that has to do with a site that is lost whole knows it, for nineteen in
+// detectionTime is the time after which a director that has to do with a site that is lost whole knows it, for nineteen in
 // twenty. One that never does counts as notFound, if it asked anybody there meanwhile.
-func (r *record) detected(losses []loss) float64 {
-	home, times := r.homeOf(), hdrhistogram.New(1, 120_000, 3)
+func (r *history) detectionTime(losses []siteLoss) float64 {
+	home, times := r.homeSites(), hdrhistogram.New(1, 120_000, 3)
 	for _, x := range losses {
-		if x.share < 1 || x.how == "site-busy" { // who turns all away is there, and says so
+		if x.share < 1 || x.fault == "site-busy" { // who turns all away is there, and says so
 			continue
 		}
 		for director, sites := range home {
 			if !slices.Contains(sites, x.site) {
 				continue
 			}
-			at, asked, known := notFound, false, false
-			for _, l := range r.lines {
+			at, asked, known := undetectedMS, false, false
+			for _, l := range r.events {
 				switch {
 				case l.AtMS > x.to:
 				case l.Kind == "state" && l.Who == director && l.Site == x.site:
 					if l.AtMS < x.from {
-						known = gone(l.What) // since a loss just before
-					} else if gone(l.What) {
+						known = isUnavailableState(l.What) // since a loss just before
+					} else if isUnavailableState(l.What) {
 						at = min(at, l.AtMS-x.from)
 					}
 				case l.Kind == "process" && l.Who == director:
@@ -290,12 +292,12 @@
 	return float64(times.ValueAtQuantile(95))
 }
 
-// alarms counts sites that were called lost and were not, and how often a director moves for each loss.
-func (r *record) alarms(f map[string]float64, losses []loss) {
-	for _, l := range r.lines { // a site that a director can't reach is as good as lost to it
+// falseAlarms counts sites that were called lost and were not, and how often a director moves for each loss.
+func (r *history) falseAlarms(f map[string]float64, losses []siteLoss) {
+	for _, l := range r.events { // a site that a director can't reach is as good as lost to it
 		if l.Kind == "link" && l.Who == "caches" && l.What != "well" && l.What != "delay" && l.What != "drip" {
-			x := loss{"", l.What, 1, l.AtMS, forever}
-			for _, w := range r.lines {
+			x := siteLoss{"", l.What, 1, l.AtMS, forever}
+			for _, w := range r.events {
 				if w.Kind == "link" && w.Who == l.Who && w.What == "well" && w.AtMS > l.AtMS {
 					x.to = w.AtMS
 					break
@@ -305,10 +307,10 @@
 		}
 	}
 	// To call a site lost of which half or more is there is an alarm, too.
-	losses = slices.DeleteFunc(slices.Clone(losses), func(x loss) bool { return x.share <= 0.5 })
+	losses = slices.DeleteFunc(slices.Clone(losses), func(x siteLoss) bool { return x.share <= 0.5 })
 	moves, events := 0.0, 0.0
 	moved, alone := map[string]bool{}, map[string]bool{}
-	for _, l := range r.lines {
+	for _, l := range r.events {
 		if l.Kind != "state" {
 			continue
 		}
@@ -316,35 +318,35 @@
 			alone[l.Who] = true
 			continue
 		}
-		known := slices.ContainsFunc(losses, func(x loss) bool {
-			return (x.site == l.Site || x.site == "") && l.AtMS >= x.from && l.AtMS <= x.to+lateAlarm
+		known := slices.ContainsFunc(losses, func(x siteLoss) bool {
+			return (x.site == l.Site || x.site == "") && l.AtMS >= x.from && l.AtMS <= x.to+alarmGrace
 		})
-		if gone(l.What) && !known {
+		if isUnavailableState(l.What) && !known {
 			f["false_alarms"]++
 		}
-		if gone(l.What) || l.What == "returning" {
+		if isUnavailableState(l.What) || l.What == "returning" {
 			moves++
 		}
 		for i, x := range losses {
 			key := l.Who + " " + l.Site + " " + string(rune('a'+i))
-			in := (x.site == l.Site || x.site == "") && l.AtMS >= x.from && l.AtMS <= x.to+lateAlarm
-			if in && !moved[key] && gone(l.What) {
+			in := (x.site == l.Site || x.site == "") && l.AtMS >= x.from && l.AtMS <= x.to+alarmGrace
+			if in && !moved[key] && isUnavailableState(l.What) {
 				moved[key] = true
 				events++
 			}
 		}
 	}
-	f["moves_per_event"] = over(moves, events)
+	f["moves_per_event"] = ratio(moves, events)
 	f["cut_off_told"] = float64(len(alone))
 }
 
-// returned is the time from the last return until nine tenths of the part that was served before the loss is served
+// recoveryTime is the time from the last return until nine tenths of the part that was served before the loss is served
 // again, in two spans one after the other.
-func (r *record) returned(from, to, end float64) float64 {
+func (r *history) recoveryTime(from, to, end float64) float64 {
 	share := func(a, b float64) float64 {
 		asks := map[string]bool{}
 		var first, served float64
-		for _, l := range r.lines {
+		for _, l := range r.events {
 			switch {
 			case (l.Kind == "ask" || l.Kind == "nowhere") && l.AtMS >= a && l.AtMS < b:
 				asks[l.Ref] = l.Kind == "ask"
@@ -360,15 +362,15 @@
 		}
 		return min(1, served/first)
 	}
-	want := 0.9 * share(max(0, from-before), from)
-	for at := to; at+2*siteBin <= end; at += siteBin {
-		if share(at, at+siteBin) >= want && share(at+siteBin, at+2*siteBin) >= want {
+	want := 0.9 * share(max(0, from-baselinePeriod), from)
+	for at := to; at+2*siteBinWidth <= end; at += siteBinWidth {
+		if share(at, at+siteBinWidth) >= want && share(at+siteBinWidth, at+2*siteBinWidth) >= want {
 			return at - to
 		}
 	}
 	return max(0, end-to)
 }
 
-// siteNames are the figures of this file.
-var siteNames = strings.Fields(`served_share_loss served_share_bound survivor_peak detect_ms_p95 false_alarms
+// siteMetricNames are the figures of this file.
+var siteMetricNames = strings.Fields(`served_share_loss served_share_bound survivor_peak detect_ms_p95 false_alarms
 	moves_per_event return_ms_90 repayments_refused_share others_refused_share repayments_refused_excess bound_share cut_off_told`)
--- a/internal/checker/sites_test.go
+++ b/internal/checker/sites_test.go
@@ -7,9 +7,9 @@
 	"testing"
 )
 
-// story builds the record of two branches with a cache each (10 transfers of 50 ms, so 200 requests a second), a hub and
+// siteLossHistory builds the record of two branches with a cache each (10 transfers of 50 ms, so 200 requests a second), a hub and
 // one director a branch. Branch b1 is lost from 2 s to 6 s; each branch is asked for two things every 100 ms.
-func story(served func(ms float64, branch string) string, more ...string) string {
+func siteLossHistory(served func(ms float64, branch string) string, more ...string) string {
 	lines := []string{
 		`{"ms":0,"kind":"capacity","who":"s-origin","value":100}`,
 		`{"ms":0,"kind":"home","who":"b1","what":"h1"}`, `{"ms":0,"kind":"home","who":"b2","what":"h1"}`,
@@ -43,7 +43,7 @@
 	return strings.Join(lines, "\n")
 }
 
-func figuresOf(t *testing.T, text string) map[string]float64 {
+func metricsOf(t *testing.T, text string) map[string]float64 {
 	t.Helper()
 	v, err := Check(strings.NewReader(text))
 	if err != nil {
@@ -52,7 +52,7 @@
 	return v.Metrics
 }
 
-func want(t *testing.T, f map[string]float64, figures map[string]float64) {
+func wantMetrics(t *testing.T, f map[string]float64, figures map[string]float64) {
 	t.Helper()
 	for name, x := range figures {
 		if math.Abs(f[name]-x) > 1e-6 {
@@ -68,45 +68,45 @@
 		}
 		return "served"
 	}
-	f := figuresOf(t, story(lost,
+	f := metricsOf(t, siteLossHistory(lost,
 		`{"ms":2300,"kind":"state","who":"d0","site":"b1","what":"lost"}`,
 		`{"ms":6100,"kind":"state","who":"d0","site":"b1","what":"returning"}`,
 		`{"ms":7500,"kind":"state","who":"d1","site":"b2","what":"cut off"}`))
-	want(t, f, map[string]float64{"served_share_loss": 0.5, "served_share_bound": 0.5, "bound_share": 1, "false_alarms": 1,
+	wantMetrics(t, f, map[string]float64{"served_share_loss": 0.5, "served_share_bound": 0.5, "bound_share": 1, "false_alarms": 1,
 		"repayments_refused_share": 0.5, "others_refused_share": 0.5, "return_ms_90": 1000, "moves_per_event": 3})
 	if f["detect_ms_p95"] < 299 || f["detect_ms_p95"] > 301 {
 		t.Errorf("detected after %v", f["detect_ms_p95"])
 	}
 	// Of a site of which half is there, the same is a false alarm.
-	half := strings.Replace(story(lost, `{"ms":2300,"kind":"state","who":"d0","site":"b1","what":"lost"}`),
+	half := strings.Replace(siteLossHistory(lost, `{"ms":2300,"kind":"state","who":"d0","site":"b1","what":"lost"}`),
 		`"what":"site-kill","value":1`, `"what":"site-kill","value":0.5`, 1)
-	want(t, figuresOf(t, half), map[string]float64{"false_alarms": 1, "moves_per_event": 0, "detect_ms_p95": 0})
+	wantMetrics(t, metricsOf(t, half), map[string]float64{"false_alarms": 1, "moves_per_event": 0, "detect_ms_p95": 0})
 	// Nobody notices, and the survivor's cache gets far more than it can do within a second.
 	crowd := make([]string, 0, 300)
 	for i := range 300 {
 		crowd = append(crowd, fmt.Sprintf(`{"ms":%v,"kind":"source","who":"p1","director":"d1","ref":"x","work":0.05}`, 3000+i))
 	}
-	f = figuresOf(t, story(lost, crowd...))
-	if f["survivor_peak"] < 14.9 || f["survivor_peak"] > 15.1 || f["detect_ms_p95"] < notFound*0.99 {
+	f = metricsOf(t, siteLossHistory(lost, crowd...))
+	if f["survivor_peak"] < 14.9 || f["survivor_peak"] > 15.1 || f["detect_ms_p95"] < undetectedMS*0.99 {
 		t.Errorf("peak %v, detected after %v", f["survivor_peak"], f["detect_ms_p95"])
 	}
 	// A loss without an end counts to the end, and what is never served again never returns.
-	never := strings.ReplaceAll(story(func(ms float64, branch string) string {
+	never := strings.ReplaceAll(siteLossHistory(func(ms float64, branch string) string {
 		if ms >= 2000 {
 			return "refused"
 		}
 		return "served"
 	}), `"kind":"site","who":"b1","what":"back"`, `"kind":"none"`)
-	want(t, figuresOf(t, never), map[string]float64{"served_share_loss": 0, "bound_share": 0, "repayments_refused_excess": 0})
+	wantMetrics(t, metricsOf(t, never), map[string]float64{"served_share_loss": 0, "bound_share": 0, "repayments_refused_excess": 0})
 }
 
 // The origin bounds what all branches' repayments can get, and a cold cache bears less.
 func TestBoundKnowsTheOriginAndTheCold(t *testing.T) {
 	all := func(float64, string) string { return "served" }
-	slow := strings.Replace(story(all), `"value":100}`, `"value":5}`, 1) // of 20 repayments a second, 10 from the branch that is there
-	want(t, figuresOf(t, slow), map[string]float64{"served_share_bound": (0.5 + 0.25) / 2})
-	cold := strings.Replace(story(all), `"what":"up","site":"b2","weight":10`, `"what":"up","site":"b2","weight":1,"cold_from":0.25,"ramp":1000000`, 1)
-	if f := figuresOf(t, cold); f["served_share_bound"] < 0.12 || f["served_share_bound"] > 0.14 { // 5 of 20 a second, and nothing from the other
+	slow := strings.Replace(siteLossHistory(all), `"value":100}`, `"value":5}`, 1) // of 20 repayments a second, 10 from the branch that is there
+	wantMetrics(t, metricsOf(t, slow), map[string]float64{"served_share_bound": (0.5 + 0.25) / 2})
+	cold := strings.Replace(siteLossHistory(all), `"what":"up","site":"b2","weight":10`, `"what":"up","site":"b2","weight":1,"cold_from":0.25,"ramp":1000000`, 1)
+	if f := metricsOf(t, cold); f["served_share_bound"] < 0.12 || f["served_share_bound"] > 0.14 { // 5 of 20 a second, and nothing from the other
 		t.Errorf("bound %v", f["served_share_bound"])
 	}
 }
@@ -119,6 +119,6 @@
 		`{"ms":900,"kind":"link","who":"caches","what":"well"}`,
 		`{"ms":20000,"kind":"state","who":"d0","site":"b1","what":"lost"}`,
 		`{"ms":20100,"kind":"state","who":"d0","what":"alone"}`, `{"ms":20900,"kind":"state","who":"d0","what":"alone"}`}, "\n")
-	want(t, figuresOf(t, plain), map[string]float64{"false_alarms": 1, "served_share_loss": 0, "detect_ms_p95": 0,
+	wantMetrics(t, metricsOf(t, plain), map[string]float64{"false_alarms": 1, "served_share_loss": 0, "detect_ms_p95": 0,
 		"cut_off_told": 1})
 }
--- a/internal/checker/streams_test.go
+++ b/internal/checker/streams_test.go
@@ -27,7 +27,7 @@
 func askedAt(ms int) []string {
 	return []string{
 		fmt.Sprintf(`{"ms":%d,"kind":"ask","ref":"r2","director":"d0","class":"media","object":"o1","allow":1000}`, ms-1),
-		req(ms, "c1"),
+		requestEvent(ms, "c1"),
 		fmt.Sprintf(`{"ms":%d,"kind":"done","who":"c1","director":"d0","ref":"r2","what":"OK","since":900}`, ms+20),
 		fmt.Sprintf(`{"ms":%d,"kind":"answer","ref":"r2","director":"d0","what":"served","since":900}`, ms+30)}
 }
@@ -69,11 +69,11 @@
 		{"at once if there was time to write it", 5100, []string{purgeAt(5100, 2), streamEnd(5201, "d0", "break", 2, 5161)}},
 		{"at once if another's stream has ended", 5100, []string{streamEnd(5000, "d1", "break", 2, 4100), purgeAt(5100, 2)}},
 	} {
-		within, past := c.told+int(purgeMost+slack), c.told+int(purgeMost+slack)+5
-		if v := judge(t, "", append(askedAt(within), c.more...)...); len(v.Violations) > 0 {
+		within, past := c.told+int(purgeLimit+slack), c.told+int(purgeLimit+slack)+5
+		if v := checkWith(t, "", append(askedAt(within), c.more...)...); len(v.Violations) > 0 {
 			t.Errorf("%s: asked just within the limit, and broken %+v", c.name, v.Violations)
 		}
-		v := judge(t, "", append(askedAt(past), c.more...)...)
+		v := checkWith(t, "", append(askedAt(past), c.more...)...)
 		if want := "asked for 555 ms after that was told"; len(v.Violations) != 1 || v.Violations[0].Rule != "purge" ||
 			!strings.Contains(v.Violations[0].Detail, want) {
 			t.Errorf("%s: asked just past the limit, and broken %+v", c.name, v.Violations)
@@ -84,10 +84,10 @@
 // Drains are told as purges are.
 func TestDrainIsToldAfterTheBreak(t *testing.T) {
 	more := []string{streamEnd(5000, "d0", "break", 2, 4960), `{"ms":5100,"kind":"news","who":"c1","what":"draining","n":2}`}
-	if v := judge(t, "", append(more, req(9050, "c1"))...); len(v.Violations) > 0 {
+	if v := checkWith(t, "", append(more, requestEvent(9050, "c1"))...); len(v.Violations) > 0 {
 		t.Errorf("within the limit, and broken %+v", v.Violations)
 	}
-	v := judge(t, "", append(more, req(9055, "c1"))...)
+	v := checkWith(t, "", append(more, requestEvent(9055, "c1"))...)
 	if len(v.Violations) != 1 || v.Violations[0].Rule != "drain" || !strings.Contains(v.Violations[0].Detail, "2055 ms after it was told") ||
 		!strings.Contains(v.Violations[0].Detail, "up 4.96 s, broke; without a stream for 4.05 s") {
 		t.Errorf("past the limit: %+v", v.Violations)
@@ -99,7 +99,7 @@
 	more := append(askedAt(9000), streamEnd(1240, "d0", "break", 2, 1200), callAt(1650, "turned away"), callAt(2010, "served"),
 		streamEnd(2810, "d0", "silent", 2, 800), callAt(4120, "served"), purgeAt(4500, 2), streamEnd(4510, "d0", "half", 2, 390),
 		streamEnd(8000, "d1", "break", 3, 4))
-	v := judge(t, "", more...)
+	v := checkWith(t, "", more...)
 	want := "that was told; streams: up 1.20 s, broke; called after 0.40 s, turned away; called after 0.76 s; " +
 		"up 0.80 s, silent; called after 1.30 s; up 0.39 s, broke in event 2; without a stream for 4.49 s"
 	if len(v.Violations) != 1 || !strings.HasSuffix(v.Violations[0].Detail, want) {
@@ -112,14 +112,14 @@
 	more := append(askedAt(4000), streamEnd(1000, "d0", "break", 2, 960), callAt(1400, "turned away"), callAt(1900, "served"),
 		streamEnd(5000, "d0", "silent", 2, 3100), streamEnd(8000, "d1", "half", 2, 2999), callAt(6200, "served"), purgeAt(3900, 2),
 		`{"ms":3950,"kind":"news","what":"purge","object":"o9","since":3950,"n":3}`)
-	f := judge(t, "", more...).Metrics
+	f := checkWith(t, "", more...).Metrics
 	for name, want := range map[string]float64{"list_young_ends": 2, "list_deaf_ms_max": 1200, "purges": 2, "old_copies": 1} {
 		if f[name] != want {
 			t.Errorf("%s %v, want %v", name, f[name], want)
 		}
 	}
 	more = append(more, streamEnd(7000, "d0", "silent", 2, 100))
-	if got := judge(t, "", more...).Metrics["list_deaf_ms_max"]; got != 2000 { // to the end of the load
+	if got := checkWith(t, "", more...).Metrics["list_deaf_ms_max"]; got != 2000 { // to the end of the load
 		t.Errorf("%v ms without a stream, want 2000", got)
 	}
 }
--- a/internal/failover/advice_test.go
+++ b/internal/failover/advice_test.go
@@ -8,8 +8,8 @@
 	"shaleyard/routing"
 )
 
-// settings are those of a director of branch edge-1, with three hubs.
-func settings() *routing.Settings {
+// testSettings are those of a director of branch edge-1, with three hubs.
+func testSettings() *routing.Settings {
 	return &routing.Settings{Zones: []string{"west", "middle", "east", "edge-1", "edge-2"}, Zone: 3,
 		Classes: []routing.Class{{Name: "media", PriorityWeight: 2, Idempotency: "read_like"}, {Name: "pages", PriorityWeight: 1, Idempotency: "read_like"},
 			{Name: "pay", PriorityWeight: 3, Idempotency: "non_idempotent"}},
@@ -18,7 +18,7 @@
 }
 
 func TestAdviceIsThePlanForOurBranch(t *testing.T) {
-	a, err := NewLocalPlanner(settings(), Overrides{}, nil)
+	a, err := NewLocalPlanner(testSettings(), Overrides{}, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -43,7 +43,7 @@
 }
 
 func TestFollowedPlansRefuseWhatIsWorthLeast(t *testing.T) {
-	a, err := NewLocalPlanner(settings(), Overrides{LimitFills: true}, nil)
+	a, err := NewLocalPlanner(testSettings(), Overrides{LimitFills: true}, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -59,11 +59,11 @@
 // What can be known at the start is an error then; what hangs on the fleet is told once for each state of it, and the
 // director goes on without advice.
 func TestAPlanThatCantBeMadeIsTold(t *testing.T) {
-	if _, err := NewLocalPlanner(settings(), Overrides{Forbids: []Forbid{{"moon", "east"}}}, nil); err == nil || !strings.HasPrefix(err.Error(), "plan.forbid[0].lost") {
+	if _, err := NewLocalPlanner(testSettings(), Overrides{Forbids: []Forbid{{"moon", "east"}}}, nil); err == nil || !strings.HasPrefix(err.Error(), "plan.forbid[0].lost") {
 		t.Errorf("error %v", err)
 	}
 	told := 0
-	a, err := NewLocalPlanner(settings(), Overrides{Pins: []Pin{{"west", "edge-1", "east", 1}}}, func(error) { told++ })
+	a, err := NewLocalPlanner(testSettings(), Overrides{Pins: []Pin{{"west", "edge-1", "east", 1}}}, func(error) { told++ })
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/failover/plan_test.go
+++ b/internal/failover/plan_test.go
@@ -10,8 +10,8 @@
 	"pgregory.net/rapid"
 )
 
-// world is a topology of branches and hubs with one transfer asked for by each cache and class.
-func world(caches []int, hubs []float64, homes []int) *Topology {
+// testTopology is a topology of branches and hubs with one transfer asked for by each cache and class.
+func testTopology(caches []int, hubs []float64, homes []int) *Topology {
 	t := &Topology{UsualLoad: 1, BypassAllowed: true, TransitCost: 0.01, CacheSlowStartDuration: 10 * time.Second, CacheSlowStartFraction: 0.25, CacheOverloadMultiple: 2,
 		ParentSlowStartDuration: 20 * time.Second, ParentSlowStartFraction: 0.1, ParentOverloadMultiple: 2,
 		Classes: []Class{{Name: "media", LoadShare: 0.5, ServiceTime: 2 * time.Second, PriorityWeight: 2},
@@ -25,9 +25,9 @@
 	return t
 }
 
-// brute is the least cost over every way to send whole transfers to hubs or refuse them.
-func brute(p *Planner, alive []float64) (best float64, refuses bool) {
-	t := p.t
+// bruteForceCost is the least cost over every way to send whole transfers to hubs or refuse them.
+func bruteForceCost(p *Planner, alive []float64) (best float64, refuses bool) {
+	t := p.topology
 	type stream struct{ branch, class, units int }
 	var streams []stream
 	var hubs []int
@@ -41,7 +41,7 @@
 			links[i] = math.Inf(1)
 		}
 		for c := range t.Classes {
-			if work := t.fills(i, c, alive[i] == 0); work > 0 {
+			if work := t.fillDemand(i, c, alive[i] == 0); work > 0 {
 				streams = append(streams, stream{i, c, int(work + 0.5)})
 			}
 		}
@@ -76,23 +76,23 @@
 			if at+1 < len(streams) {
 				next = streams[at+1].units
 			}
-			try(at+1, 0, next, cost+float64(left)*p.refusalCost(s.class), refused+left)
+			try(at+1, 0, next, cost+float64(left)*p.rejectionCost(s.class), refused+left)
 			return
 		}
 		h := hubs[hub]
 		price := 0.0
 		switch home := t.Sites[s.branch].HomeHub; {
 		case h == straight:
-			price = t.TransitCost * p.meanDensity() * float64(len(hubs)-1)
+			price = t.TransitCost * p.meanValueDensity() * float64(len(hubs)-1)
 		case home == h || home < 0:
 		case room[home] > 0 || t.Sites[home].Capacity*alive[home] > 0: // its own hub is there
-			price = 0.5*p.leastDensity() + p.meanDensity()*t.TransitCost*float64(t.steps(home, h))
+			price = 0.5*p.minValueDensity() + p.meanValueDensity()*t.TransitCost*float64(t.ringDistance(home, h))
 		default:
-			price = p.meanDensity() * t.TransitCost * float64(t.steps(home, h))
+			price = p.meanValueDensity() * t.TransitCost * float64(t.ringDistance(home, h))
 		}
 		for n := 0; n <= left; n++ {
 			x := float64(n)
-			if n > 0 && (room[h] < x || links[s.branch] < x || origin < x || (h != straight && h != t.Sites[s.branch].HomeHub && p.forbidden(h, alive))) {
+			if n > 0 && (room[h] < x || links[s.branch] < x || origin < x || (h != straight && h != t.Sites[s.branch].HomeHub && p.isForbidden(h, alive))) {
 				break
 			}
 			room[h], links[s.branch], origin = room[h]-x, links[s.branch]-x, origin-x
@@ -114,7 +114,7 @@
 	sizes := []float64{0, 2, 5}
 	var hubs func(left int, have []float64)
 	one := func(caches []int, carries []float64, homes []int, link, origin float64, lost []int) {
-		w := world(caches, carries, homes)
+		w := testTopology(caches, carries, homes)
 		w.OriginCapacity, w.ParentHitRatio = origin, 0.5
 		for i := range w.Sites {
 			if !w.Sites[i].Hub {
@@ -125,22 +125,22 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		p.crowdPrice = 0 // it only settles ties, and whole transfers can't be shared as evenly as parts of them
-		alive := p.alive(nil)
+		p.congestionCost = 0 // it only settles ties, and whole transfers can't be shared as evenly as parts of them
+		alive := p.availability(nil)
 		for _, i := range lost {
 			alive[i] = 0
 		}
-		got := p.flow(alive, 1)
-		want, must := brute(p, alive)
+		got := p.solveFlow(alive, 1)
+		want, must := bruteForceCost(p, alive)
 		if math.Abs(got.cost-want) > 1e-6 {
 			t.Fatalf("caches %v, hubs %v, homes %v, link %v, origin %v, lost %v: costs %v, the best of all ways %v",
 				caches, carries, homes, link, origin, lost, got.cost, want)
 		}
-		if must != got.refused {
+		if must != got.rejects {
 			t.Fatalf("caches %v, hubs %v, link %v, origin %v, lost %v: refuses %v, must %v (cost %v)", caches, carries, link,
-				origin, lost, got.refused, must, want)
+				origin, lost, got.rejects, must, want)
 		}
-		if cases++; got.refused {
+		if cases++; got.rejects {
 			refusing++
 		}
 	}
@@ -190,7 +190,7 @@
 			caches = append(caches, rapid.IntRange(0, 12).Draw(t, "caches"))
 			homes = append(homes, rapid.IntRange(0, n-1).Draw(t, "home"))
 		}
-		w := world(caches, hubs, homes)
+		w := testTopology(caches, hubs, homes)
 		w.UsualLoad = rapid.Float64Range(0.1, 2).Draw(t, "load")
 		w.CacheHitRatio = rapid.Float64Range(0, 1).Draw(t, "hits")
 		w.ParentHitRatio = rapid.Float64Range(0, 0.99).Draw(t, "parent hits")
@@ -206,11 +206,11 @@
 				lost = append(lost, s.Name)
 			}
 		}
-		alive := p.alive(lost)
-		f := p.flow(alive, 1)
+		alive := p.availability(lost)
+		f := p.solveFlow(alive, 1)
 		for h, s := range w.Sites {
-			if s.Hub && f.into(w, s.Name) > s.Capacity*alive[h]+1e-6 {
-				t.Errorf("%s gets %v of %v (alive %v)", s.Name, f.into(w, s.Name), s.Capacity, alive[h])
+			if s.Hub && f.intoHub(w, s.Name) > s.Capacity*alive[h]+1e-6 {
+				t.Errorf("%s gets %v of %v (alive %v)", s.Name, f.intoHub(w, s.Name), s.Capacity, alive[h])
 			}
 		}
 		plan, err := p.Plan(lost...)
@@ -233,7 +233,7 @@
 		}
 		before := 1.0 + 1e-6
 		for _, load := range []float64{0.5, 1, 2, 4} {
-			now := p.worth(p.flow(alive, load))
+			now := p.valueServed(p.solveFlow(alive, load))
 			if now > before+1e-6 {
 				t.Errorf("at %v times the load %v of it is served, at less %v", load, now, before)
 			}
@@ -253,7 +253,7 @@
 
 // Hubs that are as near as each other share what a lost one leaves, and none is filled while another is idle.
 func TestNeighboursShareALostHub(t *testing.T) {
-	w := world([]int{4, 0, 0}, []float64{8, 8, 8}, []int{0, 1, 2})
+	w := testTopology([]int{4, 0, 0}, []float64{8, 8, 8}, []int{0, 1, 2})
 	p, err := NewPlanner(w, Overrides{})
 	if err != nil {
 		t.Fatal(err)
@@ -265,7 +265,7 @@
 }
 
 func TestWhatIsRefusedFirst(t *testing.T) {
-	w := world([]int{10, 10}, []float64{20, 10}, []int{0, 1})
+	w := testTopology([]int{10, 10}, []float64{20, 10}, []int{0, 1})
 	w.CacheHitRatio = 0
 	w.Classes = append(w.Classes, Class{Name: "repayment", LoadShare: 0.2, ServiceTime: 10 * time.Second, PriorityWeight: 1, NonIdempotent: true})
 	w.Classes[0].LoadShare, w.Classes[1].LoadShare = 0.4, 0.4
@@ -297,7 +297,7 @@
 
 // Where no one may take a branch's clients, the plan says so.
 func TestWhatCantBeMetIsSaid(t *testing.T) {
-	w := world([]int{3, 3}, []float64{4, 4}, []int{0, 1})
+	w := testTopology([]int{3, 3}, []float64{4, 4}, []int{0, 1})
 	w.BypassAllowed, w.CacheHitRatio = false, 0.5
 	p, err := NewPlanner(w, Overrides{})
 	if err != nil {
@@ -324,7 +324,7 @@
 }
 
 func TestWishesThatCantHoldAreNamed(t *testing.T) {
-	w := world([]int{4, 4}, []float64{10, 10, 2}, []int{0, 1})
+	w := testTopology([]int{4, 4}, []float64{10, 10, 2}, []int{0, 1})
 	w.CacheHitRatio = 0.5
 	for key, wish := range map[string]Overrides{
 		"plan.pin[0].share: 1.5":                 {Pins: []Pin{{"hub-a", "branch-1", "hub-b", 1.5}}},
--- a/internal/failover/table.go
+++ b/internal/failover/table.go
@@ -18,11 +18,11 @@
 	fmt.Fprintln(w, name)
 	fmt.Fprintf(w, "  %-14s %-9s %-44s %s\n", "branch", "load by", "fills by", "served at the usual load")
 	for _, b := range p.Branches {
-		fmt.Fprintf(w, "  %-14s %-9s %-44s %s\n", b.Name, b.ServedBy, parts(b.FillShares), parts(b.ServedShares))
+		fmt.Fprintf(w, "  %-14s %-9s %-44s %s\n", b.Name, b.ServedBy, formatShares(b.FillShares), formatShares(b.ServedShares))
 	}
 	switch {
 	case p.NeverRejects:
-		fmt.Fprintf(w, "  refusing: not below %d times the usual load\n", neverRefuse)
+		fmt.Fprintf(w, "  refusing: not below %d times the usual load\n", maxLoadSearched)
 	case p.RejectionStart == 0:
 		fmt.Fprintln(w, "  refusing: at any load")
 	default:
@@ -39,7 +39,7 @@
 	}
 }
 
-func parts(by map[string]float64) string {
+func formatShares(by map[string]float64) string {
 	var list []string
 	for _, name := range slices.Sorted(maps.Keys(by)) {
 		list = append(list, fmt.Sprintf("%s %.0f%%", name, 100*by[name]))
@@ -53,9 +53,9 @@
 // AllPlans are the plans that operators read before the bad day: nothing lost, each site, and each pair of sites.
 func (p *Planner) AllPlans() (plans []*Plan) {
 	sets := [][]string{nil}
-	for i, a := range p.t.Sites {
+	for i, a := range p.topology.Sites {
 		sets = append(sets, []string{a.Name})
-		for _, b := range p.t.Sites[i+1:] {
+		for _, b := range p.topology.Sites[i+1:] {
 			sets = append(sets, []string{a.Name, b.Name})
 		}
 	}
--- a/internal/failover/topology.go
+++ b/internal/failover/topology.go
@@ -36,8 +36,8 @@
 	Uncacheable    bool          // runs at the origin, and takes next to nothing of links
 }
 
-// density is the worth of a second of sending: what is lost for each unit of the scarce thing that is saved.
-func (c Class) density() float64 { return c.PriorityWeight / c.ServiceTime.Seconds() }
+// valueDensity is the worth of a second of sending: what is lost for each unit of the scarce thing that is saved.
+func (c Class) valueDensity() float64 { return c.PriorityWeight / c.ServiceTime.Seconds() }
 
 // Topology is what a plan is made for.
 type Topology struct {
@@ -61,21 +61,21 @@
 
 // Figures that hold where neither settings nor operators tell one.
 const (
-	usualLoad   = 0.6 // of a branch's links
-	usualHits   = 0.7
-	parentHits  = 0.6
-	usualWork   = 100 * time.Millisecond
-	originRoom  = 1.5 // times what it is asked for at the usual load that an origin of unknown size can give
-	coldUse     = 0.5 // part of a cold budget that is used: the router's own margin for chance
-	neverRefuse = 16  // times the usual load beyond which nobody asks when refusing begins
+	defaultLoad           = 0.6 // of a branch's links
+	defaultCacheHitRatio  = 0.7
+	defaultParentHitRatio = 0.6
+	defaultServiceTime    = 100 * time.Millisecond
+	originHeadroom        = 1.5 // times what it is asked for at the usual load that an origin of unknown size can give
+	coldBudgetUse         = 0.5 // part of a cold budget that is used: the router's own margin for chance
+	maxLoadSearched       = 16  // times the usual load beyond which nobody asks when refusing begins
 )
 
 // NewTopology takes the topology from a director's settings and the list of servers that it knows. Draining and gone
 // servers carry nothing.
 func NewTopology(s *routing.Settings, members []routing.Endpoint, w Overrides) (*Topology, error) {
 	f, g := &s.Tiers, &s.Guarantees
-	t := &Topology{BypassAllowed: f.BypassAllowed, UsualLoad: cmp.Or(w.UsualLoad, usualLoad),
-		CacheHitRatio: cmp.Or(w.CacheHitRatio, usualHits), ParentHitRatio: cmp.Or(w.ParentHitRatio, parentHits), OriginCapacity: w.OriginCapacity,
+	t := &Topology{BypassAllowed: f.BypassAllowed, UsualLoad: cmp.Or(w.UsualLoad, defaultLoad),
+		CacheHitRatio: cmp.Or(w.CacheHitRatio, defaultCacheHitRatio), ParentHitRatio: cmp.Or(w.ParentHitRatio, defaultParentHitRatio), OriginCapacity: w.OriginCapacity,
 		TransitCost:            f.TransitCost,
 		CacheSlowStartDuration: g.SlowStartDuration, CacheSlowStartFraction: g.SlowStartFraction, CacheOverloadMultiple: g.OverloadMultiple,
 		ParentSlowStartDuration: f.ParentSlowStartDuration, ParentSlowStartFraction: f.ParentSlowStartFraction, ParentOverloadMultiple: f.ParentOverloadMultiple}
@@ -115,7 +115,7 @@
 		}
 	}
 	for i, c := range s.Classes {
-		k := Class{Name: c.Name, LoadShare: 1 / float64(len(s.Classes)), ServiceTime: usualWork, PriorityWeight: c.PriorityWeight,
+		k := Class{Name: c.Name, LoadShare: 1 / float64(len(s.Classes)), ServiceTime: defaultServiceTime, PriorityWeight: c.PriorityWeight,
 			NonIdempotent: c.Idempotency == "non_idempotent"}
 		k.Uncacheable = i < len(f.Uncacheable) && f.Uncacheable[i]
 		if ms := w.ServiceTimeMS[c.Name]; ms > 0 {
@@ -127,7 +127,7 @@
 		t.Classes = append(t.Classes, k)
 	}
 	for name, carries := range w.SiteCapacities {
-		if i := t.site(name); i >= 0 {
+		if i := t.siteIndex(name); i >= 0 {
 			t.Sites[i].Capacity = carries
 		}
 	}
@@ -136,41 +136,41 @@
 		by    map[string]float64
 		place func(string) int
 		kind  string
-	}{{"plan.carries", w.SiteCapacities, t.site, "site"}, {"plan.shares", w.ClassShares, t.class, "class"},
-		{"plan.work_ms", w.ServiceTimeMS, t.class, "class"}} {
+	}{{"plan.carries", w.SiteCapacities, t.siteIndex, "site"}, {"plan.shares", w.ClassShares, t.classIndex, "class"},
+		{"plan.work_ms", w.ServiceTimeMS, t.classIndex, "class"}} {
 		for _, name := range slices.Sorted(maps.Keys(m.by)) {
 			if m.place(name) < 0 {
-				return nil, wrong(m.key+"."+name, "the settings have no such %s", m.kind)
+				return nil, overrideErrorf(m.key+"."+name, "the settings have no such %s", m.kind)
 			}
 		}
 	}
 	if t.OriginCapacity == 0 {
-		t.OriginCapacity = originRoom * t.passedOn()
+		t.OriginCapacity = originHeadroom * t.uncacheableDemand()
 		for b, s := range t.Sites {
 			for c := range t.Classes {
 				if !s.Hub {
-					t.OriginCapacity += originRoom * t.fills(b, c, false) * (1 - t.ParentHitRatio)
+					t.OriginCapacity += originHeadroom * t.fillDemand(b, c, false) * (1 - t.ParentHitRatio)
 				}
 			}
 		}
 	}
-	return t, t.check()
+	return t, t.validate()
 }
 
-func (t *Topology) class(name string) int {
+func (t *Topology) classIndex(name string) int {
 	return slices.IndexFunc(t.Classes, func(c Class) bool { return c.Name == name })
 }
 
-func (t *Topology) site(name string) int {
+func (t *Topology) siteIndex(name string) int {
 	return slices.IndexFunc(t.Sites, func(s Site) bool { return s.Name == name })
 }
 
-// check names what a plan can't be made of.
-func (t *Topology) check() error {
+// validate names what a plan can't be made of.
+func (t *Topology) validate() error {
 	sum := 0.0
 	for _, c := range t.Classes {
 		if !(c.LoadShare >= 0 && c.LoadShare <= 1) {
-			return wrong("plan.shares."+c.Name, "%v of the work", c.LoadShare)
+			return overrideErrorf("plan.shares."+c.Name, "%v of the work", c.LoadShare)
 		}
 		if c.ServiceTime <= 0 || !(c.PriorityWeight >= 0) {
 			return fmt.Errorf("class %s: work %v, worth %v", c.Name, c.ServiceTime, c.PriorityWeight)
@@ -178,7 +178,7 @@
 		sum += c.LoadShare
 	}
 	if math.Abs(sum-1) > 0.01 {
-		return wrong("plan.shares", "the classes' shares make %.3f, not 1", sum)
+		return overrideErrorf("plan.shares", "the classes' shares make %.3f, not 1", sum)
 	}
 	for _, s := range t.Sites {
 		if !(s.Capacity >= 0) || !(s.IngressCapacity >= 0) {
@@ -188,8 +188,8 @@
 	return nil
 }
 
-// steps is the way round the ring between two hubs.
-func (t *Topology) steps(a, b int) int {
+// ringDistance is the way round the ring between two hubs.
+func (t *Topology) ringDistance(a, b int) int {
 	n := 0
 	for _, s := range t.Sites {
 		if s.Hub {
@@ -203,15 +203,15 @@
 	return min(d, max(n-d, 0))
 }
 
-// asked is the work that a branch is asked for at the usual load, in transfers. Traffic goes with the capacity that
+// demand is the work that a branch is demand for at the usual load, in transfers. Traffic goes with the capacity that
 // the branch was built with: the clients of a lost branch are still there.
-func (t *Topology) asked(branch int) float64 { return t.UsualLoad * t.Sites[branch].Capacity }
+func (t *Topology) demand(branch int) float64 { return t.UsualLoad * t.Sites[branch].Capacity }
 
-// fills is the part of a class's work at a branch that comes from hubs: what its caches lack, and all of it where
+// fillDemand is the part of a class's work at a branch that comes from hubs: what its caches lack, and all of it where
 // there are none and parents may be asked in their place.
-func (t *Topology) fills(branch, class int, lost bool) float64 {
+func (t *Topology) fillDemand(branch, class int, lost bool) float64 {
 	c := t.Classes[class]
-	asked := t.asked(branch) * c.LoadShare
+	asked := t.demand(branch) * c.LoadShare
 	switch {
 	case c.Uncacheable:
 		return 0
@@ -223,12 +223,12 @@
 	return asked * (1 - t.CacheHitRatio)
 }
 
-// passedOn is the work of all branches that runs at the origin alone.
-func (t *Topology) passedOn() (sum float64) {
+// uncacheableDemand is the work of all branches that runs at the origin alone.
+func (t *Topology) uncacheableDemand() (sum float64) {
 	for b, s := range t.Sites {
 		for _, c := range t.Classes {
 			if !s.Hub && c.Uncacheable {
-				sum += t.asked(b) * c.LoadShare
+				sum += t.demand(b) * c.LoadShare
 			}
 		}
 	}
--- a/internal/failover/wishes.go
+++ b/internal/failover/wishes.go
@@ -44,7 +44,9 @@
 
 func (e *OverrideError) Error() string { return e.Key + ": " + e.Reason }
 
-func wrong(key, format string, a ...any) error { return &OverrideError{key, fmt.Sprintf(format, a...)} }
+func overrideErrorf(key, format string, a ...any) error {
+	return &OverrideError{key, fmt.Sprintf(format, a...)}
+}
 
 // ValidateRanges names the first key whose value can't be used by any installation.
 func (w *Overrides) ValidateRanges() error {
@@ -54,7 +56,7 @@
 	}{{"plan.usual_load", w.UsualLoad, 0, 4}, {"plan.hits", w.CacheHitRatio, 0, 1}, {"plan.parent_hits", w.ParentHitRatio, 0, 1},
 		{"plan.origin", w.OriginCapacity, 0, 1e9}, {"plan.move_per_s", w.ShiftRatePerS, 0, 1}, {"plan.stay_ms", w.MinLostMS, 0, 600_000}} {
 		if !(r.value >= r.low && r.value <= r.high) {
-			return wrong(r.key, "%v is not within %v and %v", r.value, r.low, r.high)
+			return overrideErrorf(r.key, "%v is not within %v and %v", r.value, r.low, r.high)
 		}
 	}
 	for _, m := range []struct {
@@ -64,7 +66,7 @@
 	}{{"plan.carries", w.SiteCapacities, 1e9}, {"plan.shares", w.ClassShares, 1}, {"plan.work_ms", w.ServiceTimeMS, 600_000}} {
 		for _, name := range slices.Sorted(maps.Keys(m.by)) {
 			if v := m.by[name]; !(v >= 0 && v <= m.most) {
-				return wrong(m.key+"."+name, "%v is not within 0 and %v", v, m.most)
+				return overrideErrorf(m.key+"."+name, "%v is not within 0 and %v", v, m.most)
 			}
 		}
 	}
@@ -72,83 +74,83 @@
 	for i, p := range w.Pins {
 		key := fmt.Sprintf("plan.pin[%d].", i)
 		if !(p.Share > 0 && p.Share <= 1) {
-			return wrong(key+"share", "%v is not above 0 and at most 1", p.Share)
+			return overrideErrorf(key+"share", "%v is not above 0 and at most 1", p.Share)
 		}
 		of := p.Lost + "\x00" + p.From
-		if sums[of] += p.Share; sums[of] > 1+whole {
-			return wrong(key+"share", "the pins of %s while %s is lost make %.3f, more than 1", p.From, p.Lost, sums[of])
+		if sums[of] += p.Share; sums[of] > 1+epsilon {
+			return overrideErrorf(key+"share", "the pins of %s while %s is lost make %.3f, more than 1", p.From, p.Lost, sums[of])
 		}
 	}
 	return nil
 }
 
-// check holds the wishes against a topology: sites and classes that it does not have, a pin to a site that is lost
+// validate holds the wishes against a topology: sites and classes that it does not have, a pin to a site that is lost
 // itself, sites that would have to take each other's load, and pins that can't hold at the usual load.
-func (w *Overrides) check(t *Topology) error {
+func (w *Overrides) validate(t *Topology) error {
 	if err := w.ValidateRanges(); err != nil {
 		return err
 	}
 	hub := func(key, name string) error {
-		switch i := t.site(name); {
+		switch i := t.siteIndex(name); {
 		case i < 0:
-			return wrong(key, "%q is no site of the settings", name)
+			return overrideErrorf(key, "%q is no site of the settings", name)
 		case !t.Sites[i].Hub:
-			return wrong(key, "%s is a branch: only hubs take fills, and caches of other branches take no clients' requests", name)
+			return overrideErrorf(key, "%s is a branch: only hubs take fills, and caches of other branches take no clients' requests", name)
 		}
 		return nil
 	}
 	for i, p := range w.Pins {
 		key := fmt.Sprintf("plan.pin[%d].", i)
-		if t.site(p.Lost) < 0 {
-			return wrong(key+"lost", "%q is no site of the settings", p.Lost)
+		if t.siteIndex(p.Lost) < 0 {
+			return overrideErrorf(key+"lost", "%q is no site of the settings", p.Lost)
 		}
-		from := t.site(p.From)
+		from := t.siteIndex(p.From)
 		if from < 0 {
-			return wrong(key+"from", "%q is no site of the settings", p.From)
+			return overrideErrorf(key+"from", "%q is no site of the settings", p.From)
 		}
 		if t.Sites[from].Hub {
-			return wrong(key+"from", "%s is a hub: fills come from branches", p.From)
+			return overrideErrorf(key+"from", "%s is a hub: fills come from branches", p.From)
 		}
 		if err := hub(key+"to", p.To); err != nil {
 			return err
 		}
 		if p.To == p.Lost {
-			return wrong(key+"to", "%s can't take what it has lost itself", p.To)
+			return overrideErrorf(key+"to", "%s can't take what it has lost itself", p.To)
 		}
 		if p.From == p.Lost && !t.BypassAllowed {
-			return wrong(key+"from", "%s is lost, and parents take no clients' requests here: it has no fills", p.From)
+			return overrideErrorf(key+"from", "%s is lost, and parents take no clients' requests here: it has no fills", p.From)
 		}
 		for j, f := range w.Forbids {
 			if f.Lost == p.Lost && f.To == p.To {
-				return wrong(key+"to", "%s may not take anything while %s is lost (plan.forbid[%d])", p.To, p.Lost, j)
+				return overrideErrorf(key+"to", "%s may not take anything while %s is lost (plan.forbid[%d])", p.To, p.Lost, j)
 			}
 		}
 	}
 	for i, f := range w.Forbids {
 		key := fmt.Sprintf("plan.forbid[%d].", i)
-		if t.site(f.Lost) < 0 {
-			return wrong(key+"lost", "%q is no site of the settings", f.Lost)
+		if t.siteIndex(f.Lost) < 0 {
+			return overrideErrorf(key+"lost", "%q is no site of the settings", f.Lost)
 		}
 		if err := hub(key+"to", f.To); err != nil {
 			return err
 		}
 	}
 	for i, name := range w.RejectionOrder {
-		switch c := t.class(name); {
+		switch c := t.classIndex(name); {
 		case c < 0:
-			return wrong("plan.order", "%q is no class", name)
+			return overrideErrorf("plan.order", "%q is no class", name)
 		case slices.Contains(w.RejectionOrder[:i], name):
-			return wrong("plan.order", "%s is named twice", name)
+			return overrideErrorf("plan.order", "%s is named twice", name)
 		}
 	}
-	return w.loops(t)
+	return w.checkPinLoops(t)
 }
 
-// loops finds hubs that are pinned to take all of each other's load: with both lost the pins would send it round.
-func (w *Overrides) loops(t *Topology) error {
+// checkPinLoops finds hubs that are pinned to take all of each other's load: with both lost the pins would send it round.
+func (w *Overrides) checkPinLoops(t *Topology) error {
 	takes := map[string]map[string]int{} // lost to taker, and by which pin, for what is pinned whole
 	for i, p := range w.Pins {
-		if p.Share > 1-whole {
+		if p.Share > 1-epsilon {
 			if takes[p.Lost] == nil {
 				takes[p.Lost] = map[string]int{}
 			}
@@ -159,11 +161,11 @@
 	walk = func(at string, way []string) error {
 		if slices.Contains(way, at) {
 			i := takes[way[len(way)-1]][at]
-			return wrong(fmt.Sprintf("plan.pin[%d].to", i), "sites take each other's load in a loop: %s",
+			return overrideErrorf(fmt.Sprintf("plan.pin[%d].to", i), "sites take each other's load in a loop: %s",
 				strings.Join(append(way[slices.Index(way, at):], at), ", "))
 		}
 		for i, p := range w.Pins { // in the order of the file, so that the same key is named each time
-			if p.Lost == at && takes[at][p.To] == i && p.Share > 1-whole {
+			if p.Lost == at && takes[at][p.To] == i && p.Share > 1-epsilon {
 				if err := walk(p.To, append(slices.Clone(way), at)); err != nil {
 					return err
 				}
--- a/internal/nettest/nettest.go
+++ b/internal/nettest/nettest.go
@@ -15,13 +15,13 @@
 	"time"
 )
 
-// hang is how long a step may take before the story counts as stuck. No story's verdict hangs on it.
-const hang = 20 * time.Second
+// stepTimeout is how long a step may take before the story counts as stuck. No story's verdict hangs on it.
+const stepTimeout = 20 * time.Second
 
 // Server is a scripted peer's listener.
 type Server struct {
-	t testing.TB
-	l *net.TCPListener
+	t        testing.TB
+	listener *net.TCPListener
 }
 
 // Listen opens a listener on a free loopback port.
@@ -36,32 +36,32 @@
 }
 
 // Addr is the listener's address.
-func (s *Server) Addr() string { return s.l.Addr().String() }
+func (s *Server) Addr() string { return s.listener.Addr().String() }
 
 // Close refuses connections from now on.
-func (s *Server) Close() { s.l.Close() }
+func (s *Server) Close() { s.listener.Close() }
 
 // Accept waits for the next connection.
 func (s *Server) Accept() *Conn {
 	s.t.Helper()
-	s.l.SetDeadline(time.Now().Add(hang))
-	c, err := s.l.Accept()
+	s.listener.SetDeadline(time.Now().Add(stepTimeout))
+	c, err := s.listener.Accept()
 	if err != nil {
 		s.t.Fatalf("accept: %v", err)
 	}
-	return wrap(s.t, c)
+	return newConn(s.t, c)
 }
 
 // Conn is one end of a connection; a step that fails ends the test.
 type Conn struct {
-	t testing.TB
-	c net.Conn
-	r *bufio.Reader
+	t      testing.TB
+	conn   net.Conn
+	reader *bufio.Reader
 }
 
-func wrap(t testing.TB, c net.Conn) *Conn {
+func newConn(t testing.TB, c net.Conn) *Conn {
 	t.Cleanup(func() { c.Close() })
-	c.SetDeadline(time.Now().Add(hang))
+	c.SetDeadline(time.Now().Add(stepTimeout))
 	return &Conn{t, c, bufio.NewReader(c)}
 }
 
@@ -72,44 +72,44 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return wrap(t, c)
+	return newConn(t, c)
 }
 
 // Send writes bytes as they are.
 func (c *Conn) Send(text string) {
 	c.t.Helper()
-	if _, err := io.WriteString(c.c, text); err != nil {
+	if _, err := io.WriteString(c.conn, text); err != nil {
 		c.t.Fatalf("send: %v", err)
 	}
 }
 
 // TrySend writes bytes and tells whether the other side could still take them.
 func (c *Conn) TrySend(text string) bool {
-	_, err := io.WriteString(c.c, text)
+	_, err := io.WriteString(c.conn, text)
 	return err == nil
 }
 
 // TryReadReply reads the next message; false: the other side has ended the connection.
 func (c *Conn) TryReadReply() (Reply, bool) {
-	if _, err := c.r.Peek(1); err != nil {
+	if _, err := c.reader.Peek(1); err != nil {
 		return Reply{}, false
 	}
 	return c.ReadReply(), true
 }
 
 // SetReadBuffer bounds what the system takes in for the test before the test reads it.
-func (c *Conn) SetReadBuffer(bytes int) { c.c.(*net.TCPConn).SetReadBuffer(bytes) }
+func (c *Conn) SetReadBuffer(bytes int) { c.conn.(*net.TCPConn).SetReadBuffer(bytes) }
 
 // Reset closes the connection so that the other side sees a reset.
 func (c *Conn) Reset() {
-	c.c.(*net.TCPConn).SetLinger(0)
-	c.c.Close()
+	c.conn.(*net.TCPConn).SetLinger(0)
+	c.conn.Close()
 }
 
 // ReadUntilClose waits for the other side to close the connection and tells what came before that.
 func (c *Conn) ReadUntilClose() string {
 	c.t.Helper()
-	b, err := io.ReadAll(c.r)
+	b, err := io.ReadAll(c.reader)
 	if e, ok := err.(net.Error); ok && e.Timeout() {
 		c.t.Fatal("the connection is still open")
 	}
@@ -120,7 +120,7 @@
 // have taken an answer with it, ends the test.
 func (c *Conn) ReadUntilEOF() string {
 	c.t.Helper()
-	b, err := io.ReadAll(c.r)
+	b, err := io.ReadAll(c.reader)
 	if err != nil {
 		c.t.Fatalf("end of the connection: %v", err)
 	}
@@ -128,12 +128,12 @@
 }
 
 // Close closes the connection.
-func (c *Conn) Close() { c.c.Close() }
+func (c *Conn) Close() { c.conn.Close() }
 
 // ReadLine reads a line, without its end.
 func (c *Conn) ReadLine() string {
 	c.t.Helper()
-	s, err := c.r.ReadString('\n')
+	s, err := c.reader.ReadString('\n')
 	if err != nil {
 		c.t.Fatalf("line: %v", err)
 	}
@@ -153,7 +153,7 @@
 		if err != nil {
 			c.t.Fatalf("bulk string: %v", err)
 		}
-		words[i] = string(c.bytes(size + 2)[:size])
+		words[i] = string(c.readBytes(size + 2)[:size])
 	}
 	return words
 }
@@ -169,10 +169,10 @@
 	c.Send(b.String())
 }
 
-func (c *Conn) bytes(n int) []byte {
+func (c *Conn) readBytes(n int) []byte {
 	c.t.Helper()
 	b := make([]byte, n)
-	if _, err := io.ReadFull(c.r, b); err != nil {
+	if _, err := io.ReadFull(c.reader, b); err != nil {
 		c.t.Fatalf("read: %v", err)
 	}
 	return b
@@ -232,7 +232,7 @@
 // ReadReply reads the next message.
 func (c *Conn) ReadReply() (r Reply) {
 	c.t.Helper()
-	p := c.bytes(int(binary.BigEndian.Uint32(c.bytes(4))))
+	p := c.readBytes(int(binary.BigEndian.Uint32(c.readBytes(4))))
 	take := func(n int) []byte {
 		if n > len(p) {
 			c.t.Fatalf("message cut short")
--- a/internal/sitehealth/view.go
+++ b/internal/sitehealth/view.go
@@ -34,31 +34,31 @@
 	return [...]string{"well", "member lost", "lost", "cut off", "returning", "relapsed", "slow"}[s]
 }
 
-// gone tells that nothing is sent there but looks.
-func (s State) gone() bool { return s == Lost || s == Unreachable || s == Relapsed }
+// unavailable tells that nothing is sent there but looks.
+func (s State) unavailable() bool { return s == Lost || s == Unreachable || s == Relapsed }
 
 // Figures of the view.
 const (
-	enough     = 2.0                    // servers that have failed, with none that answered between
-	half       = 0.5                    // and more than this part of those that are ready
-	silentOnce = 0.5                    // of a server, that one silence counts for: an answer may be lost
-	silentMore = 0.25                   // and each further one
-	failAge    = 5 * time.Second        // after which a failure counts no more
-	leastStay  = time.Second            // in a state, before a site may leave it for a better one
-	backRate   = 0.25                   // part of a hub's objects that go back to it in a second
-	waitFirst  = 500 * time.Millisecond // after a loss, before an answer counts as a return; doubled by each relapse
-	waitOwn    = 100 * time.Millisecond // and of our own branch: its load moves nowhere, so that waiting only refuses it
-	waitMost   = 8 * time.Second
-	lookEvery  = 500 * time.Millisecond // between two looks at a server of our lost branch
-	wanted     = 2                      // uses of an object from which it counts as wanted
-	claimOnce  = 4.0                    // times its work that one which is not must find room for
-	calmFor    = 20 * time.Second       // a site that was well for so long has its relapses forgotten
-	startsAt   = 0.1                    // part of its load that a returning site gets at once
-	wellAfter  = 8                      // answers in a row that a returning site must have given: no clock alone heals it
-	aloneAfter = time.Second            // nobody anywhere has answered for so long while several sites were asked: it is us
-	aloneSites = 2
-	slowUnder  = 0.5 // part of the fills that go on to the origin, under which it is called slow
-	slowUntil  = 1.0 // and until when
+	minFailedServers     = 2.0                    // servers that have failed, with none that answered between
+	failedShare          = 0.5                    // and more than this part of those that are ready
+	firstTimeoutWeight   = 0.5                    // of a server, that one silence counts for: an answer may be lost
+	nextTimeoutWeight    = 0.25                   // and each further one
+	failureMaxAge        = 5 * time.Second        // after which a failure counts no more
+	minStateTime         = time.Second            // in a state, before a site may leave it for a better one
+	defaultRecoveryRate  = 0.25                   // part of a hub's objects that go back to it in a second
+	remoteHoldoff        = 500 * time.Millisecond // after a loss, before an answer counts as a return; doubled by each relapse
+	ownHoldoff           = 100 * time.Millisecond // and of our own branch: its load moves nowhere, so that waiting only refuses it
+	maxHoldoff           = 8 * time.Second
+	probeInterval        = 500 * time.Millisecond // between two looks at a server of our lost branch
+	popularUses          = 2                      // uses of an object from which it counts as wanted
+	unpopularCost        = 4.0                    // times its work that one which is not must find room for
+	relapseMemory        = 20 * time.Second       // a site that was well for so long has its relapses forgotten
+	initialRecoveryShare = 0.1                    // part of its load that a returning site gets at once
+	recoveryResponses    = 8                      // answers in a row that a returning site must have given: no clock alone heals it
+	isolationDelay       = time.Second            // nobody anywhere has answered for so long while several sites were asked: it is us
+	isolationMinSites    = 2
+	originSlowBelow      = 0.5 // part of the fills that go on to the origin, under which it is called slow
+	originHealthyFrom    = 1.0 // and until when
 )
 
 // Config is what a view is made for.
@@ -92,18 +92,18 @@
 type Monitor struct {
 	Options // set before the first event
 
-	c         Config
-	pull      []float64 // by zone: what the weight of its parents counts
-	advice    FailoverShares
-	planned   bool // it is for what the sites' askedLost and askedCarries hold
-	sites     []site
-	heard     Time // the last answer from anybody
-	asked     Time // the first failure since then
-	alone     bool
-	origin    State
-	aloneFrom Time
-	changes   []StateChange
-	Counters  Counters
+	config        Config
+	weightFactors []float64 // by zone: what the weight of its parents counts
+	shares        FailoverShares
+	sharesCurrent bool // it is for what the sites' askedLost and askedCarries hold
+	sites         []site
+	lastResponse  Time // the last answer from anybody
+	firstFailure  Time // the first failure since then
+	isolated      bool
+	originState   State
+	isolatedSince Time
+	changes       []StateChange
+	Counters      Counters
 }
 
 // Counters count changes of state.
@@ -119,7 +119,7 @@
 // String is the change as a line of the log.
 func (c StateChange) String() string {
 	if c.Site == "" {
-		if c.To.gone() {
+		if c.To.unavailable() {
 			return "we are cut off: " + c.Evidence
 		}
 		return "we are cut off no more: " + c.Evidence
@@ -128,37 +128,37 @@
 }
 
 type site struct {
-	members []*Member
-	state   State
-	since   Time
-	good    Time // the last answer
-	goods   int  // answers since it began to return
-	wait    time.Duration
-	seen    bool    // it has had members
-	fresh   bool    // some of what returns has started anew: it is cold and empty, and gets its load by and by
-	carries float64 // weight of all of its servers when most of them were there
+	members      []*Member
+	state        State
+	since        Time
+	lastResponse Time // the last answer
+	responses    int  // answers since it began to return
+	holdoff      time.Duration
+	everReady    bool    // it has had members
+	restarted    bool    // some of what returns has started anew: it is cold and empty, and gets its load by and by
+	capacity     float64 // weight of all of its servers when most of them were there
 
-	askedLost    bool // what the plan was asked with last
-	askedCarries float64
+	plannedLost     bool // what the plan was asked with last
+	plannedCapacity float64
 }
 
 // Member is a server, as the view knows it. Its zero is none, and takes any evidence.
 type Member struct {
-	v       *Monitor
-	zone    int
-	weight  float64
-	up      bool // listed as ready
-	started Time
-	good    Time
-	refused Time // 0: not since it answered last
-	silent  Time
-	silence int // in a row
+	monitor      *Monitor
+	zone         int
+	weight       float64
+	ready        bool // listed as ready
+	started      Time
+	lastResponse Time
+	lastRefusal  Time // 0: not since it answered last
+	lastTimeout  Time
+	timeouts     int // in a row
 }
 
 // New returns a view in which all is well.
 func New(c Config) *Monitor {
-	v := &Monitor{c: c, sites: make([]site, max(len(c.ZoneNames), c.OwnZone+1, c.HubZone+1)), pull: make([]float64, max(len(c.ZoneNames), c.OwnZone+1, c.HubZone+1))}
-	v.pull[c.HubZone] = 1
+	v := &Monitor{config: c, sites: make([]site, max(len(c.ZoneNames), c.OwnZone+1, c.HubZone+1)), weightFactors: make([]float64, max(len(c.ZoneNames), c.OwnZone+1, c.HubZone+1))}
+	v.weightFactors[c.HubZone] = 1
 	return v
 }
 
@@ -172,25 +172,25 @@
 	anew := up && started != 0 && (m == nil || started != m.started)
 	switch {
 	case m == nil:
-		m = &Member{v: v, zone: zone}
+		m = &Member{monitor: v, zone: zone}
 		s.members = append(s.members, m)
 	case started != m.started:
-		m.refused, m.silent, m.silence, m.good = 0, 0, 0, 0
+		m.lastRefusal, m.lastTimeout, m.timeouts, m.lastResponse = 0, 0, 0, 0
 	}
-	m.weight, m.up, m.started = weight, up, started
+	m.weight, m.ready, m.started = weight, up, started
 	sum := 0.0
 	for _, o := range s.members {
-		if o.up {
+		if o.ready {
 			sum += o.weight
 		}
 	}
-	s.carries = max(s.carries, sum)
-	if anew && s.state.gone() && now >= s.since+s.wait {
+	s.capacity = max(s.capacity, sum)
+	if anew && s.state.unavailable() && now >= s.since+s.holdoff {
 		// It counts as a sign of life of a site that is lost, but not as an answer.
-		v.change(now, zone, Recovering, "the list has a new server")
+		v.transition(now, zone, Recovering, "the list has a new server")
 	}
-	s.fresh = s.fresh || (anew && (s.state.gone() || s.state == Recovering))
-	s.seen = s.seen || up
+	s.restarted = s.restarted || (anew && (s.state.unavailable() || s.state == Recovering))
+	s.everReady = s.everReady || up
 	return m
 }
 
@@ -199,7 +199,7 @@
 	if m == nil {
 		return
 	}
-	s := &m.v.sites[m.zone]
+	s := &m.monitor.sites[m.zone]
 	for i, o := range s.members {
 		if o == m {
 			s.members = append(s.members[:i], s.members[i+1:]...)
@@ -213,22 +213,22 @@
 	if m == nil {
 		return
 	}
-	v, s := m.v, &m.v.sites[m.zone]
-	m.good, m.refused, m.silent, m.silence = now, 0, 0, 0
-	s.good = now
-	s.goods++
-	v.heard, v.asked = now, 0
-	if v.alone {
-		v.alone = false
-		v.note(-1, Lost, Healthy, fmt.Sprintf("%s answers after %v", v.name(m.zone), now-v.aloneFrom))
+	v, s := m.monitor, &m.monitor.sites[m.zone]
+	m.lastResponse, m.lastRefusal, m.lastTimeout, m.timeouts = now, 0, 0, 0
+	s.lastResponse = now
+	s.responses++
+	v.lastResponse, v.firstFailure = now, 0
+	if v.isolated {
+		v.isolated = false
+		v.recordChange(-1, Lost, Healthy, fmt.Sprintf("%s answers after %v", v.zoneName(m.zone), now-v.isolatedSince))
 		for i := range v.sites { // what was silent meanwhile was our own silence
 			for _, o := range v.sites[i].members {
-				o.silent, o.silence = 0, 0
+				o.lastTimeout, o.timeouts = 0, 0
 			}
 		}
 	}
-	if s.state.gone() && now >= s.since+s.wait {
-		v.change(now, m.zone, Recovering, "a server answers")
+	if s.state.unavailable() && now >= s.since+s.holdoff {
+		v.transition(now, m.zone, Recovering, "a server answers")
 	}
 }
 
@@ -237,8 +237,8 @@
 	if m == nil {
 		return
 	}
-	m.refused = now
-	m.v.failed(now)
+	m.lastRefusal = now
+	m.monitor.noteFailure(now)
 }
 
 // RecordSourceFailure: a cache could not reach the server as its source: at once, as one that refuses, or after a wait.
@@ -256,8 +256,8 @@
 	if m == nil {
 		return false
 	}
-	for _, o := range m.v.sites[m.zone].members {
-		if failed := max(o.refused, o.silent); o != m && o.up && (failed == 0 || now-failed > failAge) {
+	for _, o := range m.monitor.sites[m.zone].members {
+		if failed := max(o.lastRefusal, o.lastTimeout); o != m && o.ready && (failed == 0 || now-failed > failureMaxAge) {
 			return true
 		}
 	}
@@ -267,36 +267,36 @@
 // RecordTimeout: an attempt that was sent at a time is over and got nothing out of the server, though an answer was due. Where
 // the server has spoken since, it was the answer that was lost.
 func (m *Member) RecordTimeout(now, sent Time) {
-	if m == nil || m.good > sent {
+	if m == nil || m.lastResponse > sent {
 		return
 	}
-	m.silent = now
-	m.silence++
-	m.v.failed(now)
+	m.lastTimeout = now
+	m.timeouts++
+	m.monitor.noteFailure(now)
 }
 
-func (v *Monitor) failed(now Time) {
-	if v.asked == 0 {
-		v.asked = now
+func (v *Monitor) noteFailure(now Time) {
+	if v.firstFailure == 0 {
+		v.firstFailure = now
 	}
 }
 
-// failing is what counts against a site: servers that have failed since anybody there answered last, each once, in the
+// failureEvidence is what counts against a site: servers that have failed since anybody there answered last, each once, in the
 // worth of a proven one; and how many of them are silent.
-func (s *site) failing(now Time) (sum, silent float64, n int) {
-	from := s.good
+func (s *site) failureEvidence(now Time) (sum, silent float64, n int) {
+	from := s.lastResponse
 	if s.state == Recovering {
 		from = max(from, s.since) // what was before the return says nothing of it
 	}
 	for _, m := range s.members {
-		refused := m.refused > from && now-m.refused <= failAge
-		quiet := m.silent > from && now-m.silent <= failAge
+		refused := m.lastRefusal > from && now-m.lastRefusal <= failureMaxAge
+		quiet := m.lastTimeout > from && now-m.lastTimeout <= failureMaxAge
 		switch {
 		case refused:
 			sum++
 			n++
 		case quiet:
-			part := min(1, silentOnce+silentMore*float64(m.silence-1))
+			part := min(1, firstTimeoutWeight+nextTimeoutWeight*float64(m.timeouts-1))
 			sum, silent = sum+part, silent+part
 			n++
 		}
@@ -304,10 +304,10 @@
 	return sum, silent, n
 }
 
-// ready is the number of servers that the list has as ready.
-func (s *site) ready() (n int) {
+// readyMembers is the number of servers that the list has as readyMembers.
+func (s *site) readyMembers() (n int) {
 	for _, m := range s.members {
-		if m.up {
+		if m.ready {
 			n++
 		}
 	}
@@ -317,66 +317,66 @@
 // Tick brings the states up to date, and tells what has changed since the last call. It is called often, some twenty
 // times a second. Open is the part of the fills that go on to the origin.
 func (v *Monitor) Tick(now Time, open float64, changed func(StateChange)) {
-	if to := v.origin; open < slowUnder && to == Healthy {
-		v.origin = Slow
+	if to := v.originState; open < originSlowBelow && to == Healthy {
+		v.originState = Slow
 		v.Counters.OriginSlowdowns++
 		v.changes = append(v.changes, StateChange{"origin", to, Slow, fmt.Sprintf("%.2f of the fills go on to it", open)})
-	} else if open >= slowUntil && to == Slow {
-		v.origin = Healthy
+	} else if open >= originHealthyFrom && to == Slow {
+		v.originState = Healthy
 		v.changes = append(v.changes, StateChange{"origin", to, Healthy, "all fills go on to it"})
 	}
-	v.tellAlone(now)
+	v.detectIsolation(now)
 	for z := range v.sites {
-		if v.sites[z].seen {
-			v.judge(now, z)
+		if v.sites[z].everReady {
+			v.evaluate(now, z)
 		}
 	}
-	v.draw(now)
+	v.updateWeightFactors(now)
 	for _, c := range v.changes {
 		changed(c)
 	}
 	v.changes = v.changes[:0]
 }
 
-// tellAlone tells whether it is us who are cut off: nobody has answered for a while, and servers of several sites were
+// detectIsolation tells whether it is us who are cut off: nobody has answered for a while, and servers of several sites were
 // asked in vain. Then no site is called lost, however silent: a director that can't see must not send all its load
 // elsewhere, nor come back as from the end of the world.
-func (v *Monitor) tellAlone(now Time) {
-	if v.alone || v.asked == 0 || now-max(v.asked, v.heard) < aloneAfter {
+func (v *Monitor) detectIsolation(now Time) {
+	if v.isolated || v.firstFailure == 0 || now-max(v.firstFailure, v.lastResponse) < isolationDelay {
 		return
 	}
 	sites, members := 0, 0
 	for z := range v.sites {
 		s := &v.sites[z]
 		for _, m := range s.members {
-			if m.refused > v.heard {
+			if m.lastRefusal > v.lastResponse {
 				return // somebody's machine refuses: we do get through
 			}
 		}
-		if _, silent, n := s.failing(now); silent > 0 {
+		if _, silent, n := s.failureEvidence(now); silent > 0 {
 			sites, members = sites+1, members+n
 		}
 	}
 	if v.DiscoveryStale != nil && v.DiscoveryStale() {
 		sites++
 	}
-	if sites >= aloneSites {
-		v.alone, v.aloneFrom = true, v.asked
+	if sites >= isolationMinSites {
+		v.isolated, v.isolatedSince = true, v.firstFailure
 		v.Counters.Isolations++
-		v.note(-1, Healthy, Lost, fmt.Sprintf("%d servers of %d sites silent for %v, nobody answers", members, sites, now-v.asked))
+		v.recordChange(-1, Healthy, Lost, fmt.Sprintf("%d servers of %d sites silent for %v, nobody answers", members, sites, now-v.firstFailure))
 	}
 }
 
-func (v *Monitor) judge(now Time, zone int) {
+func (v *Monitor) evaluate(now Time, zone int) {
 	s := &v.sites[zone]
-	sum, silent, n := s.failing(now)
-	ready := s.ready()
-	need := min(max(enough, half*float64(ready)+0.25), float64(max(ready, 1)))
+	sum, silent, n := s.failureEvidence(now)
+	ready := s.readyMembers()
+	need := min(max(minFailedServers, failedShare*float64(ready)+0.25), float64(max(ready, 1)))
 	lost, how := false, ""
 	switch {
 	case ready == 0:
 		lost, how = true, "the list has no server left"
-	case sum >= need-1e-9 && !v.alone:
+	case sum >= need-1e-9 && !v.isolated:
 		lost, how = true, fmt.Sprintf("%d of %d servers failed, %.1f of them silent, none answers", n, ready, silent)
 	}
 	worse := Lost
@@ -385,30 +385,30 @@
 	}
 	switch {
 	case lost && s.state == Recovering:
-		s.wait = min(waitMost, 2*s.wait)
+		s.holdoff = min(maxHoldoff, 2*s.holdoff)
 		v.Counters.Relapses++
-		v.change(now, zone, Relapsed, how)
-	case lost && !s.state.gone():
-		if now-s.since > calmFor {
-			s.wait = 0
+		v.transition(now, zone, Relapsed, how)
+	case lost && !s.state.unavailable():
+		if now-s.since > relapseMemory {
+			s.holdoff = 0
 		}
-		s.wait = max(s.wait, v.first(zone))
-		v.change(now, zone, worse, how)
-	case s.state == Recovering && !lost && n == 0 && s.goods >= wellAfter && (!s.fresh || v.ramp(now, s) >= 1):
+		s.holdoff = max(s.holdoff, v.initialHoldoff(zone))
+		v.transition(now, zone, worse, how)
+	case s.state == Recovering && !lost && n == 0 && s.responses >= recoveryResponses && (!s.restarted || v.recoveryShare(now, s) >= 1):
 		v.Counters.Recoveries++
-		v.change(now, zone, Healthy, fmt.Sprintf("%d answers in %v", s.goods, now-s.since))
-	case s.state.gone() && !lost && s.good > s.since && now >= s.since+s.wait:
-		v.change(now, zone, Recovering, "a server has answered")
+		v.transition(now, zone, Healthy, fmt.Sprintf("%d answers in %v", s.responses, now-s.since))
+	case s.state.unavailable() && !lost && s.lastResponse > s.since && now >= s.since+s.holdoff:
+		v.transition(now, zone, Recovering, "a server has answered")
 	case s.state == Healthy && n > 0 && !lost:
-		v.change(now, zone, Degraded, fmt.Sprintf("%d of %d servers failed", n, ready))
-	case s.state == Degraded && n == 0 && now-s.since >= leastStay:
-		v.change(now, zone, Healthy, "none fails")
+		v.transition(now, zone, Degraded, fmt.Sprintf("%d of %d servers failed", n, ready))
+	case s.state == Degraded && n == 0 && now-s.since >= minStateTime:
+		v.transition(now, zone, Healthy, "none fails")
 	}
 }
 
-func (v *Monitor) change(now Time, zone int, to State, evidence string) {
+func (v *Monitor) transition(now Time, zone int, to State, evidence string) {
 	s := &v.sites[zone]
-	v.note(zone, s.state, to, evidence)
+	v.recordChange(zone, s.state, to, evidence)
 	switch to {
 	case Lost:
 		v.Counters.Losses++
@@ -417,72 +417,72 @@
 	case Recovering:
 		v.Counters.RecoveriesStarted++
 	}
-	s.state, s.since, s.goods = to, now, 0
-	s.fresh = s.fresh && (to == Recovering || to.gone())
+	s.state, s.since, s.responses = to, now, 0
+	s.restarted = s.restarted && (to == Recovering || to.unavailable())
 }
 
-func (v *Monitor) note(zone int, from, to State, evidence string) {
+func (v *Monitor) recordChange(zone int, from, to State, evidence string) {
 	name := ""
 	if zone >= 0 {
-		name = v.name(zone)
+		name = v.zoneName(zone)
 	}
 	v.changes = append(v.changes, StateChange{name, from, to, evidence})
 }
 
-func (v *Monitor) name(zone int) string {
-	if zone >= 0 && zone < len(v.c.ZoneNames) {
-		return v.c.ZoneNames[zone]
+func (v *Monitor) zoneName(zone int) string {
+	if zone >= 0 && zone < len(v.config.ZoneNames) {
+		return v.config.ZoneNames[zone]
 	}
 	return fmt.Sprint("zone ", zone)
 }
 
-// first is the shortest wait of a site.
-func (v *Monitor) first(zone int) time.Duration {
-	if zone == v.c.OwnZone {
-		return waitOwn
+// initialHoldoff is the shortest wait of a site.
+func (v *Monitor) initialHoldoff(zone int) time.Duration {
+	if zone == v.config.OwnZone {
+		return ownHoldoff
 	}
-	return cmp.Or(v.MinLostTime, waitFirst)
+	return cmp.Or(v.MinLostTime, remoteHoldoff)
 }
 
-// ramp is the part of its load that a returning hub may have by the time since it came back.
-func (v *Monitor) ramp(now Time, s *site) float64 {
-	return min(1, startsAt+cmp.Or(v.ShiftRate, backRate)*(now-s.since).Seconds())
+// recoveryShare is the part of its load that a returning hub may have by the time since it came back.
+func (v *Monitor) recoveryShare(now Time, s *site) float64 {
+	return min(1, initialRecoveryShare+cmp.Or(v.ShiftRate, defaultRecoveryRate)*(now-s.since).Seconds())
 }
 
-// draw works out which hub pulls how much. Parents of a branch's own hub count with their weight, those of others not
+// updateWeightFactors works out which hub pulls how much. Parents of a branch's own hub count with their weight, those of others not
 // at all, but for the part that the own hub does not get: that is shared among the others as the plan says. Objects are
 // placed by a hash in which these weights count, so that with each change only those objects move that have to.
-func (v *Monitor) draw(now Time) {
-	own := v.CapacityShare(now, v.c.HubZone)
-	clear(v.pull)
-	if v.pull[v.c.HubZone] = own; own >= 1 {
-		v.advice, v.planned = FailoverShares{}, false
+func (v *Monitor) updateWeightFactors(now Time) {
+	own := v.CapacityShare(now, v.config.HubZone)
+	clear(v.weightFactors)
+	if v.weightFactors[v.config.HubZone] = own; own >= 1 {
+		v.shares, v.sharesCurrent = FailoverShares{}, false
 		return
 	}
-	v.consult()
+	v.refreshShares()
 	for z := range v.sites {
-		share, carries := 1.0, v.sites[z].carries
-		if len(v.advice.HubShares) == len(v.sites) {
-			share = v.advice.HubShares[z]
+		share, carries := 1.0, v.sites[z].capacity
+		if len(v.shares.HubShares) == len(v.sites) {
+			share = v.shares.HubShares[z]
 		}
-		if z != v.c.HubZone && carries > 0 {
-			v.pull[z] = (1 - own) * share * v.CapacityShare(now, z) * max(v.sites[v.c.HubZone].carries, 1) / carries
+		if z != v.config.HubZone && carries > 0 {
+			v.weightFactors[z] = (1 - own) * share * v.CapacityShare(now, z) * max(v.sites[v.config.HubZone].capacity, 1) / carries
 		}
 	}
 }
 
-// consult asks the plan, again only when what it is asked has changed: a plan takes far longer than a tick may.
-func (v *Monitor) consult() {
+// refreshShares asks the plan, again only when what it is asked has changed: a plan takes far longer than a tick may.
+func (v *Monitor) refreshShares() {
 	if v.Plan == nil {
 		return
 	}
-	same := v.planned
+	same := v.sharesCurrent
 	for z := range v.sites {
 		s := &v.sites[z]
 		// Our hub counts as lost also while it comes back: what it does not get yet goes where all of it went.
-		lost := s.state.gone() || z == v.c.HubZone
-		same = same && lost == s.askedLost && s.carries == s.askedCarries
-		s.askedLost, s.askedCarries = lost, s.carries
+		lost := s.state.unavailable() || z == v.config.HubZone
+		same = same && lost == s.plannedLost && s.capacity == s.plannedCapacity
+		s.plannedLost, s.plannedCapacity = lost, s.capacity
 	}
 	if same {
 		return
@@ -490,29 +490,29 @@
 	var lost []int
 	carries := make([]float64, len(v.sites))
 	for z := range v.sites {
-		if carries[z] = v.sites[z].carries; v.sites[z].askedLost {
+		if carries[z] = v.sites[z].capacity; v.sites[z].plannedLost {
 			lost = append(lost, z)
 		}
 	}
-	v.advice, v.planned = v.Plan(lost, carries), true
+	v.shares, v.sharesCurrent = v.Plan(lost, carries), true
 }
 
 // WeightFactor is what the weight of a zone's parents counts for the objects of our branch; 0: they come after all others.
 func (v *Monitor) WeightFactor(zone int) float64 {
-	if zone < 0 || zone >= len(v.pull) {
+	if zone < 0 || zone >= len(v.weightFactors) {
 		return 0
 	}
-	return v.pull[zone]
+	return v.weightFactors[zone]
 }
 
 // FillShare is the part of a class's fills that may go on to the origin, by the plan and by the pace at which a lost hub's
 // objects move to others, which hold none of them yet.
 func (v *Monitor) FillShare(now Time, class int) float64 {
 	part := 1.0
-	if class < len(v.advice.FillShares) {
-		part = v.advice.FillShares[class]
+	if class < len(v.shares.FillShares) {
+		part = v.shares.FillShares[class]
 	}
-	if s := &v.sites[v.c.HubZone]; v.ShiftRate > 0 && s.state.gone() {
+	if s := &v.sites[v.config.HubZone]; v.ShiftRate > 0 && s.state.unavailable() {
 		part = min(part, v.ShiftRate*(now-s.since).Seconds())
 	}
 	return part
@@ -522,7 +522,7 @@
 func (v *Monitor) State(zone int) (State, Time) { return v.sites[zone].state, v.sites[zone].since }
 
 // Isolated tells that the director itself is cut off.
-func (v *Monitor) Isolated() bool { return v.alone }
+func (v *Monitor) Isolated() bool { return v.isolated }
 
 // CapacityShare is the part of its usual load that a site may get now. A site that comes back in part gets a part: as much as
 // of its servers are ready and have not failed.
@@ -531,23 +531,23 @@
 		return 0
 	}
 	switch s := &v.sites[zone]; {
-	case !s.seen, s.state == Healthy, s.state == Degraded:
+	case !s.everReady, s.state == Healthy, s.state == Degraded:
 		return 1
-	case s.state.gone():
+	case s.state.unavailable():
 		return 0
-	case s.fresh:
-		return min(v.ramp(now, s), max(s.present(now), startsAt))
+	case s.restarted:
+		return min(v.recoveryShare(now, s), max(s.presentShare(now), initialRecoveryShare))
 	default: // it holds what it held: to spread its objects now would have others fetch them once more
-		return max(s.present(now), startsAt)
+		return max(s.presentShare(now), initialRecoveryShare)
 	}
 }
 
-// present is the part of a site's servers, by weight, that are ready and have not failed lately.
-func (s *site) present(now Time) float64 {
+// presentShare is the part of a site's servers, by weight, that are ready and have not failed lately.
+func (s *site) presentShare(now Time) float64 {
 	have, all := 0.0, 0.0
 	for _, m := range s.members {
 		all += m.weight
-		if m.up && (m.refused == 0 || now-m.refused > failAge) {
+		if m.ready && (m.lastRefusal == 0 || now-m.lastRefusal > failureMaxAge) {
 			have += m.weight
 		}
 	}
@@ -559,13 +559,15 @@
 
 // OwnBranchUnavailable tells that nothing can be done for the clients of our branch, as its caches are lost, or we are cut off. Looks
 // go on, at all times: they tell when it is over.
-func (v *Monitor) OwnBranchUnavailable() bool { return v.alone || v.sites[v.c.OwnZone].state.gone() }
+func (v *Monitor) OwnBranchUnavailable() bool {
+	return v.isolated || v.sites[v.config.OwnZone].state.unavailable()
+}
 
 // AdmissionCost is how many times its work a request must find room for in the cold budget of a cache of our branch. While that
 // comes back, what is asked for once leaves room for what is wanted more; what runs at the origin is never held back so.
 func (v *Monitor) AdmissionCost(uses int, passOn bool) float64 {
-	if uses < wanted && !passOn && v.sites[v.c.OwnZone].state == Recovering {
-		return claimOnce
+	if uses < popularUses && !passOn && v.sites[v.config.OwnZone].state == Recovering {
+		return unpopularCost
 	}
 	return 1
 }
@@ -574,7 +576,7 @@
 // one tells of all, so that what a look costs is worth it at any time.
 func (v *Monitor) ProbeInterval() time.Duration {
 	if v.OwnBranchUnavailable() {
-		return lookEvery
+		return probeInterval
 	}
 	return math.MaxInt64
 }
@@ -583,8 +585,8 @@
 // return. A client that is refused may as well stay away for that long. 0: the site is not lost.
 func (v *Monitor) NextProbeIn(now Time, zone int) time.Duration {
 	s := &v.sites[zone]
-	if !s.state.gone() {
+	if !s.state.unavailable() {
 		return 0
 	}
-	return max(lookEvery/2, s.since+s.wait-now)
+	return max(probeInterval/2, s.since+s.holdoff-now)
 }
--- a/internal/sitehealth/view_test.go
+++ b/internal/sitehealth/view_test.go
@@ -14,17 +14,17 @@
 
 // fleet is a branch of five caches (zone 2) with its own hub of two parents (zone 0) and another hub of two (zone 1).
 type fleet struct {
-	t     *testing.T
-	v     *Monitor
-	now   Time
-	m     map[string]*Member
-	lines []string
-	open  float64 // part of the fills that go on to the origin
+	t           *testing.T
+	monitor     *Monitor
+	now         Time
+	members     map[string]*Member
+	changes     []string
+	originShare float64 // part of the fills that go on to the origin
 }
 
 func newFleet(t *testing.T) *fleet {
-	f := &fleet{t: t, v: New(Config{ZoneNames: []string{"west", "east", "edge"}, OwnZone: 2, HubZone: 0}), now: 100 * time.Second,
-		m: map[string]*Member{}, open: 1}
+	f := &fleet{t: t, monitor: New(Config{ZoneNames: []string{"west", "east", "edge"}, OwnZone: 2, HubZone: 0}), now: 100 * time.Second,
+		members: map[string]*Member{}, originShare: 1}
 	for zone, n := range []int{2, 2, 5} {
 		for i := range n {
 			f.join(fmt.Sprintf("%c%d", "wec"[zone], i), zone, true, 0)
@@ -34,7 +34,7 @@
 }
 
 func (f *fleet) join(name string, zone int, up bool, started Time) {
-	f.m[name] = f.v.UpdateMember(f.now, f.m[name], zone, 10, up, started)
+	f.members[name] = f.monitor.UpdateMember(f.now, f.members[name], zone, 10, up, started)
 }
 
 // play does steps: "c1 answers", "c1 refuses", "c1 silent", "200" (milliseconds pass), "c1 gone", "c1 starts".
@@ -53,11 +53,11 @@
 				f.tick()
 			}
 		case "answers":
-			f.m[who].RecordResponse(f.now)
+			f.members[who].RecordResponse(f.now)
 		case "refuses":
-			f.m[who].RecordRefusal(f.now)
+			f.members[who].RecordRefusal(f.now)
 		case "silent":
-			f.m[who].RecordTimeout(f.now, f.now-300*ms)
+			f.members[who].RecordTimeout(f.now, f.now-300*ms)
 		case "gone":
 			f.join(who, zone, false, 0)
 		case "starts":
@@ -70,12 +70,12 @@
 }
 
 func (f *fleet) tick() {
-	f.v.Tick(f.now, f.open, func(c StateChange) { f.lines = append(f.lines, c.String()) })
+	f.monitor.Tick(f.now, f.originShare, func(c StateChange) { f.changes = append(f.changes, c.String()) })
 }
 
-func (f *fleet) state(zone int) State { s, _ := f.v.State(zone); return s }
+func (f *fleet) state(zone int) State { s, _ := f.monitor.State(zone); return s }
 
-func all(what string, who ...string) string {
+func stepsFor(what string, who ...string) string {
 	var steps []string
 	for _, w := range who {
 		steps = append(steps, w+" "+what)
@@ -98,20 +98,20 @@
 		"three refuse, none answers":           {"c0 refuses, 100, c1 refuses, 100, c2 refuses, 100", 2, Lost},
 		"two of five refuse, none answers":     {"c0 refuses, c1 refuses, 100", 2, Degraded},
 		"one answer is lost":                   {"c0 silent, c1 silent, c2 silent, 100", 2, Degraded},
-		"all are silent":                       {all("silent", append(caches, caches...)...) + ", 100", 2, Unreachable},
-		"three are silent for long":            {strings.Repeat(all("silent", "c0", "c1", "c2")+", ", 3) + "100", 2, Unreachable},
+		"all are silent":                       {stepsFor("silent", append(caches, caches...)...) + ", 100", 2, Unreachable},
+		"three are silent for long":            {strings.Repeat(stepsFor("silent", "c0", "c1", "c2")+", ", 3) + "100", 2, Unreachable},
 		"failures that are long past":          {"c0 refuses, 4900, c1 answers, 200, c1 refuses, 100", 2, Degraded},
-		"the list has none left":               {all("gone", caches...) + ", 100", 2, Lost},
-		"the list has one left":                {all("gone", caches[1:]...) + ", 100", 2, Healthy},
-		"one left, and it refuses":             {all("gone", caches[1:]...) + ", c0 refuses, 100", 2, Lost},
+		"the list has none left":               {stepsFor("gone", caches...) + ", 100", 2, Lost},
+		"the list has one left":                {stepsFor("gone", caches[1:]...) + ", 100", 2, Healthy},
+		"one left, and it refuses":             {stepsFor("gone", caches[1:]...) + ", c0 refuses, 100", 2, Lost},
 		"a hub is lost":                        {"w0 refuses, w1 refuses, 100", 0, Lost},
 		"and the other is not":                 {"w0 refuses, w1 refuses, 100", 1, Healthy},
 		"one answers, before its time to":      {"c0 refuses, c1 refuses, c3 refuses, 50, c2 answers, 50", 2, Lost},
 		"an answer behind it":                  {"c0 refuses, c1 refuses, c3 refuses, 100, c2 answers, 500", 2, Recovering},
 		"by the list, before anybody is asked": {"c0 refuses, c1 refuses, c3 refuses, 600, c2 starts, 50", 2, Recovering},
 		"time alone heals nobody":              {"c0 refuses, c1 refuses, c3 refuses, 600, c2 starts, 60000", 2, Recovering},
-		"eight answers do": {"c0 refuses, c1 refuses, c3 refuses, 600, " + all("starts", caches...) +
-			", 5000, " + all("answers", append(caches, caches...)...) + ", 100", 2, Healthy},
+		"eight answers do": {"c0 refuses, c1 refuses, c3 refuses, 600, " + stepsFor("starts", caches...) +
+			", 5000, " + stepsFor("answers", append(caches, caches...)...) + ", 100", 2, Healthy},
 		"lost again on the way": {"c0 refuses, c1 refuses, c3 refuses, 600, c2 answers, 50, c2 refuses, c0 refuses, c3 refuses, 100", 2, Relapsed},
 		"and it waits longer": {"c0 refuses, c1 refuses, c3 refuses, 600, c2 answers, 50, c2 refuses, c0 refuses, c3 refuses, 100, c2 answers, 50",
 			2, Relapsed},
@@ -119,7 +119,7 @@
 			2, Recovering},
 	} {
 		if f := newFleet(t).play(c.script); f.state(c.zone) != c.want {
-			t.Errorf("%s: %v, want %v: %q", name, f.state(c.zone), c.want, f.lines)
+			t.Errorf("%s: %v, want %v: %q", name, f.state(c.zone), c.want, f.changes)
 		}
 	}
 }
@@ -128,7 +128,7 @@
 func TestClaimsWhileOurBranchReturns(t *testing.T) {
 	f := newFleet(t)
 	claims := func() string {
-		return fmt.Sprint(f.v.AdmissionCost(1, false), f.v.AdmissionCost(2, false), f.v.AdmissionCost(1, true))
+		return fmt.Sprint(f.monitor.AdmissionCost(1, false), f.monitor.AdmissionCost(2, false), f.monitor.AdmissionCost(1, true))
 	}
 	if got := claims(); got != "1 1 1" {
 		t.Errorf("well: %s", got)
@@ -142,7 +142,7 @@
 // An installation may have other sites stay lost for longer; our own branch returns as soon as it can.
 func TestStayIsForOtherSites(t *testing.T) {
 	f := newFleet(t)
-	f.v.MinLostTime = 3 * time.Second
+	f.monitor.MinLostTime = 3 * time.Second
 	f.play("w0 refuses, w1 refuses, c0 refuses, c1 refuses, c3 refuses, 2000, w0 answers, c0 answers, 50")
 	if f.state(0) != Lost || f.state(2) != Recovering {
 		t.Errorf("after 2 s of 3: the hub is %v, our branch %v", f.state(0), f.state(2))
@@ -156,39 +156,39 @@
 func TestSlowOriginIsToldOnce(t *testing.T) {
 	f := newFleet(t)
 	for _, open := range []float64{0.9, 0.4, 0.6, 0.3, 0.95, 1, 0.7, 1} {
-		f.open = open
+		f.originShare = open
 		f.play("100")
 	}
-	if got := strings.Join(f.lines, "; "); got != "site origin: slow, was well: 0.40 of the fills go on to it; site origin: well, was slow: all fills go on to it" {
+	if got := strings.Join(f.changes, "; "); got != "site origin: slow, was well: 0.40 of the fills go on to it; site origin: well, was slow: all fills go on to it" {
 		t.Errorf("%s", got)
 	}
 }
 
 // A director that hears nobody is cut off itself: it calls nobody lost, and takes up its work where it was.
 func TestCutOffItself(t *testing.T) {
-	silence := all("silent", "c0", "c1", "c2", "w0", "w1", "e0", "e1")
+	silence := stepsFor("silent", "c0", "c1", "c2", "w0", "w1", "e0", "e1")
 	f := newFleet(t).play("c0 answers, 100, c0 silent, w0 silent, 1000, " + silence + ", 100")
-	if !f.v.Isolated() || f.v.Counters.Isolations != 1 {
-		t.Fatalf("not known as cut off: %q", f.lines)
+	if !f.monitor.Isolated() || f.monitor.Counters.Isolations != 1 {
+		t.Fatalf("not known as cut off: %q", f.changes)
 	}
 	f.play(silence + ", " + silence + ", 3000")
 	for z := range 3 {
-		if f.state(z).gone() {
-			t.Errorf("zone %d is %v: %q", z, f.state(z), f.lines)
+		if f.state(z).unavailable() {
+			t.Errorf("zone %d is %v: %q", z, f.state(z), f.changes)
 		}
 	}
-	if !f.v.OwnBranchUnavailable() {
+	if !f.monitor.OwnBranchUnavailable() {
 		t.Error("it can do nothing for its clients, and does not say so")
 	}
 	f.play("c1 answers, 100")
-	if f.v.Isolated() || f.v.OwnBranchUnavailable() || f.state(2) != Healthy || f.v.CapacityShare(f.now, 0) != 1 {
-		t.Errorf("not back as it was: %q", f.lines)
+	if f.monitor.Isolated() || f.monitor.OwnBranchUnavailable() || f.state(2) != Healthy || f.monitor.CapacityShare(f.now, 0) != 1 {
+		t.Errorf("not back as it was: %q", f.changes)
 	}
 	// One site silent, another refusing or answering: it is not us.
 	for _, sign := range []string{"e0 answers", "e0 refuses"} {
-		f := newFleet(t).play("w0 silent, c0 silent, 500, " + sign + ", " + all("silent", "c0", "c1", "c2", "c3", "c4", "c0", "c1") + ", 1200, " + sign + ", 100")
-		if f.v.Isolated() || f.state(2) != Unreachable {
-			t.Errorf("%s: alone %v, the branch %v", sign, f.v.Isolated(), f.state(2))
+		f := newFleet(t).play("w0 silent, c0 silent, 500, " + sign + ", " + stepsFor("silent", "c0", "c1", "c2", "c3", "c4", "c0", "c1") + ", 1200, " + sign + ", 100")
+		if f.monitor.Isolated() || f.state(2) != Unreachable {
+			t.Errorf("%s: alone %v, the branch %v", sign, f.monitor.Isolated(), f.state(2))
 		}
 	}
 }
@@ -197,57 +197,57 @@
 func TestPullsFollowThePlan(t *testing.T) {
 	f := newFleet(t)
 	consulted := 0
-	f.v.Plan = func(lost []int, carries []float64) FailoverShares {
+	f.monitor.Plan = func(lost []int, carries []float64) FailoverShares {
 		consulted++
 		if !slices.Equal(lost, []int{0}) || !slices.Equal(carries, []float64{20, 20, 50}) {
 			t.Errorf("asked with %v lost of %v", lost, carries)
 		}
 		return FailoverShares{HubShares: []float64{0, 0.8, 0}, FillShares: []float64{1, 0.25}}
 	}
-	f.v.ShiftRate = 0.5
+	f.monitor.ShiftRate = 0.5
 	defer func() {
 		if consulted != 2 {
 			t.Errorf("the plan was asked %d times for two losses of the same site", consulted)
 		}
 	}()
-	if f.play("100"); f.v.WeightFactor(0) != 1 || f.v.WeightFactor(1) != 0 || f.v.FillShare(f.now, 1) != 1 {
-		t.Errorf("well: pulls %v, %v", f.v.WeightFactor(0), f.v.WeightFactor(1))
+	if f.play("100"); f.monitor.WeightFactor(0) != 1 || f.monitor.WeightFactor(1) != 0 || f.monitor.FillShare(f.now, 1) != 1 {
+		t.Errorf("well: pulls %v, %v", f.monitor.WeightFactor(0), f.monitor.WeightFactor(1))
 	}
 	f.play("w0 refuses, w1 refuses, 1000")
-	if f.v.WeightFactor(0) != 0 || f.v.WeightFactor(1) != 0.8 || f.v.FillShare(f.now, 1) != 0.25 {
-		t.Errorf("lost: pulls %v, %v, fills %v", f.v.WeightFactor(0), f.v.WeightFactor(1), f.v.FillShare(f.now, 1))
+	if f.monitor.WeightFactor(0) != 0 || f.monitor.WeightFactor(1) != 0.8 || f.monitor.FillShare(f.now, 1) != 0.25 {
+		t.Errorf("lost: pulls %v, %v, fills %v", f.monitor.WeightFactor(0), f.monitor.WeightFactor(1), f.monitor.FillShare(f.now, 1))
 	}
-	if part := f.v.FillShare(f.now, 0); part < 0.3 || part > 0.5 {
+	if part := f.monitor.FillShare(f.now, 0); part < 0.3 || part > 0.5 {
 		t.Errorf("a second after the loss at half a second's rate, %v of the fills have moved", part)
 	}
 	// The hub is back as it was: it holds what it held, and has its objects back but for the part that is missing.
 	f.play("w0 answers, 50")
-	if f.v.WeightFactor(0) != 0.5 {
-		t.Errorf("half of it is back and pulls %v", f.v.WeightFactor(0))
+	if f.monitor.WeightFactor(0) != 0.5 {
+		t.Errorf("half of it is back and pulls %v", f.monitor.WeightFactor(0))
 	}
-	if f.play("w1 answers, 50"); f.v.WeightFactor(0) != 1 {
-		t.Errorf("all of it is back and pulls %v", f.v.WeightFactor(0))
+	if f.play("w1 answers, 50"); f.monitor.WeightFactor(0) != 1 {
+		t.Errorf("all of it is back and pulls %v", f.monitor.WeightFactor(0))
 	}
 	// Lost again, it comes back with new servers, cold and empty: its load returns by and by.
-	f.play(all("answers", "w0", "w1", "w0", "w1", "w0", "w1", "w0", "w1") + ", 100, w0 refuses, w1 refuses, 600")
+	f.play(stepsFor("answers", "w0", "w1", "w0", "w1", "w0", "w1", "w0", "w1") + ", 100, w0 refuses, w1 refuses, 600")
 	f.play("w0 starts, w1 starts, 50")
-	before, most := f.v.WeightFactor(0), 0.5*0.05
-	if before <= 0 || before > startsAt+most+1e-9 {
+	before, most := f.monitor.WeightFactor(0), 0.5*0.05
+	if before <= 0 || before > initialRecoveryShare+most+1e-9 {
 		t.Errorf("comes back with %v of it", before)
 	}
 	for range 60 {
 		f.play("w0 answers, w1 answers, 50")
-		own := f.v.WeightFactor(0)
+		own := f.monitor.WeightFactor(0)
 		if own < before || own-before > most+1e-9 {
 			t.Fatalf("went from %v to %v of it in 50 ms", before, own)
 		}
-		if rest := f.v.WeightFactor(1); rest != 0 && (rest/0.8+own > 1+1e-9 || rest/0.8+own < 1-1e-9) {
+		if rest := f.monitor.WeightFactor(1); rest != 0 && (rest/0.8+own > 1+1e-9 || rest/0.8+own < 1-1e-9) {
 			t.Fatalf("parts %v and %v", own, rest)
 		}
 		before = own
 	}
-	if f.state(0) != Healthy || f.v.WeightFactor(0) != 1 {
-		t.Errorf("%v with %v", f.state(0), f.v.WeightFactor(0))
+	if f.state(0) != Healthy || f.monitor.WeightFactor(0) != 1 {
+		t.Errorf("%v with %v", f.state(0), f.monitor.WeightFactor(0))
 	}
 }
 
@@ -256,7 +256,7 @@
 	rapid.Check(t, func(rt *rapid.T) {
 		f := newFleet(t)
 		names := slices.Sorted(func(yield func(string) bool) {
-			for n := range f.m {
+			for n := range f.members {
 				if !yield(n) {
 					return
 				}
@@ -269,19 +269,19 @@
 				f.play(fmt.Sprint(rapid.IntRange(1, 1500).Draw(rt, "ms")))
 			}
 			for z := range 3 {
-				state, since := f.v.State(z)
-				if part := f.v.CapacityShare(f.now, z); !(part >= 0 && part <= 1) || (state.gone() && part != 0) || since > f.now {
+				state, since := f.monitor.State(z)
+				if part := f.monitor.CapacityShare(f.now, z); !(part >= 0 && part <= 1) || (state.unavailable() && part != 0) || since > f.now {
 					rt.Fatalf("zone %d is %v since %v and gets %v", z, state, since, part)
 				}
-				if p := f.v.WeightFactor(z); !(p >= 0 && p <= 2) {
+				if p := f.monitor.WeightFactor(z); !(p >= 0 && p <= 2) {
 					rt.Fatalf("zone %d pulls %v", z, p)
 				}
 			}
-			if wait := f.v.NextProbeIn(f.now, 2); wait < 0 || wait > waitMost || (wait > 0) != f.state(2).gone() {
+			if wait := f.monitor.NextProbeIn(f.now, 2); wait < 0 || wait > maxHoldoff || (wait > 0) != f.state(2).unavailable() {
 				rt.Fatalf("%v: look in %v", f.state(2), wait)
 			}
 		}
-		if c := f.v.Counters; c.Relapses > c.RecoveriesStarted || c.Recoveries > c.RecoveriesStarted {
+		if c := f.monitor.Counters; c.Relapses > c.RecoveriesStarted || c.Recoveries > c.RecoveriesStarted {
 			rt.Fatalf("%+v", c)
 		}
 	})
@@ -307,7 +307,7 @@
 			}
 		}
 	}
-	if c := f.v.Counters; c.Losses+c.Unreachable+c.Isolations != 0 {
+	if c := f.monitor.Counters; c.Losses+c.Unreachable+c.Isolations != 0 {
 		t.Errorf("%+v", c)
 	}
 }
--- a/internal/testbed/experiment.go
+++ b/internal/testbed/experiment.go
@@ -105,8 +105,8 @@
 	BaselineTimes float64 `toml:"baseline_times"`
 }
 
-// doings are the steps that there are, and what they are done to.
-var doings = map[string]string{
+// faultTargets are the steps that there are, and what they are done to.
+var faultTargets = map[string]string{
 	"idle": "directors", "kill": "directors", "start": "directors", "stop": "directors", "cont": "directors", "term": "directors",
 	"list-well": "list", "list-down": "list", "list-hang": "list", "list-half": "list", "list-slow": "list",
 	"list-older": "list", "list-break": "list", "list-flap": "directors",
@@ -137,14 +137,14 @@
 	if err := strictconfig.Decode(file, text, x); err != nil {
 		return nil, err
 	}
-	if key, why := x.check(); key != "" {
+	if key, why := x.firstInvalid(); key != "" {
 		return nil, fmt.Errorf("%s:%d: %s: %s", file, strictconfig.FindLine(text, key), key, why)
 	}
 	return x, nil
 }
 
-// check names the first key whose value is out of range.
-func (x *Experiment) check() (key, why string) {
+// firstInvalid names the first key whose value is out of range.
+func (x *Experiment) firstInvalid() (key, why string) {
 	type limit struct {
 		key              string
 		value, low, high float64
@@ -171,14 +171,14 @@
 	}
 	for i, s := range x.FaultEvents {
 		at := func(k string) string { return fmt.Sprintf("step[%d].%s", i, k) }
-		on, known := doings[s.Action]
+		on, known := faultTargets[s.Action]
 		if !known {
 			return at("do"), fmt.Sprintf("%q is nothing that can be done", s.Action)
 		}
 		if on == "link" && !slices.Contains([]string{"list", "caches", "parents", "clients"}, s.Link) {
 			return at("link"), fmt.Sprintf("%q is no link", s.Link)
 		}
-		switch sites := x.sites(); {
+		switch sites := x.siteNames(); {
 		case on == "site" && s.Site == "":
 			return at("do"), fmt.Sprintf("%s needs a site", s.Action)
 		case s.Site != "" && !slices.Contains(sites, s.Site):
@@ -190,7 +190,7 @@
 			limit{at("at"), s.At, 0, x.Seconds}, limit{at("share"), s.Share, 0, 1},
 			limit{at("for"), s.Duration, 0, 600}, limit{at("factor"), s.Factor, 0, 100}, limit{at("back"), float64(s.ForgottenEvents), 0, 1e4},
 			limit{at("over"), s.ReplaceOver, 0, 600}, limit{at("delay_ms"), s.DelayMS, 0, 1e4},
-			limit{at("count"), float64(s.Count), 0, 1e4}, limit{at("keep"), s.RetainCopies, 0, purgeTakes.Seconds()},
+			limit{at("count"), float64(s.Count), 0, 1e4}, limit{at("keep"), s.RetainCopies, 0, purgeRetention.Seconds()},
 			limit{at("age_from"), s.MinStreamAge, 0, 60}, limit{at("age_to"), s.MaxStreamAge, s.MinStreamAge, 60})
 		if s.Action == "list-flap" && (len(s.StreamEnds) == 0 || s.MaxStreamAge == 0) {
 			return at("do"), "list-flap needs ends and age_to"
@@ -217,8 +217,8 @@
 	return "", ""
 }
 
-// sites are the names of all sites.
-func (x *Experiment) sites() (names []string) {
+// siteNames are the names of all siteNames.
+func (x *Experiment) siteNames() (names []string) {
 	for i := range x.Hubs {
 		names = append(names, hubName(i))
 	}
--- a/internal/testbed/faults.go
+++ b/internal/testbed/faults.go
@@ -13,19 +13,19 @@
 	delay time.Duration
 }
 
-// faults holds what is wrong with each link now.
-type faults struct {
+// faultInjector holds what is wrong with each link now.
+type faultInjector struct {
 	mu    sync.Mutex
 	links map[string]map[int]fault
-	conns map[*wire]bool
+	conns map[*faultyConn]bool
 }
 
-func newFaults() *faults {
-	return &faults{links: map[string]map[int]fault{}, conns: map[*wire]bool{}}
+func newFaultInjector() *faultInjector {
+	return &faultInjector{links: map[string]map[int]fault{}, conns: map[*faultyConn]bool{}}
 }
 
 // set puts a fault on the links of some directors, or takes it off (kind ""). A cut or reset ends what is open.
-func (f *faults) set(link string, directors []int, x fault) {
+func (f *faultInjector) set(link string, directors []int, x fault) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.links[link] == nil {
@@ -39,7 +39,7 @@
 		f.links[link][d] = x
 		for w := range f.conns {
 			if w.link == link && w.director == d && (x.kind == "cut" || x.kind == "reset") {
-				reset(w.Conn)
+				resetConn(w.Conn)
 			}
 		}
 		if x.kind == "reset" {
@@ -48,50 +48,50 @@
 	}
 }
 
-// of is the fault that a connection suffers now. It is read by all that answer on the connection, while the one
+// faultOf is the fault that a connection suffers now. It is read by all that answer on the connection, while the one
 // that reads from it may just have learnt whose it is.
-func (f *faults) of(w *wire) fault {
+func (f *faultInjector) faultOf(w *faultyConn) fault {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.links[w.link][w.director]
 }
 
-// wire is a connection that suffers the faults of its link. The director behind it may become known later.
-type wire struct {
+// faultyConn is a connection that suffers the faults of its link. The director behind it may become known later.
+type faultyConn struct {
 	net.Conn
-	f        *faults
+	injector *faultInjector
 	link     string
 	director int // guarded by f.mu
 }
 
-func (f *faults) wrap(c net.Conn, link string, director int) *wire {
-	w := &wire{c, f, link, director}
+func (f *faultInjector) wrap(c net.Conn, link string, director int) *faultyConn {
+	w := &faultyConn{c, f, link, director}
 	f.mu.Lock()
 	f.conns[w] = true
 	f.mu.Unlock()
 	return w
 }
 
-func (f *faults) drop(w *wire) {
+func (f *faultInjector) forget(w *faultyConn) {
 	f.mu.Lock()
 	delete(f.conns, w)
 	f.mu.Unlock()
 }
 
-// belongs names the director, once it is known.
-func (w *wire) belongs(director int) {
-	w.f.mu.Lock()
+// setDirector names the director, once it is known.
+func (w *faultyConn) setDirector(director int) {
+	w.injector.mu.Lock()
 	w.director = director
-	w.f.mu.Unlock()
+	w.injector.mu.Unlock()
 }
 
-var errCut = errors.New("the link is cut")
+var errLinkCut = errors.New("the link is cut")
 
-// arrives tells whether what was read has arrived.
-func (w *wire) arrives() bool {
-	switch x := w.f.of(w); x.kind {
+// delivers tells whether what was read has arrived.
+func (w *faultyConn) delivers() bool {
+	switch x := w.injector.faultOf(w); x.kind {
 	case "cut":
-		reset(w.Conn)
+		resetConn(w.Conn)
 		return false
 	case "silence":
 		return false
@@ -102,12 +102,12 @@
 }
 
 // Write passes on what the link lets through.
-func (w *wire) Write(b []byte) (int, error) {
-	x := w.f.of(w)
+func (w *faultyConn) Write(b []byte) (int, error) {
+	x := w.injector.faultOf(w)
 	switch x.kind {
 	case "cut":
-		reset(w.Conn)
-		return 0, errCut
+		resetConn(w.Conn)
+		return 0, errLinkCut
 	case "silence", "one-way":
 		return len(b), nil
 	case "delay":
@@ -124,8 +124,8 @@
 	return w.Conn.Write(b)
 }
 
-// reset ends a connection so that the other side sees a reset.
-func reset(c net.Conn) {
+// resetConn ends a connection so that the other side sees a resetConn.
+func resetConn(c net.Conn) {
 	if t, ok := c.(*net.TCPConn); ok {
 		_ = t.SetLinger(0)
 	}
--- a/internal/testbed/faults_test.go
+++ b/internal/testbed/faults_test.go
@@ -12,7 +12,7 @@
 	here, there := net.Pipe()
 	defer here.Close()
 	defer there.Close()
-	f := newFaults()
+	f := newFaultInjector()
 	f.set("caches", []int{3}, fault{kind: "silence"})
 	f.set("caches", []int{5}, fault{kind: "silence"})
 	w := f.wrap(here, "caches", 3)
@@ -30,7 +30,7 @@
 		}()
 	}
 	for i := range 200 {
-		w.belongs(3 + 2*(i%2))
+		w.setDirector(3 + 2*(i%2))
 	}
 	writers.Wait()
 	f.set("caches", []int{3, 5}, fault{})
--- a/internal/testbed/fleet_test.go
+++ b/internal/testbed/fleet_test.go
@@ -13,8 +13,8 @@
 	"shaleyard/internal/checker"
 )
 
-// program builds the director once; each experiment starts it in numbers.
-func program(t *testing.T) string {
+// buildDirector builds the director once; each experiment starts it in numbers.
+func buildDirector(t *testing.T) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "shaleyard")
 	build := exec.Command("go", "build", "-o", path, "shaleyard/cmd/shaleyard")
@@ -24,8 +24,8 @@
 	return path
 }
 
-// left are the processes whose configuration lies below a folder.
-func left(t *testing.T, dir string) (pids []string) {
+// remainingProcesses are the processes whose configuration lies below a folder.
+func remainingProcesses(t *testing.T, dir string) (pids []string) {
 	t.Helper()
 	all, err := filepath.Glob("/proc/[0-9]*/environ")
 	if err != nil {
@@ -46,7 +46,7 @@
 	if err != nil || len(files) < 22 {
 		t.Fatalf("%d experiments, %v", len(files), err)
 	}
-	binary := program(t)
+	binary := buildDirector(t)
 	// Three at a time: more, and a small machine keeps no times.
 	places := make(chan struct{}, 3)
 	t.Run("", func(t *testing.T) {
@@ -78,7 +78,7 @@
 				if v.Metrics["requests"] < 100 {
 					t.Errorf("%v requests: nothing was shown", v.Metrics["requests"])
 				}
-				if pids := left(t, dir); len(pids) > 0 {
+				if pids := remainingProcesses(t, dir); len(pids) > 0 {
 					t.Errorf("left behind: %v", pids)
 				}
 			})
@@ -97,10 +97,10 @@
 	begun := make(chan struct{}, 400)
 	done := make(chan error, 1)
 	go func() {
-		done <- Run(ctx, x, Options{Binary: program(t), Dir: dir, Progress: func(float64) { begun <- struct{}{} }})
+		done <- Run(ctx, x, Options{Binary: buildDirector(t), Dir: dir, Progress: func(float64) { begun <- struct{}{} }})
 	}()
 	<-begun
-	if n := len(left(t, dir)); n != 5 {
+	if n := len(remainingProcesses(t, dir)); n != 5 {
 		t.Errorf("%d processes run, want 5", n)
 	}
 	cancel()
@@ -112,7 +112,7 @@
 	case <-time.After(20 * time.Second):
 		t.Fatal("goes on")
 	}
-	if pids := left(t, dir); len(pids) > 0 {
+	if pids := remainingProcesses(t, dir); len(pids) > 0 {
 		t.Errorf("left behind: %v", pids)
 	}
 }
@@ -121,7 +121,7 @@
 func TestRunsHaveAddressesOfTheirOwn(t *testing.T) {
 	seen := map[byte]bool{}
 	for i := range 40 {
-		seen[network(fmt.Sprintf("/tmp/run/%03d", i))] = true
+		seen[subnetOf(fmt.Sprintf("/tmp/run/%03d", i))] = true
 	}
 	if len(seen) < 30 { // of 200: chance leaves 36 in the mean
 		t.Errorf("%d networks for 40 runs", len(seen))
@@ -157,7 +157,7 @@
 func FuzzReadReply(f *testing.F) {
 	f.Add([]byte{0x80, 1, 0, 2, 0, 0, 0, 1, 'x', 0, 0, 0, 1, 12, 0, 0, 11, 0, 1, 0, 0, 0, 1, 'b', 2, 0, 3, 1, 0, 0})
 	f.Fuzz(func(t *testing.T, frame []byte) {
-		if _, r, err := readReply(frame); err == nil && r.what == "" {
+		if _, r, err := readReply(frame); err == nil && r.outcome == "" {
 			t.Error("an answer without a meaning was taken")
 		}
 	})
--- a/internal/testbed/list_test.go
+++ b/internal/testbed/list_test.go
@@ -14,16 +14,16 @@
 	"time"
 )
 
-// young is a list service for one director, with one event, that ends streams as they start.
-func young(t *testing.T, what string) (*listService, *flap, string) {
+// newFlappingService is a list service for one director, with one event, that ends streams as they start.
+func newFlappingService(t *testing.T, what string) (*discoveryService, *flap, string) {
 	t.Helper()
 	dir := t.TempDir()
-	r, err := newRecorder(filepath.Join(dir, "record.jsonl"))
+	r, err := newHistoryWriter(filepath.Join(dir, "record.jsonl"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := newListService(&Testbed{x: &Experiment{Directors: 1, Discovery: DiscoverySpec{CallsPerSecond: 1000}}, record: r, faults: newFaults(),
-		net: network(dir)})
+	s := newDiscoveryService(&Testbed{experiment: &Experiment{Directors: 1, Discovery: DiscoverySpec{CallsPerSecond: 1000}}, history: r, faults: newFaultInjector(),
+		subnet: subnetOf(dir)})
 	t.Cleanup(func() {
 		s.close()
 		if err := r.close(); err != nil && !errors.Is(err, os.ErrClosed) {
@@ -31,9 +31,9 @@
 		}
 	})
 	s.publish(func(n int) string { return fmt.Sprintf(`{"n":%d,"event":"the first"}`, n) }, Event{What: "list"})
-	f := &flap{ends: []string{what}}
-	s.flapStreams([]int{0}, f)
-	address, err := s.address(0)
+	f := &flap{modes: []string{what}}
+	s.startFlap([]int{0}, f)
+	address, err := s.listen(0)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -56,16 +56,16 @@
 	return c
 }
 
-// recorded is what has been recorded of a kind.
-func recorded(t *testing.T, r *recorder, kind string) (list []Event) {
+// recordedEvents is what has been recordedEvents of a kind.
+func recordedEvents(t *testing.T, r *historyWriter, kind string) (list []Event) {
 	t.Helper()
 	r.mu.Lock()
-	err := r.w.Flush()
+	err := r.buffer.Flush()
 	r.mu.Unlock()
 	if err != nil {
 		t.Fatal(err)
 	}
-	text, err := os.ReadFile(r.f.Name())
+	text, err := os.ReadFile(r.file.Name())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -81,11 +81,11 @@
 	return list
 }
 
-// ended waits until the end of a stream has been recorded.
-func ended(t *testing.T, s *listService, what string) {
+// awaitStreamEnd waits until the end of a stream has been recorded.
+func awaitStreamEnd(t *testing.T, s *discoveryService, what string) {
 	t.Helper()
 	for until := time.Now().Add(10 * time.Second); time.Now().Before(until); time.Sleep(time.Millisecond) {
-		if ends := recorded(t, s.lab.record, "stream"); len(ends) == 1 {
+		if ends := recordedEvents(t, s.testbed.history, "stream"); len(ends) == 1 {
 			if ends[0].What != what || ends[0].Number != 1 || ends[0].Director != "d0" {
 				t.Errorf("recorded %+v", ends[0])
 			}
@@ -97,21 +97,21 @@
 
 // A stream that breaks ends with a reset, one that breaks in an event with half of it; neither counts as told.
 func TestYoungStreamBreaks(t *testing.T) {
-	s, _, address := young(t, "break")
+	s, _, address := newFlappingService(t, "break")
 	c := subscribe(t, address)
 	if n, err := c.Read(make([]byte, 100)); n != 0 || !errors.Is(err, syscall.ECONNRESET) {
 		t.Errorf("read %d bytes, %v", n, err)
 	}
-	ended(t, s, "break")
+	awaitStreamEnd(t, s, "break")
 
-	h, _, address := young(t, "half")
+	h, _, address := newFlappingService(t, "half")
 	text, err := bufio.NewReader(subscribe(t, address)).ReadString('\n')
 	if want := `{"n":1,"event`; text != want || err == nil {
 		t.Errorf("read %q, %v, want %q and the end", text, err, want)
 	}
-	ended(t, h, "half")
-	for _, x := range []*listService{s, h} {
-		if told := recorded(t, x.lab.record, "told"); len(told) > 0 {
+	awaitStreamEnd(t, h, "half")
+	for _, x := range []*discoveryService{s, h} {
+		if told := recordedEvents(t, x.testbed.history, "told"); len(told) > 0 {
 			t.Errorf("recorded as told: %+v", told)
 		}
 	}
@@ -119,11 +119,11 @@
 
 // A stream that has fallen silent brings nothing and stays open; what is told then counts as told with the next call.
 func TestYoungStreamFallsSilent(t *testing.T) {
-	s, f, address := young(t, "silent")
+	s, f, address := newFlappingService(t, "silent")
 	c := subscribe(t, address)
-	ended(t, s, "silent")
+	awaitStreamEnd(t, s, "silent")
 	s.publish(func(n int) string { return fmt.Sprintf(`{"n":%d,"event":"the second"}`, n) }, Event{What: "purge"})
-	s.settle([]int{0}, f)
+	s.stopFlap([]int{0}, f)
 	r := bufio.NewReader(subscribe(t, address))
 	for _, want := range []string{"the first", "the second"} {
 		if line, err := r.ReadString('\n'); err != nil || !strings.Contains(line, want) {
@@ -139,9 +139,9 @@
 	}
 	var told []Event
 	for until := time.Now().Add(10 * time.Second); len(told) < 2 && time.Now().Before(until); time.Sleep(time.Millisecond) {
-		told = recorded(t, s.lab.record, "told")
+		told = recordedEvents(t, s.testbed.history, "told")
 	}
-	calls := recorded(t, s.lab.record, "call")
+	calls := recordedEvents(t, s.testbed.history, "call")
 	if len(told) != 2 || len(calls) != 2 || told[0].AtMS < calls[1].AtMS {
 		t.Errorf("told %+v, calls %+v: want both told after the second call", told, calls)
 	}
@@ -153,18 +153,18 @@
 	seen := map[time.Duration]bool{}
 	kinds := map[string]bool{}
 	for seed := range uint64(3) {
-		f := &flap{seed: seed, begin: begin, ends: []string{"break", "half", "silent"}, from: time.Second, to: 3 * time.Second}
+		f := &flap{seed: seed, begin: begin, modes: []string{"break", "half", "silent"}, minAge: time.Second, maxAge: 3 * time.Second}
 		for director := range 4 {
 			for nth := range 5 {
-				e := f.end(director, nth, begin.Add(time.Minute))
+				e := f.drawEnd(director, nth, begin.Add(time.Minute))
 				age := e.at.Sub(begin) - time.Minute
-				if age < time.Second || age > 3*time.Second || e != f.end(director, nth, begin.Add(time.Minute)) {
+				if age < time.Second || age > 3*time.Second || e != f.drawEnd(director, nth, begin.Add(time.Minute)) {
 					t.Errorf("seed %d, director %d, stream %d: %+v", seed, director, nth, e)
 				}
-				if early := f.end(director, nth, begin.Add(-time.Minute)); early.at != begin.Add(age) {
+				if early := f.drawEnd(director, nth, begin.Add(-time.Minute)); early.at != begin.Add(age) {
 					t.Errorf("a stream that was up before the flap ends at %v, not %v after its begin", early.at, age)
 				}
-				seen[age], kinds[e.what] = true, true
+				seen[age], kinds[e.mode] = true, true
 			}
 		}
 	}
--- a/internal/testbed/process.go
+++ b/internal/testbed/process.go
@@ -20,20 +20,20 @@
 
 // process is one director: a real process of the program, started again under its name and address.
 type process struct {
-	lab  *Testbed
-	id   int
-	list string // address of the list service for it
-
-	mu      sync.Mutex
-	address string // where it listens; the same from its first start on
-	cmd     *exec.Cmd
-	starts  int
-	started time.Time
-	known   int  // last event in its last configuration
-	front   bool // the front holds it for ready
-	stopped bool
-	up      chan struct{}
-	gone    chan struct{}
+	testbed          *Testbed
+	id               int
+	discoveryAddress string // address of the list service for it
+
+	mu            sync.Mutex
+	address       string // where it listens; the same from its first start on
+	cmd           *exec.Cmd
+	starts        int
+	started       time.Time
+	knownRevision int  // last event in its last configuration
+	inRotation    bool // the front holds it for ready
+	stopped       bool
+	listening     chan struct{}
+	exited        chan struct{}
 }
 
 func (p *process) addr() string {
@@ -42,11 +42,11 @@
 	return p.address
 }
 
-// inFront tells whether clients are sent there.
-func (p *process) inFront() bool {
+// isInRotation tells whether clients are sent there.
+func (p *process) isInRotation() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.front
+	return p.inRotation
 }
 
 // directorNice is the priority of directors, below that of the laboratory.
@@ -84,7 +84,7 @@
 
 // start runs the program. Its list is the present one, or for last the one it was started with before.
 func (p *process) start(last bool) error {
-	l := p.lab
+	l := p.testbed
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.cmd != nil {
@@ -92,17 +92,17 @@
 	}
 	listen := p.address
 	if listen == "" {
-		listen = l.ip(4, p.id).String() + ":0"
+		listen = l.loopbackIP(4, p.id).String() + ":0"
 	}
-	if !last || p.known == 0 {
-		p.known = l.list.last()
+	if !last || p.knownRevision == 0 {
+		p.knownRevision = l.discovery.eventCount()
 	}
 	p.starts++
 	c := map[string]any{"name": directorName(p.id), "listen": listen,
-		"seed":   fmt.Sprintf("%x", l.x.Seed<<32|uint64(p.starts)<<16|uint64(p.id)),
-		"limits": map[string]any{"cores": 1.0, "memory_mb": 192, "sockets": l.x.Sockets},
-		"feed":   p.list, "flow_bytes_per_s": 310000, "link_bytes_per_s": 1240000,
-		"known": l.list.known(p.known), "settings": l.settings(p.id)}
+		"seed":   fmt.Sprintf("%x", l.experiment.Seed<<32|uint64(p.starts)<<16|uint64(p.id)),
+		"limits": map[string]any{"cores": 1.0, "memory_mb": 192, "sockets": l.experiment.Sockets},
+		"feed":   p.discoveryAddress, "flow_bytes_per_s": 310000, "link_bytes_per_s": 1240000,
+		"known": l.discovery.knownEvents(p.knownRevision), "settings": l.directorSettings(p.id)}
 	text, err := json.Marshal(c)
 	if err != nil {
 		return err
@@ -112,7 +112,7 @@
 		return err
 	}
 	cmd := exec.Command(l.binary)
-	cmd.Env = append(os.Environ(), "EDGE_CONFIG="+file, "SHALEYARD_CONFIG="+l.operator)
+	cmd.Env = append(os.Environ(), "EDGE_CONFIG="+file, "SHALEYARD_CONFIG="+l.operatorFile)
 	log, err := cmd.StderrPipe()
 	if err != nil {
 		return err
@@ -121,19 +121,19 @@
 		return err
 	}
 	p.cmd, p.started, p.stopped = cmd, time.Now(), false
-	p.up, p.gone = make(chan struct{}), make(chan struct{})
-	l.record.add(Event{Kind: "process", Who: directorName(p.id), What: "start", Number: p.known})
-	go p.follow(cmd, bufio.NewScanner(log), p.up, p.gone)
-	go p.watch(p.up, p.gone)
+	p.listening, p.exited = make(chan struct{}), make(chan struct{})
+	l.history.record(Event{Kind: "process", Who: directorName(p.id), What: "start", Number: p.knownRevision})
+	go p.followLog(cmd, bufio.NewScanner(log), p.listening, p.exited)
+	go p.watchHeartbeats(p.listening, p.exited)
 	return nil
 }
 
-// follow reads the log, keeps it, and learns where the process listens.
-func (p *process) follow(cmd *exec.Cmd, log *bufio.Scanner, up, gone chan struct{}) {
+// followLog reads the log, keeps it, and learns where the process listens.
+func (p *process) followLog(cmd *exec.Cmd, log *bufio.Scanner, up, gone chan struct{}) {
 	log.Buffer(nil, 1<<20)
-	kept, err := os.OpenFile(filepath.Join(p.lab.dir, directorName(p.id)+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
+	kept, err := os.OpenFile(filepath.Join(p.testbed.dir, directorName(p.id)+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
-		p.lab.fail(err)
+		p.testbed.fail(err)
 	}
 	seen := false
 	for log.Scan() {
@@ -141,12 +141,12 @@
 			fmt.Fprintln(kept, log.Text())
 		}
 		if strings.Contains(log.Text(), `"msg":"we are cut off: `) {
-			p.lab.record.add(Event{Kind: "state", Who: directorName(p.id), What: "alone"})
+			p.testbed.history.record(Event{Kind: "state", Who: directorName(p.id), What: "alone"})
 		}
 		if _, rest, ok := strings.Cut(log.Text(), `"msg":"site `); ok {
 			site, rest, _ := strings.Cut(rest, ": ")
 			state, _, _ := strings.Cut(rest, ", was ")
-			p.lab.record.add(Event{Kind: "state", Who: directorName(p.id), Site: site, What: state})
+			p.testbed.history.record(Event{Kind: "state", Who: directorName(p.id), Site: site, What: state})
 		}
 		if _, rest, ok := strings.Cut(log.Text(), "listens on "); ok && !seen {
 			seen = true
@@ -166,14 +166,14 @@
 		status = err.Error()
 	}
 	p.mu.Lock()
-	p.cmd, p.front = nil, false
+	p.cmd, p.inRotation = nil, false
 	p.mu.Unlock()
-	p.lab.record.add(Event{Kind: "process", Who: directorName(p.id), What: "gone", Class: status})
+	p.testbed.history.record(Event{Kind: "process", Who: directorName(p.id), What: "gone", Class: status})
 	close(gone)
 }
 
-// watch is the front: it takes the director in once a heartbeat is good, and notices a dead one late.
-func (p *process) watch(up, gone chan struct{}) {
+// watchHeartbeats is the front: it takes the director in once a heartbeat is good, and notices a dead one late.
+func (p *process) watchHeartbeats(up, gone chan struct{}) {
 	select {
 	case <-up:
 	case <-gone:
@@ -182,12 +182,12 @@
 	for {
 		good := p.heartbeat()
 		p.mu.Lock()
-		first := good && !p.front
-		p.front = good || (p.front && p.stopped) // a stopped one is noticed no sooner than its clients notice
+		first := good && !p.inRotation
+		p.inRotation = good || (p.inRotation && p.stopped) // a stopped one is noticed no sooner than its clients notice
 		since := time.Since(p.started)
 		p.mu.Unlock()
 		if first {
-			p.lab.record.add(Event{Kind: "ready", Who: directorName(p.id), Value: float64(since.Microseconds()) / 1000})
+			p.testbed.history.record(Event{Kind: "ready", Who: directorName(p.id), Value: float64(since.Microseconds()) / 1000})
 		}
 		wait := 20 * time.Millisecond
 		if good {
@@ -202,7 +202,7 @@
 }
 
 func (p *process) heartbeat() bool {
-	c, err := p.lab.dial(p.id)
+	c, err := p.testbed.dialDirector(p.id)
 	if err != nil {
 		return false
 	}
@@ -213,7 +213,7 @@
 	}
 	select {
 	case r := <-ch:
-		return r.what == "served"
+		return r.outcome == "served"
 	case <-time.After(2 * time.Second):
 		return false
 	}
@@ -232,16 +232,16 @@
 	case syscall.SIGCONT:
 		p.stopped = false
 	}
-	p.lab.record.add(Event{Kind: "process", Who: directorName(p.id), What: what})
+	p.testbed.history.record(Event{Kind: "process", Who: directorName(p.id), What: what})
 	if err := p.cmd.Process.Signal(s); err != nil {
-		p.lab.fail(fmt.Errorf("signal %v to %s: %w", s, directorName(p.id), err))
+		p.testbed.fail(fmt.Errorf("signal %v to %s: %w", s, directorName(p.id), err))
 	}
 }
 
-// end kills what runs and waits until it is gone.
-func (p *process) end() {
+// kill kills what runs and waits until it is gone.
+func (p *process) kill() {
 	p.mu.Lock()
-	gone := p.gone
+	gone := p.exited
 	if p.cmd == nil {
 		p.mu.Unlock()
 		return
--- a/internal/testbed/record.go
+++ b/internal/testbed/record.go
@@ -41,46 +41,50 @@
 	Multiple float64 `json:"multiple,omitempty"`
 }
 
-// recorder takes events from all stand-ins, in the order in which they happen.
-type recorder struct {
-	begin time.Time
-	mu    sync.Mutex
-	f     *os.File
-	w     *bufio.Writer
-	e     *json.Encoder
-	err   error
+// historyWriter takes events from all stand-ins, in the order in which they happen.
+type historyWriter struct {
+	started time.Time
+	mu      sync.Mutex
+	file    *os.File
+	buffer  *bufio.Writer
+	encoder *json.Encoder
+	err     error
 }
 
-func newRecorder(path string) (*recorder, error) {
+func newHistoryWriter(path string) (*historyWriter, error) {
 	f, err := os.Create(path)
 	if err != nil {
 		return nil, err
 	}
 	w := bufio.NewWriterSize(f, 1<<16)
-	return &recorder{begin: time.Now(), f: f, w: w, e: json.NewEncoder(w)}, nil
+	return &historyWriter{started: time.Now(), file: f, buffer: w, encoder: json.NewEncoder(w)}, nil
 }
 
-// ms is the time since the begin; times on the wire are Unix milliseconds and are recorded by at.
-func (r *recorder) ms() float64 { return float64(time.Since(r.begin).Microseconds()) / 1000 }
+// elapsedMS is the time since the begin; times on the wire are Unix milliseconds and are recorded by at.
+func (r *historyWriter) elapsedMS() float64 {
+	return float64(time.Since(r.started).Microseconds()) / 1000
+}
 
-func (r *recorder) at(unixMS int64) float64 { return float64(unixMS - r.begin.UnixMilli()) }
+func (r *historyWriter) sinceStart(unixMS int64) float64 {
+	return float64(unixMS - r.started.UnixMilli())
+}
 
-func (r *recorder) add(e Event) {
+func (r *historyWriter) record(e Event) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	e.AtMS = r.ms()
-	if err := r.e.Encode(e); err != nil && r.err == nil {
+	e.AtMS = r.elapsedMS()
+	if err := r.encoder.Encode(e); err != nil && r.err == nil {
 		r.err = err
 	}
 }
 
-func (r *recorder) close() error {
+func (r *historyWriter) close() error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if err := r.w.Flush(); err != nil && r.err == nil {
+	if err := r.buffer.Flush(); err != nil && r.err == nil {
 		r.err = err
 	}
-	if err := r.f.Close(); err != nil && r.err == nil {
+	if err := r.file.Close(); err != nil && r.err == nil {
 		r.err = err
 	}
 	return r.err
--- a/internal/testbed/sites.go
+++ b/internal/testbed/sites.go
@@ -7,27 +7,27 @@
 	"time"
 )
 
-// branchOf is the branch that a director serves.
-func (l *Testbed) branchOf(director int) int { return director % l.x.Branches }
+// branchOfDirector is the branch that a director serves.
+func (l *Testbed) branchOfDirector(director int) int { return director % l.experiment.Branches }
 
-// drawDirectors picks a share of the directors, or of those of a site: of a hub the ones whose branches are attached
+// pickDirectors picks a share of the directors, or of those of a site: of a hub the ones whose branches are attached
 // to it.
-func (l *Testbed) drawDirectors(rng *rand.Rand, s FaultEvent) (ids []int) {
+func (l *Testbed) pickDirectors(rng *rand.Rand, s FaultEvent) (ids []int) {
 	var of []int
-	for i := range l.x.Directors {
-		b := l.branchOf(i)
-		if s.Site == "" || s.Site == branchName(b) || s.Site == hubName(b%l.x.Hubs) {
+	for i := range l.experiment.Directors {
+		b := l.branchOfDirector(i)
+		if s.Site == "" || s.Site == branchName(b) || s.Site == hubName(b%l.experiment.Hubs) {
 			of = append(of, i)
 		}
 	}
-	for _, k := range draw(rng, len(of), s.Share) {
+	for _, k := range pickShare(rng, len(of), s.Share) {
 		ids = append(ids, of[k])
 	}
 	return ids
 }
 
-// ofSite are the places of a site's servers in their group.
-func (l *Testbed) ofSite(site string) (group *[]*server, t tier, places []int) {
+// serversOfSite are the places of a site's servers in their group.
+func (l *Testbed) serversOfSite(site string) (group *[]*server, t tier, places []int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, g := range []struct {
@@ -43,9 +43,9 @@
 	return group, t, places
 }
 
-// stepSite breaks a share of a site's servers: their processes die, they say nothing, or turn all away. What died comes
+// siteFaultActions breaks a share of a site's servers: their processes die, they say nothing, or turn all away. What died comes
 // back as new servers, cold and empty, at the old addresses. The list tells of a death, and of the return, late.
-func (l *Testbed) stepSite(s FaultEvent, rng *rand.Rand) (do, undo func() error) {
+func (l *Testbed) siteFaultActions(s FaultEvent, rng *rand.Rand) (do, undo func() error) {
 	var broken []*server
 	var places []int
 	var group *[]*server
@@ -60,9 +60,9 @@
 	}
 	do = func() error {
 		var all []int
-		group, t, all = l.ofSite(s.Site)
+		group, t, all = l.serversOfSite(s.Site)
 		places = nil
-		for _, k := range draw(rng, len(all), s.Share) {
+		for _, k := range pickShare(rng, len(all), s.Share) {
 			places = append(places, all[k])
 		}
 		l.mu.Lock()
@@ -71,39 +71,39 @@
 			broken = append(broken, (*group)[i])
 		}
 		l.mu.Unlock()
-		l.record.add(Event{Kind: "site", Who: s.Site, What: s.Action, Number: len(broken), Value: float64(len(broken)) / float64(len(all))})
+		l.history.record(Event{Kind: "site", Who: s.Site, What: s.Action, Number: len(broken), Value: float64(len(broken)) / float64(len(all))})
 		for _, b := range broken {
 			switch s.Action {
 			case "site-kill":
-				b.down("down")
+				b.stop("down")
 			case "site-silent":
-				b.set(func() { b.silent = true })
+				b.update(func() { b.silent = true })
 			case "site-busy":
-				b.set(func() { b.busy = true })
+				b.update(func() { b.busy = true })
 			}
 		}
 		if s.Action == "site-kill" {
 			gone := slices.Clone(broken)
 			tell(func() {
 				for _, b := range gone {
-					l.tell(b, "gone")
+					l.publishState(b, "gone")
 				}
 			})
 		}
 		return nil
 	}
 	undo = func() error {
-		spec := l.x.Caches
+		spec := l.experiment.Caches
 		if t == parentTier {
-			spec = l.x.Parents
+			spec = l.experiment.Parents
 		}
 		var fresh []*server
 		for k, b := range broken {
 			if s.Action != "site-kill" {
-				b.set(func() { b.silent, b.busy = false, false })
+				b.update(func() { b.silent, b.busy = false, false })
 				continue
 			}
-			n, err := l.add(t, s.Site, spec, b.addr, true)
+			n, err := l.addServer(t, s.Site, spec, b.addr, true)
 			if err != nil {
 				return fmt.Errorf("%s comes back: %w", s.Site, err)
 			}
@@ -112,10 +112,10 @@
 			l.mu.Unlock()
 			fresh = append(fresh, n)
 		}
-		l.record.add(Event{Kind: "site", Who: s.Site, What: "back", Number: len(broken)})
+		l.history.record(Event{Kind: "site", Who: s.Site, What: "back", Number: len(broken)})
 		tell(func() {
 			for _, n := range fresh {
-				l.tell(n, "ready")
+				l.publishState(n, "ready")
 			}
 		})
 		return nil
@@ -123,7 +123,7 @@
 	return do, undo
 }
 
-func (s *server) set(f func()) {
+func (s *server) update(f func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	f()
