--- a/internal/failover/plan_test.go
+++ b/internal/failover/plan_test.go
@@ -209,8 +209,8 @@
 		alive := p.availability(lost)
 		f := p.solveFlow(alive, 1)
 		for h, s := range w.Sites {
-			if s.Hub && f.intoHub(w, s.Name) > s.Capacity*alive[h]+1e-6 {
-				t.Errorf("%s gets %v of %v (alive %v)", s.Name, f.intoHub(w, s.Name), s.Capacity, alive[h])
+			if s.Hub && f.intoHub(h) > s.Capacity*alive[h]+1e-6 {
+				t.Errorf("%s gets %v of %v (alive %v)", s.Name, f.intoHub(h), s.Capacity, alive[h])
 			}
 		}
 		plan, err := p.Plan(lost...)
--- a/internal/failover/topology.go
+++ b/internal/failover/topology.go
@@ -1,8 +1,9 @@
-// Package siteplan works out, before the bad day, who takes the load and the fills of a site that is lost, in what
-// shares, and what is refused, in which order. A site is a branch with its caches or a hub with its parents.
+// Package failover works out in advance who takes over the load and the fills of a lost site, in what shares, and which
+// requests are rejected, in which order. A site is a branch with its caches, or a hub with its parents.
 //
-// A plan follows from the settings, the list of servers and the operators' wishes alone, so that hundreds of directors
-// that can't talk to each other come to the same one. Nothing here does I/O or knows a clock, and nothing is random.
+// A plan follows from the settings, the endpoint list and the operators' overrides alone, so that hundreds of directors
+// that can't talk to each other come to the same one. The package does no I/O, reads no clock and draws no random
+// numbers.
 package failover
 
 import (
@@ -16,145 +17,195 @@
 	"shaleyard/routing"
 )
 
-// Site is a branch or a hub. Capacities are in transfers: answers that can be sent at once at the full pace of one.
+// Values that hold where neither the settings nor the operators give one.
+const (
+	defaultLoad           = 0.6 // of the capacity of a branch's caches
+	defaultCacheHitRatio  = 0.7
+	defaultParentHitRatio = 0.6
+	defaultServiceTime    = 100 * time.Millisecond
+	originHeadroom        = 1.5 // capacity of an origin of unknown size, as a multiple of its demand at the usual load
+
+	// nonIdempotent is the value of a class's effect for requests that must not run twice (protocol page).
+	nonIdempotent = "non_idempotent"
+
+	shareTolerance = 0.01 // by which the classes' shares may miss a sum of 1
+)
+
+// Site is a branch or a hub. Capacities are in transfers: responses that can be sent at once, each at its full rate.
 type Site struct {
 	Name            string
 	Hub             bool
-	Capacity        float64 // transfers that the links of its servers carry together
-	IngressCapacity float64 // of a branch: transfers that its link in takes; 0: not told, and taken for enough
-	HomeHub         int     // of a branch: its hub's place in Topology.Sites; -1: it has none
-	RingPosition    int     // of a hub: its place in the ring; each step is a longer way
+	Capacity        float64 // of the links of all of its servers together
+	IngressCapacity float64 // of a branch: of its inbound link; 0: not known, and taken for sufficient
+	HomeHub         int     // of a branch: index in Topology.Sites of the hub it is attached to; -1: none
+	RingPosition    int     // of a hub: its place in the ring of hubs; -1: none
 }
 
 // Class is a class of requests.
 type Class struct {
 	Name           string
-	LoadShare      float64       // of the work asked for; those of all classes make 1
-	ServiceTime    time.Duration // sending time of a mean object at full pace
+	LoadShare      float64       // of the work that is asked for; the shares of all classes sum to 1
+	ServiceTime    time.Duration // to send a mean object at full rate
 	PriorityWeight float64       // of one request
-	NonIdempotent  bool          // must not run twice: refused last
-	Uncacheable    bool          // runs at the origin, and takes next to nothing of links
+	NonIdempotent  bool          // must not run twice: rejected last
+	Uncacheable    bool          // runs at the origin, and uses next to nothing of the links
 }
 
-// valueDensity is the worth of a second of sending: what is lost for each unit of the scarce thing that is saved.
+// valueDensity is the priority weight for a second of sending: what is lost with each unit of the scarce resource
+// saved.
 func (c Class) valueDensity() float64 { return c.PriorityWeight / c.ServiceTime.Seconds() }
 
-// Topology is what a plan is made for.
+// Topology is what a plan is made for. Its sites are in the order of the zones in the settings.
 type Topology struct {
 	Sites         []Site
 	Classes       []Class
 	BypassAllowed bool // parents and the origin take clients' requests too
 
-	UsualLoad      float64 // usual load, as a part of what a branch's caches carry
-	CacheHitRatio  float64 // part of the work that caches hold
-	ParentHitRatio float64 // part of the fills that parents hold
-	OriginCapacity float64 // transfers that the origin can give at once; 0: any number
-	TransitCost    float64 // price of a byte for each step round the ring, as a part of the worth of a mean byte
+	UsualLoad      float64 // as a share of the capacity of a branch's caches
+	CacheHitRatio  float64 // share of the work that caches hold
+	ParentHitRatio float64 // share of the fills that parents hold
+	OriginCapacity float64 // transfers that the origin can give at once; 0: unlimited
+	TransitCost    float64 // of a byte for each step round the ring, as a share of the value of a mean byte
 
-	CacheSlowStartDuration  time.Duration // a cache is warm after so long
-	CacheSlowStartFraction  float64       // part of its capacity that it starts with
-	CacheOverloadMultiple   float64       // times its present capacity at which it falls over
+	CacheSlowStartDuration  time.Duration // after which a cache is warm
+	CacheSlowStartFraction  float64       // share of its capacity that it starts with
+	CacheOverloadMultiple   float64       // multiple of its present capacity at which it falls over
 	ParentSlowStartDuration time.Duration
 	ParentSlowStartFraction float64
 	ParentOverloadMultiple  float64
 }
 
-// Figures that hold where neither settings nor operators tell one.
-const (
-	defaultLoad           = 0.6 // of a branch's links
-	defaultCacheHitRatio  = 0.7
-	defaultParentHitRatio = 0.6
-	defaultServiceTime    = 100 * time.Millisecond
-	originHeadroom        = 1.5 // times what it is asked for at the usual load that an origin of unknown size can give
-	coldBudgetUse         = 0.5 // part of a cold budget that is used: the router's own margin for chance
-	maxLoadSearched       = 16  // times the usual load beyond which nobody asks when refusing begins
-)
+// NewTopology derives the topology from a director's settings and the endpoints that it knows. Endpoints that are
+// draining or gone add no capacity. The error is an *OverrideError where an override can't hold.
+func NewTopology(settings *routing.Settings, endpoints []routing.Endpoint, overrides Overrides) (*Topology, error) {
+	tiers, guarantees := &settings.Tiers, &settings.Guarantees
+	t := &Topology{
+		BypassAllowed:  tiers.BypassAllowed,
+		UsualLoad:      cmp.Or(overrides.UsualLoad, defaultLoad),
+		CacheHitRatio:  cmp.Or(overrides.CacheHitRatio, defaultCacheHitRatio),
+		ParentHitRatio: cmp.Or(overrides.ParentHitRatio, defaultParentHitRatio),
+		OriginCapacity: overrides.OriginCapacity,
+		TransitCost:    tiers.TransitCost,
 
-// NewTopology takes the topology from a director's settings and the list of servers that it knows. Draining and gone
-// servers carry nothing.
-func NewTopology(s *routing.Settings, members []routing.Endpoint, w Overrides) (*Topology, error) {
-	f, g := &s.Tiers, &s.Guarantees
-	t := &Topology{BypassAllowed: f.BypassAllowed, UsualLoad: cmp.Or(w.UsualLoad, defaultLoad),
-		CacheHitRatio: cmp.Or(w.CacheHitRatio, defaultCacheHitRatio), ParentHitRatio: cmp.Or(w.ParentHitRatio, defaultParentHitRatio), OriginCapacity: w.OriginCapacity,
-		TransitCost:            f.TransitCost,
-		CacheSlowStartDuration: g.SlowStartDuration, CacheSlowStartFraction: g.SlowStartFraction, CacheOverloadMultiple: g.OverloadMultiple,
-		ParentSlowStartDuration: f.ParentSlowStartDuration, ParentSlowStartFraction: f.ParentSlowStartFraction, ParentOverloadMultiple: f.ParentOverloadMultiple}
-	carries, hubs, seen := make([]float64, len(s.Zones)), make([]bool, len(s.Zones)), make([]bool, len(s.Zones))
-	for _, m := range members {
-		if m.Zone < 0 || m.Zone >= len(s.Zones) || m.Kind == f.OriginKind {
+		CacheSlowStartDuration:  guarantees.SlowStartDuration,
+		CacheSlowStartFraction:  guarantees.SlowStartFraction,
+		CacheOverloadMultiple:   guarantees.OverloadMultiple,
+		ParentSlowStartDuration: tiers.ParentSlowStartDuration,
+		ParentSlowStartFraction: tiers.ParentSlowStartFraction,
+		ParentOverloadMultiple:  tiers.ParentOverloadMultiple,
+	}
+	t.addSites(settings, endpoints)
+	t.placeOnRing(tiers.HubByZone)
+	t.addClasses(settings, overrides)
+	for name, capacity := range overrides.SiteCapacities {
+		if i := t.siteIndex(name); i >= 0 {
+			t.Sites[i].Capacity = capacity
+		}
+	}
+	if err := t.checkNames(overrides); err != nil {
+		return nil, err
+	}
+	if t.OriginCapacity == 0 {
+		t.OriginCapacity = t.defaultOriginCapacity()
+	}
+	return t, t.validate()
+}
+
+// addSites adds a site for each zone. A zone is a hub if it has parents, or neither directors nor any endpoint.
+func (t *Topology) addSites(settings *routing.Settings, endpoints []routing.Endpoint) {
+	tiers, zones := &settings.Tiers, len(settings.Zones)
+	capacities, hasParents, hasEndpoints := make([]float64, zones), make([]bool, zones), make([]bool, zones)
+	for _, endpoint := range endpoints {
+		zone := endpoint.Zone
+		if zone < 0 || zone >= zones || endpoint.Kind == tiers.OriginKind {
 			continue
 		}
-		seen[m.Zone] = true
-		hubs[m.Zone] = hubs[m.Zone] || m.Kind == f.ParentKind
-		if m.State == routing.Ready {
-			carries[m.Zone] += m.Weight
+		hasEndpoints[zone] = true
+		hasParents[zone] = hasParents[zone] || endpoint.Kind == tiers.ParentKind
+		if endpoint.State == routing.Ready {
+			capacities[zone] += endpoint.Weight
 		}
 	}
-	place := make([]int, len(s.Zones)) // of a zone among the sites
-	for z, name := range s.Zones {
-		site := Site{Name: name, Capacity: carries[z], HomeHub: -1, RingPosition: -1}
-		seats := z < len(f.DirectorsByZone) && f.DirectorsByZone[z] > 0
-		site.Hub = hubs[z] || (!seats && !seen[z])
-		if !site.Hub && z < len(f.InboundLinkKBPerSecond) && f.TransferKBPerSecond > 0 {
-			site.IngressCapacity = f.InboundLinkKBPerSecond[z] / f.TransferKBPerSecond
+	for zone, name := range settings.Zones {
+		site := Site{Name: name, Capacity: capacities[zone], HomeHub: -1, RingPosition: -1}
+		hasDirectors := zone < len(tiers.DirectorsByZone) && tiers.DirectorsByZone[zone] > 0
+		site.Hub = hasParents[zone] || (!hasDirectors && !hasEndpoints[zone])
+		if !site.Hub && zone < len(tiers.InboundLinkKBPerSecond) && tiers.TransferKBPerSecond > 0 {
+			site.IngressCapacity = tiers.InboundLinkKBPerSecond[zone] / tiers.TransferKBPerSecond
 		}
-		place[z] = len(t.Sites)
 		t.Sites = append(t.Sites, site)
 	}
-	for z := range s.Zones {
-		if z >= len(f.HubByZone) {
+}
+
+// placeOnRing attaches branches to their hubs. The settings give places: hubs are the first zones, in the order of the
+// ring (protocol page).
+func (t *Topology) placeOnRing(hubByZone []int) {
+	for zone := range t.Sites {
+		if zone >= len(hubByZone) {
 			break
 		}
-		// The settings give places: hubs are the first zones, in the order of the ring (protocol page).
-		hub, site := f.HubByZone[z], &t.Sites[place[z]]
+		hub, site := hubByZone[zone], &t.Sites[zone]
 		switch {
 		case site.Hub:
-			site.RingPosition = z
-		case hub >= 0 && hub < len(place) && t.Sites[place[hub]].Hub:
-			site.HomeHub = place[hub]
+			site.RingPosition = zone
+		case hub >= 0 && hub < len(t.Sites) && t.Sites[hub].Hub:
+			site.HomeHub = hub
 		}
 	}
-	for i, c := range s.Classes {
-		k := Class{Name: c.Name, LoadShare: 1 / float64(len(s.Classes)), ServiceTime: defaultServiceTime, PriorityWeight: c.PriorityWeight,
-			NonIdempotent: c.Idempotency == "non_idempotent"}
-		k.Uncacheable = i < len(f.Uncacheable) && f.Uncacheable[i]
-		if ms := w.ServiceTimeMS[c.Name]; ms > 0 {
-			k.ServiceTime = time.Duration(ms * float64(time.Millisecond))
+}
+
+func (t *Topology) addClasses(settings *routing.Settings, overrides Overrides) {
+	for i, described := range settings.Classes {
+		class := Class{
+			Name:           described.Name,
+			LoadShare:      1 / float64(len(settings.Classes)),
+			ServiceTime:    defaultServiceTime,
+			PriorityWeight: described.PriorityWeight,
+			NonIdempotent:  described.Idempotency == nonIdempotent,
+			Uncacheable:    i < len(settings.Tiers.Uncacheable) && settings.Tiers.Uncacheable[i],
+		}
+		if ms := overrides.ServiceTimeMS[class.Name]; ms > 0 {
+			class.ServiceTime = time.Duration(ms * float64(time.Millisecond))
 		}
-		if len(w.ClassShares) > 0 {
-			k.LoadShare = w.ClassShares[c.Name]
+		if len(overrides.ClassShares) > 0 {
+			class.LoadShare = overrides.ClassShares[class.Name]
 		}
-		t.Classes = append(t.Classes, k)
+		t.Classes = append(t.Classes, class)
 	}
-	for name, carries := range w.SiteCapacities {
-		if i := t.siteIndex(name); i >= 0 {
-			t.Sites[i].Capacity = carries
-		}
-	}
-	for _, m := range []struct {
-		key   string
-		by    map[string]float64
-		place func(string) int
-		kind  string
-	}{{"plan.carries", w.SiteCapacities, t.siteIndex, "site"}, {"plan.shares", w.ClassShares, t.classIndex, "class"},
-		{"plan.work_ms", w.ServiceTimeMS, t.classIndex, "class"}} {
-		for _, name := range slices.Sorted(maps.Keys(m.by)) {
-			if m.place(name) < 0 {
-				return nil, overrideErrorf(m.key+"."+name, "the settings have no such %s", m.kind)
+}
+
+// checkNames finds overrides for sites and classes that the settings do not have.
+func (t *Topology) checkNames(overrides Overrides) error {
+	for _, table := range []struct {
+		key     string
+		values  map[string]float64
+		indexOf func(string) int
+		kind    string
+	}{
+		{"plan.carries", overrides.SiteCapacities, t.siteIndex, "site"},
+		{"plan.shares", overrides.ClassShares, t.classIndex, "class"},
+		{"plan.work_ms", overrides.ServiceTimeMS, t.classIndex, "class"},
+	} {
+		for _, name := range slices.Sorted(maps.Keys(table.values)) {
+			if table.indexOf(name) < 0 {
+				return overrideErrorf(table.key+"."+name, "the settings have no such %s", table.kind)
 			}
 		}
 	}
-	if t.OriginCapacity == 0 {
-		t.OriginCapacity = originHeadroom * t.uncacheableDemand()
-		for b, s := range t.Sites {
-			for c := range t.Classes {
-				if !s.Hub {
-					t.OriginCapacity += originHeadroom * t.fillDemand(b, c, false) * (1 - t.ParentHitRatio)
-				}
+	return nil
+}
+
+// defaultOriginCapacity is that of an origin of unknown size: its demand at the usual load, with some headroom.
+func (t *Topology) defaultOriginCapacity() float64 {
+	capacity := originHeadroom * t.uncacheableDemand()
+	for branch, site := range t.Sites {
+		for class := range t.Classes {
+			if !site.Hub {
+				capacity += originHeadroom * t.fillDemand(branch, class, false) * (1 - t.ParentHitRatio)
 			}
 		}
 	}
-	return t, t.validate()
+	return capacity
 }
 
 func (t *Topology) classIndex(name string) int {
@@ -165,7 +216,7 @@
 	return slices.IndexFunc(t.Sites, func(s Site) bool { return s.Name == name })
 }
 
-// validate names what a plan can't be made of.
+// validate finds values for which no plan can be made.
 func (t *Topology) validate() error {
 	sum := 0.0
 	for _, c := range t.Classes {
@@ -177,7 +228,7 @@
 		}
 		sum += c.LoadShare
 	}
-	if math.Abs(sum-1) > 0.01 {
+	if math.Abs(sum-1) > shareTolerance {
 		return overrideErrorf("plan.shares", "the classes' shares make %.3f, not 1", sum)
 	}
 	for _, s := range t.Sites {
@@ -188,47 +239,51 @@
 	return nil
 }
 
-// ringDistance is the way round the ring between two hubs.
+// ringDistance is the number of steps round the ring between two hubs.
 func (t *Topology) ringDistance(a, b int) int {
-	n := 0
+	hubs := 0
 	for _, s := range t.Sites {
 		if s.Hub {
-			n++
+			hubs++
 		}
 	}
-	d := t.Sites[a].RingPosition - t.Sites[b].RingPosition
-	if d < 0 {
-		d = -d
+	distance := t.Sites[a].RingPosition - t.Sites[b].RingPosition
+	if distance < 0 {
+		distance = -distance
 	}
-	return min(d, max(n-d, 0))
+	return min(distance, max(hubs-distance, 0))
 }
 
-// demand is the work that a branch is demand for at the usual load, in transfers. Traffic goes with the capacity that
-// the branch was built with: the clients of a lost branch are still there.
+// demand is the work that a branch is asked for at the usual load, in transfers. It goes with the capacity that the
+// branch was built with: the clients of a lost branch are still there.
 func (t *Topology) demand(branch int) float64 { return t.UsualLoad * t.Sites[branch].Capacity }
 
-// fillDemand is the part of a class's work at a branch that comes from hubs: what its caches lack, and all of it where
-// there are none and parents may be asked in their place.
+// classDemand is the part of a branch's demand that is of a class.
+func (t *Topology) classDemand(branch, class int) float64 {
+	return t.demand(branch) * t.Classes[class].LoadShare
+}
+
+// fillDemand is the part of a class's work at a branch that comes from hubs: what its caches lack, or all of it where
+// the caches are lost and parents may be asked in their place.
 func (t *Topology) fillDemand(branch, class int, lost bool) float64 {
-	c := t.Classes[class]
-	asked := t.demand(branch) * c.LoadShare
 	switch {
-	case c.Uncacheable:
+	case t.Classes[class].Uncacheable:
 		return 0
 	case lost && !t.BypassAllowed:
 		return 0
 	case lost:
-		return asked
+		return t.classDemand(branch, class)
 	}
-	return asked * (1 - t.CacheHitRatio)
+	return t.classDemand(branch, class) * (1 - t.CacheHitRatio)
 }
 
 // uncacheableDemand is the work of all branches that runs at the origin alone.
-func (t *Topology) uncacheableDemand() (sum float64) {
-	for b, s := range t.Sites {
-		for _, c := range t.Classes {
-			if !s.Hub && c.Uncacheable {
-				sum += t.demand(b) * c.LoadShare
+func (t *Topology) uncacheableDemand() float64 {
+	sum := 0.0
+	for branch, site := range t.Sites {
+		for class := range t.Classes {
+			if !site.Hub && t.Classes[class].Uncacheable {
+				sum += t.classDemand(branch, class)
 			}
 		}
 	}
