--- a/internal/failover/fillflow.go
+++ b/internal/failover/fillflow.go
@@ -87,22 +87,24 @@
 }
 
 func (p *Planner) newFillNetwork(available []float64, load float64) *fillNetwork {
-	t := p.topology
+	topology := p.topology
 	f := &fillNetwork{
 		planner:        p,
-		topology:       t,
+		topology:       topology,
 		available:      available,
 		load:           load,
-		hubNodes:       make([]int, len(t.Sites)),
-		hubRoom:        make([]float64, len(t.Sites)),
+		hubNodes:       make([]int, len(topology.Sites)),
+		hubRoom:        make([]float64, len(topology.Sites)),
 		noHubLeft:      true,
-		transitCost:    t.TransitCost * p.meanValueDensity(),
+		transitCost:    topology.TransitCost * p.meanValueDensity(),
 		congestionCost: p.congestionCost * p.minValueDensity(),
 	}
-	f.pinReward = homeHubLeaveCost*p.minValueDensity() + f.transitCost*float64(len(t.Sites)) + f.congestionCost*congestionSteps
+	// More than any way that a pin has a unit take instead of the cheapest one may cost.
+	f.pinReward = homeHubLeaveCost*p.minValueDensity() + f.transitCost*float64(len(topology.Sites)) +
+		f.congestionCost*congestionSteps
 	f.source, f.sink = f.network.addNode(), f.network.addNode()
 	f.origin = f.network.addNode()
-	for i, site := range t.Sites {
+	for i, site := range topology.Sites {
 		if !site.Hub {
 			continue
 		}
@@ -115,15 +117,15 @@
 
 // originLimit is how much may be sent towards the origin: parents hold a share of it.
 func (f *fillNetwork) originLimit() float64 {
-	t := f.topology
-	if t.OriginCapacity <= 0 {
+	topology := f.topology
+	if topology.OriginCapacity <= 0 {
 		return math.Inf(1)
 	}
-	limit := max(0, t.OriginCapacity-t.uncacheableDemand()*f.load)
+	limit := max(0, topology.OriginCapacity-topology.uncacheableDemand()*f.load)
 	if f.noHubLeft {
 		return limit
 	}
-	return limit / max(1-t.ParentHitRatio, epsilon)
+	return limit / max(1-topology.ParentHitRatio, epsilon)
 }
 
 // addBranch adds a branch with its classes, and its ways to all hubs.
@@ -155,13 +157,14 @@
 // applyPins reserves room at hubs for what pins send there from a branch. It returns that, and the share of the
 // branch's fills that is left.
 func (f *fillNetwork) applyPins(branch int, asked float64) (pinned []pinnedWork, unpinnedShare float64) {
-	t := f.topology
+	topology := f.topology
 	unpinnedShare = 1.0
 	for i, pin := range f.planner.overrides.Pins {
-		if pin.From != t.Sites[branch].Name || f.available[t.siteIndex(pin.Lost)] != 0 || f.available[t.siteIndex(pin.To)] == 0 {
+		lost, hub := topology.siteIndex(pin.Lost), topology.siteIndex(pin.To)
+		if pin.From != topology.Sites[branch].Name || f.available[lost] != 0 || f.available[hub] == 0 {
 			continue
 		}
-		hub, work := t.siteIndex(pin.To), pin.Share*asked
+		work := pin.Share * asked
 		if work > f.hubRoom[hub]+epsilon && f.pinOverload == nil {
 			reason := fmt.Sprintf("%s has room for %.1f transfers while %s is lost, and the share is %.1f",
 				pin.To, f.hubRoom[hub], pin.Lost, work)
@@ -265,72 +268,72 @@
 // result reads the solved network.
 func (f *fillNetwork) result(cost float64) *flowResult {
 	sites, classes := len(f.topology.Sites), len(f.topology.Classes)
-	r := &flowResult{
+	result := &flowResult{
 		fillFlow:    make([][]float64, sites),
 		servedShare: make([][]float64, sites),
 		cost:        cost,
 		pinOverload: f.pinOverload,
 	}
-	for branch := range r.fillFlow {
-		r.fillFlow[branch], r.servedShare[branch] = make([]float64, sites), make([]float64, classes)
+	for branch := range result.fillFlow {
+		result.fillFlow[branch], result.servedShare[branch] = make([]float64, sites), make([]float64, classes)
 		for class := range classes {
 			if f.available[branch] != 0 || f.topology.BypassAllowed {
-				r.servedShare[branch][class] = 1
+				result.servedShare[branch][class] = 1
 			}
 		}
 	}
 	for _, route := range f.routes {
-		r.fillFlow[route.branch][route.hub] += f.network.flowOn(route.arc)
+		result.fillFlow[route.branch][route.hub] += f.network.flowOn(route.arc)
 	}
 	for _, flow := range f.classFlows {
-		f.readRejections(flow, r)
+		f.readRejections(flow, result)
 	}
-	f.limitUncacheable(r)
+	f.limitUncacheable(result)
 	for branch, site := range f.topology.Sites {
 		if !site.Hub && f.available[branch] == 0 && !f.topology.BypassAllowed && f.topology.demand(branch) > 0 {
-			r.rejects = true
+			result.rejects = true
 		}
 	}
-	return r
+	return result
 }
 
 // readRejections reads how much of a class is served. What caches hold is served whatever becomes of the fills.
-func (f *fillNetwork) readRejections(flow classFlow, r *flowResult) {
+func (f *fillNetwork) readRejections(flow classFlow, result *flowResult) {
 	work := f.topology.fillDemand(flow.branch, flow.class, f.available[flow.branch] == 0) * f.load
 	rejected := 0.0
 	for _, index := range flow.rejections {
 		rejected += f.network.flowOn(index)
 	}
 	if rejected > epsilon*congestionSteps {
-		r.rejects = true
+		result.rejects = true
 	}
 	all := f.topology.classDemand(flow.branch, flow.class) * f.load
-	r.servedShare[flow.branch][flow.class] = 1 - min(rejected, work)/max(all, epsilon)
+	result.servedShare[flow.branch][flow.class] = 1 - min(rejected, work)/max(all, epsilon)
 }
 
 // limitUncacheable has uncacheable requests, which come before fills, rejected where they alone are too many for the
 // origin.
-func (f *fillNetwork) limitUncacheable(r *flowResult) {
-	t := f.topology
-	work := t.uncacheableDemand() * f.load
-	if t.OriginCapacity <= 0 || work <= t.OriginCapacity+epsilon {
+func (f *fillNetwork) limitUncacheable(result *flowResult) {
+	topology := f.topology
+	work := topology.uncacheableDemand() * f.load
+	if topology.OriginCapacity <= 0 || work <= topology.OriginCapacity+epsilon {
 		return
 	}
-	for branch := range t.Sites {
-		for class, c := range t.Classes {
+	for branch := range topology.Sites {
+		for class, c := range topology.Classes {
 			if c.Uncacheable {
-				r.servedShare[branch][class] = min(r.servedShare[branch][class], t.OriginCapacity/work)
+				result.servedShare[branch][class] = min(result.servedShare[branch][class], topology.OriginCapacity/work)
 			}
 		}
 	}
-	r.rejects = true
+	result.rejects = true
 }
 
 // intoHub is what all branches send to a hub, in transfers.
-func (r *flowResult) intoHub(hub int) float64 {
+func (result *flowResult) intoHub(hub int) float64 {
 	sum := 0.0
-	for branch := range r.fillFlow {
-		sum += r.fillFlow[branch][hub]
+	for branch := range result.fillFlow {
+		sum += result.fillFlow[branch][hub]
 	}
 	return sum
 }
--- a/internal/failover/local.go
+++ b/internal/failover/local.go
@@ -111,14 +111,14 @@
 
 // fillShares are the shares of our branch's fills that the plan makes, by class.
 func (l *LocalPlanner) fillShares(available []float64, result *flowResult) []float64 {
-	t, branch := l.planner.topology, l.settings.Zone
-	shares := make([]float64, 0, len(t.Classes))
-	for class := range t.Classes {
+	topology, branch := l.planner.topology, l.settings.Zone
+	shares := make([]float64, 0, len(topology.Classes))
+	for class := range topology.Classes {
 		share := 1.0
-		fills := t.fillDemand(branch, class, available[branch] == 0)
+		fills := topology.fillDemand(branch, class, available[branch] == 0)
 		if fills > epsilon {
 			rejected := 1 - result.servedShare[branch][class]
-			share = max(0, min(1, 1-rejected*t.classDemand(branch, class)/fills))
+			share = max(0, min(1, 1-rejected*topology.classDemand(branch, class)/fills))
 		}
 		shares = append(shares, share)
 	}
--- a/internal/failover/overrides.go
+++ b/internal/failover/overrides.go
@@ -13,12 +13,12 @@
 	UsualLoad      float64            `toml:"usual_load"`  // share of the capacity of a branch's caches
 	CacheHitRatio  float64            `toml:"hits"`        // share of the work that caches hold
 	ParentHitRatio float64            `toml:"parent_hits"` // share of the fills that parents hold
-	OriginCapacity float64            `toml:"origin"`      // transfers that the origin can give at once; 0: half more than usual
+	OriginCapacity float64            `toml:"origin"`      // transfers at once; 0: half more than usual
 	SiteCapacities map[string]float64 `toml:"carries"`     // transfers by site, in place of its servers' weights
 	ClassShares    map[string]float64 `toml:"shares"`      // of the work by class; empty: all the same
 	ServiceTimeMS  map[string]float64 `toml:"work_ms"`     // sending time of a mean object by class
-	RejectionOrder []string           `toml:"order"`       // classes, the first rejected first; empty: by priority weight
-	ShiftRatePerS  float64            `toml:"move_per_s"`  // share of a site's traffic that moves within a second at most
+	RejectionOrder []string           `toml:"order"`       // classes as they are rejected; empty: by value
+	ShiftRatePerS  float64            `toml:"move_per_s"`  // share of a site's traffic that may move in a second
 	MinLostMS      float64            `toml:"stay_ms"`     // for which a site stays lost at the least
 	LimitFills     bool               `toml:"follow"`      // directors keep fills to the plan's shares
 	Pins           []Pin              `toml:"pin"`
@@ -104,8 +104,8 @@
 		key := source{lost: pin.Lost, from: pin.From}
 		sums[key] += pin.Share
 		if sums[key] > 1+epsilon {
-			return overrideErrorf(pinKey(i, "share"), "the pins of %s while %s is lost make %.3f, more than 1", pin.From, pin.Lost,
-				sums[key])
+			return overrideErrorf(pinKey(i, "share"), "the pins of %s while %s is lost make %.3f, more than 1",
+				pin.From, pin.Lost, sums[key])
 		}
 	}
 	return nil
@@ -113,77 +113,80 @@
 
 // validate holds the overrides against a topology: sites and classes that it does not have, a pin to a site that is
 // lost itself, sites that would have to take each other's load. Whether pins have room is found with the plan.
-func (o *Overrides) validate(t *Topology) error {
+func (o *Overrides) validate(topology *Topology) error {
 	if err := o.ValidateRanges(); err != nil {
 		return err
 	}
 	for i, pin := range o.Pins {
-		if err := o.validatePin(t, i, pin); err != nil {
+		if err := o.validatePin(topology, i, pin); err != nil {
 			return err
 		}
 	}
 	for i, forbid := range o.Forbids {
-		if t.siteIndex(forbid.Lost) < 0 {
+		if topology.siteIndex(forbid.Lost) < 0 {
 			return overrideErrorf(forbidKey(i, "lost"), "%q is no site of the settings", forbid.Lost)
 		}
-		if err := checkHub(t, forbidKey(i, "to"), forbid.To); err != nil {
+		if err := checkHub(topology, forbidKey(i, "to"), forbid.To); err != nil {
 			return err
 		}
 	}
 	for i, name := range o.RejectionOrder {
-		if t.classIndex(name) < 0 {
+		if topology.classIndex(name) < 0 {
 			return overrideErrorf("plan.order", "%q is no class", name)
 		}
 		if slices.Contains(o.RejectionOrder[:i], name) {
 			return overrideErrorf("plan.order", "%s is named twice", name)
 		}
 	}
-	return o.checkPinLoops(t)
+	return o.checkPinLoops(topology)
 }
 
-func (o *Overrides) validatePin(t *Topology, i int, pin Pin) error {
-	if t.siteIndex(pin.Lost) < 0 {
+func (o *Overrides) validatePin(topology *Topology, i int, pin Pin) error {
+	if topology.siteIndex(pin.Lost) < 0 {
 		return overrideErrorf(pinKey(i, "lost"), "%q is no site of the settings", pin.Lost)
 	}
-	from := t.siteIndex(pin.From)
+	from := topology.siteIndex(pin.From)
 	if from < 0 {
 		return overrideErrorf(pinKey(i, "from"), "%q is no site of the settings", pin.From)
 	}
-	if t.Sites[from].Hub {
+	if topology.Sites[from].Hub {
 		return overrideErrorf(pinKey(i, "from"), "%s is a hub: fills come from branches", pin.From)
 	}
-	if err := checkHub(t, pinKey(i, "to"), pin.To); err != nil {
+	if err := checkHub(topology, pinKey(i, "to"), pin.To); err != nil {
 		return err
 	}
 	if pin.To == pin.Lost {
 		return overrideErrorf(pinKey(i, "to"), "%s can't take what it has lost itself", pin.To)
 	}
-	if pin.From == pin.Lost && !t.BypassAllowed {
-		return overrideErrorf(pinKey(i, "from"), "%s is lost, and parents take no clients' requests here: it has no fills", pin.From)
+	if pin.From == pin.Lost && !topology.BypassAllowed {
+		return overrideErrorf(pinKey(i, "from"), "%s is lost, and parents take no clients' requests here: it has no fills",
+			pin.From)
 	}
 	for j, forbid := range o.Forbids {
 		if forbid.Lost == pin.Lost && forbid.To == pin.To {
-			return overrideErrorf(pinKey(i, "to"), "%s may not take anything while %s is lost (plan.forbid[%d])", pin.To, pin.Lost, j)
+			return overrideErrorf(pinKey(i, "to"), "%s may not take anything while %s is lost (plan.forbid[%d])",
+				pin.To, pin.Lost, j)
 		}
 	}
 	return nil
 }
 
 // checkHub makes sure that the value of a key names a hub.
-func checkHub(t *Topology, key, name string) error {
-	i := t.siteIndex(name)
+func checkHub(topology *Topology, key, name string) error {
+	i := topology.siteIndex(name)
 	if i < 0 {
 		return overrideErrorf(key, "%q is no site of the settings", name)
 	}
-	if !t.Sites[i].Hub {
-		return overrideErrorf(key, "%s is a branch: only hubs take fills, and caches of other branches take no clients' requests", name)
+	if !topology.Sites[i].Hub {
+		return overrideErrorf(key, "%s is a branch: only hubs take fills, and caches of other branches take no clients' requests",
+			name)
 	}
 	return nil
 }
 
 // checkPinLoops finds hubs that are pinned to take all of each other's load: with both lost, the pins would send it
 // round.
-func (o *Overrides) checkPinLoops(t *Topology) error {
+func (o *Overrides) checkPinLoops(topology *Topology) error {
 	search := loopSearch{pins: o.Pins, takers: map[string]map[string]int{}}
 	for i, pin := range o.Pins {
 		if !pin.isWhole() {
@@ -194,7 +197,7 @@
 		}
 		search.takers[pin.Lost][pin.To] = i
 	}
-	for _, site := range t.Sites {
+	for _, site := range topology.Sites {
 		if err := search.visit(site.Name, nil); err != nil {
 			return err
 		}
--- a/internal/failover/plan.go
+++ b/internal/failover/plan.go
@@ -49,10 +49,10 @@
 
 // buildPlan works the plan out. The names are known sites.
 func (p *Planner) buildPlan(lost []string) *Plan {
-	t, available := p.topology, p.availability(lost)
+	topology, available := p.topology, p.availability(lost)
 	usual := p.solveFlow(available, 1)
 	plan := &Plan{Lost: lost, ValueServed: p.valueServed(usual), Unmet: p.unmetDemands(available, usual)}
-	for branch, site := range t.Sites {
+	for branch, site := range topology.Sites {
 		if !site.Hub {
 			plan.Branches = append(plan.Branches, p.branchPlan(branch, available, usual))
 		}
@@ -60,21 +60,21 @@
 	plan.RejectionStart, plan.NeverRejects = p.rejectionStart(available)
 	plan.Rejections = p.classRejections(available)
 	for _, name := range lost {
-		plan.RecoveryTime = max(plan.RecoveryTime, p.recoveryTime(t.Sites[t.siteIndex(name)]))
+		plan.RecoveryTime = max(plan.RecoveryTime, p.recoveryTime(topology.Sites[topology.siteIndex(name)]))
 	}
 	return plan
 }
 
 func (p *Planner) branchPlan(branch int, available []float64, usual *flowResult) BranchPlan {
-	t := p.topology
+	topology := p.topology
 	plan := BranchPlan{
-		Name:         t.Sites[branch].Name,
+		Name:         topology.Sites[branch].Name,
 		ServedBy:     servedByCaches,
 		FillShares:   map[string]float64{},
 		ServedShares: map[string]float64{},
 	}
 	switch {
-	case available[branch] == 0 && t.BypassAllowed:
+	case available[branch] == 0 && topology.BypassAllowed:
 		plan.ServedBy = servedByParents
 	case available[branch] == 0:
 		plan.ServedBy = servedByNobody
@@ -85,10 +85,10 @@
 	}
 	for hub, flow := range usual.fillFlow[branch] {
 		if flow > epsilon {
-			plan.FillShares[t.Sites[hub].Name] = flow / sum
+			plan.FillShares[topology.Sites[hub].Name] = flow / sum
 		}
 	}
-	for class, c := range t.Classes {
+	for class, c := range topology.Classes {
 		plan.ServedShares[c.Name] = usual.servedShare[branch][class]
 	}
 	return plan
@@ -98,24 +98,25 @@
 // usual load.
 func (p *Planner) unmetDemands(available []float64, usual *flowResult) []string {
 	var list []string
-	t, hubsLeft := p.topology, p.hubsLeft(available)
-	for branch, site := range t.Sites {
+	topology, hubsLeft := p.topology, p.hubsLeft(available)
+	for branch, site := range topology.Sites {
 		switch {
 		case site.Hub:
-		case available[branch] == 0 && !t.BypassAllowed:
+		case available[branch] == 0 && !topology.BypassAllowed:
 			list = append(list, site.Name+": nobody may take its clients' requests here (caches of other branches are "+
 				"a fault, parents take none): all of them are refused at once")
 		case site.Capacity == 0 && available[branch] > 0:
 			list = append(list, site.Name+": it has no caches")
-		case hubsLeft == 0 && t.demand(branch)*(1-t.CacheHitRatio) > 0:
-			list = append(list, site.Name+": no hub is left, and what its caches lack comes from the origin as far as that can give it")
+		case hubsLeft == 0 && topology.demand(branch)*(1-topology.CacheHitRatio) > 0:
+			list = append(list, site.Name+
+				": no hub is left, and what its caches lack comes from the origin as far as that can give it")
 		}
 	}
-	for branch, site := range t.Sites {
+	for branch, site := range topology.Sites {
 		if site.Hub || available[branch] == 0 {
 			continue
 		}
-		for class, c := range t.Classes {
+		for class, c := range topology.Classes {
 			if rejected := 1 - usual.servedShare[branch][class]; rejected > noticeableShare {
 				list = append(list, fmt.Sprintf("%s: %.0f %% of %s at the usual load", site.Name, 100*rejected, c.Name))
 			}
@@ -149,8 +150,8 @@
 	fmt.Fprintln(&text, title)
 	const row = "  %-14s %-9s %-44s %s\n"
 	fmt.Fprintf(&text, row, "branch", "load by", "fills by", "served at the usual load")
-	for _, b := range p.Branches {
-		fmt.Fprintf(&text, row, b.Name, b.ServedBy, formatShares(b.FillShares), formatShares(b.ServedShares))
+	for _, branch := range p.Branches {
+		fmt.Fprintf(&text, row, branch.Name, branch.ServedBy, formatShares(branch.FillShares), formatShares(branch.ServedShares))
 	}
 	switch {
 	case p.NeverRejects:
--- a/internal/failover/planner.go
+++ b/internal/failover/planner.go
@@ -10,8 +10,8 @@
 
 const (
 	congestionSteps       = 10   // in which a hub's takeover is priced, half of them for its share by capacity
-	defaultCongestionCost = 0.02 // of a unit's value, more for each step: two or three of them are worth a step round the ring
-	homeHubLeaveCost      = 0.5  // of a unit's value, for fills that leave a hub that is there: only what it has no room for
+	defaultCongestionCost = 0.02 // of a unit's value, for each step: two or three are worth a step round the ring
+	homeHubLeaveCost      = 0.5  // of a unit's value, for fills that leave a hub that is there
 
 	coldBudgetUse   = 0.5 // share of a slow-start budget that is used: the router's own margin for chance
 	maxLoadSearched = 16  // multiple of the usual load up to which the begin of rejections is looked for
@@ -33,7 +33,12 @@
 
 // NewPlanner checks the overrides against the topology. The error is an *OverrideError.
 func NewPlanner(topology *Topology, overrides Overrides) (*Planner, error) {
-	p := &Planner{topology: topology, overrides: overrides, plans: map[string]*Plan{}, congestionCost: defaultCongestionCost}
+	p := &Planner{
+		topology:       topology,
+		overrides:      overrides,
+		plans:          map[string]*Plan{},
+		congestionCost: defaultCongestionCost,
+	}
 	if err := overrides.validate(topology); err != nil {
 		return nil, err
 	}
@@ -140,8 +145,8 @@
 // would be cheaper to reject them.
 func (p *Planner) minValueDensity() float64 {
 	least := math.Inf(1)
-	for _, c := range p.topology.Classes {
-		least = min(least, c.valueDensity())
+	for _, class := range p.topology.Classes {
+		least = min(least, class.valueDensity())
 	}
 	return least
 }
@@ -149,8 +154,8 @@
 // meanValueDensity is that of a mean second of sending.
 func (p *Planner) meanValueDensity() float64 {
 	sum := 0.0
-	for _, c := range p.topology.Classes {
-		sum += c.LoadShare * c.valueDensity()
+	for _, class := range p.topology.Classes {
+		sum += class.LoadShare * class.valueDensity()
 	}
 	return sum
 }
@@ -230,14 +235,14 @@
 // recoveryTime is how long the usual load takes to return to a site that starts empty and cold: until its slow-start
 // budget, as far as directors use it, allows for all of it.
 func (p *Planner) recoveryTime(site Site) time.Duration {
-	t := p.topology
-	start, multiple, duration := t.CacheSlowStartFraction, t.CacheOverloadMultiple, t.CacheSlowStartDuration
-	load := t.UsualLoad
+	topology := p.topology
+	start, multiple, duration := topology.CacheSlowStartFraction, topology.CacheOverloadMultiple, topology.CacheSlowStartDuration
+	load := topology.UsualLoad
 	if site.Hub {
-		start, multiple, duration = t.ParentSlowStartFraction, t.ParentOverloadMultiple, t.ParentSlowStartDuration
+		start, multiple, duration = topology.ParentSlowStartFraction, topology.ParentOverloadMultiple, topology.ParentSlowStartDuration
 		load = 0
 		if site.Capacity > 0 {
-			load = p.solveFlow(p.availability(nil), 1).intoHub(t.siteIndex(site.Name)) / site.Capacity
+			load = p.solveFlow(p.availability(nil), 1).intoHub(topology.siteIndex(site.Name)) / site.Capacity
 		}
 	}
 	if multiple <= 0 || duration <= 0 {
--- /dev/null
+++ b/internal/failover/planner_test.go
@@ -0,0 +1,296 @@
+package failover
+
+import (
+	"math"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+
+	"pgregory.net/rapid"
+)
+
+// testTopology is a topology of branches, given by the numbers of their caches, and hubs, given by their capacities.
+// One transfer is asked for by each cache and class.
+func testTopology(caches []int, hubs []float64, homes []int) *Topology {
+	topology := &Topology{
+		BypassAllowed: true,
+		UsualLoad:     1,
+		TransitCost:   0.01,
+
+		CacheSlowStartDuration:  10 * time.Second,
+		CacheSlowStartFraction:  0.25,
+		CacheOverloadMultiple:   2,
+		ParentSlowStartDuration: 20 * time.Second,
+		ParentSlowStartFraction: 0.1,
+		ParentOverloadMultiple:  2,
+
+		Classes: []Class{
+			{Name: "media", LoadShare: 0.5, ServiceTime: 2 * time.Second, PriorityWeight: 2},
+			{Name: "pages", LoadShare: 0.5, ServiceTime: time.Second, PriorityWeight: 3},
+		},
+	}
+	for i, capacity := range hubs {
+		name := "hub-" + string(rune('a'+i))
+		topology.Sites = append(topology.Sites, Site{Name: name, Hub: true, Capacity: capacity, RingPosition: i, HomeHub: -1})
+	}
+	for i, count := range caches {
+		name := "branch-" + string(rune('1'+i))
+		topology.Sites = append(topology.Sites, Site{Name: name, Capacity: float64(2 * count), HomeHub: homes[i]})
+	}
+	return topology
+}
+
+// newTestPlanner makes a planner or ends the test.
+func newTestPlanner(t testing.TB, topology *Topology, overrides Overrides) *Planner {
+	t.Helper()
+	p, err := NewPlanner(topology, overrides)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return p
+}
+
+// planFor makes a plan or ends the test.
+func planFor(t testing.TB, p *Planner, lost ...string) *Plan {
+	t.Helper()
+	plan, err := p.Plan(lost...)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return plan
+}
+
+// lossCase is a topology with some sites lost.
+type lossCase struct {
+	caches          []int
+	hubs            []float64
+	homes           []int
+	ingress, origin float64 // capacities; 0: unlimited
+	lost            []int   // indices of sites
+}
+
+// check holds the plan of the case against all ways, and reports whether it rejects anything.
+func (c lossCase) check(t *testing.T) (rejects bool) {
+	t.Helper()
+	topology := testTopology(c.caches, c.hubs, c.homes)
+	topology.OriginCapacity, topology.ParentHitRatio = c.origin, 0.5
+	for i := range topology.Sites {
+		if !topology.Sites[i].Hub {
+			topology.Sites[i].IngressCapacity = c.ingress
+		}
+	}
+	p := newTestPlanner(t, topology, Overrides{})
+	p.congestionCost = 0 // it only settles ties, and whole transfers can't be shared as evenly as parts of them
+	available := p.availability(nil)
+	for _, i := range c.lost {
+		available[i] = 0
+	}
+	got := p.solveFlow(available, 1)
+	wantCost, mustReject := bruteForceCost(p, available)
+	if math.Abs(got.cost-wantCost) > 1e-6 {
+		t.Fatalf("%+v: costs %v, the best of all ways %v", c, got.cost, wantCost)
+	}
+	if mustReject != got.rejects {
+		t.Fatalf("%+v: rejects %v, must %v (cost %v)", c, got.rejects, mustReject, wantCost)
+	}
+	return got.rejects
+}
+
+// lossCases are all cases with some hubs.
+func lossCases(hubs []float64) []lossCase {
+	var cases []lossCase
+	for count := 0; count <= 5; count++ {
+		for _, caches := range [][]int{{count, 0}, {count, 5 - count}, {count, (5 - count) / 2}, {count}} {
+			homes := []int{0, len(hubs) - 1}
+			sites := len(hubs) + len(caches)
+			for lost := -1; lost < sites; lost++ {
+				var one []int
+				if lost >= 0 {
+					one = []int{lost}
+				}
+				cases = append(cases, lossCase{caches: caches, hubs: hubs, homes: homes, lost: one},
+					lossCase{caches: caches, hubs: hubs, homes: homes, ingress: 3, origin: 2, lost: one})
+				if lost >= 0 && lost+1 < sites {
+					cases = append(cases, lossCase{caches: caches, hubs: hubs, homes: homes, lost: []int{lost, lost + 1}})
+				}
+			}
+		}
+	}
+	return cases
+}
+
+// Every case of up to 5 caches, 2 branches and 3 hubs, with every site lost that may be: the plan costs what the best
+// of all ways costs, and refuses exactly where all ways must.
+func TestPlanIsAsGoodAsTheBestOfAllWays(t *testing.T) {
+	cases, rejecting := 0, 0
+	var addHubs func(left int, hubs []float64)
+	addHubs = func(left int, hubs []float64) {
+		if len(hubs) > 0 {
+			for _, c := range lossCases(hubs) {
+				cases++
+				if c.check(t) {
+					rejecting++
+				}
+			}
+		}
+		if left == 0 {
+			return
+		}
+		for _, capacity := range []float64{0, 2, 5} {
+			addHubs(left-1, append(slices.Clone(hubs), capacity))
+		}
+	}
+	addHubs(3, nil)
+	if cases < 10_000 || rejecting < cases/10 || rejecting > cases*9/10 {
+		t.Errorf("%d cases, of which %d reject: they show little", cases, rejecting)
+	}
+}
+
+// Whatever is lost: shares add up, nobody takes more than it carries, no way leads to a lost hub, and more load never
+// serves a larger part of it.
+func TestPlanKeepsItsBounds(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		topology := drawTopology(t)
+		p, err := NewPlanner(topology, Overrides{})
+		if err != nil {
+			t.Fatal(err)
+		}
+		var lost []string
+		for _, site := range topology.Sites {
+			if rapid.IntRange(0, 3).Draw(t, "lost") == 0 {
+				lost = append(lost, site.Name)
+			}
+		}
+		available := p.availability(lost)
+		result := p.solveFlow(available, 1)
+		for i, site := range topology.Sites {
+			if site.Hub && result.intoHub(i) > site.Capacity*available[i]+1e-6 {
+				t.Errorf("%s gets %v of %v (available %v)", site.Name, result.intoHub(i), site.Capacity, available[i])
+			}
+		}
+		plan, err := p.Plan(lost...)
+		if err != nil {
+			t.Fatal(err)
+		}
+		for _, branch := range plan.Branches {
+			checkShares(t, branch)
+		}
+		before := 1.0 + 1e-6
+		for _, load := range []float64{0.5, 1, 2, 4} {
+			now := p.valueServed(p.solveFlow(available, load))
+			if now > before+1e-6 {
+				t.Errorf("at %v times the load %v of it is served, at less %v", load, now, before)
+			}
+			before = now
+		}
+		// The same again, in whatever order the names come.
+		twin, _ := NewPlanner(topology, Overrides{})
+		slices.Reverse(lost)
+		again, _ := twin.Plan(lost...)
+		if again.ValueServed != plan.ValueServed || again.RejectionStart != plan.RejectionStart {
+			t.Errorf("two planners differ: %v, %v", plan, again)
+		}
+	})
+}
+
+func drawTopology(t *rapid.T) *Topology {
+	hubs := rapid.SliceOfN(rapid.Float64Range(0, 40), 1, 4).Draw(t, "hubs")
+	caches := rapid.SliceOfN(rapid.IntRange(0, 12), 1, 4).Draw(t, "caches")
+	homes := rapid.SliceOfN(rapid.IntRange(0, len(hubs)-1), len(caches), len(caches)).Draw(t, "homes")
+	topology := testTopology(caches, hubs, homes)
+	topology.UsualLoad = rapid.Float64Range(0.1, 2).Draw(t, "load")
+	topology.CacheHitRatio = rapid.Float64Range(0, 1).Draw(t, "hits")
+	topology.ParentHitRatio = rapid.Float64Range(0, 0.99).Draw(t, "parent hits")
+	topology.OriginCapacity = rapid.Float64Range(0, 20).Draw(t, "origin")
+	topology.BypassAllowed = rapid.Bool().Draw(t, "bypass")
+	return topology
+}
+
+// checkShares makes sure that a branch's shares are shares, and those of its fills sum to 1.
+func checkShares(t *rapid.T, branch BranchPlan) {
+	sum := 0.0
+	for _, share := range branch.FillShares {
+		sum += share
+	}
+	if len(branch.FillShares) > 0 && math.Abs(sum-1) > 1e-6 {
+		t.Errorf("%s: the shares %v make %v", branch.Name, branch.FillShares, sum)
+	}
+	for class, share := range branch.ServedShares {
+		if !(share >= -1e-9 && share <= 1+1e-9) {
+			t.Errorf("%s: %v of %s is served", branch.Name, share, class)
+		}
+	}
+}
+
+// Hubs that are as near as each other share what a lost one leaves, and none is filled while another is idle.
+func TestNeighboursShareALostHub(t *testing.T) {
+	p := newTestPlanner(t, testTopology([]int{4, 0, 0}, []float64{8, 8, 8}, []int{0, 1, 2}), Overrides{})
+	shares := planFor(t, p, "hub-a").Branches[0].FillShares
+	if math.Abs(shares["hub-b"]-0.5) > 0.11 || math.Abs(shares["hub-c"]-0.5) > 0.11 || shares["hub-a"] != 0 {
+		t.Errorf("%v", shares)
+	}
+}
+
+func TestOrderOfRejections(t *testing.T) {
+	topology := testTopology([]int{10, 10}, []float64{20, 10}, []int{0, 1})
+	topology.CacheHitRatio = 0
+	topology.Classes = append(topology.Classes,
+		Class{Name: "repayment", LoadShare: 0.2, ServiceTime: 10 * time.Second, PriorityWeight: 1, NonIdempotent: true})
+	topology.Classes[0].LoadShare, topology.Classes[1].LoadShare = 0.4, 0.4
+	for _, test := range []struct {
+		name      string
+		overrides Overrides
+		want      []string
+	}{
+		{"by value", Overrides{}, []string{"media", "pages", "repayment"}},
+		{"as the operators say", Overrides{RejectionOrder: []string{"pages", "media"}}, []string{"pages", "media", "repayment"}},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			plan := planFor(t, newTestPlanner(t, topology, test.overrides), "hub-a")
+			got := make([]string, 0, len(plan.Rejections))
+			for _, rejection := range plan.Rejections {
+				got = append(got, rejection.Class)
+			}
+			if !slices.Equal(got, test.want) {
+				t.Errorf("got %v, want %v", got, test.want)
+			}
+			if plan.NeverRejects || plan.RejectionStart <= 0 || plan.RejectionStart >= 1 {
+				t.Errorf("rejections start at %v", plan.RejectionStart)
+			}
+		})
+	}
+}
+
+// Where no one may take a branch's clients, the plan says so.
+func TestUnmetDemandsAreNamed(t *testing.T) {
+	topology := testTopology([]int{3, 3}, []float64{4, 4}, []int{0, 1})
+	topology.BypassAllowed, topology.CacheHitRatio = false, 0.5
+	p := newTestPlanner(t, topology, Overrides{})
+	plan := planFor(t, p, "branch-1")
+	if len(plan.Unmet) != 1 || !strings.Contains(plan.Unmet[0], "branch-1: nobody may take") || plan.RejectionStart != 0 {
+		t.Errorf("%+v", plan)
+	}
+	lost, other := plan.Branches[0], plan.Branches[1]
+	if lost.ServedBy != servedByNobody || lost.ServedShares["media"] != 0 || other.ServedShares["media"] != 1 {
+		t.Errorf("%+v", plan)
+	}
+	plan = planFor(t, p, "hub-a", "hub-b")
+	if len(plan.Unmet) < 2 || !strings.Contains(plan.Unmet[0], "no hub is left") {
+		t.Errorf("%+v", plan)
+	}
+	if _, err := p.Plan("moon"); err == nil {
+		t.Error("an unknown site can't be lost")
+	}
+}
+
+// A cache starts with a quarter of its capacity, and half of its budget, twice that, is used: all load is back at 0.6 /
+// 1.
+func TestRecoveryTimeFollowsTheSlowStart(t *testing.T) {
+	topology := testTopology([]int{3, 3}, []float64{4, 4}, []int{0, 1})
+	topology.BypassAllowed, topology.CacheHitRatio, topology.UsualLoad = false, 0.5, 0.6
+	plan := planFor(t, newTestPlanner(t, topology, Overrides{}), "branch-1")
+	if math.Abs(plan.RecoveryTime.Seconds()-10*(0.6-0.25)/0.75) > 1e-6 {
+		t.Errorf("recovers within %v", plan.RecoveryTime)
+	}
+}
