--- a/internal/failover/planner.go
+++ b/internal/failover/planner.go
@@ -236,14 +236,13 @@
 // budget, as far as directors use it, allows for all of it.
 func (p *Planner) recoveryTime(site Site) time.Duration {
 	topology := p.topology
-	start, multiple, duration := topology.CacheSlowStartFraction, topology.CacheOverloadMultiple, topology.CacheSlowStartDuration
+	start, multiple := topology.CacheSlowStartFraction, topology.CacheOverloadMultiple
+	duration := topology.CacheSlowStartDuration
 	load := topology.UsualLoad
 	if site.Hub {
-		start, multiple, duration = topology.ParentSlowStartFraction, topology.ParentOverloadMultiple, topology.ParentSlowStartDuration
-		load = 0
-		if site.Capacity > 0 {
-			load = p.solveFlow(p.availability(nil), 1).intoHub(topology.siteIndex(site.Name)) / site.Capacity
-		}
+		start, multiple = topology.ParentSlowStartFraction, topology.ParentOverloadMultiple
+		duration = topology.ParentSlowStartDuration
+		load = p.hubLoad(site)
 	}
 	if multiple <= 0 || duration <= 0 {
 		return 0
@@ -254,3 +253,11 @@
 	}
 	return time.Duration(float64(duration) * (needed - start) / max(1-start, epsilon))
 }
+
+// hubLoad is what a hub is sent at the usual load with nothing lost, as a share of its capacity.
+func (p *Planner) hubLoad(hub Site) float64 {
+	if hub.Capacity <= 0 {
+		return 0
+	}
+	return p.solveFlow(p.availability(nil), 1).intoHub(p.topology.siteIndex(hub.Name)) / hub.Capacity
+}
