--- a/internal/checker/check_test.go
+++ b/internal/checker/check_test.go
@@ -34,20 +34,20 @@
 // checkWith judges the good record with lines more, in order of time, and without those that hold a text.
 func checkWith(t *testing.T, without string, more ...string) *Verdict {
 	t.Helper()
-	lines := slices.DeleteFunc(slices.Clone(cleanHistory), func(l string) bool { return without != "" && strings.Contains(l, without) })
+	lines := slices.DeleteFunc(slices.Clone(cleanHistory), func(line string) bool { return without != "" && strings.Contains(line, without) })
 	lines = append(lines, more...)
-	at := func(l string) (ms float64) {
-		if _, err := fmt.Sscanf(l, `{"ms":%f`, &ms); err != nil {
-			t.Fatalf("%s: %v", l, err)
+	at := func(line string) (ms float64) {
+		if _, err := fmt.Sscanf(line, `{"ms":%f`, &ms); err != nil {
+			t.Fatalf("%s: %v", line, err)
 		}
 		return ms
 	}
 	slices.SortStableFunc(lines, func(a, b string) int { return int(at(a) - at(b)) })
-	v, err := Check(strings.NewReader(strings.Join(lines, "\n")))
+	verdict, err := Check(strings.NewReader(strings.Join(lines, "\n")))
 	if err != nil {
 		t.Fatal(err)
 	}
-	return v
+	return verdict
 }
 
 const (
@@ -70,19 +70,19 @@
 
 // Each rule broken, and its nearest neighbour that keeps it.
 func TestRules(t *testing.T) {
-	crowd := func(n int) (l []string) {
+	crowd := func(n int) (lines []string) {
 		for i := range n {
-			l = append(l, fmt.Sprintf(`{"ms":%d,"kind":"source","who":"c2","director":"d%d","ref":"x","work":0.1}`, 500+i, i%2))
+			lines = append(lines, fmt.Sprintf(`{"ms":%d,"kind":"source","who":"c2","director":"d%d","ref":"x","work":0.1}`, 500+i, i%2))
 		}
-		return l
+		return lines
 	}
-	each := func(n int, work float64) (l []string) {
+	each := func(n int, work float64) (lines []string) {
 		for i := range n {
-			l = append(l, fmt.Sprintf(`{"ms":%d,"kind":"req","who":"c2","director":"d%d","ref":"x","work":%v}`, 500+i, 10+i, work))
+			lines = append(lines, fmt.Sprintf(`{"ms":%d,"kind":"req","who":"c2","director":"d%d","ref":"x","work":%v}`, 500+i, 10+i, work))
 		}
-		return l
+		return lines
 	}
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name, without string
 		more          []string
 		rule          string // "": all is kept
@@ -146,17 +146,17 @@
 		{"a crash", "", []string{`{"ms":4000,"kind":"process","who":"d1","what":"gone","class":"status 2"}`}, "crash"},
 		{"bad words", "", []string{`{"ms":4000,"kind":"fault","who":"c1","what":"can't use"}`}, "protocol"},
 	} {
-		v := checkWith(t, c.without, c.more...)
+		verdict := checkWith(t, test.without, test.more...)
 		var rules []string
-		for _, b := range v.Violations {
+		for _, b := range verdict.Violations {
 			rules = append(rules, b.Rule)
 		}
-		want := []string{c.rule}
-		if c.rule == "" {
+		want := []string{test.rule}
+		if test.rule == "" {
 			want = nil
 		}
 		if !slices.Equal(rules, want) {
-			t.Errorf("%s: broken %+v, want %q", c.name, v.Violations, c.rule)
+			t.Errorf("%s: broken %+v, want %q", test.name, verdict.Violations, test.rule)
 		}
 	}
 }
@@ -170,18 +170,18 @@
 			more = append(more, fmt.Sprintf(`{"ms":%d,"kind":"call","director":"e%d","what":"served","value":1}`, 2400+i, i))
 		}
 	}
-	f := checkWith(t, "", more...).Metrics
-	if f["list_peak_ratio"] < 14 || f["list_peak_ratio"] > 16 { // all 20 in one of 15 bins
-		t.Errorf("peak ratio %v, want about 15", f["list_peak_ratio"])
+	metrics := checkWith(t, "", more...).Metrics
+	if metrics["list_peak_ratio"] < 14 || metrics["list_peak_ratio"] > 16 { // all 20 in one of 15 bins
+		t.Errorf("peak ratio %v, want about 15", metrics["list_peak_ratio"])
 	}
-	if got, want := f["list_calls_per_start"], 32.0/22; got != want {
+	if got, want := metrics["list_calls_per_start"], 32.0/22; got != want {
 		t.Errorf("%v calls a start, want %v", got, want)
 	}
-	if f["list_timeouts"] != 20 {
-		t.Errorf("%v time-outs, want 20", f["list_timeouts"])
+	if metrics["list_timeouts"] != 20 {
+		t.Errorf("%v time-outs, want 20", metrics["list_timeouts"])
 	}
-	if f["served_share"] != 1 || f["requests"] != 2 {
-		t.Errorf("served %v of %v", f["served_share"], f["requests"])
+	if metrics["served_share"] != 1 || metrics["requests"] != 2 {
+		t.Errorf("served %v of %v", metrics["served_share"], metrics["requests"])
 	}
 }
 
@@ -214,12 +214,12 @@
 			fmt.Sprintf(`{"ms":310,"kind":"answer","ref":%q,"director":"d0","what":%q}`, ref, what))
 	}
 	more = append(more, secondAsk, departure)
-	f := checkWith(t, "", more...).Metrics
-	if got, want := f["large_share"], (1.0/4)/(19.0/40); got != want {
+	metrics := checkWith(t, "", more...).Metrics
+	if got, want := metrics["large_share"], (1.0/4)/(19.0/40); got != want {
 		t.Errorf("share of the largest %v, want %v", got, want)
 	}
-	if f["left"] != 1 {
-		t.Errorf("%v left, want 1", f["left"])
+	if metrics["left"] != 1 {
+		t.Errorf("%v left, want 1", metrics["left"])
 	}
 }
 
--- a/internal/checker/sites_test.go
+++ b/internal/checker/sites_test.go
@@ -45,18 +45,18 @@
 
 func metricsOf(t *testing.T, text string) map[string]float64 {
 	t.Helper()
-	v, err := Check(strings.NewReader(text))
+	verdict, err := Check(strings.NewReader(text))
 	if err != nil {
 		t.Fatal(err)
 	}
-	return v.Metrics
+	return verdict.Metrics
 }
 
-func wantMetrics(t *testing.T, f map[string]float64, figures map[string]float64) {
+func wantMetrics(t *testing.T, metrics map[string]float64, figures map[string]float64) {
 	t.Helper()
 	for name, x := range figures {
-		if math.Abs(f[name]-x) > 1e-6 {
-			t.Errorf("%s: %v, want %v", name, f[name], x)
+		if math.Abs(metrics[name]-x) > 1e-6 {
+			t.Errorf("%s: %v, want %v", name, metrics[name], x)
 		}
 	}
 }
@@ -68,14 +68,14 @@
 		}
 		return "served"
 	}
-	f := metricsOf(t, siteLossHistory(lost,
+	metrics := metricsOf(t, siteLossHistory(lost,
 		`{"ms":2300,"kind":"state","who":"d0","site":"b1","what":"lost"}`,
 		`{"ms":6100,"kind":"state","who":"d0","site":"b1","what":"returning"}`,
 		`{"ms":7500,"kind":"state","who":"d1","site":"b2","what":"cut off"}`))
-	wantMetrics(t, f, map[string]float64{"served_share_loss": 0.5, "served_share_bound": 0.5, "bound_share": 1, "false_alarms": 1,
+	wantMetrics(t, metrics, map[string]float64{"served_share_loss": 0.5, "served_share_bound": 0.5, "bound_share": 1, "false_alarms": 1,
 		"repayments_refused_share": 0.5, "others_refused_share": 0.5, "return_ms_90": 1000, "moves_per_event": 3})
-	if f["detect_ms_p95"] < 299 || f["detect_ms_p95"] > 301 {
-		t.Errorf("detected after %v", f["detect_ms_p95"])
+	if metrics["detect_ms_p95"] < 299 || metrics["detect_ms_p95"] > 301 {
+		t.Errorf("detected after %v", metrics["detect_ms_p95"])
 	}
 	// Of a site of which half is there, the same is a false alarm.
 	half := strings.Replace(siteLossHistory(lost, `{"ms":2300,"kind":"state","who":"d0","site":"b1","what":"lost"}`),
@@ -86,9 +86,9 @@
 	for i := range 300 {
 		crowd = append(crowd, fmt.Sprintf(`{"ms":%v,"kind":"source","who":"p1","director":"d1","ref":"x","work":0.05}`, 3000+i))
 	}
-	f = metricsOf(t, siteLossHistory(lost, crowd...))
-	if f["survivor_peak"] < 14.9 || f["survivor_peak"] > 15.1 || f["detect_ms_p95"] < undetectedMS*0.99 {
-		t.Errorf("peak %v, detected after %v", f["survivor_peak"], f["detect_ms_p95"])
+	metrics = metricsOf(t, siteLossHistory(lost, crowd...))
+	if metrics["survivor_peak"] < 14.9 || metrics["survivor_peak"] > 15.1 || metrics["detect_ms_p95"] < undetectedMS*0.99 {
+		t.Errorf("peak %v, detected after %v", metrics["survivor_peak"], metrics["detect_ms_p95"])
 	}
 	// A loss without an end counts to the end, and what is never served again never returns.
 	never := strings.ReplaceAll(siteLossHistory(func(ms float64, branch string) string {
@@ -106,8 +106,8 @@
 	slow := strings.Replace(siteLossHistory(all), `"value":100}`, `"value":5}`, 1) // of 20 repayments a second, 10 from the branch that is there
 	wantMetrics(t, metricsOf(t, slow), map[string]float64{"served_share_bound": (0.5 + 0.25) / 2})
 	cold := strings.Replace(siteLossHistory(all), `"what":"up","site":"b2","weight":10`, `"what":"up","site":"b2","weight":1,"cold_from":0.25,"ramp":1000000`, 1)
-	if f := metricsOf(t, cold); f["served_share_bound"] < 0.12 || f["served_share_bound"] > 0.14 { // 5 of 20 a second, and nothing from the other
-		t.Errorf("bound %v", f["served_share_bound"])
+	if metrics := metricsOf(t, cold); metrics["served_share_bound"] < 0.12 || metrics["served_share_bound"] > 0.14 { // 5 of 20 a second, and nothing from the other
+		t.Errorf("bound %v", metrics["served_share_bound"])
 	}
 }
 
--- a/internal/checker/streams_test.go
+++ b/internal/checker/streams_test.go
@@ -36,7 +36,7 @@
 // the limit that follows from its time, which the breach must give: told sooner, the first would break the rule, told
 // later, the second would not.
 func TestEventsOfEndedStreamsCountAsTold(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name string
 		told int // when the purge counts as told
 		more []string
@@ -69,14 +69,14 @@
 		{"at once if there was time to write it", 5100, []string{purgeAt(5100, 2), streamEnd(5201, "d0", "break", 2, 5161)}},
 		{"at once if another's stream has ended", 5100, []string{streamEnd(5000, "d1", "break", 2, 4100), purgeAt(5100, 2)}},
 	} {
-		within, past := c.told+int(purgeLimit+slack), c.told+int(purgeLimit+slack)+5
-		if v := checkWith(t, "", append(askedAt(within), c.more...)...); len(v.Violations) > 0 {
-			t.Errorf("%s: asked just within the limit, and broken %+v", c.name, v.Violations)
+		within, past := test.told+int(purgeLimit+slack), test.told+int(purgeLimit+slack)+5
+		if verdict := checkWith(t, "", append(askedAt(within), test.more...)...); len(verdict.Violations) > 0 {
+			t.Errorf("%s: asked just within the limit, and broken %+v", test.name, verdict.Violations)
 		}
-		v := checkWith(t, "", append(askedAt(past), c.more...)...)
-		if want := "asked for 555 ms after that was told"; len(v.Violations) != 1 || v.Violations[0].Rule != "purge" ||
-			!strings.Contains(v.Violations[0].Detail, want) {
-			t.Errorf("%s: asked just past the limit, and broken %+v", c.name, v.Violations)
+		verdict := checkWith(t, "", append(askedAt(past), test.more...)...)
+		if want := "asked for 555 ms after that was told"; len(verdict.Violations) != 1 || verdict.Violations[0].Rule != "purge" ||
+			!strings.Contains(verdict.Violations[0].Detail, want) {
+			t.Errorf("%s: asked just past the limit, and broken %+v", test.name, verdict.Violations)
 		}
 	}
 }
@@ -84,13 +84,13 @@
 // Drains are told as purges are.
 func TestDrainIsToldAfterTheBreak(t *testing.T) {
 	more := []string{streamEnd(5000, "d0", "break", 2, 4960), `{"ms":5100,"kind":"news","who":"c1","what":"draining","n":2}`}
-	if v := checkWith(t, "", append(more, requestEvent(9050, "c1"))...); len(v.Violations) > 0 {
-		t.Errorf("within the limit, and broken %+v", v.Violations)
+	if verdict := checkWith(t, "", append(more, requestEvent(9050, "c1"))...); len(verdict.Violations) > 0 {
+		t.Errorf("within the limit, and broken %+v", verdict.Violations)
 	}
-	v := checkWith(t, "", append(more, requestEvent(9055, "c1"))...)
-	if len(v.Violations) != 1 || v.Violations[0].Rule != "drain" || !strings.Contains(v.Violations[0].Detail, "2055 ms after it was told") ||
-		!strings.Contains(v.Violations[0].Detail, "up 4.96 s, broke; without a stream for 4.05 s") {
-		t.Errorf("past the limit: %+v", v.Violations)
+	verdict := checkWith(t, "", append(more, requestEvent(9055, "c1"))...)
+	if len(verdict.Violations) != 1 || verdict.Violations[0].Rule != "drain" || !strings.Contains(verdict.Violations[0].Detail, "2055 ms after it was told") ||
+		!strings.Contains(verdict.Violations[0].Detail, "up 4.96 s, broke; without a stream for 4.05 s") {
+		t.Errorf("past the limit: %+v", verdict.Violations)
 	}
 }
 
@@ -99,11 +99,11 @@
 	more := append(askedAt(9000), streamEnd(1240, "d0", "break", 2, 1200), callAt(1650, "turned away"), callAt(2010, "served"),
 		streamEnd(2810, "d0", "silent", 2, 800), callAt(4120, "served"), purgeAt(4500, 2), streamEnd(4510, "d0", "half", 2, 390),
 		streamEnd(8000, "d1", "break", 3, 4))
-	v := checkWith(t, "", more...)
+	verdict := checkWith(t, "", more...)
 	want := "that was told; streams: up 1.20 s, broke; called after 0.40 s, turned away; called after 0.76 s; " +
 		"up 0.80 s, silent; called after 1.30 s; up 0.39 s, broke in event 2; without a stream for 4.49 s"
-	if len(v.Violations) != 1 || !strings.HasSuffix(v.Violations[0].Detail, want) {
-		t.Errorf("%+v, want %q", v.Violations, want)
+	if len(verdict.Violations) != 1 || !strings.HasSuffix(verdict.Violations[0].Detail, want) {
+		t.Errorf("%+v, want %q", verdict.Violations, want)
 	}
 }
 
@@ -112,10 +112,10 @@
 	more := append(askedAt(4000), streamEnd(1000, "d0", "break", 2, 960), callAt(1400, "turned away"), callAt(1900, "served"),
 		streamEnd(5000, "d0", "silent", 2, 3100), streamEnd(8000, "d1", "half", 2, 2999), callAt(6200, "served"), purgeAt(3900, 2),
 		`{"ms":3950,"kind":"news","what":"purge","object":"o9","since":3950,"n":3}`)
-	f := checkWith(t, "", more...).Metrics
+	metrics := checkWith(t, "", more...).Metrics
 	for name, want := range map[string]float64{"list_young_ends": 2, "list_deaf_ms_max": 1200, "purges": 2, "old_copies": 1} {
-		if f[name] != want {
-			t.Errorf("%s %v, want %v", name, f[name], want)
+		if metrics[name] != want {
+			t.Errorf("%s %v, want %v", name, metrics[name], want)
 		}
 	}
 	more = append(more, streamEnd(7000, "d0", "silent", 2, 100))
