--- a/cmd/testbed/main_test.go
+++ b/cmd/testbed/main_test.go
@@ -26,7 +26,7 @@
 	good := writeFile(t, "good.jsonl", `{"ms":1,"kind":"meta"}`+"\n")
 	bad := writeFile(t, "bad.jsonl", `{"ms":1,"kind":"run","ref":"p"}`+"\n"+`{"ms":2,"kind":"run","ref":"p"}`+"\n")
 	odd := writeFile(t, "odd.toml", "directors = 4\nspeed = 1\n")
-	for _, c := range []struct {
+	for _, test := range []struct {
 		args   []string
 		status int
 		says   string
@@ -46,25 +46,25 @@
 		{[]string{"--help"}, exitPass, "Play an experiment"},
 	} {
 		var out strings.Builder
-		if got := run(c.args, &out, &out); got != c.status || !strings.Contains(out.String(), c.says) {
-			t.Errorf("%v: status %d, %q; want %d, %q", c.args, got, out.String(), c.status, c.says)
+		if got := run(test.args, &out, &out); got != test.status || !strings.Contains(out.String(), test.says) {
+			t.Errorf("%v: status %d, %q; want %d, %q", test.args, got, out.String(), test.status, test.says)
 		}
 	}
 }
 
 // directorProcesses are the processes whose configuration lies below a folder.
-func directorProcesses(t *testing.T, dir string) (n int) {
+func directorProcesses(t *testing.T, dir string) (count int) {
 	t.Helper()
 	all, err := filepath.Glob("/proc/[0-9]*/environ")
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, f := range all {
-		if text, err := os.ReadFile(f); err == nil && strings.Contains(string(text), "EDGE_CONFIG="+dir) {
-			n++
+	for _, path := range all {
+		if text, err := os.ReadFile(path); err == nil && strings.Contains(string(text), "EDGE_CONFIG="+dir) {
+			count++
 		}
 	}
-	return n
+	return count
 }
 
 // waitUntil polls for something that another process does; the time is only so that a failure ends.
@@ -93,33 +93,40 @@
 	if err != nil {
 		t.Fatal(err, said.String())
 	}
-	var r struct {
+	var result struct {
 		Experiment, Verdict string
 		Seed                uint64
 		Directors           int
 		Broken              []checker.Violation
 		Figures, Baseline   map[string]float64
 	}
-	if err := json.Unmarshal(text, &r); err != nil {
+	if err := json.Unmarshal(text, &result); err != nil {
 		t.Fatal(err)
 	}
-	if status != exitViolations || r.Verdict != "fail" || r.Experiment != "short" || r.Seed != 7 || r.Directors != 3 ||
-		len(r.Broken) != 1 || r.Broken[0].Rule != "bound" || r.Figures["requests"] < 50 || r.Baseline["requests"] < 50 {
-		t.Errorf("status %d, result %+v", status, r)
+	if status != exitViolations || result.Verdict != "fail" || len(result.Broken) != 1 || result.Broken[0].Rule != "bound" {
+		t.Errorf("status %d, result %+v", status, result)
+	}
+	if result.Experiment != "short" || result.Seed != 7 || result.Directors != 3 {
+		t.Errorf("result of another run: %+v", result)
+	}
+	if result.Figures["requests"] < 50 || result.Baseline["requests"] < 50 {
+		t.Errorf("%v requests, of the baseline %v", result.Figures["requests"], result.Baseline["requests"])
 	}
 	long := writeFile(t, "long.toml", "directors = 4\nseconds = 300.0\n")
-	for _, s := range []syscall.Signal{syscall.SIGINT, syscall.SIGKILL} {
+	for _, signal := range []syscall.Signal{syscall.SIGINT, syscall.SIGKILL} {
 		dir := t.TempDir()
-		lab := exec.Command(filepath.Join(bin, "testbed"), "run", long, "--binary", director, "--out", dir)
-		if err := lab.Start(); err != nil {
+		testbed := exec.Command(filepath.Join(bin, "testbed"), "run", long, "--binary", director, "--out", dir)
+		if err := testbed.Start(); err != nil {
 			t.Fatal(err)
 		}
 		waitUntil(t, "its directors don't start", func() bool { return directorProcesses(t, dir) == 4 })
-		lab.Process.Signal(s)
-		lab.Wait()
-		if got := lab.ProcessState.ExitCode(); s == syscall.SIGINT && got != exitUsage {
+		if err := testbed.Process.Signal(signal); err != nil {
+			t.Fatal(err)
+		}
+		_ = testbed.Wait() // it was interrupted or killed: the status is looked at below
+		if got := testbed.ProcessState.ExitCode(); signal == syscall.SIGINT && got != exitUsage {
 			t.Errorf("interrupted: status %d, want %d", got, exitUsage)
 		}
-		waitUntil(t, "processes are left behind "+s.String(), func() bool { return directorProcesses(t, dir) == 0 })
+		waitUntil(t, "processes are left behind "+signal.String(), func() bool { return directorProcesses(t, dir) == 0 })
 	}
 }
--- a/internal/checker/check_test.go
+++ b/internal/checker/check_test.go
@@ -11,7 +11,8 @@
 var cleanHistory = []string{
 	`{"ms":1,"kind":"meta","what":"story","n":2}`,
 	`{"ms":2,"kind":"life","who":"c1","what":"up","class":"edge","weight":10}`,
-	`{"ms":2,"kind":"life","who":"c2","what":"up","class":"edge","weight":10,"cold_from":0.5,"ramp":10000,"fall":1000,"multiple":2}`,
+	`{"ms":2,"kind":"life","who":"c2","what":"up","class":"edge","weight":10,` +
+		`"cold_from":0.5,"ramp":10000,"fall":1000,"multiple":2}`,
 	`{"ms":3,"kind":"news","what":"list","n":1}`,
 	`{"ms":5,"kind":"process","who":"d0","what":"start","n":1}`,
 	`{"ms":5,"kind":"process","who":"d1","what":"start","n":1}`,
@@ -31,10 +32,12 @@
 	`{"ms":9010,"kind":"process","who":"d1","what":"gone","class":"killed"}`,
 }
 
-// checkWith judges the good record with lines more, in order of time, and without those that hold a text.
+// checkWith judges the clean history with some lines more, in order of time, and without those that hold a text.
 func checkWith(t *testing.T, without string, more ...string) *Verdict {
 	t.Helper()
-	lines := slices.DeleteFunc(slices.Clone(cleanHistory), func(line string) bool { return without != "" && strings.Contains(line, without) })
+	lines := slices.DeleteFunc(slices.Clone(cleanHistory), func(line string) bool {
+		return without != "" && strings.Contains(line, without)
+	})
 	lines = append(lines, more...)
 	at := func(line string) (ms float64) {
 		if _, err := fmt.Sscanf(line, `{"ms":%f`, &ms); err != nil {
@@ -51,34 +54,50 @@
 }
 
 const (
-	secondAsk            = `{"ms":200,"kind":"ask","ref":"r2","director":"d0","class":"media","object":"o1","allow":1000}`
 	drainEvent           = `{"ms":1000,"kind":"news","who":"c1","what":"draining","n":2}`
 	purgeEvent           = `{"ms":1000,"kind":"news","what":"purge","object":"o1","since":1000,"n":2}`
 	staleAnswerFromCache = `{"ms":3021,"kind":"done","who":"c1","director":"d0","ref":"r2","what":"OK","since":900}`
-	lateAsk              = `{"ms":3000,"kind":"ask","ref":"r2","director":"d0","class":"media","object":"o1","allow":1000}`
-	thirdAsk             = `{"ms":200,"kind":"ask","ref":"r3","director":"d0","class":"media","object":"o1","allow":1000}`
 	departure            = `{"ms":250,"kind":"leave","ref":"r2","director":"d0","what":"close"}`
 	thirdDeparture       = `{"ms":250,"kind":"leave","ref":"r3","director":"d0","what":"cancel"}`
-	thirdStart           = `{"ms":100,"kind":"process","who":"d2","what":"start"}`
 	lastEvent            = `{"ms":20000,"kind":"lag","value":0}`
 	lateAnswer           = `{"ms":3030,"kind":"answer","ref":"r2","director":"d0","what":"served","since":900}`
 )
 
-func requestEvent(ms int, who string) string {
-	return fmt.Sprintf(`{"ms":%d,"kind":"req","who":%q,"director":"d0","ref":"r2","object":"o1","work":0.02}`, ms, who)
+func askEvent(ms int, ref string) string {
+	const format = `{"ms":%d,"kind":"ask","ref":%q,"director":"d0","class":"media","object":"o1","allow":1000}`
+	return fmt.Sprintf(format, ms, ref)
+}
+
+func requestEvent(ms int, ref string) string {
+	const format = `{"ms":%d,"kind":"req","who":"c1","director":"d0","ref":%q,"object":"o1","work":0.02}`
+	return fmt.Sprintf(format, ms, ref)
+}
+
+func answerEvent(ms int, ref, what string) string {
+	return fmt.Sprintf(`{"ms":%d,"kind":"answer","ref":%q,"director":"d0","what":%q}`, ms, ref, what)
+}
+
+func processEvent(ms int, who, what string) string {
+	return fmt.Sprintf(`{"ms":%d,"kind":"process","who":%q,"what":%q}`, ms, who, what)
+}
+
+func readyEvent(ms int, who string, after int) string {
+	return fmt.Sprintf(`{"ms":%d,"kind":"ready","who":%q,"value":%d}`, ms, who, after)
 }
 
 // Each rule broken, and its nearest neighbour that keeps it.
 func TestRules(t *testing.T) {
 	crowd := func(n int) (lines []string) {
 		for i := range n {
-			lines = append(lines, fmt.Sprintf(`{"ms":%d,"kind":"source","who":"c2","director":"d%d","ref":"x","work":0.1}`, 500+i, i%2))
+			const format = `{"ms":%d,"kind":"source","who":"c2","director":"d%d","ref":"x","work":0.1}`
+			lines = append(lines, fmt.Sprintf(format, 500+i, i%2))
 		}
 		return lines
 	}
 	each := func(n int, work float64) (lines []string) {
 		for i := range n {
-			lines = append(lines, fmt.Sprintf(`{"ms":%d,"kind":"req","who":"c2","director":"d%d","ref":"x","work":%v}`, 500+i, 10+i, work))
+			const format = `{"ms":%d,"kind":"req","who":"c2","director":"d%d","ref":"x","work":%v}`
+			lines = append(lines, fmt.Sprintf(format, 500+i, 10+i, work))
 		}
 		return lines
 	}
@@ -88,76 +107,98 @@
 		rule          string // "": all is kept
 	}{
 		{"as it should be", "", nil, ""},
-		{"never answered", "", []string{secondAsk}, "answer"},
-		{"lost", "", []string{secondAsk, `{"ms":300,"kind":"answer","ref":"r2","director":"d0","what":"lost"}`}, "answer"},
-		{"spoilt", "", []string{secondAsk, `{"ms":300,"kind":"answer","ref":"r2","director":"d0","what":"spoilt"}`}, "answer"},
-		{"late", "", []string{secondAsk, `{"ms":1260,"kind":"answer","ref":"r2","director":"d0","what":"failed"}`}, "answer"},
-		{"just in time", "", []string{secondAsk, `{"ms":1240,"kind":"answer","ref":"r2","director":"d0","what":"failed"}`}, ""},
-		{"late on a machine that lags", "", []string{secondAsk, `{"ms":1200,"kind":"lag","value":20}`,
-			`{"ms":1300,"kind":"answer","ref":"r2","director":"d0","what":"failed"}`}, ""},
-		{"twice", "", []string{`{"ms":300,"kind":"answer","ref":"r1","director":"d0","what":"refused"}`}, "answer"},
+		{"never answered", "", []string{askEvent(200, "r2")}, "answer"},
+		{"lost", "", []string{askEvent(200, "r2"), answerEvent(300, "r2", "lost")}, "answer"},
+		{"spoilt", "", []string{askEvent(200, "r2"), answerEvent(300, "r2", "spoilt")}, "answer"},
+		{"late", "", []string{askEvent(200, "r2"), answerEvent(1260, "r2", "failed")}, "answer"},
+		{"just in time", "", []string{askEvent(200, "r2"), answerEvent(1240, "r2", "failed")}, ""},
+		{"late on a machine that lags", "", []string{askEvent(200, "r2"), `{"ms":1200,"kind":"lag","value":20}`,
+			answerEvent(1300, "r2", "failed")}, ""},
+		{"twice", "", []string{answerEvent(300, "r1", "refused")}, "answer"},
 		{"a stray answer", "", []string{`{"ms":300,"kind":"stray","who":"d0","n":3}`}, "answer"},
-		{"lost with its director", "", []string{secondAsk, `{"ms":250,"kind":"process","who":"d0","what":"kill"}`,
-			`{"ms":260,"kind":"answer","ref":"r2","director":"d0","what":"lost"}`,
+		{"lost with its director", "", []string{askEvent(200, "r2"), processEvent(250, "d0", "kill"),
+			answerEvent(260, "r2", "lost"),
 			`{"ms":265,"kind":"process","who":"d0","what":"gone","class":"killed"}`}, ""},
-		{"lost by a planned stop", "", []string{secondAsk, `{"ms":150,"kind":"process","who":"d0","what":"term"}`,
-			`{"ms":260,"kind":"answer","ref":"r2","director":"d0","what":"lost"}`}, "answer"},
-		{"taken long after a planned stop", "", []string{`{"ms":2200,"kind":"ask","ref":"r2","director":"d0","class":"media","object":"o1","allow":1000}`,
-			`{"ms":1400,"kind":"process","who":"d0","what":"term"}`,
-			`{"ms":2260,"kind":"answer","ref":"r2","director":"d0","what":"lost"}`}, ""},
-		{"late from a stopped one", "", []string{secondAsk, `{"ms":300,"kind":"process","who":"d0","what":"stop"}`,
-			`{"ms":5300,"kind":"process","who":"d0","what":"cont"}`,
-			`{"ms":5400,"kind":"answer","ref":"r2","director":"d0","what":"failed"}`}, ""},
+		{"lost by a planned stop", "", []string{askEvent(200, "r2"), processEvent(150, "d0", "term"),
+			answerEvent(260, "r2", "lost")}, "answer"},
+		{"taken long after a planned stop", "", []string{askEvent(2200, "r2"),
+			processEvent(1400, "d0", "term"),
+			answerEvent(2260, "r2", "lost")}, ""},
+		{"late from a stopped one", "", []string{askEvent(200, "r2"), processEvent(300, "d0", "stop"),
+			processEvent(5300, "d0", "cont"),
+			answerEvent(5400, "r2", "failed")}, ""},
 		{"ran twice", "", []string{`{"ms":155,"kind":"run","who":"s-origin","ref":"p1"}`}, "repayment"},
-		{"ran and refused", `"served","since":150`, []string{`{"ms":160,"kind":"answer","ref":"p1","director":"d1","what":"refused"}`}, "repayment"},
-		{"ran and failed", `"served","since":150`, []string{`{"ms":160,"kind":"answer","ref":"p1","director":"d1","what":"failed"}`}, ""},
-		{"to a draining cache", "", []string{drainEvent, requestEvent(3100, "c1")}, "drain"},
-		{"soon to a draining cache", "", []string{drainEvent, requestEvent(3040, "c1")}, ""},
-		{"filled from a draining cache", "", []string{drainEvent, `{"ms":3100,"kind":"source","who":"c1","director":"d0","ref":"r1"}`}, "drain"},
+		{"ran and refused", `"served","since":150`,
+			[]string{`{"ms":160,"kind":"answer","ref":"p1","director":"d1","what":"refused"}`}, "repayment"},
+		{"ran and failed", `"served","since":150`,
+			[]string{`{"ms":160,"kind":"answer","ref":"p1","director":"d1","what":"failed"}`}, ""},
+		{"to a draining cache", "", []string{drainEvent, requestEvent(3100, "r2")}, "drain"},
+		{"soon to a draining cache", "", []string{drainEvent, requestEvent(3040, "r2")}, ""},
+		{"filled from a draining cache", "",
+			[]string{drainEvent, `{"ms":3100,"kind":"source","who":"c1","director":"d0","ref":"r1"}`}, "drain"},
 		{"the drain was not told yet", "", []string{`{"ms":900,"kind":"list","what":"down","value":1}`,
-			`{"ms":1000,"kind":"news","who":"c1","what":"draining unheard","n":2}`, requestEvent(3100, "c1")}, ""},
+			`{"ms":1000,"kind":"news","who":"c1","what":"draining unheard","n":2}`, requestEvent(3100, "r2")}, ""},
 		{"told late, and heeded later still", "", []string{`{"ms":900,"kind":"list","what":"down","value":1}`,
 			`{"ms":1000,"kind":"news","who":"c1","what":"draining unheard","n":2}`,
-			`{"ms":2000,"kind":"told","director":"d0","n":2}`, requestEvent(4100, "c1")}, "drain"},
+			`{"ms":2000,"kind":"told","director":"d0","n":2}`, requestEvent(4100, "r2")}, "drain"},
 		{"counts as told after 7 s", "", []string{`{"ms":900,"kind":"list","what":"down","value":1}`,
 			`{"ms":1000,"kind":"news","who":"c1","what":"draining unheard","n":2}`,
 			`{"ms":10100,"kind":"req","who":"c1","director":"d0","ref":"r1","work":0.02}`}, "drain"},
-		{"started with the drain", "", []string{drainEvent, `{"ms":3000,"kind":"process","who":"d0","what":"start","n":1}`, requestEvent(3100, "c1")}, ""},
+		{"started with the drain", "",
+			[]string{drainEvent, `{"ms":3000,"kind":"process","who":"d0","what":"start","n":1}`, requestEvent(3100, "r2")}, ""},
 		{"a cold cache pushed over by two", "", crowd(120), "cold"},
 		{"a cold cache that bears it", "", crowd(90), ""},
-		{"a cold cache pushed over by who was not told", "", append(crowd(120), `{"ms":900,"kind":"news","who":"c2","what":"ready","n":2}`), ""},
-		{"an older copy than the purge", "", []string{purgeEvent, lateAsk, requestEvent(3001, "c1"), staleAnswerFromCache, lateAnswer}, "purge"},
+		{"a cold cache pushed over by who was not told", "",
+			append(crowd(120), `{"ms":900,"kind":"news","who":"c2","what":"ready","n":2}`), ""},
+		{"an older copy than the purge", "",
+			[]string{purgeEvent, askEvent(3000, "r2"), requestEvent(3001, "r2"), staleAnswerFromCache, lateAnswer}, "purge"},
 		{"the purge was just told", "", []string{`{"ms":2600,"kind":"news","what":"purge","object":"o1","since":2600,"n":2}`,
-			lateAsk, requestEvent(3001, "c1"), staleAnswerFromCache, lateAnswer}, ""},
-		{"a copy since the purge", "", []string{purgeEvent, lateAsk, requestEvent(3001, "c1"), strings.Replace(staleAnswerFromCache, "900", "1001", 1), lateAnswer}, ""},
-		{"begun after its client had gone, three times", "", append([]string{secondAsk, departure}, requestEvent(361, "c1"), requestEvent(370, "c1"), requestEvent(380, "c1")), "left"},
-		{"begun after its client had gone, twice", "", append([]string{secondAsk, departure}, requestEvent(361, "c1"), requestEvent(370, "c1")), ""},
-		{"begun just after its client had gone", "", append([]string{secondAsk, departure}, requestEvent(320, "c1"), requestEvent(340, "c1"), requestEvent(349, "c1")), ""},
-		{"sent on though their clients left as they waited", "", []string{secondAsk, departure, requestEvent(600, "c1"), thirdAsk, thirdDeparture,
-			strings.Replace(requestEvent(600, "c1"), "r2", "r3", 1)}, "left"},
-		{"one of them sent on", "", []string{secondAsk, departure, requestEvent(600, "c1"), thirdAsk, thirdDeparture}, ""},
-		{"the client of one that is out leaves", "", []string{secondAsk, requestEvent(210, "c1"), departure}, ""},
-		{"not ready in time", "", []string{thirdStart, `{"ms":10200,"kind":"ready","who":"d2","value":10100}`, lastEvent}, "ready"},
-		{"never ready", "", []string{thirdStart, lastEvent}, "ready"},
-		{"ready in time", "", []string{thirdStart, `{"ms":9900,"kind":"ready","who":"d2","value":9800}`, lastEvent}, ""},
-		{"killed before it was ready", "", []string{thirdStart, `{"ms":5000,"kind":"process","who":"d2","what":"kill"}`, lastEvent}, ""},
+			askEvent(3000, "r2"), requestEvent(3001, "r2"), staleAnswerFromCache, lateAnswer}, ""},
+		{"a copy since the purge", "",
+			[]string{purgeEvent, askEvent(3000, "r2"), requestEvent(3001, "r2"),
+				strings.Replace(staleAnswerFromCache, "900", "1001", 1), lateAnswer}, ""},
+		{"begun after its client had gone, three times", "",
+			[]string{askEvent(200, "r2"), departure, requestEvent(361, "r2"), requestEvent(370, "r2"), requestEvent(380, "r2")},
+			"left"},
+		{"begun after its client had gone, twice", "",
+			append([]string{askEvent(200, "r2"), departure}, requestEvent(361, "r2"), requestEvent(370, "r2")), ""},
+		{"begun just after its client had gone", "",
+			[]string{askEvent(200, "r2"), departure, requestEvent(320, "r2"), requestEvent(340, "r2"), requestEvent(349, "r2")},
+			""},
+		{"sent on though their clients left as they waited", "",
+			[]string{askEvent(200, "r2"), departure, requestEvent(600, "r2"), askEvent(200, "r3"), thirdDeparture,
+				requestEvent(600, "r3")}, "left"},
+		{"one of them sent on", "",
+			[]string{askEvent(200, "r2"), departure, requestEvent(600, "r2"), askEvent(200, "r3"), thirdDeparture}, ""},
+		{"the client of one that is out leaves", "",
+			[]string{askEvent(200, "r2"), requestEvent(210, "r2"), departure}, ""},
+		{"not ready in time", "",
+			[]string{processEvent(100, "d2", "start"), readyEvent(10200, "d2", 10100), lastEvent}, "ready"},
+		{"never ready", "", []string{processEvent(100, "d2", "start"), lastEvent}, "ready"},
+		{"ready in time", "",
+			[]string{processEvent(100, "d2", "start"), readyEvent(9900, "d2", 9800), lastEvent}, ""},
+		{"killed before it was ready", "",
+			[]string{processEvent(100, "d2", "start"), processEvent(5000, "d2", "kill"), lastEvent}, ""},
 		{"thirty directors with one call each", "", each(30, 0.4), "cold"},
 		{"twenty directors with one call each", "", each(20, 0.4), ""},
-		{"a crash", "", []string{`{"ms":4000,"kind":"process","who":"d1","what":"gone","class":"status 2"}`}, "crash"},
+		{"a crash", "",
+			[]string{`{"ms":4000,"kind":"process","who":"d1","what":"gone","class":"status 2"}`}, "crash"},
 		{"bad words", "", []string{`{"ms":4000,"kind":"fault","who":"c1","what":"can't use"}`}, "protocol"},
 	} {
-		verdict := checkWith(t, test.without, test.more...)
-		var rules []string
-		for _, b := range verdict.Violations {
-			rules = append(rules, b.Rule)
-		}
-		want := []string{test.rule}
-		if test.rule == "" {
-			want = nil
-		}
-		if !slices.Equal(rules, want) {
-			t.Errorf("%s: broken %+v, want %q", test.name, verdict.Violations, test.rule)
-		}
+		t.Run(test.name, func(t *testing.T) {
+			verdict := checkWith(t, test.without, test.more...)
+			var rules []string
+			for _, violation := range verdict.Violations {
+				rules = append(rules, violation.Rule)
+			}
+			var want []string
+			if test.rule != "" {
+				want = []string{test.rule}
+			}
+			if !slices.Equal(rules, want) {
+				t.Errorf("violations %+v, want %q", verdict.Violations, test.rule)
+			}
+		})
 	}
 }
 
@@ -187,13 +228,15 @@
 
 // Only requests that are asked 5 s after the end of the last trouble count, with all their attempts.
 func TestAttemptsAfterATrouble(t *testing.T) {
-	more := []string{`{"ms":2000,"kind":"step","who":"origin-slow","what":"done"}`, `{"ms":4000,"kind":"step","who":"origin-slow","what":"undone"}`}
+	more := []string{
+		`{"ms":2000,"kind":"step","who":"origin-slow","what":"done"}`,
+		`{"ms":4000,"kind":"step","who":"origin-slow","what":"undone"}`,
+	}
 	for i, at := range []int{8990, 9000, 9500, 9600} {
 		ref := fmt.Sprintf("a%d", i)
-		more = append(more, fmt.Sprintf(`{"ms":%d,"kind":"ask","ref":%q,"director":"d0","class":"media","object":"o9","allow":1000}`, at, ref),
-			fmt.Sprintf(`{"ms":%d,"kind":"answer","ref":%q,"director":"d0","what":"refused"}`, at+50, ref))
+		more = append(more, askEvent(at, ref), answerEvent(at+50, ref, "refused"))
 		for range 4 - i {
-			more = append(more, fmt.Sprintf(`{"ms":%d,"kind":"req","who":"c1","director":"d0","ref":%q,"object":"o9","work":0.001}`, at+10, ref))
+			more = append(more, requestEvent(at+10, ref))
 		}
 	}
 	if got := checkWith(t, "", more...).Metrics["attempts_after"]; got != 2 {
@@ -203,17 +246,18 @@
 
 // The share of the largest tenth is held against that of all reads; who left, and repayments, don't count.
 func TestShareOfTheLargest(t *testing.T) {
-	var more []string
-	for i := range 39 { // with r1 40 reads, four of which are the largest
+	const reads = 39
+	more := make([]string, 0, 2*reads+2)
+	more = append(more, askEvent(200, "r2"), departure)
+	for i := range reads { // with r1 40 reads, four of which are the largest
 		ref := fmt.Sprintf("b%02d", i)
 		what := "served"
 		if i >= 37 || i%2 == 0 { // of the four largest (35 to 38), one is served
 			what = "refused"
 		}
-		more = append(more, fmt.Sprintf(`{"ms":300,"kind":"ask","ref":%q,"director":"d0","class":"media","object":"o9","allow":1000,"work":%d}`, ref, 1+i),
-			fmt.Sprintf(`{"ms":310,"kind":"answer","ref":%q,"director":"d0","what":%q}`, ref, what))
+		ask := strings.Replace(askEvent(300, ref), `"allow"`, fmt.Sprintf(`"work":%d,"allow"`, 1+i), 1)
+		more = append(more, ask, answerEvent(310, ref, what))
 	}
-	more = append(more, secondAsk, departure)
 	metrics := checkWith(t, "", more...).Metrics
 	if got, want := metrics["large_share"], (1.0/4)/(19.0/40); got != want {
 		t.Errorf("share of the largest %v, want %v", got, want)
--- a/internal/checker/golden_test.go
+++ b/internal/checker/golden_test.go
@@ -14,9 +14,9 @@
 
 var updateVerdicts = flag.Bool("update", false, "write the expected verdicts anew")
 
-// TestVerdictsOnStoredHistories judges histories in the form that a run leaves on disk: one that a run has recorded, one in
-// which all is as it should be, and at least one for each kind of breach. The verdict beside each lists the breaches, and
-// every figure in full.
+// TestVerdictsOnStoredHistories judges histories in the form that a run leaves on disk: one that a run has recorded,
+// one in which all is as it should be, and at least one for each kind of breach. The verdict beside each lists the
+// breaches, and every figure in full.
 func TestVerdictsOnStoredHistories(t *testing.T) {
 	files, err := filepath.Glob(filepath.Join("testdata", "golden", "*.jsonl"))
 	if err != nil {
--- a/internal/checker/history.go
+++ b/internal/checker/history.go
@@ -76,8 +76,8 @@
 }
 
 // harmsLink reports whether a link event begins a fault by which answers may get lost.
-func (ev event) harmsLink() bool {
-	return ev.What != linkWell && ev.What != "delay" && ev.What != "drip"
+func (e event) harmsLink() bool {
+	return e.What != linkWell && e.What != "delay" && e.What != "drip"
 }
 
 // history is the events of a run, indexed by what the rules ask of them.
--- a/internal/checker/sites_test.go
+++ b/internal/checker/sites_test.go
@@ -7,9 +7,15 @@
 	"testing"
 )
 
-// siteLossHistory builds the record of two branches with a cache each (10 transfers of 50 ms, so 200 requests a second), a hub and
-// one director a branch. Branch b1 is lost from 2 s to 6 s; each branch is asked for two things every 100 ms.
+// siteLossHistory builds the record of two branches with a cache each (10 transfers of 50 ms, so 200 requests a
+// second), a hub and one director a branch. Branch b1 is lost from 2 s to 6 s; each branch is asked for two things
+// every 100 ms.
 func siteLossHistory(served func(ms float64, branch string) string, more ...string) string {
+	const (
+		ask     = `{"ms":%v,"kind":"ask","ref":"r%d","director":"d%d","site":%q,"class":%q,"allow":2000}`
+		request = `{"ms":%v,"kind":"req","ref":"r%d","who":"c%d","director":"d%d","class":%q,"work":0.05}`
+		answer  = `{"ms":%v,"kind":"answer","ref":"r%d","director":"d%d","what":%q,"class":%q}`
+	)
 	lines := []string{
 		`{"ms":0,"kind":"capacity","who":"s-origin","value":100}`,
 		`{"ms":0,"kind":"home","who":"b1","what":"h1"}`, `{"ms":0,"kind":"home","who":"b2","what":"h1"}`,
@@ -32,9 +38,9 @@
 				n++
 				what := served(ms, branch)
 				lines = append(lines,
-					fmt.Sprintf(`{"ms":%v,"kind":"ask","ref":"r%d","director":"d%d","site":%q,"class":%q,"allow":2000}`, ms, n, i, branch, class),
-					fmt.Sprintf(`{"ms":%v,"kind":"req","ref":"r%d","who":"c%d","director":"d%d","class":%q,"work":0.05}`, ms+1, n, i+1, i, class),
-					fmt.Sprintf(`{"ms":%v,"kind":"answer","ref":"r%d","director":"d%d","what":%q,"class":%q}`, ms+20, n, i, what, class))
+					fmt.Sprintf(ask, ms, n, i, branch, class),
+					fmt.Sprintf(request, ms+1, n, i+1, i, class),
+					fmt.Sprintf(answer, ms+20, n, i, what, class))
 			}
 		}
 	}
@@ -72,7 +78,8 @@
 		`{"ms":2300,"kind":"state","who":"d0","site":"b1","what":"lost"}`,
 		`{"ms":6100,"kind":"state","who":"d0","site":"b1","what":"returning"}`,
 		`{"ms":7500,"kind":"state","who":"d1","site":"b2","what":"cut off"}`))
-	wantMetrics(t, metrics, map[string]float64{"served_share_loss": 0.5, "served_share_bound": 0.5, "bound_share": 1, "false_alarms": 1,
+	wantMetrics(t, metrics, map[string]float64{"served_share_loss": 0.5, "served_share_bound": 0.5, "bound_share": 1,
+		"false_alarms":             1,
 		"repayments_refused_share": 0.5, "others_refused_share": 0.5, "return_ms_90": 1000, "moves_per_event": 3})
 	if metrics["detect_ms_p95"] < 299 || metrics["detect_ms_p95"] > 301 {
 		t.Errorf("detected after %v", metrics["detect_ms_p95"])
@@ -97,17 +104,21 @@
 		}
 		return "served"
 	}), `"kind":"site","who":"b1","what":"back"`, `"kind":"none"`)
-	wantMetrics(t, metricsOf(t, never), map[string]float64{"served_share_loss": 0, "bound_share": 0, "repayments_refused_excess": 0})
+	wantMetrics(t, metricsOf(t, never), map[string]float64{"served_share_loss": 0, "bound_share": 0,
+		"repayments_refused_excess": 0})
 }
 
 // The origin bounds what all branches' repayments can get, and a cold cache bears less.
 func TestBoundKnowsTheOriginAndTheCold(t *testing.T) {
 	all := func(float64, string) string { return "served" }
-	slow := strings.Replace(siteLossHistory(all), `"value":100}`, `"value":5}`, 1) // of 20 repayments a second, 10 from the branch that is there
+	// Of 20 repayments a second, 10 come from the branch that is there.
+	slow := strings.Replace(siteLossHistory(all), `"value":100}`, `"value":5}`, 1)
 	wantMetrics(t, metricsOf(t, slow), map[string]float64{"served_share_bound": (0.5 + 0.25) / 2})
-	cold := strings.Replace(siteLossHistory(all), `"what":"up","site":"b2","weight":10`, `"what":"up","site":"b2","weight":1,"cold_from":0.25,"ramp":1000000`, 1)
-	if metrics := metricsOf(t, cold); metrics["served_share_bound"] < 0.12 || metrics["served_share_bound"] > 0.14 { // 5 of 20 a second, and nothing from the other
-		t.Errorf("bound %v", metrics["served_share_bound"])
+	const up = `"what":"up","site":"b2","weight":`
+	cold := strings.Replace(siteLossHistory(all), up+`10`, up+`1,"cold_from":0.25,"ramp":1000000`, 1)
+	bound := metricsOf(t, cold)["served_share_bound"]
+	if bound < 0.12 || bound > 0.14 { // 5 of 20 a second, and nothing from the other
+		t.Errorf("bound %v", bound)
 	}
 }
 
--- a/internal/checker/streams_test.go
+++ b/internal/checker/streams_test.go
@@ -27,14 +27,14 @@
 func askedAt(ms int) []string {
 	return []string{
 		fmt.Sprintf(`{"ms":%d,"kind":"ask","ref":"r2","director":"d0","class":"media","object":"o1","allow":1000}`, ms-1),
-		requestEvent(ms, "c1"),
+		requestEvent(ms, "r2"),
 		fmt.Sprintf(`{"ms":%d,"kind":"done","who":"c1","director":"d0","ref":"r2","what":"OK","since":900}`, ms+20),
 		fmt.Sprintf(`{"ms":%d,"kind":"answer","ref":"r2","director":"d0","what":"served","since":900}`, ms+30)}
 }
 
-// When an event counts as told to a director whose streams the service ends. Each case is played just within and just past
-// the limit that follows from its time, which the breach must give: told sooner, the first would break the rule, told
-// later, the second would not.
+// When an event counts as told to a director whose streams the service ends. Each case is played just within and just
+// past the limit that follows from its time, which the breach must give: told sooner, the first would break the rule,
+// told later, the second would not.
 func TestEventsOfEndedStreamsCountAsTold(t *testing.T) {
 	for _, test := range []struct {
 		name string
@@ -62,35 +62,46 @@
 		{"a stream that ends behind the event is no fault that counts", 7000, []string{streamEnd(5000, "d0", "break", 2, 4960),
 			purgeAt(5100, 2), callAt(5600, "served"), streamEnd(5601, "d0", "break", 3, 1)}},
 		{"one that comes long after the fault", 8500, []string{streamEnd(5000, "d0", "break", 2, 4960), purgeAt(8500, 2)}},
-		{"at once with a stream that works again", 5100, []string{streamEnd(4000, "d0", "silent", 2, 3960), callAt(5000, "served"),
-			purgeAt(5100, 2), toldAt(5101, 2)}},
+		{"at once with a stream that works again", 5100, []string{streamEnd(4000, "d0", "silent", 2, 3960),
+			callAt(5000, "served"), purgeAt(5100, 2), toldAt(5101, 2)}},
 		{"at once if written before the break", 5100, []string{purgeAt(5100, 2), toldAt(5101, 2),
 			streamEnd(5102, "d0", "break", 3, 5062)}},
 		{"at once if there was time to write it", 5100, []string{purgeAt(5100, 2), streamEnd(5201, "d0", "break", 2, 5161)}},
 		{"at once if another's stream has ended", 5100, []string{streamEnd(5000, "d1", "break", 2, 4100), purgeAt(5100, 2)}},
 	} {
-		within, past := test.told+int(purgeLimit+slack), test.told+int(purgeLimit+slack)+5
-		if verdict := checkWith(t, "", append(askedAt(within), test.more...)...); len(verdict.Violations) > 0 {
-			t.Errorf("%s: asked just within the limit, and broken %+v", test.name, verdict.Violations)
-		}
-		verdict := checkWith(t, "", append(askedAt(past), test.more...)...)
-		if want := "asked for 555 ms after that was told"; len(verdict.Violations) != 1 || verdict.Violations[0].Rule != "purge" ||
-			!strings.Contains(verdict.Violations[0].Detail, want) {
-			t.Errorf("%s: asked just past the limit, and broken %+v", test.name, verdict.Violations)
-		}
+		t.Run(test.name, func(t *testing.T) {
+			limit := test.told + int(purgeLimit+slack)
+			verdict := checkWith(t, "", append(askedAt(limit), test.more...)...)
+			if len(verdict.Violations) > 0 {
+				t.Errorf("asked just within the limit, and broken %+v", verdict.Violations)
+			}
+			verdict = checkWith(t, "", append(askedAt(limit+5), test.more...)...)
+			wantViolation(t, verdict, "purge", "asked for 555 ms after that was told")
+		})
 	}
 }
 
 // Drains are told as purges are.
 func TestDrainIsToldAfterTheBreak(t *testing.T) {
 	more := []string{streamEnd(5000, "d0", "break", 2, 4960), `{"ms":5100,"kind":"news","who":"c1","what":"draining","n":2}`}
-	if verdict := checkWith(t, "", append(more, requestEvent(9050, "c1"))...); len(verdict.Violations) > 0 {
+	if verdict := checkWith(t, "", append(more, requestEvent(9050, "r2"))...); len(verdict.Violations) > 0 {
 		t.Errorf("within the limit, and broken %+v", verdict.Violations)
 	}
-	verdict := checkWith(t, "", append(more, requestEvent(9055, "c1"))...)
-	if len(verdict.Violations) != 1 || verdict.Violations[0].Rule != "drain" || !strings.Contains(verdict.Violations[0].Detail, "2055 ms after it was told") ||
-		!strings.Contains(verdict.Violations[0].Detail, "up 4.96 s, broke; without a stream for 4.05 s") {
-		t.Errorf("past the limit: %+v", verdict.Violations)
+	verdict := checkWith(t, "", append(more, requestEvent(9055, "r2"))...)
+	wantViolation(t, verdict, "drain", "2055 ms after it was told", "up 4.96 s, broke; without a stream for 4.05 s")
+}
+
+// wantViolation makes sure that there is one violation, of a rule, whose detail holds some texts.
+func wantViolation(t *testing.T, verdict *Verdict, rule string, texts ...string) {
+	t.Helper()
+	if len(verdict.Violations) != 1 || verdict.Violations[0].Rule != rule {
+		t.Errorf("violations %+v, want one of %s", verdict.Violations, rule)
+		return
+	}
+	for _, text := range texts {
+		if !strings.Contains(verdict.Violations[0].Detail, text) {
+			t.Errorf("violation %+v, want %q in it", verdict.Violations[0], text)
+		}
 	}
 }
 
@@ -110,8 +121,8 @@
 // What young streams come to: those that ended, the longest time without one, and old copies that shows in.
 func TestFiguresOfStreams(t *testing.T) {
 	more := append(askedAt(4000), streamEnd(1000, "d0", "break", 2, 960), callAt(1400, "turned away"), callAt(1900, "served"),
-		streamEnd(5000, "d0", "silent", 2, 3100), streamEnd(8000, "d1", "half", 2, 2999), callAt(6200, "served"), purgeAt(3900, 2),
-		`{"ms":3950,"kind":"news","what":"purge","object":"o9","since":3950,"n":3}`)
+		streamEnd(5000, "d0", "silent", 2, 3100), streamEnd(8000, "d1", "half", 2, 2999), callAt(6200, "served"),
+		purgeAt(3900, 2), `{"ms":3950,"kind":"news","what":"purge","object":"o9","since":3950,"n":3}`)
 	metrics := checkWith(t, "", more...).Metrics
 	for name, want := range map[string]float64{"list_young_ends": 2, "list_deaf_ms_max": 1200, "purges": 2, "old_copies": 1} {
 		if metrics[name] != want {
--- a/internal/failover/fillflow.go
+++ b/internal/failover/fillflow.go
@@ -330,10 +330,10 @@
 }
 
 // intoHub is what all branches send to a hub, in transfers.
-func (result *flowResult) intoHub(hub int) float64 {
+func (r *flowResult) intoHub(hub int) float64 {
 	sum := 0.0
-	for branch := range result.fillFlow {
-		sum += result.fillFlow[branch][hub]
+	for branch := range r.fillFlow {
+		sum += r.fillFlow[branch][hub]
 	}
 	return sum
 }
--- a/internal/failover/topology.go
+++ b/internal/failover/topology.go
@@ -53,7 +53,7 @@
 
 // valueDensity is the priority weight for a second of sending: what is lost with each unit of the scarce resource
 // saved.
-func (class Class) valueDensity() float64 { return class.PriorityWeight / class.ServiceTime.Seconds() }
+func (c Class) valueDensity() float64 { return c.PriorityWeight / c.ServiceTime.Seconds() }
 
 // Topology is what a plan is made for. Its sites are in the order of the zones in the settings.
 type Topology struct {
@@ -112,7 +112,7 @@
 }
 
 // addSites adds a site for each zone. A zone is a hub if it has parents, or neither directors nor any endpoint.
-func (topology *Topology) addSites(settings *routing.Settings, endpoints []routing.Endpoint) {
+func (t *Topology) addSites(settings *routing.Settings, endpoints []routing.Endpoint) {
 	tiers, zones := &settings.Tiers, len(settings.Zones)
 	capacities, hasParents, hasEndpoints := make([]float64, zones), make([]bool, zones), make([]bool, zones)
 	for _, endpoint := range endpoints {
@@ -133,28 +133,28 @@
 		if !site.Hub && zone < len(tiers.InboundLinkKBPerSecond) && tiers.TransferKBPerSecond > 0 {
 			site.IngressCapacity = tiers.InboundLinkKBPerSecond[zone] / tiers.TransferKBPerSecond
 		}
-		topology.Sites = append(topology.Sites, site)
+		t.Sites = append(t.Sites, site)
 	}
 }
 
 // placeOnRing attaches branches to their hubs. The settings give places: hubs are the first zones, in the order of the
 // ring (protocol page).
-func (topology *Topology) placeOnRing(hubByZone []int) {
-	for zone := range topology.Sites {
+func (t *Topology) placeOnRing(hubByZone []int) {
+	for zone := range t.Sites {
 		if zone >= len(hubByZone) {
 			break
 		}
-		hub, site := hubByZone[zone], &topology.Sites[zone]
+		hub, site := hubByZone[zone], &t.Sites[zone]
 		switch {
 		case site.Hub:
 			site.RingPosition = zone
-		case hub >= 0 && hub < len(topology.Sites) && topology.Sites[hub].Hub:
+		case hub >= 0 && hub < len(t.Sites) && t.Sites[hub].Hub:
 			site.HomeHub = hub
 		}
 	}
 }
 
-func (topology *Topology) addClasses(settings *routing.Settings, overrides Overrides) {
+func (t *Topology) addClasses(settings *routing.Settings, overrides Overrides) {
 	for i, described := range settings.Classes {
 		class := Class{
 			Name:           described.Name,
@@ -170,21 +170,21 @@
 		if len(overrides.ClassShares) > 0 {
 			class.LoadShare = overrides.ClassShares[class.Name]
 		}
-		topology.Classes = append(topology.Classes, class)
+		t.Classes = append(t.Classes, class)
 	}
 }
 
 // checkNames finds overrides for sites and classes that the settings do not have.
-func (topology *Topology) checkNames(overrides Overrides) error {
+func (t *Topology) checkNames(overrides Overrides) error {
 	for _, table := range []struct {
 		key     string
 		values  map[string]float64
 		indexOf func(string) int
 		kind    string
 	}{
-		{"plan.carries", overrides.SiteCapacities, topology.siteIndex, "site"},
-		{"plan.shares", overrides.ClassShares, topology.classIndex, "class"},
-		{"plan.work_ms", overrides.ServiceTimeMS, topology.classIndex, "class"},
+		{"plan.carries", overrides.SiteCapacities, t.siteIndex, "site"},
+		{"plan.shares", overrides.ClassShares, t.classIndex, "class"},
+		{"plan.work_ms", overrides.ServiceTimeMS, t.classIndex, "class"},
 	} {
 		for _, name := range slices.Sorted(maps.Keys(table.values)) {
 			if table.indexOf(name) < 0 {
@@ -196,30 +196,30 @@
 }
 
 // defaultOriginCapacity is that of an origin of unknown size: its demand at the usual load, with some headroom.
-func (topology *Topology) defaultOriginCapacity() float64 {
-	capacity := originHeadroom * topology.uncacheableDemand()
-	for branch, site := range topology.Sites {
-		for class := range topology.Classes {
+func (t *Topology) defaultOriginCapacity() float64 {
+	capacity := originHeadroom * t.uncacheableDemand()
+	for branch, site := range t.Sites {
+		for class := range t.Classes {
 			if !site.Hub {
-				capacity += originHeadroom * topology.fillDemand(branch, class, false) * (1 - topology.ParentHitRatio)
+				capacity += originHeadroom * t.fillDemand(branch, class, false) * (1 - t.ParentHitRatio)
 			}
 		}
 	}
 	return capacity
 }
 
-func (topology *Topology) classIndex(name string) int {
-	return slices.IndexFunc(topology.Classes, func(class Class) bool { return class.Name == name })
+func (t *Topology) classIndex(name string) int {
+	return slices.IndexFunc(t.Classes, func(class Class) bool { return class.Name == name })
 }
 
-func (topology *Topology) siteIndex(name string) int {
-	return slices.IndexFunc(topology.Sites, func(s Site) bool { return s.Name == name })
+func (t *Topology) siteIndex(name string) int {
+	return slices.IndexFunc(t.Sites, func(s Site) bool { return s.Name == name })
 }
 
 // validate finds values for which no plan can be made.
-func (topology *Topology) validate() error {
+func (t *Topology) validate() error {
 	sum := 0.0
-	for _, class := range topology.Classes {
+	for _, class := range t.Classes {
 		if !(class.LoadShare >= 0 && class.LoadShare <= 1) {
 			return overrideErrorf("plan.shares."+class.Name, "%v of the work", class.LoadShare)
 		}
@@ -231,7 +231,7 @@
 	if math.Abs(sum-1) > shareTolerance {
 		return overrideErrorf("plan.shares", "the classes' shares make %.3f, not 1", sum)
 	}
-	for _, site := range topology.Sites {
+	for _, site := range t.Sites {
 		if !(site.Capacity >= 0) || !(site.IngressCapacity >= 0) {
 			return fmt.Errorf("site %s: carries %v, link in %v", site.Name, site.Capacity, site.IngressCapacity)
 		}
@@ -240,14 +240,14 @@
 }
 
 // ringDistance is the number of steps round the ring between two hubs.
-func (topology *Topology) ringDistance(a, b int) int {
+func (t *Topology) ringDistance(a, b int) int {
 	hubs := 0
-	for _, s := range topology.Sites {
+	for _, s := range t.Sites {
 		if s.Hub {
 			hubs++
 		}
 	}
-	distance := topology.Sites[a].RingPosition - topology.Sites[b].RingPosition
+	distance := t.Sites[a].RingPosition - t.Sites[b].RingPosition
 	if distance < 0 {
 		distance = -distance
 	}
@@ -256,36 +256,36 @@
 
 // demand is the work that a branch is asked for at the usual load, in transfers. It goes with the capacity that the
 // branch was built with: the clients of a lost branch are still there.
-func (topology *Topology) demand(branch int) float64 {
-	return topology.UsualLoad * topology.Sites[branch].Capacity
+func (t *Topology) demand(branch int) float64 {
+	return t.UsualLoad * t.Sites[branch].Capacity
 }
 
 // classDemand is the part of a branch's demand that is of a class.
-func (topology *Topology) classDemand(branch, class int) float64 {
-	return topology.demand(branch) * topology.Classes[class].LoadShare
+func (t *Topology) classDemand(branch, class int) float64 {
+	return t.demand(branch) * t.Classes[class].LoadShare
 }
 
 // fillDemand is the part of a class's work at a branch that comes from hubs: what its caches lack, or all of it where
 // the caches are lost and parents may be asked in their place.
-func (topology *Topology) fillDemand(branch, class int, lost bool) float64 {
+func (t *Topology) fillDemand(branch, class int, lost bool) float64 {
 	switch {
-	case topology.Classes[class].Uncacheable:
+	case t.Classes[class].Uncacheable:
 		return 0
-	case lost && !topology.BypassAllowed:
+	case lost && !t.BypassAllowed:
 		return 0
 	case lost:
-		return topology.classDemand(branch, class)
+		return t.classDemand(branch, class)
 	}
-	return topology.classDemand(branch, class) * (1 - topology.CacheHitRatio)
+	return t.classDemand(branch, class) * (1 - t.CacheHitRatio)
 }
 
 // uncacheableDemand is the work of all branches that runs at the origin alone.
-func (topology *Topology) uncacheableDemand() float64 {
+func (t *Topology) uncacheableDemand() float64 {
 	sum := 0.0
-	for branch, site := range topology.Sites {
-		for class := range topology.Classes {
-			if !site.Hub && topology.Classes[class].Uncacheable {
-				sum += topology.classDemand(branch, class)
+	for branch, site := range t.Sites {
+		for class := range t.Classes {
+			if !site.Hub && t.Classes[class].Uncacheable {
+				sum += t.classDemand(branch, class)
 			}
 		}
 	}
--- a/internal/testbed/list_test.go
+++ b/internal/testbed/discovery_test.go
@@ -18,74 +18,78 @@
 func newFlappingService(t *testing.T, what string) (*discoveryService, *flap, string) {
 	t.Helper()
 	dir := t.TempDir()
-	r, err := newHistoryWriter(filepath.Join(dir, "record.jsonl"))
+	history, err := newHistoryWriter(filepath.Join(dir, "record.jsonl"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := newDiscoveryService(&Testbed{experiment: &Experiment{Directors: 1, Discovery: DiscoverySpec{CallsPerSecond: 1000}}, history: r, faults: newFaultInjector(),
-		subnet: subnetOf(dir)})
+	service := newDiscoveryService(&Testbed{
+		experiment: &Experiment{Directors: 1, Discovery: DiscoverySpec{CallsPerSecond: 1000}},
+		history:    history,
+		faults:     newFaultInjector(),
+		subnet:     subnetOf(dir),
+	})
 	t.Cleanup(func() {
-		s.close()
-		if err := r.close(); err != nil && !errors.Is(err, os.ErrClosed) {
+		service.close()
+		if err := history.close(); err != nil && !errors.Is(err, os.ErrClosed) {
 			t.Error(err)
 		}
 	})
-	s.publish(func(n int) string { return fmt.Sprintf(`{"n":%d,"event":"the first"}`, n) }, Event{What: "list"})
+	service.publish(func(n int) string { return fmt.Sprintf(`{"n":%d,"event":"the first"}`, n) }, Event{What: "list"})
 	f := &flap{modes: []string{what}}
-	s.startFlap([]int{0}, f)
-	address, err := s.listen(0)
+	service.startFlap([]int{0}, f)
+	address, err := service.listen(0)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return s, f, address
+	return service, f, address
 }
 
 func subscribe(t *testing.T, address string) net.Conn {
 	t.Helper()
-	c, err := net.Dial("tcp", address)
+	conn, err := net.Dial("tcp", address)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { c.Close() })
-	if err := c.SetDeadline(time.Now().Add(10 * time.Second)); err != nil {
+	t.Cleanup(func() { conn.Close() })
+	if err := conn.SetDeadline(time.Now().Add(10 * time.Second)); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := fmt.Fprintf(c, "SUB 0\n"); err != nil {
+	if _, err := fmt.Fprintf(conn, "SUB 0\n"); err != nil {
 		t.Fatal(err)
 	}
-	return c
+	return conn
 }
 
-// recordedEvents is what has been recordedEvents of a kind.
-func recordedEvents(t *testing.T, r *historyWriter, kind string) (list []Event) {
+// recordedEvents are the events of a kind that have been recorded.
+func recordedEvents(t *testing.T, history *historyWriter, kind string) (list []Event) {
 	t.Helper()
-	r.mu.Lock()
-	err := r.buffer.Flush()
-	r.mu.Unlock()
+	history.mu.Lock()
+	err := history.buffer.Flush()
+	history.mu.Unlock()
 	if err != nil {
 		t.Fatal(err)
 	}
-	text, err := os.ReadFile(r.file.Name())
+	text, err := os.ReadFile(history.file.Name())
 	if err != nil {
 		t.Fatal(err)
 	}
 	for l := range strings.Lines(string(text)) {
-		var e Event
-		if err := json.Unmarshal([]byte(l), &e); err != nil {
+		var event Event
+		if err := json.Unmarshal([]byte(l), &event); err != nil {
 			t.Fatal(err)
 		}
-		if e.Kind == kind {
-			list = append(list, e)
+		if event.Kind == kind {
+			list = append(list, event)
 		}
 	}
 	return list
 }
 
 // awaitStreamEnd waits until the end of a stream has been recorded.
-func awaitStreamEnd(t *testing.T, s *discoveryService, what string) {
+func awaitStreamEnd(t *testing.T, service *discoveryService, what string) {
 	t.Helper()
 	for until := time.Now().Add(10 * time.Second); time.Now().Before(until); time.Sleep(time.Millisecond) {
-		if ends := recordedEvents(t, s.testbed.history, "stream"); len(ends) == 1 {
+		if ends := recordedEvents(t, service.testbed.history, "stream"); len(ends) == 1 {
 			if ends[0].What != what || ends[0].Number != 1 || ends[0].Director != "d0" {
 				t.Errorf("recorded %+v", ends[0])
 			}
@@ -97,12 +101,12 @@
 
 // A stream that breaks ends with a reset, one that breaks in an event with half of it; neither counts as told.
 func TestYoungStreamBreaks(t *testing.T) {
-	s, _, address := newFlappingService(t, "break")
-	c := subscribe(t, address)
-	if n, err := c.Read(make([]byte, 100)); n != 0 || !errors.Is(err, syscall.ECONNRESET) {
+	service, _, address := newFlappingService(t, "break")
+	conn := subscribe(t, address)
+	if n, err := conn.Read(make([]byte, 100)); n != 0 || !errors.Is(err, syscall.ECONNRESET) {
 		t.Errorf("read %d bytes, %v", n, err)
 	}
-	awaitStreamEnd(t, s, "break")
+	awaitStreamEnd(t, service, "break")
 
 	h, _, address := newFlappingService(t, "half")
 	text, err := bufio.NewReader(subscribe(t, address)).ReadString('\n')
@@ -110,7 +114,7 @@
 		t.Errorf("read %q, %v, want %q and the end", text, err, want)
 	}
 	awaitStreamEnd(t, h, "half")
-	for _, x := range []*discoveryService{s, h} {
+	for _, x := range []*discoveryService{service, h} {
 		if told := recordedEvents(t, x.testbed.history, "told"); len(told) > 0 {
 			t.Errorf("recorded as told: %+v", told)
 		}
@@ -119,11 +123,11 @@
 
 // A stream that has fallen silent brings nothing and stays open; what is told then counts as told with the next call.
 func TestYoungStreamFallsSilent(t *testing.T) {
-	s, f, address := newFlappingService(t, "silent")
-	c := subscribe(t, address)
-	awaitStreamEnd(t, s, "silent")
-	s.publish(func(n int) string { return fmt.Sprintf(`{"n":%d,"event":"the second"}`, n) }, Event{What: "purge"})
-	s.stopFlap([]int{0}, f)
+	service, flap, address := newFlappingService(t, "silent")
+	conn := subscribe(t, address)
+	awaitStreamEnd(t, service, "silent")
+	service.publish(func(n int) string { return fmt.Sprintf(`{"n":%d,"event":"the second"}`, n) }, Event{What: "purge"})
+	service.stopFlap([]int{0}, flap)
 	r := bufio.NewReader(subscribe(t, address))
 	for _, want := range []string{"the first", "the second"} {
 		if line, err := r.ReadString('\n'); err != nil || !strings.Contains(line, want) {
@@ -131,17 +135,17 @@
 		}
 	}
 	// The old stream is still open, and nothing has come on it.
-	if err := c.SetReadDeadline(time.Now().Add(20 * time.Millisecond)); err != nil {
+	if err := conn.SetReadDeadline(time.Now().Add(20 * time.Millisecond)); err != nil {
 		t.Fatal(err)
 	}
-	if n, err := c.Read(make([]byte, 100)); n != 0 || !errors.Is(err, os.ErrDeadlineExceeded) {
+	if n, err := conn.Read(make([]byte, 100)); n != 0 || !errors.Is(err, os.ErrDeadlineExceeded) {
 		t.Errorf("read %d bytes, %v", n, err)
 	}
 	var told []Event
 	for until := time.Now().Add(10 * time.Second); len(told) < 2 && time.Now().Before(until); time.Sleep(time.Millisecond) {
-		told = recordedEvents(t, s.testbed.history, "told")
+		told = recordedEvents(t, service.testbed.history, "told")
 	}
-	calls := recordedEvents(t, s.testbed.history, "call")
+	calls := recordedEvents(t, service.testbed.history, "call")
 	if len(told) != 2 || len(calls) != 2 || told[0].AtMS < calls[1].AtMS {
 		t.Errorf("told %+v, calls %+v: want both told after the second call", told, calls)
 	}
@@ -153,18 +157,24 @@
 	seen := map[time.Duration]bool{}
 	kinds := map[string]bool{}
 	for seed := range uint64(3) {
-		f := &flap{seed: seed, begin: begin, modes: []string{"break", "half", "silent"}, minAge: time.Second, maxAge: 3 * time.Second}
+		f := &flap{
+			seed:   seed,
+			begin:  begin,
+			modes:  []string{endBreak, endHalf, endSilent},
+			minAge: time.Second,
+			maxAge: 3 * time.Second,
+		}
 		for director := range 4 {
 			for nth := range 5 {
-				e := f.drawEnd(director, nth, begin.Add(time.Minute))
-				age := e.at.Sub(begin) - time.Minute
-				if age < time.Second || age > 3*time.Second || e != f.drawEnd(director, nth, begin.Add(time.Minute)) {
-					t.Errorf("seed %d, director %d, stream %d: %+v", seed, director, nth, e)
+				end := f.drawEnd(director, nth, begin.Add(time.Minute))
+				age := end.at.Sub(begin) - time.Minute
+				if age < time.Second || age > 3*time.Second || end != f.drawEnd(director, nth, begin.Add(time.Minute)) {
+					t.Errorf("seed %d, director %d, stream %d: %+v", seed, director, nth, end)
 				}
 				if early := f.drawEnd(director, nth, begin.Add(-time.Minute)); early.at != begin.Add(age) {
 					t.Errorf("a stream that was up before the flap ends at %v, not %v after its begin", early.at, age)
 				}
-				seen[age], kinds[e.mode] = true, true
+				seen[age], kinds[end.mode] = true, true
 			}
 		}
 	}
--- a/internal/testbed/experiment.go
+++ b/internal/testbed/experiment.go
@@ -4,14 +4,13 @@
 	"fmt"
 	"os"
 	"path/filepath"
-	"slices"
 	"strings"
 
 	"shaleyard/internal/checker"
 	"shaleyard/internal/strictconfig"
 )
 
-// Experiment is a script: a fleet, what it stands between, what is broken when, and what must hold.
+// Experiment is a script: a fleet, what it stands between, which faults are injected when, and which bounds must hold.
 type Experiment struct {
 	Name      string  `toml:"name"`
 	About     string  `toml:"about"`
@@ -34,28 +33,28 @@
 // DiscoverySpec is the list service: one server of fixed capacity for all directors.
 type DiscoverySpec struct {
 	CallsPerSecond float64 `toml:"calls_per_second"` // 0: as many as there are directors in 1.5 s
-	Queue          int     `toml:"queue"`            // calls that wait; more are turned away. 0: a second's worth
-	Begin          string  `toml:"begin"`            // how it is as the directors start: well (or ""), down, hang, half
+	Queue          int     `toml:"queue"`            // calls that wait; further ones are rejected. 0: a second's worth
+	Begin          string  `toml:"begin"`            // its mode as the directors start: well (or empty), down, hang, half
 }
 
 // ServerSpec is a group of caches or parents.
 type ServerSpec struct {
 	Count          int     `toml:"count"`
-	Weight         float64 `toml:"weight"`     // transfers at full pace that the link carries
+	Weight         float64 `toml:"weight"`     // transfers at full rate that the link carries
 	MaxConns       int     `toml:"conns"`      // connections accepted; 0: any number
 	FillSlots      int     `toml:"fill_slots"` // fills at once; 0: any number
-	ColdFrom       float64 `toml:"cold_from"`
-	RampMS         float64 `toml:"ramp_ms"`
-	FallMS         float64 `toml:"fall_ms"`
-	Multiple       float64 `toml:"multiple"`
+	ColdFrom       float64 `toml:"cold_from"`  // fraction of its capacity that a cold server starts with
+	RampMS         float64 `toml:"ramp_ms"`    // until it has all of it
+	FallMS         float64 `toml:"fall_ms"`    // window over which work counts for its collapse
+	Multiple       float64 `toml:"multiple"`   // of its present capacity at which it collapses
 	LatencyMS      float64 `toml:"latency_ms"`
-	Cold           bool    `toml:"cold"`  // starts with the run, empty; else it has been up for long
+	Cold           bool    `toml:"cold"`  // starts with the run, empty; otherwise it has been up for long
 	CoalescesFills bool    `toml:"joins"` // requests may join a fill under way
 }
 
-// OriginSpec is the origin: everything is there.
+// OriginSpec is the origin, which holds all objects.
 type OriginSpec struct {
-	PerSecond float64 `toml:"per_second"` // fetches it can do; more are turned away
+	PerSecond float64 `toml:"per_second"` // fetches that it can do; further ones are rejected
 	LatencyMS float64 `toml:"latency_ms"`
 }
 
@@ -65,19 +64,19 @@
 	Objects      int     `toml:"objects"`
 	Zipf         float64 `toml:"zipf"`
 	Repayments   float64 `toml:"repayments"` // share of requests
-	MaxAttempts  int     `toml:"tries"`      // of one request by its client, with the first
-	Skew         float64 `toml:"skew"`       // times the mean load that director 0 gets; 0: the mean
+	MaxAttempts  int     `toml:"tries"`      // at one request by its client
+	Skew         float64 `toml:"skew"`       // multiple of the mean load that director 0 gets; 0: the mean
 	TransferMS   float64 `toml:"transfer_ms"`
 	LeaveShare   float64 `toml:"leave"`      // share of requests whose client closes its connection or cancels, by turns
-	LeaveAfterMS float64 `toml:"leave_ms"`   // after so long on average, if it has no answer by then
+	LeaveAfterMS float64 `toml:"leave_ms"`   // on average, if it has no answer by then
 	SizeSigma    float64 `toml:"size_sigma"` // of the logarithm of objects' sizes; 0: all have the mean
 }
 
-// FaultEvent is something that is done at a time, and undone after For seconds where it can be.
+// FaultEvent is a fault that is injected at a time, and taken back after some seconds where it can be.
 type FaultEvent struct {
-	At              float64 `toml:"at"`
+	At              float64 `toml:"at"` // seconds of load
 	Action          string  `toml:"do"`
-	Share           float64 `toml:"share"`  // of the directors or servers that it is done to, drawn by the seed; 0: all
+	Share           float64 `toml:"share"`  // of the directors or servers that are drawn for it by the seed; 0: all
 	Duration        float64 `toml:"for"`    // seconds; 0: for good
 	Factor          float64 `toml:"factor"` // of capacity, or of load
 	ForgottenEvents int     `toml:"back"`   // events that the list service forgets
@@ -87,7 +86,7 @@
 	Site            string  `toml:"site"`  // branch-1 or hub-1 and so on: only its directors or servers
 	ListDelay       float64 `toml:"late"`  // seconds by which the list tells of a site late
 	OnlyDirector    int     `toml:"only"`  // the one director that it is done to, counted from 1; 0: the share
-	Count           int     `toml:"count"` // connections to each director; purges within For seconds
+	Count           int     `toml:"count"` // connections to each director; purges within the duration
 	RetainCopies    float64 `toml:"keep"`  // seconds for which servers keep copies from before a purge; 0: 2
 	// Of list-flap: how streams end (break, half, silent), drawn evenly, and the ages in seconds between which they do.
 	StreamEnds   []string `toml:"ends"`
@@ -95,25 +94,38 @@
 	MaxStreamAge float64  `toml:"age_to"`
 }
 
-// Bound is what a figure must keep to.
+// Bound limits a metric.
 type Bound struct {
 	Metric string   `toml:"figure"`
 	Max    *float64 `toml:"most"`
 	Min    *float64 `toml:"least"`
-	// BaselineTimes bounds a figure by so many times the baseline's, where one was played: as most, or with a
-	// minus sign as least.
+	// BaselineTimes limits the metric by a multiple of the baseline's, where one was played: as maximum, or with a
+	// minus sign as minimum.
 	BaselineTimes float64 `toml:"baseline_times"`
 }
 
-// faultTargets are the steps that there are, and what they are done to.
+// What faults are injected into.
+const (
+	targetDirectors = "directors"
+	targetList      = "list"
+	targetCaches    = "caches"
+	targetParents   = "parents"
+	targetOrigin    = "origin"
+	targetSite      = "site"
+	targetLink      = "link"
+	targetNone      = ""
+)
+
+// faultTargets are the actions of fault events, and what each is done to.
 var faultTargets = map[string]string{
-	"idle": "directors", "kill": "directors", "start": "directors", "stop": "directors", "cont": "directors", "term": "directors",
-	"list-well": "list", "list-down": "list", "list-hang": "list", "list-half": "list", "list-slow": "list",
-	"list-older": "list", "list-break": "list", "list-flap": "directors",
-	"replace": "caches", "replace-parents": "parents", "drain": "caches", "kill-caches": "caches",
-	"silence-caches": "caches", "origin-slow": "origin", "purge": "", "burst": "",
-	"site-kill": "site", "site-silent": "site", "site-busy": "site",
-	"cut": "link", "silence": "link", "one-way": "link", "delay": "link", "reset": "link", "drip": "link",
+	"idle": targetDirectors, "kill": targetDirectors, "start": targetDirectors, "stop": targetDirectors, "cont": targetDirectors,
+	"term": targetDirectors, "list-flap": targetDirectors,
+	"list-well": targetList, "list-down": targetList, "list-hang": targetList, "list-half": targetList, "list-slow": targetList,
+	"list-older": targetList, "list-break": targetList,
+	"replace": targetCaches, "replace-parents": targetParents, "drain": targetCaches, "kill-caches": targetCaches,
+	"silence-caches": targetCaches, "origin-slow": targetOrigin, "purge": targetNone, "burst": targetNone,
+	"site-kill": targetSite, "site-silent": targetSite, "site-busy": targetSite,
+	"cut": targetLink, "silence": targetLink, "one-way": targetLink, "delay": targetLink, "reset": targetLink, "drip": targetLink,
 }
 
 // LoadExperiment reads an experiment. An error names the file, the line and the key.
@@ -127,98 +139,38 @@
 
 // ParseExperiment checks the text of an experiment; the name of its file is for errors.
 func ParseExperiment(file string, text []byte) (*Experiment, error) {
-	x := &Experiment{Name: strings.TrimSuffix(filepath.Base(file), ".toml"), Directors: 24, Branches: 1, Hubs: 1, Seconds: 10, Seed: 1, Sockets: 1024,
-		Caches: ServerSpec{Count: 6, Weight: 40, ColdFrom: 0.25, RampMS: 4000, FallMS: 1000, Multiple: 2, LatencyMS: 2,
-			CoalescesFills: true},
-		Parents: ServerSpec{Count: 2, Weight: 60, ColdFrom: 0.25, RampMS: 4000, FallMS: 1000, Multiple: 2, LatencyMS: 5,
-			CoalescesFills: true},
-		Origin:  OriginSpec{PerSecond: 400, LatencyMS: 30},
-		Clients: ClientSpec{PerSecond: 200, Objects: 400, Zipf: 1.1, Repayments: 0.1, MaxAttempts: 3, TransferMS: 20, LeaveAfterMS: 50}}
-	if err := strictconfig.Decode(file, text, x); err != nil {
+	experiment := defaultExperiment()
+	experiment.Name = strings.TrimSuffix(filepath.Base(file), ".toml")
+	if err := strictconfig.Decode(file, text, experiment); err != nil {
 		return nil, err
 	}
-	if key, why := x.firstInvalid(); key != "" {
-		return nil, fmt.Errorf("%s:%d: %s: %s", file, strictconfig.FindLine(text, key), key, why)
+	if invalid := experiment.firstInvalid(); invalid != nil {
+		return nil, fmt.Errorf("%s:%d: %w", file, strictconfig.FindLine(text, invalid.key), invalid)
 	}
-	return x, nil
+	return experiment, nil
 }
 
-// firstInvalid names the first key whose value is out of range.
-func (x *Experiment) firstInvalid() (key, why string) {
-	type limit struct {
-		key              string
-		value, low, high float64
-	}
-	limits := []limit{{"directors", float64(x.Directors), 1, 400}, {"seconds", x.Seconds, 1, 900},
-		{"branches", float64(x.Branches), 1, float64(x.Directors)}, {"hubs", float64(x.Hubs), 1, float64(x.Parents.Count)},
-		{"list.calls_per_second", x.Discovery.CallsPerSecond, 0, 1e5}, {"list.queue", float64(x.Discovery.Queue), 0, 1e5},
-		{"origin.per_second", x.Origin.PerSecond, 1, 1e6}, {"origin.latency_ms", x.Origin.LatencyMS, 0, 1e4},
-		{"clients.per_second", x.Clients.PerSecond, 0, 1e5}, {"clients.objects", float64(x.Clients.Objects), 1, 1e6},
-		{"clients.zipf", x.Clients.Zipf, 1.01, 4}, {"clients.repayments", x.Clients.Repayments, 0, 1},
-		{"clients.tries", float64(x.Clients.MaxAttempts), 1, 10}, {"clients.skew", x.Clients.Skew, 0, 50},
-		{"clients.transfer_ms", x.Clients.TransferMS, 1, 1e4}, {"clients.leave", x.Clients.LeaveShare, 0, 1},
-		{"clients.leave_ms", x.Clients.LeaveAfterMS, 1, 1e4}, {"clients.size_sigma", x.Clients.SizeSigma, 0, 2},
-		{"sockets", float64(x.Sockets), 64, 1 << 16}}
-	for _, g := range []struct {
-		name string
-		s    ServerSpec
-	}{{"caches", x.Caches}, {"parents", x.Parents}} {
-		limits = append(limits, limit{g.name + ".count", float64(g.s.Count), 1, 200},
-			limit{g.name + ".weight", g.s.Weight, 0.1, 1e5}, limit{g.name + ".conns", float64(g.s.MaxConns), 0, 1e5},
-			limit{g.name + ".fill_slots", float64(g.s.FillSlots), 0, 1e5}, limit{g.name + ".cold_from", g.s.ColdFrom, 0.01, 1},
-			limit{g.name + ".ramp_ms", g.s.RampMS, 0, 1e5}, limit{g.name + ".fall_ms", g.s.FallMS, 100, 1e5},
-			limit{g.name + ".multiple", g.s.Multiple, 0.5, 100}, limit{g.name + ".latency_ms", g.s.LatencyMS, 0, 1e4})
-	}
-	for i, s := range x.FaultEvents {
-		at := func(k string) string { return fmt.Sprintf("step[%d].%s", i, k) }
-		on, known := faultTargets[s.Action]
-		if !known {
-			return at("do"), fmt.Sprintf("%q is nothing that can be done", s.Action)
-		}
-		if on == "link" && !slices.Contains([]string{"list", "caches", "parents", "clients"}, s.Link) {
-			return at("link"), fmt.Sprintf("%q is no link", s.Link)
-		}
-		switch sites := x.siteNames(); {
-		case on == "site" && s.Site == "":
-			return at("do"), fmt.Sprintf("%s needs a site", s.Action)
-		case s.Site != "" && !slices.Contains(sites, s.Site):
-			return at("site"), fmt.Sprintf("%q is none of %s", s.Site, strings.Join(sites, ", "))
-		case s.Site != "" && on != "site" && on != "directors" && on != "link":
-			return at("site"), fmt.Sprintf("%s is not done to a site", s.Action)
-		}
-		limits = append(limits, limit{at("late"), s.ListDelay, 0, 60}, limit{at("only"), float64(s.OnlyDirector), 0, float64(x.Directors)},
-			limit{at("at"), s.At, 0, x.Seconds}, limit{at("share"), s.Share, 0, 1},
-			limit{at("for"), s.Duration, 0, 600}, limit{at("factor"), s.Factor, 0, 100}, limit{at("back"), float64(s.ForgottenEvents), 0, 1e4},
-			limit{at("over"), s.ReplaceOver, 0, 600}, limit{at("delay_ms"), s.DelayMS, 0, 1e4},
-			limit{at("count"), float64(s.Count), 0, 1e4}, limit{at("keep"), s.RetainCopies, 0, purgeRetention.Seconds()},
-			limit{at("age_from"), s.MinStreamAge, 0, 60}, limit{at("age_to"), s.MaxStreamAge, s.MinStreamAge, 60})
-		if s.Action == "list-flap" && (len(s.StreamEnds) == 0 || s.MaxStreamAge == 0) {
-			return at("do"), "list-flap needs ends and age_to"
-		}
-		for _, e := range s.StreamEnds {
-			if !slices.Contains([]string{"break", "half", "silent"}, e) {
-				return at("ends"), fmt.Sprintf("%q is no end of a stream", e)
-			}
-		}
-	}
-	for _, l := range limits {
-		if !(l.value >= l.low && l.value <= l.high) {
-			return l.key, fmt.Sprintf("%v is not within %v and %v", l.value, l.low, l.high)
-		}
-	}
-	if b := x.Discovery.Begin; !slices.Contains([]string{"", "well", "down", "hang", "half"}, b) {
-		return "list.begin", fmt.Sprintf("%q is no state of the service", b)
-	}
-	for i, b := range x.Bounds {
-		if !slices.Contains(checker.MetricNames, b.Metric) {
-			return fmt.Sprintf("bound[%d].figure", i), fmt.Sprintf("%q is no figure", b.Metric)
-		}
+func defaultExperiment() *Experiment {
+	return &Experiment{
+		Directors: 24,
+		Branches:  1,
+		Hubs:      1,
+		Seconds:   10,
+		Seed:      1,
+		Sockets:   1024,
+		Caches: ServerSpec{Count: 6, Weight: 40, ColdFrom: 0.25, RampMS: 4000, FallMS: 1000, Multiple: 2, LatencyMS: 2,
+			CoalescesFills: true},
+		Parents: ServerSpec{Count: 2, Weight: 60, ColdFrom: 0.25, RampMS: 4000, FallMS: 1000, Multiple: 2, LatencyMS: 5,
+			CoalescesFills: true},
+		Origin: OriginSpec{PerSecond: 400, LatencyMS: 30},
+		Clients: ClientSpec{PerSecond: 200, Objects: 400, Zipf: 1.1, Repayments: 0.1, MaxAttempts: 3, TransferMS: 20,
+			LeaveAfterMS: 50},
 	}
-	return "", ""
 }
 
-// siteNames are the names of all siteNames.
-func (x *Experiment) siteNames() (names []string) {
+// siteNames are the names of all sites: hubs, then branches.
+func (x *Experiment) siteNames() []string {
+	names := make([]string, 0, x.Hubs+x.Branches)
 	for i := range x.Hubs {
 		names = append(names, hubName(i))
 	}
@@ -230,40 +182,47 @@
 
 // Scale plays the experiment with another number of directors: the load, and what the servers bear, go with it.
 func (x *Experiment) Scale(directors int) {
-	by := float64(directors) / float64(x.Directors)
+	factor := float64(directors) / float64(x.Directors)
 	x.Directors = directors
-	x.Discovery.CallsPerSecond *= by
-	x.Clients.PerSecond *= by
-	x.Origin.PerSecond *= by
-	for _, s := range []*ServerSpec{&x.Caches, &x.Parents} {
-		s.Weight *= by
-		s.MaxConns = int(float64(s.MaxConns) * by)
-		s.FillSlots = int(float64(s.FillSlots) * by)
+	x.Discovery.CallsPerSecond *= factor
+	x.Clients.PerSecond *= factor
+	x.Origin.PerSecond *= factor
+	for _, spec := range []*ServerSpec{&x.Caches, &x.Parents} {
+		spec.Weight *= factor
+		spec.MaxConns = int(float64(spec.MaxConns) * factor)
+		spec.FillSlots = int(float64(spec.FillSlots) * factor)
 	}
 }
 
-// CheckBounds holds figures against the experiment's bounds; those that need a baseline count only where there is one.
-func (x *Experiment) CheckBounds(figures, baseline map[string]float64) (broken []checker.Violation) {
-	for _, b := range x.Bounds {
-		got := figures[b.Metric]
-		say := func(format string, a ...any) {
-			broken = append(broken, checker.Violation{Rule: "bound", Who: b.Metric, Detail: fmt.Sprintf(format, a...)})
-		}
-		if b.Max != nil && got > *b.Max {
-			say("%.3f, %.3f at most", got, *b.Max)
-		}
-		if b.Min != nil && got < *b.Min {
-			say("%.3f, %.3f at least", got, *b.Min)
-		}
-		if baseline == nil || b.BaselineTimes == 0 {
-			continue
-		}
-		switch limit := b.BaselineTimes * baseline[b.Metric]; {
-		case limit >= 0 && got > limit:
-			say("%.3f, %.3f at most by the baseline", got, limit)
-		case limit < 0 && got < -limit:
-			say("%.3f, %.3f at least by the baseline", got, -limit)
+// CheckBounds holds metrics against the experiment's bounds; those that need a baseline count only where there is one.
+func (x *Experiment) CheckBounds(metrics, baseline map[string]float64) []checker.Violation {
+	var violations []checker.Violation
+	for _, bound := range x.Bounds {
+		for _, detail := range bound.violations(metrics[bound.Metric], baseline) {
+			violations = append(violations, checker.Violation{Rule: "bound", Who: bound.Metric, Detail: detail})
 		}
 	}
-	return broken
+	return violations
+}
+
+// violations says how a value breaks the bound. The baseline may be nil.
+func (b Bound) violations(value float64, baseline map[string]float64) []string {
+	var details []string
+	if b.Max != nil && value > *b.Max {
+		details = append(details, fmt.Sprintf("%.3f, %.3f at most", value, *b.Max))
+	}
+	if b.Min != nil && value < *b.Min {
+		details = append(details, fmt.Sprintf("%.3f, %.3f at least", value, *b.Min))
+	}
+	if baseline == nil || b.BaselineTimes == 0 {
+		return details
+	}
+	limit := b.BaselineTimes * baseline[b.Metric]
+	switch {
+	case limit >= 0 && value > limit:
+		details = append(details, fmt.Sprintf("%.3f, %.3f at most by the baseline", value, limit))
+	case limit < 0 && value < -limit:
+		details = append(details, fmt.Sprintf("%.3f, %.3f at least by the baseline", value, -limit))
+	}
+	return details
 }
--- a/internal/testbed/faults_test.go
+++ b/internal/testbed/faultinjector_test.go
@@ -12,10 +12,10 @@
 	here, there := net.Pipe()
 	defer here.Close()
 	defer there.Close()
-	f := newFaultInjector()
-	f.set("caches", []int{3}, fault{kind: "silence"})
-	f.set("caches", []int{5}, fault{kind: "silence"})
-	w := f.wrap(here, "caches", 3)
+	injector := newFaultInjector()
+	injector.set("caches", []int{3}, fault{kind: "silence"})
+	injector.set("caches", []int{5}, fault{kind: "silence"})
+	w := injector.wrap(here, "caches", 3)
 	var writers sync.WaitGroup
 	for range 4 {
 		writers.Add(1)
@@ -33,7 +33,7 @@
 		w.setDirector(3 + 2*(i%2))
 	}
 	writers.Wait()
-	f.set("caches", []int{3, 5}, fault{})
+	injector.set("caches", []int{3, 5}, fault{})
 	go func() { _, _ = w.Write([]byte("x")) }()
 	var b [1]byte
 	if n, err := there.Read(b[:]); n != 1 || err != nil {
--- a/internal/testbed/fleet_test.go
+++ b/internal/testbed/fleet_test.go
@@ -55,12 +55,12 @@
 				t.Parallel()
 				places <- struct{}{}
 				defer func() { <-places }()
-				x, err := LoadExperiment(file)
+				experiment, err := LoadExperiment(file)
 				if err != nil {
 					t.Fatal(err)
 				}
 				dir := t.TempDir()
-				if err := Run(context.Background(), x, Options{Binary: binary, Dir: dir}); err != nil {
+				if err := Run(context.Background(), experiment, Options{Binary: binary, Dir: dir}); err != nil {
 					t.Fatal(err)
 				}
 				f, err := os.Open(filepath.Join(dir, "record.jsonl"))
@@ -68,15 +68,15 @@
 					t.Fatal(err)
 				}
 				defer f.Close()
-				v, err := checker.Check(f)
+				verdict, err := checker.Check(f)
 				if err != nil {
 					t.Fatal(err)
 				}
-				for _, b := range append(v.Violations, x.CheckBounds(v.Metrics, nil)...) {
-					t.Errorf("%s at %.0f ms, %s: %s", b.Rule, b.AtMS, b.Who, b.Detail)
+				for _, violation := range append(verdict.Violations, experiment.CheckBounds(verdict.Metrics, nil)...) {
+					t.Errorf("%s at %.0f ms, %s: %s", violation.Rule, violation.AtMS, violation.Who, violation.Detail)
 				}
-				if v.Metrics["requests"] < 100 {
-					t.Errorf("%v requests: nothing was shown", v.Metrics["requests"])
+				if verdict.Metrics["requests"] < 100 {
+					t.Errorf("%v requests: nothing was shown", verdict.Metrics["requests"])
 				}
 				if pids := remainingProcesses(t, dir); len(pids) > 0 {
 					t.Errorf("left behind: %v", pids)
@@ -88,7 +88,7 @@
 
 // An experiment that is called off ends soon, and ends all that it has started.
 func TestCalledOffRunLeavesNothing(t *testing.T) {
-	x, err := ParseExperiment("story.toml", []byte("directors = 5\nseconds = 300.0\n"))
+	experiment, err := ParseExperiment("story.toml", []byte("directors = 5\nseconds = 300.0\n"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -97,7 +97,7 @@
 	begun := make(chan struct{}, 400)
 	done := make(chan error, 1)
 	go func() {
-		done <- Run(ctx, x, Options{Binary: buildDirector(t), Dir: dir, Progress: func(float64) { begun <- struct{}{} }})
+		done <- Run(ctx, experiment, Options{Binary: buildDirector(t), Dir: dir, Progress: func(float64) { begun <- struct{}{} }})
 	}()
 	<-begun
 	if n := len(remainingProcesses(t, dir)); n != 5 {
@@ -130,27 +130,35 @@
 
 // A bad experiment is an error that names the file, the line and the key, before anything starts.
 func TestBadExperimentsAreNamed(t *testing.T) {
-	for text, want := range map[string]string{
-		"directors = 4\nspeed = 3\n":                                                      "x.toml:2: speed: no such key",
-		"[clients]\nzipf = 0.5\n":                                                         "x.toml:2: clients.zipf: 0.5 is not within",
-		"directors = 4\n\n[[step]]\nat = 1.0\ndo = \"dance\"\n":                           "x.toml:5: step[0].do: \"dance\"",
-		"[[step]]\nat = 1.0\ndo = \"cut\"\nlink = \"moon\"\n":                             "x.toml:4: step[0].link: \"moon\"",
-		"[[step]]\ndo=\"kill\"\n[[step]]\ndo=\"kill\"\nshare = 1.5\n":                     "x.toml:5: step[1].share: 1.5",
-		"directors = \"many\"\n":                                                          "x.toml:1: directors",
-		"[[bound]]\nfigure = \"luck\"\n":                                                  "x.toml:2: bound[0].figure: \"luck\"",
-		"[list]\nbegin = \"odd\"\n":                                                       "x.toml:2: list.begin: \"odd\"",
-		"directors = 4\n[caches]\ncount = 0\n":                                            "x.toml:3: caches.count: 0 is not within",
-		"[[step]]\nat = 99.0\ndo = \"kill\"\n":                                            "x.toml:2: step[0].at: 99",
-		"[[step]]\ndo = \"list-flap\"\nage_to = 1.0\n":                                    "x.toml:2: step[0].do: list-flap needs",
-		"[[step]]\ndo = \"list-flap\"\nage_to = 1.0\nends = [\"bang\"]\n":                 "x.toml:4: step[0].ends: \"bang\"",
-		"[[step]]\ndo = \"list-flap\"\nends = [\"half\"]\nage_from = 2.0\nage_to = 1.0\n": "x.toml:5: step[0].age_to: 1",
-		"[[step]]\ndo = \"purge\"\nkeep = 6.5\n":                                          "x.toml:3: step[0].keep: 6.5",
-		"directors = [":                                                                   "x.toml:1",
-		"[clients]\nrepayments = nan\n":                                                   "x.toml:2: clients.repayments: NaN",
+	for _, test := range []struct{ name, text, want string }{
+		{"unknown key", "directors = 4\nspeed = 3\n", "x.toml:2: speed: no such key"},
+		{"value out of range", "[clients]\nzipf = 0.5\n", "x.toml:2: clients.zipf: 0.5 is not within"},
+		{"unknown action", "directors = 4\n\n[[step]]\nat = 1.0\ndo = \"dance\"\n",
+			"x.toml:5: step[0].do: \"dance\""},
+		{"unknown link", "[[step]]\nat = 1.0\ndo = \"cut\"\nlink = \"moon\"\n", "x.toml:4: step[0].link: \"moon\""},
+		{"second event", "[[step]]\ndo=\"kill\"\n[[step]]\ndo=\"kill\"\nshare = 1.5\n",
+			"x.toml:5: step[1].share: 1.5"},
+		{"wrong type", "directors = \"many\"\n", "x.toml:1: directors"},
+		{"unknown figure", "[[bound]]\nfigure = \"luck\"\n", "x.toml:2: bound[0].figure: \"luck\""},
+		{"unknown mode", "[list]\nbegin = \"odd\"\n", "x.toml:2: list.begin: \"odd\""},
+		{"no caches", "directors = 4\n[caches]\ncount = 0\n", "x.toml:3: caches.count: 0 is not within"},
+		{"event after the end", "[[step]]\nat = 99.0\ndo = \"kill\"\n", "x.toml:2: step[0].at: 99"},
+		{"flap without ends", "[[step]]\ndo = \"list-flap\"\nage_to = 1.0\n",
+			"x.toml:2: step[0].do: list-flap needs"},
+		{"unknown end", "[[step]]\ndo = \"list-flap\"\nage_to = 1.0\nends = [\"bang\"]\n",
+			"x.toml:4: step[0].ends: \"bang\""},
+		{"ages out of order", "[[step]]\ndo = \"list-flap\"\nends = [\"half\"]\nage_from = 2.0\nage_to = 1.0\n",
+			"x.toml:5: step[0].age_to: 1"},
+		{"copies kept too long", "[[step]]\ndo = \"purge\"\nkeep = 6.5\n", "x.toml:3: step[0].keep: 6.5"},
+		{"broken syntax", "directors = [", "x.toml:1"},
+		{"not a number", "[clients]\nrepayments = nan\n", "x.toml:2: clients.repayments: NaN"},
 	} {
-		if _, err := ParseExperiment("x.toml", []byte(text)); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%q: error %v, want %q", text, err, want)
-		}
+		t.Run(test.name, func(t *testing.T) {
+			_, err := ParseExperiment("x.toml", []byte(test.text))
+			if err == nil || !strings.Contains(err.Error(), test.want) {
+				t.Errorf("%q: error %v, want %q", test.text, err, test.want)
+			}
+		})
 	}
 }
 
--- a/internal/testbed/process.go
+++ b/internal/testbed/process.go
@@ -15,22 +15,29 @@
 	"time"
 )
 
-// directorName is a director's name in configurations and records.
+const (
+	heartbeatRetry   = 20 * time.Millisecond  // until a director is ready
+	heartbeatPause   = 500 * time.Millisecond // from then on
+	heartbeatTimeout = 2 * time.Second
+	maxLogLine       = 1 << 20
+)
+
+// directorName is a director's name in configurations and histories.
 func directorName(i int) string { return fmt.Sprintf("d%d", i) }
 
 // process is one director: a real process of the program, started again under its name and address.
 type process struct {
 	testbed          *Testbed
 	id               int
-	discoveryAddress string // address of the list service for it
+	discoveryAddress string // of the list service, for this director
 
 	mu            sync.Mutex
 	address       string // where it listens; the same from its first start on
 	cmd           *exec.Cmd
 	starts        int
 	started       time.Time
-	knownRevision int  // last event in its last configuration
-	inRotation    bool // the front holds it for ready
+	knownRevision int  // last list event in its last configuration
+	inRotation    bool // clients are sent there
 	stopped       bool
 	listening     chan struct{}
 	exited        chan struct{}
@@ -42,18 +49,18 @@
 	return p.address
 }
 
-// isInRotation tells whether clients are sent there.
+// isInRotation reports whether clients are sent there.
 func (p *process) isInRotation() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.inRotation
 }
 
-// directorNice is the priority of directors, below that of the laboratory.
+// directorNice is the priority of directors, below that of the testbed.
 const directorNice = 5
 
-// starter starts processes on one thread, which lives as long as the lab: a child is told to die with its
-// parent thread, so that none is left behind also when the lab itself is killed.
+// starter starts processes on one thread, which lives as long as the testbed: a child is told to die with its parent
+// thread, so that none is left behind also when the testbed itself is killed.
 type starter struct{ jobs chan func() }
 
 func newStarter() *starter {
@@ -69,97 +76,104 @@
 
 func (s *starter) start(cmd *exec.Cmd) error {
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
-	err := make(chan error)
-	s.jobs <- func() { err <- cmd.Start() }
-	if err := <-err; err != nil {
+	started := make(chan error)
+	s.jobs <- func() { started <- cmd.Start() }
+	if err := <-started; err != nil {
 		return err
 	}
-	// The laboratory stands for the network and everybody else's machines: it must be on time when hundreds of directors
+	// The testbed stands for the network and everybody else's machines: it must be on time when hundreds of directors
 	// start at once on a few cores. A process may always lower its own children's priority.
-	if err := syscall.Setpriority(syscall.PRIO_PROCESS, cmd.Process.Pid, directorNice); err != nil && !errors.Is(err, syscall.ESRCH) {
+	err := syscall.Setpriority(syscall.PRIO_PROCESS, cmd.Process.Pid, directorNice)
+	if err != nil && !errors.Is(err, syscall.ESRCH) {
 		return fmt.Errorf("priority of a director: %w", err)
 	}
 	return nil
 }
 
-// start runs the program. Its list is the present one, or for last the one it was started with before.
+// start runs the program. Its endpoint list is the present one, or for last the one it was started with before.
 func (p *process) start(last bool) error {
-	l := p.testbed
+	testbed := p.testbed
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.cmd != nil {
 		return nil
 	}
-	listen := p.address
-	if listen == "" {
-		listen = l.loopbackIP(4, p.id).String() + ":0"
-	}
 	if !last || p.knownRevision == 0 {
-		p.knownRevision = l.discovery.eventCount()
+		p.knownRevision = testbed.discovery.eventCount()
 	}
 	p.starts++
-	c := map[string]any{"name": directorName(p.id), "listen": listen,
-		"seed":   fmt.Sprintf("%x", l.experiment.Seed<<32|uint64(p.starts)<<16|uint64(p.id)),
-		"limits": map[string]any{"cores": 1.0, "memory_mb": 192, "sockets": l.experiment.Sockets},
-		"feed":   p.discoveryAddress, "flow_bytes_per_s": 310000, "link_bytes_per_s": 1240000,
-		"known": l.discovery.knownEvents(p.knownRevision), "settings": l.directorSettings(p.id)}
-	text, err := json.Marshal(c)
+	file, err := p.writeConfiguration()
 	if err != nil {
 		return err
 	}
-	file := filepath.Join(l.dir, directorName(p.id)+".json")
-	if err := os.WriteFile(file, text, 0o600); err != nil {
-		return err
-	}
-	cmd := exec.Command(l.binary)
-	cmd.Env = append(os.Environ(), "EDGE_CONFIG="+file, "SHALEYARD_CONFIG="+l.operatorFile)
+	cmd := exec.Command(testbed.binary)
+	cmd.Env = append(os.Environ(), "EDGE_CONFIG="+file, "SHALEYARD_CONFIG="+testbed.operatorFile)
 	log, err := cmd.StderrPipe()
 	if err != nil {
 		return err
 	}
-	if err := l.starter.start(cmd); err != nil {
+	if err := testbed.starter.start(cmd); err != nil {
 		return err
 	}
 	p.cmd, p.started, p.stopped = cmd, time.Now(), false
 	p.listening, p.exited = make(chan struct{}), make(chan struct{})
-	l.history.record(Event{Kind: "process", Who: directorName(p.id), What: "start", Number: p.knownRevision})
+	testbed.history.record(Event{Kind: "process", Who: directorName(p.id), What: "start", Number: p.knownRevision})
 	go p.followLog(cmd, bufio.NewScanner(log), p.listening, p.exited)
 	go p.watchHeartbeats(p.listening, p.exited)
 	return nil
 }
 
-// followLog reads the log, keeps it, and learns where the process listens.
-func (p *process) followLog(cmd *exec.Cmd, log *bufio.Scanner, up, gone chan struct{}) {
-	log.Buffer(nil, 1<<20)
-	kept, err := os.OpenFile(filepath.Join(p.testbed.dir, directorName(p.id)+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
+// writeConfiguration writes the file that EDGE_CONFIG names. It is called with the lock held.
+func (p *process) writeConfiguration() (path string, err error) {
+	testbed := p.testbed
+	listen := p.address
+	if listen == "" {
+		listen = testbed.loopbackIP(directorGroup, p.id).String() + ":0"
+	}
+	text, err := json.Marshal(map[string]any{
+		"name":             directorName(p.id),
+		"listen":           listen,
+		"seed":             fmt.Sprintf("%x", testbed.experiment.Seed<<32|uint64(p.starts)<<16|uint64(p.id)),
+		"limits":           map[string]any{"cores": 1.0, "memory_mb": 192, "sockets": testbed.experiment.Sockets},
+		"feed":             p.discoveryAddress,
+		"flow_bytes_per_s": 310000,
+		"link_bytes_per_s": 1240000,
+		"known":            testbed.discovery.knownEvents(p.knownRevision),
+		"settings":         testbed.directorSettings(p.id),
+	})
+	if err != nil {
+		return "", err
+	}
+	path = filepath.Join(testbed.dir, directorName(p.id)+".json")
+	return path, os.WriteFile(path, text, 0o600)
+}
+
+// followLog reads the log, keeps it, records what it says of sites, and learns where the process listens.
+func (p *process) followLog(cmd *exec.Cmd, log *bufio.Scanner, listening, exited chan struct{}) {
+	testbed := p.testbed
+	log.Buffer(nil, maxLogLine)
+	path := filepath.Join(testbed.dir, directorName(p.id)+".log")
+	kept, err := os.OpenFile(path, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
-		p.testbed.fail(err)
+		testbed.fail(err)
 	}
-	seen := false
+	listens := false
 	for log.Scan() {
+		line := log.Text()
 		if kept != nil {
-			fmt.Fprintln(kept, log.Text())
+			_, _ = fmt.Fprintln(kept, line)
 		}
-		if strings.Contains(log.Text(), `"msg":"we are cut off: `) {
-			p.testbed.history.record(Event{Kind: "state", Who: directorName(p.id), What: "alone"})
-		}
-		if _, rest, ok := strings.Cut(log.Text(), `"msg":"site `); ok {
-			site, rest, _ := strings.Cut(rest, ": ")
-			state, _, _ := strings.Cut(rest, ", was ")
-			p.testbed.history.record(Event{Kind: "state", Who: directorName(p.id), Site: site, What: state})
-		}
-		if _, rest, ok := strings.Cut(log.Text(), "listens on "); ok && !seen {
-			seen = true
-			address, _, _ := strings.Cut(rest, ": ")
-			address, _, _ = strings.Cut(address, `"`)
+		p.recordSiteState(line)
+		if address, ok := listenAddress(line); ok && !listens {
+			listens = true
 			p.mu.Lock()
 			p.address = address
 			p.mu.Unlock()
-			close(up)
+			close(listening)
 		}
 	}
 	if kept != nil {
-		kept.Close()
+		_ = kept.Close()
 	}
 	status := "exit"
 	if err := cmd.Wait(); err != nil {
@@ -168,15 +182,36 @@
 	p.mu.Lock()
 	p.cmd, p.inRotation = nil, false
 	p.mu.Unlock()
-	p.testbed.history.record(Event{Kind: "process", Who: directorName(p.id), What: "gone", Class: status})
-	close(gone)
+	testbed.history.record(Event{Kind: "process", Who: directorName(p.id), What: "gone", Class: status})
+	close(exited)
+}
+
+// recordSiteState records what a line of the log says of the health of sites (sitehealth.StateChange.String).
+func (p *process) recordSiteState(line string) {
+	if strings.Contains(line, `"msg":"we are cut off: `) {
+		p.testbed.history.record(Event{Kind: "state", Who: directorName(p.id), What: "alone"})
+	}
+	if _, rest, ok := strings.Cut(line, `"msg":"site `); ok {
+		site, rest, _ := strings.Cut(rest, ": ")
+		state, _, _ := strings.Cut(rest, ", was ")
+		p.testbed.history.record(Event{Kind: "state", Who: directorName(p.id), Site: site, What: state})
+	}
+}
+
+// listenAddress finds the address in the line of the log that tells it.
+func listenAddress(line string) (address string, ok bool) {
+	_, rest, ok := strings.Cut(line, "listens on ")
+	address, _, _ = strings.Cut(rest, ": ")
+	address, _, _ = strings.Cut(address, `"`)
+	return address, ok
 }
 
-// watchHeartbeats is the front: it takes the director in once a heartbeat is good, and notices a dead one late.
-func (p *process) watchHeartbeats(up, gone chan struct{}) {
+// watchHeartbeats stands for the front: it takes the director into rotation once a heartbeat is good, and notices a
+// dead one late.
+func (p *process) watchHeartbeats(listening, exited chan struct{}) {
 	select {
-	case <-up:
-	case <-gone:
+	case <-listening:
+	case <-exited:
 		return
 	}
 	for {
@@ -187,34 +222,35 @@
 		since := time.Since(p.started)
 		p.mu.Unlock()
 		if first {
-			p.testbed.history.record(Event{Kind: "ready", Who: directorName(p.id), Value: float64(since.Microseconds()) / 1000})
+			ms := float64(since.Microseconds()) / 1000
+			p.testbed.history.record(Event{Kind: "ready", Who: directorName(p.id), Value: ms})
 		}
-		wait := 20 * time.Millisecond
+		pause := heartbeatRetry
 		if good {
-			wait = 500 * time.Millisecond
+			pause = heartbeatPause
 		}
 		select {
-		case <-gone:
+		case <-exited:
 			return
-		case <-time.After(wait):
+		case <-time.After(pause):
 		}
 	}
 }
 
 func (p *process) heartbeat() bool {
-	c, err := p.testbed.dialDirector(p.id)
+	conn, err := p.testbed.dialDirector(p.id)
 	if err != nil {
 		return false
 	}
-	defer c.Conn.Close()
-	ch, _ := c.call(func(seq int32) []byte { return thriftCall(1, "heartbeat", seq, []byte{2, 0, 1, 0}) })
-	if ch == nil {
+	defer func() { _ = conn.Close() }()
+	answer, _ := conn.call(heartbeatCall)
+	if answer == nil {
 		return false
 	}
 	select {
-	case r := <-ch:
-		return r.outcome == "served"
-	case <-time.After(2 * time.Second):
+	case r := <-answer:
+		return r.outcome == outcomeServed
+	case <-time.After(heartbeatTimeout):
 		return false
 	}
 }
@@ -238,15 +274,15 @@
 	}
 }
 
-// kill kills what runs and waits until it is gone.
+// kill ends what runs and waits until it is gone.
 func (p *process) kill() {
 	p.mu.Lock()
-	gone := p.exited
+	exited := p.exited
 	if p.cmd == nil {
 		p.mu.Unlock()
 		return
 	}
 	_ = p.cmd.Process.Kill()
 	p.mu.Unlock()
-	<-gone
+	<-exited
 }
--- a/internal/testbed/servers_test.go
+++ b/internal/testbed/server_test.go
@@ -9,7 +9,7 @@
 
 // A server that takes the address of one that is just going waits until that is free.
 func TestReplacementWaitsForItsAddress(t *testing.T) {
-	r, err := newHistoryWriter(filepath.Join(t.TempDir(), "record.jsonl"))
+	history, err := newHistoryWriter(filepath.Join(t.TempDir(), "record.jsonl"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -19,13 +19,14 @@
 	}
 	tried := make(chan struct{})
 	time.AfterFunc(20*time.Millisecond, func() { old.Close(); close(tried) })
-	s, err := (&Testbed{history: r}).newServer("s-1", branchName(0), cacheTier, ServerSpec{Weight: 1}, old.Addr().(*net.TCPAddr), true)
+	testbed, addr := &Testbed{history: history}, old.Addr().(*net.TCPAddr)
+	standIn, err := testbed.newServer("s-1", branchName(0), cacheTier, ServerSpec{Weight: 1}, addr, true)
 	if err != nil {
 		t.Fatal(err)
 	}
 	<-tried
-	s.listener.Close()
-	if err := r.close(); err != nil {
+	standIn.listener.Close()
+	if err := history.close(); err != nil {
 		t.Fatal(err)
 	}
 }
@@ -33,10 +34,10 @@
 // A purge takes away copies from before it, also where it is heeded late; newer ones stay.
 func TestPurgeTakesOlderCopies(t *testing.T) {
 	at := time.Now()
-	s := &server{cached: map[string]cachedCopy{"a/0": {since: at.Add(-time.Second)}, "a/1": {since: at.Add(time.Second)},
+	standIn := &server{cached: map[string]cachedCopy{"a/0": {since: at.Add(-time.Second)}, "a/1": {since: at.Add(time.Second)},
 		"b/0": {since: at.Add(-time.Second)}}}
-	s.purge("a", at)
-	if _, old := s.cached["a/0"]; old || len(s.cached) != 2 {
-		t.Errorf("left: %v", s.cached)
+	standIn.purge("a", at)
+	if _, old := standIn.cached["a/0"]; old || len(standIn.cached) != 2 {
+		t.Errorf("left: %v", standIn.cached)
 	}
 }
