--- a/internal/checker/streams_test.go
+++ b/internal/checker/notification_test.go
@@ -35,7 +35,7 @@
 // When an event counts as told to a director whose streams the service ends. Each case is played just within and just
 // past the limit that follows from its time, which the breach must give: told sooner, the first would break the rule,
 // told later, the second would not.
-func TestEventsOfEndedStreamsCountAsTold(t *testing.T) {
+func TestNotificationAfterEndedStreams(t *testing.T) {
 	for _, test := range []struct {
 		name string
 		told int // when the purge counts as told
@@ -82,7 +82,7 @@
 }
 
 // Drains are told as purges are.
-func TestDrainIsToldAfterTheBreak(t *testing.T) {
+func TestDrainIsNotifiedAfterTheBreak(t *testing.T) {
 	more := []string{streamEnd(5000, "d0", "break", 2, 4960), `{"ms":5100,"kind":"news","who":"c1","what":"draining","n":2}`}
 	if verdict := checkWith(t, "", append(more, requestEvent(9050, "r2"))...); len(verdict.Violations) > 0 {
 		t.Errorf("within the limit, and broken %+v", verdict.Violations)
@@ -106,7 +106,7 @@
 }
 
 // A breach tells after which happenings of the director's streams it came, the last few: here all but the first call.
-func TestBreachTellsOfStreams(t *testing.T) {
+func TestViolationDescribesStreams(t *testing.T) {
 	more := append(askedAt(9000), streamEnd(1240, "d0", "break", 2, 1200), callAt(1650, "turned away"), callAt(2010, "served"),
 		streamEnd(2810, "d0", "silent", 2, 800), callAt(4120, "served"), purgeAt(4500, 2), streamEnd(4510, "d0", "half", 2, 390),
 		streamEnd(8000, "d1", "break", 3, 4))
@@ -119,7 +119,7 @@
 }
 
 // What young streams come to: those that ended, the longest time without one, and old copies that shows in.
-func TestFiguresOfStreams(t *testing.T) {
+func TestMetricsOfStreams(t *testing.T) {
 	more := append(askedAt(4000), streamEnd(1000, "d0", "break", 2, 960), callAt(1400, "turned away"), callAt(1900, "served"),
 		streamEnd(5000, "d0", "silent", 2, 3100), streamEnd(8000, "d1", "half", 2, 2999), callAt(6200, "served"),
 		purgeAt(3900, 2), `{"ms":3950,"kind":"news","what":"purge","object":"o9","since":3950,"n":3}`)
--- a/internal/checker/check_test.go
+++ b/internal/checker/rules_test.go
@@ -202,7 +202,7 @@
 	}
 }
 
-func TestFiguresOfCalls(t *testing.T) {
+func TestMetricsOfCalls(t *testing.T) {
 	var more []string
 	for i := range 20 { // twenty directors that start together and call within 100 ms, half of them twice
 		more = append(more, fmt.Sprintf(`{"ms":%d,"kind":"process","who":"e%d","what":"start"}`, 2000+i, i),
@@ -227,7 +227,7 @@
 }
 
 // Only requests that are asked 5 s after the end of the last trouble count, with all their attempts.
-func TestAttemptsAfterATrouble(t *testing.T) {
+func TestAttemptsAfterAFault(t *testing.T) {
 	more := []string{
 		`{"ms":2000,"kind":"step","who":"origin-slow","what":"done"}`,
 		`{"ms":4000,"kind":"step","who":"origin-slow","what":"undone"}`,
@@ -267,7 +267,7 @@
 	}
 }
 
-func TestWhatIsNoRecordIsAnError(t *testing.T) {
+func TestInvalidHistoryIsAnError(t *testing.T) {
 	for _, text := range []string{"{", "{}", `{"ms":"x"}`} {
 		if _, err := Check(strings.NewReader(text)); err == nil || !strings.Contains(err.Error(), "line 1") {
 			t.Errorf("%s: error %v", text, err)
--- a/internal/checker/sites_test.go
+++ b/internal/checker/sitemetrics_test.go
@@ -67,7 +67,7 @@
 	}
 }
 
-func TestFiguresOfALostSite(t *testing.T) {
+func TestMetricsOfALostSite(t *testing.T) {
 	lost := func(ms float64, branch string) string {
 		if branch == "b1" && ms >= 2000 && ms < 6700 {
 			return "refused"
@@ -123,7 +123,7 @@
 }
 
 // Without a loss nothing is said of one; a director that can't reach its caches may call them lost.
-func TestNoLossNoFigures(t *testing.T) {
+func TestNoLossNoSiteMetrics(t *testing.T) {
 	plain := strings.Join([]string{`{"ms":0,"kind":"load","what":"begin"}`,
 		`{"ms":100,"kind":"link","who":"caches","what":"one-way"}`,
 		`{"ms":200,"kind":"state","who":"d0","site":"b1","what":"cut off"}`,
