--- a/internal/testbed/process.go
+++ b/internal/testbed/process.go
@@ -15,25 +15,32 @@
 	"time"
 )
 
-// directorName is a director's name in configurations and records.
+const (
+	heartbeatRetry   = 20 * time.Millisecond  // until a director is ready
+	heartbeatPause   = 500 * time.Millisecond // from then on
+	heartbeatTimeout = 2 * time.Second
+	maxLogLine       = 1 << 20
+)
+
+// directorName is a director's name in configurations and histories.
 func directorName(i int) string { return fmt.Sprintf("d%d", i) }
 
 // process is one director: a real process of the program, started again under its name and address.
 type process struct {
-	lab  *Testbed
-	id   int
-	list string // address of the list service for it
-
-	mu      sync.Mutex
-	address string // where it listens; the same from its first start on
-	cmd     *exec.Cmd
-	starts  int
-	started time.Time
-	known   int  // last event in its last configuration
-	front   bool // the front holds it for ready
-	stopped bool
-	up      chan struct{}
-	gone    chan struct{}
+	testbed          *Testbed
+	id               int
+	discoveryAddress string // of the list service, for this director
+
+	mu            sync.Mutex
+	address       string // where it listens; the same from its first start on
+	cmd           *exec.Cmd
+	starts        int
+	started       time.Time
+	knownRevision int  // last list event in its last configuration
+	inRotation    bool // clients are sent there
+	stopped       bool
+	listening     chan struct{}
+	exited        chan struct{}
 }
 
 func (p *process) addr() string {
@@ -42,18 +49,18 @@
 	return p.address
 }
 
-// inFront tells whether clients are sent there.
-func (p *process) inFront() bool {
+// isInRotation reports whether clients are sent there.
+func (p *process) isInRotation() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.front
+	return p.inRotation
 }
 
-// directorNice is the priority of directors, below that of the laboratory.
+// directorNice is the priority of directors, below that of the testbed.
 const directorNice = 5
 
-// starter starts processes on one thread, which lives as long as the lab: a child is told to die with its
-// parent thread, so that none is left behind also when the lab itself is killed.
+// starter starts processes on one thread, which lives as long as the testbed: a child is told to die with its parent
+// thread, so that none is left behind also when the testbed itself is killed.
 type starter struct{ jobs chan func() }
 
 func newStarter() *starter {
@@ -69,152 +76,181 @@
 
 func (s *starter) start(cmd *exec.Cmd) error {
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
-	err := make(chan error)
-	s.jobs <- func() { err <- cmd.Start() }
-	if err := <-err; err != nil {
+	started := make(chan error)
+	s.jobs <- func() { started <- cmd.Start() }
+	if err := <-started; err != nil {
 		return err
 	}
-	// The laboratory stands for the network and everybody else's machines: it must be on time when hundreds of directors
+	// The testbed stands for the network and everybody else's machines: it must be on time when hundreds of directors
 	// start at once on a few cores. A process may always lower its own children's priority.
-	if err := syscall.Setpriority(syscall.PRIO_PROCESS, cmd.Process.Pid, directorNice); err != nil && !errors.Is(err, syscall.ESRCH) {
+	err := syscall.Setpriority(syscall.PRIO_PROCESS, cmd.Process.Pid, directorNice)
+	if err != nil && !errors.Is(err, syscall.ESRCH) {
 		return fmt.Errorf("priority of a director: %w", err)
 	}
 	return nil
 }
 
-// start runs the program. Its list is the present one, or for last the one it was started with before.
+// start runs the program. Its endpoint list is the present one, or for last the one it was started with before.
 func (p *process) start(last bool) error {
-	l := p.lab
+	testbed := p.testbed
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.cmd != nil {
 		return nil
 	}
-	listen := p.address
-	if listen == "" {
-		listen = l.ip(4, p.id).String() + ":0"
-	}
-	if !last || p.known == 0 {
-		p.known = l.list.last()
+	if !last || p.knownRevision == 0 {
+		p.knownRevision = testbed.discovery.eventCount()
 	}
 	p.starts++
-	c := map[string]any{"name": directorName(p.id), "listen": listen,
-		"seed":   fmt.Sprintf("%x", l.x.Seed<<32|uint64(p.starts)<<16|uint64(p.id)),
-		"limits": map[string]any{"cores": 1.0, "memory_mb": 192, "sockets": l.x.Sockets},
-		"feed":   p.list, "flow_bytes_per_s": 310000, "link_bytes_per_s": 1240000,
-		"known": l.list.known(p.known), "settings": l.settings(p.id)}
-	text, err := json.Marshal(c)
+	file, err := p.writeConfiguration()
 	if err != nil {
 		return err
 	}
-	file := filepath.Join(l.dir, directorName(p.id)+".json")
-	if err := os.WriteFile(file, text, 0o600); err != nil {
-		return err
-	}
-	cmd := exec.Command(l.binary)
-	cmd.Env = append(os.Environ(), "EDGE_CONFIG="+file, "SHALEYARD_CONFIG="+l.operator)
+	cmd := exec.Command(testbed.binary)
+	cmd.Env = append(os.Environ(), "EDGE_CONFIG="+file, "SHALEYARD_CONFIG="+testbed.operatorFile)
 	log, err := cmd.StderrPipe()
 	if err != nil {
 		return err
 	}
-	if err := l.starter.start(cmd); err != nil {
+	if err := testbed.starter.start(cmd); err != nil {
 		return err
 	}
 	p.cmd, p.started, p.stopped = cmd, time.Now(), false
-	p.up, p.gone = make(chan struct{}), make(chan struct{})
-	l.record.add(Event{Kind: "process", Who: directorName(p.id), What: "start", Number: p.known})
-	go p.follow(cmd, bufio.NewScanner(log), p.up, p.gone)
-	go p.watch(p.up, p.gone)
+	p.listening, p.exited = make(chan struct{}), make(chan struct{})
+	testbed.history.record(Event{Kind: "process", Who: directorName(p.id), What: "start", Number: p.knownRevision})
+	go p.followLog(cmd, bufio.NewScanner(log), p.listening, p.exited)
+	go p.watchHeartbeats(p.listening, p.exited)
 	return nil
 }
 
-// follow reads the log, keeps it, and learns where the process listens.
-func (p *process) follow(cmd *exec.Cmd, log *bufio.Scanner, up, gone chan struct{}) {
-	log.Buffer(nil, 1<<20)
-	kept, err := os.OpenFile(filepath.Join(p.lab.dir, directorName(p.id)+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
+// writeConfiguration writes the file that EDGE_CONFIG names. It is called with the lock held.
+func (p *process) writeConfiguration() (path string, err error) {
+	testbed := p.testbed
+	listen := p.address
+	if listen == "" {
+		listen = testbed.loopbackIP(directorGroup, p.id).String() + ":0"
+	}
+	text, err := json.Marshal(map[string]any{
+		"name":             directorName(p.id),
+		"listen":           listen,
+		"seed":             fmt.Sprintf("%x", testbed.experiment.Seed<<32|uint64(p.starts)<<16|uint64(p.id)),
+		"limits":           map[string]any{"cores": 1.0, "memory_mb": 192, "sockets": testbed.experiment.Sockets},
+		"feed":             p.discoveryAddress,
+		"flow_bytes_per_s": 310000,
+		"link_bytes_per_s": 1240000,
+		"known":            testbed.discovery.knownEvents(p.knownRevision),
+		"settings":         testbed.directorSettings(p.id),
+	})
 	if err != nil {
-		p.lab.fail(err)
+		return "", err
 	}
-	seen := false
+	path = filepath.Join(testbed.dir, directorName(p.id)+".json")
+	return path, os.WriteFile(path, text, 0o600)
+}
+
+// followLog reads the log, keeps it, records what it says of sites, and learns where the process listens.
+func (p *process) followLog(cmd *exec.Cmd, log *bufio.Scanner, listening, exited chan struct{}) {
+	testbed := p.testbed
+	log.Buffer(nil, maxLogLine)
+	path := filepath.Join(testbed.dir, directorName(p.id)+".log")
+	kept, err := os.OpenFile(path, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
+	if err != nil {
+		testbed.fail(err)
+	}
+	listens := false
 	for log.Scan() {
+		line := log.Text()
 		if kept != nil {
-			fmt.Fprintln(kept, log.Text())
+			_, _ = fmt.Fprintln(kept, line)
 		}
-		if strings.Contains(log.Text(), `"msg":"we are cut off: `) {
-			p.lab.record.add(Event{Kind: "state", Who: directorName(p.id), What: "alone"})
-		}
-		if _, rest, ok := strings.Cut(log.Text(), `"msg":"site `); ok {
-			site, rest, _ := strings.Cut(rest, ": ")
-			state, _, _ := strings.Cut(rest, ", was ")
-			p.lab.record.add(Event{Kind: "state", Who: directorName(p.id), Site: site, What: state})
-		}
-		if _, rest, ok := strings.Cut(log.Text(), "listens on "); ok && !seen {
-			seen = true
-			address, _, _ := strings.Cut(rest, ": ")
-			address, _, _ = strings.Cut(address, `"`)
+		p.recordSiteState(line)
+		if address, ok := listenAddress(line); ok && !listens {
+			listens = true
 			p.mu.Lock()
 			p.address = address
 			p.mu.Unlock()
-			close(up)
+			close(listening)
 		}
 	}
 	if kept != nil {
-		kept.Close()
+		_ = kept.Close()
 	}
 	status := "exit"
 	if err := cmd.Wait(); err != nil {
 		status = err.Error()
 	}
 	p.mu.Lock()
-	p.cmd, p.front = nil, false
+	p.cmd, p.inRotation = nil, false
 	p.mu.Unlock()
-	p.lab.record.add(Event{Kind: "process", Who: directorName(p.id), What: "gone", Class: status})
-	close(gone)
+	testbed.history.record(Event{Kind: "process", Who: directorName(p.id), What: "gone", Class: status})
+	close(exited)
+}
+
+// recordSiteState records what a line of the log says of the health of sites (sitehealth.StateChange.String).
+func (p *process) recordSiteState(line string) {
+	if strings.Contains(line, `"msg":"we are cut off: `) {
+		p.testbed.history.record(Event{Kind: "state", Who: directorName(p.id), What: "alone"})
+	}
+	if _, rest, ok := strings.Cut(line, `"msg":"site `); ok {
+		site, rest, _ := strings.Cut(rest, ": ")
+		state, _, _ := strings.Cut(rest, ", was ")
+		p.testbed.history.record(Event{Kind: "state", Who: directorName(p.id), Site: site, What: state})
+	}
+}
+
+// listenAddress finds the address in the line of the log that tells it.
+func listenAddress(line string) (address string, ok bool) {
+	_, rest, ok := strings.Cut(line, "listens on ")
+	address, _, _ = strings.Cut(rest, ": ")
+	address, _, _ = strings.Cut(address, `"`)
+	return address, ok
 }
 
-// watch is the front: it takes the director in once a heartbeat is good, and notices a dead one late.
-func (p *process) watch(up, gone chan struct{}) {
+// watchHeartbeats stands for the front: it takes the director into rotation once a heartbeat is good, and notices a
+// dead one late.
+func (p *process) watchHeartbeats(listening, exited chan struct{}) {
 	select {
-	case <-up:
-	case <-gone:
+	case <-listening:
+	case <-exited:
 		return
 	}
 	for {
 		good := p.heartbeat()
 		p.mu.Lock()
-		first := good && !p.front
-		p.front = good || (p.front && p.stopped) // a stopped one is noticed no sooner than its clients notice
+		first := good && !p.inRotation
+		p.inRotation = good || (p.inRotation && p.stopped) // a stopped one is noticed no sooner than its clients notice
 		since := time.Since(p.started)
 		p.mu.Unlock()
 		if first {
-			p.lab.record.add(Event{Kind: "ready", Who: directorName(p.id), Value: float64(since.Microseconds()) / 1000})
+			ms := float64(since.Microseconds()) / 1000
+			p.testbed.history.record(Event{Kind: "ready", Who: directorName(p.id), Value: ms})
 		}
-		wait := 20 * time.Millisecond
+		pause := heartbeatRetry
 		if good {
-			wait = 500 * time.Millisecond
+			pause = heartbeatPause
 		}
 		select {
-		case <-gone:
+		case <-exited:
 			return
-		case <-time.After(wait):
+		case <-time.After(pause):
 		}
 	}
 }
 
 func (p *process) heartbeat() bool {
-	c, err := p.lab.dial(p.id)
+	conn, err := p.testbed.dialDirector(p.id)
 	if err != nil {
 		return false
 	}
-	defer c.Conn.Close()
-	ch, _ := c.call(func(seq int32) []byte { return thriftCall(1, "heartbeat", seq, []byte{2, 0, 1, 0}) })
-	if ch == nil {
+	defer func() { _ = conn.Close() }()
+	answer, _ := conn.call(heartbeatCall)
+	if answer == nil {
 		return false
 	}
 	select {
-	case r := <-ch:
-		return r.what == "served"
-	case <-time.After(2 * time.Second):
+	case r := <-answer:
+		return r.outcome == outcomeServed
+	case <-time.After(heartbeatTimeout):
 		return false
 	}
 }
@@ -232,21 +268,21 @@
 	case syscall.SIGCONT:
 		p.stopped = false
 	}
-	p.lab.record.add(Event{Kind: "process", Who: directorName(p.id), What: what})
+	p.testbed.history.record(Event{Kind: "process", Who: directorName(p.id), What: what})
 	if err := p.cmd.Process.Signal(s); err != nil {
-		p.lab.fail(fmt.Errorf("signal %v to %s: %w", s, directorName(p.id), err))
+		p.testbed.fail(fmt.Errorf("signal %v to %s: %w", s, directorName(p.id), err))
 	}
 }
 
-// end kills what runs and waits until it is gone.
-func (p *process) end() {
+// kill ends what runs and waits until it is gone.
+func (p *process) kill() {
 	p.mu.Lock()
-	gone := p.gone
+	exited := p.exited
 	if p.cmd == nil {
 		p.mu.Unlock()
 		return
 	}
 	_ = p.cmd.Process.Kill()
 	p.mu.Unlock()
-	<-gone
+	<-exited
 }
