--- a/cmd/testbed/main.go
+++ b/cmd/testbed/main.go
@@ -1,10 +1,5 @@
-<<<<<<< HEAD
-// Command yardlab is the fleet laboratory: it starts directors as processes of their own between stand-ins,
-// breaks what lies between them by a script, and judges the record. docs/testbed.md tells how to use it.
-=======
 // Command testbed starts directors as processes of their own between stand-ins, injects faults between them by a script, and
-// judges the recorded history. docs/laboratory.md tells how to use it.
->>>>>>> part/sites
+// judges the recorded history. docs/testbed.md tells how to use it.
 package main
 
 import (
--- a/internal/checker/history.go
+++ b/internal/checker/history.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// Kinds of events that the rules and metrics use (docs/laboratory.md lists all).
+// Kinds of events that the rules and metrics use (docs/testbed.md lists all).
 const (
 	kindAnswer   = "answer"
 	kindAsk      = "ask"
--- a/internal/testbed/history.go
+++ b/internal/testbed/history.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// Event is one line of a history. Which fields are set depends on the kind (docs/laboratory.md lists them); times are
+// Event is one line of a history. Which fields are set depends on the kind (docs/testbed.md lists them); times are
 // milliseconds from the begin of the run.
 type Event struct {
 	AtMS      float64 `json:"ms"`
