--- a/cmd/shaleyard/command.go
+++ b/cmd/shaleyard/command.go
@@ -17,14 +17,14 @@
                          print what is done when whole sites are lost (docs/site-loss.md)
 `
 
-// command carries out the words that the program was given; without any it is a director. It returns the exit
+// runCommand carries out the words that the program was given; without any it is a director. It returns the exit
 // status: 0, or 2 where the words, or what they name, can't be used.
 //
 // There are two commands, so this is the standard library's flag: a command-line library was tried, and cost each
 // director 2 MB of resident memory for what it links in.
-func command(args []string, out, errs io.Writer) (status int) {
+func runCommand(args []string, out, errs io.Writer) (status int) {
 	if len(args) > 0 && args[0] == "plan" {
-		switch err := planCommand(args[1:], out, errs); {
+		switch err := runPlan(args[1:], out, errs); {
 		case errors.Is(err, flag.ErrHelp):
 			return 0
 		case err != nil:
--- a/cmd/shaleyard/command_test.go
+++ b/cmd/shaleyard/command_test.go
@@ -52,7 +52,7 @@
 		{[]string{"--help"}, 0, "check an operators' file"},
 	} {
 		var out strings.Builder
-		if got := command(c.args, &out, &out); got != c.status || !strings.Contains(out.String(), c.says) {
+		if got := runCommand(c.args, &out, &out); got != c.status || !strings.Contains(out.String(), c.says) {
 			t.Errorf("%v: status %d, %q; want %d, %q", c.args, got, out.String(), c.status, c.says)
 		}
 	}
@@ -65,7 +65,7 @@
 		t.Fatal(err)
 	}
 	cmd := exec.Command(os.Args[0])
-	cmd.Env = append(os.Environ(), childLimit+"=256", "SHALEYARD_CONFIG="+bad)
+	cmd.Env = append(os.Environ(), descriptorLimitEnv+"=256", "SHALEYARD_CONFIG="+bad)
 	out, err := cmd.CombinedOutput()
 	if cmd.ProcessState.ExitCode() != 2 || !strings.Contains(string(out), "bad.toml:2: pause.limit_ms: 1 is not within") {
 		t.Errorf("%v, %q", err, out)
--- a/cmd/shaleyard/faults_test.go
+++ b/cmd/shaleyard/faults_test.go
@@ -10,8 +10,8 @@
 	"shaleyard/internal/nettest"
 )
 
-// patience is what a request that reached a cache says of the time that is left, in milliseconds.
-func patience(t *testing.T, command []string) time.Duration {
+// remainingTime is what a request that reached a cache says of the time that is left, in milliseconds.
+func remainingTime(t *testing.T, command []string) time.Duration {
 	t.Helper()
 	for f := range strings.SplitSeq(command[2], ",") {
 		if value, ok := strings.CutPrefix(f, "patience="); ok {
@@ -26,23 +26,23 @@
 	return 0
 }
 
-// patienceSlack is how much more than its client has left an attempt may be given.
-const patienceSlack = 150 * time.Millisecond
+// remainingTimeSlack is how much more than its client has left an attempt may be given.
+const remainingTimeSlack = 150 * time.Millisecond
 
 // What is passed on is what the client has left: with the first attempt, with a further one behind a reset that came late,
 // and where the process stood still while the request waited unread.
 func TestPatienceIsWhatTheClientHasLeft(t *testing.T) {
-	s := &site{t: t, cache: nettest.Listen(t), origin: nettest.Listen(t), feed: nettest.Listen(t)}
-	child := startChild(t, s.config(256), 256)
-	s.feed.Accept().ReadLine()
+	s := &harness{t: t, cache: nettest.Listen(t), origin: nettest.Listen(t), discovery: nettest.Listen(t)}
+	child := startProcess(t, s.configJSON(256), 256)
+	s.discovery.Accept().ReadLine()
 	allow := func(ref string) []string {
-		f := fields("media", ref)
+		f := requestFields("media", ref)
 		f[5] = "6000"
 		return f
 	}
 	left := func(what string, sent time.Time, command []string) {
 		t.Helper()
-		if got, want := patience(t, command), 6*time.Second-time.Since(sent); got > want+patienceSlack {
+		if got, want := remainingTime(t, command), 6*time.Second-time.Since(sent); got > want+remainingTimeSlack {
 			t.Errorf("%s: %v passed on, %v left", what, got, want)
 		}
 	}
@@ -65,81 +65,81 @@
 	child.signal(syscall.SIGCONT)
 	left("behind a pause", sent, c.ReadCommand())
 	c.WriteArray(ref2, "OK", "n=HIT", "y")
-	s.want(cl.ReadReply(), nettest.Reply{Seq: 2, Body: "y", Good: true})
-	child.stop()
+	s.wantReply(cl.ReadReply(), nettest.Reply{Seq: 2, Body: "y", Good: true})
+	child.stopGracefully()
 }
 
 // With deadlines of a second, SIGKILL may come 1.7 s behind SIGTERM. The caches hang, and clients go on sending on open
 // connections: all that was sent has its answer when the process ends, and that is before.
 func TestStopWithShortDeadlinesAnswersAllInTime(t *testing.T) {
-	cache := answering(t, answeringCache(10*time.Second, "x"))
-	o := operateWith(t, func(text string, s *site) string {
+	cache := serveTCP(t, respondingCache(10*time.Second, "x"))
+	o := startOperatedWith(t, func(text string, s *harness) string {
 		text = strings.ReplaceAll(text, s.cache.Addr(), cache)
 		text = strings.ReplaceAll(text, s.origin.Addr(), cache)
 		return strings.ReplaceAll(text, `"deadline":20000000000`, `"deadline":1000000000`)
 	})
-	clients := gather(t, o.address, 24)
+	clients := startLoad(t, o.address, 24)
 	time.Sleep(300 * time.Millisecond) // requests are out by then
 	o.signal(syscall.SIGTERM)
 	kill := time.AfterFunc(1700*time.Millisecond, func() { o.Process.Kill() }) // as the platform does
 	defer kill.Stop()
 	time.Sleep(300 * time.Millisecond)
-	clients.ending.Store(true)
-	o.logged(`"to":"ended"`) // by itself
+	clients.serverStopping.Store(true)
+	o.waitForLog(`"to":"ended"`) // by itself
 	for o.lines.Scan() {
 	}
 	o.Wait()
-	clients.disperse()
+	clients.stopAndCheck()
 }
 
 // Signals by the hundred, an epoll_wait that they interrupt every other time, and writes that take a part only: no request
 // is lost, and no answer is spoilt.
 func TestInterruptedSystemCallsLoseNothing(t *testing.T) {
-	o := faulty(t, map[string]func(text string) string{
+	o := startWithFaults(t, map[string]func(text string) string{
 		"unix/zsyscall_linux.go": func(text string) string {
-			return insert(t, text, "func EpollWait(epfd int, events []EpollEvent, msec int) (n int, err error) {\n",
+			return insertAfterLine(t, text, "func EpollWait(epfd int, events []EpollEvent, msec int) (n int, err error) {\n",
 				"\tif waits++; waits%2 == 0 {\n\t\treturn -1, EINTR\n\t}\n") + "\nvar waits int\n"
 		},
 		"unix/syscall_unix.go": func(text string) string {
-			return insert(t, text, "func Write(fd int, p []byte) (n int, err error) {\n", "\tif len(p) > 100 {\n\t\tp = p[:100]\n\t}\n")
+			return insertAfterLine(t, text, "func Write(fd int, p []byte) (n int, err error) {\n", "\tif len(p) > 100 {\n\t\tp = p[:100]\n\t}\n")
 		},
 	})
-	clients := gather(t, o.address, 12)
+	clients := startLoad(t, o.address, 12)
 	for range 300 {
 		o.signal(syscall.SIGUSR1)
 		time.Sleep(5 * time.Millisecond)
 	}
-	clients.disperse()
+	clients.stopAndCheck()
 	o.signal(syscall.SIGTERM)
-	o.exit()
+	o.waitExit()
 }
 
 // The system refuses every seventh time to wait on a new connection. Clients whose connection it was are served all the
 // same, and the caches are not to blame.
 func TestRefusedRegistrationsLoseNothing(t *testing.T) {
-	o := faulty(t, map[string]func(text string) string{
+	o := startWithFaults(t, map[string]func(text string) string{
 		"unix/zsyscall_linux.go": func(text string) string {
-			return insert(t, text, "func EpollCtl(epfd int, op int, fd int, event *EpollEvent) (err error) {\n",
+			return insertAfterLine(t, text, "func EpollCtl(epfd int, op int, fd int, event *EpollEvent) (err error) {\n",
 				"\tif op == EPOLL_CTL_ADD {\n\t\tif adds++; adds > 10 && adds%7 == 0 {\n\t\t\treturn ENOMEM\n\t\t}\n\t}\n") + "\nvar adds int\n"
 		},
 	})
-	clients := gather(t, o.address, 12)
+	clients := startLoad(t, o.address, 12)
 	time.Sleep(1500 * time.Millisecond) // hundreds of connections
-	clients.disperse()
+	clients.stopAndCheck()
 	o.signal(syscall.SIGTERM)
-	o.exit()
+	o.waitExit()
 }
 
-// faulty is the program with wrappers of system calls changed, before a cache that answers by itself.
-func faulty(t *testing.T, change map[string]func(text string) string) *operatedChild {
+// startWithFaults is the program with wrappers of system calls changed, before a cache that answers by itself.
+func startWithFaults(t *testing.T, change map[string]func(text string) string) *operatedProcess {
 	t.Helper()
 	program := buildWithModule(t, "golang.org/x/sys", change)
-	cache := answering(t, answeringCache(time.Millisecond, strings.Repeat("0123456789abcdef", 1000)))
-	s := &site{t: t, cache: nettest.Listen(t), origin: nettest.Listen(t), feed: nettest.Listen(t)}
-	text := strings.ReplaceAll(strings.ReplaceAll(string(s.config(256)), s.cache.Addr(), cache), s.feed.Addr(), answering(t, answeringFeed))
-	o := &operatedChild{child: newChild(t, program, []byte(text), 256), site: s}
+	cache := serveTCP(t, respondingCache(time.Millisecond, strings.Repeat("0123456789abcdef", 1000)))
+	s := &harness{t: t, cache: nettest.Listen(t), origin: nettest.Listen(t), discovery: nettest.Listen(t)}
+	text := strings.ReplaceAll(strings.ReplaceAll(string(s.configJSON(256)), s.cache.Addr(), cache), s.discovery.Addr(), serveTCP(t, idleDiscoveryService))
+	o := &operatedProcess{process: newProcess(t, program, []byte(text), 256), harness: s}
 	o.launch()
-	o.listening()
+	o.waitListening()
 	go func() {
 		for o.lines.Scan() {
 		}
@@ -150,22 +150,22 @@
 // A director that is told of many descriptors and has few: what can't be opened is waited for, and all is served when they
 // are there again.
 func TestConnectsWithoutDescriptorsAreNoEvidence(t *testing.T) {
-	s := &site{t: t, cache: nettest.Listen(t), origin: nettest.Listen(t), feed: nettest.Listen(t)}
-	child := startChild(t, s.config(256), 256)
-	s.feed.Accept().ReadLine()
+	s := &harness{t: t, cache: nettest.Listen(t), origin: nettest.Listen(t), discovery: nettest.Listen(t)}
+	child := startProcess(t, s.configJSON(256), 256)
+	s.discovery.Accept().ReadLine()
 	cl := nettest.Dial(t, child.address)
 	cl.Heartbeat(1)
 	var before syscall.Rlimit
 	prlimit(t, child.Process.Pid, nil, &before)
 	prlimit(t, child.Process.Pid, &syscall.Rlimit{Cur: 3, Max: before.Max}, nil)
-	cl.Submit(2, "", fields("media", ref1)...)
-	if line := child.logged("connect failed"); !strings.Contains(line, "too many open files") {
+	cl.Submit(2, "", requestFields("media", ref1)...)
+	if line := child.waitForLog("connect failed"); !strings.Contains(line, "too many open files") {
 		t.Errorf("the connect failed otherwise: %s", line)
 	}
 	prlimit(t, child.Process.Pid, &before, nil)
 	c := s.cache.Accept()
 	c.WriteArray(c.ReadCommand()[1], "OK", "n=HIT", "x")
-	s.want(cl.ReadReply(), nettest.Reply{Seq: 2, Body: "x", Good: true})
+	s.wantReply(cl.ReadReply(), nettest.Reply{Seq: 2, Body: "x", Good: true})
 	child.signal(syscall.SIGTERM)
 	for child.lines.Scan() {
 		if strings.Contains(child.lines.Text(), `"msg":"eject`) {
--- a/cmd/shaleyard/interface_process_test.go
+++ b/cmd/shaleyard/interface_process_test.go
@@ -56,7 +56,7 @@
 	}
 	t.Setenv("SHALEYARD_CONFIG", file+"y")
 	var out strings.Builder
-	if status := command([]string{"plan", "--settings", file}, &out, &out); status != 2 || !strings.Contains(out.String(), file+"y") {
+	if status := runCommand([]string{"plan", "--settings", file}, &out, &out); status != 2 || !strings.Contains(out.String(), file+"y") {
 		t.Errorf("plan with SHALEYARD_CONFIG: status %d, %s", status, out.String())
 	}
 }
@@ -70,12 +70,12 @@
 		{"check ../../deploy/shaleyard.toml", 0}, {"check nosuch.toml", 2}, {"check", 2}, {"check a b", 2}, {"serve", 2},
 		{"plan", 2}, {"plan -h", 0}, {"plan --settings nosuch.json", 2}, {"plan --nosuch", 2}, {"-h", 0}, {"--help", 0}, {"--nosuch", 2},
 	} {
-		if got := command(strings.Fields(c.line), io.Discard, io.Discard); got != c.status {
+		if got := runCommand(strings.Fields(c.line), io.Discard, io.Discard); got != c.status {
 			t.Errorf("shaleyard %s: status %d, want %d", c.line, got, c.status)
 		}
 	}
 	var help strings.Builder
-	command([]string{"plan", "-h"}, io.Discard, &help)
+	runCommand([]string{"plan", "-h"}, io.Discard, &help)
 	var flags []string
 	for _, match := range regexp.MustCompile(`(?m)^  -(\S+)`).FindAllStringSubmatch(help.String(), -1) {
 		flags = append(flags, match[1])
@@ -170,7 +170,7 @@
 func failedStart(t *testing.T, environment ...string) (status int, wrote string) {
 	t.Helper()
 	cmd := exec.Command(os.Args[0])
-	cmd.Env = append(append(os.Environ(), childLimit+"=256", "GORACE=atexit_sleep_ms=0"), environment...)
+	cmd.Env = append(append(os.Environ(), descriptorLimitEnv+"=256", "GORACE=atexit_sleep_ms=0"), environment...)
 	out, err := cmd.CombinedOutput()
 	if cmd.ProcessState == nil {
 		t.Fatal(err)
@@ -196,7 +196,7 @@
 	}
 	document := func(listen, operator string) string {
 		return fmt.Sprintf(`{"name":"n1","listen":%q,"feed":"127.0.0.1:1","operator":%q,"seed":"1",
-			"limits":{"cores":1,"memory_mb":192,"sockets":256},"settings":%s}`, listen, operator, settings)
+			"limits":{"cores":1,"memory_mb":192,"sockets":256},"settings":%s}`, listen, operator, settingsJSON)
 	}
 	inUse := taken.Addr().String()
 	for _, c := range []struct {
@@ -234,13 +234,13 @@
 // it with status 0. The operators' address takes calls.
 func TestSignals(t *testing.T) {
 	for _, end := range []syscall.Signal{syscall.SIGTERM, syscall.SIGINT} {
-		o := operate(t)
+		o := startOperated(t)
 		o.signal(syscall.SIGUSR1)
-		o.logged(`"cause":"SIGUSR1"`)
-		o.site.feed = nettest.Listen(t)
-		o.child.configure(o.site.config(256))
+		o.waitForLog(`"cause":"SIGUSR1"`)
+		o.harness.discovery = nettest.Listen(t)
+		o.process.writeConfig(o.harness.configJSON(256))
 		o.signal(syscall.SIGHUP)
-		if got := o.site.feed.Accept().ReadLine(); got != "SUB 1" {
+		if got := o.harness.discovery.Accept().ReadLine(); got != "SUB 1" {
 			t.Errorf("behind SIGHUP the new address was asked %q", got)
 		}
 		if got, want := operatorCall(t, o.operators, http.MethodPut, "/healthcheck/fail"), `PUT /healthcheck/fail: 200 ""`; got != want {
--- a/cmd/shaleyard/interface_test.go
+++ b/cmd/shaleyard/interface_test.go
@@ -251,7 +251,7 @@
 	}
 	for name, path := range map[string]string{"check-deploy.txt": "../../deploy/shaleyard.toml", "check-full.txt": full} {
 		var out, errs strings.Builder
-		if status := command([]string{"check", path}, &out, &errs); status != 0 || errs.Len() > 0 {
+		if status := runCommand([]string{"check", path}, &out, &errs); status != 0 || errs.Len() > 0 {
 			t.Errorf("check %s: status %d, %s", path, status, errs.String())
 		}
 		wantGolden(t, name, out.String())
@@ -359,7 +359,7 @@
 		if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		_, _, err := siteOf(file)
+		_, _, err := readSite(file)
 		var wrongType *json.UnmarshalTypeError
 		if !errors.As(err, &wrongType) || wrongType.Field != key {
 			t.Errorf("%s of a wrong type: %v, want an error that spells it", key, err)
--- a/cmd/shaleyard/main.go
+++ b/cmd/shaleyard/main.go
@@ -21,10 +21,10 @@
 
 func main() {
 	if len(os.Args) > 1 {
-		os.Exit(command(os.Args[1:], os.Stdout, os.Stderr))
+		os.Exit(runCommand(os.Args[1:], os.Stdout, os.Stderr))
 	}
 	err := run(os.Getenv, os.Stderr)
-	var bad badOperator
+	var bad operatorFileError
 	switch {
 	case errors.As(err, &bad):
 		fmt.Fprintln(os.Stderr, "shaleyard:", err)
@@ -35,10 +35,10 @@
 	}
 }
 
-// badOperator is an operators' file that can't be used: the program ends with status 2 before anything starts.
-type badOperator struct{ error }
+// operatorFileError is an operators' file that can't be used: the program ends with status 2 before anything starts.
+type operatorFileError struct{ error }
 
-func (e badOperator) Unwrap() error { return e.error }
+func (e operatorFileError) Unwrap() error { return e.error }
 
 func run(getenv func(string) string, logTo io.Writer) error {
 	var files syscall.Rlimit
@@ -46,13 +46,13 @@
 		return fmt.Errorf("descriptors: %w", err)
 	}
 	// From here on no signal that the program knows ends it unasked, also while it starts.
-	signals := listen()
+	signals := notifySignals()
 	defer signals.stop()
 	operator := &config.OperatorFile{}
 	if path := getenv("SHALEYARD_CONFIG"); path != "" {
 		var err error
 		if operator, err = config.LoadOperator(path); err != nil {
-			return badOperator{fmt.Errorf("SHALEYARD_CONFIG: %w", err)}
+			return operatorFileError{fmt.Errorf("SHALEYARD_CONFIG: %w", err)}
 		}
 	}
 	load := func() (*config.Config, error) {
@@ -70,15 +70,15 @@
 	// One more than the cores: the loop sits in the kernel's wait, and timers and dials must not wait for
 	// the runtime to notice that.
 	runtime.GOMAXPROCS(int(math.Ceil(c.Limits.Cores)) + 1)
-	p, err := assemble(c, operator.Failover, newLogger(logTo, operator.Log.Level, c.Name))
+	p, err := newProgram(c, operator.Failover, newLogger(logTo, operator.Log.Level, c.Name))
 	if err != nil {
 		return err
 	}
-	if err := p.feed.Bootstrap(c.Bootstrap); err != nil {
+	if err := p.discovery.Bootstrap(c.Bootstrap); err != nil {
 		return err
 	}
 	c.Bootstrap = config.Bootstrap{} // replayed; it would take up memory for good
-	operators := &operated{p: p}
+	operators := &operatorAPI{program: p}
 	if c.OperatorAddress != "" {
 		if p.admin, err = admin.Listen(c.OperatorAddress, c.Limits.MaxOperatorConns, operators); err != nil {
 			return fmt.Errorf("operator: %w", err)
@@ -86,16 +86,16 @@
 		defer p.admin.Close()
 		go p.admin.Serve()
 	}
-	p.loop.Boot = func() {
-		p.log.Info("listens on "+p.loop.Address(), zap.Int("descriptors", c.Limits.Descriptors),
+	p.eventLoop.Boot = func() {
+		p.log.Info("listens on "+p.eventLoop.Address(), zap.Int("descriptors", c.Limits.Descriptors),
 			zap.Int64("memory_mb", c.Limits.MemoryBytes>>20))
 		operators.booted.Store(true)
-		p.boot()
-		p.obey(signals, load)
+		p.start()
+		p.handleSignals(signals, load)
 	}
-	err = p.loop.Run(c.ListenAddress)
-	p.report()
-	p.log.Info("latest events", zap.String("cause", "exit"), zap.Uint64("recorded", p.flight.Total()),
-		zap.Array("events", p.flight.Latest(c.Limits.FlightRecorderEventsAtExit)))
+	err = p.eventLoop.Run(c.ListenAddress)
+	p.logCounters()
+	p.log.Info("latest events", zap.String("cause", "exit"), zap.Uint64("recorded", p.flightRecorder.Total()),
+		zap.Array("events", p.flightRecorder.Latest(c.Limits.FlightRecorderEventsAtExit)))
 	return err
 }
--- a/cmd/shaleyard/plan.go
+++ b/cmd/shaleyard/plan.go
@@ -23,9 +23,9 @@
 	"shaleyard/routing"
 )
 
-// planCommand prints what is done when sites are lost, worked out from a director's configuration (or its settings
+// runPlan prints what is done when sites are lost, worked out from a director's configuration (or its settings
 // alone, where the operators' file tells what each site carries) and the operators' file.
-func planCommand(args []string, out, errs io.Writer) error {
+func runPlan(args []string, out, errs io.Writer) error {
 	flags := flag.NewFlagSet("shaleyard plan", flag.ContinueOnError)
 	flags.SetOutput(errs)
 	settings := flags.String("settings", "", "`FILE` that EDGE_CONFIG names, or the settings in it alone")
@@ -49,7 +49,7 @@
 			return err
 		}
 	}
-	s, members, err := siteOf(*settings)
+	s, members, err := readSite(*settings)
 	if err != nil {
 		return err
 	}
@@ -88,8 +88,8 @@
 	return failover.NewPlanner(t, w)
 }
 
-// siteOf reads the settings, and the servers that the configuration knows.
-func siteOf(path string) (*routing.Settings, []routing.Endpoint, error) {
+// readSite reads the settings, and the servers that the configuration knows.
+func readSite(path string) (*routing.Settings, []routing.Endpoint, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return nil, nil, err
@@ -111,36 +111,36 @@
 	if len(s.Classes) == 0 || len(s.Zones) == 0 {
 		return nil, nil, fmt.Errorf("%s: no services or no zones (dcs) in it", path)
 	}
-	known := &listed{}
+	known := &memberList{}
 	f := discovery.New(&config.Limits{MaxMembers: 4096}, s, "", overload.NewBackoff(overload.BackoffConfig{Directors: 1, CallDuration: time.Second,
 		ApplyWithin: 2 * time.Second, NotifiedAfter: 7 * time.Second}, 0), nil, known, &timer.Queue{}, func() routing.Time { return 0 }, zap.NewNop())
 	if err := f.Bootstrap(whole.Known); err != nil {
 		return nil, nil, fmt.Errorf("%s: known: %w", path, err)
 	}
-	return s, known.members(), nil
+	return s, known.routingMembers(), nil
 }
 
-// listed keeps the list that a feed comes to, by name.
-type listed struct{ list []director.Endpoint }
+// memberList keeps the list that a feed comes to, by name.
+type memberList struct{ entries []director.Endpoint }
 
 // Members takes a change of the list.
-func (l *listed) UpdateEndpoints(full bool, _ uint64, list []director.Endpoint) {
+func (l *memberList) UpdateEndpoints(full bool, _ uint64, list []director.Endpoint) {
 	if full {
-		l.list = l.list[:0]
+		l.entries = l.entries[:0]
 	}
 	for _, m := range list {
-		l.list = slices.DeleteFunc(l.list, func(o director.Endpoint) bool { return o.Name == m.Name })
-		l.list = append(l.list, m)
+		l.entries = slices.DeleteFunc(l.entries, func(o director.Endpoint) bool { return o.Name == m.Name })
+		l.entries = append(l.entries, m)
 	}
 }
 
-// members are the servers as the decision module knows them.
-func (l *listed) members() (members []routing.Endpoint) {
-	for _, m := range l.list {
+// routingMembers are the servers as the decision module knows them.
+func (l *memberList) routingMembers() (members []routing.Endpoint) {
+	for _, m := range l.entries {
 		members = append(members, m.Endpoint)
 	}
 	return members
 }
 
 // Purge says nothing of sites.
-func (*listed) Purge(director.Purge) {}
+func (*memberList) Purge(director.Purge) {}
--- a/cmd/shaleyard/plan_golden_test.go
+++ b/cmd/shaleyard/plan_golden_test.go
@@ -50,7 +50,7 @@
 				args = append(args, "--config", filepath.Join(folder, test.config))
 			}
 			var out, errs strings.Builder
-			status := command(append(args, test.options...), &out, &errs)
+			status := runCommand(append(args, test.options...), &out, &errs)
 			got := fmt.Sprintf("status %d\n%s%s", status, out.String(), errs.String())
 			compareWithFile(t, filepath.Join(folder, test.name+".txt"), got)
 		})
--- a/cmd/shaleyard/shims_test.go
+++ b/cmd/shaleyard/shims_test.go
@@ -23,8 +23,8 @@
 	}
 }
 
-// goTold is what the go command prints.
-func goTold(t *testing.T, args ...string) string {
+// goOutput is what the go command prints.
+func goOutput(t *testing.T, args ...string) string {
 	t.Helper()
 	out, err := exec.Command("go", args...).Output()
 	if err != nil {
@@ -33,8 +33,8 @@
 	return strings.TrimSpace(string(out))
 }
 
-// buildWith builds the program with one file of the standard library, or of a module, changed.
-func buildWith(t *testing.T, original string, change func(text string) string) (program string) {
+// buildWithSource builds the program with one file of the standard library, or of a module, changed.
+func buildWithSource(t *testing.T, original string, change func(text string) string) (program string) {
 	t.Helper()
 	text, err := os.ReadFile(original)
 	if err != nil {
@@ -59,7 +59,7 @@
 	t.Helper()
 	folder := t.TempDir()
 	copied := filepath.Join(folder, "module")
-	if err := os.CopyFS(copied, os.DirFS(goTold(t, "list", "-m", "-f", "{{.Dir}}", module))); err != nil {
+	if err := os.CopyFS(copied, os.DirFS(goOutput(t, "list", "-m", "-f", "{{.Dir}}", module))); err != nil {
 		t.Fatal(err)
 	}
 	for file, changed := range change {
@@ -75,7 +75,7 @@
 			t.Fatal(err)
 		}
 	}
-	ours, modfile := filepath.Dir(goTold(t, "env", "GOMOD")), filepath.Join(folder, "go.mod")
+	ours, modfile := filepath.Dir(goOutput(t, "env", "GOMOD")), filepath.Join(folder, "go.mod")
 	for _, name := range []string{"go.mod", "go.sum"} {
 		text, err := os.ReadFile(filepath.Join(ours, name))
 		if err != nil {
@@ -85,7 +85,7 @@
 			t.Fatal(err)
 		}
 	}
-	goTold(t, "mod", "edit", "-replace="+module+"="+copied, modfile)
+	goOutput(t, "mod", "edit", "-replace="+module+"="+copied, modfile)
 	return build(t, folder, "-modfile="+modfile)
 }
 
@@ -101,8 +101,8 @@
 	return program
 }
 
-// insert puts a text behind a line of a source file that must be there.
-func insert(t *testing.T, text, line, inserted string) string {
+// insertAfterLine puts a text behind a line of a source file that must be there.
+func insertAfterLine(t *testing.T, text, line, inserted string) string {
 	t.Helper()
 	if !strings.Contains(text, line) {
 		t.Fatalf("the source is not what it was: no %q", line)
@@ -110,4 +110,4 @@
 	return strings.Replace(text, line, line+inserted, 1)
 }
 
-func stepSeconds(step time.Duration) string { return fmt.Sprint(int64(step / time.Second)) }
+func wholeSeconds(step time.Duration) string { return fmt.Sprint(int64(step / time.Second)) }
--- a/cmd/shaleyard/signals.go
+++ b/cmd/shaleyard/signals.go
@@ -14,12 +14,12 @@
 // signals are what the program is told from outside. The runtime drops a signal for which its channel has no room, so
 // that each kind has one of its own: one that is waiting stands for all of its kind, and a stop is never lost behind
 // others, whatever a reload takes to read its file.
-type signals struct{ end, reload, report chan os.Signal }
+type signals struct{ terminate, reload, report chan os.Signal }
 
-// listen takes the signals from now on.
-func listen() signals {
+// notifySignals takes the signals from now on.
+func notifySignals() signals {
 	s := signals{make(chan os.Signal, 1), make(chan os.Signal, 1), make(chan os.Signal, 1)}
-	signal.Notify(s.end, syscall.SIGTERM, syscall.SIGINT)
+	signal.Notify(s.terminate, syscall.SIGTERM, syscall.SIGINT)
 	signal.Notify(s.reload, syscall.SIGHUP)
 	signal.Notify(s.report, syscall.SIGUSR1)
 	return s
@@ -27,29 +27,29 @@
 
 // stop leaves the signals to their defaults.
 func (s signals) stop() {
-	for _, c := range []chan os.Signal{s.end, s.reload, s.report} {
+	for _, c := range []chan os.Signal{s.terminate, s.reload, s.report} {
 		signal.Stop(c)
 	}
 }
 
-// obey carries out signals, each kind aside of the others.
-func (p *program) obey(s signals, load func() (*config.Config, error)) {
+// handleSignals carries out signals, each kind aside of the others.
+func (p *program) handleSignals(s signals, load func() (*config.Config, error)) {
 	each := func(c <-chan os.Signal, do func()) {
 		for range c {
 			do()
 		}
 	}
 	go each(s.report, func() {
-		p.loop.Do(func() {
-			p.report()
-			p.writeFlight("SIGUSR1", p.limits.FlightRecorderEvents)
+		p.eventLoop.Do(func() {
+			p.logCounters()
+			p.logLatestEvents("SIGUSR1", p.limits.FlightRecorderEvents)
 		})
 	})
 	go each(s.reload, func() {
 		c, err := load() // off the loop, which requests go on using
-		p.loop.Do(func() { p.reload(c, err) })
+		p.eventLoop.Do(func() { p.reload(c, err) })
 	})
-	go each(s.end, func() { p.loop.Do(p.stop) })
+	go each(s.terminate, func() { p.eventLoop.Do(p.stop) })
 }
 
 // reload takes over a configuration that was read anew. Only the feed's address can change while the program
@@ -59,7 +59,7 @@
 		err = p.config.CheckReload(c)
 	}
 	if err != nil {
-		p.reloadsFailed++
+		p.failedReloads++
 		p.log.Warn("configuration kept as it was", zap.Error(err))
 		return
 	}
@@ -69,5 +69,5 @@
 		p.log.Info("changed limits and settings wait for a restart")
 	}
 	p.config.DiscoveryAddress = c.DiscoveryAddress
-	p.feed.Redirect(c.DiscoveryAddress)
+	p.discovery.Redirect(c.DiscoveryAddress)
 }
--- a/cmd/shaleyard/standins_test.go
+++ b/cmd/shaleyard/standins_test.go
@@ -11,8 +11,8 @@
 	"time"
 )
 
-// answering is a listener on loopback that serves each connection by itself until the test ends.
-func answering(t *testing.T, serve func(net.Conn)) (address string) {
+// serveTCP is a listener on loopback that serves each connection by itself until the test ends.
+func serveTCP(t *testing.T, serve func(net.Conn)) (address string) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -31,8 +31,8 @@
 	return l.Addr().String()
 }
 
-// answeringCache serves every request with a body after a moment, and forgets what it is told to stop.
-func answeringCache(after time.Duration, body string) func(net.Conn) {
+// respondingCache serves every request with a body after a moment, and forgets what it is told to stop.
+func respondingCache(after time.Duration, body string) func(net.Conn) {
 	return func(c net.Conn) {
 		defer c.Close()
 		from := bufio.NewReader(c)
@@ -45,15 +45,15 @@
 				continue
 			}
 			time.Sleep(after)
-			if _, err := io.WriteString(c, array(words[1], "OK", "n=HIT,rev=t1,since=1764576000000", body)); err != nil {
+			if _, err := io.WriteString(c, respArray(words[1], "OK", "n=HIT,rev=t1,since=1764576000000", body)); err != nil {
 				return
 			}
 		}
 	}
 }
 
-// answeringFeed has no news, and gives a sign of life each second.
-func answeringFeed(c net.Conn) {
+// idleDiscoveryService has no news, and gives a sign of life each second.
+func idleDiscoveryService(c net.Conn) {
 	defer c.Close()
 	if _, err := bufio.NewReader(c).ReadString('\n'); err != nil {
 		return
@@ -68,13 +68,13 @@
 
 // readCommand reads a RESP array of bulk strings.
 func readCommand(from *bufio.Reader) ([]string, error) {
-	n, err := length(from, "*")
+	n, err := readLength(from, "*")
 	if err != nil {
 		return nil, err
 	}
 	words := make([]string, n)
 	for i := range words {
-		size, err := length(from, "$")
+		size, err := readLength(from, "$")
 		if err != nil {
 			return nil, err
 		}
@@ -87,7 +87,7 @@
 	return words, nil
 }
 
-func length(from *bufio.Reader, mark string) (int, error) {
+func readLength(from *bufio.Reader, mark string) (int, error) {
 	line, err := from.ReadString('\n')
 	if err != nil {
 		return 0, err
@@ -95,8 +95,8 @@
 	return strconv.Atoi(strings.TrimPrefix(strings.TrimSpace(line), mark))
 }
 
-// array is a RESP array of bulk strings.
-func array(words ...string) string {
+// respArray is a RESP array of bulk strings.
+func respArray(words ...string) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "*%d\r\n", len(words))
 	for _, w := range words {
--- a/internal/lifecycle/lifecycle.go
+++ b/internal/lifecycle/lifecycle.go
@@ -75,17 +75,19 @@
 	// OnTransition, where set, is told of each change, in order. It must not call the Machine.
 	OnTransition func(Transition)
 
-	spans  Timeouts
-	shared bool // other processes may accept on our listener, too
+	timeouts       Timeouts
+	sharedListener bool // other processes may accept on our listener, too
 
-	mu      sync.Mutex
-	state   State
-	reached bool         // the list of servers was
-	since   routing.Time // when the drain or the stop was asked for
+	mu             sync.Mutex
+	state          State
+	discoveryReady bool         // the list of servers was
+	requestedAt    routing.Time // when the drain or the stop was asked for
 }
 
 // New returns a process that starts. Shared says that its listener was handed down, so that others may hold it.
-func New(spans Timeouts, shared bool) *Machine { return &Machine{spans: spans, shared: shared} }
+func New(spans Timeouts, shared bool) *Machine {
+	return &Machine{timeouts: spans, sharedListener: shared}
+}
 
 // State is the present state.
 func (m *Machine) State() State {
@@ -94,8 +96,8 @@
 	return m.state
 }
 
-// move changes the state; it is the one place that does. The caller holds the lock.
-func (m *Machine) move(to State, cause Cause, now routing.Time) {
+// transition changes the state; it is the one place that does. The caller holds the lock.
+func (m *Machine) transition(to State, cause Cause, now routing.Time) {
 	from := m.state
 	if from == to {
 		return
@@ -110,9 +112,9 @@
 func (m *Machine) DiscoveryReady(now routing.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.reached = true
+	m.discoveryReady = true
 	if m.state == Starting {
-		m.move(Ready, CauseDiscoveryReady, now)
+		m.transition(Ready, CauseDiscoveryReady, now)
 	}
 }
 
@@ -121,8 +123,8 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.state <= Ready {
-		m.since = now
-		m.move(Draining, CauseDrainRequested, now)
+		m.requestedAt = now
+		m.transition(Draining, CauseDrainRequested, now)
 	}
 }
 
@@ -134,10 +136,10 @@
 	case m.state >= Stopping:
 		return false
 	case m.state <= Ready:
-	case m.reached:
-		m.move(Ready, CauseDrainCancelled, now)
+	case m.discoveryReady:
+		m.transition(Ready, CauseDrainCancelled, now)
 	default:
-		m.move(Starting, CauseDrainCancelled, now)
+		m.transition(Starting, CauseDrainCancelled, now)
 	}
 	return true
 }
@@ -149,8 +151,8 @@
 	if m.state >= Stopping {
 		return false
 	}
-	m.since = now
-	m.move(Stopping, CauseStopRequested, now)
+	m.requestedAt = now
+	m.transition(Stopping, CauseStopRequested, now)
 	return true
 }
 
@@ -158,17 +160,17 @@
 func (m *Machine) Advance(now routing.Time, held int) State {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	switch past := now - m.since; {
-	case m.state == Draining && held == 0 && past >= m.spans.DrainNoticePeriod:
-		m.move(Drained, CauseNothingInFlight, now)
+	switch past := now - m.requestedAt; {
+	case m.state == Draining && held == 0 && past >= m.timeouts.DrainNoticePeriod:
+		m.transition(Drained, CauseNothingInFlight, now)
 	case m.state == Drained && held > 0:
-		m.move(Draining, CauseClientsArrived, now)
-	case m.state == Stopping && past >= m.spans.StopGracePeriod:
-		m.move(Closing, CauseTimeElapsed, now)
-	case m.state == Closing && past >= m.spans.StopDeadline:
-		m.move(Ended, CauseTimeElapsed, now)
-	case m.state == Closing && held == 0 && past > m.spans.StopGracePeriod: // what has come until then was read
-		m.move(Ended, CauseNothingInFlight, now)
+		m.transition(Draining, CauseClientsArrived, now)
+	case m.state == Stopping && past >= m.timeouts.StopGracePeriod:
+		m.transition(Closing, CauseTimeElapsed, now)
+	case m.state == Closing && past >= m.timeouts.StopDeadline:
+		m.transition(Ended, CauseTimeElapsed, now)
+	case m.state == Closing && held == 0 && past > m.timeouts.StopGracePeriod: // what has come until then was read
+		m.transition(Ended, CauseNothingInFlight, now)
 	}
 	return m.state
 }
@@ -189,23 +191,23 @@
 func (m *Machine) Policy(now routing.Time) Policy {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	past := now - m.since
+	past := now - m.requestedAt
 	switch m.state {
 	case Starting: // a listener that others hold, too, is left to them until we are ready
-		return Policy{AcceptRequests: true, KeepIdleConnections: true, AcceptConnections: !m.shared}
+		return Policy{AcceptRequests: true, KeepIdleConnections: true, AcceptConnections: !m.sharedListener}
 	case Ready:
 		return Policy{Ready: true, AcceptRequests: true, KeepIdleConnections: true, AcceptConnections: true}
 	case Draining, Drained:
-		notice := past < m.spans.DrainNoticePeriod
-		p := Policy{AcceptRequests: past < m.spans.DrainGracePeriod, KeepIdleConnections: notice, AcceptConnections: !m.shared || notice && m.reached}
+		notice := past < m.timeouts.DrainNoticePeriod
+		p := Policy{AcceptRequests: past < m.timeouts.DrainGracePeriod, KeepIdleConnections: notice, AcceptConnections: !m.sharedListener || notice && m.discoveryReady}
 		if !p.AcceptRequests {
-			p.ShortenDeadline = &DeadlineLimit{m.since + m.spans.DrainGracePeriod, m.since + m.spans.DrainDeadline}
+			p.ShortenDeadline = &DeadlineLimit{m.requestedAt + m.timeouts.DrainGracePeriod, m.requestedAt + m.timeouts.DrainDeadline}
 		}
 		return p
 	case Stopping: // on a shared listener another process takes who comes, and who rests is sent there
-		return Policy{AcceptRequests: true, KeepIdleConnections: !m.shared, AcceptConnections: !m.shared}
+		return Policy{AcceptRequests: true, KeepIdleConnections: !m.sharedListener, AcceptConnections: !m.sharedListener}
 	case Closing:
-		return Policy{AcceptConnections: !m.shared}
+		return Policy{AcceptConnections: !m.sharedListener}
 	}
 	return Policy{}
 }
