--- a/cmd/shaleyard/life.go
+++ b/cmd/shaleyard/life.go
@@ -37,7 +37,7 @@
 
 // logTransition logs a change of the process's state, from whatever goroutine brought it.
 func (p *program) logTransition(c lifecycle.Transition) {
-	p.log.Info("state", zap.Stringer("from", c.From), zap.Stringer("to", c.To), zap.String("cause", string(c.Cause)))
+	p.log.Info("state", zap.Stringer("from", c.From), zap.Stringer("to", c.To), zap.Stringer("cause", c.Cause))
 }
 
 // onDiscoveryReady says that the list of servers was reached, or has been waited for long enough. Purges and drains since the
--- a/internal/lifecycle/lifecycle.go
+++ b/internal/lifecycle/lifecycle.go
@@ -1,6 +1,6 @@
-// Package lifecycle is the life of a process as one state machine, without I/O and without a clock: from its start over
-// operators' drains to a planned stop. It decides whether the process is ready, takes work, keeps clients' connections that
-// rest, and accepts new ones; others carry that out.
+// Package lifecycle is the state machine of a process's life, from its start over operators' drains to a graceful
+// shutdown. It does no I/O and reads no clock: callers report events with their time, ask for the Policy that holds then
+// (whether the process is ready, accepts requests and connections, and keeps idle ones), and carry it out.
 package lifecycle
 
 import (
@@ -10,23 +10,24 @@
 	"shaleyard/routing"
 )
 
-// State is where a process is in its life.
+// State is a state in the life of a process.
 type State uint8
 
-// The states. Ready and what lies before it can be left for a drain and come back; from Stopping on it only goes forward.
+// The states, in the order of a process's life. A process may go back and forth between Starting, Ready, Draining and
+// Drained; from Stopping on it only goes forward.
 const (
-	Starting State = iota // the list of servers has not been reached
-	Ready                 // clients may be sent here
-	Draining              // operators have asked to empty the process: clients are moved away
-	Drained               // and none is left
-	Stopping              // a stop was asked for: work is still taken, as the front hears of it late
-	Closing               // no work is taken; connections end as nothing is owed on them
-	Ended                 // nothing is left, or the time is up
+	Starting State = iota // the endpoint list has not been received
+	Ready                 // the front may send clients here
+	Draining              // operators have asked for a drain: clients are moved away
+	Drained               // no client is left; the process runs on until it is stopped or the drain is cancelled
+	Stopping              // a stop was requested: requests are still accepted, as the front hears of it late
+	Closing               // no request is accepted; a connection ends once nothing is owed on it
+	Ended                 // nothing is left, or the deadline has passed
 )
 
 var stateNames = [...]string{"starting", "ready", "draining", "drained", "stopping", "closing", "ended"}
 
-// String is the state's name.
+// String is the name of the state, as logs and the operators' address give it.
 func (s State) String() string {
 	if int(s) < len(stateNames) {
 		return stateNames[s]
@@ -34,20 +35,31 @@
 	return fmt.Sprintf("state %d", uint8(s))
 }
 
-// Cause is what has changed a state.
-type Cause string
+// Cause is why a state was left for another.
+type Cause uint8
 
-// The causes of changes.
+// The causes of transitions.
 const (
-	CauseDiscoveryReady  Cause = "the list of servers was reached, or waited for long enough"
-	CauseDrainRequested  Cause = "operators asked for a drain"
-	CauseDrainCancelled  Cause = "operators took the drain back"
-	CauseStopRequested   Cause = "a stop was asked for"
-	CauseTimeElapsed     Cause = "time passed"
-	CauseNothingInFlight Cause = "nothing is held any more"
-	CauseClientsArrived  Cause = "clients came in spite of the drain"
+	CauseDiscoveryReady  Cause = iota // the endpoint list was received, or waited for long enough
+	CauseDrainRequested               // operators asked for a drain
+	CauseDrainCancelled               // operators cancelled the drain
+	CauseStopRequested                // a stop was requested
+	CauseTimeElapsed                  // a period or a deadline is over
+	CauseNothingInFlight              // no request and no connection is left
+	CauseClientsArrived               // clients came after the process had been drained
 )
 
+var causeNames = [...]string{"discovery ready", "drain requested", "drain cancelled", "stop requested", "time elapsed",
+	"nothing in flight", "clients arrived"}
+
+// String is the name of the cause, as logs give it.
+func (c Cause) String() string {
+	if int(c) < len(causeNames) {
+		return causeNames[c]
+	}
+	return fmt.Sprintf("cause %d", uint8(c))
+}
+
 // Transition is a change of state.
 type Transition struct {
 	From, To State
@@ -55,38 +67,39 @@
 	At       routing.Time
 }
 
-// Timeouts are the times of drains and stops, each counted from when it was asked for.
+// Timeouts are the periods of drains and stops, each counted from the request for it.
 type Timeouts struct {
-	// DrainNoticePeriod is the time that the front takes to hear of a drain: until then a client whose connection were ended
-	// would come back.
+	// DrainNoticePeriod is the time that the front takes to hear of a drain. A client whose connection ended before would
+	// come back.
 	DrainNoticePeriod routing.Time
-	// DrainGracePeriod is the time for which work is taken on connections that were open as the drain began.
+	// DrainGracePeriod is the time for which requests are accepted on connections that are open.
 	DrainGracePeriod routing.Time
-	// DrainDeadline is the time by which connections are to be ended on which clients go on sending, or read nothing.
+	// DrainDeadline is the time by which a connection is closed on which the client goes on sending, or reads nothing.
 	DrainDeadline routing.Time
-	// StopGracePeriod is the time for which work is taken on behind a stop.
+	// StopGracePeriod is the time for which requests are accepted after a stop was requested.
 	StopGracePeriod routing.Time
-	// StopDeadline is the time by which a stop is over, whatever is left.
+	// StopDeadline is the time by which a stop ends, whatever is left.
 	StopDeadline routing.Time
 }
 
 // Machine is the state of one process. It is safe for concurrent use.
 type Machine struct {
-	// OnTransition, where set, is told of each change, in order. It must not call the Machine.
+	// OnTransition, if set, is called on each transition, in order, with the Machine locked: it must not call the Machine.
 	OnTransition func(Transition)
 
 	timeouts       Timeouts
-	sharedListener bool // other processes may accept on our listener, too
+	sharedListener bool // other processes may accept on the listener, too
 
 	mu             sync.Mutex
 	state          State
-	discoveryReady bool         // the list of servers was
-	requestedAt    routing.Time // when the drain or the stop was asked for
+	discoveryReady bool         // DiscoveryReady was called
+	requestedAt    routing.Time // when the drain or the stop was requested
 }
 
-// New returns a process that starts. Shared says that its listener was handed down, so that others may hold it.
-func New(spans Timeouts, shared bool) *Machine {
-	return &Machine{timeouts: spans, sharedListener: shared}
+// New returns the machine of a process that is starting. With sharedListener its listening socket was inherited, so that
+// other processes may accept on it.
+func New(timeouts Timeouts, sharedListener bool) *Machine {
+	return &Machine{timeouts: timeouts, sharedListener: sharedListener}
 }
 
 // State is the present state.
@@ -96,7 +109,7 @@
 	return m.state
 }
 
-// transition changes the state; it is the one place that does. The caller holds the lock.
+// transition is the one place that changes the state. The caller holds the lock.
 func (m *Machine) transition(to State, cause Cause, now routing.Time) {
 	from := m.state
 	if from == to {
@@ -104,11 +117,11 @@
 	}
 	m.state = to
 	if m.OnTransition != nil {
-		m.OnTransition(Transition{from, to, cause, now})
+		m.OnTransition(Transition{From: from, To: to, Cause: cause, At: now})
 	}
 }
 
-// DiscoveryReady says that the list of servers was reached, or has been waited for long enough.
+// DiscoveryReady reports that the endpoint list was received, or has been waited for long enough.
 func (m *Machine) DiscoveryReady(now routing.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -118,7 +131,7 @@
 	}
 }
 
-// Drain asks to empty the process. Asked again it changes nothing: the times count from the first time.
+// Drain requests a drain. A further request changes nothing: the periods count from the first one.
 func (m *Machine) Drain(now routing.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -128,7 +141,7 @@
 	}
 }
 
-// CancelDrain ends a drain; false: the process is stopping.
+// CancelDrain ends a drain. It returns false if the process is stopping, and can't come back.
 func (m *Machine) CancelDrain(now routing.Time) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -136,6 +149,7 @@
 	case m.state >= Stopping:
 		return false
 	case m.state <= Ready:
+		// There is no drain to cancel.
 	case m.discoveryReady:
 		m.transition(Ready, CauseDrainCancelled, now)
 	default:
@@ -144,7 +158,7 @@
 	return true
 }
 
-// Stop asks for a planned stop; false: it was asked for before.
+// Stop requests a graceful shutdown. It returns false if that was requested before.
 func (m *Machine) Stop(now routing.Time) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -156,58 +170,88 @@
 	return true
 }
 
-// Advance lets time pass. Held is what the process still holds for clients: requests and connections.
-func (m *Machine) Advance(now routing.Time, held int) State {
+// Advance takes the transitions that are due at a time, and returns the state after them: one at most in each call. inFlight
+// is the number of requests and connections that the process holds for clients.
+func (m *Machine) Advance(now routing.Time, inFlight int) State {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	switch past := now - m.requestedAt; {
-	case m.state == Draining && held == 0 && past >= m.timeouts.DrainNoticePeriod:
-		m.transition(Drained, CauseNothingInFlight, now)
-	case m.state == Drained && held > 0:
-		m.transition(Draining, CauseClientsArrived, now)
-	case m.state == Stopping && past >= m.timeouts.StopGracePeriod:
-		m.transition(Closing, CauseTimeElapsed, now)
-	case m.state == Closing && past >= m.timeouts.StopDeadline:
+	elapsed := now - m.requestedAt
+	switch m.state {
+	case Draining:
+		if inFlight == 0 && elapsed >= m.timeouts.DrainNoticePeriod {
+			m.transition(Drained, CauseNothingInFlight, now)
+		}
+	case Drained:
+		if inFlight > 0 {
+			m.transition(Draining, CauseClientsArrived, now)
+		}
+	case Stopping:
+		if elapsed >= m.timeouts.StopGracePeriod {
+			m.transition(Closing, CauseTimeElapsed, now)
+		}
+	case Closing:
+		m.advanceClosing(now, elapsed, inFlight)
+	}
+	return m.state
+}
+
+// advanceClosing ends the process at the deadline, or once nothing is in flight and all that clients had sent within the
+// grace period was read. The caller holds the lock.
+func (m *Machine) advanceClosing(now, elapsed routing.Time, inFlight int) {
+	switch {
+	case elapsed >= m.timeouts.StopDeadline:
 		m.transition(Ended, CauseTimeElapsed, now)
-	case m.state == Closing && held == 0 && past > m.timeouts.StopGracePeriod: // what has come until then was read
+	case inFlight == 0 && elapsed > m.timeouts.StopGracePeriod:
 		m.transition(Ended, CauseNothingInFlight, now)
 	}
-	return m.state
 }
 
-// Policy is what a state allows at a time.
+// Policy is what a process does in its state at a time.
 type Policy struct {
 	Ready               bool // the front may send clients here
-	AcceptRequests      bool // requests are taken; else they are refused
+	AcceptRequests      bool // requests are accepted; otherwise they are rejected
 	KeepIdleConnections bool // connections on which nothing is owed are kept
 	AcceptConnections   bool // connections are accepted
 	ShortenDeadline     *DeadlineLimit
 }
 
-// DeadlineLimit says that requests on connections on which a message has come since a time are to be answered by another.
+// DeadlineLimit sets a deadline for all requests on connections on which a message has come since a time.
 type DeadlineLimit struct{ ActiveSince, Deadline routing.Time }
 
-// Policy is what the present state allows.
+// Policy is what the present state asks for at a time.
 func (m *Machine) Policy(now routing.Time) Policy {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	past := now - m.requestedAt
 	switch m.state {
-	case Starting: // a listener that others hold, too, is left to them until we are ready
+	case Starting:
+		// Connections on a shared listener are left to the other processes until this one is ready.
 		return Policy{AcceptRequests: true, KeepIdleConnections: true, AcceptConnections: !m.sharedListener}
 	case Ready:
 		return Policy{Ready: true, AcceptRequests: true, KeepIdleConnections: true, AcceptConnections: true}
 	case Draining, Drained:
-		notice := past < m.timeouts.DrainNoticePeriod
-		p := Policy{AcceptRequests: past < m.timeouts.DrainGracePeriod, KeepIdleConnections: notice, AcceptConnections: !m.sharedListener || notice && m.discoveryReady}
-		if !p.AcceptRequests {
-			p.ShortenDeadline = &DeadlineLimit{m.requestedAt + m.timeouts.DrainGracePeriod, m.requestedAt + m.timeouts.DrainDeadline}
-		}
-		return p
-	case Stopping: // on a shared listener another process takes who comes, and who rests is sent there
+		return m.drainPolicy(now - m.requestedAt)
+	case Stopping:
+		// On a shared listener another process accepts the connections that come, and idle clients are sent there.
 		return Policy{AcceptRequests: true, KeepIdleConnections: !m.sharedListener, AcceptConnections: !m.sharedListener}
 	case Closing:
 		return Policy{AcceptConnections: !m.sharedListener}
 	}
 	return Policy{}
 }
+
+// drainPolicy is the policy so long after a drain was requested. The caller holds the lock.
+func (m *Machine) drainPolicy(elapsed routing.Time) Policy {
+	withinNotice := elapsed < m.timeouts.DrainNoticePeriod
+	policy := Policy{
+		AcceptRequests:      elapsed < m.timeouts.DrainGracePeriod,
+		KeepIdleConnections: withinNotice,
+		AcceptConnections:   !m.sharedListener || withinNotice && m.discoveryReady,
+	}
+	if !policy.AcceptRequests {
+		policy.ShortenDeadline = &DeadlineLimit{
+			ActiveSince: m.requestedAt + m.timeouts.DrainGracePeriod,
+			Deadline:    m.requestedAt + m.timeouts.DrainDeadline,
+		}
+	}
+	return policy
+}
