--- a/cmd/shaleyard/command.go
+++ b/cmd/shaleyard/command.go
@@ -17,41 +17,52 @@
                          print what is done when whole sites are lost (docs/site-loss.md)
 `
 
-// runCommand carries out the words that the program was given; without any it is a director. It returns the exit
-// status: 0, or 2 where the words, or what they name, can't be used.
+// errUsage reports a command line that can't be used, for which the usage has been printed.
+var errUsage = errors.New("usage")
+
+// runCommand runs the command that the arguments name, and returns the exit status.
 //
 // There are two commands, so this is the standard library's flag: a command-line library was tried, and cost each
 // director 2 MB of resident memory for what it links in.
 func runCommand(args []string, out, errs io.Writer) (status int) {
+	var err error
 	if len(args) > 0 && args[0] == "plan" {
-		switch err := runPlan(args[1:], out, errs); {
-		case errors.Is(err, flag.ErrHelp):
-			return 0
-		case err != nil:
-			fmt.Fprintln(errs, "shaleyard:", err)
-			return 2
-		}
-		return 0
+		err = runPlan(args[1:], out, errs)
+	} else {
+		err = runCheck(args, out, errs)
 	}
+	switch {
+	case err == nil, errors.Is(err, flag.ErrHelp):
+		return exitOK
+	case errors.Is(err, errUsage):
+		return exitUsage
+	}
+	fmt.Fprintln(errs, "shaleyard:", err)
+	return exitUsage
+}
+
+// runCheck checks the operators' file that the arguments name and prints what it sets. The arguments begin with the word
+// check; options before it are parsed as well, so that --help is one.
+func runCheck(args []string, out, errs io.Writer) error {
 	flags := flag.NewFlagSet("shaleyard", flag.ContinueOnError)
 	flags.SetOutput(errs)
 	flags.Usage = func() { fmt.Fprint(errs, usage) }
-	switch err := flags.Parse(args); {
-	case err == flag.ErrHelp:
-		return 0
-	case err != nil:
-		return 2
-	case flags.NArg() != 2 || flags.Arg(0) != "check":
+	if err := flags.Parse(args); err != nil {
+		if errors.Is(err, flag.ErrHelp) {
+			return err
+		}
+		return errUsage // the flag set has printed the error
+	}
+	if flags.NArg() != 2 || flags.Arg(0) != "check" {
 		flags.Usage()
-		return 2
+		return errUsage
 	}
-	o, err := config.LoadOperator(flags.Arg(1))
+	operatorFile, err := config.LoadOperator(flags.Arg(1))
 	if err != nil {
-		fmt.Fprintln(errs, "shaleyard:", err)
-		return 2
+		return err
 	}
-	for _, s := range o.Describe() {
-		fmt.Fprintln(out, s)
+	for _, line := range operatorFile.Describe() {
+		fmt.Fprintln(out, line)
 	}
-	return 0
+	return nil
 }
--- a/cmd/shaleyard/drain_test.go
+++ b/cmd/shaleyard/drain_test.go
@@ -22,18 +22,18 @@
 	o.signal(syscall.SIGUSR1)
 	var line struct {
 		Counters struct {
-			Conns   int `json:"client_conns"`
-			Clients struct{ Answers int }
+			Conns      int `json:"downstream_conns"`
+			Downstream struct{ Answers int }
 		} `json:"counters"`
 	}
 	if err := json.Unmarshal([]byte(o.waitForLog(`"msg":"counters"`)), &line); err != nil {
 		o.process.t.Fatal(err)
 	}
-	return map[string]int{"client_conns": line.Counters.Conns, "Answers": line.Counters.Clients.Answers}[name]
+	return map[string]int{"downstream_conns": line.Counters.Conns, "Answers": line.Counters.Downstream.Answers}[name]
 }
 
 // clientConnections is how many client connections the process holds.
-func (o *operatedProcess) clientConnections() int { return o.counter("client_conns") }
+func (o *operatedProcess) clientConnections() int { return o.counter("downstream_conns") }
 
 // drain tells the process to drain and returns when that was.
 func (o *operatedProcess) drain() time.Time {
@@ -178,7 +178,7 @@
 		cl.Submit(seq, "", requestFields("media", fmt.Sprintf("%016x", seq))...)
 	}
 	at := o.drain()
-	if n := o.counter("client_conns"); n != 1 {
+	if n := o.counter("downstream_conns"); n != 1 {
 		t.Errorf("%d client connections are held at the start of the drain, want 1", n)
 	}
 	o.wantDrained(at)
--- a/cmd/shaleyard/logger.go
+++ b/cmd/shaleyard/logger.go
@@ -7,16 +7,16 @@
 	"go.uber.org/zap/zapcore"
 )
 
-// newLogger writes one JSON object a line. Nothing is buffered: a director may be killed at any moment, and its last
-// line is the one that is wanted.
+// newLogger returns a logger that writes one JSON object a line, from a level on: debug, info, warn or error; "" is info.
+// Nothing is buffered: a director may be killed at any moment, and its last line is the one that is wanted.
 func newLogger(to io.Writer, level, name string) *zap.Logger {
-	at, err := zapcore.ParseLevel(level)
+	minLevel, err := zapcore.ParseLevel(level)
 	if level == "" || err != nil {
-		at = zapcore.InfoLevel
+		minLevel = zapcore.InfoLevel
 	}
-	form := zap.NewProductionEncoderConfig()
-	form.EncodeTime = zapcore.ISO8601TimeEncoder
-	form.EncodeDuration = zapcore.StringDurationEncoder
-	core := zapcore.NewCore(zapcore.NewJSONEncoder(form), zapcore.Lock(zapcore.AddSync(to)), at)
+	encoding := zap.NewProductionEncoderConfig()
+	encoding.EncodeTime = zapcore.ISO8601TimeEncoder
+	encoding.EncodeDuration = zapcore.StringDurationEncoder
+	core := zapcore.NewCore(zapcore.NewJSONEncoder(encoding), zapcore.Lock(zapcore.AddSync(to)), minLevel)
 	return zap.New(core).With(zap.String("director", name))
 }
--- /dev/null
+++ b/cmd/shaleyard/operatorapi.go
@@ -0,0 +1,52 @@
+package main
+
+import (
+	"sync/atomic"
+
+	"go.uber.org/zap"
+)
+
+// operatorAPI is the process as the operators' address sees it. Nothing here waits for the event loop, so that calls are
+// answered also while it is stalled.
+type operatorAPI struct {
+	program *program
+	booted  atomic.Bool // the event loop runs
+}
+
+// Ready implements admin.Process.
+func (o *operatorAPI) Ready() (ready bool, why string) {
+	now, machine := o.program.now(), o.program.lifecycle.machine
+	if !machine.Policy(now).Ready {
+		return false, machine.State().String()
+	}
+	stalled := now - o.program.eventLoop.LastRun()
+	if stalled > o.program.limits.LoopStallThreshold {
+		return false, "the event loop has not run for " + stalled.String()
+	}
+	return true, ""
+}
+
+// Drain implements admin.Process.
+func (o *operatorAPI) Drain() {
+	o.program.lifecycle.machine.Drain(o.program.now())
+	o.applyLifecycle()
+}
+
+// Resume implements admin.Process.
+func (o *operatorAPI) Resume() bool {
+	resumed := o.program.lifecycle.machine.CancelDrain(o.program.now())
+	o.applyLifecycle()
+	return resumed
+}
+
+// applyLifecycle has the event loop carry out a transition; before it runs there is nothing to carry out.
+func (o *operatorAPI) applyLifecycle() {
+	if o.booted.Load() {
+		o.program.eventLoop.Do(o.program.lifecycle.apply)
+	}
+}
+
+// Called implements admin.Process.
+func (o *operatorAPI) Called(method, path string, status int) {
+	o.program.log.Info("operators' call", zap.String("method", method), zap.String("path", path), zap.Int("status", status))
+}
--- a/cmd/shaleyard/signals.go
+++ b/cmd/shaleyard/signals.go
@@ -11,63 +11,81 @@
 	"shaleyard/internal/config"
 )
 
-// signals are what the program is told from outside. The runtime drops a signal for which its channel has no room, so
-// that each kind has one of its own: one that is waiting stands for all of its kind, and a stop is never lost behind
-// others, whatever a reload takes to read its file.
-type signals struct{ terminate, reload, report chan os.Signal }
+// signals are the signals that were received and not handled yet. The runtime drops a signal for which its channel has no
+// room, so that each kind has a channel of its own: one signal that waits stands for all of its kind, and a termination is
+// never lost behind others, however long a reload takes to read its file.
+type signals struct {
+	terminate chan os.Signal // SIGTERM, SIGINT
+	reload    chan os.Signal // SIGHUP
+	report    chan os.Signal // SIGUSR1
+}
 
-// notifySignals takes the signals from now on.
+// notifySignals begins to receive signals.
 func notifySignals() signals {
-	s := signals{make(chan os.Signal, 1), make(chan os.Signal, 1), make(chan os.Signal, 1)}
-	signal.Notify(s.terminate, syscall.SIGTERM, syscall.SIGINT)
-	signal.Notify(s.reload, syscall.SIGHUP)
-	signal.Notify(s.report, syscall.SIGUSR1)
-	return s
+	received := signals{
+		terminate: make(chan os.Signal, 1),
+		reload:    make(chan os.Signal, 1),
+		report:    make(chan os.Signal, 1),
+	}
+	signal.Notify(received.terminate, syscall.SIGTERM, syscall.SIGINT)
+	signal.Notify(received.reload, syscall.SIGHUP)
+	signal.Notify(received.report, syscall.SIGUSR1)
+	return received
 }
 
-// stop leaves the signals to their defaults.
+// stop leaves the signals to their default actions.
 func (s signals) stop() {
-	for _, c := range []chan os.Signal{s.terminate, s.reload, s.report} {
-		signal.Stop(c)
-	}
+	signal.Stop(s.terminate)
+	signal.Stop(s.reload)
+	signal.Stop(s.report)
 }
 
-// handleSignals carries out signals, each kind aside of the others.
-func (p *program) handleSignals(s signals, load func() (*config.Config, error)) {
-	each := func(c <-chan os.Signal, do func()) {
-		for range c {
-			do()
-		}
-	}
-	go each(s.report, func() {
-		p.eventLoop.Do(func() {
-			p.logCounters()
-			p.logLatestEvents("SIGUSR1", p.limits.FlightRecorderEvents)
-		})
-	})
-	go each(s.reload, func() {
-		c, err := load() // off the loop, which requests go on using
-		p.eventLoop.Do(func() { p.reload(c, err) })
+// handleSignals handles signals from now on, each kind on a goroutine of its own; load reads the configuration anew.
+func (p *program) handleSignals(received signals, load func() (*config.Config, error)) {
+	go forEach(received.report, func() { p.eventLoop.Do(p.reporter.onReportSignal) })
+	go forEach(received.reload, func() {
+		conf, err := load() // not on the event loop, which goes on serving requests
+		p.eventLoop.Do(func() { p.reloader.reload(conf, err) })
 	})
-	go each(s.terminate, func() { p.eventLoop.Do(p.stop) })
+	go forEach(received.terminate, func() { p.eventLoop.Do(p.lifecycle.stop) })
+}
+
+// forEach calls a function for each signal that is received.
+func forEach(received <-chan os.Signal, handle func()) {
+	for range received {
+		handle()
+	}
+}
+
+// onReportSignal logs the counters and the latest events.
+func (r *reporter) onReportSignal() {
+	r.logCounters()
+	r.logLatestEventsAsync("SIGUSR1", r.program.limits.FlightRecorderEvents)
+}
+
+// reloader applies configurations that are read while the program runs.
+type reloader struct {
+	program           *program
+	succeeded, failed uint64
 }
 
-// reload takes over a configuration that was read anew. Only the feed's address can change while the program
-// runs; a file that is bad, or that is for another director, is reported and changes nothing.
-func (p *program) reload(c *config.Config, err error) {
+// reload applies a configuration, or reports the error on reading it. Only the address of the list service can change while
+// the program runs; a configuration that is bad, or that is for another director, changes nothing.
+func (r *reloader) reload(conf *config.Config, err error) {
+	current, log := r.program.config, r.program.log
 	if err == nil {
-		err = p.config.CheckReload(c)
+		err = current.CheckReload(conf)
 	}
 	if err != nil {
-		p.failedReloads++
-		p.log.Warn("configuration kept as it was", zap.Error(err))
+		r.failed++
+		log.Warn("configuration kept as it was", zap.Error(err))
 		return
 	}
-	p.reloads++
-	p.log.Info("configuration read anew", zap.String("feed", c.DiscoveryAddress))
-	if c.Limits != p.config.Limits || !reflect.DeepEqual(c.Settings, p.config.Settings) {
-		p.log.Info("changed limits and settings wait for a restart")
+	r.succeeded++
+	log.Info("configuration read anew", zap.String("feed", conf.DiscoveryAddress))
+	if conf.Limits != current.Limits || !reflect.DeepEqual(conf.Settings, current.Settings) {
+		log.Info("changed limits and settings wait for a restart")
 	}
-	p.config.DiscoveryAddress = c.DiscoveryAddress
-	p.discovery.Redirect(c.DiscoveryAddress)
+	current.DiscoveryAddress = conf.DiscoveryAddress
+	r.program.discovery.Redirect(conf.DiscoveryAddress)
 }
--- /dev/null
+++ b/cmd/shaleyard/site.go
@@ -0,0 +1,97 @@
+package main
+
+import (
+	"encoding/json"
+	"fmt"
+	"os"
+	"slices"
+	"time"
+
+	"go.uber.org/zap"
+
+	"shaleyard/internal/config"
+	"shaleyard/internal/director"
+	"shaleyard/internal/discovery"
+	"shaleyard/internal/overload"
+	"shaleyard/internal/timer"
+	"shaleyard/routing"
+)
+
+// maxSiteEndpoints bounds the endpoints that the plan command reads.
+const maxSiteEndpoints = 4096
+
+// readSite reads the settings from a director's configuration, or from a file that holds them alone, and the endpoints that
+// the configuration knows.
+func readSite(path string) (*routing.Settings, []routing.Endpoint, error) {
+	text, err := os.ReadFile(path)
+	if err != nil {
+		return nil, nil, err
+	}
+	var document struct {
+		Settings json.RawMessage  `json:"settings"`
+		Known    config.Bootstrap `json:"known"`
+	}
+	if err := json.Unmarshal(text, &document); err != nil {
+		return nil, nil, fmt.Errorf("%s: %w", path, err)
+	}
+	if len(document.Settings) == 0 {
+		document.Settings = text
+	}
+	settings := &routing.Settings{}
+	if err := json.Unmarshal(document.Settings, settings); err != nil {
+		return nil, nil, fmt.Errorf("%s: settings: %w", path, err)
+	}
+	if len(settings.Classes) == 0 || len(settings.Zones) == 0 {
+		return nil, nil, fmt.Errorf("%s: no services or no zones (dcs) in it", path)
+	}
+	endpoints, err := bootstrapEndpoints(settings, document.Known)
+	if err != nil {
+		return nil, nil, fmt.Errorf("%s: known: %w", path, err)
+	}
+	return settings, endpoints, nil
+}
+
+// bootstrapEndpoints are the endpoints after the events of a bootstrap, read as a director reads them, but without a call of
+// the list service.
+func bootstrapEndpoints(settings *routing.Settings, known config.Bootstrap) ([]routing.Endpoint, error) {
+	list := &endpointList{}
+	limits := &config.Limits{MaxMembers: maxSiteEndpoints}
+	backoff := overload.NewBackoff(overload.BackoffConfig{
+		Directors:     1,
+		CallDuration:  time.Second,
+		ApplyWithin:   2 * time.Second,
+		NotifiedAfter: 7 * time.Second,
+	}, 0)
+	now := func() routing.Time { return 0 }
+	watcher := discovery.New(limits, settings, "", backoff, nil, list, &timer.Queue{}, now, zap.NewNop())
+	if err := watcher.Bootstrap(known); err != nil {
+		return nil, err
+	}
+	return list.routingEndpoints(), nil
+}
+
+// endpointList is the endpoint list that a watch comes to, by name. It implements discovery.Sink.
+type endpointList struct{ entries []director.Endpoint }
+
+// UpdateEndpoints applies a change of the list, or the full list.
+func (l *endpointList) UpdateEndpoints(full bool, _ uint64, changed []director.Endpoint) {
+	if full {
+		l.entries = l.entries[:0]
+	}
+	for _, endpoint := range changed {
+		l.entries = slices.DeleteFunc(l.entries, func(other director.Endpoint) bool { return other.Name == endpoint.Name })
+		l.entries = append(l.entries, endpoint)
+	}
+}
+
+// Purge implements discovery.Sink: purges have no part in a plan.
+func (*endpointList) Purge(director.Purge) {}
+
+// routingEndpoints are the endpoints as the decision module knows them.
+func (l *endpointList) routingEndpoints() []routing.Endpoint {
+	var endpoints []routing.Endpoint
+	for _, entry := range l.entries {
+		endpoints = append(endpoints, entry.Endpoint)
+	}
+	return endpoints
+}
--- a/cmd/shaleyard/stories_test.go
+++ b/cmd/shaleyard/stories_test.go
@@ -527,12 +527,12 @@
 
 func TestRejectionsAreLoggedSparingly(t *testing.T) {
 	var text strings.Builder
-	p := &program{log: newLogger(&text, "", "n1"), now: func() routing.Time { return time.Hour }} // a clock that stands
+	failures := newConnectionFailures(newLogger(&text, "", "n1"), func() routing.Time { return time.Hour }) // a clock that stands
 	for range 100 {
-		p.onConnectionRejected(io.ErrUnexpectedEOF)
+		failures.onConnectionRejected(io.ErrUnexpectedEOF)
 	}
-	if n := strings.Count(text.String(), "\n"); n != 1 || p.rejectedConnections != 100 {
-		t.Errorf("%d lines on %d rejections, want one on 100", n, p.rejectedConnections)
+	if n := strings.Count(text.String(), "\n"); n != 1 || failures.rejected != 100 {
+		t.Errorf("%d lines on %d rejections, want one on 100", n, failures.rejected)
 	}
 }
 
@@ -580,7 +580,7 @@
 	c := s.cache.Accept()
 	c.ReadCommand()
 	stopping := make(chan struct{})
-	s.program.eventLoop.Do(func() { s.program.stop(); close(stopping) })
+	s.program.eventLoop.Do(func() { s.program.lifecycle.stop(); close(stopping) })
 	<-stopping
 	if r := cl.Heartbeat(3); r.Good {
 		t.Error("ready while stopping")
@@ -609,7 +609,7 @@
 	cl.Send("\xff\xff\xff\xff" + strings.Repeat("junk", 5000))
 	rejected := make(chan struct{})
 	for done := false; !done; {
-		s.program.eventLoop.Do(func() { done = s.program.rejectedConnections > 0; rejected <- struct{}{} })
+		s.program.eventLoop.Do(func() { done = s.program.failures.rejected > 0; rejected <- struct{}{} })
 		<-rejected
 	}
 	c.WriteArray(ref1, "OK", "n=HIT", "whole")
@@ -632,7 +632,7 @@
 	c.ReadCommand()
 	c.WriteArray(ref1, "OK", "n=HIT", "last")
 	s.wantReply(cl.ReadReply(), nettest.Reply{Seq: 1, Body: "last", Good: true})
-	s.program.eventLoop.Do(s.program.stop)
+	s.program.eventLoop.Do(s.program.lifecycle.stop)
 	if rest := cl.ReadUntilEOF(); rest != "" {
 		t.Errorf("%q before the end", rest)
 	}
@@ -678,7 +678,7 @@
 		}
 	}
 	at(func() bool { return s.program.downstream.Counters.Answers == 1 })
-	s.program.eventLoop.Do(s.program.stop)
+	s.program.eventLoop.Do(s.program.lifecycle.stop)
 	var parted time.Duration
 	at(func() bool { parted = s.program.now(); return s.program.downstream.Counters.Lingering == 1 })
 	at(func() bool { return s.program.now()-parted > 3*s.program.limits.LingerTimeout })
@@ -709,8 +709,8 @@
 	if err := <-s.exited; err != nil {
 		t.Error(err)
 	}
-	if s.program.failedReloads != 0 {
-		t.Errorf("%d reloads are through; the stop waited for them", s.program.failedReloads)
+	if s.program.reloader.failed != 0 {
+		t.Errorf("%d reloads are through; the stop waited for them", s.program.reloader.failed)
 	}
 }
 
@@ -725,10 +725,10 @@
 	second.Heartbeat(1)
 	cl.Submit(1, "", requestFields("media", ref1)...)
 	s.cache.Accept().ReadCommand()
-	s.program.eventLoop.Do(s.program.stop)
+	s.program.eventLoop.Do(s.program.lifecycle.stop)
 	parted := make(chan struct{})
 	for done := false; !done; {
-		s.program.eventLoop.Do(func() { done = s.program.lifecycle.State() >= lifecycle.Closing; parted <- struct{}{} })
+		s.program.eventLoop.Do(func() { done = s.program.lifecycle.machine.State() >= lifecycle.Closing; parted <- struct{}{} })
 		<-parted
 	}
 	cl.Submit(2, "", requestFields("media", ref2)...)
