--- a/cmd/shaleyard/command_test.go
+++ b/cmd/shaleyard/command_test.go
@@ -23,7 +23,8 @@
 		return path
 	}
 	endpoint := func(name, zone, kind string, weight int) string {
-		return fmt.Sprintf(`{"name":%q,"address":"127.0.0.1:1","zone":%q,"type":%q,"status":"ready","weight":%d}`, name, zone, kind, weight)
+		return fmt.Sprintf(`{"name":%q,"address":"127.0.0.1:1","zone":%q,"type":%q,"status":"ready","weight":%d}`,
+			name, zone, kind, weight)
 	}
 	site := write("site.json", `{"settings":{"dcs":["west","east","edge"],"kinds":["std","parent","origin"],
 		"services":[{"name":"media","worth":2,"effect":"read_like"},{"name":"pay","worth":3,"effect":"non_idempotent"}],
--- a/cmd/shaleyard/faults_test.go
+++ b/cmd/shaleyard/faults_test.go
@@ -13,8 +13,8 @@
 // remainingTime is what a request that reached a cache says of the time that is left, in milliseconds.
 func remainingTime(t *testing.T, command []string) time.Duration {
 	t.Helper()
-	for f := range strings.SplitSeq(command[2], ",") {
-		if value, ok := strings.CutPrefix(f, "patience="); ok {
+	for field := range strings.SplitSeq(command[2], ",") {
+		if value, ok := strings.CutPrefix(field, "patience="); ok {
 			ms, err := strconv.Atoi(value)
 			if err != nil {
 				t.Fatal(err)
@@ -32,13 +32,11 @@
 // What is passed on is what the client has left: with the first attempt, with a further one behind a reset that came late,
 // and where the process stood still while the request waited unread.
 func TestPatienceIsWhatTheClientHasLeft(t *testing.T) {
-	s := &harness{t: t, cache: nettest.Listen(t), origin: nettest.Listen(t), discovery: nettest.Listen(t)}
-	child := startProcess(t, s.configJSON(256), 256)
-	s.discovery.Accept().ReadLine()
+	env := newHarness(t)
+	child := startProcess(t, env.configJSON(256), 256)
+	env.discovery.Accept().ReadLine()
 	allow := func(ref string) []string {
-		f := requestFields("media", ref)
-		f[5] = "6000"
-		return f
+		return withTimeout(requestFields("media", ref), "6000")
 	}
 	left := func(what string, sent time.Time, command []string) {
 		t.Helper()
@@ -46,26 +44,26 @@
 			t.Errorf("%s: %v passed on, %v left", what, got, want)
 		}
 	}
-	cl := nettest.Dial(t, child.address)
+	client := nettest.Dial(t, child.address)
 	sent := time.Now()
-	cl.Submit(1, "", allow(ref1)...)
-	c := s.cache.Accept()
-	left("the first attempt", sent, c.ReadCommand())
+	client.Submit(1, "", allow(ref1)...)
+	cacheConn := env.cache.Accept()
+	left("the first attempt", sent, cacheConn.ReadCommand())
 	time.Sleep(600 * time.Millisecond) // a reset that comes late
-	c.Reset()
-	c = s.cache.Accept()
-	left("behind a reset", sent, c.ReadCommand())
-	c.WriteArray(ref1, "OK", "n=HIT", "x")
-	cl.ReadReply()
+	cacheConn.Reset()
+	cacheConn = env.cache.Accept()
+	left("behind a reset", sent, cacheConn.ReadCommand())
+	cacheConn.WriteArray(ref1, "OK", "n=HIT", "x")
+	client.ReadReply()
 
 	child.signal(syscall.SIGSTOP)
 	sent = time.Now()
-	cl.Submit(2, "", allow(ref2)...)
+	client.Submit(2, "", allow(ref2)...)
 	time.Sleep(1500 * time.Millisecond)
 	child.signal(syscall.SIGCONT)
-	left("behind a pause", sent, c.ReadCommand())
-	c.WriteArray(ref2, "OK", "n=HIT", "y")
-	s.wantReply(cl.ReadReply(), nettest.Reply{Seq: 2, Body: "y", Good: true})
+	left("behind a pause", sent, cacheConn.ReadCommand())
+	cacheConn.WriteArray(ref2, "OK", "n=HIT", "y")
+	env.wantReply(client.ReadReply(), nettest.Reply{Seq: 2, Body: "y", Good: true})
 	child.stopGracefully()
 }
 
@@ -73,61 +71,62 @@
 // connections: all that was sent has its answer when the process ends, and that is before.
 func TestStopWithShortDeadlinesAnswersAllInTime(t *testing.T) {
 	cache := serveTCP(t, respondingCache(10*time.Second, "x"))
-	o := startOperatedWith(t, func(text string, s *harness) string {
-		text = strings.ReplaceAll(text, s.cache.Addr(), cache)
-		text = strings.ReplaceAll(text, s.origin.Addr(), cache)
+	proc := startOperatedWith(t, func(text string, env *harness) string {
+		text = strings.ReplaceAll(text, env.cache.Addr(), cache)
+		text = strings.ReplaceAll(text, env.origin.Addr(), cache)
 		return strings.ReplaceAll(text, `"deadline":20000000000`, `"deadline":1000000000`)
 	})
-	clients := startLoad(t, o.address, 24)
+	load := startLoad(t, proc.address, 24)
 	time.Sleep(300 * time.Millisecond) // requests are out by then
-	o.signal(syscall.SIGTERM)
-	kill := time.AfterFunc(1700*time.Millisecond, func() { o.Process.Kill() }) // as the platform does
+	proc.signal(syscall.SIGTERM)
+	kill := time.AfterFunc(1700*time.Millisecond, func() { _ = proc.Process.Kill() }) // as the platform does
 	defer kill.Stop()
 	time.Sleep(300 * time.Millisecond)
-	clients.serverStopping.Store(true)
-	o.waitForLog(`"to":"ended"`) // by itself
-	for o.lines.Scan() {
-	}
-	o.Wait()
-	clients.stopAndCheck()
+	load.serverStopping.Store(true)
+	proc.waitForLog(`"to":"ended"`) // by itself
+	proc.skipLog()
+	_ = proc.Wait() // it may have been killed: the clients tell whether that was too soon
+	load.stopAndCheck()
 }
 
 // Signals by the hundred, an epoll_wait that they interrupt every other time, and writes that take a part only: no request
 // is lost, and no answer is spoilt.
 func TestInterruptedSystemCallsLoseNothing(t *testing.T) {
-	o := startWithFaults(t, map[string]func(text string) string{
+	proc := startWithFaults(t, map[string]func(text string) string{
 		"unix/zsyscall_linux.go": func(text string) string {
 			return insertAfterLine(t, text, "func EpollWait(epfd int, events []EpollEvent, msec int) (n int, err error) {\n",
 				"\tif waits++; waits%2 == 0 {\n\t\treturn -1, EINTR\n\t}\n") + "\nvar waits int\n"
 		},
 		"unix/syscall_unix.go": func(text string) string {
-			return insertAfterLine(t, text, "func Write(fd int, p []byte) (n int, err error) {\n", "\tif len(p) > 100 {\n\t\tp = p[:100]\n\t}\n")
+			return insertAfterLine(t, text, "func Write(fd int, p []byte) (n int, err error) {\n",
+				"\tif len(p) > 100 {\n\t\tp = p[:100]\n\t}\n")
 		},
 	})
-	clients := startLoad(t, o.address, 12)
+	load := startLoad(t, proc.address, 12)
 	for range 300 {
-		o.signal(syscall.SIGUSR1)
+		proc.signal(syscall.SIGUSR1)
 		time.Sleep(5 * time.Millisecond)
 	}
-	clients.stopAndCheck()
-	o.signal(syscall.SIGTERM)
-	o.waitExit()
+	load.stopAndCheck()
+	proc.signal(syscall.SIGTERM)
+	proc.waitExit()
 }
 
 // The system refuses every seventh time to wait on a new connection. Clients whose connection it was are served all the
 // same, and the caches are not to blame.
 func TestRefusedRegistrationsLoseNothing(t *testing.T) {
-	o := startWithFaults(t, map[string]func(text string) string{
+	proc := startWithFaults(t, map[string]func(text string) string{
 		"unix/zsyscall_linux.go": func(text string) string {
 			return insertAfterLine(t, text, "func EpollCtl(epfd int, op int, fd int, event *EpollEvent) (err error) {\n",
-				"\tif op == EPOLL_CTL_ADD {\n\t\tif adds++; adds > 10 && adds%7 == 0 {\n\t\t\treturn ENOMEM\n\t\t}\n\t}\n") + "\nvar adds int\n"
+				"\tif op == EPOLL_CTL_ADD {\n\t\tif adds++; adds > 10 && adds%7 == 0 {\n\t\t\treturn ENOMEM\n\t\t}\n\t}\n") +
+				"\nvar adds int\n"
 		},
 	})
-	clients := startLoad(t, o.address, 12)
+	load := startLoad(t, proc.address, 12)
 	time.Sleep(1500 * time.Millisecond) // hundreds of connections
-	clients.stopAndCheck()
-	o.signal(syscall.SIGTERM)
-	o.waitExit()
+	load.stopAndCheck()
+	proc.signal(syscall.SIGTERM)
+	proc.waitExit()
 }
 
 // startWithFaults is the program with wrappers of system calls changed, before a cache that answers by itself.
@@ -135,37 +134,35 @@
 	t.Helper()
 	program := buildWithModule(t, "golang.org/x/sys", change)
 	cache := serveTCP(t, respondingCache(time.Millisecond, strings.Repeat("0123456789abcdef", 1000)))
-	s := &harness{t: t, cache: nettest.Listen(t), origin: nettest.Listen(t), discovery: nettest.Listen(t)}
-	text := strings.ReplaceAll(strings.ReplaceAll(string(s.configJSON(256)), s.cache.Addr(), cache), s.discovery.Addr(), serveTCP(t, idleDiscoveryService))
-	o := &operatedProcess{process: newProcess(t, program, []byte(text), 256), harness: s}
-	o.launch()
-	o.waitListening()
-	go func() {
-		for o.lines.Scan() {
-		}
-	}()
-	return o
+	env := newHarness(t)
+	text := strings.ReplaceAll(string(env.configJSON(256)), env.cache.Addr(), cache)
+	text = strings.ReplaceAll(text, env.discovery.Addr(), serveTCP(t, idleDiscoveryService))
+	proc := &operatedProcess{process: newProcess(t, program, []byte(text), 256), harness: env}
+	proc.launch()
+	proc.waitListening()
+	go proc.skipLog()
+	return proc
 }
 
 // A director that is told of many descriptors and has few: what can't be opened is waited for, and all is served when they
 // are there again.
 func TestConnectsWithoutDescriptorsAreNoEvidence(t *testing.T) {
-	s := &harness{t: t, cache: nettest.Listen(t), origin: nettest.Listen(t), discovery: nettest.Listen(t)}
-	child := startProcess(t, s.configJSON(256), 256)
-	s.discovery.Accept().ReadLine()
-	cl := nettest.Dial(t, child.address)
-	cl.Heartbeat(1)
+	env := newHarness(t)
+	child := startProcess(t, env.configJSON(256), 256)
+	env.discovery.Accept().ReadLine()
+	client := nettest.Dial(t, child.address)
+	client.Heartbeat(1)
 	var before syscall.Rlimit
 	prlimit(t, child.Process.Pid, nil, &before)
 	prlimit(t, child.Process.Pid, &syscall.Rlimit{Cur: 3, Max: before.Max}, nil)
-	cl.Submit(2, "", requestFields("media", ref1)...)
+	client.Submit(2, "", requestFields("media", ref1)...)
 	if line := child.waitForLog("connect failed"); !strings.Contains(line, "too many open files") {
 		t.Errorf("the connect failed otherwise: %s", line)
 	}
 	prlimit(t, child.Process.Pid, &before, nil)
-	c := s.cache.Accept()
-	c.WriteArray(c.ReadCommand()[1], "OK", "n=HIT", "x")
-	s.wantReply(cl.ReadReply(), nettest.Reply{Seq: 2, Body: "x", Good: true})
+	cacheConn := env.cache.Accept()
+	cacheConn.WriteArray(cacheConn.ReadCommand()[1], "OK", "n=HIT", "x")
+	env.wantReply(client.ReadReply(), nettest.Reply{Seq: 2, Body: "x", Good: true})
 	child.signal(syscall.SIGTERM)
 	for child.lines.Scan() {
 		if strings.Contains(child.lines.Text(), `"msg":"eject`) {
--- /dev/null
+++ b/cmd/shaleyard/harness_test.go
@@ -0,0 +1,134 @@
+package main
+
+import (
+	"fmt"
+	"io"
+	"slices"
+	"strings"
+	"testing"
+
+	"github.com/google/go-cmp/cmp"
+
+	"shaleyard/internal/config"
+	"shaleyard/internal/failover"
+	"shaleyard/internal/nettest"
+)
+
+// harness is the program under test between scripted peers: the list service, a cache and the origin.
+type harness struct {
+	t             *testing.T
+	program       *program // nil: it runs in a process of its own
+	cache, origin *nettest.Server
+	discovery     *nettest.Server
+	exited        chan error // what the event loop has ended with
+}
+
+// newHarness returns a harness without the program.
+func newHarness(t *testing.T) *harness {
+	t.Helper()
+	return &harness{t: t, cache: nettest.Listen(t), origin: nettest.Listen(t), discovery: nettest.Listen(t),
+		exited: make(chan error, 1)}
+}
+
+// settingsJSON are the settings in all configurations of the harness.
+const settingsJSON = `{"balancers":1,"dcs":["hub","here"],"kinds":["edge","parent","origin"],"zone":1,
+ "registryMode":"automatic","weights":"rough","quantum":2000000,
+ "services":[{"name":"media","aim":5000000000,"deadline":20000000000,"worth":2,"effect":"read_like"},
+  {"name":"repayment","aim":5000000000,"deadline":20000000000,"worth":3,"effect":"non_idempotent"}],
+ "ceilings":{"cancel":true,"maxAttempts":6,"secondCopies":true,"retryAfter":true,"maxRetryAfter":500000000,
+  "connectTimeout":5000000000},
+ "guarantees":{"cold":1000000000,"coldFrom":0.5,"fall":1000000000,"drainGrace":2000000000,"tipMultiple":2},
+ "familyInfo":{"passOn":[false,true],"mergesFills":true,"flowKbPerS":1000,"masterKind":2,"secondTierKind":1,"notesGiven":"all",
+  "purgeTakes":6000000000,"purgeSlack":500000000},
+ "report":{"fields":["active"],"via":"inline"}}`
+
+// endpointJSON is an endpoint as the list service gives it.
+func endpointJSON(name, address, zone, kind, status string) string {
+	return fmt.Sprintf(`{"name":%q,"address":%q,"zone":%q,"type":%q,"status":%q,"weight":4}`,
+		name, address, zone, kind, status)
+}
+
+// membersEvent is an event of the list service with endpoints.
+func membersEvent(n int, snapshot bool, list ...string) string {
+	return fmt.Sprintf(`{"n":%d,"members":{"index":%d,"snapshot":%v,"endpoints":[%s]}}`, n, n, snapshot,
+		strings.Join(list, ","))
+}
+
+// startProgram runs the program in this process until the test ends. The test accepts its calls of the list service.
+func startProgram(t *testing.T) *harness {
+	t.Helper()
+	return startWithDescriptors(t, 1024)
+}
+
+// startWithDescriptors does so with a limit on the program's descriptors.
+func startWithDescriptors(t *testing.T, sockets int) *harness {
+	t.Helper()
+	return startWithLimits(t, sockets, io.Discard, nil)
+}
+
+// startWithLimits does so with the log going to logTo, and with limits changed.
+func startWithLimits(t *testing.T, sockets int, logTo io.Writer, change func(*config.Limits)) *harness {
+	t.Helper()
+	env := newHarness(t)
+	conf, err := config.Parse(env.configJSON(sockets), 1024)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if change != nil {
+		change(&conf.Limits)
+	}
+	if env.program, err = newProgram(conf, failover.Overrides{}, newLogger(logTo, "", conf.Name)); err != nil {
+		t.Fatal(err)
+	}
+	if err := env.program.discovery.Bootstrap(conf.Bootstrap); err != nil {
+		t.Fatal(err)
+	}
+	booted := make(chan struct{})
+	env.program.eventLoop.Boot = func() {
+		env.program.start()
+		close(booted)
+	}
+	go func() { env.exited <- env.program.eventLoop.Run(conf.ListenAddress) }()
+	select {
+	case <-booted:
+	case err := <-env.exited:
+		t.Fatalf("ended at its start: %v", err)
+	}
+	t.Cleanup(env.program.eventLoop.Stop)
+	return env
+}
+
+// configJSON is a configuration with the harness's peers, and a limit on descriptors.
+func (h *harness) configJSON(sockets int) []byte {
+	known := membersEvent(1, true, endpointJSON("c1", h.cache.Addr(), "here", "edge", "ready"),
+		endpointJSON("o", h.origin.Addr(), "hub", "origin", "ready"))
+	return fmt.Appendf(nil, `{"name":"n1","listen":"127.0.0.1:0","feed":%q,"seed":"1",
+		"limits":{"cores":1,"memory_mb":192,"sockets":%d},"known":{"n":1,"events":[%s]},"settings":%s}`,
+		h.discovery.Addr(), sockets, known, settingsJSON)
+}
+
+// dial connects a client.
+func (h *harness) dial() *nettest.Conn { return nettest.Dial(h.t, h.program.eventLoop.Address()) }
+
+// requestFields are the fields of a request of a class, with its reference.
+func requestFields(class, ref string) []string {
+	return []string{"service", class, "ref", ref, "allow", "15000", "lookup", "7f3a9c21e0b4d655", "chunk", "3",
+		"tag", "17", "room", "412.5"}
+}
+
+// withTimeout replaces the client's timeout in such fields, in milliseconds.
+func withTimeout(fields []string, milliseconds string) []string {
+	fields[slices.Index(fields, "allow")+1] = milliseconds
+	return fields
+}
+
+// References of requests.
+const ref1, ref2, ref3 = "9b1f03aa5c7e2d41", "9b1f03aa5c7e2d42", "9b1f03aa5c7e2d43"
+
+// wantReply compares a reply with the one that is wanted.
+func (h *harness) wantReply(got, want nettest.Reply) {
+	h.t.Helper()
+	if diff := cmp.Diff(want, got); diff != "" {
+		h.t.Error(diff)
+	}
+}
--- a/cmd/shaleyard/interface_process_test.go
+++ b/cmd/shaleyard/interface_process_test.go
@@ -56,7 +56,8 @@
 	}
 	t.Setenv("SHALEYARD_CONFIG", file+"y")
 	var out strings.Builder
-	if status := runCommand([]string{"plan", "--settings", file}, &out, &out); status != 2 || !strings.Contains(out.String(), file+"y") {
+	status := runCommand([]string{"plan", "--settings", file}, &out, &out)
+	if status != 2 || !strings.Contains(out.String(), file+"y") {
 		t.Errorf("plan with SHALEYARD_CONFIG: status %d, %s", status, out.String())
 	}
 }
@@ -68,7 +69,8 @@
 		status int
 	}{
 		{"check ../../deploy/shaleyard.toml", 0}, {"check nosuch.toml", 2}, {"check", 2}, {"check a b", 2}, {"serve", 2},
-		{"plan", 2}, {"plan -h", 0}, {"plan --settings nosuch.json", 2}, {"plan --nosuch", 2}, {"-h", 0}, {"--help", 0}, {"--nosuch", 2},
+		{"plan", 2}, {"plan -h", 0}, {"plan --settings nosuch.json", 2}, {"plan --nosuch", 2},
+		{"-h", 0}, {"--help", 0}, {"--nosuch", 2},
 	} {
 		if got := runCommand(strings.Fields(c.line), io.Discard, io.Discard); got != c.status {
 			t.Errorf("shaleyard %s: status %d, want %d", c.line, got, c.status)
@@ -76,8 +78,9 @@
 	}
 	var help strings.Builder
 	runCommand([]string{"plan", "-h"}, io.Discard, &help)
-	var flags []string
-	for _, match := range regexp.MustCompile(`(?m)^  -(\S+)`).FindAllStringSubmatch(help.String(), -1) {
+	matches := regexp.MustCompile(`(?m)^  -(\S+)`).FindAllStringSubmatch(help.String(), -1)
+	flags := make([]string, 0, len(matches))
+	for _, match := range matches {
 		flags = append(flags, match[1])
 	}
 	if want := []string{"config", "json", "lost", "settings"}; !slices.Equal(flags, want) {
@@ -210,7 +213,8 @@
 		{"clients' address in use", "EDGE_CONFIG=" + write("listen.json", document(inUse, "")), 1, "in use"},
 		{"operators' address in use", "EDGE_CONFIG=" + write("operator.json", document("127.0.0.1:0", inUse)), 1, "in use"},
 		{"no such operators' file", "SHALEYARD_CONFIG=" + filepath.Join(folder, "nosuch"), 2, "shaleyard: SHALEYARD_CONFIG: "},
-		{"a bad operators' file", "SHALEYARD_CONFIG=" + write("bad.toml", "[list]\nhaste = 1\n"), 2, "shaleyard: SHALEYARD_CONFIG: "},
+		{"a bad operators' file", "SHALEYARD_CONFIG=" + write("bad.toml", "[list]\nhaste = 1\n"), 2,
+			"shaleyard: SHALEYARD_CONFIG: "},
 	} {
 		if status, wrote := failedStart(t, c.environment); status != c.status || !strings.Contains(wrote, c.says) {
 			t.Errorf("%s: status %d, want %d with %q:\n%s", c.name, status, c.status, c.says, wrote)
@@ -220,7 +224,7 @@
 
 // The names of the process's states are the body of a GET of /healthcheck that is answered 503, and stand in the log.
 func TestNamesOfProcessStates(t *testing.T) {
-	var names []string
+	names := make([]string, 0, lifecycle.Ended+1)
 	for state := range lifecycle.Ended + 1 {
 		names = append(names, state.String())
 	}
@@ -234,25 +238,25 @@
 // it with status 0. The operators' address takes calls.
 func TestSignals(t *testing.T) {
 	for _, end := range []syscall.Signal{syscall.SIGTERM, syscall.SIGINT} {
-		o := startOperated(t)
-		o.signal(syscall.SIGUSR1)
-		o.waitForLog(`"cause":"SIGUSR1"`)
-		o.harness.discovery = nettest.Listen(t)
-		o.process.writeConfig(o.harness.configJSON(256))
-		o.signal(syscall.SIGHUP)
-		if got := o.harness.discovery.Accept().ReadLine(); got != "SUB 1" {
+		proc := startOperated(t)
+		proc.signal(syscall.SIGUSR1)
+		proc.waitForLog(`"cause":"SIGUSR1"`)
+		proc.discovery = nettest.Listen(t)
+		proc.writeConfig(proc.configJSON(256))
+		proc.signal(syscall.SIGHUP)
+		if got := proc.discovery.Accept().ReadLine(); got != "SUB 1" {
 			t.Errorf("behind SIGHUP the new address was asked %q", got)
 		}
-		if got, want := operatorCall(t, o.operators, http.MethodPut, "/healthcheck/fail"), `PUT /healthcheck/fail: 200 ""`; got != want {
+		got := operatorCall(t, proc.operators, http.MethodPut, "/healthcheck/fail")
+		if want := `PUT /healthcheck/fail: 200 ""`; got != want {
 			t.Errorf("%s, want %s", got, want)
 		}
-		if got := o.status(http.MethodGet, "/healthcheck"); got != http.StatusServiceUnavailable {
+		if got := proc.status(http.MethodGet, "/healthcheck"); got != http.StatusServiceUnavailable {
 			t.Errorf("behind a drain GET /healthcheck: %d, want 503", got)
 		}
-		o.signal(end)
-		for o.lines.Scan() {
-		}
-		if err := o.Wait(); err != nil || o.ProcessState.ExitCode() != 0 {
+		proc.signal(end)
+		proc.skipLog()
+		if err := proc.Wait(); err != nil || proc.ProcessState.ExitCode() != 0 {
 			t.Errorf("%v: %v, want status 0", end, err)
 		}
 	}
--- a/cmd/shaleyard/interface_test.go
+++ b/cmd/shaleyard/interface_test.go
@@ -4,6 +4,7 @@
 	"bytes"
 	"encoding/json"
 	"errors"
+	"flag"
 	"fmt"
 	"os"
 	"path/filepath"
@@ -24,14 +25,13 @@
 // keys of files, environment variables, command line flags, HTTP calls, signals and exit statuses. No Go name has a
 // part in them, so that they hold the same through every renaming. A difference is a change of an interface.
 
+var updateGolden = flag.Bool("update", false, "write the files in testdata/golden anew")
+
 // wantGolden compares a text with a file in testdata/golden; with -update it writes the file.
 func wantGolden(t *testing.T, name, got string) {
 	t.Helper()
 	path := filepath.Join("testdata", "golden", name)
-	if *updatePlans {
-		if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
-			t.Fatal(err)
-		}
+	if *updateGolden {
 		if err := os.WriteFile(path, []byte(got), 0o644); err != nil {
 			t.Fatal(err)
 		}
@@ -307,8 +307,9 @@
 		t.Fatal(err)
 	}
 	limits := &full.Limits
-	got := fmt.Sprintln(full.Name, full.ListenAddress, full.DiscoveryAddress, full.OperatorAddress, full.Seed, full.Bootstrap.Revision, len(full.Bootstrap.Events),
-		limits.Cores, limits.MemoryBytes, limits.Descriptors, limits.ConnectTimeout, limits.UpstreamIdleTimeout, limits.MaxAttemptsPerConn)
+	got := fmt.Sprintln(full.Name, full.ListenAddress, full.DiscoveryAddress, full.OperatorAddress, full.Seed,
+		full.Bootstrap.Revision, len(full.Bootstrap.Events), limits.Cores, limits.MemoryBytes, limits.Descriptors,
+		limits.ConnectTimeout, limits.UpstreamIdleTimeout, limits.MaxAttemptsPerConn)
 	if want := "n1 127.0.0.1:0 127.0.0.1:1 127.0.0.1:2 31 1 1 1.5 150994944 200 1.3s 6s 17\n"; got != want {
 		t.Errorf("read as %s, want %s", got, want)
 	}
@@ -327,7 +328,8 @@
 			t.Errorf("%s of a wrong type: %v, want an error that spells it", key, err)
 		}
 	}
-	if diff := cmp.Diff("events[] any\nn number\n", keyList(typeKeys(reflect.TypeFor[config.Bootstrap](), "json", ""))); diff != "" {
+	known := keyList(typeKeys(reflect.TypeFor[config.Bootstrap](), "json", ""))
+	if diff := cmp.Diff("events[] any\nn number\n", known); diff != "" {
 		t.Errorf("known (-want +got):\n%s", diff)
 	}
 }
--- a/cmd/shaleyard/operator_test.go
+++ b/cmd/shaleyard/operator_test.go
@@ -29,12 +29,12 @@
 // unusedAddress is a loopback address that nobody listens on.
 func unusedAddress(t *testing.T) string {
 	t.Helper()
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer l.Close()
-	return l.Addr().String()
+	defer listener.Close()
+	return listener.Addr().String()
 }
 
 // startOperated starts the program between stand-ins and waits until it says that it is ready.
@@ -44,32 +44,39 @@
 }
 
 // startOperatedWith starts it with its configuration changed.
-func startOperatedWith(t *testing.T, change func(text string, s *harness) string) *operatedProcess {
+func startOperatedWith(t *testing.T, change func(text string, env *harness) string) *operatedProcess {
 	t.Helper()
-	s := &harness{t: t, cache: nettest.Listen(t), origin: nettest.Listen(t), discovery: nettest.Listen(t)}
-	text := []byte(change(string(s.configJSON(256)), s))
-	o := &operatedProcess{process: newProcess(t, os.Args[0], text, 256), harness: s, operators: unusedAddress(t)}
-	o.Env = append(o.Env, "EDGE_OPERATOR="+o.operators)
-	o.launch()
-	o.waitListening()
-	o.discovery.Accept().ReadLine()
-	o.waitReady(readyAfterResume, true)
-	return o
+	env := newHarness(t)
+	text := []byte(change(string(env.configJSON(256)), env))
+	proc := launchOperated(t, os.Args[0], env, text)
+	proc.discovery.Accept().ReadLine()
+	proc.waitReady(readyAfterResume, true)
+	return proc
+}
+
+// launchOperated starts a program with a configuration and an operators' address, and waits until it accepts clients.
+func launchOperated(t *testing.T, path string, env *harness, config []byte) *operatedProcess {
+	t.Helper()
+	proc := &operatedProcess{process: newProcess(t, path, config, 256), harness: env, operators: unusedAddress(t)}
+	proc.Env = append(proc.Env, "EDGE_OPERATOR="+proc.operators)
+	proc.launch()
+	proc.waitListening()
+	return proc
 }
 
 // call makes one call of the operators' address and tells whether the answer was yes; no answer in time ends the test.
-func (o *operatedProcess) call(method, path string) bool {
-	o.process.t.Helper()
-	status := o.status(method, path)
+func (p *operatedProcess) call(method, path string) bool {
+	p.process.t.Helper()
+	status := p.status(method, path)
 	if status == 0 {
-		o.process.t.Fatalf("%s %s: no answer", method, path)
+		p.process.t.Fatalf("%s %s: no answer", method, path)
 	}
 	return status >= 200 && status < 300
 }
 
 // status is the status code of one call; 0: there was no answer in time.
-func (o *operatedProcess) status(method, path string) int {
-	request, err := http.NewRequest(method, "http://"+o.operators+path, nil)
+func (p *operatedProcess) status(method, path string) int {
+	request, err := http.NewRequest(method, "http://"+p.operators+path, nil)
 	if err != nil {
 		return 0
 	}
@@ -83,74 +90,77 @@
 }
 
 // waitReady asks whether the program is ready, as the front does, until it says so or that it is not.
-func (o *operatedProcess) waitReady(limit time.Duration, ready bool) {
-	o.process.t.Helper()
+func (p *operatedProcess) waitReady(limit time.Duration, ready bool) {
+	p.process.t.Helper()
 	for begun := time.Now(); time.Since(begun) < limit; {
-		if status := o.status(http.MethodGet, "/healthcheck"); status != 0 && (status < 300) == ready {
+		status := p.status(http.MethodGet, "/healthcheck")
+		answered, saidReady := status != 0, status < 300
+		if answered && saidReady == ready {
 			return
 		}
 	}
-	o.process.t.Fatalf("ready: not %v within %v", ready, limit)
+	p.process.t.Fatalf("ready: not %v within %v", ready, limit)
 }
 
-func (o *operatedProcess) connect() *nettest.Conn { return nettest.Dial(o.process.t, o.address) }
+// connect connects a client.
+func (p *operatedProcess) connect() *nettest.Conn { return nettest.Dial(p.process.t, p.address) }
 
 // A drained director says no at once, by HTTP and by heartbeat, answers what it has taken, and holds no client's
 // connection past the time, whether that rests, waits for an answer or goes on sending. It runs on, and works again when
 // the drain is taken back.
 func TestOperatorDrainEmptiesTheProcess(t *testing.T) {
-	o := startOperated(t)
-	idle, waiting, sending := o.connect(), o.connect(), o.connect()
+	proc := startOperated(t)
+	idle, waiting, sending := proc.connect(), proc.connect(), proc.connect()
 	idle.Heartbeat(1)
 	waiting.Submit(1, "", requestFields("media", ref1)...)
-	cache := o.cache.Accept()
+	cache := proc.cache.Accept()
 	cache.ReadCommand()
 	sending.Submit(1, "", requestFields("media", ref2)...)
-	o.cache.Accept().ReadCommand() // never answered
+	proc.cache.Accept().ReadCommand() // never answered
 
 	drained := time.Now()
 	for range 2 { // told twice, it is drained from the first time on
-		if !o.call(http.MethodPut, "/healthcheck/fail") {
+		if !proc.call(http.MethodPut, "/healthcheck/fail") {
 			t.Fatal("the drain was refused")
 		}
 	}
-	if o.call(http.MethodGet, "/healthcheck") {
+	if proc.call(http.MethodGet, "/healthcheck") {
 		t.Error("ready by HTTP behind the drain")
 	}
-	if r := sending.Heartbeat(2); r.Good {
+	if reply := sending.Heartbeat(2); reply.Good {
 		t.Error("ready by heartbeat behind the drain")
 	}
 	idle.ReadUntilEOF()
 	idle.Close()
 	cache.WriteArray(ref1, "OK", "n=HIT", "whole")
-	o.wantReply(waiting.ReadReply(), nettest.Reply{Seq: 1, Body: "whole", Good: true})
+	proc.wantReply(waiting.ReadReply(), nettest.Reply{Seq: 1, Body: "whole", Good: true})
 	waiting.ReadUntilEOF()
 	waiting.Close()
-	answers := o.keepSending(sending, 3, drained)
-	for seq, n := range answers {
-		if n != 1 {
-			t.Errorf("request %d has %d answers, want 1", seq, n)
+	answers := proc.keepSending(sending, 3, drained)
+	for seq, count := range answers {
+		if count != 1 {
+			t.Errorf("request %d has %d answers, want 1", seq, count)
 		}
 	}
 	if took := time.Since(drained); took > drainLimit {
 		t.Errorf("clients were held for %v behind the drain, %v at most", took, drainLimit)
 	}
 
-	if !o.call(http.MethodPut, "/healthcheck/ok") {
+	if !proc.call(http.MethodPut, "/healthcheck/ok") {
 		t.Fatal("the drain was not taken back")
 	}
-	o.waitReady(readyAfterResume, true)
-	again := o.connect()
-	if r := again.Heartbeat(1); !r.Good {
+	proc.waitReady(readyAfterResume, true)
+	again := proc.connect()
+	if reply := again.Heartbeat(1); !reply.Good {
 		t.Error("not ready by heartbeat though the drain was taken back")
 	}
-	o.signal(syscall.SIGTERM)
-	o.waitReady(readyAfterResume, false)
+	proc.signal(syscall.SIGTERM)
+	proc.waitReady(readyAfterResume, false)
 }
 
 // keepSending goes on sending requests on a connection on which request 1 is open, one each 100 ms, until the other side ends
 // it, and counts the answers of each request that was sent 50 ms before that or sooner.
-func (o *operatedProcess) keepSending(c *nettest.Conn, seq int32, since time.Time) map[int32]int {
+func (p *operatedProcess) keepSending(client *nettest.Conn, seq int32, since time.Time) map[int32]int {
 	answers := map[int32]int{1: 0}
 	sent := map[int32]time.Time{}
 	stop := make(chan struct{})
@@ -165,24 +175,24 @@
 				return
 			case now := <-every.C:
 				sent[seq] = now
-				if !c.TrySend(nettest.SubmitFrame(seq, "", requestFields("media", "00000000000000"+"a0")...)) {
+				if !client.TrySend(nettest.SubmitFrame(seq, "", requestFields("media", "00000000000000"+"a0")...)) {
 					return
 				}
 			}
 		}
 	}()
 	for {
-		r, ok := c.TryReadReply()
+		reply, ok := client.TryReadReply()
 		if !ok {
 			break
 		}
-		answers[r.Seq]++
+		answers[reply.Seq]++
 	}
 	ended := time.Now()
 	close(stop)
 	<-done
-	for seq, at := range sent {
-		if _, answered := answers[seq]; !answered && ended.Sub(at) > 50*time.Millisecond {
+	for seq, sentAt := range sent {
+		if _, answered := answers[seq]; !answered && ended.Sub(sentAt) > 50*time.Millisecond {
 			answers[seq] = 0
 		}
 	}
@@ -191,11 +201,11 @@
 
 // An accept that fails for want of descriptors must end neither the process nor what it holds: it is tried again.
 func TestFailedAcceptIsTriedAgain(t *testing.T) {
-	s := &harness{t: t, cache: nettest.Listen(t), origin: nettest.Listen(t), discovery: nettest.Listen(t)}
-	child := startProcess(t, s.configJSON(256), 256)
+	env := newHarness(t)
+	child := startProcess(t, env.configJSON(256), 256)
 	holding := nettest.Dial(t, child.address)
 	holding.Submit(1, "", requestFields("media", ref1)...)
-	cache := s.cache.Accept()
+	cache := env.cache.Accept()
 	cache.ReadCommand()
 	var before syscall.Rlimit
 	prlimit(t, child.Process.Pid, nil, &before)
@@ -203,12 +213,12 @@
 	late := nettest.Dial(t, child.address)
 	late.Submit(1, "", requestFields("media", ref2)...)
 	cache.WriteArray(ref1, "OK", "n=HIT", "held")
-	s.wantReply(holding.ReadReply(), nettest.Reply{Seq: 1, Body: "held", Good: true})
+	env.wantReply(holding.ReadReply(), nettest.Reply{Seq: 1, Body: "held", Good: true})
 	child.waitForLog("accept")
 	prlimit(t, child.Process.Pid, &before, nil)
 	cache.ReadCommand()
 	cache.WriteArray(ref2, "OK", "n=HIT", "late")
-	s.wantReply(late.ReadReply(), nettest.Reply{Seq: 1, Body: "late", Good: true})
+	env.wantReply(late.ReadReply(), nettest.Reply{Seq: 1, Body: "late", Good: true})
 	child.stopGracefully()
 }
 
@@ -228,37 +238,32 @@
 	for _, step := range []time.Duration{-time.Hour, -5 * time.Second, 5 * time.Second, time.Hour} {
 		t.Run(step.String(), func(t *testing.T) {
 			t.Parallel()
-			s := &harness{t: t, cache: nettest.Listen(t), origin: nettest.Listen(t), discovery: nettest.Listen(t)}
-			child := newProcess(t, buildWithSteppedClock(t, step), s.configJSON(256), 256)
-			o := &operatedProcess{process: child, harness: s, operators: unusedAddress(t)}
-			o.Env = append(o.Env, "EDGE_OPERATOR="+o.operators)
-			child.launch()
-			child.waitListening()
-			feed := s.discovery.Accept()
-			feed.ReadLine()
+			env := newHarness(t)
+			proc := launchOperated(t, buildWithSteppedClock(t, step), env, env.configJSON(256))
+			env.discovery.Accept().ReadLine()
 			begun := time.Now()
-			cl := nettest.Dial(t, child.address)
-			cl.Submit(1, "", append(requestFields("repayment", ref1)[:5:5], append([]string{"2500"}, requestFields("repayment", ref1)[6:]...)...)...)
-			s.cache.Accept().ReadCommand() // never answered
-			if r := cl.ReadReply(); r.Field != 2 {
-				t.Errorf("%+v, want request 1 failed", r)
+			client := nettest.Dial(t, proc.address)
+			client.Submit(1, "", withTimeout(requestFields("repayment", ref1), "2500")...)
+			env.cache.Accept().ReadCommand() // never answered
+			if reply := client.ReadReply(); reply.Field != 2 {
+				t.Errorf("%+v, want request 1 failed", reply)
 			}
 			if took := time.Since(begun); took < 2400*time.Millisecond || took > 3*time.Second {
 				t.Errorf("given up after %v, want 2.5 s", took)
 			}
-			begun = o.drain()
-			cl.ReadUntilEOF()
-			cl.Close()
+			begun = proc.drain()
+			client.ReadUntilEOF()
+			client.Close()
 			if took := time.Since(begun); took < 300*time.Millisecond || took > 2*time.Second {
 				t.Errorf("a resting client was ended %v behind the drain, want 0.5 s", took)
 			}
-			o.cancelDrain()
-			s.discovery = nettest.Listen(t)
-			child.writeConfig(s.configJSON(256))
-			child.signal(syscall.SIGHUP)
-			s.discovery.Accept().ReadLine()
+			proc.cancelDrain()
+			env.discovery = nettest.Listen(t)
+			proc.writeConfig(env.configJSON(256))
+			proc.signal(syscall.SIGHUP)
+			env.discovery.Accept().ReadLine()
 			begun = time.Now()
-			child.stopGracefully()
+			proc.stopGracefully()
 			if took := time.Since(begun); took > 2*time.Second {
 				t.Errorf("the stop took %v, want 0.7 s", took)
 			}
--- a/cmd/shaleyard/plan_golden_test.go
+++ b/cmd/shaleyard/plan_golden_test.go
@@ -1,16 +1,12 @@
 package main
 
 import (
-	"flag"
 	"fmt"
-	"os"
 	"path/filepath"
 	"strings"
 	"testing"
 )
 
-var updatePlans = flag.Bool("update", false, "write the expected output of the plan command anew")
-
 // TestPlanCommandOutput holds what `shaleyard plan` prints, byte for byte, for deployments of several shapes, losses and
 // operators' files. The numbers in the JSON form are printed in full, so that a change in the order of the arithmetic shows.
 func TestPlanCommandOutput(t *testing.T) {
@@ -23,9 +19,11 @@
 	}{
 		{name: "ring-all", settings: "ring.json"},
 		{name: "ring-two-hubs-json", settings: "ring.json", options: []string{"--lost", "west,middle", "--json"}},
-		{name: "ring-overrides-branch", settings: "ring.json", config: "ring-overrides.toml", options: []string{"--lost", "edge-1"}},
+		{name: "ring-overrides-branch", settings: "ring.json", config: "ring-overrides.toml",
+			options: []string{"--lost", "edge-1"}},
 		{name: "ring-overrides-all-json", settings: "ring.json", config: "ring-overrides.toml", options: []string{"--json"}},
-		{name: "ring-without-plan-table", settings: "ring.json", config: "no-plan.toml", options: []string{"--lost", "west,east"}},
+		{name: "ring-without-plan-table", settings: "ring.json", config: "no-plan.toml",
+			options: []string{"--lost", "west,east"}},
 		{name: "ring-pin-too-large", settings: "ring.json", config: "pin-too-large.toml"},
 		{name: "ring-pin-loop", settings: "ring.json", config: "pin-loop.toml"},
 		{name: "ring-pins-exceed-one", settings: "ring.json", config: "pins-exceed-one.toml"},
@@ -37,9 +35,11 @@
 		{name: "wide-all-hubs", settings: "wide.json", options: []string{"--lost", "hub-a,hub-b,hub-c"}},
 		{name: "wide-branch", settings: "wide.json", options: []string{"--lost", "edge-2", "--json"}},
 		{name: "wide-branch-and-hub", settings: "wide.json", options: []string{"--lost", "edge-1,hub-b"}},
-		{name: "wide-overrides", settings: "wide.json", config: "wide-overrides.toml", options: []string{"--lost", "hub-a", "--json"}},
+		{name: "wide-overrides", settings: "wide.json", config: "wide-overrides.toml",
+			options: []string{"--lost", "hub-a", "--json"}},
 		{name: "settings-alone", settings: "settings-alone.json"},
-		{name: "settings-alone-capacities", settings: "settings-alone.json", config: "capacities.toml", options: []string{"--json"}},
+		{name: "settings-alone-capacities", settings: "settings-alone.json", config: "capacities.toml",
+			options: []string{"--json"}},
 		{name: "single-hub-all", settings: "single-hub.json"},
 		{name: "single-hub-overrides", settings: "single-hub.json", config: "small-origin.toml", options: []string{"--json"}},
 	} {
@@ -52,33 +52,7 @@
 			var out, errs strings.Builder
 			status := runCommand(append(args, test.options...), &out, &errs)
 			got := fmt.Sprintf("status %d\n%s%s", status, out.String(), errs.String())
-			compareWithFile(t, filepath.Join(folder, test.name+".txt"), got)
+			wantGolden(t, filepath.Join("plan", test.name+".txt"), got)
 		})
 	}
 }
-
-// compareWithFile reports the first line in which a text differs from a file; with -update it writes the file.
-func compareWithFile(t *testing.T, path, got string) {
-	t.Helper()
-	if *updatePlans {
-		if err := os.WriteFile(path, []byte(got), 0o644); err != nil {
-			t.Fatal(err)
-		}
-		return
-	}
-	text, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	want := string(text)
-	if got == want {
-		return
-	}
-	gotLines, wantLines := strings.Split(got, "\n"), strings.Split(want, "\n")
-	for i := range min(len(gotLines), len(wantLines)) {
-		if gotLines[i] != wantLines[i] {
-			t.Fatalf("%s:%d: got %q, want %q", path, i+1, gotLines[i], wantLines[i])
-		}
-	}
-	t.Fatalf("%s: got %d lines, want %d", path, len(gotLines), len(wantLines))
-}
--- a/cmd/shaleyard/reporter.go
+++ b/cmd/shaleyard/reporter.go
@@ -76,6 +76,7 @@
 	recorder := r.program.flightRecorder
 	events, total := recorder.Latest(limit), recorder.Total()
 	return func() {
-		r.program.log.Info("latest events", zap.String("cause", cause), zap.Uint64("recorded", total), zap.Array("events", events))
+		r.program.log.Info("latest events", zap.String("cause", cause), zap.Uint64("recorded", total),
+			zap.Array("events", events))
 	}
 }
--- a/cmd/shaleyard/site.go
+++ b/cmd/shaleyard/site.go
@@ -89,7 +89,7 @@
 
 // routingEndpoints are the endpoints as the decision module knows them.
 func (l *endpointList) routingEndpoints() []routing.Endpoint {
-	var endpoints []routing.Endpoint
+	endpoints := make([]routing.Endpoint, 0, len(l.entries))
 	for _, entry := range l.entries {
 		endpoints = append(endpoints, entry.Endpoint)
 	}
