--- a/cmd/shaleyard/command_test.go
+++ b/cmd/shaleyard/command_test.go
@@ -32,7 +32,7 @@
 		"known":{"n":1,"events":[{"n":1,"members":{"index":1,"snapshot":true,"endpoints":[`+strings.Join([]string{
 		endpoint("c", "edge", "std", 10), endpoint("p", "west", "parent", 4), endpoint("q", "east", "parent", 4)}, ",")+`]}}]}}`)
 	pinned := write("pin.toml", "[plan]\n[[plan.pin]]\nlost = \"west\"\nfrom = \"edge\"\nto = \"edge\"\nshare = 0.5\n")
-	for _, c := range []struct {
+	for _, test := range []struct {
 		args   []string
 		status int
 		says   string
@@ -53,8 +53,8 @@
 		{[]string{"--help"}, 0, "check an operators' file"},
 	} {
 		var out strings.Builder
-		if got := runCommand(c.args, &out, &out); got != c.status || !strings.Contains(out.String(), c.says) {
-			t.Errorf("%v: status %d, %q; want %d, %q", c.args, got, out.String(), c.status, c.says)
+		if got := runCommand(test.args, &out, &out); got != test.status || !strings.Contains(out.String(), test.says) {
+			t.Errorf("%v: status %d, %q; want %d, %q", test.args, got, out.String(), test.status, test.says)
 		}
 	}
 }
--- a/cmd/shaleyard/configuration_test.go
+++ b/cmd/shaleyard/configuration_test.go
@@ -50,7 +50,7 @@
 	for _, bad := range []string{"{", strings.Replace(string(text), `"n1"`, `"n2"`, 1)} {
 		child.writeConfig([]byte(bad))
 		child.signal(syscall.SIGHUP)
-		child.waitForLog("configuration kept as it was")
+		child.waitForLog("configuration rejected, keeping the current one")
 	}
 	env.discovery = nettest.Listen(t)
 	child.writeConfig(env.configJSON(256))
--- a/cmd/shaleyard/drain_test.go
+++ b/cmd/shaleyard/drain_test.go
@@ -16,7 +16,7 @@
 	"shaleyard/internal/nettest"
 )
 
-// counter asks the process for its counters and gives one of them.
+// counter has the process log its counters, and returns one of them.
 func (p *operatedProcess) counter(name string) int {
 	p.process.t.Helper()
 	p.signal(syscall.SIGUSR1)
@@ -29,13 +29,21 @@
 	if err := json.Unmarshal([]byte(p.waitForLog(`"msg":"counters"`)), &line); err != nil {
 		p.process.t.Fatal(err)
 	}
-	return map[string]int{"downstream_conns": line.Counters.Conns, "Answers": line.Counters.Downstream.Answers}[name]
+	switch name {
+	case "downstream_conns":
+		return line.Counters.Conns
+	case "Answers":
+		return line.Counters.Downstream.Answers
+	default:
+		p.process.t.Fatalf("no counter %s", name)
+		return 0
+	}
 }
 
 // clientConnections is how many client connections the process holds.
 func (p *operatedProcess) clientConnections() int { return p.counter("downstream_conns") }
 
-// drain tells the process to drain and returns when that was.
+// drain requests a drain and returns when that was.
 func (p *operatedProcess) drain() time.Time {
 	p.process.t.Helper()
 	drainedAt := time.Now()
@@ -45,16 +53,17 @@
 	return drainedAt
 }
 
-// wantDrained waits for the end of a drain, and tells whether no client is held then and the process still says no.
+// wantDrained waits for the end of a drain. No connection of a client may be left then, and the process must not be ready.
 func (p *operatedProcess) wantDrained(since time.Time) {
 	p.process.t.Helper()
-	time.Sleep(time.Until(since.Add(drainLimit))) // the term is a time
+	time.Sleep(time.Until(since.Add(drainLimit)))
 	if p.call(http.MethodGet, "/healthcheck") {
 		p.process.t.Error("ready while drained")
 	}
-	for n := p.clientConnections(); n > 0; n = p.clientConnections() { // a line that was written before may come first
+	// A line of counters that was logged before may come first.
+	for conns := p.clientConnections(); conns > 0; conns = p.clientConnections() {
 		if time.Since(since) > drainLimit+time.Second {
-			p.process.t.Fatalf("%d client connections are held behind the drain", n)
+			p.process.t.Fatalf("%d client connections are held after the drain", conns)
 		}
 	}
 }
@@ -63,27 +72,27 @@
 func (p *operatedProcess) cancelDrain() {
 	p.process.t.Helper()
 	if !p.call(http.MethodPut, "/healthcheck/ok") {
-		p.process.t.Fatal("the drain was not taken back")
+		p.process.t.Fatal("the drain was not cancelled")
 	}
 	p.waitReady(readyAfterResume, true)
 }
 
-// A drain meets what else happens to the process and its clients; each order keeps the terms.
+// A drain coincides with other events of the process and its clients; each order keeps the terms.
 func TestDrainMeetsWhatElseHappens(t *testing.T) {
 	for name, play := range map[string]func(t *testing.T, proc *operatedProcess){
-		"a new configuration amid": func(t *testing.T, proc *operatedProcess) {
+		"a new configuration during it": func(t *testing.T, proc *operatedProcess) {
 			idle := proc.connect()
 			idle.Heartbeat(1)
 			drainedAt := proc.drain()
 			proc.writeConfig(proc.configJSON(256))
 			proc.signal(syscall.SIGHUP)
-			proc.waitForLog("configuration read anew")
+			proc.waitForLog("configuration reloaded")
 			idle.ReadUntilEOF()
 			idle.Close()
 			proc.wantDrained(drainedAt)
 			proc.cancelDrain()
 		},
-		"a stop behind it": func(t *testing.T, proc *operatedProcess) {
+		"a stop after it": func(t *testing.T, proc *operatedProcess) {
 			waiting, idle := proc.connect(), proc.connect()
 			waiting.Submit(1, "", requestFields("media", ref1)...)
 			cache := proc.cache.Accept()
@@ -103,7 +112,7 @@
 			idle.Close()
 			proc.waitForLog(`"to":"ended"`)
 		},
-		"taken back at once, and drained again": func(t *testing.T, proc *operatedProcess) {
+		"cancelled at once, and requested again": func(t *testing.T, proc *operatedProcess) {
 			client := proc.connect()
 			for seq := range int32(5) {
 				proc.drain()
@@ -112,7 +121,7 @@
 				}
 				proc.cancelDrain()
 				if !client.Heartbeat(2*seq + 1).Good {
-					t.Error("not ready by heartbeat behind the drain")
+					t.Error("not ready by heartbeat after the drain")
 				}
 			}
 			drainedAt := proc.drain()
@@ -126,7 +135,7 @@
 			text := nettest.SubmitFrame(1, "", requestFields("media", ref1)...)
 			client.Send(text[:30])
 			drainedAt := proc.drain()
-			time.Sleep(1700 * time.Millisecond) // amid its 2 s
+			time.Sleep(1700 * time.Millisecond) // within its 2 s
 			client.Send(text[30:])
 			if reply := client.ReadReply(); reply.Seq != 1 || reply.Field != 1 || reply.Fields["cooldown"] == "" {
 				t.Errorf("%+v, want request 1 refused, with a time to stay away", reply)
@@ -180,16 +189,17 @@
 		client.Submit(seq, "", requestFields("media", fmt.Sprintf("%016x", seq))...)
 	}
 	drainedAt := proc.drain()
-	if n := proc.counter("downstream_conns"); n != 1 {
-		t.Errorf("%d client connections are held at the start of the drain, want 1", n)
+	if conns := proc.counter("downstream_conns"); conns != 1 {
+		t.Errorf("%d client connections are held at the start of the drain, want 1", conns)
 	}
 	proc.wantDrained(drainedAt)
 }
 
-// A drain that is asked for while the process starts holds once the list of servers is there, until it is taken back.
+// A drain that is requested while the process starts holds also once the list service is waited for no longer, until it is
+// cancelled.
 func TestDrainDuringTheStart(t *testing.T) {
 	env := newHarness(t)
-	env.discovery.Close() // the list is waited for in vain
+	env.discovery.Close() // so that the list service is waited for in vain
 	proc := launchOperated(t, os.Args[0], env, env.configJSON(256))
 	if proc.call(http.MethodGet, "/healthcheck") {
 		t.Error("ready without the list")
@@ -206,8 +216,8 @@
 	proc.cancelDrain()
 }
 
-// The event loop stands still: operators' calls are answered all the same, the process is not ready, and a drain that is
-// asked for meanwhile is carried out as soon as the loop runs.
+// The event loop is stalled: operators' calls are answered all the same, the process is not ready, and a drain that is
+// requested meanwhile is carried out as soon as the loop runs.
 func TestOperatorsAreAnsweredWhileTheLoopStandsStill(t *testing.T) {
 	env := startWithLimits(t, 256, io.Discard, func(limits *config.Limits) { limits.LoopStallThreshold = 50 * time.Millisecond })
 	operators := &operatorAPI{program: env.program}
@@ -227,7 +237,7 @@
 			break
 		}
 		if time.Since(begun) > operatorCallTimeout {
-			t.Fatal("ready though the loop stands still")
+			t.Fatal("ready though the event loop is stalled")
 		}
 	}
 	operators.Drain()
--- a/cmd/shaleyard/failures.go
+++ b/cmd/shaleyard/failures.go
@@ -39,13 +39,13 @@
 		return
 	}
 	f.nextRejectionLogAt = now + failureLogInterval
-	f.log.Info("connection closed for what came on it", zap.Uint64("so_far", f.rejected), zap.NamedError("cause", reason))
+	f.log.Info("connection closed for a protocol error", zap.Uint64("count", f.rejected), zap.NamedError("cause", reason))
 }
 
 // onAcceptFailed counts an accept that failed and is tried again. It may be called from any goroutine.
 func (f *connectionFailures) onAcceptFailed(cause error) {
 	count := f.accepts.Add(1)
 	f.acceptLogLimit.Do(func() {
-		f.log.Warn("accept failed, and is tried again", zap.Uint64("so_far", count), zap.NamedError("cause", cause))
+		f.log.Warn("accept failed, retrying", zap.Uint64("count", count), zap.NamedError("cause", cause))
 	})
 }
--- a/cmd/shaleyard/faults_test.go
+++ b/cmd/shaleyard/faults_test.go
@@ -29,8 +29,8 @@
 // remainingTimeSlack is how much more than its client has left an attempt may be given.
 const remainingTimeSlack = 150 * time.Millisecond
 
-// What is passed on is what the client has left: with the first attempt, with a further one behind a reset that came late,
-// and where the process stood still while the request waited unread.
+// The time that a cache is given is what the client has left: with the first attempt, with a retry after a reset that came
+// late, and where the process was paused while the request waited unread.
 func TestPatienceIsWhatTheClientHasLeft(t *testing.T) {
 	env := newHarness(t)
 	child := startProcess(t, env.configJSON(256), 256)
@@ -52,7 +52,7 @@
 	time.Sleep(600 * time.Millisecond) // a reset that comes late
 	cacheConn.Reset()
 	cacheConn = env.cache.Accept()
-	left("behind a reset", sent, cacheConn.ReadCommand())
+	left("after a reset", sent, cacheConn.ReadCommand())
 	cacheConn.WriteArray(ref1, "OK", "n=HIT", "x")
 	client.ReadReply()
 
@@ -61,14 +61,14 @@
 	client.Submit(2, "", allow(ref2)...)
 	time.Sleep(1500 * time.Millisecond)
 	child.signal(syscall.SIGCONT)
-	left("behind a pause", sent, cacheConn.ReadCommand())
+	left("after a pause", sent, cacheConn.ReadCommand())
 	cacheConn.WriteArray(ref2, "OK", "n=HIT", "y")
 	env.wantReply(client.ReadReply(), nettest.Reply{Seq: 2, Body: "y", Good: true})
 	child.stopGracefully()
 }
 
-// With deadlines of a second, SIGKILL may come 1.7 s behind SIGTERM. The caches hang, and clients go on sending on open
-// connections: all that was sent has its answer when the process ends, and that is before.
+// With deadlines of a second, SIGKILL may come 1.7 s after SIGTERM. The caches hang, and clients go on sending on open
+// connections: all requests that were sent have their answers when the process ends, and it does so before.
 func TestStopWithShortDeadlinesAnswersAllInTime(t *testing.T) {
 	cache := serveTCP(t, respondingCache(10*time.Second, "x"))
 	proc := startOperatedWith(t, func(text string, env *harness) string {
@@ -89,8 +89,8 @@
 	load.stopAndCheck()
 }
 
-// Signals by the hundred, an epoll_wait that they interrupt every other time, and writes that take a part only: no request
-// is lost, and no answer is spoilt.
+// Signals by the hundred, an epoll_wait that they interrupt every other time, and short writes: no request is lost, and no
+// answer is corrupted.
 func TestInterruptedSystemCallsLoseNothing(t *testing.T) {
 	proc := startWithFaults(t, map[string]func(text string) string{
 		"unix/zsyscall_linux.go": func(text string) string {
@@ -112,8 +112,8 @@
 	proc.waitExit()
 }
 
-// The system refuses every seventh time to wait on a new connection. Clients whose connection it was are served all the
-// same, and the caches are not to blame.
+// The system refuses every seventh time to register a new connection with epoll. Clients whose connection it was are served
+// all the same, and the caches are not blamed.
 func TestRefusedRegistrationsLoseNothing(t *testing.T) {
 	proc := startWithFaults(t, map[string]func(text string) string{
 		"unix/zsyscall_linux.go": func(text string) string {
@@ -129,7 +129,7 @@
 	proc.waitExit()
 }
 
-// startWithFaults is the program with wrappers of system calls changed, before a cache that answers by itself.
+// startWithFaults starts the program with changed wrappers of system calls, and with a cache that answers.
 func startWithFaults(t *testing.T, change map[string]func(text string) string) *operatedProcess {
 	t.Helper()
 	program := buildWithModule(t, "golang.org/x/sys", change)
@@ -144,8 +144,8 @@
 	return proc
 }
 
-// A director that is told of many descriptors and has few: what can't be opened is waited for, and all is served when they
-// are there again.
+// A director may hold fewer descriptors than its configuration says: connections that can't be opened are waited for, and all
+// requests are served when there are descriptors again.
 func TestConnectsWithoutDescriptorsAreNoEvidence(t *testing.T) {
 	env := newHarness(t)
 	child := startProcess(t, env.configJSON(256), 256)
--- a/cmd/shaleyard/harness_test.go
+++ b/cmd/shaleyard/harness_test.go
@@ -49,8 +49,8 @@
 }
 
 // membersEvent is an event of the list service with endpoints.
-func membersEvent(n int, snapshot bool, list ...string) string {
-	return fmt.Sprintf(`{"n":%d,"members":{"index":%d,"snapshot":%v,"endpoints":[%s]}}`, n, n, snapshot,
+func membersEvent(revision int, snapshot bool, list ...string) string {
+	return fmt.Sprintf(`{"n":%d,"members":{"index":%d,"snapshot":%v,"endpoints":[%s]}}`, revision, revision, snapshot,
 		strings.Join(list, ","))
 }
 
--- a/cmd/shaleyard/interface_process_test.go
+++ b/cmd/shaleyard/interface_process_test.go
@@ -31,7 +31,7 @@
 		t.Fatal(err)
 	}
 	read := map[string]bool{}
-	for _, c := range []struct{ name, value, says string }{
+	for _, test := range []struct{ name, value, says string }{
 		{"EDGE_CONFIG", "", "EDGE_CONFIG: not set"},
 		{"EDGE_CONFIG", file + "x", "EDGE_CONFIG: "},
 		{"EDGE_NAME", "n2", "EDGE_NAME: "},
@@ -41,13 +41,13 @@
 		{"SHALEYARD_CONFIG", file + "x", "SHALEYARD_CONFIG: "},
 	} {
 		environment := map[string]string{"EDGE_CONFIG": file, "EDGE_FD": "none"}
-		environment[c.name] = c.value
+		environment[test.name] = test.value
 		err := run(func(name string) string {
 			read[name] = true
 			return environment[name]
 		}, io.Discard)
-		if err == nil || !strings.Contains(err.Error(), c.says) {
-			t.Errorf("%s=%q: %v, want %q", c.name, c.value, err, c.says)
+		if err == nil || !strings.Contains(err.Error(), test.says) {
+			t.Errorf("%s=%q: %v, want %q", test.name, test.value, err, test.says)
 		}
 	}
 	want := []string{"EDGE_CONFIG", "EDGE_FD", "EDGE_LISTEN", "EDGE_NAME", "EDGE_OPERATOR", "SHALEYARD_CONFIG"}
@@ -64,7 +64,7 @@
 
 // The words and flags of the command line, with the exit status of each.
 func TestCommandLine(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		line   string
 		status int
 	}{
@@ -72,8 +72,8 @@
 		{"plan", 2}, {"plan -h", 0}, {"plan --settings nosuch.json", 2}, {"plan --nosuch", 2},
 		{"-h", 0}, {"--help", 0}, {"--nosuch", 2},
 	} {
-		if got := runCommand(strings.Fields(c.line), io.Discard, io.Discard); got != c.status {
-			t.Errorf("shaleyard %s: status %d, want %d", c.line, got, c.status)
+		if got := runCommand(strings.Fields(test.line), io.Discard, io.Discard); got != test.status {
+			t.Errorf("shaleyard %s: status %d, want %d", test.line, got, test.status)
 		}
 	}
 	var help strings.Builder
@@ -95,10 +95,10 @@
 	told           []string
 }
 
-func (p *recordingProcess) note(format string, a ...any) {
+func (p *recordingProcess) note(format string, args ...any) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.told = append(p.told, fmt.Sprintf(format, a...))
+	p.told = append(p.told, fmt.Sprintf(format, args...))
 }
 
 // take returns what the process was told since the last call.
@@ -202,7 +202,7 @@
 			"limits":{"cores":1,"memory_mb":192,"sockets":256},"settings":%s}`, listen, operator, settingsJSON)
 	}
 	inUse := taken.Addr().String()
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name, environment string
 		status            int
 		says              string
@@ -216,8 +216,8 @@
 		{"a bad operators' file", "SHALEYARD_CONFIG=" + write("bad.toml", "[list]\nhaste = 1\n"), 2,
 			"shaleyard: SHALEYARD_CONFIG: "},
 	} {
-		if status, wrote := failedStart(t, c.environment); status != c.status || !strings.Contains(wrote, c.says) {
-			t.Errorf("%s: status %d, want %d with %q:\n%s", c.name, status, c.status, c.says, wrote)
+		if status, wrote := failedStart(t, test.environment); status != test.status || !strings.Contains(wrote, test.says) {
+			t.Errorf("%s: status %d, want %d with %q:\n%s", test.name, status, test.status, test.says, wrote)
 		}
 	}
 }
--- a/cmd/shaleyard/lifecycle.go
+++ b/cmd/shaleyard/lifecycle.go
@@ -17,10 +17,10 @@
 	check     timer.Timer // the next check for what is left of a drain or a stop
 }
 
-func newLifecycleController(p *program, sharedListener bool) *lifecycleController {
+func newLifecycleController(prog *program, sharedListener bool) *lifecycleController {
 	controller := &lifecycleController{
-		program: p,
-		machine: lifecycle.New(lifecycleTimeouts(p.limits, sharedListener), sharedListener),
+		program: prog,
+		machine: lifecycle.New(lifecycleTimeouts(prog.limits, sharedListener), sharedListener),
 	}
 	controller.machine.OnTransition = controller.logTransition
 	return controller
@@ -82,7 +82,7 @@
 	if !c.machine.Stop(now) {
 		return
 	}
-	c.program.log.Info("stopping", zap.Int("open", c.program.director.OpenRequests()))
+	c.program.log.Info("stopping", zap.Int("open_requests", c.program.director.OpenRequests()))
 	c.program.director.SetShutdownDeadline(now + c.program.limits.StopAnswerDeadline)
 	c.apply()
 }
--- a/cmd/shaleyard/main.go
+++ b/cmd/shaleyard/main.go
@@ -77,16 +77,16 @@
 		return err
 	}
 	setRuntimeLimits(&conf.Limits)
-	p, err := newProgram(conf, operatorFile.Failover, newLogger(logTo, operatorFile.Log.Level, conf.Name))
+	prog, err := newProgram(conf, operatorFile.Failover, newLogger(logTo, operatorFile.Log.Level, conf.Name))
 	if err != nil {
 		return err
 	}
-	if err := p.discovery.Bootstrap(conf.Bootstrap); err != nil {
+	if err := prog.discovery.Bootstrap(conf.Bootstrap); err != nil {
 		return err
 	}
 	conf.Bootstrap = config.Bootstrap{} // it has been applied, and would take up memory for good
 
-	operators := &operatorAPI{program: p}
+	operators := &operatorAPI{program: prog}
 	if conf.OperatorAddress != "" {
 		server, err := admin.Listen(conf.OperatorAddress, conf.Limits.MaxOperatorConns, operators)
 		if err != nil {
@@ -95,16 +95,16 @@
 		defer server.Close()
 		go server.Serve()
 	}
-	p.eventLoop.Boot = func() {
-		p.log.Info("listens on "+p.eventLoop.Address(), zap.Int("descriptors", conf.Limits.Descriptors),
+	prog.eventLoop.Boot = func() {
+		prog.log.Info("listens on "+prog.eventLoop.Address(), zap.Int("descriptors", conf.Limits.Descriptors),
 			zap.Int64("memory_mb", conf.Limits.MemoryBytes>>20))
 		operators.booted.Store(true)
-		p.start()
-		p.handleSignals(received, load)
+		prog.start()
+		prog.handleSignals(received, load)
 	}
-	err = p.eventLoop.Run(conf.ListenAddress)
-	p.reporter.logCounters()
-	p.reporter.logLatestEvents("exit", conf.Limits.FlightRecorderEventsAtExit)
+	err = prog.eventLoop.Run(conf.ListenAddress)
+	prog.reporter.logCounters()
+	prog.reporter.logLatestEvents("exit", conf.Limits.FlightRecorderEventsAtExit)
 	return err
 }
 
--- a/cmd/shaleyard/operator_test.go
+++ b/cmd/shaleyard/operator_test.go
@@ -15,8 +15,8 @@
 // Terms of the operators' page (docs/terms.md).
 const (
 	operatorCallTimeout = time.Second     // a call of the operators' address has its answer by then
-	drainLimit          = 4 * time.Second // a drained director says no, and holds no idle or busy client, by then
-	readyAfterResume    = 2 * time.Second // a director whose drain is taken back is ready by then
+	drainLimit          = 4 * time.Second // a drained director is not ready, and holds no connection of a client, by then
+	readyAfterResume    = 2 * time.Second // a director whose drain is cancelled is ready by then
 )
 
 // operatedProcess is the program in a process of its own, with the address that operators call.
@@ -43,7 +43,7 @@
 	return startOperatedWith(t, func(text string, _ *harness) string { return text })
 }
 
-// startOperatedWith starts it with its configuration changed.
+// startOperatedWith does so with its configuration changed.
 func startOperatedWith(t *testing.T, change func(text string, env *harness) string) *operatedProcess {
 	t.Helper()
 	env := newHarness(t)
@@ -105,9 +105,9 @@
 // connect connects a client.
 func (p *operatedProcess) connect() *nettest.Conn { return nettest.Dial(p.process.t, p.address) }
 
-// A drained director says no at once, by HTTP and by heartbeat, answers what it has taken, and holds no client's
-// connection past the time, whether that rests, waits for an answer or goes on sending. It runs on, and works again when
-// the drain is taken back.
+// A drained director is not ready at once, by HTTP and by heartbeat, answers the requests that it has accepted, and holds no
+// client's connection past the time, whether that is idle, waits for an answer or goes on sending. It runs on, and accepts
+// requests again when the drain is cancelled.
 func TestOperatorDrainEmptiesTheProcess(t *testing.T) {
 	proc := startOperated(t)
 	idle, waiting, sending := proc.connect(), proc.connect(), proc.connect()
@@ -119,16 +119,16 @@
 	proc.cache.Accept().ReadCommand() // never answered
 
 	drained := time.Now()
-	for range 2 { // told twice, it is drained from the first time on
+	for range 2 { // a second request changes nothing
 		if !proc.call(http.MethodPut, "/healthcheck/fail") {
 			t.Fatal("the drain was refused")
 		}
 	}
 	if proc.call(http.MethodGet, "/healthcheck") {
-		t.Error("ready by HTTP behind the drain")
+		t.Error("ready by HTTP after the drain")
 	}
 	if reply := sending.Heartbeat(2); reply.Good {
-		t.Error("ready by heartbeat behind the drain")
+		t.Error("ready by heartbeat after the drain")
 	}
 	idle.ReadUntilEOF()
 	idle.Close()
@@ -143,16 +143,16 @@
 		}
 	}
 	if took := time.Since(drained); took > drainLimit {
-		t.Errorf("clients were held for %v behind the drain, %v at most", took, drainLimit)
+		t.Errorf("clients were held for %v after the drain, %v at most", took, drainLimit)
 	}
 
 	if !proc.call(http.MethodPut, "/healthcheck/ok") {
-		t.Fatal("the drain was not taken back")
+		t.Fatal("the drain was not cancelled")
 	}
 	proc.waitReady(readyAfterResume, true)
 	again := proc.connect()
 	if reply := again.Heartbeat(1); !reply.Good {
-		t.Error("not ready by heartbeat though the drain was taken back")
+		t.Error("not ready by heartbeat though the drain was cancelled")
 	}
 	proc.signal(syscall.SIGTERM)
 	proc.waitReady(readyAfterResume, false)
@@ -199,7 +199,7 @@
 	return answers
 }
 
-// An accept that fails for want of descriptors must end neither the process nor what it holds: it is tried again.
+// An accept that fails for want of descriptors must end neither the process nor its connections: it is tried again.
 func TestFailedAcceptIsTriedAgain(t *testing.T) {
 	env := newHarness(t)
 	child := startProcess(t, env.configJSON(256), 256)
@@ -232,8 +232,8 @@
 	})
 }
 
-// A wall clock that is stepped moves no span: a request that is open meanwhile is given up at its time and no other, a drain
-// and its end, a reload and a stop take as long as ever.
+// A wall clock that is stepped changes no duration: a request that is open meanwhile fails at its deadline, and a drain, its
+// end, a reload and a stop take as long as ever.
 func TestWallClockStepsMoveNoSpan(t *testing.T) {
 	for _, step := range []time.Duration{-time.Hour, -5 * time.Second, 5 * time.Second, time.Hour} {
 		t.Run(step.String(), func(t *testing.T) {
@@ -255,7 +255,7 @@
 			client.ReadUntilEOF()
 			client.Close()
 			if took := time.Since(begun); took < 300*time.Millisecond || took > 2*time.Second {
-				t.Errorf("a resting client was ended %v behind the drain, want 0.5 s", took)
+				t.Errorf("an idle client was closed %v after the drain, want 0.5 s", took)
 			}
 			proc.cancelDrain()
 			env.discovery = nettest.Listen(t)
--- a/cmd/shaleyard/operatorapi.go
+++ b/cmd/shaleyard/operatorapi.go
@@ -48,5 +48,5 @@
 
 // Called implements admin.Process.
 func (o *operatorAPI) Called(method, path string, status int) {
-	o.program.log.Info("operators' call", zap.String("method", method), zap.String("path", path), zap.Int("status", status))
+	o.program.log.Info("operator call", zap.String("method", method), zap.String("path", path), zap.Int("status", status))
 }
--- a/cmd/shaleyard/pauses.go
+++ b/cmd/shaleyard/pauses.go
@@ -21,8 +21,8 @@
 		h.long = true
 	}
 	if h.long {
-		h.program.log.Warn("paused: reading the news first", zap.Duration("for", gap),
-			zap.Int("open", h.program.director.OpenRequests()))
+		h.program.log.Warn("paused: suspended until pending input is read", zap.Duration("for", gap),
+			zap.Int("open_requests", h.program.director.OpenRequests()))
 	}
 	h.program.director.Suspend(gap)
 	h.program.discovery.HandlePause()
--- a/cmd/shaleyard/process_test.go
+++ b/cmd/shaleyard/process_test.go
@@ -87,10 +87,10 @@
 }
 
 // signal sends a signal.
-func (p *process) signal(s os.Signal) {
+func (p *process) signal(sig os.Signal) {
 	p.t.Helper()
-	if err := p.Process.Signal(s); err != nil {
-		p.t.Errorf("signal %v: %v", s, err)
+	if err := p.Process.Signal(sig); err != nil {
+		p.t.Errorf("signal %v: %v", sig, err)
 	}
 }
 
--- a/cmd/shaleyard/program.go
+++ b/cmd/shaleyard/program.go
@@ -48,39 +48,40 @@
 
 // newProgram wires the parts for a configuration. Nothing runs yet; an error names the setting at fault.
 func newProgram(conf *config.Config, overrides failover.Overrides, log *zap.Logger) (*program, error) {
-	p := &program{log: log, config: conf, limits: &conf.Limits, now: clock.New().Now}
+	prog := &program{log: log, config: conf, limits: &conf.Limits, now: clock.New().Now}
 	settings := &conf.Settings
-	p.lifecycle = newLifecycleController(p, conf.InheritedFD != 0)
-	p.pauses = &pauseHandler{program: p}
-	p.failures = newConnectionFailures(log, p.now)
-	p.reloader = &reloader{program: p}
-	p.reporter = &reporter{program: p}
-	p.flightRecorder = flightrecorder.NewRecorder(p.limits.FlightRecorderEvents)
-	p.buffers = buffer.NewPool(p.limits.BufferSize, p.limits.BufferCount)
+	prog.lifecycle = newLifecycleController(prog, conf.InheritedFD != 0)
+	prog.pauses = &pauseHandler{program: prog}
+	prog.failures = newConnectionFailures(log, prog.now)
+	prog.reloader = &reloader{program: prog}
+	prog.reporter = &reporter{program: prog}
+	prog.flightRecorder = flightrecorder.NewRecorder(prog.limits.FlightRecorderEvents)
+	prog.buffers = buffer.NewPool(prog.limits.BufferSize, prog.limits.BufferCount)
 
 	var err error
-	p.director, err = director.New(settings, conf.Seed, p.limits, &p.timers, p.now, log)
+	prog.director, err = director.New(settings, conf.Seed, prog.limits, &prog.timers, prog.now, log)
 	if err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	p.eventLoop = p.newEventLoop()
-	p.upstream = upstream.NewPools(p.limits, settings, p.buffers, p.eventLoop, p.director, &p.timers, p.now, log, conf.Seed)
-	p.director.SetUpstream(p.upstream)
-	p.director.Admission = overload.NewAdmission(conf.Seed)
-	p.director.SetSiteOptions(p.siteOptions(overrides))
-	p.director.RejectUntil = p.lifecycle.rejectUntil
-	p.director.CheckForPause = p.eventLoop.CheckForPause
-	p.director.FlightRecorder = p.flightRecorder
-
-	p.downstream = downstream.NewServer(p.limits, settings, p.buffers, p.director, &p.timers, p.now)
-	p.downstream.Ready = p.lifecycle.ready
-	p.downstream.OnProtocolError = p.failures.onConnectionRejected
-	p.downstream.FlightRecorder = p.flightRecorder
-
-	p.discovery = discovery.New(p.limits, settings, conf.DiscoveryAddress, p.newBackoff(), p.eventLoop, p.director, &p.timers,
-		p.now, log)
-	p.discovery.OnFirstConnect = p.lifecycle.onDiscoveryReady
-	return p, nil
+	prog.eventLoop = prog.newEventLoop()
+	prog.upstream = upstream.NewPools(prog.limits, settings, prog.buffers, prog.eventLoop, prog.director, &prog.timers, prog.now,
+		log, conf.Seed)
+	prog.director.SetUpstream(prog.upstream)
+	prog.director.Admission = overload.NewAdmission(conf.Seed)
+	prog.director.SetSiteOptions(prog.siteOptions(overrides))
+	prog.director.RejectUntil = prog.lifecycle.rejectUntil
+	prog.director.CheckForPause = prog.eventLoop.CheckForPause
+	prog.director.FlightRecorder = prog.flightRecorder
+
+	prog.downstream = downstream.NewServer(prog.limits, settings, prog.buffers, prog.director, &prog.timers, prog.now)
+	prog.downstream.Ready = prog.lifecycle.ready
+	prog.downstream.OnProtocolError = prog.failures.onConnectionRejected
+	prog.downstream.FlightRecorder = prog.flightRecorder
+
+	prog.discovery = discovery.New(prog.limits, settings, conf.DiscoveryAddress, prog.newBackoff(), prog.eventLoop, prog.director,
+		&prog.timers, prog.now, log)
+	prog.discovery.OnFirstConnect = prog.lifecycle.onDiscoveryReady
+	return prog, nil
 }
 
 // newEventLoop returns the event loop. What it calls once it runs is complete only when newProgram has returned.
--- a/cmd/shaleyard/reporter.go
+++ b/cmd/shaleyard/reporter.go
@@ -33,23 +33,23 @@
 type reporter struct{ program *program }
 
 func (r *reporter) counters() counters {
-	p := r.program
+	prog := r.program
 	return counters{
-		Downstream:     p.downstream.Counters,
-		Director:       p.director.Counters,
-		Upstream:       p.upstream.Counters,
-		Discovery:      p.discovery.Counters,
-		Sites:          p.director.SiteCounters(),
-		Rejected:       p.failures.rejected,
-		AcceptFailures: p.failures.accepts.Load(),
-		Pauses:         p.pauses.count,
-		Reloads:        p.reloader.succeeded,
-		ReloadsFailed:  p.reloader.failed,
+		Downstream:     prog.downstream.Counters,
+		Director:       prog.director.Counters,
+		Upstream:       prog.upstream.Counters,
+		Discovery:      prog.discovery.Counters,
+		Sites:          prog.director.SiteCounters(),
+		Rejected:       prog.failures.rejected,
+		AcceptFailures: prog.failures.accepts.Load(),
+		Pauses:         prog.pauses.count,
+		Reloads:        prog.reloader.succeeded,
+		ReloadsFailed:  prog.reloader.failed,
 
-		OpenRequests:    p.director.OpenRequests(),
-		DownstreamConns: p.downstream.Conns(),
-		UpstreamConns:   p.upstream.NumConns(),
-		BuffersInUse:    p.buffers.InUse(),
+		OpenRequests:    prog.director.OpenRequests(),
+		DownstreamConns: prog.downstream.Conns(),
+		UpstreamConns:   prog.upstream.NumConns(),
+		BuffersInUse:    prog.buffers.InUse(),
 	}
 }
 
--- a/cmd/shaleyard/reporter_test.go
+++ b/cmd/shaleyard/reporter_test.go
@@ -11,12 +11,12 @@
 // logLines passes on each line written to the log.
 type logLines chan string
 
-func (l logLines) Write(b []byte) (int, error) {
+func (l logLines) Write(line []byte) (int, error) {
 	select {
-	case l <- string(b):
+	case l <- string(line):
 	default: // nobody reads any more: the loop must not wait
 	}
-	return len(b), nil
+	return len(line), nil
 }
 
 // Directors in their hundreds are killed at the end of a day: counters written only at the exit were never
--- a/cmd/shaleyard/signals.go
+++ b/cmd/shaleyard/signals.go
@@ -78,13 +78,13 @@
 	}
 	if err != nil {
 		r.failed++
-		log.Warn("configuration kept as it was", zap.Error(err))
+		log.Warn("configuration rejected, keeping the current one", zap.Error(err))
 		return
 	}
 	r.succeeded++
-	log.Info("configuration read anew", zap.String("feed", conf.DiscoveryAddress))
+	log.Info("configuration reloaded", zap.String("feed", conf.DiscoveryAddress))
 	if conf.Limits != current.Limits || !reflect.DeepEqual(conf.Settings, current.Settings) {
-		log.Info("changed limits and settings wait for a restart")
+		log.Info("changed limits and settings take effect after a restart")
 	}
 	current.DiscoveryAddress = conf.DiscoveryAddress
 	r.program.discovery.Redirect(conf.DiscoveryAddress)
--- a/cmd/shaleyard/standins_test.go
+++ b/cmd/shaleyard/standins_test.go
@@ -11,55 +11,55 @@
 	"time"
 )
 
-// serveTCP is a listener on loopback that serves each connection by itself until the test ends.
+// serveTCP listens on loopback and serves each connection on a goroutine of its own, until the test ends.
 func serveTCP(t *testing.T, serve func(net.Conn)) (address string) {
 	t.Helper()
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { l.Close() })
+	t.Cleanup(func() { listener.Close() })
 	go func() {
 		for {
-			c, err := l.Accept()
+			conn, err := listener.Accept()
 			if err != nil {
 				return
 			}
-			go serve(c)
+			go serve(conn)
 		}
 	}()
-	return l.Addr().String()
+	return listener.Addr().String()
 }
 
-// respondingCache serves every request with a body after a moment, and forgets what it is told to stop.
-func respondingCache(after time.Duration, body string) func(net.Conn) {
-	return func(c net.Conn) {
-		defer c.Close()
-		from := bufio.NewReader(c)
+// respondingCache answers the requests on a connection one after the other, each after a delay; it ignores cancellations.
+func respondingCache(delay time.Duration, body string) func(net.Conn) {
+	return func(conn net.Conn) {
+		defer conn.Close()
+		reader := bufio.NewReader(conn)
 		for {
-			words, err := readCommand(from)
+			words, err := readCommand(reader)
 			if err != nil {
 				return
 			}
 			if words[0] != "REQ" {
 				continue
 			}
-			time.Sleep(after)
-			if _, err := io.WriteString(c, respArray(words[1], "OK", "n=HIT,rev=t1,since=1764576000000", body)); err != nil {
+			time.Sleep(delay)
+			if _, err := io.WriteString(conn, respArray(words[1], "OK", "n=HIT,rev=t1,since=1764576000000", body)); err != nil {
 				return
 			}
 		}
 	}
 }
 
-// idleDiscoveryService has no news, and gives a sign of life each second.
-func idleDiscoveryService(c net.Conn) {
-	defer c.Close()
-	if _, err := bufio.NewReader(c).ReadString('\n'); err != nil {
+// idleDiscoveryService is a list service without events: it sends a heartbeat each second.
+func idleDiscoveryService(conn net.Conn) {
+	defer conn.Close()
+	if _, err := bufio.NewReader(conn).ReadString('\n'); err != nil {
 		return
 	}
 	for {
-		if _, err := io.WriteString(c, "1\n"); err != nil {
+		if _, err := io.WriteString(conn, "1\n"); err != nil {
 			return
 		}
 		time.Sleep(time.Second)
@@ -67,19 +67,19 @@
 }
 
 // readCommand reads a RESP array of bulk strings.
-func readCommand(from *bufio.Reader) ([]string, error) {
-	n, err := readLength(from, "*")
+func readCommand(reader *bufio.Reader) ([]string, error) {
+	count, err := readLength(reader, "*")
 	if err != nil {
 		return nil, err
 	}
-	words := make([]string, n)
+	words := make([]string, count)
 	for i := range words {
-		size, err := readLength(from, "$")
+		size, err := readLength(reader, "$")
 		if err != nil {
 			return nil, err
 		}
 		word := make([]byte, size+2)
-		if _, err := io.ReadFull(from, word); err != nil {
+		if _, err := io.ReadFull(reader, word); err != nil {
 			return nil, err
 		}
 		words[i] = string(word[:size])
@@ -87,8 +87,9 @@
 	return words, nil
 }
 
-func readLength(from *bufio.Reader, mark string) (int, error) {
-	line, err := from.ReadString('\n')
+// readLength reads a line of a mark and a number.
+func readLength(reader *bufio.Reader, mark string) (int, error) {
+	line, err := reader.ReadString('\n')
 	if err != nil {
 		return 0, err
 	}
@@ -97,10 +98,10 @@
 
 // respArray is a RESP array of bulk strings.
 func respArray(words ...string) string {
-	var b strings.Builder
-	fmt.Fprintf(&b, "*%d\r\n", len(words))
-	for _, w := range words {
-		fmt.Fprintf(&b, "$%d\r\n%s\r\n", len(w), w)
+	var text strings.Builder
+	fmt.Fprintf(&text, "*%d\r\n", len(words))
+	for _, word := range words {
+		fmt.Fprintf(&text, "$%d\r\n%s\r\n", len(word), word)
 	}
-	return b.String()
+	return text.String()
 }
