--- a/cmd/shaleyard/command_test.go
+++ b/cmd/shaleyard/command_test.go
@@ -23,7 +23,8 @@
 		return path
 	}
 	endpoint := func(name, zone, kind string, weight int) string {
-		return fmt.Sprintf(`{"name":%q,"address":"127.0.0.1:1","zone":%q,"type":%q,"status":"ready","weight":%d}`, name, zone, kind, weight)
+		return fmt.Sprintf(`{"name":%q,"address":"127.0.0.1:1","zone":%q,"type":%q,"status":"ready","weight":%d}`,
+			name, zone, kind, weight)
 	}
 	site := write("site.json", `{"settings":{"dcs":["west","east","edge"],"kinds":["std","parent","origin"],
 		"services":[{"name":"media","worth":2,"effect":"read_like"},{"name":"pay","worth":3,"effect":"non_idempotent"}],
@@ -31,7 +32,7 @@
 		"known":{"n":1,"events":[{"n":1,"members":{"index":1,"snapshot":true,"endpoints":[`+strings.Join([]string{
 		endpoint("c", "edge", "std", 10), endpoint("p", "west", "parent", 4), endpoint("q", "east", "parent", 4)}, ",")+`]}}]}}`)
 	pinned := write("pin.toml", "[plan]\n[[plan.pin]]\nlost = \"west\"\nfrom = \"edge\"\nto = \"edge\"\nshare = 0.5\n")
-	for _, c := range []struct {
+	for _, test := range []struct {
 		args   []string
 		status int
 		says   string
@@ -52,8 +53,8 @@
 		{[]string{"--help"}, 0, "check an operators' file"},
 	} {
 		var out strings.Builder
-		if got := command(c.args, &out, &out); got != c.status || !strings.Contains(out.String(), c.says) {
-			t.Errorf("%v: status %d, %q; want %d, %q", c.args, got, out.String(), c.status, c.says)
+		if got := runCommand(test.args, &out, &out); got != test.status || !strings.Contains(out.String(), test.says) {
+			t.Errorf("%v: status %d, %q; want %d, %q", test.args, got, out.String(), test.status, test.says)
 		}
 	}
 }
@@ -65,7 +66,7 @@
 		t.Fatal(err)
 	}
 	cmd := exec.Command(os.Args[0])
-	cmd.Env = append(os.Environ(), childLimit+"=256", "SHALEYARD_CONFIG="+bad)
+	cmd.Env = append(os.Environ(), descriptorLimitEnv+"=256", "SHALEYARD_CONFIG="+bad)
 	out, err := cmd.CombinedOutput()
 	if cmd.ProcessState.ExitCode() != 2 || !strings.Contains(string(out), "bad.toml:2: pause.limit_ms: 1 is not within") {
 		t.Errorf("%v, %q", err, out)
--- a/cmd/shaleyard/faults_test.go
+++ b/cmd/shaleyard/faults_test.go
@@ -10,11 +10,11 @@
 	"shaleyard/internal/nettest"
 )
 
-// patience is what a request that reached a cache says of the time that is left, in milliseconds.
-func patience(t *testing.T, command []string) time.Duration {
+// remainingTime is what a request that reached a cache says of the time that is left, in milliseconds.
+func remainingTime(t *testing.T, command []string) time.Duration {
 	t.Helper()
-	for f := range strings.SplitSeq(command[2], ",") {
-		if value, ok := strings.CutPrefix(f, "patience="); ok {
+	for field := range strings.SplitSeq(command[2], ",") {
+		if value, ok := strings.CutPrefix(field, "patience="); ok {
 			ms, err := strconv.Atoi(value)
 			if err != nil {
 				t.Fatal(err)
@@ -26,146 +26,143 @@
 	return 0
 }
 
-// patienceSlack is how much more than its client has left an attempt may be given.
-const patienceSlack = 150 * time.Millisecond
+// remainingTimeSlack is how much more than its client has left an attempt may be given.
+const remainingTimeSlack = 150 * time.Millisecond
 
-// What is passed on is what the client has left: with the first attempt, with a further one behind a reset that came late,
-// and where the process stood still while the request waited unread.
+// The time that a cache is given is what the client has left: with the first attempt, with a retry after a reset that came
+// late, and where the process was paused while the request waited unread.
 func TestPatienceIsWhatTheClientHasLeft(t *testing.T) {
-	s := &site{t: t, cache: nettest.Listen(t), origin: nettest.Listen(t), feed: nettest.Listen(t)}
-	child := startChild(t, s.config(256), 256)
-	s.feed.Accept().ReadLine()
+	env := newHarness(t)
+	child := startProcess(t, env.configJSON(256), 256)
+	env.discovery.Accept().ReadLine()
 	allow := func(ref string) []string {
-		f := fields("media", ref)
-		f[5] = "6000"
-		return f
+		return withTimeout(requestFields("media", ref), "6000")
 	}
 	left := func(what string, sent time.Time, command []string) {
 		t.Helper()
-		if got, want := patience(t, command), 6*time.Second-time.Since(sent); got > want+patienceSlack {
+		if got, want := remainingTime(t, command), 6*time.Second-time.Since(sent); got > want+remainingTimeSlack {
 			t.Errorf("%s: %v passed on, %v left", what, got, want)
 		}
 	}
-	cl := nettest.Dial(t, child.address)
+	client := nettest.Dial(t, child.address)
 	sent := time.Now()
-	cl.Submit(1, "", allow(ref1)...)
-	c := s.cache.Accept()
-	left("the first attempt", sent, c.ReadCommand())
+	client.Submit(1, "", allow(ref1)...)
+	cacheConn := env.cache.Accept()
+	left("the first attempt", sent, cacheConn.ReadCommand())
 	time.Sleep(600 * time.Millisecond) // a reset that comes late
-	c.Reset()
-	c = s.cache.Accept()
-	left("behind a reset", sent, c.ReadCommand())
-	c.WriteArray(ref1, "OK", "n=HIT", "x")
-	cl.ReadReply()
+	cacheConn.Reset()
+	cacheConn = env.cache.Accept()
+	left("after a reset", sent, cacheConn.ReadCommand())
+	cacheConn.WriteArray(ref1, "OK", "n=HIT", "x")
+	client.ReadReply()
 
 	child.signal(syscall.SIGSTOP)
 	sent = time.Now()
-	cl.Submit(2, "", allow(ref2)...)
+	client.Submit(2, "", allow(ref2)...)
 	time.Sleep(1500 * time.Millisecond)
 	child.signal(syscall.SIGCONT)
-	left("behind a pause", sent, c.ReadCommand())
-	c.WriteArray(ref2, "OK", "n=HIT", "y")
-	s.want(cl.ReadReply(), nettest.Reply{Seq: 2, Body: "y", Good: true})
-	child.stop()
+	left("after a pause", sent, cacheConn.ReadCommand())
+	cacheConn.WriteArray(ref2, "OK", "n=HIT", "y")
+	env.wantReply(client.ReadReply(), nettest.Reply{Seq: 2, Body: "y", Good: true})
+	child.stopGracefully()
 }
 
-// With deadlines of a second, SIGKILL may come 1.7 s behind SIGTERM. The caches hang, and clients go on sending on open
-// connections: all that was sent has its answer when the process ends, and that is before.
+// With deadlines of a second, SIGKILL may come 1.7 s after SIGTERM. The caches hang, and clients go on sending on open
+// connections: all requests that were sent have their answers when the process ends, and it does so before.
 func TestStopWithShortDeadlinesAnswersAllInTime(t *testing.T) {
-	cache := answering(t, answeringCache(10*time.Second, "x"))
-	o := operateWith(t, func(text string, s *site) string {
-		text = strings.ReplaceAll(text, s.cache.Addr(), cache)
-		text = strings.ReplaceAll(text, s.origin.Addr(), cache)
+	cache := serveTCP(t, respondingCache(10*time.Second, "x"))
+	proc := startOperatedWith(t, func(text string, env *harness) string {
+		text = strings.ReplaceAll(text, env.cache.Addr(), cache)
+		text = strings.ReplaceAll(text, env.origin.Addr(), cache)
 		return strings.ReplaceAll(text, `"deadline":20000000000`, `"deadline":1000000000`)
 	})
-	clients := gather(t, o.address, 24)
+	load := startLoad(t, proc.address, 24)
 	time.Sleep(300 * time.Millisecond) // requests are out by then
-	o.signal(syscall.SIGTERM)
-	kill := time.AfterFunc(1700*time.Millisecond, func() { o.Process.Kill() }) // as the platform does
+	proc.signal(syscall.SIGTERM)
+	kill := time.AfterFunc(1700*time.Millisecond, func() { _ = proc.Process.Kill() }) // as the platform does
 	defer kill.Stop()
 	time.Sleep(300 * time.Millisecond)
-	clients.ending.Store(true)
-	o.logged(`"to":"ended"`) // by itself
-	for o.lines.Scan() {
-	}
-	o.Wait()
-	clients.disperse()
+	load.serverStopping.Store(true)
+	proc.waitForLog(`"to":"ended"`) // by itself
+	proc.skipLog()
+	_ = proc.Wait() // it may have been killed: the clients tell whether that was too soon
+	load.stopAndCheck()
 }
 
-// Signals by the hundred, an epoll_wait that they interrupt every other time, and writes that take a part only: no request
-// is lost, and no answer is spoilt.
+// Signals by the hundred, an epoll_wait that they interrupt every other time, and short writes: no request is lost, and no
+// answer is corrupted.
 func TestInterruptedSystemCallsLoseNothing(t *testing.T) {
-	o := faulty(t, map[string]func(text string) string{
+	proc := startWithFaults(t, map[string]func(text string) string{
 		"unix/zsyscall_linux.go": func(text string) string {
-			return insert(t, text, "func EpollWait(epfd int, events []EpollEvent, msec int) (n int, err error) {\n",
+			return insertAfterLine(t, text, "func EpollWait(epfd int, events []EpollEvent, msec int) (n int, err error) {\n",
 				"\tif waits++; waits%2 == 0 {\n\t\treturn -1, EINTR\n\t}\n") + "\nvar waits int\n"
 		},
 		"unix/syscall_unix.go": func(text string) string {
-			return insert(t, text, "func Write(fd int, p []byte) (n int, err error) {\n", "\tif len(p) > 100 {\n\t\tp = p[:100]\n\t}\n")
+			return insertAfterLine(t, text, "func Write(fd int, p []byte) (n int, err error) {\n",
+				"\tif len(p) > 100 {\n\t\tp = p[:100]\n\t}\n")
 		},
 	})
-	clients := gather(t, o.address, 12)
+	load := startLoad(t, proc.address, 12)
 	for range 300 {
-		o.signal(syscall.SIGUSR1)
+		proc.signal(syscall.SIGUSR1)
 		time.Sleep(5 * time.Millisecond)
 	}
-	clients.disperse()
-	o.signal(syscall.SIGTERM)
-	o.exit()
+	load.stopAndCheck()
+	proc.signal(syscall.SIGTERM)
+	proc.waitExit()
 }
 
-// The system refuses every seventh time to wait on a new connection. Clients whose connection it was are served all the
-// same, and the caches are not to blame.
+// The system refuses every seventh time to register a new connection with epoll. Clients whose connection it was are served
+// all the same, and the caches are not blamed.
 func TestRefusedRegistrationsLoseNothing(t *testing.T) {
-	o := faulty(t, map[string]func(text string) string{
+	proc := startWithFaults(t, map[string]func(text string) string{
 		"unix/zsyscall_linux.go": func(text string) string {
-			return insert(t, text, "func EpollCtl(epfd int, op int, fd int, event *EpollEvent) (err error) {\n",
-				"\tif op == EPOLL_CTL_ADD {\n\t\tif adds++; adds > 10 && adds%7 == 0 {\n\t\t\treturn ENOMEM\n\t\t}\n\t}\n") + "\nvar adds int\n"
+			return insertAfterLine(t, text, "func EpollCtl(epfd int, op int, fd int, event *EpollEvent) (err error) {\n",
+				"\tif op == EPOLL_CTL_ADD {\n\t\tif adds++; adds > 10 && adds%7 == 0 {\n\t\t\treturn ENOMEM\n\t\t}\n\t}\n") +
+				"\nvar adds int\n"
 		},
 	})
-	clients := gather(t, o.address, 12)
+	load := startLoad(t, proc.address, 12)
 	time.Sleep(1500 * time.Millisecond) // hundreds of connections
-	clients.disperse()
-	o.signal(syscall.SIGTERM)
-	o.exit()
+	load.stopAndCheck()
+	proc.signal(syscall.SIGTERM)
+	proc.waitExit()
 }
 
-// faulty is the program with wrappers of system calls changed, before a cache that answers by itself.
-func faulty(t *testing.T, change map[string]func(text string) string) *operatedChild {
+// startWithFaults starts the program with changed wrappers of system calls, and with a cache that answers.
+func startWithFaults(t *testing.T, change map[string]func(text string) string) *operatedProcess {
 	t.Helper()
 	program := buildWithModule(t, "golang.org/x/sys", change)
-	cache := answering(t, answeringCache(time.Millisecond, strings.Repeat("0123456789abcdef", 1000)))
-	s := &site{t: t, cache: nettest.Listen(t), origin: nettest.Listen(t), feed: nettest.Listen(t)}
-	text := strings.ReplaceAll(strings.ReplaceAll(string(s.config(256)), s.cache.Addr(), cache), s.feed.Addr(), answering(t, answeringFeed))
-	o := &operatedChild{child: newChild(t, program, []byte(text), 256), site: s}
-	o.launch()
-	o.listening()
-	go func() {
-		for o.lines.Scan() {
-		}
-	}()
-	return o
+	cache := serveTCP(t, respondingCache(time.Millisecond, strings.Repeat("0123456789abcdef", 1000)))
+	env := newHarness(t)
+	text := strings.ReplaceAll(string(env.configJSON(256)), env.cache.Addr(), cache)
+	text = strings.ReplaceAll(text, env.discovery.Addr(), serveTCP(t, idleDiscoveryService))
+	proc := &operatedProcess{process: newProcess(t, program, []byte(text), 256), harness: env}
+	proc.launch()
+	proc.waitListening()
+	go proc.skipLog()
+	return proc
 }
 
-// A director that is told of many descriptors and has few: what can't be opened is waited for, and all is served when they
-// are there again.
+// A director may hold fewer descriptors than its configuration says: connections that can't be opened are waited for, and all
+// requests are served when there are descriptors again.
 func TestConnectsWithoutDescriptorsAreNoEvidence(t *testing.T) {
-	s := &site{t: t, cache: nettest.Listen(t), origin: nettest.Listen(t), feed: nettest.Listen(t)}
-	child := startChild(t, s.config(256), 256)
-	s.feed.Accept().ReadLine()
-	cl := nettest.Dial(t, child.address)
-	cl.Heartbeat(1)
+	env := newHarness(t)
+	child := startProcess(t, env.configJSON(256), 256)
+	env.discovery.Accept().ReadLine()
+	client := nettest.Dial(t, child.address)
+	client.Heartbeat(1)
 	var before syscall.Rlimit
 	prlimit(t, child.Process.Pid, nil, &before)
 	prlimit(t, child.Process.Pid, &syscall.Rlimit{Cur: 3, Max: before.Max}, nil)
-	cl.Submit(2, "", fields("media", ref1)...)
-	if line := child.logged("connect failed"); !strings.Contains(line, "too many open files") {
+	client.Submit(2, "", requestFields("media", ref1)...)
+	if line := child.waitForLog("connect failed"); !strings.Contains(line, "too many open files") {
 		t.Errorf("the connect failed otherwise: %s", line)
 	}
 	prlimit(t, child.Process.Pid, &before, nil)
-	c := s.cache.Accept()
-	c.WriteArray(c.ReadCommand()[1], "OK", "n=HIT", "x")
-	s.want(cl.ReadReply(), nettest.Reply{Seq: 2, Body: "x", Good: true})
+	cacheConn := env.cache.Accept()
+	cacheConn.WriteArray(cacheConn.ReadCommand()[1], "OK", "n=HIT", "x")
+	env.wantReply(client.ReadReply(), nettest.Reply{Seq: 2, Body: "x", Good: true})
 	child.signal(syscall.SIGTERM)
 	for child.lines.Scan() {
 		if strings.Contains(child.lines.Text(), `"msg":"eject`) {
--- a/cmd/shaleyard/program.go
+++ b/cmd/shaleyard/program.go
@@ -2,13 +2,10 @@
 
 import (
 	"fmt"
-	"sync/atomic"
 	"time"
 
 	"go.uber.org/zap"
-	"golang.org/x/time/rate"
 
-	"shaleyard/internal/admin"
 	"shaleyard/internal/buffer"
 	"shaleyard/internal/clock"
 	"shaleyard/internal/config"
@@ -18,7 +15,6 @@
 	"shaleyard/internal/eventloop"
 	"shaleyard/internal/failover"
 	"shaleyard/internal/flightrecorder"
-	"shaleyard/internal/lifecycle"
 	"shaleyard/internal/overload"
 	"shaleyard/internal/sitehealth"
 	"shaleyard/internal/timer"
@@ -26,141 +22,142 @@
 	"shaleyard/routing"
 )
 
-// program is the parts, put together.
+// program is the parts of a director, wired together. Everything but log, config and limits belongs to the event loop,
+// unless a part says otherwise.
 type program struct {
-	log      *zap.Logger
-	config   *config.Config
-	limits   *config.Limits
-	agenda   timer.Queue
-	now      func() routing.Time
-	pool     *buffer.Pool
-	director *director.Director
-	clients  *downstream.Server
-	fleet    *upstream.Pools
-	feed     *discovery.Watcher
-	loop     *eventloop.Loop
-	started  routing.Time
-	life     *lifecycle.Machine
-	tending  timer.Timer   // the next look at what is left of a drain or a stop
-	admin    *admin.Server // operators' calls; nil: none
-	flight   *flightrecorder.Recorder
-	rejected uint64
-
-	reloads, reloadsFailed, pauses uint64
-
-	acceptFailures atomic.Uint64
-	acceptLog      rate.Sometimes // off the loop
-
-	longPause bool // the pause that is settling
-
-	rejectLogAt routing.Time // no line on a rejected connection before
+	log    *zap.Logger
+	config *config.Config
+	limits *config.Limits
+	now    func() routing.Time
+
+	timers         timer.Queue
+	buffers        *buffer.Pool
+	eventLoop      *eventloop.Loop
+	director       *director.Director
+	downstream     *downstream.Server
+	upstream       *upstream.Pools
+	discovery      *discovery.Watcher
+	flightRecorder *flightrecorder.Recorder
+
+	lifecycle *lifecycleController
+	pauses    *pauseHandler
+	failures  *connectionFailures
+	reloader  *reloader
+	reporter  *reporter
 }
 
-func assemble(c *config.Config, wishes failover.Overrides, logger *zap.Logger) (*program, error) {
-	p := &program{log: logger, config: c, limits: &c.Limits, now: clock.New().Now,
-		acceptLog: rate.Sometimes{Interval: time.Second}}
-	l, s := p.limits, &c.Settings
-	p.pool = buffer.NewPool(l.BufferSize, l.BufferCount)
+// newProgram wires the parts for a configuration. Nothing runs yet; an error names the setting at fault.
+func newProgram(conf *config.Config, overrides failover.Overrides, log *zap.Logger) (*program, error) {
+	prog := &program{log: log, config: conf, limits: &conf.Limits, now: clock.New().Now}
+	settings := &conf.Settings
+	prog.lifecycle = newLifecycleController(prog, conf.InheritedFD != 0)
+	prog.pauses = &pauseHandler{program: prog}
+	prog.failures = newConnectionFailures(log, prog.now)
+	prog.reloader = &reloader{program: prog}
+	prog.reporter = &reporter{program: prog}
+	prog.flightRecorder = flightrecorder.NewRecorder(prog.limits.FlightRecorderEvents)
+	prog.buffers = buffer.NewPool(prog.limits.BufferSize, prog.limits.BufferCount)
+
 	var err error
-	p.director, err = director.New(s, c.Seed, l, &p.agenda, p.now, p.log)
+	prog.director, err = director.New(settings, conf.Seed, prog.limits, &prog.timers, prog.now, log)
 	if err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	p.loop = &eventloop.Loop{Timers: &p.agenda, Now: p.now, Acceptor: front{p}, Logf: p.log.Sugar().Warnf,
-		SessionFailed: p.reject, InheritedFD: c.InheritedFD, AcceptFailed: p.acceptFailed, PauseThreshold: l.PauseThreshold, SettleTime: l.PauseSettleTime,
-		Paused: p.paused, Settled: p.settled}
-	p.fleet = upstream.NewPools(l, s, p.pool, p.loop, p.director, &p.agenda, p.now, p.log, c.Seed)
-	p.director.SetUpstream(p.fleet)
-	p.director.Admission = overload.NewAdmission(c.Seed)
-	// A plan that can't be made must not keep the director from starting: it goes on as without one.
-	advice, err := failover.NewLocalPlanner(s, wishes, func(err error) { p.log.Warn("no plan for lost sites", zap.Error(err)) })
-	follow := sitehealth.Options{ShiftRate: wishes.ShiftRatePerS, MinLostTime: time.Duration(wishes.MinLostMS * float64(time.Millisecond)),
-		DiscoveryStale: func() bool {
-			return p.feed.EverConnected() && p.now()-p.feed.LastUsableLine() > p.limits.WatchSilenceTimeout
-		}}
-	if err != nil {
-		p.log.Warn("no plan for lost sites", zap.Error(err))
-	} else {
-		follow.Plan = advice.Shares
-	}
-	p.director.SetSiteOptions(follow)
-	p.director.RejectUntil, p.director.CheckForPause = p.closed, p.loop.CheckForPause
-	p.clients = downstream.NewServer(l, s, p.pool, p.director, &p.agenda, p.now)
-	p.clients.Ready, p.clients.OnProtocolError = p.ready, p.reject
-	p.flight = flightrecorder.NewRecorder(l.FlightRecorderEvents)
-	p.director.FlightRecorder, p.clients.FlightRecorder = p.flight, p.flight
-	p.life = lifecycle.New(spans(l, c.InheritedFD != 0), c.InheritedFD != 0)
-	p.life.OnTransition = p.changed
-	calls := discovery.NewBackoff(discovery.BackoffConfig{Directors: s.Directors, DirectorIndex: int(s.ID), ApplyWithin: l.DrainApplyWithin,
-		ApplyPurgeWithin: l.PurgeApplyWithin, StartWindow: l.InitialJitterWindow, NotifiedAfter: l.MaxEventDelay, SilenceTimeout: l.WatchSilenceTimeout, CallDuration: l.WatchCallTime, MinWait: l.MinWatchBackoff}, c.Seed)
-	p.feed = discovery.New(l, s, c.DiscoveryAddress, calls, p.loop, p.director, &p.agenda, p.now, p.log)
-	p.feed.OnFirstConnect = p.reachList
-	return p, nil
-}
-
-// boot begins to follow the feed, once the loop runs.
-func (p *program) boot() {
-	p.started = p.now()
-	p.feed.Start()
-	p.agenda.ScheduleFunc(p.started+p.limits.InitialListTimeout, p.reachList)
-	p.tend()
-	p.agenda.ScheduleFunc(p.started+p.limits.CountersInterval, p.reportAgain)
-}
-
-// reportAgain writes the counters at every ReportEvery. With hundreds of directors, each meeting most caches
-// seldom, what the fleet did is counted from these lines: a line at the exit alone is lost to SIGKILL.
-func (p *program) reportAgain() {
-	p.report()
-	p.agenda.ScheduleFunc(p.now()+p.limits.CountersInterval, p.reportAgain)
+	prog.eventLoop = prog.newEventLoop()
+	prog.upstream = upstream.NewPools(prog.limits, settings, prog.buffers, prog.eventLoop, prog.director, &prog.timers, prog.now,
+		log, conf.Seed)
+	prog.director.SetUpstream(prog.upstream)
+	prog.director.Admission = overload.NewAdmission(conf.Seed)
+	prog.director.SetSiteOptions(prog.siteOptions(overrides))
+	prog.director.RejectUntil = prog.lifecycle.rejectUntil
+	prog.director.CheckForPause = prog.eventLoop.CheckForPause
+	prog.director.FlightRecorder = prog.flightRecorder
+
+	prog.downstream = downstream.NewServer(prog.limits, settings, prog.buffers, prog.director, &prog.timers, prog.now)
+	prog.downstream.Ready = prog.lifecycle.ready
+	prog.downstream.OnProtocolError = prog.failures.onConnectionRejected
+	prog.downstream.FlightRecorder = prog.flightRecorder
+
+	prog.discovery = discovery.New(prog.limits, settings, conf.DiscoveryAddress, prog.newBackoff(), prog.eventLoop, prog.director,
+		&prog.timers, prog.now, log)
+	prog.discovery.OnFirstConnect = prog.lifecycle.onDiscoveryReady
+	return prog, nil
 }
 
-// paused is called when the process has stood still. Nothing is decided until what came meanwhile is read: a cache
-// may have drained, an object been purged, and both count as told.
-func (p *program) paused(gap time.Duration) {
-	p.pauses++
-	if p.longPause = p.longPause || gap > p.limits.LongPauseThreshold; p.longPause {
-		p.log.Warn("paused: reading the news first", zap.Duration("for", gap), zap.Int("open", p.director.OpenRequests()))
+// newEventLoop returns the event loop. What it calls once it runs is complete only when newProgram has returned.
+func (p *program) newEventLoop() *eventloop.Loop {
+	return &eventloop.Loop{
+		Timers:         &p.timers,
+		Now:            p.now,
+		Acceptor:       acceptor{p},
+		Logf:           p.log.Sugar().Warnf,
+		SessionFailed:  p.failures.onConnectionRejected,
+		InheritedFD:    p.config.InheritedFD,
+		AcceptFailed:   p.failures.onAcceptFailed,
+		PauseThreshold: p.limits.PauseThreshold,
+		SettleTime:     p.limits.PauseSettleTime,
+		Paused:         p.pauses.onPause,
+		Settled:        p.pauses.onSettled,
 	}
-	p.director.Suspend(gap)
-	p.feed.HandlePause()
 }
 
-func (p *program) settled() {
-	p.director.Resume(p.longPause)
-	p.longPause = false
-}
-
-// reject counts a connection that was closed for what came on it. At most one a second is logged: who sends
-// junk must not have the loop write a line for each.
-func (p *program) reject(reason error) {
-	p.rejected++
-	if now := p.now(); now >= p.rejectLogAt {
-		p.rejectLogAt = now + time.Second
-		p.log.Info("connection closed for what came on it", zap.Uint64("so_far", p.rejected), zap.NamedError("cause", reason))
+// siteOptions say how the health of whole sites is followed. A failover plan that can't be made must not keep the director
+// from starting: it goes on as without one.
+func (p *program) siteOptions(overrides failover.Overrides) sitehealth.Options {
+	logFailure := func(err error) { p.log.Warn("no plan for lost sites", zap.Error(err)) }
+	planner, err := failover.NewLocalPlanner(&p.config.Settings, overrides, logFailure)
+	options := sitehealth.Options{
+		ShiftRate:   overrides.ShiftRatePerS,
+		MinLostTime: time.Duration(overrides.MinLostMS * float64(time.Millisecond)),
+		DiscoveryStale: func() bool {
+			return p.discovery.EverConnected() && p.now()-p.discovery.LastUsableLine() > p.limits.WatchSilenceTimeout
+		},
+	}
+	if err != nil {
+		logFailure(err)
+		return options
 	}
+	options.Plan = planner.Shares
+	return options
 }
 
-// acceptFailed notes an accept that failed and is tried again. It runs off the loop.
-func (p *program) acceptFailed(cause error) {
-	n := p.acceptFailures.Add(1)
-	p.acceptLog.Do(func() {
-		p.log.Warn("accept failed, and is tried again", zap.Uint64("so_far", n), zap.NamedError("cause", cause))
-	})
+// newBackoff returns the schedule of this director's calls of the list service, among those of the fleet.
+func (p *program) newBackoff() *discovery.Backoff {
+	settings := &p.config.Settings
+	return discovery.NewBackoff(discovery.BackoffConfig{
+		Directors:        settings.Directors,
+		DirectorIndex:    int(settings.ID),
+		ApplyWithin:      p.limits.DrainApplyWithin,
+		ApplyPurgeWithin: p.limits.PurgeApplyWithin,
+		StartWindow:      p.limits.InitialJitterWindow,
+		NotifiedAfter:    p.limits.MaxEventDelay,
+		SilenceTimeout:   p.limits.WatchSilenceTimeout,
+		CallDuration:     p.limits.WatchCallTime,
+		MinWait:          p.limits.MinWatchBackoff,
+	}, p.config.Seed)
 }
 
-// writeFlight writes the latest events out, most at most, aside of the loop: a log that is read slowly must not hold it up.
-func (p *program) writeFlight(cause string, most int) {
-	events := p.flight.Latest(most)
-	go p.log.Info("latest events", zap.String("cause", cause), zap.Uint64("recorded", p.flight.Total()), zap.Array("events", events))
+// start begins to watch the list service. It is called on the event loop, as the first thing there.
+func (p *program) start() {
+	now := p.now()
+	p.lifecycle.startedAt = now
+	p.discovery.Start()
+	p.timers.ScheduleFunc(now+p.limits.InitialListTimeout, p.lifecycle.onDiscoveryReady)
+	p.lifecycle.apply()
+	p.timers.ScheduleFunc(now+p.limits.CountersInterval, p.reporter.logCountersPeriodically)
 }
 
-// report writes all counters as one line.
-func (p *program) report() {
-	p.log.Info("counters", zap.Any("counters", map[string]any{
-		"clients": p.clients.Counters, "director": p.director.Counters, "caches": p.fleet.Counters,
-		"feed": p.feed.Counters, "rejected": p.rejected, "accept_failures": p.acceptFailures.Load(),
-		"pauses": p.pauses, "sites": p.director.SiteCounters(), "reloads": p.reloads,
-		"reloads_failed": p.reloadsFailed, "open": p.director.OpenRequests(),
-		"client_conns": p.clients.Conns(), "peer_conns": p.fleet.NumConns(), "buffers": p.pool.InUse(),
-	}))
+// acceptor hands accepted connections to the downstream server.
+type acceptor struct{ program *program }
+
+// Accept implements eventloop.Acceptor.
+func (a acceptor) Accept(conn eventloop.Conn) eventloop.Session {
+	if a.program.lifecycle.ended() {
+		return nil
+	}
+	session := a.program.downstream.Accept(conn)
+	if session == nil {
+		return nil // not a nil pointer in an interface
+	}
+	return session
 }
--- a/cmd/shaleyard/standins_test.go
+++ b/cmd/shaleyard/standins_test.go
@@ -11,55 +11,55 @@
 	"time"
 )
 
-// answering is a listener on loopback that serves each connection by itself until the test ends.
-func answering(t *testing.T, serve func(net.Conn)) (address string) {
+// serveTCP listens on loopback and serves each connection on a goroutine of its own, until the test ends.
+func serveTCP(t *testing.T, serve func(net.Conn)) (address string) {
 	t.Helper()
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { l.Close() })
+	t.Cleanup(func() { listener.Close() })
 	go func() {
 		for {
-			c, err := l.Accept()
+			conn, err := listener.Accept()
 			if err != nil {
 				return
 			}
-			go serve(c)
+			go serve(conn)
 		}
 	}()
-	return l.Addr().String()
+	return listener.Addr().String()
 }
 
-// answeringCache serves every request with a body after a moment, and forgets what it is told to stop.
-func answeringCache(after time.Duration, body string) func(net.Conn) {
-	return func(c net.Conn) {
-		defer c.Close()
-		from := bufio.NewReader(c)
+// respondingCache answers the requests on a connection one after the other, each after a delay; it ignores cancellations.
+func respondingCache(delay time.Duration, body string) func(net.Conn) {
+	return func(conn net.Conn) {
+		defer conn.Close()
+		reader := bufio.NewReader(conn)
 		for {
-			words, err := readCommand(from)
+			words, err := readCommand(reader)
 			if err != nil {
 				return
 			}
 			if words[0] != "REQ" {
 				continue
 			}
-			time.Sleep(after)
-			if _, err := io.WriteString(c, array(words[1], "OK", "n=HIT,rev=t1,since=1764576000000", body)); err != nil {
+			time.Sleep(delay)
+			if _, err := io.WriteString(conn, respArray(words[1], "OK", "n=HIT,rev=t1,since=1764576000000", body)); err != nil {
 				return
 			}
 		}
 	}
 }
 
-// answeringFeed has no news, and gives a sign of life each second.
-func answeringFeed(c net.Conn) {
-	defer c.Close()
-	if _, err := bufio.NewReader(c).ReadString('\n'); err != nil {
+// idleDiscoveryService is a list service without events: it sends a heartbeat each second.
+func idleDiscoveryService(conn net.Conn) {
+	defer conn.Close()
+	if _, err := bufio.NewReader(conn).ReadString('\n'); err != nil {
 		return
 	}
 	for {
-		if _, err := io.WriteString(c, "1\n"); err != nil {
+		if _, err := io.WriteString(conn, "1\n"); err != nil {
 			return
 		}
 		time.Sleep(time.Second)
@@ -67,19 +67,19 @@
 }
 
 // readCommand reads a RESP array of bulk strings.
-func readCommand(from *bufio.Reader) ([]string, error) {
-	n, err := length(from, "*")
+func readCommand(reader *bufio.Reader) ([]string, error) {
+	count, err := readLength(reader, "*")
 	if err != nil {
 		return nil, err
 	}
-	words := make([]string, n)
+	words := make([]string, count)
 	for i := range words {
-		size, err := length(from, "$")
+		size, err := readLength(reader, "$")
 		if err != nil {
 			return nil, err
 		}
 		word := make([]byte, size+2)
-		if _, err := io.ReadFull(from, word); err != nil {
+		if _, err := io.ReadFull(reader, word); err != nil {
 			return nil, err
 		}
 		words[i] = string(word[:size])
@@ -87,20 +87,21 @@
 	return words, nil
 }
 
-func length(from *bufio.Reader, mark string) (int, error) {
-	line, err := from.ReadString('\n')
+// readLength reads a line of a mark and a number.
+func readLength(reader *bufio.Reader, mark string) (int, error) {
+	line, err := reader.ReadString('\n')
 	if err != nil {
 		return 0, err
 	}
 	return strconv.Atoi(strings.TrimPrefix(strings.TrimSpace(line), mark))
 }
 
-// array is a RESP array of bulk strings.
-func array(words ...string) string {
-	var b strings.Builder
-	fmt.Fprintf(&b, "*%d\r\n", len(words))
-	for _, w := range words {
-		fmt.Fprintf(&b, "$%d\r\n%s\r\n", len(w), w)
+// respArray is a RESP array of bulk strings.
+func respArray(words ...string) string {
+	var text strings.Builder
+	fmt.Fprintf(&text, "*%d\r\n", len(words))
+	for _, word := range words {
+		fmt.Fprintf(&text, "$%d\r\n%s\r\n", len(word), word)
 	}
-	return b.String()
+	return text.String()
 }
