--- a/cmd/shaleyard/connections_test.go
+++ b/cmd/shaleyard/connections_test.go
@@ -104,7 +104,7 @@
 	address := child.address
 	first := nettest.Dial(t, address)
 	first.Heartbeat(1)
-	child.signal(syscall.SIGSTOP)
+	child.pause()
 	for range 200 {
 		nettest.Dial(t, address)
 	}
--- a/cmd/shaleyard/faults_test.go
+++ b/cmd/shaleyard/faults_test.go
@@ -56,7 +56,7 @@
 	cacheConn.WriteArray(ref1, "OK", "n=HIT", "x")
 	client.ReadReply()
 
-	child.signal(syscall.SIGSTOP)
+	child.pause()
 	sent = time.Now()
 	client.Submit(2, "", allow(ref2)...)
 	time.Sleep(1500 * time.Millisecond)
--- a/cmd/shaleyard/process_test.go
+++ b/cmd/shaleyard/process_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bufio"
+	"bytes"
 	"fmt"
 	"os"
 	"os/exec"
@@ -10,6 +11,7 @@
 	"strings"
 	"syscall"
 	"testing"
+	"time"
 )
 
 // descriptorLimitEnv is set for processes that the tests start as the program; its value is their limit on descriptors.
@@ -94,6 +96,41 @@
 	}
 }
 
+// pause stops the process by SIGSTOP, and waits until all its threads have stopped: on a busy machine the signal takes
+// effect late, and what comes until then is still read.
+func (p *process) pause() {
+	p.t.Helper()
+	p.signal(syscall.SIGSTOP)
+	deadline := time.Now().Add(10 * time.Second)
+	for !p.paused() {
+		if time.Now().After(deadline) {
+			p.t.Fatal("the process does not stop")
+		}
+		time.Sleep(time.Millisecond)
+	}
+}
+
+// paused tells whether all threads of the process are stopped by a signal (state T of proc(5)).
+func (p *process) paused() bool {
+	p.t.Helper()
+	threads, err := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/stat", p.Process.Pid))
+	if err != nil || len(threads) == 0 {
+		p.t.Fatalf("threads of the process: %v, %v", threads, err)
+	}
+	for _, thread := range threads {
+		text, err := os.ReadFile(thread)
+		if err != nil {
+			return false // the thread has ended meanwhile
+		}
+		// The state follows the name, which stands in parentheses and may hold any character.
+		state := text[bytes.LastIndexByte(text, ')')+1:]
+		if !bytes.HasPrefix(state, []byte(" T ")) {
+			return false
+		}
+	}
+	return true
+}
+
 // kill ends the process with SIGKILL and waits for that.
 func (p *process) kill() {
 	p.t.Helper()
