--- a/internal/director/api.go
+++ b/internal/director/api.go
@@ -4,6 +4,7 @@
 	"time"
 
 	"shaleyard/internal/buffer"
+	"shaleyard/internal/flightrecorder"
 	"shaleyard/internal/handle"
 	"shaleyard/routing"
 )
@@ -43,7 +44,7 @@
 	NotModified bool          // the client's copy is current, and no body is sent
 	RetryAfter  time.Duration // of a rejection, how long the client should wait; 0: no advice
 	Body        *buffer.Chain // valid during the call only; nil: none
-	Reason      Reason
+	Reason      flightrecorder.Reason
 }
 
 // Replier takes the response to a request that was submitted under a token. Reply is called once, or never if the
--- a/internal/director/attempts.go
+++ b/internal/director/attempts.go
@@ -37,7 +37,7 @@
 		return
 	}
 	d.Counters.AttemptsSent++
-	d.recordAttempt(flightrecorder.AttemptSent, attempt, "")
+	d.recordAttempt(flightrecorder.AttemptSent, attempt, flightrecorder.ReasonNone)
 	request.inFlight[attempt.number] = attempt.handle
 	d.setAttemptDeadline(attempt, request)
 
@@ -162,7 +162,7 @@
 	d.attempts.Remove(attempt.handle)
 	delete(request.inFlight, attempt.number)
 	d.Counters.AttemptsEnded++
-	d.recordAttempt(flightrecorder.AttemptEnded, attempt, flightrecorder.Reason(result.Result.String()))
+	d.recordAttempt(flightrecorder.AttemptEnded, attempt, reasonOfResult(result.Result))
 	d.Counters.Results[result.Result]++
 	d.Counters.FillStatuses[result.FillStatus]++
 	if result.Result == routing.OK && !request.finished {
@@ -170,7 +170,7 @@
 			Outcome:     Served,
 			NotModified: result.NotModified,
 			Body:        &result.Body,
-			Reason:      ReasonServed,
+			Reason:      flightrecorder.ReasonServed,
 		})
 	}
 	result.Body.Release()
--- a/internal/director/reason_test.go
+++ b/internal/director/reasons_test.go
@@ -6,21 +6,6 @@
 	"shaleyard/routing"
 )
 
-// Whoever reads the flight recorder tells reasons apart by their names alone.
-func TestReasonsHaveNamesOfTheirOwn(t *testing.T) {
-	reasons := map[string]Reason{}
-	for reason := ReasonServed; int(reason) < reasonCount; reason++ {
-		name := reason.String()
-		if name == "" {
-			t.Errorf("reason %d has no name", reason)
-		}
-		if other, ok := reasons[name]; ok {
-			t.Errorf("reasons %d and %d are both named %q", other, reason, name)
-		}
-		reasons[name] = reason
-	}
-}
-
 func TestReasonOfRouter(t *testing.T) {
 	for _, test := range []struct {
 		reason routing.Reason
@@ -33,6 +18,8 @@
 		{routing.ReasonNoServerInTime, "no_server_in_time"},
 		{routing.ReasonRetryBudgetExhausted, "retry_budget_exhausted"},
 		{routing.ReasonOriginShielded, "origin_shielded"},
+		{routing.ReasonNone, "unknown"},
+		{routing.ReasonOriginShielded + 1, "unknown"},
 	} {
 		t.Run(test.want, func(t *testing.T) {
 			if got := reasonOfRouter(test.reason).String(); got != test.want {
@@ -41,3 +28,14 @@
 		})
 	}
 }
+
+// The end of an attempt is recorded under the name of its result.
+func TestReasonOfResult(t *testing.T) {
+	for result := range routing.Result(routing.ResultCount + 1) {
+		t.Run(result.String(), func(t *testing.T) {
+			if got := reasonOfResult(result).String(); got != result.String() {
+				t.Errorf("named %q", got)
+			}
+		})
+	}
+}
--- a/internal/director/requests.go
+++ b/internal/director/requests.go
@@ -85,21 +85,23 @@
 
 // admit tells whether a request is given to the router. If not, it says why, and for how long the client should stay
 // away.
-func (d *Director) admit(now routing.Time, request *openRequest) (reason Reason, wait time.Duration, ok bool) {
+func (d *Director) admit(now routing.Time, request *openRequest) (
+	reason flightrecorder.Reason, wait time.Duration, ok bool,
+) {
 	if d.RejectUntil != nil {
 		if until, closed := d.RejectUntil(); closed {
 			d.Counters.RejectedNotAccepting++
-			return ReasonNotAccepting, until - now, false
+			return flightrecorder.ReasonNotAccepting, until - now, false
 		}
 	}
 	if wait, ok := d.admitByPace(now, request); !ok {
 		d.Counters.RejectedByAdmission++
-		return ReasonNotAdmitted, wait, false
+		return flightrecorder.ReasonNotAdmitted, wait, false
 	}
 	if request.deadline <= now {
-		return ReasonExpiredUnread, d.limits.ShutdownRetryAfter, false
+		return flightrecorder.ReasonExpiredUnread, d.limits.ShutdownRetryAfter, false
 	}
-	return ReasonNone, 0, true
+	return flightrecorder.ReasonNone, 0, true
 }
 
 // admitByPace asks Admission. Requests that must not run twice always pass: they are the last to be shed.
@@ -128,7 +130,7 @@
 		return
 	}
 	d.Counters.RequestsCancelled++
-	d.finishRequest(request, ReasonCancelledByClient)
+	d.finishRequest(request, flightrecorder.ReasonCancelledByClient)
 	for _, attemptHandle := range request.inFlight {
 		d.cancelIfUnwritten(attemptHandle)
 	}
@@ -176,7 +178,7 @@
 func (d *Director) failOverdue(request *openRequest) {
 	d.Counters.RequestsOverdue++
 	d.log.Error("request failed by its deadline guard", zap.String("ref", request.Ref))
-	d.respond(request, Response{Outcome: Failed, Reason: ReasonOverdue})
+	d.respond(request, Response{Outcome: Failed, Reason: flightrecorder.ReasonOverdue})
 	d.postLastEvent(routing.RequestClosed{ID: uint32(request.handle)}, request)
 }
 
@@ -202,11 +204,11 @@
 }
 
 // finishRequest marks a request as answered or cancelled.
-func (d *Director) finishRequest(request *openRequest, reason Reason) {
+func (d *Director) finishRequest(request *openRequest, reason flightrecorder.Reason) {
 	d.FlightRecorder.Record(flightrecorder.Event{
 		At:      d.now(),
 		Kind:    flightrecorder.RequestEnded,
-		Reason:  flightrecorder.Reason(reason.String()),
+		Reason:  reason,
 		Conn:    request.ConnID,
 		Request: uint32(request.handle),
 	})
--- a/internal/downstream/capacity.go
+++ b/internal/downstream/capacity.go
@@ -1,6 +1,7 @@
 package downstream
 
 import (
+	"shaleyard/internal/flightrecorder"
 	"shaleyard/internal/handle"
 	"shaleyard/routing"
 )
@@ -55,7 +56,7 @@
 		return
 	}
 	s.Counters.Evicted++
-	candidate.transition(phaseLingering, evictedForNewcomer)
+	candidate.transition(phaseLingering, flightrecorder.ReasonEvictedForNewConnection)
 }
 
 // trim aborts the oldest lingering connections, beyond what the descriptors leave for them. In a graceful close
@@ -67,7 +68,7 @@
 		limit += s.limits.MaxClientConns - s.connections.Len()
 	}
 	for len(s.lingering) > limit {
-		s.lingering[0].abortLinger(tooManyLingering)
+		s.lingering[0].abortLinger(flightrecorder.ReasonTooManyLingering)
 	}
 }
 
@@ -80,7 +81,7 @@
 			return
 		}
 		s.Counters.SlowReadersClosed++
-		s.slowestReader().closeNow(outboundLimitExceeded)
+		s.slowestReader().closeNow(flightrecorder.ReasonOutboundLimitExceeded)
 	}
 }
 
--- a/internal/downstream/connection.go
+++ b/internal/downstream/connection.go
@@ -57,12 +57,12 @@
 func (c *Connection) receivingFrame() bool { return c.frameLength != 0 || len(c.lengthPrefix) > 0 }
 
 // transition takes the connection to a later phase; it is the one place where the phase changes.
-func (c *Connection) transition(to phase, why reason) {
+func (c *Connection) transition(to phase, reason flightrecorder.Reason) {
 	if to <= c.phase {
 		return
 	}
 	from := c.phase
-	c.recordTransition(to, why)
+	c.recordTransition(to, reason)
 	c.phase = to
 	c.dropFrame()
 	c.leaveLists(from)
@@ -76,12 +76,12 @@
 	}
 }
 
-func (c *Connection) recordTransition(to phase, why reason) {
+func (c *Connection) recordTransition(to phase, reason flightrecorder.Reason) {
 	event := flightrecorder.Event{Kind: flightrecorder.ConnClosing, Conn: c.id, Count: len(c.openRequests)}
 	if to == phaseClosed {
 		event.Kind = flightrecorder.ConnClosed
 	}
-	c.server.record(event, why)
+	c.server.record(event, reason)
 }
 
 // dropFrame forgets the message that was due or arriving.
@@ -114,7 +114,7 @@
 	server.lingering = append(server.lingering, c)
 	server.timers.Schedule(&c.timeout, server.now()+server.limits.LingerTimeout, c.lingerExpired)
 	if err := c.socket.CloseWrite(); err != nil {
-		c.closeNow(halfCloseFailed)
+		c.closeNow(flightrecorder.ReasonHalfCloseFailed)
 	}
 	server.trim()
 }
@@ -130,12 +130,12 @@
 }
 
 // drain reads nothing more from the connection, and closes it in good order once all that is owed has been sent.
-func (c *Connection) drain(why reason) {
+func (c *Connection) drain(reason flightrecorder.Reason) {
 	if c.owesAnswer() {
-		c.transition(phaseDraining, why)
+		c.transition(phaseDraining, reason)
 		return
 	}
-	c.transition(phaseLingering, why)
+	c.transition(phaseLingering, reason)
 }
 
 // completeDrain ends a draining connection once it owes nothing. The event loop does not tell when buffered bytes
@@ -146,19 +146,19 @@
 	}
 	server := c.server
 	if c.socket.OutboundBuffered() == 0 {
-		c.transition(phaseLingering, drainCompleted)
+		c.transition(phaseLingering, flightrecorder.ReasonDrainCompleted)
 		return
 	}
 	if server.now()-c.lastActivity >= server.limits.ClientIdleTimeout {
-		c.closeNow(answerNotRead)
+		c.closeNow(flightrecorder.ReasonAnswerNotRead)
 		return
 	}
 	server.timers.Schedule(&c.timeout, server.now()+server.limits.FlushCheckInterval, c.completeDrain)
 }
 
 // closeNow closes the connection and frees its place. What the client has not read may be lost.
-func (c *Connection) closeNow(why reason) {
-	c.transition(phaseClosed, why)
+func (c *Connection) closeNow(reason flightrecorder.Reason) {
+	c.transition(phaseClosed, reason)
 	_ = c.socket.Close() // the connection is given up, whatever becomes of it
 }
 
@@ -170,14 +170,14 @@
 		server.timers.Schedule(&c.timeout, server.now()+server.limits.LingerTimeout, c.lingerExpired)
 		return
 	}
-	c.abortLinger(lingerTimeout)
+	c.abortLinger(flightrecorder.ReasonLingerTimeout)
 }
 
 // abortLinger ends the lingering before the client has closed its half.
-func (c *Connection) abortLinger(why reason) {
+func (c *Connection) abortLinger(reason flightrecorder.Reason) {
 	c.server.Counters.LingersAborted++
-	c.closeNow(why)
+	c.closeNow(reason)
 }
 
 // Closed is called by the event loop when the client has closed or reset the connection: no answer can reach it.
-func (c *Connection) Closed() { c.transition(phaseClosed, closedByClient) }
+func (c *Connection) Closed() { c.transition(phaseClosed, flightrecorder.ReasonClosedByClient) }
--- a/internal/downstream/frames.go
+++ b/internal/downstream/frames.go
@@ -25,7 +25,7 @@
 	err := c.readFrames(data)
 	if err != nil && c.phase == phaseReady {
 		c.server.OnProtocolError(err)
-		c.drain(malformedStream)
+		c.drain(flightrecorder.ReasonMalformedStream)
 	}
 	return nil
 }
@@ -35,11 +35,11 @@
 	c.server.Counters.DroppedBytes += uint64(len(data))
 	c.droppedBytes += len(data)
 	if c.droppedBytes > c.server.limits.MaxLingerBytes {
-		c.closeNow(tooMuchAfterHalfClose)
+		c.closeNow(flightrecorder.ReasonTooMuchAfterHalfClose)
 		return
 	}
 	event := flightrecorder.Event{Kind: flightrecorder.ConnClosing, Conn: c.id, Count: len(data)}
-	c.server.record(event, droppedAfterHalfClose)
+	c.server.record(event, flightrecorder.ReasonDroppedAfterHalfClose)
 }
 
 // readFrames handles the messages that data completes and keeps the rest.
--- a/internal/downstream/graceful.go
+++ b/internal/downstream/graceful.go
@@ -1,6 +1,7 @@
 package downstream
 
 import (
+	"shaleyard/internal/flightrecorder"
 	"shaleyard/internal/handle"
 	"shaleyard/routing"
 )
@@ -13,7 +14,7 @@
 func (s *Server) StartGracefulClose() {
 	s.closingGracefully = true
 	for _, connection := range s.closableConnections() {
-		connection.transition(phaseLingering, gracefulClose)
+		connection.transition(phaseLingering, flightrecorder.ReasonGracefulClose)
 	}
 }
 
@@ -58,7 +59,7 @@
 	})
 	for _, connection := range stalled {
 		s.Counters.StalledReadersClosed++
-		connection.closeNow(answerNotRead)
+		connection.closeNow(flightrecorder.ReasonAnswerNotRead)
 	}
 }
 
--- a/internal/downstream/replies.go
+++ b/internal/downstream/replies.go
@@ -57,9 +57,9 @@
 }
 
 // rejectLocally rejects a request that the director has not seen.
-func (c *Connection) rejectLocally(seqID int32, why reason) {
+func (c *Connection) rejectLocally(seqID int32, reason flightrecorder.Reason) {
 	server := c.server
-	server.record(flightrecorder.Event{Kind: flightrecorder.RequestRejected, Conn: c.id}, why)
+	server.record(flightrecorder.Event{Kind: flightrecorder.RequestRejected, Conn: c.id}, reason)
 	c.writeRejection(seqID, server.retryAfter)
 }
 
@@ -95,12 +95,12 @@
 	server.outboundEstimate += size
 	if c.socket.OutboundBuffered()+size > server.limits.ClientBacklogBytes {
 		server.Counters.SlowReadersClosed++
-		c.closeNow(outboundLimitExceeded)
+		c.closeNow(flightrecorder.ReasonOutboundLimitExceeded)
 		return
 	}
 	server.Counters.BytesOut += uint64(size)
 	if _, err := c.socket.Writev(segments); err != nil {
-		c.closeNow(writeFailed)
+		c.closeNow(flightrecorder.ReasonWriteFailed)
 	}
 	server.enforceTotalOutboundLimit()
 }
--- a/internal/downstream/requests.go
+++ b/internal/downstream/requests.go
@@ -112,13 +112,13 @@
 	case errors.Is(err, buffer.ErrExhausted):
 		request.Body.Release()
 		server.Counters.OutOfCapacity++
-		c.rejectLocally(header.SeqID, buffersExhausted)
+		c.rejectLocally(header.SeqID, flightrecorder.ReasonBuffersExhausted)
 	case err != nil:
 		c.rejectInvalid(header, err)
 	case len(c.openRequests) >= server.limits.MaxRequestsPerConn:
 		request.Body.Release()
 		server.Counters.TooManyOpenRequests++
-		c.rejectLocally(header.SeqID, tooManyOpenRequests)
+		c.rejectLocally(header.SeqID, flightrecorder.ReasonTooManyOpenRequests)
 	default:
 		c.submit(header.SeqID, request)
 	}
@@ -129,7 +129,8 @@
 func (c *Connection) rejectInvalid(header thrift.MessageHeader, cause error) {
 	server := c.server
 	server.Counters.BadFields++
-	server.record(flightrecorder.Event{Kind: flightrecorder.RequestRejected, Conn: c.id}, invalidFields)
+	event := flightrecorder.Event{Kind: flightrecorder.RequestRejected, Conn: c.id}
+	server.record(event, flightrecorder.ReasonInvalidFields)
 	c.writeApplicationException(header, thrift.ProtocolError, cause.Error())
 }
 
@@ -146,7 +147,7 @@
 		request.Body.Release()
 		delete(c.openRequests, seqID)
 		server.Counters.OutOfCapacity++
-		c.rejectLocally(seqID, requestTableFull)
+		c.rejectLocally(seqID, flightrecorder.ReasonRequestTableFull)
 		return
 	}
 	if _, open := c.openRequests[seqID]; open {
--- a/internal/downstream/server.go
+++ b/internal/downstream/server.go
@@ -117,7 +117,8 @@
 	connection.handle, ok = s.connections.Add(connection)
 	if !ok {
 		s.Counters.RejectedConnections++
-		s.record(flightrecorder.Event{Kind: flightrecorder.ConnClosed, Conn: connection.id}, connectionTableFull)
+		event := flightrecorder.Event{Kind: flightrecorder.ConnClosed, Conn: connection.id}
+		s.record(event, flightrecorder.ReasonConnectionTableFull)
 		return nil
 	}
 	s.Counters.Accepted++
@@ -144,8 +145,8 @@
 }
 
 // record keeps an event that has a reason, with the time.
-func (s *Server) record(event flightrecorder.Event, why reason) {
+func (s *Server) record(event flightrecorder.Event, reason flightrecorder.Reason) {
 	event.At = s.now()
-	event.Reason = flightrecorder.Reason(why.String())
+	event.Reason = reason
 	s.FlightRecorder.Record(event)
 }
--- a/internal/downstream/timeouts.go
+++ b/internal/downstream/timeouts.go
@@ -1,6 +1,9 @@
 package downstream
 
-import "shaleyard/routing"
+import (
+	"shaleyard/internal/flightrecorder"
+	"shaleyard/routing"
+)
 
 // scheduleTimeout sets the timer for the connection's next timeout: that of the message that is due, or the idle
 // timeout.
@@ -35,7 +38,7 @@
 	switch {
 	case messageOverdue:
 		c.server.Counters.MessageTimeouts++
-		c.drain(messageTimeout)
+		c.drain(flightrecorder.ReasonMessageTimeout)
 	case idle:
 		c.server.Counters.IdleTimeouts++
 		c.closeIdle()
@@ -48,8 +51,8 @@
 // in all that time.
 func (c *Connection) closeIdle() {
 	if c.owesAnswer() {
-		c.closeNow(answerNotRead)
+		c.closeNow(flightrecorder.ReasonAnswerNotRead)
 		return
 	}
-	c.drain(idleTimeout)
+	c.drain(flightrecorder.ReasonIdleTimeout)
 }
--- a/internal/flightrecorder/event.go
+++ b/internal/flightrecorder/event.go
@@ -40,9 +40,6 @@
 	return kindNames[k]
 }
 
-// Reason is why an event has happened, as a constant text of the package that records it.
-type Reason string
-
 // Event is one thing that has happened. Fields that do not apply are 0.
 type Event struct {
 	At      routing.Time
@@ -59,8 +56,8 @@
 func (e Event) MarshalLogObject(encoder zapcore.ObjectEncoder) error {
 	encoder.AddInt64("at_us", e.At.Microseconds())
 	encoder.AddString("kind", e.Kind.String())
-	if e.Reason != "" {
-		encoder.AddString("reason", string(e.Reason))
+	if e.Reason != ReasonNone {
+		encoder.AddString("reason", e.Reason.String())
 	}
 	if e.Conn != 0 {
 		encoder.AddUint64("conn", e.Conn)
