--- a/cmd/shaleyard/drain_test.go
+++ b/cmd/shaleyard/drain_test.go
@@ -16,149 +16,158 @@
 	"shaleyard/internal/nettest"
 )
 
-// counted asks the process for its counters and gives one of them.
-func (o *operatedChild) counted(name string) int {
-	o.child.t.Helper()
-	o.signal(syscall.SIGUSR1)
+// counter has the process log its counters, and returns one of them.
+func (p *operatedProcess) counter(name string) int {
+	p.process.t.Helper()
+	p.signal(syscall.SIGUSR1)
 	var line struct {
 		Counters struct {
-			Conns   int `json:"client_conns"`
-			Clients struct{ Answers int }
+			Conns      int `json:"downstream_conns"`
+			Downstream struct{ Answers int }
 		} `json:"counters"`
 	}
-	if err := json.Unmarshal([]byte(o.logged(`"msg":"counters"`)), &line); err != nil {
-		o.child.t.Fatal(err)
+	if err := json.Unmarshal([]byte(p.waitForLog(`"msg":"counters"`)), &line); err != nil {
+		p.process.t.Fatal(err)
+	}
+	switch name {
+	case "downstream_conns":
+		return line.Counters.Conns
+	case "Answers":
+		return line.Counters.Downstream.Answers
+	default:
+		p.process.t.Fatalf("no counter %s", name)
+		return 0
 	}
-	return map[string]int{"client_conns": line.Counters.Conns, "Answers": line.Counters.Clients.Answers}[name]
 }
 
-// held is how many client connections the process holds.
-func (o *operatedChild) held() int { return o.counted("client_conns") }
+// clientConnections is how many client connections the process holds.
+func (p *operatedProcess) clientConnections() int { return p.counter("downstream_conns") }
 
-// drain tells the process to drain and returns when that was.
-func (o *operatedChild) drain() time.Time {
-	o.child.t.Helper()
-	at := time.Now()
-	if !o.call(http.MethodPut, "/healthcheck/fail") {
-		o.child.t.Fatal("the drain was refused")
+// drain requests a drain and returns when that was.
+func (p *operatedProcess) drain() time.Time {
+	p.process.t.Helper()
+	drainedAt := time.Now()
+	if !p.call(http.MethodPut, "/healthcheck/fail") {
+		p.process.t.Fatal("the drain was refused")
 	}
-	return at
+	return drainedAt
 }
 
-// emptied waits for the end of a drain, and tells whether no client is held then and the process still says no.
-func (o *operatedChild) emptied(since time.Time) {
-	o.child.t.Helper()
-	time.Sleep(time.Until(since.Add(drainEnds))) // the term is a time
-	if o.call(http.MethodGet, "/healthcheck") {
-		o.child.t.Error("ready while drained")
+// wantDrained waits for the end of a drain. No connection of a client may be left then, and the process must not be ready.
+func (p *operatedProcess) wantDrained(since time.Time) {
+	p.process.t.Helper()
+	time.Sleep(time.Until(since.Add(drainLimit)))
+	if p.call(http.MethodGet, "/healthcheck") {
+		p.process.t.Error("ready while drained")
 	}
-	for n := o.held(); n > 0; n = o.held() { // a line that was written before may come first
-		if time.Since(since) > drainEnds+time.Second {
-			o.child.t.Fatalf("%d client connections are held behind the drain", n)
+	// A line of counters that was logged before may come first.
+	for conns := p.clientConnections(); conns > 0; conns = p.clientConnections() {
+		if time.Since(since) > drainLimit+time.Second {
+			p.process.t.Fatalf("%d client connections are held after the drain", conns)
 		}
 	}
 }
 
-// taken ends a drain and waits until the process is ready.
-func (o *operatedChild) takenBack() {
-	o.child.t.Helper()
-	if !o.call(http.MethodPut, "/healthcheck/ok") {
-		o.child.t.Fatal("the drain was not taken back")
+// cancelDrain ends a drain and waits until the process is ready.
+func (p *operatedProcess) cancelDrain() {
+	p.process.t.Helper()
+	if !p.call(http.MethodPut, "/healthcheck/ok") {
+		p.process.t.Fatal("the drain was not cancelled")
 	}
-	o.until(readyAgain, true)
+	p.waitReady(readyAfterResume, true)
 }
 
-// A drain meets what else happens to the process and its clients; each order keeps the terms.
+// A drain coincides with other events of the process and its clients; each order keeps the terms.
 func TestDrainMeetsWhatElseHappens(t *testing.T) {
-	for name, play := range map[string]func(t *testing.T, o *operatedChild){
-		"a new configuration amid": func(t *testing.T, o *operatedChild) {
-			idle := o.connect()
+	for name, play := range map[string]func(t *testing.T, proc *operatedProcess){
+		"a new configuration during it": func(t *testing.T, proc *operatedProcess) {
+			idle := proc.connect()
 			idle.Heartbeat(1)
-			at := o.drain()
-			o.child.configure(o.site.config(256))
-			o.signal(syscall.SIGHUP)
-			o.logged("configuration read anew")
+			drainedAt := proc.drain()
+			proc.writeConfig(proc.configJSON(256))
+			proc.signal(syscall.SIGHUP)
+			proc.waitForLog("configuration reloaded")
 			idle.ReadUntilEOF()
 			idle.Close()
-			o.emptied(at)
-			o.takenBack()
+			proc.wantDrained(drainedAt)
+			proc.cancelDrain()
 		},
-		"a stop behind it": func(t *testing.T, o *operatedChild) {
-			waiting, idle := o.connect(), o.connect()
-			waiting.Submit(1, "", fields("media", ref1)...)
-			cache := o.cache.Accept()
+		"a stop after it": func(t *testing.T, proc *operatedProcess) {
+			waiting, idle := proc.connect(), proc.connect()
+			waiting.Submit(1, "", requestFields("media", ref1)...)
+			cache := proc.cache.Accept()
 			cache.ReadCommand()
 			idle.Heartbeat(1)
-			o.drain()
-			o.signal(syscall.SIGTERM)
-			o.logged(`"to":"stopping"`)
-			if o.status(http.MethodPut, "/healthcheck/ok") == http.StatusOK {
+			proc.drain()
+			proc.signal(syscall.SIGTERM)
+			proc.waitForLog(`"to":"stopping"`)
+			if proc.status(http.MethodPut, "/healthcheck/ok") == http.StatusOK {
 				t.Error("a process that stops was called back to work")
 			}
 			cache.WriteArray(ref1, "OK", "n=HIT", "owed")
-			o.want(waiting.ReadReply(), nettest.Reply{Seq: 1, Body: "owed", Good: true})
+			proc.wantReply(waiting.ReadReply(), nettest.Reply{Seq: 1, Body: "owed", Good: true})
 			waiting.ReadUntilEOF()
 			waiting.Close()
 			idle.ReadUntilEOF()
 			idle.Close()
-			o.logged(`"to":"ended"`)
+			proc.waitForLog(`"to":"ended"`)
 		},
-		"taken back at once, and drained again": func(t *testing.T, o *operatedChild) {
-			cl := o.connect()
+		"cancelled at once, and requested again": func(t *testing.T, proc *operatedProcess) {
+			client := proc.connect()
 			for seq := range int32(5) {
-				o.drain()
-				if cl.Heartbeat(2 * seq).Good {
+				proc.drain()
+				if client.Heartbeat(2 * seq).Good {
 					t.Error("ready by heartbeat while drained")
 				}
-				o.takenBack()
-				if !cl.Heartbeat(2*seq + 1).Good {
-					t.Error("not ready by heartbeat behind the drain")
+				proc.cancelDrain()
+				if !client.Heartbeat(2*seq + 1).Good {
+					t.Error("not ready by heartbeat after the drain")
 				}
 			}
-			at := o.drain()
-			cl.ReadUntilEOF()
-			cl.Close()
-			o.emptied(at)
-			o.takenBack()
+			drainedAt := proc.drain()
+			client.ReadUntilEOF()
+			client.Close()
+			proc.wantDrained(drainedAt)
+			proc.cancelDrain()
 		},
-		"a client that writes slowly": func(t *testing.T, o *operatedChild) {
-			cl := o.connect()
-			text := nettest.SubmitFrame(1, "", fields("media", ref1)...)
-			cl.Send(text[:30])
-			at := o.drain()
-			time.Sleep(1700 * time.Millisecond) // amid its 2 s
-			cl.Send(text[30:])
-			if r := cl.ReadReply(); r.Seq != 1 || r.Field != 1 || r.Fields["cooldown"] == "" {
-				t.Errorf("%+v, want request 1 refused, with a time to stay away", r)
+		"a client that writes slowly": func(t *testing.T, proc *operatedProcess) {
+			client := proc.connect()
+			text := nettest.SubmitFrame(1, "", requestFields("media", ref1)...)
+			client.Send(text[:30])
+			drainedAt := proc.drain()
+			time.Sleep(1700 * time.Millisecond) // within its 2 s
+			client.Send(text[30:])
+			if reply := client.ReadReply(); reply.Seq != 1 || reply.Field != 1 || reply.Fields["cooldown"] == "" {
+				t.Errorf("%+v, want request 1 refused, with a time to stay away", reply)
 			}
-			cl.ReadUntilEOF()
-			cl.Close()
-			o.emptied(at)
+			client.ReadUntilEOF()
+			client.Close()
+			proc.wantDrained(drainedAt)
 		},
-		"a client that comes in spite of it": func(t *testing.T, o *operatedChild) {
-			at := o.drain()
+		"a client that comes in spite of it": func(t *testing.T, proc *operatedProcess) {
+			drainedAt := proc.drain()
 			time.Sleep(250 * time.Millisecond) // the front has heard of it by then
-			late := o.connect()
-			late.Submit(1, "", fields("media", ref1)...)
-			cache := o.cache.Accept()
+			late := proc.connect()
+			late.Submit(1, "", requestFields("media", ref1)...)
+			cache := proc.cache.Accept()
 			cache.WriteArray(cache.ReadCommand()[1], "OK", "n=HIT", "late")
-			o.want(late.ReadReply(), nettest.Reply{Seq: 1, Body: "late", Good: true})
+			proc.wantReply(late.ReadReply(), nettest.Reply{Seq: 1, Body: "late", Good: true})
 			late.ReadUntilEOF()
 			late.Close()
-			time.Sleep(time.Until(at.Add(2 * time.Second)))
-			later := o.connect()
-			later.Submit(1, "", fields("media", ref2)...)
-			if r := later.ReadReply(); r.Field != 1 {
-				t.Errorf("%+v, want a refusal", r)
+			time.Sleep(time.Until(drainedAt.Add(2 * time.Second)))
+			later := proc.connect()
+			later.Submit(1, "", requestFields("media", ref2)...)
+			if reply := later.ReadReply(); reply.Field != 1 {
+				t.Errorf("%+v, want a refusal", reply)
 			}
 			later.ReadUntilEOF()
 			later.Close()
-			o.emptied(at)
+			proc.wantDrained(drainedAt)
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			play(t, operate(t))
+			play(t, startOperated(t))
 		})
 	}
 }
@@ -166,72 +175,75 @@
 // A client that reads none of its answers holds its connection no longer than others.
 func TestDrainEndsAClientThatDoesNotRead(t *testing.T) {
 	body := strings.Repeat("0123456789abcdef", 15_000)
-	cache := answering(t, answeringCache(0, body))
-	o := operateWith(t, func(text string, s *site) string { return strings.ReplaceAll(text, s.cache.Addr(), cache) })
-	cl := o.connect()
-	cl.SetReadBuffer(4 << 10)
+	cache := serveTCP(t, respondingCache(0, body))
+	proc := startOperatedWith(t, func(text string, env *harness) string {
+		return strings.ReplaceAll(text, env.cache.Addr(), cache)
+	})
+	client := proc.connect()
+	client.SetReadBuffer(4 << 10)
 	const answers = 24 // more than the system takes for a client
-	for seq := int32(1); o.counted("Answers") < answers; seq++ {
+	for seq := int32(1); proc.counter("Answers") < answers; seq++ {
 		if seq > 20*answers {
 			t.Fatal("requests are not answered")
 		}
-		cl.Submit(seq, "", fields("media", fmt.Sprintf("%016x", seq))...)
+		client.Submit(seq, "", requestFields("media", fmt.Sprintf("%016x", seq))...)
 	}
-	at := o.drain()
-	if n := o.counted("client_conns"); n != 1 {
-		t.Errorf("%d client connections are held at the start of the drain, want 1", n)
+	drainedAt := proc.drain()
+	if conns := proc.counter("downstream_conns"); conns != 1 {
+		t.Errorf("%d client connections are held at the start of the drain, want 1", conns)
 	}
-	o.emptied(at)
+	proc.wantDrained(drainedAt)
 }
 
-// A drain that is asked for while the process starts holds once the list of servers is there, until it is taken back.
+// A drain that is requested while the process starts holds also once the list service is waited for no longer, until it is
+// cancelled.
 func TestDrainDuringTheStart(t *testing.T) {
-	s := &site{t: t, cache: nettest.Listen(t), origin: nettest.Listen(t), feed: nettest.Listen(t)}
-	s.feed.Close() // the list is waited for in vain
-	o := &operatedChild{child: newChild(t, os.Args[0], s.config(256), 256), site: s, operators: unusedAddress(t)}
-	o.Env = append(o.Env, "EDGE_OPERATOR="+o.operators)
-	o.launch()
-	o.listening()
-	if o.call(http.MethodGet, "/healthcheck") {
+	env := newHarness(t)
+	env.discovery.Close() // so that the list service is waited for in vain
+	proc := launchOperated(t, os.Args[0], env, env.configJSON(256))
+	if proc.call(http.MethodGet, "/healthcheck") {
 		t.Error("ready without the list")
 	}
-	o.drain()
-	cl := o.connect()
+	proc.drain()
+	client := proc.connect()
 	for begun := time.Now(); time.Since(begun) < 2500*time.Millisecond; time.Sleep(50 * time.Millisecond) {
-		if o.call(http.MethodGet, "/healthcheck") {
+		if proc.call(http.MethodGet, "/healthcheck") {
 			t.Fatal("ready while drained")
 		}
 	}
-	cl.ReadUntilEOF()
-	cl.Close()
-	o.takenBack()
+	client.ReadUntilEOF()
+	client.Close()
+	proc.cancelDrain()
 }
 
-// The event loop stands still: operators' calls are answered all the same, the process is not ready, and a drain that is
-// asked for meanwhile is carried out as soon as the loop runs.
+// The event loop is stalled: operators' calls are answered all the same, the process is not ready, and a drain that is
+// requested meanwhile is carried out as soon as the loop runs.
 func TestOperatorsAreAnsweredWhileTheLoopStandsStill(t *testing.T) {
-	s := launch(t, 256, io.Discard, func(l *config.Limits) { l.LoopStallThreshold = 50 * time.Millisecond })
-	o := &operated{p: s.p}
-	o.booted.Store(true)
-	f := s.feed.Accept()
-	f.ReadLine()
-	cl := s.client()
-	cl.Heartbeat(1)
-	stands, goOn := make(chan struct{}), make(chan struct{})
-	s.p.loop.Do(func() { close(stands); <-goOn })
-	<-stands
+	env := startWithLimits(t, 256, io.Discard, func(limits *config.Limits) { limits.LoopStallThreshold = 50 * time.Millisecond })
+	operators := &operatorAPI{program: env.program}
+	operators.booted.Store(true)
+	watch := env.discovery.Accept()
+	watch.ReadLine()
+	client := env.dial()
+	client.Heartbeat(1)
+	stalled, proceed := make(chan struct{}), make(chan struct{})
+	env.program.eventLoop.Do(func() {
+		close(stalled)
+		<-proceed
+	})
+	<-stalled
 	for begun := time.Now(); ; {
-		if ready, _ := o.Ready(); !ready {
+		if ready, _ := operators.Ready(); !ready {
 			break
 		}
-		if time.Since(begun) > callAnswered {
-			t.Fatal("ready though the loop stands still")
+		if time.Since(begun) > operatorCallTimeout {
+			t.Fatal("ready though the event loop is stalled")
 		}
 	}
-	o.Drain()
-	if ready, why := o.Ready(); ready || why != lifecycle.Draining.String() {
+	operators.Drain()
+	if ready, why := operators.Ready(); ready || why != lifecycle.Draining.String() {
 		t.Errorf("ready %v: %s", ready, why)
 	}
-	close(goOn)
-	cl.ReadUntilEOF()
+	close(proceed)
+	client.ReadUntilEOF()
 }
--- a/cmd/shaleyard/interface_process_test.go
+++ b/cmd/shaleyard/interface_process_test.go
@@ -31,7 +31,7 @@
 		t.Fatal(err)
 	}
 	read := map[string]bool{}
-	for _, c := range []struct{ name, value, says string }{
+	for _, test := range []struct{ name, value, says string }{
 		{"EDGE_CONFIG", "", "EDGE_CONFIG: not set"},
 		{"EDGE_CONFIG", file + "x", "EDGE_CONFIG: "},
 		{"EDGE_NAME", "n2", "EDGE_NAME: "},
@@ -41,13 +41,13 @@
 		{"SHALEYARD_CONFIG", file + "x", "SHALEYARD_CONFIG: "},
 	} {
 		environment := map[string]string{"EDGE_CONFIG": file, "EDGE_FD": "none"}
-		environment[c.name] = c.value
+		environment[test.name] = test.value
 		err := run(func(name string) string {
 			read[name] = true
 			return environment[name]
 		}, io.Discard)
-		if err == nil || !strings.Contains(err.Error(), c.says) {
-			t.Errorf("%s=%q: %v, want %q", c.name, c.value, err, c.says)
+		if err == nil || !strings.Contains(err.Error(), test.says) {
+			t.Errorf("%s=%q: %v, want %q", test.name, test.value, err, test.says)
 		}
 	}
 	want := []string{"EDGE_CONFIG", "EDGE_FD", "EDGE_LISTEN", "EDGE_NAME", "EDGE_OPERATOR", "SHALEYARD_CONFIG"}
@@ -56,28 +56,31 @@
 	}
 	t.Setenv("SHALEYARD_CONFIG", file+"y")
 	var out strings.Builder
-	if status := command([]string{"plan", "--settings", file}, &out, &out); status != 2 || !strings.Contains(out.String(), file+"y") {
+	status := runCommand([]string{"plan", "--settings", file}, &out, &out)
+	if status != 2 || !strings.Contains(out.String(), file+"y") {
 		t.Errorf("plan with SHALEYARD_CONFIG: status %d, %s", status, out.String())
 	}
 }
 
 // The words and flags of the command line, with the exit status of each.
 func TestCommandLine(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		line   string
 		status int
 	}{
 		{"check ../../deploy/shaleyard.toml", 0}, {"check nosuch.toml", 2}, {"check", 2}, {"check a b", 2}, {"serve", 2},
-		{"plan", 2}, {"plan -h", 0}, {"plan --settings nosuch.json", 2}, {"plan --nosuch", 2}, {"-h", 0}, {"--help", 0}, {"--nosuch", 2},
+		{"plan", 2}, {"plan -h", 0}, {"plan --settings nosuch.json", 2}, {"plan --nosuch", 2},
+		{"-h", 0}, {"--help", 0}, {"--nosuch", 2},
 	} {
-		if got := command(strings.Fields(c.line), io.Discard, io.Discard); got != c.status {
-			t.Errorf("shaleyard %s: status %d, want %d", c.line, got, c.status)
+		if got := runCommand(strings.Fields(test.line), io.Discard, io.Discard); got != test.status {
+			t.Errorf("shaleyard %s: status %d, want %d", test.line, got, test.status)
 		}
 	}
 	var help strings.Builder
-	command([]string{"plan", "-h"}, io.Discard, &help)
-	var flags []string
-	for _, match := range regexp.MustCompile(`(?m)^  -(\S+)`).FindAllStringSubmatch(help.String(), -1) {
+	runCommand([]string{"plan", "-h"}, io.Discard, &help)
+	matches := regexp.MustCompile(`(?m)^  -(\S+)`).FindAllStringSubmatch(help.String(), -1)
+	flags := make([]string, 0, len(matches))
+	for _, match := range matches {
 		flags = append(flags, match[1])
 	}
 	if want := []string{"config", "json", "lost", "settings"}; !slices.Equal(flags, want) {
@@ -92,10 +95,10 @@
 	told           []string
 }
 
-func (p *recordingProcess) note(format string, a ...any) {
+func (p *recordingProcess) note(format string, args ...any) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.told = append(p.told, fmt.Sprintf(format, a...))
+	p.told = append(p.told, fmt.Sprintf(format, args...))
 }
 
 // take returns what the process was told since the last call.
@@ -170,7 +173,7 @@
 func failedStart(t *testing.T, environment ...string) (status int, wrote string) {
 	t.Helper()
 	cmd := exec.Command(os.Args[0])
-	cmd.Env = append(append(os.Environ(), childLimit+"=256", "GORACE=atexit_sleep_ms=0"), environment...)
+	cmd.Env = append(append(os.Environ(), descriptorLimitEnv+"=256", "GORACE=atexit_sleep_ms=0"), environment...)
 	out, err := cmd.CombinedOutput()
 	if cmd.ProcessState == nil {
 		t.Fatal(err)
@@ -196,10 +199,10 @@
 	}
 	document := func(listen, operator string) string {
 		return fmt.Sprintf(`{"name":"n1","listen":%q,"feed":"127.0.0.1:1","operator":%q,"seed":"1",
-			"limits":{"cores":1,"memory_mb":192,"sockets":256},"settings":%s}`, listen, operator, settings)
+			"limits":{"cores":1,"memory_mb":192,"sockets":256},"settings":%s}`, listen, operator, settingsJSON)
 	}
 	inUse := taken.Addr().String()
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name, environment string
 		status            int
 		says              string
@@ -210,17 +213,18 @@
 		{"clients' address in use", "EDGE_CONFIG=" + write("listen.json", document(inUse, "")), 1, "in use"},
 		{"operators' address in use", "EDGE_CONFIG=" + write("operator.json", document("127.0.0.1:0", inUse)), 1, "in use"},
 		{"no such operators' file", "SHALEYARD_CONFIG=" + filepath.Join(folder, "nosuch"), 2, "shaleyard: SHALEYARD_CONFIG: "},
-		{"a bad operators' file", "SHALEYARD_CONFIG=" + write("bad.toml", "[list]\nhaste = 1\n"), 2, "shaleyard: SHALEYARD_CONFIG: "},
+		{"a bad operators' file", "SHALEYARD_CONFIG=" + write("bad.toml", "[list]\nhaste = 1\n"), 2,
+			"shaleyard: SHALEYARD_CONFIG: "},
 	} {
-		if status, wrote := failedStart(t, c.environment); status != c.status || !strings.Contains(wrote, c.says) {
-			t.Errorf("%s: status %d, want %d with %q:\n%s", c.name, status, c.status, c.says, wrote)
+		if status, wrote := failedStart(t, test.environment); status != test.status || !strings.Contains(wrote, test.says) {
+			t.Errorf("%s: status %d, want %d with %q:\n%s", test.name, status, test.status, test.says, wrote)
 		}
 	}
 }
 
 // The names of the process's states are the body of a GET of /healthcheck that is answered 503, and stand in the log.
 func TestNamesOfProcessStates(t *testing.T) {
-	var names []string
+	names := make([]string, 0, lifecycle.Ended+1)
 	for state := range lifecycle.Ended + 1 {
 		names = append(names, state.String())
 	}
@@ -234,25 +238,25 @@
 // it with status 0. The operators' address takes calls.
 func TestSignals(t *testing.T) {
 	for _, end := range []syscall.Signal{syscall.SIGTERM, syscall.SIGINT} {
-		o := operate(t)
-		o.signal(syscall.SIGUSR1)
-		o.logged(`"cause":"SIGUSR1"`)
-		o.site.feed = nettest.Listen(t)
-		o.child.configure(o.site.config(256))
-		o.signal(syscall.SIGHUP)
-		if got := o.site.feed.Accept().ReadLine(); got != "SUB 1" {
+		proc := startOperated(t)
+		proc.signal(syscall.SIGUSR1)
+		proc.waitForLog(`"cause":"SIGUSR1"`)
+		proc.discovery = nettest.Listen(t)
+		proc.writeConfig(proc.configJSON(256))
+		proc.signal(syscall.SIGHUP)
+		if got := proc.discovery.Accept().ReadLine(); got != "SUB 1" {
 			t.Errorf("behind SIGHUP the new address was asked %q", got)
 		}
-		if got, want := operatorCall(t, o.operators, http.MethodPut, "/healthcheck/fail"), `PUT /healthcheck/fail: 200 ""`; got != want {
+		got := operatorCall(t, proc.operators, http.MethodPut, "/healthcheck/fail")
+		if want := `PUT /healthcheck/fail: 200 ""`; got != want {
 			t.Errorf("%s, want %s", got, want)
 		}
-		if got := o.status(http.MethodGet, "/healthcheck"); got != http.StatusServiceUnavailable {
+		if got := proc.status(http.MethodGet, "/healthcheck"); got != http.StatusServiceUnavailable {
 			t.Errorf("behind a drain GET /healthcheck: %d, want 503", got)
 		}
-		o.signal(end)
-		for o.lines.Scan() {
-		}
-		if err := o.Wait(); err != nil || o.ProcessState.ExitCode() != 0 {
+		proc.signal(end)
+		proc.skipLog()
+		if err := proc.Wait(); err != nil || proc.ProcessState.ExitCode() != 0 {
 			t.Errorf("%v: %v, want status 0", end, err)
 		}
 	}
