--- a/cmd/shaleyard/lifecycle.go
+++ b/cmd/shaleyard/lifecycle.go
@@ -18,11 +18,9 @@
 }
 
 func newLifecycleController(prog *program, sharedListener bool) *lifecycleController {
-	controller := &lifecycleController{
-		program: prog,
-		machine: lifecycle.New(lifecycleTimeouts(prog.limits, sharedListener), sharedListener),
-	}
-	controller.machine.OnTransition = controller.logTransition
+	controller := &lifecycleController{program: prog}
+	timeouts := lifecycleTimeouts(prog.limits, sharedListener)
+	controller.machine = lifecycle.New(timeouts, sharedListener, lifecycle.WithOnTransition(controller.logTransition))
 	return controller
 }
 
--- a/internal/eventloop/accept.go
+++ b/internal/eventloop/accept.go
@@ -26,16 +26,16 @@
 	if err != nil {
 		return err
 	}
-	opened.AcceptFailed = l.AcceptFailed
 	l.listener = opened
 	return nil
 }
 
 func (l *Loop) openOrInherit(address string) (*listener.Listener, error) {
+	acceptFailed := listener.WithAcceptFailed(l.AcceptFailed)
 	if l.InheritedFD != 0 {
-		return listener.Inherit(l.InheritedFD, address)
+		return listener.Inherit(l.InheritedFD, address, acceptFailed)
 	}
-	return listener.Open(address)
+	return listener.Open(address, acceptFailed)
 }
 
 // SetAccepting turns accepting on or off; while it is off, connections wait in the system's queue. It may be called from
--- a/internal/lifecycle/lifecycle.go
+++ b/internal/lifecycle/lifecycle.go
@@ -84,11 +84,9 @@
 
 // Machine is the state of one process. It is safe for concurrent use.
 type Machine struct {
-	// OnTransition, if set, is called on each transition, in order, with the Machine locked: it must not call the Machine.
-	OnTransition func(Transition)
-
 	timeouts       Timeouts
-	sharedListener bool // other processes may accept on the listener, too
+	sharedListener bool             // other processes may accept on the listener, too
+	onTransition   func(Transition) // nil: none
 
 	mu             sync.Mutex
 	state          State
@@ -96,10 +94,23 @@
 	requestedAt    routing.Time // when the drain or the stop was requested
 }
 
+// Option sets what is optional of a Machine.
+type Option func(*Machine)
+
+// WithOnTransition has a function called on each transition, in order, with the Machine locked: it must not call the
+// Machine.
+func WithOnTransition(onTransition func(Transition)) Option {
+	return func(m *Machine) { m.onTransition = onTransition }
+}
+
 // New returns the machine of a process that is starting. With sharedListener its listening socket was inherited, so that
 // other processes may accept on it.
-func New(timeouts Timeouts, sharedListener bool) *Machine {
-	return &Machine{timeouts: timeouts, sharedListener: sharedListener}
+func New(timeouts Timeouts, sharedListener bool, options ...Option) *Machine {
+	m := &Machine{timeouts: timeouts, sharedListener: sharedListener}
+	for _, set := range options {
+		set(m)
+	}
+	return m
 }
 
 // State is the present state.
@@ -116,8 +127,8 @@
 		return
 	}
 	m.state = to
-	if m.OnTransition != nil {
-		m.OnTransition(Transition{From: from, To: to, Cause: cause, At: now})
+	if m.onTransition != nil {
+		m.onTransition(Transition{From: from, To: to, Cause: cause, At: now})
 	}
 }
 
--- a/internal/lifecycle/lifecycle_test.go
+++ b/internal/lifecycle/lifecycle_test.go
@@ -84,15 +84,15 @@
 // replay applies a sequence of events to a new machine and checks the policy after each.
 func replay(t *testing.T, shared bool, step time.Duration, sequence []event) {
 	t.Helper()
-	machine, requested := New(testTimeouts, shared), model{}
 	last, now := Starting, routing.Time(0)
 	var history string
-	machine.OnTransition = func(change Transition) {
+	checkTransition := func(change Transition) {
 		if change.From != last || change.To == change.From || (change.From >= Stopping && change.To < change.From) {
 			t.Fatalf("%s: %v to %v after %v", history, change.From, change.To, last)
 		}
 		last = change.To
 	}
+	machine, requested := New(testTimeouts, shared, WithOnTransition(checkTransition)), model{}
 	for _, next := range sequence {
 		now += step
 		history += fmt.Sprintf("%v %s; ", now, next.name)
--- a/internal/listener/listener.go
+++ b/internal/listener/listener.go
@@ -25,16 +25,22 @@
 
 // Listener is a listening socket. Accept fails only once it is closed; Pause and Resume may be called from any goroutine.
 type Listener struct {
-	// AcceptFailed, where set, is called for each accept that failed and is retried. It is set before the first Accept.
-	AcceptFailed func(error)
-
 	inner        deadlineListener
+	acceptFailed func(error) // nil: none
 	mu           sync.Mutex
 	stateChanged *sync.Cond // paused or closed
 	paused       bool
 	closed       bool
 }
 
+// Option sets what is optional of a Listener.
+type Option func(*Listener)
+
+// WithAcceptFailed has a function called for each accept that failed and is retried; nil: none.
+func WithAcceptFailed(acceptFailed func(error)) Option {
+	return func(l *Listener) { l.acceptFailed = acceptFailed }
+}
+
 // deadlineListener is what a Listener needs of a TCP listener.
 type deadlineListener interface {
 	net.Listener
@@ -42,18 +48,18 @@
 }
 
 // Open listens at an address.
-func Open(address string) (*Listener, error) {
+func Open(address string, options ...Option) (*Listener, error) {
 	config := net.ListenConfig{KeepAlive: -1} // silent clients are disconnected by timeouts of our own
 	opened, err := config.Listen(context.Background(), "tcp", address)
 	if err != nil {
 		return nil, err
 	}
-	return newListener(opened.(*net.TCPListener)), nil
+	return newListener(opened.(*net.TCPListener), options...), nil
 }
 
 // Inherit takes over a descriptor that must be a socket that listens at the address. Other processes may hold the same
 // socket: closing the Listener leaves it open to them.
-func Inherit(descriptor int, address string) (*Listener, error) {
+func Inherit(descriptor int, address string, options ...Option) (*Listener, error) {
 	listening, err := syscall.GetsockoptInt(descriptor, syscall.SOL_SOCKET, syscall.SO_ACCEPTCONN)
 	if err != nil {
 		return nil, fmt.Errorf("inherited descriptor %d %w (%w)", descriptor, ErrNotListening, err)
@@ -72,12 +78,15 @@
 		inherited.Close()
 		return nil, fmt.Errorf("inherited descriptor %d listens at %s", descriptor, inherited.Addr())
 	}
-	return newListener(tcp), nil
+	return newListener(tcp, options...), nil
 }
 
-func newListener(inner deadlineListener) *Listener {
+func newListener(inner deadlineListener, options ...Option) *Listener {
 	l := &Listener{inner: inner}
 	l.stateChanged = sync.NewCond(&l.mu)
+	for _, set := range options {
+		set(l)
+	}
 	return l
 }
 
@@ -101,8 +110,8 @@
 		case errors.Is(err, os.ErrDeadlineExceeded): // paused
 			continue
 		}
-		if l.AcceptFailed != nil {
-			l.AcceptFailed(err)
+		if l.acceptFailed != nil {
+			l.acceptFailed(err)
 		}
 		time.Sleep(backoff)
 		backoff = min(2*backoff, maxBackoff)
--- a/internal/listener/listener_test.go
+++ b/internal/listener/listener_test.go
@@ -38,13 +38,14 @@
 	for _, errno := range acceptErrors {
 		t.Run(errno.Error(), func(t *testing.T) {
 			failures := 0
-			l := newListener(&failingListener{errors: []error{errno, errno}})
-			l.AcceptFailed = func(err error) {
+			acceptFailed := func(err error) {
 				failures++
 				if !errors.Is(err, errno) {
 					t.Errorf("%v was reported as %v", errno, err)
 				}
 			}
+			failing := &failingListener{errors: []error{errno, errno}}
+			l := newListener(failing, WithAcceptFailed(acceptFailed))
 			conn, err := l.Accept()
 			if err != nil || conn == nil || failures != 2 {
 				t.Errorf("%v: %v, %d failures reported, want a connection after two", errno, err, failures)
