--- a/cmd/shaleyard/program.go
+++ b/cmd/shaleyard/program.go
@@ -46,7 +46,9 @@
 	reporter  *reporter
 }
 
-// newProgram wires the parts for a configuration. Nothing runs yet; an error names the setting at fault.
+// newProgram wires the parts for a configuration. Nothing runs yet; an error names the setting at fault. Each part is
+// made after those that it is given, but the director and the upstream side need each other: the director is made first,
+// and SetUpstream completes it.
 func newProgram(conf *config.Config, overrides failover.Overrides, log *zap.Logger) (*program, error) {
 	prog := &program{log: log, config: conf, limits: &conf.Limits, now: clock.New().Now}
 	settings := &conf.Settings
@@ -58,32 +60,65 @@
 	prog.flightRecorder = flightrecorder.NewRecorder(prog.limits.FlightRecorderEvents)
 	prog.buffers = buffer.NewPool(prog.limits.BufferSize, prog.limits.BufferCount)
 
+	prog.eventLoop = prog.newEventLoop()
 	var err error
-	prog.director, err = director.New(settings, conf.Seed, prog.limits, &prog.timers, prog.now, log)
+	prog.director, err = prog.newDirector()
 	if err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	prog.eventLoop = prog.newEventLoop()
 	prog.upstream = upstream.NewPools(prog.limits, settings, prog.buffers, prog.eventLoop, prog.director, &prog.timers, prog.now,
 		log, conf.Seed)
 	prog.director.SetUpstream(prog.upstream)
-	prog.director.Admission = overload.NewAdmission(conf.Seed)
 	prog.director.SetSiteOptions(prog.siteOptions(overrides))
-	prog.director.RejectUntil = prog.lifecycle.rejectUntil
-	prog.director.CheckForPause = prog.eventLoop.CheckForPause
-	prog.director.FlightRecorder = prog.flightRecorder
-
-	prog.downstream = downstream.NewServer(prog.limits, settings, prog.buffers, prog.director, &prog.timers, prog.now)
-	prog.downstream.Ready = prog.lifecycle.ready
-	prog.downstream.OnProtocolError = prog.failures.onConnectionRejected
-	prog.downstream.FlightRecorder = prog.flightRecorder
-
-	prog.discovery = discovery.New(prog.limits, settings, conf.DiscoveryAddress, prog.newBackoff(), prog.eventLoop, prog.director,
-		&prog.timers, prog.now, log)
-	prog.discovery.OnFirstConnect = prog.lifecycle.onDiscoveryReady
+	prog.downstream = prog.newDownstream()
+	prog.discovery = prog.newWatcher()
 	return prog, nil
 }
 
+func (p *program) newDirector() (*director.Director, error) {
+	return director.New(director.Config{
+		Settings:       &p.config.Settings,
+		Seed:           p.config.Seed,
+		Limits:         p.limits,
+		Timers:         &p.timers,
+		Now:            p.now,
+		Log:            p.log,
+		RejectUntil:    p.lifecycle.rejectUntil,
+		CheckForPause:  p.eventLoop.CheckForPause,
+		FlightRecorder: p.flightRecorder,
+		Admission:      overload.NewAdmission(p.config.Seed),
+	})
+}
+
+func (p *program) newDownstream() *downstream.Server {
+	return downstream.NewServer(downstream.Config{
+		Limits:          p.limits,
+		Settings:        &p.config.Settings,
+		Pool:            p.buffers,
+		Handler:         p.director,
+		Timers:          &p.timers,
+		Now:             p.now,
+		Ready:           p.lifecycle.ready,
+		OnProtocolError: p.failures.onConnectionRejected,
+		FlightRecorder:  p.flightRecorder,
+	})
+}
+
+func (p *program) newWatcher() *discovery.Watcher {
+	return discovery.New(discovery.Config{
+		Limits:         p.limits,
+		Settings:       &p.config.Settings,
+		Address:        p.config.DiscoveryAddress,
+		Backoff:        p.newBackoff(),
+		Dialer:         p.eventLoop,
+		Sink:           p.director,
+		Timers:         &p.timers,
+		Now:            p.now,
+		Log:            p.log,
+		OnFirstConnect: p.lifecycle.onDiscoveryReady,
+	})
+}
+
 // newEventLoop returns the event loop. What it calls once it runs is complete only when newProgram has returned.
 func (p *program) newEventLoop() *eventloop.Loop {
 	return &eventloop.Loop{
--- a/cmd/shaleyard/simulation_test.go
+++ b/cmd/shaleyard/simulation_test.go
@@ -152,13 +152,28 @@
 	}
 	now := func() routing.Time { return sim.clock }
 	var err error
-	if sim.director, err = director.New(settings, seed, limits, &sim.timers, now, zap.NewNop()); err != nil {
+	sim.director, err = director.New(director.Config{
+		Settings:  settings,
+		Seed:      seed,
+		Limits:    limits,
+		Timers:    &sim.timers,
+		Now:       now,
+		Log:       zap.NewNop(),
+		Admission: overload.NewAdmission(seed),
+	})
+	if err != nil {
 		t.Fatal(err)
 	}
 	sim.upstream = upstream.NewPools(limits, settings, sim.buffers, sim, sim.director, &sim.timers, now, zap.NewNop(), seed)
 	sim.director.SetUpstream(sim.upstream)
-	sim.director.Admission = overload.NewAdmission(seed)
-	sim.downstream = downstream.NewServer(limits, settings, sim.buffers, sim.director, &sim.timers, now)
+	sim.downstream = downstream.NewServer(downstream.Config{
+		Limits:   limits,
+		Settings: settings,
+		Pool:     sim.buffers,
+		Handler:  sim.director,
+		Timers:   &sim.timers,
+		Now:      now,
+	})
 	for _, name := range []string{"c1", "c2", "c3", "p1", "o"} {
 		sim.updateEndpoint(name, routing.Ready, 0)
 	}
--- a/cmd/shaleyard/site.go
+++ b/cmd/shaleyard/site.go
@@ -61,8 +61,15 @@
 		ApplyWithin:   2 * time.Second,
 		NotifiedAfter: 7 * time.Second,
 	}, 0)
-	now := func() routing.Time { return 0 }
-	watcher := discovery.New(limits, settings, "", backoff, nil, list, &timer.Queue{}, now, zap.NewNop())
+	watcher := discovery.New(discovery.Config{ // never started, so that it needs no address and no dialer
+		Limits:   limits,
+		Settings: settings,
+		Backoff:  backoff,
+		Sink:     list,
+		Timers:   &timer.Queue{},
+		Now:      func() routing.Time { return 0 },
+		Log:      zap.NewNop(),
+	})
 	if err := watcher.Bootstrap(known); err != nil {
 		return nil, err
 	}
--- a/internal/director/attempts.go
+++ b/internal/director/attempts.go
@@ -199,7 +199,7 @@
 
 // recordAttempt records what happens to an attempt.
 func (d *Director) recordAttempt(kind flightrecorder.Kind, attempt *activeAttempt, reason flightrecorder.Reason) {
-	d.FlightRecorder.Record(flightrecorder.Event{
+	d.flightRecorder.Record(flightrecorder.Event{
 		At:      d.now(),
 		Kind:    kind,
 		Reason:  reason,
--- a/internal/director/director.go
+++ b/internal/director/director.go
@@ -23,10 +23,15 @@
 	"shaleyard/routing"
 )
 
-// Director drives one router. Its exported fields are set before the first event.
-type Director struct {
-	// Counters count requests, attempts and discovery events since the start.
-	Counters Counters
+// Config is what a Director is made of. Settings and Limits are kept, not copied.
+type Config struct {
+	Settings *routing.Settings
+	Seed     uint64 // of the router's random draws
+	Limits   *config.Limits
+	Timers   *timer.Queue
+	Now      func() routing.Time
+	Log      *zap.Logger
+
 	// RejectUntil, where set, tells whether requests are rejected for now, and until when clients should stay away.
 	RejectUntil func() (until routing.Time, closed bool)
 	// CheckForPause, where set, is called as a request comes in. It calls Suspend if the process has just stood still.
@@ -35,14 +40,24 @@
 	FlightRecorder *flightrecorder.Recorder
 	// Admission, where set, limits the requests in flight after a start or a long pause.
 	Admission *overload.Admission
+}
+
+// Director drives one router.
+type Director struct {
+	// Counters count requests, attempts and discovery events since the start.
+	Counters Counters
 
-	router   *routing.Router
-	settings *routing.Settings
-	limits   *config.Limits
-	upstream Upstream
-	timers   *timer.Queue
-	now      func() routing.Time
-	log      *zap.Logger
+	router         *routing.Router
+	settings       *routing.Settings
+	limits         *config.Limits
+	upstream       Upstream
+	timers         *timer.Queue
+	now            func() routing.Time
+	log            *zap.Logger
+	rejectUntil    func() (until routing.Time, closed bool) // nil: requests are never rejected so
+	checkForPause  func()                                   // nil: no pause is noticed as a request comes in
+	flightRecorder *flightrecorder.Recorder
+	admission      *overload.Admission // nil: all are admitted
 
 	requests     *handle.Table[*openRequest]
 	attempts     *handle.Table[*activeAttempt]
@@ -58,27 +73,32 @@
 	pauseDuration time.Duration
 }
 
-// New returns a director for the settings, within the limits. It fails if the router does not accept the settings.
-func New(settings *routing.Settings, seed uint64, limits *config.Limits, timers *timer.Queue, now func() routing.Time,
-	log *zap.Logger) (*Director, error) {
-	router, err := routing.New(*settings, seed)
+// New returns a director, which needs SetUpstream before its first event. It fails if the router does not accept the
+// settings.
+func New(cfg Config) (*Director, error) {
+	router, err := routing.New(*cfg.Settings, cfg.Seed)
 	if err != nil {
 		return nil, err
 	}
 	return &Director{
-		router:       router,
-		settings:     settings,
-		limits:       limits,
-		timers:       timers,
-		now:          now,
-		log:          log,
-		requests:     handle.NewTable[*openRequest](limits.MaxOpenRequests),
-		attempts:     handle.NewTable[*activeAttempt](handle.MaxEntries),
-		incarnations: map[routing.Host]incarnation{},
+		router:         router,
+		settings:       cfg.Settings,
+		limits:         cfg.Limits,
+		timers:         cfg.Timers,
+		now:            cfg.Now,
+		log:            cfg.Log,
+		rejectUntil:    cfg.RejectUntil,
+		checkForPause:  cfg.CheckForPause,
+		flightRecorder: cfg.FlightRecorder,
+		admission:      cfg.Admission,
+		requests:       handle.NewTable[*openRequest](cfg.Limits.MaxOpenRequests),
+		attempts:       handle.NewTable[*activeAttempt](handle.MaxEntries),
+		incarnations:   map[routing.Host]incarnation{},
 	}, nil
 }
 
-// SetUpstream sets where attempts are sent. It must be called before the first event.
+// SetUpstream sets where attempts are sent. It must be called before the first event. It is not in Config because the
+// upstream side needs the Director when it is made: it reports the ends of attempts to it.
 func (d *Director) SetUpstream(upstream Upstream) { d.upstream = upstream }
 
 // SetSiteOptions sets what the router does when whole sites are lost. It must be called before the first event.
--- a/internal/director/dispatch.go
+++ b/internal/director/dispatch.go
@@ -77,8 +77,8 @@
 func (d *Director) Resume(longPause bool) {
 	d.suspended = false
 	d.pauseDuration = 0
-	if d.Admission != nil && longPause {
-		d.Admission.Restart(d.now())
+	if d.admission != nil && longPause {
+		d.admission.Restart(d.now())
 	}
 	if !d.dispatching {
 		d.dispatchEvents()
--- a/internal/director/dispatch_test.go
+++ b/internal/director/dispatch_test.go
@@ -74,13 +74,15 @@
 // A request that is read after a pause, or in the course of one that is noticed only as it is read, may have waited for
 // all of the pause: its cache is told what its client has left at least. If that is nothing, it is rejected at once.
 func TestPauseShortensTimeoutOfUnreadRequests(t *testing.T) {
-	h := newHarness(t)
 	paused := time.Duration(0)
-	h.director.CheckForPause = func() {
-		if paused > 0 {
-			h.director.Suspend(paused)
+	var h *harness
+	h = newHarness(t, func(cfg *Config) {
+		cfg.CheckForPause = func() {
+			if paused > 0 {
+				h.director.Suspend(paused)
+			}
 		}
-	}
+	})
 	h.submit(readClass)
 	fullTimeout := h.sentAttempts[0].request.Timeout
 	paused = 300 * time.Millisecond
--- a/internal/director/harness_test.go
+++ b/internal/director/harness_test.go
@@ -47,8 +47,8 @@
 	request UpstreamRequest
 }
 
-// newHarness returns a harness with the cache c1 in our zone and the origin o.
-func newHarness(t *testing.T) *harness {
+// newHarness returns a harness with the cache c1 in our zone and the origin o. Each configure may set what is optional.
+func newHarness(t *testing.T, configure ...func(*Config)) *harness {
 	t.Helper()
 	h := &harness{t: t, now: 1000 * time.Second, pool: buffer.NewPool(64, 8), cancelReportsWritten: true}
 	settings := &routing.Settings{
@@ -70,9 +70,19 @@
 		},
 	}
 	limits := &config.Limits{MaxOpenRequests: 8, OverdueGracePeriod: 25 * time.Millisecond}
-	now := func() routing.Time { return h.now }
+	cfg := Config{
+		Settings: settings,
+		Seed:     1,
+		Limits:   limits,
+		Timers:   &h.timers,
+		Now:      func() routing.Time { return h.now },
+		Log:      zap.NewNop(),
+	}
+	for _, set := range configure {
+		set(&cfg)
+	}
 	var err error
-	h.director, err = New(settings, 1, limits, &h.timers, now, zap.NewNop())
+	h.director, err = New(cfg)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/director/requests.go
+++ b/internal/director/requests.go
@@ -35,15 +35,15 @@
 	if !ok {
 		return 0, false
 	}
-	if d.CheckForPause != nil {
-		d.CheckForPause()
+	if d.checkForPause != nil {
+		d.checkForPause()
 	}
 	now := d.now()
 	request.handle = requestHandle
 	request.acceptedAt = now
 	request.deadline = d.deadlineFor(now, incoming.Timeout)
 	d.Counters.RequestsAccepted++
-	d.FlightRecorder.Record(flightrecorder.Event{
+	d.flightRecorder.Record(flightrecorder.Event{
 		At: now, Kind: flightrecorder.RequestAccepted, Conn: incoming.ConnID, Request: uint32(requestHandle),
 	})
 
@@ -88,8 +88,8 @@
 func (d *Director) admit(now routing.Time, request *openRequest) (
 	reason flightrecorder.Reason, wait time.Duration, ok bool,
 ) {
-	if d.RejectUntil != nil {
-		if until, closed := d.RejectUntil(); closed {
+	if d.rejectUntil != nil {
+		if until, closed := d.rejectUntil(); closed {
 			d.Counters.RejectedNotAccepting++
 			return flightrecorder.ReasonNotAccepting, until - now, false
 		}
@@ -106,11 +106,11 @@
 
 // admitByPace asks Admission. Requests that must not run twice always pass: they are the last to be shed.
 func (d *Director) admitByPace(now routing.Time, request *openRequest) (wait time.Duration, ok bool) {
-	if d.Admission == nil || !idempotent(d.settings.Classes[request.Class].Idempotency) {
+	if d.admission == nil || !idempotent(d.settings.Classes[request.Class].Idempotency) {
 		return 0, true
 	}
 	others := d.requests.Len() - 1
-	return d.Admission.Admit(now, others)
+	return d.admission.Admit(now, others)
 }
 
 // retryAfter returns the Retry-After advice for a wait, within what the site allows; 0: no advice.
@@ -185,8 +185,8 @@
 // respond finishes a request and gives its client the one response.
 func (d *Director) respond(request *openRequest, response Response) {
 	d.countOutcome(response.Outcome)
-	if d.Admission != nil && request.admitted {
-		d.Admission.RecordAnswer(response.Outcome == Served, d.now()-request.acceptedAt)
+	if d.admission != nil && request.admitted {
+		d.admission.RecordAnswer(response.Outcome == Served, d.now()-request.acceptedAt)
 	}
 	d.finishRequest(request, response.Reason)
 	request.replier.Reply(request.token, response)
@@ -205,7 +205,7 @@
 
 // finishRequest marks a request as answered or cancelled.
 func (d *Director) finishRequest(request *openRequest, reason flightrecorder.Reason) {
-	d.FlightRecorder.Record(flightrecorder.Event{
+	d.flightRecorder.Record(flightrecorder.Event{
 		At:      d.now(),
 		Kind:    flightrecorder.RequestEnded,
 		Reason:  reason,
--- a/internal/director/requests_test.go
+++ b/internal/director/requests_test.go
@@ -96,9 +96,11 @@
 
 // A director that does not accept requests rejects them at once.
 func TestRejectUntilRejectsAtOnce(t *testing.T) {
-	h := newHarness(t)
 	closed := true
-	h.director.RejectUntil = func() (routing.Time, bool) { return h.now + time.Second, closed }
+	var h *harness
+	h = newHarness(t, func(cfg *Config) {
+		cfg.RejectUntil = func() (routing.Time, bool) { return h.now + time.Second, closed }
+	})
 	h.submit(paymentClass)
 	if len(h.sentAttempts) != 0 || h.director.Counters.RejectedNotAccepting != 1 {
 		t.Errorf("sent %v, %d rejected as not accepting", h.sentAttempts, h.director.Counters.RejectedNotAccepting)
@@ -114,12 +116,11 @@
 // After a start, requests are admitted as responses come: those beyond that are rejected at once and never sent. A
 // payment is admitted all the same, and so are twice as many requests once responses have come.
 func TestRequestsBeyondAdmissionAreRejectedAtOnce(t *testing.T) {
-	h := newHarness(t)
+	h := newHarness(t, func(cfg *Config) { cfg.Admission = overload.NewAdmission(1) })
 	h.director.limits.MaxOpenRequests = 100
 	h.director.requests = handle.NewTable[*openRequest](100)
 	h.director.settings.SiteLimits.RetryAfterAllowed = true
 	h.director.settings.SiteLimits.MaxRetryAfter = time.Second
-	h.director.Admission = overload.NewAdmission(1)
 	for range 40 {
 		h.submit(readClass)
 	}
--- a/internal/discovery/flapping_service_test.go
+++ b/internal/discovery/flapping_service_test.go
@@ -118,8 +118,17 @@
 		CallDuration:     s.limits.WatchCallTime,
 		MinWait:          s.limits.MinWatchBackoff,
 	}, seed)
-	now := func() routing.Time { return s.now }
-	s.watcher = New(&s.limits, &routing.Settings{}, "a", backoff, s, s, &s.timers, now, zap.NewNop())
+	s.watcher = New(Config{
+		Limits:   &s.limits,
+		Settings: &routing.Settings{},
+		Address:  "a",
+		Backoff:  backoff,
+		Dialer:   s,
+		Sink:     s,
+		Timers:   &s.timers,
+		Now:      func() routing.Time { return s.now },
+		Log:      zap.NewNop(),
+	})
 	for i := range s.settings.probabilities {
 		s.settings.probabilities[i] = []float64{0.05, 0.3, 0.6, 0.95}[s.rng.IntN(4)]
 	}
--- a/internal/discovery/harness_test.go
+++ b/internal/discovery/harness_test.go
@@ -68,8 +68,17 @@
 		CallDuration:     500 * time.Millisecond,
 		MinWait:          limits.MinWatchBackoff,
 	}, 1)
-	now := func() routing.Time { return h.now }
-	h.watcher = New(limits, settings, "a", backoff, h, h, &h.timers, now, zap.NewNop())
+	h.watcher = New(Config{
+		Limits:   limits,
+		Settings: settings,
+		Address:  "a",
+		Backoff:  backoff,
+		Dialer:   h,
+		Sink:     h,
+		Timers:   &h.timers,
+		Now:      func() routing.Time { return h.now },
+		Log:      zap.NewNop(),
+	})
 	return h
 }
 
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -43,8 +43,8 @@
 	if err := w.subscribe(); err != nil {
 		watcher.endWatch(w, EndUnusable)
 	}
-	if isFirst && watcher.OnFirstConnect != nil {
-		watcher.OnFirstConnect()
+	if isFirst && watcher.onFirstConnect != nil {
+		watcher.onFirstConnect()
 	}
 }
 
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -27,22 +27,36 @@
 	Purge(director.Purge)
 }
 
+// Config is what a Watcher is made of. Limits are kept, not copied.
+type Config struct {
+	Limits   *config.Limits
+	Settings *routing.Settings // name the zones and kinds of the list's entries
+	Address  string            // of the list service
+	Backoff  *Backoff          // says when the service is called
+	Dialer   eventloop.Dialer
+	Sink     Sink
+	Timers   *timer.Queue
+	Now      func() routing.Time
+	Log      *zap.Logger
+
+	// OnFirstConnect, if set, is called once, when the service is connected for the first time.
+	OnFirstConnect func()
+}
+
 // Watcher keeps a watch of one list service up.
 type Watcher struct {
 	Counters Counters
-	// OnFirstConnect, if set, is called once, when the service is connected for the first time. It must be set before
-	// Start.
-	OnFirstConnect func()
 
-	limits  *config.Limits
-	address string
-	dialer  eventloop.Dialer
-	sink    Sink
-	timers  *timer.Queue
-	now     func() routing.Time
-	log     *zap.Logger
-	zones   map[string]int // index of a zone in the settings, by its name
-	kinds   map[string]int // likewise of a kind of server
+	limits         *config.Limits
+	address        string
+	dialer         eventloop.Dialer
+	sink           Sink
+	timers         *timer.Queue
+	now            func() routing.Time
+	log            *zap.Logger
+	onFirstConnect func()         // nil: none
+	zones          map[string]int // index of a zone in the settings, by its name
+	kinds          map[string]int // likewise of a kind of server
 
 	// What is known of the list.
 	revision       uint64 // last event that was applied
@@ -65,22 +79,21 @@
 	redialTimer    timer.Timer  // makes the next call
 }
 
-// New returns a Watcher of the service at an address, for the zones and kinds of the settings. It does nothing before
-// Start.
-func New(limits *config.Limits, settings *routing.Settings, address string, backoff *Backoff, dialer eventloop.Dialer,
-	sink Sink, timers *timer.Queue, now func() routing.Time, log *zap.Logger) *Watcher {
+// New returns a Watcher, which does nothing before Start.
+func New(cfg Config) *Watcher {
 	return &Watcher{
-		limits:    limits,
-		address:   address,
-		dialer:    dialer,
-		sink:      sink,
-		timers:    timers,
-		now:       now,
-		log:       log,
-		backoff:   backoff,
-		zones:     indexByName(settings.Zones),
-		kinds:     indexByName(settings.Kinds),
-		endpoints: map[string]endpointState{},
+		limits:         cfg.Limits,
+		address:        cfg.Address,
+		dialer:         cfg.Dialer,
+		sink:           cfg.Sink,
+		timers:         cfg.Timers,
+		now:            cfg.Now,
+		log:            cfg.Log,
+		onFirstConnect: cfg.OnFirstConnect,
+		backoff:        cfg.Backoff,
+		zones:          indexByName(cfg.Settings.Zones),
+		kinds:          indexByName(cfg.Settings.Kinds),
+		endpoints:      map[string]endpointState{},
 	}
 }
 
--- a/internal/downstream/frames.go
+++ b/internal/downstream/frames.go
@@ -24,7 +24,7 @@
 	}
 	err := c.readFrames(data)
 	if err != nil && c.phase == phaseReady {
-		c.server.OnProtocolError(err)
+		c.server.onProtocolError(err)
 		c.drain(flightrecorder.ReasonMalformedStream)
 	}
 	return nil
--- a/internal/downstream/golden_answers_test.go
+++ b/internal/downstream/golden_answers_test.go
@@ -95,9 +95,9 @@
 	g.transcript.line("heartbeats as the state changes, one behind a graceful close")
 	heartbeat := func(seqid int32) { g.receive(goldenFrame(goldenMessage(1, "heartbeat", seqid, "\x00")), 1<<20) }
 	heartbeat(1)
-	g.server.Ready = func() bool { return false }
+	g.ready = false
 	heartbeat(2)
-	g.server.Ready = func() bool { return true }
+	g.ready = true
 	heartbeat(3)
 	g.server.StartGracefulClose()
 	heartbeat(4)
--- a/internal/downstream/golden_harness_test.go
+++ b/internal/downstream/golden_harness_test.go
@@ -148,6 +148,7 @@
 	transcript goldenTranscript
 	handler    goldenHandler
 	server     *Server
+	ready      bool // what heartbeats are told
 	connection *Connection
 	pool       *buffer.Pool
 	timers     timer.Queue
@@ -182,10 +183,17 @@
 	}
 	settings := &routing.Settings{Classes: []routing.Class{{Name: "pages"}, {Name: "media"}}}
 	settings.SiteLimits.RetryAfterAllowed, settings.SiteLimits.MaxRetryAfter = options.cooldown > 0, time.Minute
-	now := func() routing.Time { return 1000 * time.Second }
-	g.server = NewServer(limits, settings, g.pool, &g.handler, &g.timers, now)
-	g.server.Ready = func() bool { return !options.notReady }
-	g.server.OnProtocolError = func(error) { g.transcript.line("  protocol error") }
+	g.ready = !options.notReady
+	g.server = NewServer(Config{
+		Limits:          limits,
+		Settings:        settings,
+		Pool:            g.pool,
+		Handler:         &g.handler,
+		Timers:          &g.timers,
+		Now:             func() routing.Time { return 1000 * time.Second },
+		Ready:           func() bool { return g.ready },
+		OnProtocolError: func(error) { g.transcript.line("  protocol error") },
+	})
 	g.connection = g.server.Accept(&goldenSocket{transcript: &g.transcript})
 	return g
 }
--- a/internal/downstream/harness_test.go
+++ b/internal/downstream/harness_test.go
@@ -78,9 +78,15 @@
 		MaxRequestTimeout:   time.Minute,
 	}
 	settings := &routing.Settings{Classes: []routing.Class{{Name: "pages"}, {Name: "media"}}}
-	now := func() routing.Time { return harness.now }
-	harness.server = NewServer(limits, settings, harness.pool, harness, &harness.timers, now)
-	harness.server.OnProtocolError = func(error) { harness.protocolErrors++ }
+	harness.server = NewServer(Config{
+		Limits:          limits,
+		Settings:        settings,
+		Pool:            harness.pool,
+		Handler:         harness,
+		Timers:          &harness.timers,
+		Now:             func() routing.Time { return harness.now },
+		OnProtocolError: func(error) { harness.protocolErrors++ },
+	})
 	return harness
 }
 
--- a/internal/downstream/requests.go
+++ b/internal/downstream/requests.go
@@ -78,7 +78,7 @@
 	server.Counters.Heartbeats++
 	w := &server.replyWriter
 	beginAnswer(w, header.Method, header.SeqID, 0)
-	finishAnswer(w, server.Ready())
+	finishAnswer(w, server.ready())
 	c.write(w.Frame(0))
 }
 
--- a/internal/downstream/server.go
+++ b/internal/downstream/server.go
@@ -47,24 +47,38 @@
 	StalledReadersClosed                           uint64 // in a graceful close, having read nothing for long
 }
 
-// Server holds the connections of all clients.
-type Server struct {
-	Counters Counters
-	// Ready reports whether heartbeats are answered as good.
+// Config is what a Server is made of. Limits are kept, not copied.
+type Config struct {
+	Limits   *config.Limits
+	Settings *routing.Settings
+	Pool     *buffer.Pool // holds frames and bodies
+	Handler  RequestHandler
+	Timers   *timer.Queue
+	Now      func() routing.Time
+
+	// Ready reports whether heartbeats are answered as good; nil: they always are.
 	Ready func() bool
-	// OnProtocolError is called with the reason for which nothing more is read from a connection.
+	// OnProtocolError, where set, is called with the reason for which nothing more is read from a connection.
 	OnProtocolError func(reason error)
 	// FlightRecorder keeps what happens to connections and requests; nil: nothing is kept.
 	FlightRecorder *flightrecorder.Recorder
+}
 
-	limits       *config.Limits
-	pool         *buffer.Pool
-	handler      RequestHandler
-	timers       *timer.Queue
-	now          func() routing.Time
-	classIndexes map[string]int // of the settings' classes, by name
-	retryAfter   time.Duration  // advised on rejections that the director does not see; 0: the settings allow none
-	lastID       uint64
+// Server holds the connections of all clients.
+type Server struct {
+	Counters Counters
+
+	limits          *config.Limits
+	pool            *buffer.Pool
+	handler         RequestHandler
+	timers          *timer.Queue
+	now             func() routing.Time
+	ready           func() bool
+	onProtocolError func(reason error)
+	flightRecorder  *flightrecorder.Recorder
+	classIndexes    map[string]int // of the settings' classes, by name
+	retryAfter      time.Duration  // advised on rejections that the director does not see; 0: the settings allow none
+	lastID          uint64
 
 	connections       *handle.Table[*Connection] // that are ready or draining
 	lingering         []*Connection              // oldest first; they are not in connections
@@ -79,29 +93,34 @@
 	frameBuffer []byte // a frame that came in pieces
 }
 
-// NewServer returns a server that hands requests of the settings' classes to the handler. Limits are kept, not
-// copied.
-func NewServer(limits *config.Limits, settings *routing.Settings, pool *buffer.Pool, handler RequestHandler,
-	timers *timer.Queue, now func() routing.Time) *Server {
+// NewServer returns a server that hands requests of the settings' classes to the handler.
+func NewServer(cfg Config) *Server {
+	if cfg.Ready == nil {
+		cfg.Ready = func() bool { return true }
+	}
+	if cfg.OnProtocolError == nil {
+		cfg.OnProtocolError = func(error) {}
+	}
 	classIndexes := map[string]int{}
-	for i, class := range settings.Classes {
+	for i, class := range cfg.Settings.Classes {
 		classIndexes[class.Name] = i
 	}
 	retryAfter := time.Duration(0)
-	if settings.SiteLimits.RetryAfterAllowed {
-		retryAfter = min(limits.ShutdownRetryAfter, settings.SiteLimits.MaxRetryAfter)
+	if cfg.Settings.SiteLimits.RetryAfterAllowed {
+		retryAfter = min(cfg.Limits.ShutdownRetryAfter, cfg.Settings.SiteLimits.MaxRetryAfter)
 	}
 	return &Server{
-		Ready:           func() bool { return true },
-		OnProtocolError: func(error) {},
-		limits:          limits,
-		pool:            pool,
-		handler:         handler,
-		timers:          timers,
-		now:             now,
+		limits:          cfg.Limits,
+		pool:            cfg.Pool,
+		handler:         cfg.Handler,
+		timers:          cfg.Timers,
+		now:             cfg.Now,
+		ready:           cfg.Ready,
+		onProtocolError: cfg.OnProtocolError,
+		flightRecorder:  cfg.FlightRecorder,
 		classIndexes:    classIndexes,
 		retryAfter:      retryAfter,
-		connections:     handle.NewTable[*Connection](limits.MaxClientConns),
+		connections:     handle.NewTable[*Connection](cfg.Limits.MaxClientConns),
 	}
 }
 
@@ -125,7 +144,7 @@
 	now := s.now()
 	connection.lastActivity = now
 	connection.messageStarted = now
-	s.FlightRecorder.Record(flightrecorder.Event{At: now, Kind: flightrecorder.ConnOpened, Conn: connection.id})
+	s.flightRecorder.Record(flightrecorder.Event{At: now, Kind: flightrecorder.ConnOpened, Conn: connection.id})
 	connection.scheduleTimeout()
 	s.trim()
 	return connection
@@ -148,5 +167,5 @@
 func (s *Server) record(event flightrecorder.Event, reason flightrecorder.Reason) {
 	event.At = s.now()
 	event.Reason = reason
-	s.FlightRecorder.Record(event)
+	s.flightRecorder.Record(event)
 }
