--- a/internal/director/requests.go
+++ b/internal/director/requests.go
@@ -35,15 +35,15 @@
 	if !ok {
 		return 0, false
 	}
-	if d.CheckForPause != nil {
-		d.CheckForPause()
+	if d.checkForPause != nil {
+		d.checkForPause()
 	}
 	now := d.now()
 	request.handle = requestHandle
 	request.acceptedAt = now
 	request.deadline = d.deadlineFor(now, incoming.Timeout)
 	d.Counters.RequestsAccepted++
-	d.FlightRecorder.Record(flightrecorder.Event{
+	d.flightRecorder.Record(flightrecorder.Event{
 		At: now, Kind: flightrecorder.RequestAccepted, Conn: incoming.ConnID, Request: uint32(requestHandle),
 	})
 
@@ -85,30 +85,32 @@
 
 // admit tells whether a request is given to the router. If not, it says why, and for how long the client should stay
 // away.
-func (d *Director) admit(now routing.Time, request *openRequest) (reason Reason, wait time.Duration, ok bool) {
-	if d.RejectUntil != nil {
-		if until, closed := d.RejectUntil(); closed {
+func (d *Director) admit(now routing.Time, request *openRequest) (
+	reason flightrecorder.Reason, wait time.Duration, ok bool,
+) {
+	if d.rejectUntil != nil {
+		if until, closed := d.rejectUntil(); closed {
 			d.Counters.RejectedNotAccepting++
-			return ReasonNotAccepting, until - now, false
+			return flightrecorder.ReasonNotAccepting, until - now, false
 		}
 	}
 	if wait, ok := d.admitByPace(now, request); !ok {
 		d.Counters.RejectedByAdmission++
-		return ReasonNotAdmitted, wait, false
+		return flightrecorder.ReasonNotAdmitted, wait, false
 	}
 	if request.deadline <= now {
-		return ReasonExpiredUnread, d.limits.ShutdownRetryAfter, false
+		return flightrecorder.ReasonExpiredUnread, d.limits.ShutdownRetryAfter, false
 	}
-	return ReasonNone, 0, true
+	return flightrecorder.ReasonNone, 0, true
 }
 
 // admitByPace asks Admission. Requests that must not run twice always pass: they are the last to be shed.
 func (d *Director) admitByPace(now routing.Time, request *openRequest) (wait time.Duration, ok bool) {
-	if d.Admission == nil || !idempotent(d.settings.Classes[request.Class].Idempotency) {
+	if d.admission == nil || !idempotent(d.settings.Classes[request.Class].Idempotency) {
 		return 0, true
 	}
 	others := d.requests.Len() - 1
-	return d.Admission.Admit(now, others)
+	return d.admission.Admit(now, others)
 }
 
 // retryAfter returns the Retry-After advice for a wait, within what the site allows; 0: no advice.
@@ -128,7 +130,7 @@
 		return
 	}
 	d.Counters.RequestsCancelled++
-	d.finishRequest(request, ReasonCancelledByClient)
+	d.finishRequest(request, flightrecorder.ReasonCancelledByClient)
 	for _, attemptHandle := range request.inFlight {
 		d.cancelIfUnwritten(attemptHandle)
 	}
@@ -176,15 +178,15 @@
 func (d *Director) failOverdue(request *openRequest) {
 	d.Counters.RequestsOverdue++
 	d.log.Error("request failed by its deadline guard", zap.String("ref", request.Ref))
-	d.respond(request, Response{Outcome: Failed, Reason: ReasonOverdue})
+	d.respond(request, Response{Outcome: Failed, Reason: flightrecorder.ReasonOverdue})
 	d.postLastEvent(routing.RequestClosed{ID: uint32(request.handle)}, request)
 }
 
 // respond finishes a request and gives its client the one response.
 func (d *Director) respond(request *openRequest, response Response) {
 	d.countOutcome(response.Outcome)
-	if d.Admission != nil && request.admitted {
-		d.Admission.RecordAnswer(response.Outcome == Served, d.now()-request.acceptedAt)
+	if d.admission != nil && request.admitted {
+		d.admission.RecordAnswer(response.Outcome == Served, d.now()-request.acceptedAt)
 	}
 	d.finishRequest(request, response.Reason)
 	request.replier.Reply(request.token, response)
@@ -202,11 +204,11 @@
 }
 
 // finishRequest marks a request as answered or cancelled.
-func (d *Director) finishRequest(request *openRequest, reason Reason) {
-	d.FlightRecorder.Record(flightrecorder.Event{
+func (d *Director) finishRequest(request *openRequest, reason flightrecorder.Reason) {
+	d.flightRecorder.Record(flightrecorder.Event{
 		At:      d.now(),
 		Kind:    flightrecorder.RequestEnded,
-		Reason:  flightrecorder.Reason(reason.String()),
+		Reason:  reason,
 		Conn:    request.ConnID,
 		Request: uint32(request.handle),
 	})
