--- a/routing/reason.go
+++ b/routing/reason.go
@@ -15,7 +15,7 @@
 	ReasonOriginShielded              // only the origin can serve it, and the origin is overloaded
 )
 
-// reasonTexts appear in the flight recorder and in logs.
+// reasonTexts are for logs and tests; the flight recorder has names of its own.
 var reasonTexts = [...]string{
 	ReasonNone:                 "",
 	ReasonDeadlineExceeded:     "deadline exceeded",
