--- a/cmd/shaleyard/anyorder_test.go
+++ b/cmd/shaleyard/anyorder_test.go
@@ -2,9 +2,9 @@
 
 import "testing"
 
-// Whatever comes in whatever order, each request has one answer in its time while its client is there; no attempt begins for
-// a request whose client has gone; no attempt goes to a cache after the notice that it drains; a request that must not run
-// twice does not; and at the end nothing is left.
+// Whatever comes in whatever order, each request has one answer in its time while its client is there; no attempt
+// begins for a request whose client has gone; no attempt goes to a cache after the notice that it drains; a request
+// that must not run twice does not; and at the end nothing is left.
 func TestAnythingInAnyOrder(t *testing.T) {
 	served := 0
 	for seed := range uint64(300) {
--- a/cmd/shaleyard/command.go
+++ b/cmd/shaleyard/command.go
@@ -41,8 +41,8 @@
 	return exitUsage
 }
 
-// runCheck checks the operators' file that the arguments name and prints what it sets. The arguments begin with the word
-// check; options before it are parsed as well, so that --help is one.
+// runCheck checks the operators' file that the arguments name and prints what it sets. The arguments begin with the
+// word check; options before it are parsed as well, so that --help is one.
 func runCheck(args []string, out, errs io.Writer) error {
 	flags := flag.NewFlagSet("shaleyard", flag.ContinueOnError)
 	flags.SetOutput(errs)
--- a/cmd/shaleyard/command_test.go
+++ b/cmd/shaleyard/command_test.go
@@ -28,9 +28,18 @@
 	}
 	site := write("site.json", `{"settings":{"dcs":["west","east","edge"],"kinds":["std","parent","origin"],
 		"services":[{"name":"media","worth":2,"effect":"read_like"},{"name":"pay","worth":3,"effect":"non_idempotent"}],
-		"familyInfo":{"masterKind":2,"secondTierKind":1,"seatsByZone":[0,0,4],"hubByZone":[0,1,0],"passOn":[false,true]}},
+		"familyInfo":{"masterKind":2,"secondTierKind":1,"seatsByZone":[0,0,4],"hubByZone":[0,1,0],"passOn":[false,
+ true]}},
 		"known":{"n":1,"events":[{"n":1,"members":{"index":1,"snapshot":true,"endpoints":[`+strings.Join([]string{
-		endpoint("c", "edge", "std", 10), endpoint("p", "west", "parent", 4), endpoint("q", "east", "parent", 4)}, ",")+`]}}]}}`)
+		endpoint(
+			"c",
+			"edge",
+			"std",
+			10,
+		),
+		endpoint("p", "west", "parent", 4),
+		endpoint("q", "east", "parent", 4),
+	}, ",")+`]}}]}}`)
 	pinned := write("pin.toml", "[plan]\n[[plan.pin]]\nlost = \"west\"\nfrom = \"edge\"\nto = \"edge\"\nshare = 0.5\n")
 	for _, test := range []struct {
 		args   []string
@@ -68,7 +77,8 @@
 	cmd := exec.Command(os.Args[0])
 	cmd.Env = append(os.Environ(), descriptorLimitEnv+"=256", "SHALEYARD_CONFIG="+bad)
 	out, err := cmd.CombinedOutput()
-	if cmd.ProcessState.ExitCode() != 2 || !strings.Contains(string(out), "bad.toml:2: pause.limit_ms: 1 is not within") {
+	if cmd.ProcessState.ExitCode() != 2 ||
+		!strings.Contains(string(out), "bad.toml:2: pause.limit_ms: 1 is not within") {
 		t.Errorf("%v, %q", err, out)
 	}
 }
--- a/cmd/shaleyard/configuration_test.go
+++ b/cmd/shaleyard/configuration_test.go
@@ -66,8 +66,8 @@
 	child.stopGracefully()
 }
 
-// After a loss the watch resumes from the last event on, and a new cache at an old address is another endpoint: nothing may
-// go to it on the connections of the one that has gone.
+// After a loss the watch resumes from the last event on, and a new cache at an old address is another endpoint: nothing
+// may go to it on the connections of the one that has gone.
 func TestFeedResumesAndANewCacheIsAnotherPeer(t *testing.T) {
 	env := startProgram(t)
 	watch := env.discovery.Accept()
--- a/cmd/shaleyard/connections_test.go
+++ b/cmd/shaleyard/connections_test.go
@@ -15,7 +15,8 @@
 func TestBadInputEndsOnlyItsConnection(t *testing.T) {
 	env := startProgram(t)
 	good := env.dial()
-	for _, junk := range []string{"GET / HTTP/1.1\r\n\r\n", "\x00\x00\x00\x00", "\xff\xff\xff\xff", "\x00\x00\x00\x01\x80"} {
+	for _, junk := range []string{"GET / HTTP/1.1\r\n\r\n", "\x00\x00\x00\x00", "\xff\xff\xff\xff",
+		"\x00\x00\x00\x01\x80"} {
 		bad := env.dial()
 		bad.Send(junk)
 		if got := bad.ReadUntilClose(); got != "" {
@@ -73,8 +74,8 @@
 	}
 }
 
-// Clients may hold a third of the descriptors. Connections on which nothing has come are evicted for those on which requests
-// come, and none that waits for an answer is.
+// Clients may hold a third of the descriptors. Connections on which nothing has come are evicted for those on which
+// requests come, and none that waits for an answer is.
 func TestSilentConnectionsMakeRoom(t *testing.T) {
 	env := startWithDescriptors(t, 66)
 	waiting := env.dial()
--- a/cmd/shaleyard/drain_test.go
+++ b/cmd/shaleyard/drain_test.go
@@ -53,7 +53,8 @@
 	return drainedAt
 }
 
-// wantDrained waits for the end of a drain. No connection of a client may be left then, and the process must not be ready.
+// wantDrained waits for the end of a drain. No connection of a client may be left then, and the process must not be
+// ready.
 func (p *operatedProcess) wantDrained(since time.Time) {
 	p.process.t.Helper()
 	time.Sleep(time.Until(since.Add(drainLimit)))
@@ -195,8 +196,8 @@
 	proc.wantDrained(drainedAt)
 }
 
-// A drain that is requested while the process starts holds also once the list service is waited for no longer, until it is
-// cancelled.
+// A drain that is requested while the process starts holds also once the list service is waited for no longer, until it
+// is cancelled.
 func TestDrainDuringTheStart(t *testing.T) {
 	env := newHarness(t)
 	env.discovery.Close() // so that the list service is waited for in vain
@@ -219,7 +220,12 @@
 // The event loop is stalled: operators' calls are answered all the same, the process is not ready, and a drain that is
 // requested meanwhile is carried out as soon as the loop runs.
 func TestOperatorsAreAnsweredWhileTheLoopStandsStill(t *testing.T) {
-	env := startWithLimits(t, 256, io.Discard, func(limits *config.Limits) { limits.LoopStallThreshold = 50 * time.Millisecond })
+	env := startWithLimits(
+		t,
+		256,
+		io.Discard,
+		func(limits *config.Limits) { limits.LoopStallThreshold = 50 * time.Millisecond },
+	)
 	operators := &operatorAPI{program: env.program}
 	operators.booted.Store(true)
 	watch := env.discovery.Accept()
--- a/cmd/shaleyard/failures.go
+++ b/cmd/shaleyard/failures.go
@@ -30,8 +30,8 @@
 	return &connectionFailures{log: log, now: now, acceptLogLimit: rate.Sometimes{Interval: failureLogInterval}}
 }
 
-// onConnectionRejected counts a connection that was closed for what came on it. It logs one a second at most: a client that
-// sends junk must not have the event loop write a line for each message.
+// onConnectionRejected counts a connection that was closed for what came on it. It logs one a second at most: a client
+// that sends junk must not have the event loop write a line for each message.
 func (f *connectionFailures) onConnectionRejected(reason error) {
 	f.rejected++
 	now := f.now()
@@ -39,7 +39,11 @@
 		return
 	}
 	f.nextRejectionLogAt = now + failureLogInterval
-	f.log.Info("connection closed for a protocol error", zap.Uint64("count", f.rejected), zap.NamedError("cause", reason))
+	f.log.Info(
+		"connection closed for a protocol error",
+		zap.Uint64("count", f.rejected),
+		zap.NamedError("cause", reason),
+	)
 }
 
 // onAcceptFailed counts an accept that failed and is tried again. It may be called from any goroutine.
--- a/cmd/shaleyard/faults_test.go
+++ b/cmd/shaleyard/faults_test.go
@@ -29,8 +29,8 @@
 // remainingTimeSlack is how much more than its client has left an attempt may be given.
 const remainingTimeSlack = 150 * time.Millisecond
 
-// The time that a cache is given is what the client has left: with the first attempt, with a retry after a reset that came
-// late, and where the process was paused while the request waited unread.
+// The time that a cache is given is what the client has left: with the first attempt, with a retry after a reset that
+// came late, and where the process was paused while the request waited unread.
 func TestPatienceIsWhatTheClientHasLeft(t *testing.T) {
 	env := newHarness(t)
 	child := startProcess(t, env.configJSON(256), 256)
@@ -89,13 +89,17 @@
 	load.stopAndCheck()
 }
 
-// Signals by the hundred, an epoll_wait that they interrupt every other time, and short writes: no request is lost, and no
-// answer is corrupted.
+// Signals by the hundred, an epoll_wait that they interrupt every other time, and short writes: no request is lost, and
+// no answer is corrupted.
 func TestInterruptedSystemCallsLoseNothing(t *testing.T) {
 	proc := startWithFaults(t, map[string]func(text string) string{
 		"unix/zsyscall_linux.go": func(text string) string {
-			return insertAfterLine(t, text, "func EpollWait(epfd int, events []EpollEvent, msec int) (n int, err error) {\n",
-				"\tif waits++; waits%2 == 0 {\n\t\treturn -1, EINTR\n\t}\n") + "\nvar waits int\n"
+			return insertAfterLine(
+				t,
+				text,
+				"func EpollWait(epfd int, events []EpollEvent, msec int) (n int, err error) {\n",
+				"\tif waits++; waits%2 == 0 {\n\t\treturn -1, EINTR\n\t}\n",
+			) + "\nvar waits int\n"
 		},
 		"unix/syscall_unix.go": func(text string) string {
 			return insertAfterLine(t, text, "func Write(fd int, p []byte) (n int, err error) {\n",
@@ -112,13 +116,18 @@
 	proc.waitExit()
 }
 
-// The system refuses every seventh time to register a new connection with epoll. Clients whose connection it was are served
-// all the same, and the caches are not blamed.
+// The system refuses every seventh time to register a new connection with epoll. Clients whose connection it was are
+// served all the same, and the caches are not blamed.
 func TestRefusedRegistrationsLoseNothing(t *testing.T) {
 	proc := startWithFaults(t, map[string]func(text string) string{
 		"unix/zsyscall_linux.go": func(text string) string {
-			return insertAfterLine(t, text, "func EpollCtl(epfd int, op int, fd int, event *EpollEvent) (err error) {\n",
-				"\tif op == EPOLL_CTL_ADD {\n\t\tif adds++; adds > 10 && adds%7 == 0 {\n\t\t\treturn ENOMEM\n\t\t}\n\t}\n") +
+			return insertAfterLine(
+				t,
+				text,
+				"func EpollCtl(epfd int, op int, fd int, event *EpollEvent) (err error) {\n",
+				"\tif op == EPOLL_CTL_ADD {\n\t\tif adds++; adds > 10 && adds%7 == 0 {\n"+
+					"\t\t\treturn ENOMEM\n\t\t}\n\t}\n",
+			) +
 				"\nvar adds int\n"
 		},
 	})
@@ -144,8 +153,8 @@
 	return proc
 }
 
-// A director may hold fewer descriptors than its configuration says: connections that can't be opened are waited for, and all
-// requests are served when there are descriptors again.
+// A director may hold fewer descriptors than its configuration says: connections that can't be opened are waited for,
+// and all requests are served when there are descriptors again.
 func TestConnectsWithoutDescriptorsAreNoEvidence(t *testing.T) {
 	env := newHarness(t)
 	child := startProcess(t, env.configJSON(256), 256)
--- a/cmd/shaleyard/harness_test.go
+++ b/cmd/shaleyard/harness_test.go
@@ -38,7 +38,8 @@
  "ceilings":{"cancel":true,"maxAttempts":6,"secondCopies":true,"retryAfter":true,"maxRetryAfter":500000000,
   "connectTimeout":5000000000},
  "guarantees":{"cold":1000000000,"coldFrom":0.5,"fall":1000000000,"drainGrace":2000000000,"tipMultiple":2},
- "familyInfo":{"passOn":[false,true],"mergesFills":true,"flowKbPerS":1000,"masterKind":2,"secondTierKind":1,"notesGiven":"all",
+ "familyInfo":{"passOn":[false,true],"mergesFills":true,"flowKbPerS":1000,"masterKind":2,"secondTierKind":1,
+ "notesGiven":"all",
   "purgeTakes":6000000000,"purgeSlack":500000000},
  "report":{"fields":["active"],"via":"inline"}}`
 
--- a/cmd/shaleyard/interface_process_test.go
+++ b/cmd/shaleyard/interface_process_test.go
@@ -68,7 +68,8 @@
 		line   string
 		status int
 	}{
-		{"check ../../deploy/shaleyard.toml", 0}, {"check nosuch.toml", 2}, {"check", 2}, {"check a b", 2}, {"serve", 2},
+		{"check ../../deploy/shaleyard.toml", 0}, {"check nosuch.toml", 2}, {"check", 2}, {"check a b", 2}, {"serve",
+			2},
 		{"plan", 2}, {"plan -h", 0}, {"plan --settings nosuch.json", 2}, {"plan --nosuch", 2},
 		{"-h", 0}, {"--help", 0}, {"--nosuch", 2},
 	} {
@@ -160,7 +161,8 @@
 		go server.Serve()
 		fmt.Fprintf(&rows, "ready, and can resume: %v\n", can)
 		for _, path := range []string{"/healthcheck", "/healthcheck/fail", "/healthcheck/ok", "/healthcheck/", "/"} {
-			for _, method := range []string{http.MethodGet, http.MethodHead, http.MethodPut, http.MethodPost, http.MethodDelete} {
+			for _, method := range []string{http.MethodGet, http.MethodHead, http.MethodPut, http.MethodPost,
+				http.MethodDelete} {
 				answer := operatorCall(t, server.Address(), method, path)
 				fmt.Fprintf(&rows, "%s %q\n", answer, process.take())
 			}
@@ -211,12 +213,18 @@
 		{"no such configuration", "EDGE_CONFIG=" + filepath.Join(folder, "nosuch"), 1, "shaleyard: EDGE_CONFIG: "},
 		{"a bad configuration", "EDGE_CONFIG=" + write("bad.json", "{"), 1, "shaleyard: config: "},
 		{"clients' address in use", "EDGE_CONFIG=" + write("listen.json", document(inUse, "")), 1, "in use"},
-		{"operators' address in use", "EDGE_CONFIG=" + write("operator.json", document("127.0.0.1:0", inUse)), 1, "in use"},
-		{"no such operators' file", "SHALEYARD_CONFIG=" + filepath.Join(folder, "nosuch"), 2, "shaleyard: SHALEYARD_CONFIG: "},
+		{"operators' address in use", "EDGE_CONFIG=" + write("operator.json", document("127.0.0.1:0", inUse)), 1,
+			"in use"},
+		{"no such operators' file", "SHALEYARD_CONFIG=" + filepath.Join(folder, "nosuch"), 2,
+			"shaleyard: SHALEYARD_CONFIG: "},
 		{"a bad operators' file", "SHALEYARD_CONFIG=" + write("bad.toml", "[list]\nhaste = 1\n"), 2,
 			"shaleyard: SHALEYARD_CONFIG: "},
 	} {
-		if status, wrote := failedStart(t, test.environment); status != test.status || !strings.Contains(wrote, test.says) {
+		if status, wrote := failedStart(
+			t,
+			test.environment,
+		); status != test.status ||
+			!strings.Contains(wrote, test.says) {
 			t.Errorf("%s: status %d, want %d with %q:\n%s", test.name, status, test.status, test.says, wrote)
 		}
 	}
@@ -234,8 +242,8 @@
 	}
 }
 
-// SIGUSR1 has the process write its latest events, SIGHUP has it read its configuration anew, and SIGTERM and SIGINT end
-// it with status 0. The operators' address takes calls.
+// SIGUSR1 has the process write its latest events, SIGHUP has it read its configuration anew, and SIGTERM and SIGINT
+// end it with status 0. The operators' address takes calls.
 func TestSignals(t *testing.T) {
 	for _, end := range []syscall.Signal{syscall.SIGTERM, syscall.SIGINT} {
 		proc := startOperated(t)
--- a/cmd/shaleyard/interface_test.go
+++ b/cmd/shaleyard/interface_test.go
@@ -136,7 +136,8 @@
    "effect":"idempotency_key","group":"all","dedupWindow":700000000,"streaming":true}],
  "ceilings":{"cancel":true,"maxAttempts":6,"maxRetryAfter":500000001,"openCap":301,"peerMessages":true,"probes":true,
    "retryAfter":true,"secondCopies":true},
- "familyInfo":{"bypassAllowed":true,"classFresh":[1000000001],"staleFor":[1000000002],"staleEarns":[0.25],"passOn":[true],
+ "familyInfo":{"bypassAllowed":true,"classFresh":[1000000001],"staleFor":[1000000002],"staleEarns":[0.25],
+ "passOn":[true],
    "flowKbPerS":1000.5,"feedKbPerS":[2000.5],"transitPrice":0.125,"mergesFills":true,"rootFallMultiple":2.5,
    "originBears":1000000003,"masterKind":2,"secondTierKind":1,"parentColdFrom":0.375,"parentRamp":1000000004,
    "parentFallMultiple":3.5,"purgeTakes":1000000005,"purgeSlack":1000000006,"lateral":"location","notesGiven":"all",
@@ -145,7 +146,8 @@
    "graceToAnswer":1000000011,"tipMultiple":4.5},
  "report":{"fields":["active"],"via":"inline"}}`
 
-// The settings have exactly the keys of the golden list: by their tags, in a document with all of them, and written again.
+// The settings have exactly the keys of the golden list: by their tags, in a document with all of them, and written
+// again.
 func TestKeysOfSettings(t *testing.T) {
 	keys := keyList(typeKeys(reflect.TypeFor[routing.Settings](), "json", ""))
 	wantGolden(t, "settings.keys", keys)
@@ -221,7 +223,8 @@
 	return document
 }
 
-// The operators' file has exactly the keys of the golden list: by their tags, in a file with all of them, and written again.
+// The operators' file has exactly the keys of the golden list: by their tags, in a file with all of them, and written
+// again.
 func TestKeysOfOperatorsFile(t *testing.T) {
 	keys := keyList(typeKeys(reflect.TypeFor[config.OperatorFile](), "toml", ""))
 	wantGolden(t, "operators-file.keys", keys)
@@ -249,7 +252,8 @@
 	if err := os.WriteFile(full, []byte(fullOperatorFile), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	for name, path := range map[string]string{"check-deploy.txt": "../../deploy/shaleyard.toml", "check-full.txt": full} {
+	for name, path := range map[string]string{"check-deploy.txt": "../../deploy/shaleyard.toml",
+		"check-full.txt": full} {
 		var out, errs strings.Builder
 		if status := runCommand([]string{"check", path}, &out, &errs); status != 0 || errs.Len() > 0 {
 			t.Errorf("check %s: status %d, %s", path, status, errs.String())
@@ -271,9 +275,24 @@
    "ceilings":{"connectTimeout":1300000000,"keepalive":8000000000,"streamsPerConn":17}}}`
 
 // edgeConfigKeys are those keys.
-var edgeConfigKeys = []string{"name", "listen", "feed", "operator", "seed", "limits", "limits.cores", "limits.memory_mb",
-	"limits.sockets", "known", "known.n", "known.events", "settings", "settings.ceilings.connectTimeout",
-	"settings.ceilings.keepalive", "settings.ceilings.streamsPerConn"}
+var edgeConfigKeys = []string{
+	"name",
+	"listen",
+	"feed",
+	"operator",
+	"seed",
+	"limits",
+	"limits.cores",
+	"limits.memory_mb",
+	"limits.sockets",
+	"known",
+	"known.n",
+	"known.events",
+	"settings",
+	"settings.ceilings.connectTimeout",
+	"settings.ceilings.keepalive",
+	"settings.ceilings.streamsPerConn",
+}
 
 // changedDocument is fullEdgeConfig with the value of a key changed, or without the key where the value is nil.
 func changedDocument(t *testing.T, key string, value any) []byte {
@@ -334,8 +353,8 @@
 	}
 }
 
-// Each key of the control feed's events, which EDGE_CONFIG's known.events holds, too, is spelt by the error on a value of
-// a wrong type.
+// Each key of the control feed's events, which EDGE_CONFIG's known.events holds, too, is spelt by the error on a value
+// of a wrong type.
 func TestKeysOfControlFeed(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "config.json")
 	for key, event := range map[string]string{
--- a/cmd/shaleyard/lifecycle.go
+++ b/cmd/shaleyard/lifecycle.go
@@ -24,7 +24,8 @@
 	return controller
 }
 
-// lifecycleTimeouts are the periods of drains and stops. A process that hands its listener over accepts requests for longer.
+// lifecycleTimeouts are the periods of drains and stops. A process that hands its listener over accepts requests for
+// longer.
 func lifecycleTimeouts(limits *config.Limits, sharedListener bool) lifecycle.Timeouts {
 	timeouts := lifecycle.Timeouts{
 		DrainNoticePeriod: limits.DrainNoticePeriod,
@@ -45,9 +46,9 @@
 		zap.Stringer("cause", change.Cause))
 }
 
-// onDiscoveryReady reports that the list service was reached, or has been waited for long enough. Purges and drains since the
-// configuration was written count as notified. So requests are accepted only once this director has asked for them, though its
-// turn to call may come late in the fleet's jitter window.
+// onDiscoveryReady reports that the list service was reached, or has been waited for long enough. Purges and drains
+// since the configuration was written count as notified. So requests are accepted only once this director has asked for
+// them, though its turn to call may come late in the fleet's jitter window.
 func (c *lifecycleController) onDiscoveryReady() {
 	c.machine.DiscoveryReady(c.program.now())
 	c.apply()
@@ -59,9 +60,9 @@
 // ended reports whether the process is over, so that no connection is accepted any more.
 func (c *lifecycleController) ended() bool { return c.machine.State() == lifecycle.Ended }
 
-// rejectUntil reports whether requests are rejected, and until when a client should stay away. They are while the process is
-// drained or stopped; and, with an initial jitter window, until what the list service has to say is known. Each director
-// then names the time of its own call, so that clients don't come back all at once.
+// rejectUntil reports whether requests are rejected, and until when a client should stay away. They are while the
+// process is drained or stopped; and, with an initial jitter window, until what the list service has to say is known.
+// Each director then names the time of its own call, so that clients don't come back all at once.
 func (c *lifecycleController) rejectUntil() (until routing.Time, reject bool) {
 	limits, discovery, now := c.program.limits, c.program.discovery, c.program.now()
 	if !c.machine.Policy(now).AcceptRequests {
@@ -73,8 +74,8 @@
 	return discovery.DialTime() + limits.MinWatchBackoff, true
 }
 
-// stop begins a graceful shutdown. Connections and requests are accepted for a while longer, as the front hears of it late;
-// the program ends once every accepted request is answered and the answer read.
+// stop begins a graceful shutdown. Connections and requests are accepted for a while longer, as the front hears of it
+// late; the program ends once every accepted request is answered and the answer read.
 func (c *lifecycleController) stop() {
 	now := c.program.now()
 	if !c.machine.Stop(now) {
--- a/cmd/shaleyard/load_test.go
+++ b/cmd/shaleyard/load_test.go
@@ -20,7 +20,8 @@
 // maxPrintedFailures bounds what is printed of a load in which requests were lost.
 const maxPrintedFailures = 5
 
-// loadGenerator is clients that send requests one after the other, some each on a new connection, some on one that they keep.
+// loadGenerator is clients that send requests one after the other, some each on a new connection, some on one that they
+// keep.
 type loadGenerator struct {
 	t              *testing.T
 	address        string
@@ -134,8 +135,8 @@
 	}
 }
 
-// request sends a request and waits for its answer. One that crosses the end of a connection is sent again, once. It returns
-// false if the request was lost.
+// request sends a request and waits for its answer. One that crosses the end of a connection is sent again, once. It
+// returns false if the request was lost.
 func (c *loadClient) request() bool {
 	c.seq++
 	sent, err := c.send()
@@ -155,7 +156,13 @@
 		c.retries++
 		c.disconnect()
 	default:
-		c.load.recordFailure("client %d, request %d of its connection: %v, %v after it was sent", c.kind, c.seq, err, elapsed)
+		c.load.recordFailure(
+			"client %d, request %d of its connection: %v, %v after it was sent",
+			c.kind,
+			c.seq,
+			err,
+			elapsed,
+		)
 		return false
 	}
 	return true
--- a/cmd/shaleyard/logger.go
+++ b/cmd/shaleyard/logger.go
@@ -7,8 +7,8 @@
 	"go.uber.org/zap/zapcore"
 )
 
-// newLogger returns a logger that writes one JSON object a line, from a level on: debug, info, warn or error; "" is info.
-// Nothing is buffered: a director may be killed at any moment, and its last line is the one that is wanted.
+// newLogger returns a logger that writes one JSON object a line, from a level on: debug, info, warn or error; "" is
+// info. Nothing is buffered: a director may be killed at any moment, and its last line is the one that is wanted.
 func newLogger(to io.Writer, level, name string) *zap.Logger {
 	minLevel, err := zapcore.ParseLevel(level)
 	if level == "" || err != nil {
--- a/cmd/shaleyard/main.go
+++ b/cmd/shaleyard/main.go
@@ -1,7 +1,7 @@
-// Command shaleyard is a director: it takes clients' requests, has edge caches, parents and the origin answer them as the
-// decision module in package routing says, and answers each request once. The other packages do the work; this one wires
-// them together and handles what surrounds them: command line, environment, configuration, signals, operators' calls,
-// logs and the exit status.
+// Command shaleyard is a director: it takes clients' requests, has edge caches, parents and the origin answer them as
+// the decision module in package routing says, and answers each request once. The other packages do the work; this one
+// wires them together and handles what surrounds them: command line, environment, configuration, signals, operators'
+// calls, logs and the exit status.
 package main
 
 import (
@@ -122,7 +122,11 @@
 }
 
 // loadConfig reads the file that EDGE_CONFIG names, and puts what the operators' file sets in place of the defaults.
-func loadConfig(getenv func(string) string, descriptors uint64, operatorFile *config.OperatorFile) (*config.Config, error) {
+func loadConfig(
+	getenv func(string) string,
+	descriptors uint64,
+	operatorFile *config.OperatorFile,
+) (*config.Config, error) {
 	conf, err := config.Load(getenv, descriptors)
 	if err != nil {
 		return nil, err
@@ -134,7 +138,7 @@
 // setRuntimeLimits tells the Go runtime of the memory and the cores that the process may use.
 func setRuntimeLimits(limits *config.Limits) {
 	debug.SetMemoryLimit(limits.MemoryBytes)
-	// One more than the cores: the event loop blocks in epoll_wait, and timers and dials must not wait until the runtime
-	// notices that.
+	// One more than the cores: the event loop blocks in epoll_wait, and timers and dials must not wait until the
+	// runtime notices that.
 	runtime.GOMAXPROCS(int(math.Ceil(limits.Cores)) + 1)
 }
--- a/cmd/shaleyard/operator_test.go
+++ b/cmd/shaleyard/operator_test.go
@@ -14,9 +14,10 @@
 
 // Terms of the operators' page (docs/terms.md).
 const (
-	operatorCallTimeout = time.Second     // a call of the operators' address has its answer by then
-	drainLimit          = 4 * time.Second // a drained director is not ready, and holds no connection of a client, by then
-	readyAfterResume    = 2 * time.Second // a director whose drain is cancelled is ready by then
+	operatorCallTimeout = time.Second // a call of the operators' address has its answer by then
+	// a drained director is not ready, and holds no connection of a client, by then
+	drainLimit       = 4 * time.Second
+	readyAfterResume = 2 * time.Second // a director whose drain is cancelled is ready by then
 )
 
 // operatedProcess is the program in a process of its own, with the address that operators call.
@@ -105,9 +106,9 @@
 // connect connects a client.
 func (p *operatedProcess) connect() *nettest.Conn { return nettest.Dial(p.process.t, p.address) }
 
-// A drained director is not ready at once, by HTTP and by heartbeat, answers the requests that it has accepted, and holds no
-// client's connection past the time, whether that is idle, waits for an answer or goes on sending. It runs on, and accepts
-// requests again when the drain is cancelled.
+// A drained director is not ready at once, by HTTP and by heartbeat, answers the requests that it has accepted, and
+// holds no client's connection past the time, whether that is idle, waits for an answer or goes on sending. It runs on,
+// and accepts requests again when the drain is cancelled.
 func TestOperatorDrainEmptiesTheProcess(t *testing.T) {
 	proc := startOperated(t)
 	idle, waiting, sending := proc.connect(), proc.connect(), proc.connect()
@@ -158,8 +159,8 @@
 	proc.waitReady(readyAfterResume, false)
 }
 
-// keepSending goes on sending requests on a connection on which request 1 is open, one each 100 ms, until the other side ends
-// it, and counts the answers of each request that was sent 50 ms before that or sooner.
+// keepSending goes on sending requests on a connection on which request 1 is open, one each 100 ms, until the other
+// side ends it, and counts the answers of each request that was sent 50 ms before that or sooner.
 func (p *operatedProcess) keepSending(client *nettest.Conn, seq int32, since time.Time) map[int32]int {
 	answers := map[int32]int{1: 0}
 	sent := map[int32]time.Time{}
@@ -222,18 +223,22 @@
 	child.stopGracefully()
 }
 
-// buildWithSteppedClock builds the program with a standard library whose wall clock is stepped a second after the start, the
-// monotonic clock left alone.
+// buildWithSteppedClock builds the program with a standard library whose wall clock is stepped a second after the
+// start, the monotonic clock left alone.
 func buildWithSteppedClock(t *testing.T, step time.Duration) string {
 	t.Helper()
-	return buildWithSource(t, filepath.Join(goOutput(t, "env", "GOROOT"), "src/time/time.go"), func(text string) string {
-		return insertAfterLine(t, text, "func Now() Time {\n\tsec, nsec, mono := runtimeNow()\n",
-			"\tif mono-startNano > int64(Second) {\n\t\tsec += "+wholeSeconds(step)+"\n\t}\n")
-	})
+	return buildWithSource(
+		t,
+		filepath.Join(goOutput(t, "env", "GOROOT"), "src/time/time.go"),
+		func(text string) string {
+			return insertAfterLine(t, text, "func Now() Time {\n\tsec, nsec, mono := runtimeNow()\n",
+				"\tif mono-startNano > int64(Second) {\n\t\tsec += "+wholeSeconds(step)+"\n\t}\n")
+		},
+	)
 }
 
-// A wall clock that is stepped changes no duration: a request that is open meanwhile fails at its deadline, and a drain, its
-// end, a reload and a stop take as long as ever.
+// A wall clock that is stepped changes no duration: a request that is open meanwhile fails at its deadline, and a
+// drain, its end, a reload and a stop take as long as ever.
 func TestWallClockStepsMoveNoSpan(t *testing.T) {
 	for _, step := range []time.Duration{-time.Hour, -5 * time.Second, 5 * time.Second, time.Hour} {
 		t.Run(step.String(), func(t *testing.T) {
--- a/cmd/shaleyard/operatorapi.go
+++ b/cmd/shaleyard/operatorapi.go
@@ -6,8 +6,8 @@
 	"go.uber.org/zap"
 )
 
-// operatorAPI is the process as the operators' address sees it. Nothing here waits for the event loop, so that calls are
-// answered also while it is stalled.
+// operatorAPI is the process as the operators' address sees it. Nothing here waits for the event loop, so that calls
+// are answered also while it is stalled.
 type operatorAPI struct {
 	program *program
 	booted  atomic.Bool // the event loop runs
@@ -48,5 +48,10 @@
 
 // Called implements admin.Process.
 func (o *operatorAPI) Called(method, path string, status int) {
-	o.program.log.Info("operator call", zap.String("method", method), zap.String("path", path), zap.Int("status", status))
+	o.program.log.Info(
+		"operator call",
+		zap.String("method", method),
+		zap.String("path", path),
+		zap.Int("status", status),
+	)
 }
--- a/cmd/shaleyard/pauses.go
+++ b/cmd/shaleyard/pauses.go
@@ -13,8 +13,8 @@
 	long    bool // the pause that is settling was long, or one of several that settle together
 }
 
-// onPause is called before anything else happens after a pause. Nothing is decided until what came meanwhile is read: a cache
-// may be draining or an object purged, and both count as notified.
+// onPause is called before anything else happens after a pause. Nothing is decided until what came meanwhile is read: a
+// cache may be draining or an object purged, and both count as notified.
 func (h *pauseHandler) onPause(gap time.Duration) {
 	h.count++
 	if gap > h.program.limits.LongPauseThreshold {
--- a/cmd/shaleyard/plan.go
+++ b/cmd/shaleyard/plan.go
@@ -27,8 +27,18 @@
 	flags := flag.NewFlagSet("shaleyard plan", flag.ContinueOnError)
 	flags.SetOutput(errs)
 	flags.StringVar(&options.settingsFile, "settings", "", "`FILE` that EDGE_CONFIG names, or the settings in it alone")
-	flags.StringVar(&options.operatorFile, "config", os.Getenv("SHALEYARD_CONFIG"), "operators' `FILE`; none: the defaults")
-	flags.StringVar(&options.lostSites, "lost", "", "`SITES` that are lost, with commas between; none: each, and each pair")
+	flags.StringVar(
+		&options.operatorFile,
+		"config",
+		os.Getenv("SHALEYARD_CONFIG"),
+		"operators' `FILE`; none: the defaults",
+	)
+	flags.StringVar(
+		&options.lostSites,
+		"lost",
+		"",
+		"`SITES` that are lost, with commas between; none: each, and each pair",
+	)
 	flags.BoolVar(&options.asJSON, "json", false, "one JSON array in place of a table")
 	if err := flags.Parse(args); err != nil {
 		return options, err
@@ -40,8 +50,8 @@
 	return options, nil
 }
 
-// runPlan prints the failover plans for lost sites, worked out from the operators' file and a director's configuration, or its
-// settings alone where the operators' file has the capacity of each site.
+// runPlan prints the failover plans for lost sites, worked out from the operators' file and a director's configuration,
+// or its settings alone where the operators' file has the capacity of each site.
 func runPlan(args []string, out, errs io.Writer) error {
 	options, err := parsePlanOptions(args, errs)
 	if err != nil {
--- a/cmd/shaleyard/plan_golden_test.go
+++ b/cmd/shaleyard/plan_golden_test.go
@@ -7,8 +7,9 @@
 	"testing"
 )
 
-// TestPlanCommandOutput holds what `shaleyard plan` prints, byte for byte, for deployments of several shapes, losses and
-// operators' files. The numbers in the JSON form are printed in full, so that a change in the order of the arithmetic shows.
+// TestPlanCommandOutput holds what `shaleyard plan` prints, byte for byte, for deployments of several shapes, losses
+// and operators' files. The numbers in the JSON form are printed in full, so that a change in the order of the
+// arithmetic shows.
 func TestPlanCommandOutput(t *testing.T) {
 	t.Setenv("SHALEYARD_CONFIG", "")
 	for _, test := range []struct {
@@ -21,7 +22,8 @@
 		{name: "ring-two-hubs-json", settings: "ring.json", options: []string{"--lost", "west,middle", "--json"}},
 		{name: "ring-overrides-branch", settings: "ring.json", config: "ring-overrides.toml",
 			options: []string{"--lost", "edge-1"}},
-		{name: "ring-overrides-all-json", settings: "ring.json", config: "ring-overrides.toml", options: []string{"--json"}},
+		{name: "ring-overrides-all-json", settings: "ring.json", config: "ring-overrides.toml",
+			options: []string{"--json"}},
 		{name: "ring-without-plan-table", settings: "ring.json", config: "no-plan.toml",
 			options: []string{"--lost", "west,east"}},
 		{name: "ring-pin-too-large", settings: "ring.json", config: "pin-too-large.toml"},
@@ -41,7 +43,8 @@
 		{name: "settings-alone-capacities", settings: "settings-alone.json", config: "capacities.toml",
 			options: []string{"--json"}},
 		{name: "single-hub-all", settings: "single-hub.json"},
-		{name: "single-hub-overrides", settings: "single-hub.json", config: "small-origin.toml", options: []string{"--json"}},
+		{name: "single-hub-overrides", settings: "single-hub.json", config: "small-origin.toml",
+			options: []string{"--json"}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			folder := filepath.Join("testdata", "golden", "plan")
--- a/cmd/shaleyard/process_test.go
+++ b/cmd/shaleyard/process_test.go
@@ -44,8 +44,12 @@
 	t.Helper()
 	child := &process{Cmd: exec.Command(program), t: t, configFile: filepath.Join(t.TempDir(), "config.json")}
 	child.writeConfig(text)
-	child.Env = append(os.Environ(), fmt.Sprintf("%s=%d", descriptorLimitEnv, descriptors), "EDGE_CONFIG="+child.configFile,
-		"GORACE=atexit_sleep_ms=0") // otherwise the race detector holds each exit up for a second
+	child.Env = append(
+		os.Environ(),
+		fmt.Sprintf("%s=%d", descriptorLimitEnv, descriptors),
+		"EDGE_CONFIG="+child.configFile,
+		"GORACE=atexit_sleep_ms=0",
+	) // otherwise the race detector holds each exit up for a second
 	return child
 }
 
--- a/cmd/shaleyard/program.go
+++ b/cmd/shaleyard/program.go
@@ -47,8 +47,8 @@
 }
 
 // newProgram wires the parts for a configuration. Nothing runs yet; an error names the setting at fault. Each part is
-// made after those that it is given, but the director and the upstream side need each other: the director is made first,
-// and SetUpstream completes it.
+// made after those that it is given, but the director and the upstream side need each other: the director is made
+// first, and SetUpstream completes it.
 func newProgram(conf *config.Config, overrides failover.Overrides, log *zap.Logger) (*program, error) {
 	prog := &program{log: log, config: conf, limits: &conf.Limits, now: clock.New().Now}
 	settings := &conf.Settings
@@ -66,8 +66,17 @@
 	if err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	prog.upstream = upstream.NewPools(prog.limits, settings, prog.buffers, prog.eventLoop, prog.director, &prog.timers, prog.now,
-		log, conf.Seed)
+	prog.upstream = upstream.NewPools(
+		prog.limits,
+		settings,
+		prog.buffers,
+		prog.eventLoop,
+		prog.director,
+		&prog.timers,
+		prog.now,
+		log,
+		conf.Seed,
+	)
 	prog.director.SetUpstream(prog.upstream)
 	prog.director.SetSiteOptions(prog.siteOptions(overrides))
 	prog.downstream = prog.newDownstream()
@@ -136,8 +145,8 @@
 	}
 }
 
-// siteOptions say how the health of whole sites is followed. A failover plan that can't be made must not keep the director
-// from starting: it goes on as without one.
+// siteOptions say how the health of whole sites is followed. A failover plan that can't be made must not keep the
+// director from starting: it goes on as without one.
 func (p *program) siteOptions(overrides failover.Overrides) sitehealth.Options {
 	logFailure := func(err error) { p.log.Warn("no plan for lost sites", zap.Error(err)) }
 	planner, err := failover.NewLocalPlanner(&p.config.Settings, overrides, logFailure)
--- a/cmd/shaleyard/reporter.go
+++ b/cmd/shaleyard/reporter.go
@@ -58,8 +58,8 @@
 	r.program.log.Info("counters", zap.Any("counters", r.counters()))
 }
 
-// logCountersPeriodically logs the counters at every CountersInterval. With hundreds of directors, each of which seldom uses
-// most caches, what the fleet did is counted from these lines: a line at the exit alone would be lost to SIGKILL.
+// logCountersPeriodically logs the counters at every CountersInterval. With hundreds of directors, each of which seldom
+// uses most caches, what the fleet did is counted from these lines: a line at the exit alone would be lost to SIGKILL.
 func (r *reporter) logCountersPeriodically() {
 	r.logCounters()
 	r.program.timers.ScheduleFunc(r.program.now()+r.program.limits.CountersInterval, r.logCountersPeriodically)
--- a/cmd/shaleyard/requests_test.go
+++ b/cmd/shaleyard/requests_test.go
@@ -46,8 +46,8 @@
 	env.wantReply(client.ReadReply(), nettest.Reply{Seq: 2, Good: true, Fields: map[string]string{"valid": "1"}})
 }
 
-// A flood meets a director that has just started: it admits as many requests as it can hope to answer, rejects the rest at
-// once with a Retry-After of its own for each, and admits twice as many when those are answered.
+// A flood meets a director that has just started: it admits as many requests as it can hope to answer, rejects the rest
+// at once with a Retry-After of its own for each, and admits twice as many when those are answered.
 func TestFloodAfterAStartIsLetInAsAnswersCome(t *testing.T) {
 	env := startWithLimits(t, 1024, io.Discard, func(limits *config.Limits) { limits.MaxConnsPerEndpoint = 1 })
 	flood := func(client *nettest.Conn, from, count int) {
@@ -105,8 +105,8 @@
 	env.wantReply(client.ReadReply(), nettest.Reply{Seq: 1, Field: 2})
 }
 
-// A malformed answer ends its connection, and with that all attempts on it: that must be one attempt, so that a repayment
-// does not fail with the answers of others. The cache itself is not blamed: it gets further attempts.
+// A malformed answer ends its connection, and with that all attempts on it: that must be one attempt, so that a
+// repayment does not fail with the answers of others. The cache itself is not blamed: it gets further attempts.
 func TestSpoiltAnswerEndsOneAttempt(t *testing.T) {
 	env := startProgram(t)
 	client := env.dial()
--- a/cmd/shaleyard/shutdown_test.go
+++ b/cmd/shaleyard/shutdown_test.go
@@ -48,8 +48,8 @@
 	}
 }
 
-// Caches hang just as the program is told to end: requests that wait for them are answered before the program is killed, and
-// a request that still comes is rejected at once.
+// Caches hang just as the program is told to end: requests that wait for them are answered before the program is
+// killed, and a request that still comes is rejected at once.
 func TestStopAnswersWhatHangs(t *testing.T) {
 	env := startWithLimits(t, 1024, io.Discard, func(limits *config.Limits) {
 		limits.StopGracePeriod = 10 * time.Millisecond
@@ -93,10 +93,20 @@
 	}
 }
 
-// SIGTERM may come while reloads wait behind one whose file takes long to read, and more of them than any channel holds.
+// SIGTERM may come while reloads wait behind one whose file takes long to read, and more of them than any channel
+// holds.
 func TestStopIsNotLostBehindReloads(t *testing.T) {
-	env := startWithLimits(t, 1024, io.Discard, func(limits *config.Limits) { limits.StopGracePeriod = 10 * time.Millisecond })
-	received := signals{terminate: make(chan os.Signal, 1), reload: make(chan os.Signal, 1), report: make(chan os.Signal, 1)}
+	env := startWithLimits(
+		t,
+		1024,
+		io.Discard,
+		func(limits *config.Limits) { limits.StopGracePeriod = 10 * time.Millisecond },
+	)
+	received := signals{
+		terminate: make(chan os.Signal, 1),
+		reload:    make(chan os.Signal, 1),
+		report:    make(chan os.Signal, 1),
+	}
 	reading, proceed := make(chan struct{}), make(chan struct{})
 	env.program.handleSignals(received, func() (*config.Config, error) {
 		close(reading)
@@ -116,8 +126,9 @@
 	}
 }
 
-// During shutdown idle clients don't close their half, and others come in a flood: lingering and new connections must together
-// keep within the clients' share of descriptors, or accept finds none and ends the program with an answer owed.
+// During shutdown idle clients don't close their half, and others come in a flood: lingering and new connections must
+// together keep within the clients' share of descriptors, or accept finds none and ends the program with an answer
+// owed.
 func TestFloodWhileTheProgramPartsIsSurvived(t *testing.T) {
 	env := newHarness(t)
 	child := startProcess(t, env.configJSON(66), 66)
@@ -138,8 +149,8 @@
 	child.stopGracefully()
 }
 
-// Bytes cross the program's half-close during shutdown: the request is not accepted, let alone forwarded, and the connection
-// is read until the client closes it, so that no reset takes the last answer with it.
+// Bytes cross the program's half-close during shutdown: the request is not accepted, let alone forwarded, and the
+// connection is read until the client closes it, so that no reset takes the last answer with it.
 func TestRequestBehindTheLastHalfCloseIsNotTaken(t *testing.T) {
 	env := startWithLimits(t, 1024, io.Discard, func(limits *config.Limits) {
 		limits.StopGracePeriod = 10 * time.Millisecond
@@ -170,8 +181,8 @@
 	}
 }
 
-// A client reads slowly: during shutdown the system buffers an answer that the client has no room for. The client can't know
-// of our half-close, sends its next request long after it, and still gets the complete answer.
+// A client reads slowly: during shutdown the system buffers an answer that the client has no room for. The client can't
+// know of our half-close, sends its next request long after it, and still gets the complete answer.
 func TestSlowReaderGetsItsAnswerBehindOurHalfClose(t *testing.T) {
 	env := startWithLimits(t, 1024, io.Discard, func(limits *config.Limits) {
 		limits.StopGracePeriod = 10 * time.Millisecond
--- a/cmd/shaleyard/signals.go
+++ b/cmd/shaleyard/signals.go
@@ -11,9 +11,9 @@
 	"shaleyard/internal/config"
 )
 
-// signals are the signals that were received and not handled yet. The runtime drops a signal for which its channel has no
-// room, so that each kind has a channel of its own: one signal that waits stands for all of its kind, and a termination is
-// never lost behind others, however long a reload takes to read its file.
+// signals are the signals that were received and not handled yet. The runtime drops a signal for which its channel has
+// no room, so that each kind has a channel of its own: one signal that waits stands for all of its kind, and a
+// termination is never lost behind others, however long a reload takes to read its file.
 type signals struct {
 	terminate chan os.Signal // SIGTERM, SIGINT
 	reload    chan os.Signal // SIGHUP
@@ -69,8 +69,8 @@
 	succeeded, failed uint64
 }
 
-// reload applies a configuration, or reports the error on reading it. Only the address of the list service can change while
-// the program runs; a configuration that is bad, or that is for another director, changes nothing.
+// reload applies a configuration, or reports the error on reading it. Only the address of the list service can change
+// while the program runs; a configuration that is bad, or that is for another director, changes nothing.
 func (r *reloader) reload(conf *config.Config, err error) {
 	current, log := r.program.config, r.program.log
 	if err == nil {
--- a/cmd/shaleyard/simulation_peers_test.go
+++ b/cmd/shaleyard/simulation_peers_test.go
@@ -138,7 +138,8 @@
 	case request.answered:
 		sim.failf("sequence number %d was answered twice", seq)
 	}
-	const reply = 2                                          // Thrift's type of an answer; the other one is an exception
+	// Thrift's type of an answer; the other one is an exception
+	const reply = 2
 	if message[7] == reply && rest[5] == 0 && rest[6] == 0 { // its field 0: the request was served
 		sim.served++
 	}
--- a/cmd/shaleyard/simulation_steps_test.go
+++ b/cmd/shaleyard/simulation_steps_test.go
@@ -20,7 +20,11 @@
 
 // step lets one thing happen.
 func (s *simulation) step() {
-	client, hasClient := pickMatching(s.rng, s.clientPeers, func(client *clientPeer) bool { return !client.disconnected })
+	client, hasClient := pickMatching(
+		s.rng,
+		s.clientPeers,
+		func(client *clientPeer) bool { return !client.disconnected },
+	)
 	cache, hasCache := pickMatching(s.rng, s.cachePeers, func(cache *cachePeer) bool { return !cache.disconnected })
 	draw := s.rng.IntN(100)
 	switch {
--- a/cmd/shaleyard/simulation_test.go
+++ b/cmd/shaleyard/simulation_test.go
@@ -29,8 +29,9 @@
 	failureEvents   = 30                     // latest events that a failure prints
 )
 
-// simulation is downstream, director and upstream put together without sockets, on a clock of its own, between peers that do
-// whatever a draw says: every order of events that the parts can meet. The peers check what must hold after each step.
+// simulation is downstream, director and upstream put together without sockets, on a clock of its own, between peers
+// that do whatever a draw says: every order of events that the parts can meet. The peers check what must hold after
+// each step.
 type simulation struct {
 	t          *testing.T
 	seed       uint64
@@ -64,9 +65,10 @@
 	deadline           routing.Time // when an answer is owed at the latest
 	cancelled          bool         // revoked, or its client has gone
 	answered           bool
-	possibleExecutions int                         // attempts that may have run
-	firstWrittenAt     routing.Time                // when the first of those was written
-	outstanding        map[*cachePeer]routing.Time // attempts, each with the time until which it may still be outstanding
+	possibleExecutions int          // attempts that may have run
+	firstWrittenAt     routing.Time // when the first of those was written
+	// attempts, each with the time until which it may still be outstanding
+	outstanding map[*cachePeer]routing.Time
 }
 
 // cancelAttempt cancels an attempt on a connection.
@@ -91,8 +93,13 @@
 			class("pay", "non_idempotent", 0),
 			class("keyed", "idempotency_key", dedupWindow),
 		},
-		SiteLimits: routing.SiteLimits{CancelAllowed: true, MaxAttempts: 6, HedgingAllowed: true, RetryAfterAllowed: true,
-			MaxRetryAfter: 500 * time.Millisecond},
+		SiteLimits: routing.SiteLimits{
+			CancelAllowed:     true,
+			MaxAttempts:       6,
+			HedgingAllowed:    true,
+			RetryAfterAllowed: true,
+			MaxRetryAfter:     500 * time.Millisecond,
+		},
 		Tiers: routing.TierSettings{Uncacheable: []bool{false, true, true}, OriginKind: 2, ParentKind: 1,
 			FillStatusReported: "all", SiblingFills: "location", TransferKBPerSecond: 1000},
 	}
@@ -164,7 +171,17 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	sim.upstream = upstream.NewPools(limits, settings, sim.buffers, sim, sim.director, &sim.timers, now, zap.NewNop(), seed)
+	sim.upstream = upstream.NewPools(
+		limits,
+		settings,
+		sim.buffers,
+		sim,
+		sim.director,
+		&sim.timers,
+		now,
+		zap.NewNop(),
+		seed,
+	)
 	sim.director.SetUpstream(sim.upstream)
 	sim.downstream = downstream.NewServer(downstream.Config{
 		Limits:   limits,
--- a/cmd/shaleyard/site.go
+++ b/cmd/shaleyard/site.go
@@ -19,8 +19,8 @@
 // maxSiteEndpoints bounds the endpoints that the plan command reads.
 const maxSiteEndpoints = 4096
 
-// readSite reads the settings from a director's configuration, or from a file that holds them alone, and the endpoints that
-// the configuration knows.
+// readSite reads the settings from a director's configuration, or from a file that holds them alone, and the endpoints
+// that the configuration knows.
 func readSite(path string) (*routing.Settings, []routing.Endpoint, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -50,8 +50,8 @@
 	return settings, endpoints, nil
 }
 
-// bootstrapEndpoints are the endpoints after the events of a bootstrap, read as a director reads them, but without a call of
-// the list service.
+// bootstrapEndpoints are the endpoints after the events of a bootstrap, read as a director reads them, but without a
+// call of the list service.
 func bootstrapEndpoints(settings *routing.Settings, known config.Bootstrap) ([]routing.Endpoint, error) {
 	list := &endpointList{}
 	limits := &config.Limits{MaxMembers: maxSiteEndpoints}
@@ -85,7 +85,10 @@
 		l.entries = l.entries[:0]
 	}
 	for _, endpoint := range changed {
-		l.entries = slices.DeleteFunc(l.entries, func(other director.Endpoint) bool { return other.Name == endpoint.Name })
+		l.entries = slices.DeleteFunc(
+			l.entries,
+			func(other director.Endpoint) bool { return other.Name == endpoint.Name },
+		)
 		l.entries = append(l.entries, endpoint)
 	}
 }
--- a/cmd/shaleyard/standins_test.go
+++ b/cmd/shaleyard/standins_test.go
@@ -31,7 +31,8 @@
 	return listener.Addr().String()
 }
 
-// respondingCache answers the requests on a connection one after the other, each after a delay; it ignores cancellations.
+// respondingCache answers the requests on a connection one after the other, each after a delay; it ignores
+// cancellations.
 func respondingCache(delay time.Duration, body string) func(net.Conn) {
 	return func(conn net.Conn) {
 		defer conn.Close()
@@ -45,7 +46,10 @@
 				continue
 			}
 			time.Sleep(delay)
-			if _, err := io.WriteString(conn, respArray(words[1], "OK", "n=HIT,rev=t1,since=1764576000000", body)); err != nil {
+			if _, err := io.WriteString(
+				conn,
+				respArray(words[1], "OK", "n=HIT,rev=t1,since=1764576000000", body),
+			); err != nil {
 				return
 			}
 		}
--- a/cmd/shaleyard/upgrade_test.go
+++ b/cmd/shaleyard/upgrade_test.go
@@ -68,8 +68,8 @@
 	}
 }
 
-// New versions take over from old ones under load, again and again: each is ready in time, the old one is told to stop, and
-// every request has an answer, whatever connection it came on.
+// New versions take over from old ones under load, again and again: each is ready in time, the old one is told to stop,
+// and every request has an answer, whatever connection it came on.
 func TestUpgradeLosesNoRequest(t *testing.T) {
 	listener := newSharedListener(t)
 	old := listener.startProcess()
@@ -87,8 +87,8 @@
 	old.waitExit()
 }
 
-// A process that operators drain, beside one that is ready, takes nobody's request with it, also when it is killed in the
-// end; nor does one that is killed before it is ready.
+// A process that operators drain, beside one that is ready, takes nobody's request with it, also when it is killed in
+// the end; nor does one that is killed before it is ready.
 func TestDrainBesideAnotherProcessLosesNoRequest(t *testing.T) {
 	listener := newSharedListener(t)
 	old := listener.startProcess()
--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -1,5 +1,5 @@
-// Command simhost runs many routers for the simulator: it decodes the events that it reads, hands each to its instance's
-// router and writes the encoded actions. It decides nothing.
+// Command simhost runs many routers for the simulator: it decodes the events that it reads, hands each to its
+// instance's router and writes the encoded actions. It decides nothing.
 package main
 
 import (
--- a/cmd/testbed/main.go
+++ b/cmd/testbed/main.go
@@ -1,5 +1,5 @@
-// Command testbed starts directors as processes of their own between stand-ins, injects faults between them by a script, and
-// judges the recorded history. docs/testbed.md tells how to use it.
+// Command testbed starts directors as processes of their own between stand-ins, injects faults between them by a
+// script, and judges the recorded history. docs/testbed.md tells how to use it.
 package main
 
 import (
--- a/cmd/testbed/main_test.go
+++ b/cmd/testbed/main_test.go
@@ -88,7 +88,11 @@
 	director, out := filepath.Join(bin, "shaleyard"), t.TempDir()
 	var said strings.Builder
 	short := writeFile(t, "short.toml", "directors = 3\nseconds = 1.0\n[[bound]]\nfigure = \"requests\"\nmost = 1.0\n")
-	status := run([]string{"run", short, "--binary", director, "--baseline", director, "--out", out, "--seed", "7"}, &said, &said)
+	status := run(
+		[]string{"run", short, "--binary", director, "--baseline", director, "--out", out, "--seed", "7"},
+		&said,
+		&said,
+	)
 	text, err := os.ReadFile(filepath.Join(out, "result.json"))
 	if err != nil {
 		t.Fatal(err, said.String())
@@ -103,7 +107,8 @@
 	if err := json.Unmarshal(text, &result); err != nil {
 		t.Fatal(err)
 	}
-	if status != exitViolations || result.Verdict != "fail" || len(result.Broken) != 1 || result.Broken[0].Rule != "bound" {
+	if status != exitViolations || result.Verdict != "fail" || len(result.Broken) != 1 ||
+		result.Broken[0].Rule != "bound" {
 		t.Errorf("status %d, result %+v", status, result)
 	}
 	if result.Experiment != "short" || result.Seed != 7 || result.Directors != 3 {
@@ -127,6 +132,10 @@
 		if got := testbed.ProcessState.ExitCode(); signal == syscall.SIGINT && got != exitUsage {
 			t.Errorf("interrupted: status %d, want %d", got, exitUsage)
 		}
-		waitUntil(t, "processes are left behind "+signal.String(), func() bool { return directorProcesses(t, dir) == 0 })
+		waitUntil(
+			t,
+			"processes are left behind "+signal.String(),
+			func() bool { return directorProcesses(t, dir) == 0 },
+		)
 	}
 }
--- a/cmd/testbed/run.go
+++ b/cmd/testbed/run.go
@@ -112,8 +112,13 @@
 		return nil, err
 	}
 	progress := func(at float64) {
-		logger.Info("playing", zap.String("experiment", experiment.Name), zap.String("binary", binary), zap.Float64("at_s", at),
-			zap.Float64("of_s", experiment.Seconds))
+		logger.Info(
+			"playing",
+			zap.String("experiment", experiment.Name),
+			zap.String("binary", binary),
+			zap.Float64("at_s", at),
+			zap.Float64("of_s", experiment.Seconds),
+		)
 	}
 	if err := testbed.Run(ctx, experiment, testbed.Options{Binary: binary, Dir: dir, Progress: progress}); err != nil {
 		return nil, err
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -53,8 +53,8 @@
 	conns []net.Conn // oldest first
 }
 
-// Listen opens the operators' address for a process. At most maxConns connections are held at once; the oldest is closed
-// for a new one.
+// Listen opens the operators' address for a process. At most maxConns connections are held at once; the oldest is
+// closed for a new one.
 func Listen(address string, maxConns int, process Process) (*Server, error) {
 	opened, err := listener.Open(address)
 	if err != nil {
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -122,7 +122,10 @@
 	server, _ := startServer(t, 8)
 	for round := range 5 {
 		for i := range 60 {
-			_, _ = io.WriteString(dialServer(t, server), unfinished[i%len(unfinished)]) // it may have been closed already
+			_, _ = io.WriteString(
+				dialServer(t, server),
+				unfinished[i%len(unfinished)],
+			) // it may have been closed already
 		}
 		if got := callStatus(t, server, requestText("GET", "/healthcheck")); got != 200 {
 			t.Errorf("round %d: %d", round, got)
--- a/internal/buffer/buffer.go
+++ b/internal/buffer/buffer.go
@@ -1,5 +1,5 @@
-// Package buffer lends buffers of one size from a bounded pool, and joins them to chains that hold bodies. It is not safe
-// for concurrent use: the event loop owns it.
+// Package buffer lends buffers of one size from a bounded pool, and joins them to chains that hold bodies. It is not
+// safe for concurrent use: the event loop owns it.
 package buffer
 
 import "errors"
--- a/internal/checker/rules.go
+++ b/internal/checker/rules.go
@@ -168,8 +168,14 @@
 		}
 	}
 	if sent > allowedDepartures/2 && sent*4 > waited {
-		verdict.addViolation("left", 0, "", "%d of %d requests whose clients left while they waited were sent on all the same",
-			sent, waited)
+		verdict.addViolation(
+			"left",
+			0,
+			"",
+			"%d of %d requests whose clients left while they waited were sent on all the same",
+			sent,
+			waited,
+		)
 	}
 }
 
--- a/internal/checker/rules_test.go
+++ b/internal/checker/rules_test.go
@@ -145,25 +145,30 @@
 			`{"ms":1000,"kind":"news","who":"c1","what":"draining unheard","n":2}`,
 			`{"ms":10100,"kind":"req","who":"c1","director":"d0","ref":"r1","work":0.02}`}, "drain"},
 		{"started with the drain", "",
-			[]string{drainEvent, `{"ms":3000,"kind":"process","who":"d0","what":"start","n":1}`, requestEvent(3100, "r2")}, ""},
+			[]string{drainEvent, `{"ms":3000,"kind":"process","who":"d0","what":"start","n":1}`, requestEvent(3100,
+				"r2")}, ""},
 		{"a cold cache pushed over by two", "", crowd(120), "cold"},
 		{"a cold cache that bears it", "", crowd(90), ""},
 		{"a cold cache pushed over by who was not told", "",
 			append(crowd(120), `{"ms":900,"kind":"news","who":"c2","what":"ready","n":2}`), ""},
 		{"an older copy than the purge", "",
-			[]string{purgeEvent, askEvent(3000, "r2"), requestEvent(3001, "r2"), staleAnswerFromCache, lateAnswer}, "purge"},
-		{"the purge was just told", "", []string{`{"ms":2600,"kind":"news","what":"purge","object":"o1","since":2600,"n":2}`,
-			askEvent(3000, "r2"), requestEvent(3001, "r2"), staleAnswerFromCache, lateAnswer}, ""},
+			[]string{purgeEvent, askEvent(3000, "r2"), requestEvent(3001, "r2"), staleAnswerFromCache,
+				lateAnswer}, "purge"},
+		{"the purge was just told", "",
+			[]string{`{"ms":2600,"kind":"news","what":"purge","object":"o1","since":2600,"n":2}`,
+				askEvent(3000, "r2"), requestEvent(3001, "r2"), staleAnswerFromCache, lateAnswer}, ""},
 		{"a copy since the purge", "",
 			[]string{purgeEvent, askEvent(3000, "r2"), requestEvent(3001, "r2"),
 				strings.Replace(staleAnswerFromCache, "900", "1001", 1), lateAnswer}, ""},
 		{"begun after its client had gone, three times", "",
-			[]string{askEvent(200, "r2"), departure, requestEvent(361, "r2"), requestEvent(370, "r2"), requestEvent(380, "r2")},
+			[]string{askEvent(200, "r2"), departure, requestEvent(361, "r2"), requestEvent(370, "r2"),
+				requestEvent(380, "r2")},
 			"left"},
 		{"begun after its client had gone, twice", "",
 			append([]string{askEvent(200, "r2"), departure}, requestEvent(361, "r2"), requestEvent(370, "r2")), ""},
 		{"begun just after its client had gone", "",
-			[]string{askEvent(200, "r2"), departure, requestEvent(320, "r2"), requestEvent(340, "r2"), requestEvent(349, "r2")},
+			[]string{askEvent(200, "r2"), departure, requestEvent(320, "r2"), requestEvent(340, "r2"),
+				requestEvent(349, "r2")},
 			""},
 		{"sent on though their clients left as they waited", "",
 			[]string{askEvent(200, "r2"), departure, requestEvent(600, "r2"), askEvent(200, "r3"), thirdDeparture,
@@ -208,7 +213,10 @@
 		more = append(more, fmt.Sprintf(`{"ms":%d,"kind":"process","who":"e%d","what":"start"}`, 2000+i, i),
 			fmt.Sprintf(`{"ms":%d,"kind":"call","director":"e%d","what":"timed out","value":100}`, 2200+i, i))
 		if i%2 == 0 {
-			more = append(more, fmt.Sprintf(`{"ms":%d,"kind":"call","director":"e%d","what":"served","value":1}`, 2400+i, i))
+			more = append(
+				more,
+				fmt.Sprintf(`{"ms":%d,"kind":"call","director":"e%d","what":"served","value":1}`, 2400+i, i),
+			)
 		}
 	}
 	metrics := checkWith(t, "", more...).Metrics
--- a/internal/checker/sitemetrics_test.go
+++ b/internal/checker/sitemetrics_test.go
@@ -91,10 +91,14 @@
 	// Nobody notices, and the survivor's cache gets far more than it can do within a second.
 	crowd := make([]string, 0, 300)
 	for i := range 300 {
-		crowd = append(crowd, fmt.Sprintf(`{"ms":%v,"kind":"source","who":"p1","director":"d1","ref":"x","work":0.05}`, 3000+i))
+		crowd = append(
+			crowd,
+			fmt.Sprintf(`{"ms":%v,"kind":"source","who":"p1","director":"d1","ref":"x","work":0.05}`, 3000+i),
+		)
 	}
 	metrics = metricsOf(t, siteLossHistory(lost, crowd...))
-	if metrics["survivor_peak"] < 14.9 || metrics["survivor_peak"] > 15.1 || metrics["detect_ms_p95"] < undetectedMS*0.99 {
+	if metrics["survivor_peak"] < 14.9 || metrics["survivor_peak"] > 15.1 ||
+		metrics["detect_ms_p95"] < undetectedMS*0.99 {
 		t.Errorf("peak %v, detected after %v", metrics["survivor_peak"], metrics["detect_ms_p95"])
 	}
 	// A loss without an end counts to the end, and what is never served again never returns.
@@ -124,12 +128,19 @@
 
 // Without a loss nothing is said of one; a director that can't reach its caches may call them lost.
 func TestNoLossNoSiteMetrics(t *testing.T) {
-	plain := strings.Join([]string{`{"ms":0,"kind":"load","what":"begin"}`,
+	plain := strings.Join([]string{
+		`{"ms":0,"kind":"load","what":"begin"}`,
 		`{"ms":100,"kind":"link","who":"caches","what":"one-way"}`,
 		`{"ms":200,"kind":"state","who":"d0","site":"b1","what":"cut off"}`,
 		`{"ms":900,"kind":"link","who":"caches","what":"well"}`,
 		`{"ms":20000,"kind":"state","who":"d0","site":"b1","what":"lost"}`,
-		`{"ms":20100,"kind":"state","who":"d0","what":"alone"}`, `{"ms":20900,"kind":"state","who":"d0","what":"alone"}`}, "\n")
-	wantMetrics(t, metricsOf(t, plain), map[string]float64{"false_alarms": 1, "served_share_loss": 0, "detect_ms_p95": 0,
-		"cut_off_told": 1})
+		`{"ms":20100,"kind":"state","who":"d0","what":"alone"}`,
+		`{"ms":20900,"kind":"state","who":"d0","what":"alone"}`,
+	}, "\n")
+	wantMetrics(
+		t,
+		metricsOf(t, plain),
+		map[string]float64{"false_alarms": 1, "served_share_loss": 0, "detect_ms_p95": 0,
+			"cut_off_told": 1},
+	)
 }
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,5 +1,6 @@
-// Package clock measures time. All durations are taken from the system's monotonic clock, so that a step of the wall clock
-// moves no deadline. Timestamps of peers, which are Unix times of other clocks, are converted to our clock by PeerClock.
+// Package clock measures time. All durations are taken from the system's monotonic clock, so that a step of the wall
+// clock moves no deadline. Timestamps of peers, which are Unix times of other clocks, are converted to our clock by
+// PeerClock.
 package clock
 
 import (
@@ -8,8 +9,8 @@
 	"shaleyard/routing"
 )
 
-// Clock is the one clock of a process: monotonic, and counted from the Unix epoch as the wall clock had it at the start.
-// It is safe for concurrent use.
+// Clock is the one clock of a process: monotonic, and counted from the Unix epoch as the wall clock had it at the
+// start. It is safe for concurrent use.
 type Clock struct {
 	start time.Time    // holds a monotonic reading
 	epoch routing.Time // Unix time of start
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -9,9 +9,10 @@
 	"shaleyard/routing"
 )
 
-// Whatever the difference of the clocks, however late events come, and however the peer's clock is set meanwhile: no event
-// is taken for older than it is by more than the step that can't be told from events out of order, nor for one of the
-// future. (Set back between two events that are further apart than the step, a clock can't be told from a late event.)
+// Whatever the difference of the clocks, however late events come, and however the peer's clock is set meanwhile: no
+// event is taken for older than it is by more than the step that can't be told from events out of order, nor for one of
+// the future. (Set back between two events that are further apart than the step, a clock can't be told from a late
+// event.)
 func TestPeerStampsAreNeverTakenForOlder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		hour, seconds := int64(time.Hour), int64(5*time.Second)
--- a/internal/clock/peer.go
+++ b/internal/clock/peer.go
@@ -7,18 +7,18 @@
 )
 
 const (
-	// clockStepThreshold is how far a peer's timestamp may lie behind an earlier one before its clock counts as set back.
-	// Timestamps of events that were sent out of order lie behind by less.
+	// clockStepThreshold is how far a peer's timestamp may lie behind an earlier one before its clock counts as set
+	// back. Timestamps of events that were sent out of order lie behind by less.
 	clockStepThreshold = time.Second
 	// maxDrift is the most by which two clocks move apart, as a part of the time that passes.
 	maxDrift = 0.001
 )
 
-// PeerClock converts timestamps of one peer's clock to ours. A timestamp that was received can't lie in the future: so the
-// least observed difference between our clock and a timestamp bounds the offset of the two clocks, and no event is taken
-// for older than it is. It errs towards younger, by the shortest time that an event has taken to arrive. (NTP filters its
-// samples for the least delay in the same way, RFC 5905, section 10.) A peer's clock that is set back between two events
-// by less than the time between them can't be told from an event that came late.
+// PeerClock converts timestamps of one peer's clock to ours. A timestamp that was received can't lie in the future: so
+// the least observed difference between our clock and a timestamp bounds the offset of the two clocks, and no event is
+// taken for older than it is. It errs towards younger, by the shortest time that an event has taken to arrive. (NTP
+// filters its samples for the least delay in the same way, RFC 5905, section 10.) A peer's clock that is set back
+// between two events by less than the time between them can't be told from an event that came late.
 //
 // The zero PeerClock has seen no timestamp and takes both clocks to be the same.
 type PeerClock struct {
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -92,8 +92,8 @@
 
 // Load reads the file that EDGE_CONFIG names. EDGE_NAME and EDGE_LISTEN, where set, must not contradict it. EDGE_FD,
 // where set, is the descriptor of a socket that listens there already. EDGE_OPERATOR, where set, takes precedence over
-// the file: two processes that replace one another may read the same one. The limit of descriptors takes precedence over
-// a higher one in the file. An error is a *strictconfig.Error that names the key or variable.
+// the file: two processes that replace one another may read the same one. The limit of descriptors takes precedence
+// over a higher one in the file. An error is a *strictconfig.Error that names the key or variable.
 func Load(getenv func(string) string, descriptors uint64) (*Config, error) {
 	path := getenv(envConfig)
 	if path == "" {
--- a/internal/config/derive.go
+++ b/internal/config/derive.go
@@ -10,8 +10,8 @@
 const (
 	// heartbeatInterval is the time between two heartbeats of the list service (protocol page).
 	heartbeatInterval = time.Second
-	// reservedDescriptors are for the listener, pollers, the watch, standard streams, and connections between accept and
-	// close.
+	// reservedDescriptors are for the listener, pollers, the watch, standard streams, and connections between accept
+	// and close.
 	reservedDescriptors = 20
 	// longestStopTimeout bounds how much of the longest request timeout counts for a stop (protocol page).
 	longestStopTimeout = 3 * time.Second
@@ -103,7 +103,8 @@
 		l.ConnectTimeout = timeout
 	}
 	if keepAlive := transport.Ceilings.Keepalive; keepAlive > 0 {
-		l.UpstreamIdleTimeout = keepAlive * 3 / 4 // before the peer does: an attempt that crosses its close may have executed
+		// before the peer does: an attempt that crosses its close may have executed
+		l.UpstreamIdleTimeout = keepAlive * 3 / 4
 	}
 	if streams := transport.Ceilings.StreamsPerConn; streams > 0 {
 		l.MaxAttemptsPerConn = min(streams, math.MaxInt16)
@@ -144,7 +145,8 @@
 func (l *Limits) setDrain(shares descriptorShares) {
 	l.MaxOperatorConns = shares.operators
 	l.LoopStallThreshold = time.Second
-	l.DrainNoticePeriod = 500 * time.Millisecond // the front asks ten times a second and sends nobody new 0.2 s after a no
+	// the front asks ten times a second and sends nobody new 0.2 s after a no
+	l.DrainNoticePeriod = 500 * time.Millisecond
 	l.DrainGracePeriod = 1200 * time.Millisecond
 	l.DrainDeadline = 3200 * time.Millisecond
 	l.DrainCheckInterval = 20 * time.Millisecond
@@ -162,12 +164,14 @@
 	l.ShutdownRetryAfter = time.Second
 	l.StopCheckInterval = 5 * time.Millisecond
 	l.StopAnswerDeadline = killed - 200*time.Millisecond
-	l.StopHandoverPeriod = l.StopAnswerDeadline * 3 / 5 // requests that come then have the rest of the time for their answers
+	// requests that come then have the rest of the time for their answers
+	l.StopHandoverPeriod = l.StopAnswerDeadline * 3 / 5
 	l.StopDeadline = killed - 50*time.Millisecond
 }
 
 func (l *Limits) setPauses() {
-	l.PauseThreshold = 80 * time.Millisecond // below the time in which a client's leaving must be handled, over the router's tick
+	// below the time in which a client's leaving must be handled, over the router's tick
+	l.PauseThreshold = 80 * time.Millisecond
 	l.PauseSettleTime = 30 * time.Millisecond
 	l.LongPauseThreshold = 300 * time.Millisecond // well below the time to apply a purge
 }
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -10,8 +10,8 @@
 	"shaleyard/internal/strictconfig"
 )
 
-// OperatorFile is the operators' own file, deploy/shaleyard.toml: what an installation sets beside the configuration that
-// the platform hands each director. Without one the program runs with the defaults.
+// OperatorFile is the operators' own file, deploy/shaleyard.toml: what an installation sets beside the configuration
+// that the platform hands each director. Without one the program runs with the defaults.
 type OperatorFile struct {
 	Discovery OperatorDiscovery `toml:"list"`
 	Pause     OperatorPause     `toml:"pause"`
@@ -96,8 +96,8 @@
 	return keyErrorf("log.level", "%q is none of debug, info, warn, error", o.Log.Level)
 }
 
-// checkDiscoveryTimes checks times of the list service that depend on one another: a call that takes as long as an event
-// may be delayed leaves no time to spread the fleet's calls over.
+// checkDiscoveryTimes checks times of the list service that depend on one another: a call that takes as long as an
+// event may be delayed leaves no time to spread the fleet's calls over.
 func (o *OperatorFile) checkDiscoveryTimes() error {
 	limits := Limits{}
 	limits.setDiscoveryDefaults()
@@ -107,7 +107,12 @@
 			limits.DrainApplyWithin)
 	}
 	if limits.MaxEventDelay < limits.DrainApplyWithin {
-		return keyErrorf("list.late_ms", "%v is less than the %v to heed a drain", limits.MaxEventDelay, limits.DrainApplyWithin)
+		return keyErrorf(
+			"list.late_ms",
+			"%v is less than the %v to heed a drain",
+			limits.MaxEventDelay,
+			limits.DrainApplyWithin,
+		)
 	}
 	return nil
 }
--- a/internal/eventloop/accept.go
+++ b/internal/eventloop/accept.go
@@ -38,8 +38,8 @@
 	return listener.Open(address, acceptFailed)
 }
 
-// SetAccepting turns accepting on or off; while it is off, connections wait in the system's queue. It may be called from
-// Boot on, from any goroutine.
+// SetAccepting turns accepting on or off; while it is off, connections wait in the system's queue. It may be called
+// from Boot on, from any goroutine.
 func (l *Loop) SetAccepting(on bool) {
 	if on {
 		l.listener.Resume()
@@ -96,8 +96,8 @@
 	}
 }
 
-// restoreUntilStopped makes the connection again from its duplicate, after a wait, when it could not be registered for a
-// reason; false: the loop was stopped.
+// restoreUntilStopped makes the connection again from its duplicate, after a wait, when it could not be registered for
+// a reason; false: the loop was stopped.
 func (l *Loop) restoreUntilStopped(duplicate int, reason error) (conn *net.TCPConn, ok bool) {
 	for conn == nil {
 		if !l.waitToRegister(reason) {
--- a/internal/eventloop/conn.go
+++ b/internal/eventloop/conn.go
@@ -15,13 +15,13 @@
 	Writev([][]byte) (int, error)
 	// OutboundBuffered is the number of written bytes that the socket has not taken.
 	OutboundBuffered() int
-	// Unacknowledged is the number of bytes that the socket has taken and the peer has not acknowledged, not counting the
-	// end of our half; 0 where the system does not report it.
+	// Unacknowledged is the number of bytes that the socket has taken and the peer has not acknowledged, not counting
+	// the end of our half; 0 where the system does not report it.
 	Unacknowledged() int
 	// CloseWrite ends our half of the connection, after all that was written.
 	CloseWrite() error
-	// Close takes effect after the caller has returned. Over unread input it resets the connection, and what the peer has
-	// not read of our output is lost.
+	// Close takes effect after the caller has returned. Over unread input it resets the connection, and what the peer
+	// has not read of our output is lost.
 	Close() error
 }
 
--- a/internal/eventloop/logger.go
+++ b/internal/eventloop/logger.go
@@ -8,8 +8,8 @@
 // warningInterval is the least time between two warnings that are passed on.
 const warningInterval = time.Second
 
-// logger passes on gnet's warnings and errors, from any goroutine. Warnings are rate-limited: gnet has one for each event
-// that finds its connection closed, and clients could cause those in any number.
+// logger passes on gnet's warnings and errors, from any goroutine. Warnings are rate-limited: gnet has one for each
+// event that finds its connection closed, and clients could cause those in any number.
 type logger struct {
 	logf        func(string, ...any)
 	now         func() time.Time
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -4,8 +4,8 @@
 //
 // Properties of gnet v2.9.7 that this package depends on, as read in its source:
 //   - EventLoop.Enroll hands a dialled net.Conn to the loop from a worker goroutine: it duplicates the descriptor,
-//     closes the first and calls OnOpen on the loop with the value given as context. So a dial holds two descriptors for
-//     a moment, and the bound on concurrent dials allows for that.
+//     closes the first and calls OnOpen on the loop with the value given as context. So a dial holds two descriptors
+//     for a moment, and the bound on concurrent dials allows for that.
 //   - Engine.Register asks a load balancer for the loop, and the default one counts round-robin without a lock: a data
 //     race between dials. SourceAddrHash keeps no state, and dials go to the loop itself.
 //   - OnTick runs on a goroutine of its own, not on the loop. Timers therefore fire through EventLoop.Execute. An
@@ -57,8 +57,8 @@
 	Logf func(format string, a ...any)
 	// SessionFailed is called with the reason when a session's Data has returned an error and its connection is closed.
 	SessionFailed func(reason error)
-	// PauseThreshold is the time without a run of the loop from which it counts as paused: the process was stopped or got
-	// no processor time. 0 disables the detection. Timers must fall due more often than that.
+	// PauseThreshold is the time without a run of the loop from which it counts as paused: the process was stopped or
+	// got no processor time. 0 disables the detection. Timers must fall due more often than that.
 	PauseThreshold time.Duration
 	// SettleTime bounds how long timers are delayed after a pause, so that input which has arrived meanwhile is read
 	// before they all fire at once. The delay is a tenth of the pause where that is less.
--- a/internal/eventloop/loop_test.go
+++ b/internal/eventloop/loop_test.go
@@ -196,8 +196,8 @@
 	}
 }
 
-// The wakeup socket opens before the loop has booted, when timers may be due already: the alarm must wait, as it calls a
-// loop that is not there yet.
+// The wakeup socket opens before the loop has booted, when timers may be due already: the alarm must wait, as it calls
+// a loop that is not there yet.
 func TestNoAlarmBeforeTheBoot(t *testing.T) {
 	l := &Loop{Timers: &timer.Queue{}, Now: func() routing.Time { return time.Hour }}
 	l.Timers.ScheduleFunc(0, func() {})
@@ -214,8 +214,13 @@
 	clock := 1000 * time.Second
 	var told []string
 	ran := 0
-	l := &Loop{Timers: &timer.Queue{}, Now: func() routing.Time { return clock }, PauseThreshold: 300 * time.Millisecond,
-		SettleTime: 30 * time.Millisecond, Settled: func() { told = append(told, "settled") }}
+	l := &Loop{
+		Timers:         &timer.Queue{},
+		Now:            func() routing.Time { return clock },
+		PauseThreshold: 300 * time.Millisecond,
+		SettleTime:     30 * time.Millisecond,
+		Settled:        func() { told = append(told, "settled") },
+	}
 	l.Paused = func(gap time.Duration) { told = append(told, "paused "+gap.String()) }
 	l.alarm = time.NewTimer(time.Hour)
 	defer l.alarm.Stop()
--- a/internal/eventloop/timers.go
+++ b/internal/eventloop/timers.go
@@ -12,8 +12,9 @@
 // CheckForPause detects a pause of the process during the event that is being handled. It is called on the loop.
 func (l *Loop) CheckForPause() { l.checkForPause() }
 
-// checkForPause detects that the loop was paused, between two events or during one. The state in memory is as old as the
-// pause, and newer events wait in the sockets in no order. So timers are delayed for a moment, and Paused is called.
+// checkForPause detects that the loop was paused, between two events or during one. The state in memory is as old as
+// the pause, and newer events wait in the sockets in no order. So timers are delayed for a moment, and Paused is
+// called.
 func (l *Loop) checkForPause() {
 	now := l.Now()
 	gap := now - l.lastCheck
--- a/internal/failover/bruteforce_test.go
+++ b/internal/failover/bruteforce_test.go
@@ -130,7 +130,9 @@
 	case home == hub || home < 0:
 		return 0
 	case b.hubRoom[home] > 0 || topology.Sites[home].Capacity*b.available[home] > 0: // its own hub is there
-		return 0.5*p.minValueDensity() + p.meanValueDensity()*topology.TransitCost*float64(topology.ringDistance(home, hub))
+		return 0.5*p.minValueDensity() + p.meanValueDensity()*topology.TransitCost*float64(
+			topology.ringDistance(home, hub),
+		)
 	}
 	return p.meanValueDensity() * topology.TransitCost * float64(topology.ringDistance(home, hub))
 }
--- a/internal/failover/local_test.go
+++ b/internal/failover/local_test.go
@@ -63,7 +63,10 @@
 
 func TestFillLimitsRejectTheLeastValue(t *testing.T) {
 	l := newTestLocalPlanner(t, Overrides{LimitFills: true}, nil)
-	fills := l.Shares([]int{0, 2}, []float64{10, 10, 10, 60, 60}).FillShares // 10 for 14.4 that both branches' caches lack
+	fills := l.Shares(
+		[]int{0, 2},
+		[]float64{10, 10, 10, 60, 60},
+	).FillShares // 10 for 14.4 that both branches' caches lack
 	if len(fills) != 3 || fills[0] != 1 || fills[1] > 0.7 || fills[1] <= 0 || fills[2] != 1 {
 		t.Errorf("fills %v: pages go first, media not yet, repayments last", fills)
 	}
--- a/internal/failover/overrides.go
+++ b/internal/failover/overrides.go
@@ -159,8 +159,11 @@
 		return overrideErrorf(pinKey(i, "to"), "%s can't take what it has lost itself", pin.To)
 	}
 	if pin.From == pin.Lost && !topology.BypassAllowed {
-		return overrideErrorf(pinKey(i, "from"), "%s is lost, and parents take no clients' requests here: it has no fills",
-			pin.From)
+		return overrideErrorf(
+			pinKey(i, "from"),
+			"%s is lost, and parents take no clients' requests here: it has no fills",
+			pin.From,
+		)
 	}
 	for j, forbid := range o.Forbids {
 		if forbid.Lost == pin.Lost && forbid.To == pin.To {
@@ -178,8 +181,11 @@
 		return overrideErrorf(key, "%q is no site of the settings", name)
 	}
 	if !topology.Sites[i].Hub {
-		return overrideErrorf(key, "%s is a branch: only hubs take fills, and caches of other branches take no clients' requests",
-			name)
+		return overrideErrorf(
+			key,
+			"%s is a branch: only hubs take fills, and caches of other branches take no clients' requests",
+			name,
+		)
 	}
 	return nil
 }
--- a/internal/failover/plan.go
+++ b/internal/failover/plan.go
@@ -151,7 +151,14 @@
 	const row = "  %-14s %-9s %-44s %s\n"
 	fmt.Fprintf(&text, row, "branch", "load by", "fills by", "served at the usual load")
 	for _, branch := range p.Branches {
-		fmt.Fprintf(&text, row, branch.Name, branch.ServedBy, formatShares(branch.FillShares), formatShares(branch.ServedShares))
+		fmt.Fprintf(
+			&text,
+			row,
+			branch.Name,
+			branch.ServedBy,
+			formatShares(branch.FillShares),
+			formatShares(branch.ServedShares),
+		)
 	}
 	switch {
 	case p.NeverRejects:
--- a/internal/failover/planner_test.go
+++ b/internal/failover/planner_test.go
@@ -32,7 +32,10 @@
 	}
 	for i, capacity := range hubs {
 		name := "hub-" + string(rune('a'+i))
-		topology.Sites = append(topology.Sites, Site{Name: name, Hub: true, Capacity: capacity, RingPosition: i, HomeHub: -1})
+		topology.Sites = append(
+			topology.Sites,
+			Site{Name: name, Hub: true, Capacity: capacity, RingPosition: i, HomeHub: -1},
+		)
 	}
 	for i, count := range caches {
 		name := "branch-" + string(rune('1'+i))
@@ -112,7 +115,10 @@
 				cases = append(cases, lossCase{caches: caches, hubs: hubs, homes: homes, lost: one},
 					lossCase{caches: caches, hubs: hubs, homes: homes, ingress: 3, origin: 2, lost: one})
 				if lost >= 0 && lost+1 < sites {
-					cases = append(cases, lossCase{caches: caches, hubs: hubs, homes: homes, lost: []int{lost, lost + 1}})
+					cases = append(
+						cases,
+						lossCase{caches: caches, hubs: hubs, homes: homes, lost: []int{lost, lost + 1}},
+					)
 				}
 			}
 		}
@@ -244,7 +250,8 @@
 		want      []string
 	}{
 		{"by value", Overrides{}, []string{"media", "pages", "repayment"}},
-		{"as the operators say", Overrides{RejectionOrder: []string{"pages", "media"}}, []string{"pages", "media", "repayment"}},
+		{"as the operators say", Overrides{RejectionOrder: []string{"pages", "media"}}, []string{"pages", "media",
+			"repayment"}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			plan := planFor(t, newTestPlanner(t, topology, test.overrides), "hub-a")
@@ -268,7 +275,8 @@
 	topology.BypassAllowed, topology.CacheHitRatio = false, 0.5
 	p := newTestPlanner(t, topology, Overrides{})
 	plan := planFor(t, p, "branch-1")
-	if len(plan.Unmet) != 1 || !strings.Contains(plan.Unmet[0], "branch-1: nobody may take") || plan.RejectionStart != 0 {
+	if len(plan.Unmet) != 1 || !strings.Contains(plan.Unmet[0], "branch-1: nobody may take") ||
+		plan.RejectionStart != 0 {
 		t.Errorf("%+v", plan)
 	}
 	lost, other := plan.Branches[0], plan.Branches[1]
--- a/internal/lifecycle/lifecycle.go
+++ b/internal/lifecycle/lifecycle.go
@@ -1,6 +1,6 @@
 // Package lifecycle is the state machine of a process's life, from its start over operators' drains to a graceful
-// shutdown. It does no I/O and reads no clock: callers report events with their time, ask for the Policy that holds then
-// (whether the process is ready, accepts requests and connections, and keeps idle ones), and carry it out.
+// shutdown. It does no I/O and reads no clock: callers report events with their time, ask for the Policy that holds
+// then (whether the process is ready, accepts requests and connections, and keeps idle ones), and carry it out.
 package lifecycle
 
 import (
@@ -69,8 +69,8 @@
 
 // Timeouts are the periods of drains and stops, each counted from the request for it.
 type Timeouts struct {
-	// DrainNoticePeriod is the time that the front takes to hear of a drain. A client whose connection ended before would
-	// come back.
+	// DrainNoticePeriod is the time that the front takes to hear of a drain. A client whose connection ended before
+	// would come back.
 	DrainNoticePeriod routing.Time
 	// DrainGracePeriod is the time for which requests are accepted on connections that are open.
 	DrainGracePeriod routing.Time
@@ -103,8 +103,8 @@
 	return func(m *Machine) { m.onTransition = onTransition }
 }
 
-// New returns the machine of a process that is starting. With sharedListener its listening socket was inherited, so that
-// other processes may accept on it.
+// New returns the machine of a process that is starting. With sharedListener its listening socket was inherited, so
+// that other processes may accept on it.
 func New(timeouts Timeouts, sharedListener bool, options ...Option) *Machine {
 	m := &Machine{timeouts: timeouts, sharedListener: sharedListener}
 	for _, set := range options {
@@ -181,8 +181,8 @@
 	return true
 }
 
-// Advance takes the transitions that are due at a time, and returns the state after them: one at most in each call. inFlight
-// is the number of requests and connections that the process holds for clients.
+// Advance takes the transitions that are due at a time, and returns the state after them: one at most in each call.
+// inFlight is the number of requests and connections that the process holds for clients.
 func (m *Machine) Advance(now routing.Time, inFlight int) State {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -206,8 +206,8 @@
 	return m.state
 }
 
-// advanceClosing ends the process at the deadline, or once nothing is in flight and all that clients had sent within the
-// grace period was read. The caller holds the lock.
+// advanceClosing ends the process at the deadline, or once nothing is in flight and all that clients had sent within
+// the grace period was read. The caller holds the lock.
 func (m *Machine) advanceClosing(now, elapsed routing.Time, inFlight int) {
 	switch {
 	case elapsed >= m.timeouts.StopDeadline:
@@ -243,7 +243,11 @@
 		return m.drainPolicy(now - m.requestedAt)
 	case Stopping:
 		// On a shared listener another process accepts the connections that come, and idle clients are sent there.
-		return Policy{AcceptRequests: true, KeepIdleConnections: !m.sharedListener, AcceptConnections: !m.sharedListener}
+		return Policy{
+			AcceptRequests:      true,
+			KeepIdleConnections: !m.sharedListener,
+			AcceptConnections:   !m.sharedListener,
+		}
 	case Closing:
 		return Policy{AcceptConnections: !m.sharedListener}
 	}
--- a/internal/listener/listener.go
+++ b/internal/listener/listener.go
@@ -1,6 +1,6 @@
-// Package listener opens listening sockets, or takes over inherited ones, and accepts on them without ever giving up: an
-// accept that fails temporarily, for want of descriptors, buffers or memory or because the network is down, is retried
-// with exponential backoff.
+// Package listener opens listening sockets, or takes over inherited ones, and accepts on them without ever giving up:
+// an accept that fails temporarily, for want of descriptors, buffers or memory or because the network is down, is
+// retried with exponential backoff.
 package listener
 
 import (
@@ -23,7 +23,8 @@
 // ErrNotListening reports an inherited descriptor that is no listening socket.
 var ErrNotListening = errors.New("does not listen")
 
-// Listener is a listening socket. Accept fails only once it is closed; Pause and Resume may be called from any goroutine.
+// Listener is a listening socket. Accept fails only once it is closed; Pause and Resume may be called from any
+// goroutine.
 type Listener struct {
 	inner        deadlineListener
 	acceptFailed func(error) // nil: none
--- a/internal/listener/listener_test.go
+++ b/internal/listener/listener_test.go
@@ -28,10 +28,27 @@
 }
 
 // acceptErrors are the errors of accept that Linux documents.
-var acceptErrors = []syscall.Errno{syscall.ECONNABORTED, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM,
-	syscall.EPERM, syscall.EPROTO, syscall.ENETDOWN, syscall.ENOPROTOOPT, syscall.EHOSTDOWN, syscall.ENONET,
-	syscall.EHOSTUNREACH, syscall.EOPNOTSUPP, syscall.ENETUNREACH, syscall.EINTR, syscall.ETIMEDOUT, syscall.ENOSR,
-	syscall.ESOCKTNOSUPPORT, syscall.EINVAL}
+var acceptErrors = []syscall.Errno{
+	syscall.ECONNABORTED,
+	syscall.EMFILE,
+	syscall.ENFILE,
+	syscall.ENOBUFS,
+	syscall.ENOMEM,
+	syscall.EPERM,
+	syscall.EPROTO,
+	syscall.ENETDOWN,
+	syscall.ENOPROTOOPT,
+	syscall.EHOSTDOWN,
+	syscall.ENONET,
+	syscall.EHOSTUNREACH,
+	syscall.EOPNOTSUPP,
+	syscall.ENETUNREACH,
+	syscall.EINTR,
+	syscall.ETIMEDOUT,
+	syscall.ENOSR,
+	syscall.ESOCKTNOSUPPORT,
+	syscall.EINVAL,
+}
 
 // However accept fails, it is retried; only a closed listener ends it.
 func TestAcceptOutlivesEveryError(t *testing.T) {
--- a/internal/resp/resp.go
+++ b/internal/resp/resp.go
@@ -1,8 +1,8 @@
 // Package resp is the codec of the cache protocol: arrays of bulk strings in the form of RESP, the Redis serialization
 // protocol (https://redis.io/docs/latest/develop/reference/protocol-spec/). Of RESP it knows no other type.
 //
-// A request is an array of any number of bulk strings, built with the Append functions. A response is an array of two to
-// four: ID, STATUS, FIELDS and BODY, read by a Parser, which takes a stream in whatever pieces it arrives.
+// A request is an array of any number of bulk strings, built with the Append functions. A response is an array of two
+// to four: ID, STATUS, FIELDS and BODY, read by a Parser, which takes a stream in whatever pieces it arrives.
 //
 // A Parser is not safe for concurrent use.
 package resp
--- a/internal/simwire/simwire_test.go
+++ b/internal/simwire/simwire_test.go
@@ -26,7 +26,29 @@
 	t.Helper()
 	body := decodeHex(t, records)
 	batch := make([]byte, 0, batchHeaderBytes+len(body))
-	batch = append(batch, 0, 0, 0, 12, 0, 0, 0, byte(count), 0, 0, 0, byte(len(body)), 0, 0, 0, 1, 0xf5, 0x68, 0xbf, 0x90)
+	batch = append(
+		batch,
+		0,
+		0,
+		0,
+		12,
+		0,
+		0,
+		0,
+		byte(count),
+		0,
+		0,
+		0,
+		byte(len(body)),
+		0,
+		0,
+		0,
+		1,
+		0xf5,
+		0x68,
+		0xbf,
+		0x90,
+	)
 	return append(batch, body...)
 }
 
@@ -75,7 +97,8 @@
 		{"answer", `11 00000036 0003 5d3a91c4 0000 0a124a07 138b 0064 00000000011a49a0 01 00000002 00000000008f6ec0
 			04 3f1eb85240e000003fa000003ecccccd`, 1, []Record{
 			{3, routing.Outcome{ID: 0x5d3a91c4, Host: hostA, Result: routing.OK, Elapsed: 18500000, RequestDone: true,
-				FillStatus: routing.FillStatusFilled, SourceWait: 9400000, LoadReport: []float32{0.62, 7, 1.25, 0.4}}}}},
+				FillStatus: routing.FillStatusFilled, SourceWait: 9400000, LoadReport: []float32{0.62, 7, 1.25,
+					0.4}}}}},
 		{"purge, crash, first", `
 			19 00000014 0003 000000000510ff40 000b 0000007c55d20a01
 			16 00000002 0003
@@ -116,9 +139,11 @@
 	}{
 		{"forward", routing.Forward{ID: 0x5d3a91c4, Timeout: 80000000, Host: hostA},
 			"10 00000014 0003 5d3a91c4 0000000004c4b400 0a124a07 138b"},
-		{"set timer", routing.SetTimer{Token: 77, At: 0x213362490}, "11 00000012 0003 000000000000004d 0000000213362490"},
+		{"set timer", routing.SetTimer{Token: 77, At: 0x213362490},
+			"11 00000012 0003 000000000000004d 0000000213362490"},
 		{"log", routing.Log{Message: "two servers known"}, "13 00000015 0003 0011 74776f2073657276657273206b6e6f776e"},
-		{"fetch", fetch, "15 00000024 0003 5d3a91c4 09 0000000035a4e900 02 0a9011f2 13b4 0a124a07 138b 0000000059682f00"},
+		{"fetch", fetch,
+			"15 00000024 0003 5d3a91c4 09 0000000035a4e900 02 0a9011f2 13b4 0a124a07 138b 0000000059682f00"},
 		{"peer message", routing.SendPeerMessage{To: routing.AllPeers, Data: []byte("hi 7")},
 			"19 0000000c 0003 ffffffff 0004 68692037"},
 		{"cancel", routing.Cancel{ID: 1, Attempt: 2}, "14 00000008 0003 00000001 0002"},
--- a/internal/sitehealth/monitor_test.go
+++ b/internal/sitehealth/monitor_test.go
@@ -116,7 +116,8 @@
 		{"two of five refuse, none answers", "c0 refuses, c1 refuses, 100", 2, Degraded},
 		{"one answer is lost", "c0 silent, c1 silent, c2 silent, 100", 2, Degraded},
 		{"all are silent", stepsFor("silent", append(caches, caches...)...) + ", 100", 2, Unreachable},
-		{"three are silent for long", strings.Repeat(stepsFor("silent", "c0", "c1", "c2")+", ", 3) + "100", 2, Unreachable},
+		{"three are silent for long", strings.Repeat(stepsFor("silent", "c0", "c1", "c2")+", ", 3) + "100", 2,
+			Unreachable},
 		{"failures that are long past", "c0 refuses, 4900, c1 answers, 200, c1 refuses, 100", 2, Degraded},
 		{"the list has none left", stepsFor("gone", caches...) + ", 100", 2, Lost},
 		{"the list has one left", stepsFor("gone", caches[1:]...) + ", 100", 2, Healthy},
@@ -287,7 +288,10 @@
 		names := slices.Sorted(maps.Keys(f.members))
 		for range rapid.IntRange(1, 200).Draw(rt, "steps") {
 			who := rapid.SampledFrom(names).Draw(rt, "who")
-			f.play(who + " " + rapid.SampledFrom([]string{"answers", "refuses", "silent", "gone", "starts"}).Draw(rt, "what"))
+			f.play(
+				who + " " + rapid.SampledFrom([]string{"answers", "refuses", "silent", "gone", "starts"}).
+					Draw(rt, "what"),
+			)
 			if rapid.Bool().Draw(rt, "time") {
 				f.play(fmt.Sprint(rapid.IntRange(1, 1500).Draw(rt, "ms")))
 			}
--- a/internal/strictconfig/strict.go
+++ b/internal/strictconfig/strict.go
@@ -1,5 +1,5 @@
-// Package strictconfig reads TOML files of which no key may be ignored: the operators' file and the testbed's experiments.
-// Its errors name the file, the line and the key.
+// Package strictconfig reads TOML files of which no key may be ignored: the operators' file and the testbed's
+// experiments. Its errors name the file, the line and the key.
 package strictconfig
 
 import (
@@ -43,8 +43,8 @@
 	return &Error{File: file, Line: FindLine(text, fault.Key), Key: fault.Key, Err: fault.Err}
 }
 
-// Decode reads the text into a value; the name of its file is for errors. An unknown key is an error: a file whose key is
-// misspelt must not be taken for one that sets nothing.
+// Decode reads the text into a value; the name of its file is for errors. An unknown key is an error: a file whose key
+// is misspelt must not be taken for one that sets nothing.
 func Decode(file string, text []byte, into any) error {
 	err := toml.NewDecoder(bytes.NewReader(text)).DisallowUnknownFields().Decode(into)
 	var unknown *toml.StrictMissingError
@@ -63,8 +63,8 @@
 	return fmt.Errorf("%s: %w", file, err)
 }
 
-// FindLine finds the line of a key such as clients.zipf, step[2].do or plan.pin[1].share, counted from 1; where the file
-// gives the key in a table on one line, that line. 0: the key is in none.
+// FindLine finds the line of a key such as clients.zipf, step[2].do or plan.pin[1].share, counted from 1; where the
+// file gives the key in a table on one line, that line. 0: the key is in none.
 func FindLine(text []byte, key string) int {
 	for key != "" {
 		if line := findExactLine(text, key); line > 0 {
--- a/internal/testbed/discovery_test.go
+++ b/internal/testbed/discovery_test.go
@@ -142,7 +142,8 @@
 		t.Errorf("read %d bytes, %v", n, err)
 	}
 	var told []Event
-	for until := time.Now().Add(10 * time.Second); len(told) < 2 && time.Now().Before(until); time.Sleep(time.Millisecond) {
+	until := time.Now().Add(10 * time.Second)
+	for ; len(told) < 2 && time.Now().Before(until); time.Sleep(time.Millisecond) {
 		told = recordedEvents(t, service.testbed.history, "told")
 	}
 	calls := recordedEvents(t, service.testbed.history, "call")
--- a/internal/testbed/experiment.go
+++ b/internal/testbed/experiment.go
@@ -34,7 +34,8 @@
 type DiscoverySpec struct {
 	CallsPerSecond float64 `toml:"calls_per_second"` // 0: as many as there are directors in 1.5 s
 	Queue          int     `toml:"queue"`            // calls that wait; further ones are rejected. 0: a second's worth
-	Begin          string  `toml:"begin"`            // its mode as the directors start: well (or empty), down, hang, half
+	// its mode as the directors start: well (or empty), down, hang, half
+	Begin string `toml:"begin"`
 }
 
 // ServerSpec is a group of caches or parents.
@@ -60,14 +61,15 @@
 
 // ClientSpec is the load of all clients together.
 type ClientSpec struct {
-	PerSecond    float64 `toml:"per_second"`
-	Objects      int     `toml:"objects"`
-	Zipf         float64 `toml:"zipf"`
-	Repayments   float64 `toml:"repayments"` // share of requests
-	MaxAttempts  int     `toml:"tries"`      // at one request by its client
-	Skew         float64 `toml:"skew"`       // multiple of the mean load that director 0 gets; 0: the mean
-	TransferMS   float64 `toml:"transfer_ms"`
-	LeaveShare   float64 `toml:"leave"`      // share of requests whose client closes its connection or cancels, by turns
+	PerSecond   float64 `toml:"per_second"`
+	Objects     int     `toml:"objects"`
+	Zipf        float64 `toml:"zipf"`
+	Repayments  float64 `toml:"repayments"` // share of requests
+	MaxAttempts int     `toml:"tries"`      // at one request by its client
+	Skew        float64 `toml:"skew"`       // multiple of the mean load that director 0 gets; 0: the mean
+	TransferMS  float64 `toml:"transfer_ms"`
+	// share of requests whose client closes its connection or cancels, by turns
+	LeaveShare   float64 `toml:"leave"`
 	LeaveAfterMS float64 `toml:"leave_ms"`   // on average, if it has no answer by then
 	SizeSigma    float64 `toml:"size_sigma"` // of the logarithm of objects' sizes; 0: all have the mean
 }
@@ -118,14 +120,37 @@
 
 // faultTargets are the actions of fault events, and what each is done to.
 var faultTargets = map[string]string{
-	"idle": targetDirectors, "kill": targetDirectors, "start": targetDirectors, "stop": targetDirectors, "cont": targetDirectors,
-	"term": targetDirectors, "list-flap": targetDirectors,
-	"list-well": targetList, "list-down": targetList, "list-hang": targetList, "list-half": targetList, "list-slow": targetList,
-	"list-older": targetList, "list-break": targetList,
-	"replace": targetCaches, "replace-parents": targetParents, "drain": targetCaches, "kill-caches": targetCaches,
-	"silence-caches": targetCaches, "origin-slow": targetOrigin, "purge": targetNone, "burst": targetNone,
-	"site-kill": targetSite, "site-silent": targetSite, "site-busy": targetSite,
-	"cut": targetLink, "silence": targetLink, "one-way": targetLink, "delay": targetLink, "reset": targetLink, "drip": targetLink,
+	"idle":            targetDirectors,
+	"kill":            targetDirectors,
+	"start":           targetDirectors,
+	"stop":            targetDirectors,
+	"cont":            targetDirectors,
+	"term":            targetDirectors,
+	"list-flap":       targetDirectors,
+	"list-well":       targetList,
+	"list-down":       targetList,
+	"list-hang":       targetList,
+	"list-half":       targetList,
+	"list-slow":       targetList,
+	"list-older":      targetList,
+	"list-break":      targetList,
+	"replace":         targetCaches,
+	"replace-parents": targetParents,
+	"drain":           targetCaches,
+	"kill-caches":     targetCaches,
+	"silence-caches":  targetCaches,
+	"origin-slow":     targetOrigin,
+	"purge":           targetNone,
+	"burst":           targetNone,
+	"site-kill":       targetSite,
+	"site-silent":     targetSite,
+	"site-busy":       targetSite,
+	"cut":             targetLink,
+	"silence":         targetLink,
+	"one-way":         targetLink,
+	"delay":           targetLink,
+	"reset":           targetLink,
+	"drip":            targetLink,
 }
 
 // LoadExperiment reads an experiment. An error names the file, the line and the key.
--- a/internal/testbed/fills.go
+++ b/internal/testbed/fills.go
@@ -76,7 +76,9 @@
 	if source == nil {
 		return lookupResult{word: wordMiss}
 	}
-	s.testbed.history.record(Event{Kind: "source", Who: source.name, Director: directorName(request.director), Ref: request.ref})
+	s.testbed.history.record(
+		Event{Kind: "source", Who: source.name, Director: directorName(request.director), Ref: request.ref},
+	)
 	return source.lookUp(request)
 }
 
@@ -112,8 +114,10 @@
 // fetchFromSource asks the source, which counts it as work that reaches it.
 func (s *server) fetchFromSource(source *server, request serverRequest) (ok bool, status string, fetched cachedCopy) {
 	work := s.testbed.transferWork(request.object)
-	s.testbed.history.record(Event{Kind: "source", Who: source.name, Director: directorName(request.director), Ref: request.ref,
-		Object: request.object, Work: work})
+	s.testbed.history.record(
+		Event{Kind: "source", Who: source.name, Director: directorName(request.director), Ref: request.ref,
+			Object: request.object, Work: work},
+	)
 	if status := source.unavailableAsSource(); status != "" {
 		return false, status, cachedCopy{}
 	}
--- a/internal/testbed/loadgenerator.go
+++ b/internal/testbed/loadgenerator.go
@@ -167,7 +167,12 @@
 	seq    int32
 }
 
-func (g *loadGenerator) newAttempt(director int, class, object string, timeout time.Duration, retry bool) *clientAttempt {
+func (g *loadGenerator) newAttempt(
+	director int,
+	class, object string,
+	timeout time.Duration,
+	retry bool,
+) *clientAttempt {
 	clients := g.testbed.experiment.Clients
 	a := &clientAttempt{generator: g, director: director, class: class, object: object, timeout: timeout, retry: retry}
 	g.mu.Lock()
@@ -183,11 +188,25 @@
 // run sends the request and waits for what comes of it.
 func (a *clientAttempt) run() reply {
 	testbed := a.generator.testbed
-	testbed.history.record(Event{Kind: "ask", Ref: a.ref, Director: directorName(a.director), Class: a.class, Object: a.object,
-		Site: branchName(testbed.branchOfDirector(a.director)), TimeoutMS: float64(a.timeout.Milliseconds()), Retry: a.retry,
-		Work: testbed.transferWork(a.object)})
+	testbed.history.record(
+		Event{
+			Kind:     "ask",
+			Ref:      a.ref,
+			Director: directorName(a.director),
+			Class:    a.class,
+			Object:   a.object,
+			Site: branchName(
+				testbed.branchOfDirector(a.director),
+			),
+			TimeoutMS: float64(a.timeout.Milliseconds()),
+			Retry:     a.retry,
+			Work:      testbed.transferWork(a.object),
+		},
+	)
 	if !a.send(a.leaves && a.closes) {
-		testbed.history.record(Event{Kind: "answer", Ref: a.ref, Director: directorName(a.director), What: outcomeUnreached})
+		testbed.history.record(
+			Event{Kind: "answer", Ref: a.ref, Director: directorName(a.director), What: outcomeUnreached},
+		)
 		return reply{outcome: outcomeUnreached}
 	}
 	answer := a.await()
--- a/internal/testbed/play.go
+++ b/internal/testbed/play.go
@@ -43,7 +43,9 @@
 	for branch := range experiment.Branches {
 		t.history.record(Event{Kind: "home", Who: branchName(branch), What: hubName(branch % experiment.Hubs)})
 	}
-	t.history.record(Event{Kind: "meta", What: experiment.Name, Number: experiment.Directors, Value: 2000, TimeoutMS: 500})
+	t.history.record(
+		Event{Kind: "meta", What: experiment.Name, Number: experiment.Directors, Value: 2000, TimeoutMS: 500},
+	)
 }
 
 // startFleet starts all directors, and waits until half of them are in rotation.
@@ -105,7 +107,10 @@
 		}
 		script = append(script, scriptedAction{at: start, do: recorded("done", inject)})
 		if event.Duration > 0 && undo != nil {
-			script = append(script, scriptedAction{at: start.Add(seconds(event.Duration)), do: recorded("undone", undo)})
+			script = append(
+				script,
+				scriptedAction{at: start.Add(seconds(event.Duration)), do: recorded("undone", undo)},
+			)
 		}
 	}
 	slices.SortStableFunc(script, func(a, b scriptedAction) int { return a.at.Compare(b.at) })
@@ -113,7 +118,12 @@
 }
 
 // runScript carries the script out until it and the load have ended.
-func (t *Testbed) runScript(ctx context.Context, begin time.Time, loadDone <-chan struct{}, progress func(float64)) error {
+func (t *Testbed) runScript(
+	ctx context.Context,
+	begin time.Time,
+	loadDone <-chan struct{},
+	progress func(float64),
+) error {
 	script := t.script(begin)
 	ticker := time.NewTicker(progressInterval)
 	defer ticker.Stop()
--- a/internal/testbed/server.go
+++ b/internal/testbed/server.go
@@ -80,7 +80,13 @@
 	work float64
 }
 
-func (t *Testbed) newServer(name, zone string, tier tier, spec ServerSpec, addr *net.TCPAddr, cold bool) (*server, error) {
+func (t *Testbed) newServer(
+	name, zone string,
+	tier tier,
+	spec ServerSpec,
+	addr *net.TCPAddr,
+	cold bool,
+) (*server, error) {
 	standIn := &server{
 		testbed:        t,
 		name:           name,
@@ -208,7 +214,9 @@
 		c.cancelled.Delete(words[1])
 		go c.handleRequest(newServerRequest(director, words))
 	default:
-		standIn.testbed.history.record(Event{Kind: "fault", Who: standIn.name, What: fmt.Sprintf("can't use %.60q", words)})
+		standIn.testbed.history.record(
+			Event{Kind: "fault", Who: standIn.name, What: fmt.Sprintf("can't use %.60q", words)},
+		)
 		return false
 	}
 	return true
@@ -283,8 +291,10 @@
 	busy := standIn.busy
 	standIn.mu.Unlock()
 	if busy {
-		history.record(Event{Kind: "done", Who: standIn.name, Director: directorName(request.director), Ref: request.ref,
-			What: wordBusy})
+		history.record(
+			Event{Kind: "done", Who: standIn.name, Director: directorName(request.director), Ref: request.ref,
+				What: wordBusy},
+		)
 		c.writeReply(request.ref, wordBusy, "-", "")
 		return
 	}
--- a/internal/testbed/server_test.go
+++ b/internal/testbed/server_test.go
@@ -34,8 +34,10 @@
 // A purge takes away copies from before it, also where it is heeded late; newer ones stay.
 func TestPurgeTakesOlderCopies(t *testing.T) {
 	at := time.Now()
-	standIn := &server{cached: map[string]cachedCopy{"a/0": {since: at.Add(-time.Second)}, "a/1": {since: at.Add(time.Second)},
-		"b/0": {since: at.Add(-time.Second)}}}
+	standIn := &server{
+		cached: map[string]cachedCopy{"a/0": {since: at.Add(-time.Second)}, "a/1": {since: at.Add(time.Second)},
+			"b/0": {since: at.Add(-time.Second)}},
+	}
 	standIn.purge("a", at)
 	if _, old := standIn.cached["a/0"]; old || len(standIn.cached) != 2 {
 		t.Errorf("left: %v", standIn.cached)
--- a/internal/testbed/settings.go
+++ b/internal/testbed/settings.go
@@ -17,7 +17,12 @@
 		"report": map[string]any{"fields": []string{"active"}, "via": "inline"},
 		"services": []any{
 			map[string]any{
-				"name": "media", "aim": 500 * ms, "deadline": 2000 * ms, "worth": 2, "effect": "read_like", "group": "all",
+				"name":     "media",
+				"aim":      500 * ms,
+				"deadline": 2000 * ms,
+				"worth":    2,
+				"effect":   "read_like",
+				"group":    "all",
 			},
 			map[string]any{
 				"name": "repayment", "aim": 700 * ms, "deadline": 2000 * ms, "worth": 3, "effect": "non_idempotent",
@@ -25,8 +30,15 @@
 			},
 		},
 		"ceilings": map[string]any{
-			"cancel": true, "connectTimeout": 400 * ms, "keepalive": 15000 * ms, "maxAttempts": 6,
-			"maxRetryAfter": 500 * ms, "openCap": 20000, "retryAfter": true, "secondCopies": true, "streamsPerConn": 100,
+			"cancel":         true,
+			"connectTimeout": 400 * ms,
+			"keepalive":      15000 * ms,
+			"maxAttempts":    6,
+			"maxRetryAfter":  500 * ms,
+			"openCap":        20000,
+			"retryAfter":     true,
+			"secondCopies":   true,
+			"streamsPerConn": 100,
 		},
 		"guarantees": map[string]any{
 			"askWithin": 10000 * ms, "cold": experiment.Caches.RampMS * ms, "coldFrom": experiment.Caches.ColdFrom,
--- a/internal/testbed/siteactions.go
+++ b/internal/testbed/siteactions.go
@@ -45,7 +45,9 @@
 	}
 	testbed.mu.Unlock()
 	share := float64(len(f.broken)) / float64(len(all))
-	testbed.history.record(Event{Kind: "site", Who: f.event.Site, What: f.event.Action, Number: len(f.broken), Value: share})
+	testbed.history.record(
+		Event{Kind: "site", Who: f.event.Site, What: f.event.Action, Number: len(f.broken), Value: share},
+	)
 	for _, standIn := range f.broken {
 		switch f.event.Action {
 		case siteKill:
--- a/internal/testbed/testbed.go
+++ b/internal/testbed/testbed.go
@@ -169,11 +169,19 @@
 	experiment := t.experiment
 	t.discovery = newDiscoveryService(t)
 	var err error
-	t.caches, err = t.addServers(cacheTier, experiment.Caches, func(i int) string { return branchName(i % experiment.Branches) })
+	t.caches, err = t.addServers(
+		cacheTier,
+		experiment.Caches,
+		func(i int) string { return branchName(i % experiment.Branches) },
+	)
 	if err != nil {
 		return err
 	}
-	t.parents, err = t.addServers(parentTier, experiment.Parents, func(i int) string { return hubName(i % experiment.Hubs) })
+	t.parents, err = t.addServers(
+		parentTier,
+		experiment.Parents,
+		func(i int) string { return hubName(i % experiment.Hubs) },
+	)
 	if err != nil {
 		return err
 	}
@@ -233,11 +241,24 @@
 		if standIn.cold {
 			started = standIn.startedAt.UnixMilli()
 		}
-		text += fmt.Sprintf(`{"name":%q,"address":%q,"zone":%q,"type":%q,"group":0,"status":%q,"weight":%v,"since_ms":%d}`,
-			standIn.name, standIn.addr.String(), standIn.zone, kindNames[standIn.tier], standIn.state, standIn.spec.Weight,
-			started)
+		text += fmt.Sprintf(
+			`{"name":%q,"address":%q,"zone":%q,"type":%q,"group":0,"status":%q,"weight":%v,"since_ms":%d}`,
+			standIn.name,
+			standIn.addr.String(),
+			standIn.zone,
+			kindNames[standIn.tier],
+			standIn.state,
+			standIn.spec.Weight,
+			started,
+		)
 	}
-	return fmt.Sprintf(`{"n":%d,"members":{"index":%d,"snapshot":%v,"endpoints":[%s]}}`, revision, revision, snapshot, text)
+	return fmt.Sprintf(
+		`{"n":%d,"members":{"index":%d,"snapshot":%v,"endpoints":[%s]}}`,
+		revision,
+		revision,
+		snapshot,
+		text,
+	)
 }
 
 // objectSize is how large an object is, as a multiple of the mean: lognormal, by its name alone, so that all agree on
--- a/internal/testbed/testbed_test.go
+++ b/internal/testbed/testbed_test.go
@@ -97,7 +97,8 @@
 	begun := make(chan struct{}, 400)
 	done := make(chan error, 1)
 	go func() {
-		done <- Run(ctx, experiment, Options{Binary: buildDirector(t), Dir: dir, Progress: func(float64) { begun <- struct{}{} }})
+		done <- Run(ctx, experiment, Options{Binary: buildDirector(t), Dir: dir,
+			Progress: func(float64) { begun <- struct{}{} }})
 	}()
 	<-begun
 	if n := len(remainingProcesses(t, dir)); n != 5 {
--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -21,8 +21,8 @@
 	written    bool         // it may have been executed
 }
 
-// Send starts an attempt, on a connection of the host's pool or on a new one. It is reported to the CompletionHandler, during
-// the call or later, unless it is cancelled.
+// Send starts an attempt, on a connection of the host's pool or on a new one. It is reported to the CompletionHandler,
+// during the call or later, unless it is cancelled.
 func (p *Pools) Send(attemptID handle.Handle, host routing.Host, request director.UpstreamRequest) {
 	endpoint := p.endpoints[host]
 	if endpoint == nil {
@@ -51,8 +51,8 @@
 	conn.assign(attempt)
 }
 
-// Cancel gives an attempt up and tells whether it may have been written. Where it was, the endpoint is told, and a response
-// that is on its way already is dropped. No result is reported.
+// Cancel gives an attempt up and tells whether it may have been written. Where it was, the endpoint is told, and a
+// response that is on its way already is dropped. No result is reported.
 func (p *Pools) Cancel(attemptID handle.Handle) (written bool) {
 	attempt := p.attempts[attemptID]
 	if attempt == nil {
@@ -85,8 +85,8 @@
 	return true
 }
 
-// SuspendWrites keeps attempts from being written until ResumeWrites. It is called when the process has stood still: the
-// messages that would cancel them may be waiting to be read.
+// SuspendWrites keeps attempts from being written until ResumeWrites. It is called when the process has stood still:
+// the messages that would cancel them may be waiting to be read.
 func (p *Pools) SuspendWrites() { p.writesSuspended = true }
 
 // ResumeWrites writes what has waited since SuspendWrites.
@@ -121,9 +121,9 @@
 // maxRedials bounds the dials that are made again for one attempt.
 const maxRedials = 2
 
-// reassign gives an attempt whose dial failed to a working connection of the same endpoint, if there is one. The failure
-// proves nothing then: an endpoint may take no more connections than it has. Nor does a dial that was reset, unlike one
-// that was refused, prove anything, so that one is made again.
+// reassign gives an attempt whose dial failed to a working connection of the same endpoint, if there is one. The
+// failure proves nothing then: an endpoint may take no more connections than it has. Nor does a dial that was reset,
+// unlike one that was refused, prove anything, so that one is made again.
 func (p *Pools) reassign(attempt *activeAttempt, dialWasReset bool) {
 	from := attempt.conn
 	to := from.endpoint.readyConn(attempt.requestID)
--- a/internal/upstream/attempt_test.go
+++ b/internal/upstream/attempt_test.go
@@ -52,8 +52,8 @@
 	}
 }
 
-// A response that crosses a STOP can't be told from that to a second attempt with the same id on the same connection: the
-// second one takes another.
+// A response that crosses a STOP can't be told from that to a second attempt with the same id on the same connection:
+// the second one takes another.
 func TestSecondAttemptAvoidsTheCancelledOnesConnection(t *testing.T) {
 	h := newHarness()
 	h.send(1, "r1")
@@ -92,8 +92,8 @@
 	h.wantResults(t, map[handle.Handle]routing.Result{1: routing.OK})
 }
 
-// While writes are suspended, a dial that succeeds, and one that fails beside a connection that works, write nothing: what
-// would cancel the attempts is unread yet.
+// While writes are suspended, a dial that succeeds, and one that fails beside a connection that works, write nothing:
+// what would cancel the attempts is unread yet.
 func TestNothingIsWrittenWhileSuspended(t *testing.T) {
 	h := newHarness()
 	h.pools.limits.MaxConnsPerEndpoint = 2
@@ -114,8 +114,8 @@
 	}
 }
 
-// A dial that is reset, other than one that is refused, does not prove that nobody is there: nothing was executed, and it
-// is made again, but not without end.
+// A dial that is reset, other than one that is refused, does not prove that nobody is there: nothing was executed, and
+// it is made again, but not without end.
 func TestResetDialIsMadeAgain(t *testing.T) {
 	h := newHarness()
 	h.send(1, "r1")
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -37,8 +37,8 @@
 
 	inFlight map[string]*activeAttempt // by request id, those in pending included
 	pending  []*activeAttempt          // not written yet: it is connecting, or writes are suspended
-	// lateResponseIDs are the ids of attempts that were cancelled here, or got a response other than OK, and when: another
-	// response under such an id may still come.
+	// lateResponseIDs are the ids of attempts that were cancelled here, or got a response other than OK, and when:
+	// another response under such an id may still come.
 	lateResponseIDs map[string]routing.Time
 
 	openedAt       routing.Time
@@ -96,8 +96,8 @@
 // lateResponsesPerStream bounds lateResponseIDs, as a multiple of the attempts that a connection may carry.
 const lateResponsesPerStream = 4
 
-// expectLateResponse notes that another response under an id may come: one that crossed the cancellation of its attempt, or
-// a duplicate.
+// expectLateResponse notes that another response under an id may come: one that crossed the cancellation of its
+// attempt, or a duplicate.
 func (c *conn) expectLateResponse(requestID string) {
 	limit := lateResponsesPerStream * c.pools.limits.MaxAttemptsPerConn
 	now := c.pools.now()
@@ -141,8 +141,8 @@
 	eventloop.Unreachable:             routing.Unreachable,
 }
 
-// Failed implements eventloop.Stream: the dial has failed, and none of the attempts that waited for it was executed. A failure
-// for want of descriptors, ports or routes of our own is no evidence against the endpoint.
+// Failed implements eventloop.Stream: the dial has failed, and none of the attempts that waited for it was executed. A
+// failure for want of descriptors, ports or routes of our own is no evidence against the endpoint.
 func (c *conn) Failed(err error) {
 	c.pools.descriptorsInUse -= descriptorsPerDial
 	c.pools.Counters.DialFailures++
@@ -170,8 +170,8 @@
 	c.terminate(result)
 }
 
-// quickCloseLimit is the age up to which a connection that the endpoint closes unused counts as rejected: the endpoint holds
-// as many as it takes.
+// quickCloseLimit is the age up to which a connection that the endpoint closes unused counts as rejected: the endpoint
+// holds as many as it takes.
 const quickCloseLimit = 100 * time.Millisecond
 
 // Closed implements eventloop.Stream: an open connection has ended. Attempts that were written may have been executed.
@@ -208,8 +208,8 @@
 	c.terminate(routing.Reset)
 }
 
-// terminate ends the connection, and all attempts in flight on it with a result. An attempt that was not written can't have
-// been reset; it was never executed.
+// terminate ends the connection, and all attempts in flight on it with a result. An attempt that was not written can't
+// have been reset; it was never executed.
 func (c *conn) terminate(result routing.Result) {
 	if c.phase == closed {
 		return
@@ -224,8 +224,8 @@
 	}
 }
 
-// releaseIfIdle handles a connection that carries no attempt any more. It is closed at once if it can't be used again, else
-// after the idle timeout.
+// releaseIfIdle handles a connection that carries no attempt any more. It is closed at once if it can't be used again,
+// else after the idle timeout.
 func (c *conn) releaseIfIdle() {
 	if len(c.inFlight) > 0 || c.phase == closed {
 		return
--- a/internal/upstream/conn_test.go
+++ b/internal/upstream/conn_test.go
@@ -32,8 +32,8 @@
 	}
 }
 
-// The endpoint list is late with starts. A connection that was opened to the new process already must stay: a reset would
-// fail the payments that are in flight on it.
+// The endpoint list is late with starts. A connection that was opened to the new process already must stay: a reset
+// would fail the payments that are in flight on it.
 func TestLateNoticeOfARestartKeepsNewConnections(t *testing.T) {
 	h := newHarness()
 	h.send(1, "r1")
@@ -63,8 +63,8 @@
 	}
 }
 
-// Connects fail in every way that Linux documents. A shortage of our own is told apart from what the endpoint has done, and
-// neither ejects nor limits the endpoint; the attempt was never executed in any case.
+// Connects fail in every way that Linux documents. A shortage of our own is told apart from what the endpoint has done,
+// and neither ejects nor limits the endpoint; the attempt was never executed in any case.
 func TestLocalShortagesAreNoEvidence(t *testing.T) {
 	for errno, want := range map[syscall.Errno]routing.Result{
 		syscall.EMFILE:        routing.LocalResourcesExhausted,
--- a/internal/upstream/endpoint.go
+++ b/internal/upstream/endpoint.go
@@ -8,8 +8,8 @@
 	"shaleyard/routing"
 )
 
-// endpoint is a cache, a parent or the origin, with its pool of connections. It is identified by its host: another one at
-// the same address is another endpoint, with connections of its own.
+// endpoint is a cache, a parent or the origin, with its pool of connections. It is identified by its host: another one
+// at the same address is another endpoint, with connections of its own.
 type endpoint struct {
 	host           routing.Host
 	name           string
@@ -86,8 +86,8 @@
 	}
 }
 
-// removeConn takes a closed connection out of its endpoint's pool, and the endpoint out of the pools where it was the last
-// connection of one that has left the list.
+// removeConn takes a closed connection out of its endpoint's pool, and the endpoint out of the pools where it was the
+// last connection of one that has left the list.
 func (p *Pools) removeConn(closing *conn) {
 	endpoint := closing.endpoint
 	endpoint.conns = slices.DeleteFunc(endpoint.conns, func(other *conn) bool { return other == closing })
--- a/internal/upstream/golden_request_test.go
+++ b/internal/upstream/golden_request_test.go
@@ -53,7 +53,11 @@
 		{"client's tag", "", func(_ *upstreamRequest, request *director.Request) {
 			request.IfNoneMatch = "4be0c1927d55a6f3"
 		}},
-		{"idempotency key", "", func(_ *upstreamRequest, request *director.Request) { request.IdempotencyKey = "5c0f" }},
+		{
+			"idempotency key",
+			"",
+			func(_ *upstreamRequest, request *director.Request) { request.IdempotencyKey = "5c0f" },
+		},
 		{"must not run twice", "", func(call *upstreamRequest, _ *director.Request) { call.NonIdempotent = true }},
 		{"body", "written\r\n\x00\xff", func(*upstreamRequest, *director.Request) {}},
 		{"body in several buffers", strings.Repeat("0123456789", 10), func(*upstreamRequest, *director.Request) {}},
@@ -71,18 +75,25 @@
 		cases = append(cases, requestCase{name: name, change: change})
 	}
 	for rank := range 4 {
-		add(fmt.Sprintf("rank %d", rank), func(call *upstreamRequest, _ *director.Request) { call.RetentionRank = uint8(rank) })
+		add(
+			fmt.Sprintf("rank %d", rank),
+			func(call *upstreamRequest, _ *director.Request) { call.RetentionRank = uint8(rank) },
+		)
 	}
 	for switches := range 16 {
 		add(fmt.Sprintf("switches %04b", switches), func(call *upstreamRequest, _ *director.Request) {
 			call.Source, call.FetchFlags = "s-1", routing.FetchFlags(switches)
 		})
 	}
-	for _, age := range []time.Duration{0, 1, 999 * time.Microsecond, time.Millisecond, 8999 * time.Microsecond, time.Hour} {
+	for _, age := range []time.Duration{0, 1, 999 * time.Microsecond, time.Millisecond, 8999 * time.Microsecond,
+		time.Hour} {
 		add(fmt.Sprintf("oldest copy %v", age), func(call *upstreamRequest, _ *director.Request) { call.MaxAge = age })
 	}
 	for _, patience := range []time.Duration{0, 1, 1999 * time.Microsecond, 2 * time.Millisecond, time.Minute} {
-		add(fmt.Sprintf("patience %v", patience), func(call *upstreamRequest, _ *director.Request) { call.Timeout = patience })
+		add(
+			fmt.Sprintf("patience %v", patience),
+			func(call *upstreamRequest, _ *director.Request) { call.Timeout = patience },
+		)
 	}
 	return cases
 }
--- a/internal/upstream/golden_response_test.go
+++ b/internal/upstream/golden_response_test.go
@@ -23,10 +23,12 @@
 
 // wellFormedStreams are all statuses with all fill notes, for an attempt with and without a copy of the client.
 func wellFormedStreams() (streams []string) {
-	const rest = ",fill=12.5,l=inflight:7;queue:2;util:0.61;latency_ms:8.5;qps:100;eps:0.25;x1:3,rev=tag1,since=1764576000123"
+	const rest = ",fill=12.5,l=inflight:7;queue:2;util:0.61;latency_ms:8.5;qps:100;eps:0.25;x1:3" +
+		",rev=tag1,since=1764576000123"
 	for _, id := range []string{"r1", "r2"} {
 		for _, status := range []string{"OK", "SAME", "MISS", "BUSY", "ERR", "VOID"} {
-			for _, note := range []string{"HIT", "MISS", "MISS_ORIGIN", "COLLAPSED", "STALE", "UP_BUSY", "UP_DOWN", "UP_MISS",
+			for _, note := range []string{"HIT", "MISS", "MISS_ORIGIN", "COLLAPSED", "STALE", "UP_BUSY", "UP_DOWN",
+				"UP_MISS",
 				"NO_FILL", "ORIGIN_ERR"} {
 				streams = append(streams, bulkArray(id, status, "n="+note+rest, ""))
 			}
@@ -39,8 +41,10 @@
 				bulkArray(id, status, "n=HIT,rev=tag1", strings.Repeat("x\r\n$", 16)))
 		}
 	}
-	for _, fields := range []string{"rev=tag1,since=1", "rev=tag2,since=1", "since=1", "rev=", "rev=tag1,rev=tag2", "fill=0",
-		"fill=1e9", "fill=0.0000001", "other=x", "l=", "l=active:1;x1:2", "l=active:1;inflight:2", "l=inflight:2;active:1",
+	for _, fields := range []string{"rev=tag1,since=1", "rev=tag2,since=1", "since=1", "rev=", "rev=tag1,rev=tag2",
+		"fill=0",
+		"fill=1e9", "fill=0.0000001", "other=x", "l=", "l=active:1;x1:2", "l=active:1;inflight:2",
+		"l=inflight:2;active:1",
 		"l=x1:nan;cpu:1e99;rps:-1", "l=x1;cpu:;:3", "n=HIT,n=STALE"} {
 		streams = append(streams, bulkArray("r1", "SAME", fields, ""), bulkArray("r2", "OK", fields, "x"))
 	}
@@ -57,7 +61,8 @@
 	for _, status := range []string{"", "ok", "OKAY", "UP", "STOP"} {
 		streams = append(streams, bulkArray("r1", status), bulkArray("r2", status, "n=HIT", "x"))
 	}
-	for _, fields := range []string{"n", "n=", "n=NEVER", "n=hit", "n=HIT,", ",n=HIT", "fill", "fill=", "fill=-1", "fill=x",
+	for _, fields := range []string{"n", "n=", "n=NEVER", "n=hit", "n=HIT,", ",n=HIT", "fill", "fill=", "fill=-1",
+		"fill=x",
 		"fill=NaN", "fill=Inf", "fill=1e10", "fill=1000000001", "--", " -", "x", "n=HIT,x"} {
 		streams = append(streams, bulkArray("r1", "OK", fields, "x"), bulkArray("r2", "MISS", fields))
 	}
--- a/internal/upstream/golden_test.go
+++ b/internal/upstream/golden_test.go
@@ -132,8 +132,14 @@
 
 // state tells what is left after the events of a case.
 func (r *wireRecorder) state() string {
-	return fmt.Sprintf("conns=%d buffers=%d unmatched=%d unusable=%d broken-streams=%d", r.pools.NumConns(), r.buffers.InUse(),
-		r.pools.Counters.UnmatchedResponses, r.pools.Counters.InvalidResponses, r.pools.Counters.ProtocolErrors)
+	return fmt.Sprintf(
+		"conns=%d buffers=%d unmatched=%d unusable=%d broken-streams=%d",
+		r.pools.NumConns(),
+		r.buffers.InUse(),
+		r.pools.Counters.UnmatchedResponses,
+		r.pools.Counters.InvalidResponses,
+		r.pools.Counters.ProtocolErrors,
+	)
 }
 
 func chainText(chain *buffer.Chain) string {
--- a/internal/upstream/idlerace_test.go
+++ b/internal/upstream/idlerace_test.go
@@ -7,8 +7,9 @@
 	"time"
 )
 
-// Endpoints may drop idle connections sooner than they say. A reset under the first request after an idle time teaches not
-// to use connections again that were idle for so long; what was spoilt, or reset under a first request, teaches nothing.
+// Endpoints may drop idle connections sooner than they say. A reset under the first request after an idle time teaches
+// not to use connections again that were idle for so long; what was spoilt, or reset under a first request, teaches
+// nothing.
 func TestResetAfterIdleTimeShortensIt(t *testing.T) {
 	const idle = 300 * time.Millisecond
 	for _, tc := range []struct {
@@ -52,9 +53,9 @@
 	}
 }
 
-// Found on a day with cold caches: each director took the resets of a cache that died for idle times that were too long, at
-// all caches, and for good: every attempt opened a connection from then on. Only a request that crossed the close of its
-// connection alone tells of idle times, and what it tells ages.
+// Found on a day with cold caches: each director took the resets of a cache that died for idle times that were too
+// long, at all caches, and for good: every attempt opened a connection from then on. Only a request that crossed the
+// close of its connection alone tells of idle times, and what it tells ages.
 func TestOnlyIdleCloseRacesShortenIdleTime(t *testing.T) {
 	const untouched = 10 * time.Second
 	for _, tc := range []struct {
--- a/internal/upstream/pick.go
+++ b/internal/upstream/pick.go
@@ -10,10 +10,10 @@
 
 // pickConn returns the connection for a new attempt; nil: there is none, and no descriptor for a new one.
 //
-// It is an idle connection, the latest used first; else a new one, up to the endpoint's quota; else the one with the fewest
-// attempts in flight. Attempts share a connection only where connections run short, because an invalid response or a reset
-// ends all attempts on its connection. A request that is not idempotent gets a new connection where possible: when a reset
-// crosses it on an idle one, nobody can tell whether it was executed.
+// It is an idle connection, the latest used first; else a new one, up to the endpoint's quota; else the one with the
+// fewest attempts in flight. Attempts share a connection only where connections run short, because an invalid response
+// or a reset ends all attempts on its connection. A request that is not idempotent gets a new connection where
+// possible: when a reset crosses it on an idle one, nobody can tell whether it was executed.
 func (p *Pools) pickConn(endpoint *endpoint, requestID string, nonIdempotent bool) *conn {
 	best := endpoint.bestConn(requestID)
 	if best == nil {
@@ -74,8 +74,8 @@
 	return c.lastUsedAt > other.lastUsedAt
 }
 
-// usable tells whether the connection can take an attempt of a request. A connection that is found to be of no more use to
-// any request is closed on the way.
+// usable tells whether the connection can take an attempt of a request. A connection that is found to be of no more use
+// to any request is closed on the way.
 func (c *conn) usable(requestID string) bool {
 	if c.phase > ready || len(c.inFlight) >= c.pools.limits.MaxAttemptsPerConn {
 		return false
@@ -89,8 +89,8 @@
 	return !c.closeIfStale() && !c.unresponsive() && !c.backlogged()
 }
 
-// mayAnswer tells whether a response under the id of a request may still come from an earlier attempt. It could not be told
-// from that to a new one.
+// mayAnswer tells whether a response under the id of a request may still come from an earlier attempt. It could not be
+// told from that to a new one.
 func (c *conn) mayAnswer(requestID string) bool {
 	if _, taken := c.inFlight[requestID]; taken {
 		return true
@@ -113,8 +113,8 @@
 	return true
 }
 
-// unresponsive tells whether a response has been due for too long. A machine that has vanished leaves its connections open,
-// and only a new one shows whether it is there. An unresponsive connection without attempts is closed.
+// unresponsive tells whether a response has been due for too long. A machine that has vanished leaves its connections
+// open, and only a new one shows whether it is there. An unresponsive connection without attempts is closed.
 func (c *conn) unresponsive() bool {
 	if c.awaitingSince == 0 || c.pools.now()-c.awaitingSince < c.pools.limits.UpstreamSilenceTimeout {
 		return false
@@ -126,8 +126,8 @@
 	return true
 }
 
-// backlogged tells whether the endpoint has not taken all that was written. What is written behind that would leave at a
-// time of the endpoint's choosing, possibly after it was cancelled.
+// backlogged tells whether the endpoint has not taken all that was written. What is written behind that would leave at
+// a time of the endpoint's choosing, possibly after it was cancelled.
 func (c *conn) backlogged() bool {
 	if c.phase != ready || c.socket.OutboundBuffered() == 0 {
 		return false
@@ -167,9 +167,9 @@
 	return dialled
 }
 
-// ensureDescriptors tells whether the descriptors suffice for another dial. Where they don't, the connection that has been
-// idle for the longest is closed, so that endpoints used earlier can't lock others out. Its descriptor becomes free only
-// when the event loop has closed it; MaxReplacementDials bounds how many may be on their way.
+// ensureDescriptors tells whether the descriptors suffice for another dial. Where they don't, the connection that has
+// been idle for the longest is closed, so that endpoints used earlier can't lock others out. Its descriptor becomes
+// free only when the event loop has closed it; MaxReplacementDials bounds how many may be on their way.
 func (p *Pools) ensureDescriptors() bool {
 	needed := p.descriptorsInUse + descriptorsPerDial
 	if needed <= p.limits.MaxUpstreamConns {
--- a/internal/upstream/pick_test.go
+++ b/internal/upstream/pick_test.go
@@ -11,9 +11,9 @@
 	"shaleyard/routing"
 )
 
-// Attempts share a connection only where the endpoint's quota is used up, as one invalid response ends all on it. What is
-// idle is used again, but not for the id it has just answered: a duplicate may still come. A dial that fails proves nothing
-// while others work: a cache rejects more connections than it holds.
+// Attempts share a connection only where the endpoint's quota is used up, as one invalid response ends all on it. What
+// is idle is used again, but not for the id it has just answered: a duplicate may still come. A dial that fails proves
+// nothing while others work: a cache rejects more connections than it holds.
 func TestAttemptsSpreadOverConnections(t *testing.T) {
 	h := newHarness()
 	h.pools.limits.MaxConnsPerEndpoint = 2
@@ -38,8 +38,8 @@
 	}
 }
 
-// A request that is not idempotent takes a new connection though an idle one is there: a reset that crosses it on an idle
-// one would leave it unknown whether it was executed.
+// A request that is not idempotent takes a new connection though an idle one is there: a reset that crosses it on an
+// idle one would leave it unknown whether it was executed.
 func TestNonIdempotentTakesANewConnection(t *testing.T) {
 	h := newHarness()
 	h.pools.limits.MaxConnsPerEndpoint = 4
@@ -52,8 +52,8 @@
 	}
 }
 
-// Where the endpoint's quota is used up, a request that is not idempotent takes the place of an idle connection, not the
-// connection itself: the endpoint's close may be on its way.
+// Where the endpoint's quota is used up, a request that is not idempotent takes the place of an idle connection, not
+// the connection itself: the endpoint's close may be on its way.
 func TestNonIdempotentTakesTheIdleOnesPlace(t *testing.T) {
 	h := newHarness()
 	h.pools.limits.MaxConnsPerEndpoint = 1
@@ -85,8 +85,8 @@
 	}
 }
 
-// A machine that vanishes leaves its connections open and silent: the next attempt must dial, which proves whether it is
-// there. A short wait is no silence.
+// A machine that vanishes leaves its connections open and silent: the next attempt must dial, which proves whether it
+// is there. A short wait is no silence.
 func TestSilentConnectionTakesNothingNew(t *testing.T) {
 	h := newHarness()
 	h.send(1, "r1")
@@ -116,7 +116,8 @@
 	}
 }
 
-// Bytes that the endpoint has not taken stand before all that comes behind them: it would leave when the endpoint likes.
+// Bytes that the endpoint has not taken stand before all that comes behind them: it would leave when the endpoint
+// likes.
 func TestConnectionThatTakesNothingGetsNothingNew(t *testing.T) {
 	h := newHarness()
 	h.send(1, "r1")
@@ -172,8 +173,8 @@
 	}
 }
 
-// How many connections an endpoint takes shows only in dials that fail. From then on attempts share those that hold, and no
-// request tries the endpoint's patience anew; a restart of the endpoint is a new beginning.
+// How many connections an endpoint takes shows only in dials that fail. From then on attempts share those that hold,
+// and no request tries the endpoint's patience anew; a restart of the endpoint is a new beginning.
 func TestFailedDialLimitsFurtherConnections(t *testing.T) {
 	h := newHarness()
 	h.raiseLimits(8, 32)
@@ -220,8 +221,8 @@
 	}
 }
 
-// An endpoint that is full may accept a connection only to close it: that counts like a failed dial. One that has served,
-// or that is the only one, says nothing of capacity.
+// An endpoint that is full may accept a connection only to close it: that counts like a failed dial. One that has
+// served, or that is the only one, says nothing of capacity.
 func TestConnectionClosedUnusedCountsAsRejected(t *testing.T) {
 	for _, tc := range []struct {
 		name  string
--- a/internal/upstream/pools.go
+++ b/internal/upstream/pools.go
@@ -1,7 +1,7 @@
 // Package upstream sends requests to caches, parents and the origin. Each of them is an endpoint, with a pool of
 // connections that are opened as they are needed and may carry many attempts each. The package reports exactly how each
-// attempt ended, and above all whether it may have been executed: an attempt of which nothing was written provably never
-// was, and the director may send a request that is not idempotent again only then.
+// attempt ended, and above all whether it may have been executed: an attempt of which nothing was written provably
+// never was, and the director may send a request that is not idempotent again only then.
 //
 // All of it runs on the event loop and none of it is safe for concurrent use. The protocol's codec is package resp.
 package upstream
--- a/internal/upstream/response.go
+++ b/internal/upstream/response.go
@@ -123,7 +123,8 @@
 	return result, nil
 }
 
-// decodeFields reads the fields of a response into its result and returns the tag of the copy. Unknown fields are ignored.
+// decodeFields reads the fields of a response into its result and returns the tag of the copy. Unknown fields are
+// ignored.
 func (p *Pools) decodeFields(fields string, result *director.AttemptResult) (tag string, err error) {
 	if fields == "" || fields == noFields {
 		return "", nil
@@ -167,8 +168,8 @@
 	return time.Duration(ms * float64(time.Millisecond)), nil
 }
 
-// decodeLoadReport returns the figures of a load report in the order of the settings. A figure that is absent or can't be
-// read is 0: a report is a hint, and no reason to lose the response.
+// decodeLoadReport returns the figures of a load report in the order of the settings. A figure that is absent or can't
+// be read is 0: a report is a hint, and no reason to lose the response.
 func (p *Pools) decodeLoadReport(text string) []float32 {
 	if len(p.loadReportFields) == 0 {
 		return nil
--- a/internal/upstream/response_test.go
+++ b/internal/upstream/response_test.go
@@ -52,7 +52,8 @@
 }
 
 // A duplicate of a response may come some time after the first, with others between them. Had the next attempt of that
-// request gone over the same connection, the duplicate would say of a payment that is in flight that it was never executed.
+// request gone over the same connection, the duplicate would say of a payment that is in flight that it was never
+// executed.
 func TestDuplicateResponseMeetsNoLaterAttempt(t *testing.T) {
 	h := newHarness()
 	h.send(1, "r1")
@@ -75,8 +76,8 @@
 	}
 }
 
-// Half a response has come when its attempt is cancelled: what is asked next on that connection would be answered into the
-// other half, which may never come. Once it has come, the connection is as good as any.
+// Half a response has come when its attempt is cancelled: what is asked next on that connection would be answered into
+// the other half, which may never come. Once it has come, the connection is as good as any.
 func TestConnectionAmidAResponseTakesNothingNew(t *testing.T) {
 	const missing = 5 // bytes
 	whole := bulkArray("r1", "OK", "-", "a long body")
--- a/routing/bench_test.go
+++ b/routing/bench_test.go
@@ -25,8 +25,14 @@
 			for i := range b.N {
 				id := uint32(i + 1)
 				now += 100 * time.Microsecond
-				router.Handle(now, Request{ID: id, Class: classSmall, Object: uint64(i % 500), Deadline: now + time.Second})
-				router.Handle(now, Outcome{ID: id, Result: OK, FillStatus: FillStatusHit, Elapsed: 40 * ms, RequestDone: true})
+				router.Handle(
+					now,
+					Request{ID: id, Class: classSmall, Object: uint64(i % 500), Deadline: now + time.Second},
+				)
+				router.Handle(
+					now,
+					Outcome{ID: id, Result: OK, FillStatus: FillStatusHit, Elapsed: 40 * ms, RequestDone: true},
+				)
 			}
 		})
 	}
--- a/routing/limits_test.go
+++ b/routing/limits_test.go
@@ -97,7 +97,13 @@
 			hit := &attemptState{target: cache, work: 0.1, latencyObjective: 650 * ms}
 			env.router.adjustLimit(hit, Outcome{Result: OK, FillStatus: FillStatusHit, Elapsed: tc.hitLatency})
 			before, _ := env.limit(&cache.asTarget)
-			fill := &attemptState{target: cache, source: source, likelyFill: true, work: 0.1, latencyObjective: 650 * ms}
+			fill := &attemptState{
+				target:           cache,
+				source:           source,
+				likelyFill:       true,
+				work:             0.1,
+				latencyObjective: 650 * ms,
+			}
 			env.router.adjustLimit(fill, Outcome{Result: OK, FillStatus: FillStatusFilledByOrigin,
 				Elapsed: 10 * time.Second, SourceWait: tc.sourceWait})
 			after, _ := env.limit(&cache.asTarget)
--- a/routing/sites_test.go
+++ b/routing/sites_test.go
@@ -25,7 +25,8 @@
 	return env
 }
 
-// fillsByZone submits requests for different objects, one every 20 ms, and counts their fills by the zone of the parent.
+// fillsByZone submits requests for different objects, one every 20 ms, and counts their fills by the zone of the
+// parent.
 func (e *testEnv) fillsByZone(first, count int) map[int]int {
 	before, byZone := len(e.fetches), map[int]int{}
 	for i := range count {
--- a/routing/state.go
+++ b/routing/state.go
@@ -102,8 +102,9 @@
 
 // roleLoad is the load of a server in one of its two roles, as target or as source.
 type roleLoad struct {
-	inFlight         []*attemptState
-	inFlightWork     float64                    // seconds of transfer time: hits for a target, likely fills for a source
+	inFlight []*attemptState
+	// seconds of transfer time: hits for a target, likely fills for a source
+	inFlightWork     float64
 	concurrencyLimit overload.ConcurrencyLimit  // of inFlightWork
 	lastHitLate      overload.RecentObservation // whether its latest hit was late, or failed
 	lastTimelySentAt Time                       // when the latest attempt was sent that was answered in time
--- a/routing/validate_test.go
+++ b/routing/validate_test.go
@@ -162,7 +162,9 @@
 	e.handle(EndpointUpdate{Kind: UpdateFull, Version: 1, Endpoints: list})
 	for i := range uint32(200) {
 		class := int(i) % (classes + 1) // one of them is out of range
-		e.handle(Request{ID: i + 1, Class: class, Object: uint64(i % 50), Deadline: e.now + time.Second, SizeKB: float64(i)})
+		e.handle(
+			Request{ID: i + 1, Class: class, Object: uint64(i % 50), Deadline: e.now + time.Second, SizeKB: float64(i)},
+		)
 		e.now += 20 * ms
 		e.handle(TimerFired{Token: tickTimer})
 		switch i {
