--- /dev/null
+++ b/internal/nettest/fakeconn.go
@@ -0,0 +1,42 @@
+package nettest
+
+import "strings"
+
+// FakeConn is a connection without a socket, for tests that call the program's connection handlers directly. It
+// implements eventloop.Conn: it records what is written, and each write succeeds in full. It is not safe for
+// concurrent use.
+type FakeConn struct {
+	Written     strings.Builder // everything written so far
+	Buffered    int             // result of OutboundBuffered; the test sets it
+	Unacked     int             // result of Unacknowledged; the test sets it
+	WriteClosed bool            // CloseWrite was called
+	Closed      bool            // Close was called
+}
+
+// Writev records all pieces and returns their total length.
+func (c *FakeConn) Writev(pieces [][]byte) (int, error) {
+	written := 0
+	for _, piece := range pieces {
+		c.Written.Write(piece)
+		written += len(piece)
+	}
+	return written, nil
+}
+
+// OutboundBuffered returns Buffered, in bytes.
+func (c *FakeConn) OutboundBuffered() int { return c.Buffered }
+
+// Unacknowledged returns Unacked, in bytes.
+func (c *FakeConn) Unacknowledged() int { return c.Unacked }
+
+// CloseWrite sets WriteClosed.
+func (c *FakeConn) CloseWrite() error {
+	c.WriteClosed = true
+	return nil
+}
+
+// Close sets Closed.
+func (c *FakeConn) Close() error {
+	c.Closed = true
+	return nil
+}
