--- a/cmd/shaleyard/drain_test.go
+++ b/cmd/shaleyard/drain_test.go
@@ -147,7 +147,7 @@
 		},
 		"a client that comes in spite of it": func(t *testing.T, proc *operatedProcess) {
 			drainedAt := proc.drain()
-			time.Sleep(250 * time.Millisecond) // the front has heard of it by then
+			time.Sleep(250 * time.Millisecond) // the load balancer has heard of it by then
 			late := proc.connect()
 			late.Submit(1, "", requestFields("media", ref1)...)
 			cache := proc.cache.Accept()
--- a/cmd/shaleyard/lifecycle.go
+++ b/cmd/shaleyard/lifecycle.go
@@ -54,7 +54,7 @@
 	c.apply()
 }
 
-// ready reports whether the front may send clients here.
+// ready reports whether the load balancer may send clients here.
 func (c *lifecycleController) ready() bool { return c.machine.Policy(c.program.now()).Ready }
 
 // ended reports whether the process is over, so that no connection is accepted any more.
@@ -74,8 +74,8 @@
 	return discovery.DialTime() + limits.MinWatchBackoff, true
 }
 
-// stop begins a graceful shutdown. Connections and requests are accepted for a while longer, as the front hears of it
-// late; the program ends once every accepted request is answered and the answer read.
+// stop begins a graceful shutdown. Connections and requests are accepted for a while longer, as the load balancer hears
+// of it late; the program ends once every accepted request is answered and the answer read.
 func (c *lifecycleController) stop() {
 	now := c.program.now()
 	if !c.machine.Stop(now) {
--- a/cmd/shaleyard/operator_test.go
+++ b/cmd/shaleyard/operator_test.go
@@ -90,7 +90,7 @@
 	return answer.StatusCode
 }
 
-// waitReady asks whether the program is ready, as the front does, until it says so or that it is not.
+// waitReady asks whether the program is ready, as the load balancer does, until it says so or that it is not.
 func (p *operatedProcess) waitReady(limit time.Duration, ready bool) {
 	p.process.t.Helper()
 	for begun := time.Now(); time.Since(begun) < limit; {
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -32,7 +32,7 @@
 
 // Process is what operators query and control. Its methods must not wait for the event loop.
 type Process interface {
-	// Ready reports whether the front may send clients here, and if not, why.
+	// Ready reports whether the load balancer may send clients here, and if not, why.
 	Ready() (ready bool, why string)
 	// Drain starts a drain.
 	Drain()
--- a/internal/config/derive.go
+++ b/internal/config/derive.go
@@ -145,7 +145,7 @@
 func (l *Limits) setDrain(shares descriptorShares) {
 	l.MaxOperatorConns = shares.operators
 	l.LoopStallThreshold = time.Second
-	// the front asks ten times a second and sends nobody new 0.2 s after a no
+	// the load balancer asks ten times a second and sends nobody new 0.2 s after a no
 	l.DrainNoticePeriod = 500 * time.Millisecond
 	l.DrainGracePeriod = 1200 * time.Millisecond
 	l.DrainDeadline = 3200 * time.Millisecond
--- a/internal/config/limits.go
+++ b/internal/config/limits.go
@@ -69,7 +69,7 @@
 	// Operators' calls and drains. Times count from the request to drain.
 	MaxOperatorConns   int           // connections of operators held at once
 	LoopStallThreshold time.Duration // an event loop that has not run for so long makes the process not ready
-	// the front knows of a drain by then; clients that are disconnected sooner would come back
+	// the load balancer knows of a drain by then; clients that are disconnected sooner would come back
 	DrainNoticePeriod  time.Duration
 	DrainGracePeriod   time.Duration // for which requests are accepted on open connections
 	DrainDeadline      time.Duration // by which clients that go on sending, or read nothing, are disconnected
--- a/internal/lifecycle/lifecycle.go
+++ b/internal/lifecycle/lifecycle.go
@@ -17,10 +17,10 @@
 // Drained; from Stopping on it only goes forward.
 const (
 	Starting State = iota // the endpoint list has not been received
-	Ready                 // the front may send clients here
+	Ready                 // the load balancer may send clients here
 	Draining              // operators have asked for a drain: clients are moved away
 	Drained               // no client is left; the process runs on until it is stopped or the drain is cancelled
-	Stopping              // a stop was requested: requests are still accepted, as the front hears of it late
+	Stopping              // a stop was requested: requests are still accepted, as the load balancer hears of it late
 	Closing               // no request is accepted; a connection ends once nothing is owed on it
 	Ended                 // nothing is left, or the deadline has passed
 )
@@ -69,8 +69,8 @@
 
 // Timeouts are the periods of drains and stops, each counted from the request for it.
 type Timeouts struct {
-	// DrainNoticePeriod is the time that the front takes to hear of a drain. A client whose connection ended before
-	// would come back.
+	// DrainNoticePeriod is the time that the load balancer takes to hear of a drain. A client whose connection ended
+	// before would come back.
 	DrainNoticePeriod routing.Time
 	// DrainGracePeriod is the time for which requests are accepted on connections that are open.
 	DrainGracePeriod routing.Time
@@ -219,7 +219,7 @@
 
 // Policy is what a process does in its state at a time.
 type Policy struct {
-	Ready               bool // the front may send clients here
+	Ready               bool // the load balancer may send clients here
 	AcceptRequests      bool // requests are accepted; otherwise they are rejected
 	KeepIdleConnections bool // connections on which nothing is owed are kept
 	AcceptConnections   bool // connections are accepted
--- a/internal/nettest/thrift.go
+++ b/internal/nettest/thrift.go
@@ -120,7 +120,7 @@
 	return c.ReadReply(), true
 }
 
-// replyDecoder takes values off the front of a message. A message that is malformed ends the test.
+// replyDecoder takes values off the beginning of a message. A message that is malformed ends the test.
 type replyDecoder struct {
 	t    testing.TB
 	rest []byte
--- a/internal/testbed/process.go
+++ b/internal/testbed/process.go
@@ -206,8 +206,8 @@
 	return address, ok
 }
 
-// watchHeartbeats stands for the front: it takes the director into rotation once a heartbeat is good, and notices a
-// dead one late.
+// watchHeartbeats stands for the load balancer: it takes the director into rotation once a heartbeat is good, and
+// notices a dead one late.
 func (p *process) watchHeartbeats(listening, exited chan struct{}) {
 	select {
 	case <-listening:
