--- a/internal/checker/rules_test.go
+++ b/internal/checker/rules_test.go
@@ -180,14 +180,12 @@
 		{"not ready in time", "",
 			[]string{processEvent(100, "d2", "start"), readyEvent(10200, "d2", 10100), lastEvent}, "ready"},
 		{"never ready", "", []string{processEvent(100, "d2", "start"), lastEvent}, "ready"},
-		{"ready in time", "",
-			[]string{processEvent(100, "d2", "start"), readyEvent(9900, "d2", 9800), lastEvent}, ""},
+		{"ready in time", "", []string{processEvent(100, "d2", "start"), readyEvent(9900, "d2", 9800), lastEvent}, ""},
 		{"killed before it was ready", "",
 			[]string{processEvent(100, "d2", "start"), processEvent(5000, "d2", "kill"), lastEvent}, ""},
 		{"thirty directors with one call each", "", each(30, 0.4), "cold"},
 		{"twenty directors with one call each", "", each(20, 0.4), ""},
-		{"a crash", "",
-			[]string{`{"ms":4000,"kind":"process","who":"d1","what":"gone","class":"status 2"}`}, "crash"},
+		{"a crash", "", []string{`{"ms":4000,"kind":"process","who":"d1","what":"gone","class":"status 2"}`}, "crash"},
 		{"bad words", "", []string{`{"ms":4000,"kind":"fault","who":"c1","what":"can't use"}`}, "protocol"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
--- a/internal/failover/overrides_test.go
+++ b/internal/failover/overrides_test.go
@@ -17,18 +17,24 @@
 		overrides Overrides
 	}{
 		{`plan.pin[0].share: 1.5`, pins(Pin{"hub-a", "branch-1", "hub-b", 1.5})},
-		{`plan.pin[1].share: the pins`, pins(Pin{"hub-a", "branch-1", "hub-b", 0.6}, Pin{"hub-a", "branch-1", "hub-c",
-			0.6})},
+		{`plan.pin[1].share: the pins`, pins(
+			Pin{"hub-a", "branch-1", "hub-b", 0.6},
+			Pin{"hub-a", "branch-1", "hub-c", 0.6},
+		)},
 		{`plan.pin[0].lost: "moon"`, pins(Pin{"moon", "branch-1", "hub-b", 0.5})},
 		{`plan.pin[0].from: hub-a is a hub`, pins(Pin{"hub-a", "hub-a", "hub-b", 0.5})},
 		{`plan.pin[0].from: "nowhere"`, pins(Pin{"hub-a", "nowhere", "hub-b", 0.5})},
 		{`plan.pin[0].to: branch-2 is a branch`, pins(Pin{"hub-a", "branch-1", "branch-2", 0.5})},
 		{`plan.pin[0].to: hub-a can't`, pins(Pin{"hub-a", "branch-1", "hub-a", 0.5})},
 		{`plan.pin[0].share: hub-c has room`, pins(Pin{"hub-a", "branch-1", "hub-c", 1})},
-		{`plan.pin[0].to: hub-b may not`, Overrides{Pins: []Pin{{"hub-a", "branch-1", "hub-b", 0.5}},
-			Forbids: []Forbid{{"hub-a", "hub-b"}}}},
-		{`plan.pin[1].to: sites take each`, pins(Pin{"hub-a", "branch-1", "hub-b", 1}, Pin{"hub-b", "branch-2",
-			"hub-a", 1})},
+		{`plan.pin[0].to: hub-b may not`, Overrides{
+			Pins:    []Pin{{"hub-a", "branch-1", "hub-b", 0.5}},
+			Forbids: []Forbid{{"hub-a", "hub-b"}},
+		}},
+		{`plan.pin[1].to: sites take each`, pins(
+			Pin{"hub-a", "branch-1", "hub-b", 1},
+			Pin{"hub-b", "branch-2", "hub-a", 1},
+		)},
 		{`plan.forbid[0].to: "moon"`, Overrides{Forbids: []Forbid{{"hub-a", "moon"}}}},
 		{`plan.forbid[0].lost: "moon" is no si`, Overrides{Forbids: []Forbid{{"moon", "hub-b"}}}},
 		{`plan.order: "moon"`, Overrides{RejectionOrder: []string{"moon"}}},
--- a/internal/failover/planner_test.go
+++ b/internal/failover/planner_test.go
@@ -250,8 +250,10 @@
 		want      []string
 	}{
 		{"by value", Overrides{}, []string{"media", "pages", "repayment"}},
-		{"as the operators say", Overrides{RejectionOrder: []string{"pages", "media"}}, []string{"pages", "media",
-			"repayment"}},
+		{
+			"as the operators say", Overrides{RejectionOrder: []string{"pages", "media"}},
+			[]string{"pages", "media", "repayment"},
+		},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			plan := planFor(t, newTestPlanner(t, topology, test.overrides), "hub-a")
