--- a/cmd/shaleyard/anyorder_test.go
+++ b/cmd/shaleyard/anyorder_test.go
@@ -31,7 +31,7 @@
 	seed   uint64
 	rng    *rand.Rand
 	clock  routing.Time
-	agenda director.Agenda
+	agenda director.Queue
 	d      *director.Director
 	f      *upstream.Fleet
 	s      *downstream.Server
@@ -250,14 +250,14 @@
 func newChaos(t *testing.T, seed uint64) *chaos {
 	c := &chaos{t: t, seed: seed, rng: rand.New(rand.NewPCG(seed, 1)), clock: 1000 * time.Second,
 		pool: buffer.NewPool(1024, 512), asked: map[string]*asked{}, states: map[string]routing.State{}}
-	s := &routing.Settings{Balancers: 1, Zones: []string{"hub", "here"}, Zone: 1, Kinds: []string{"edge", "parent", "origin"},
-		Services: []routing.Class{{Name: "read", Aim: 300 * time.Millisecond, Deadline: 2 * time.Second, Effect: "read_like", Group: "all"},
-			{Name: "pay", Aim: 300 * time.Millisecond, Deadline: 2 * time.Second, Effect: "non_idempotent", Group: "all"},
-			{Name: "keyed", Aim: 300 * time.Millisecond, Deadline: 2 * time.Second, Effect: "idempotency_key", Group: "all",
+	s := &routing.Settings{Directors: 1, Zones: []string{"hub", "here"}, Zone: 1, Kinds: []string{"edge", "parent", "origin"},
+		Classes: []routing.Class{{Name: "read", LatencyObjective: 300 * time.Millisecond, Timeout: 2 * time.Second, Idempotency: "read_like", DedupScope: "all"},
+			{Name: "pay", LatencyObjective: 300 * time.Millisecond, Timeout: 2 * time.Second, Idempotency: "non_idempotent", DedupScope: "all"},
+			{Name: "keyed", LatencyObjective: 300 * time.Millisecond, Timeout: 2 * time.Second, Idempotency: "idempotency_key", DedupScope: "all",
 				DedupWindow: 700 * time.Millisecond}},
-		Ceilings: routing.Ceilings{Cancel: true, MaxAttempts: 6, SecondCopies: true, RetryAfter: true, MaxRetryAfter: 500 * time.Millisecond},
-		Family: routing.Tiers{PassOn: []bool{false, true, true}, MasterKind: 2, SecondTierKind: 1, NotesGiven: "all", Lateral: "location",
-			FlowKBPerS: 1000}}
+		SiteLimits: routing.SiteLimits{CancelAllowed: true, MaxAttempts: 6, HedgingAllowed: true, RetryAfterAllowed: true, MaxRetryAfter: 500 * time.Millisecond},
+		Tiers: routing.TierSettings{Uncacheable: []bool{false, true, true}, OriginKind: 2, ParentKind: 1, FillStatusReported: "all", SiblingFills: "location",
+			TransferKBPerSecond: 1000}}
 	l := &config.Limits{OpenRequests: 200, Overdue: 25 * time.Millisecond, ClientConns: 6, ClientOpen: 8, RequestFrame: 4096,
 		RequestBody: 1000, RequestFields: 16, ClientBacklog: 100_000, TotalBacklog: 1 << 20, ClientMessage: 2 * time.Second,
 		ClientKeeps: 4 * time.Second, ClientIdle: 5 * time.Second, ClientLinger: 500 * time.Millisecond, ClientLingers: 3,
@@ -266,14 +266,14 @@
 		PeerKeepLeast: 50 * time.Millisecond, PeerSilence: time.Second, PeerGhost: 5 * time.Second, AnswerBody: 2000, AnswerFields: 500}
 	now := func() routing.Time { return c.clock }
 	if c.single = seed%3 == 0; c.single {
-		s.Ceilings.SecondCopies = false
+		s.SiteLimits.HedgingAllowed = false
 	}
 	var err error
 	if c.d, err = director.New(s, seed, l, &c.agenda, now, zap.NewNop()); err != nil {
 		t.Fatal(err)
 	}
 	c.f = upstream.NewFleet(l, s, c.pool, c, c.d, &c.agenda, now, zap.NewNop(), seed)
-	c.d.Attach(c.f)
+	c.d.SetUpstream(c.f)
 	c.d.Admission = overload.NewAdmission(seed)
 	c.s = downstream.NewServer(l, s, c.pool, c.d, &c.agenda, now)
 	for _, n := range []string{"c1", "c2", "c3", "p1", "o"} {
@@ -284,7 +284,7 @@
 
 // list tells of a member.
 func (c *chaos) list(name string, state routing.State, started routing.Time) {
-	m := director.Member{Name: name, Address: "at-" + name, Member: routing.Member{Zone: 1, State: state, Weight: 8, Started: started}}
+	m := director.Endpoint{Name: name, Address: "at-" + name, Endpoint: routing.Endpoint{Zone: 1, State: state, Weight: 8, Started: started}}
 	switch name[0] {
 	case 'p':
 		m.Zone, m.Kind = 0, 1
@@ -293,7 +293,7 @@
 	}
 	c.note("%s is %v", name, state)
 	c.states[name] = state
-	c.d.UpdateEndpoints(false, 1, []director.Member{m})
+	c.d.UpdateEndpoints(false, 1, []director.Endpoint{m})
 }
 
 func pickOf[T any](c *chaos, of []T, fits func(T) bool) (v T, ok bool) {
@@ -364,16 +364,16 @@
 	case n < 76:
 		c.list([]string{"c1", "c2", "c3", "p1"}[c.rng.IntN(4)], routing.Ready, c.clock)
 	case n < 77:
-		c.d.Purge(director.Purge{Object: uint64(1 + c.rng.IntN(20)), Made: c.clock})
+		c.d.Purge(director.Purge{ObjectKey: uint64(1 + c.rng.IntN(20)), IssuedAt: c.clock})
 	case n < 78 && !c.held:
 		c.note("hold")
 		c.held = true
-		c.d.Hold(time.Duration(c.rng.IntN(2)) * time.Duration(c.rng.IntN(400)) * time.Millisecond)
+		c.d.Suspend(time.Duration(c.rng.IntN(2)) * time.Duration(c.rng.IntN(400)) * time.Millisecond)
 	case n < 82 && c.held:
 		c.note("release")
 		c.held = false
-		c.d.Release(c.rng.IntN(2) == 0)
-		c.agenda.Run(c.clock)
+		c.d.Resume(c.rng.IntN(2) == 0)
+		c.agenda.RunDue(c.clock)
 	case n < 83 && hasEnd:
 		end.Unread = 5 - end.Unread
 	case n < 84:
@@ -390,7 +390,7 @@
 func (c *chaos) pass(d time.Duration) {
 	for end := c.clock + d; c.clock < end; {
 		if c.clock += time.Millisecond; !c.held {
-			c.agenda.Run(c.clock)
+			c.agenda.RunDue(c.clock)
 		}
 	}
 	if c.held {
@@ -512,8 +512,8 @@
 		}
 		if c.held {
 			c.held = false
-			c.d.Release(false)
-			c.agenda.Run(c.clock)
+			c.d.Resume(false)
+			c.agenda.RunDue(c.clock)
 		}
 		for _, e := range c.clients {
 			e.Unread = 0
@@ -521,7 +521,7 @@
 		if seed%2 == 0 { // the program is told to end
 			last := c.clock + 300*time.Millisecond
 			c.last = last
-			c.d.EndBy(last)
+			c.d.SetShutdownDeadline(last)
 			for _, a := range c.asked {
 				a.due = min(a.due, last+30*time.Millisecond)
 			}
@@ -529,8 +529,8 @@
 		for range 100 {
 			if c.step(); c.held {
 				c.held = false
-				c.d.Release(false)
-				c.agenda.Run(c.clock)
+				c.d.Resume(false)
+				c.agenda.RunDue(c.clock)
 			}
 		}
 		for _, e := range c.clients {
@@ -553,11 +553,11 @@
 		for _, e := range c.ends {
 			e.end()
 		}
-		if n, m, k, b := c.d.Open(), c.s.Conns(), c.f.Conns(), c.pool.Lent(); n+m+k+b != 0 {
+		if n, m, k, b := c.d.OpenRequests(), c.s.Conns(), c.f.Conns(), c.pool.Lent(); n+m+k+b != 0 {
 			c.failf("%d requests, %d client connections, %d peer connections and %d buffers are left", n, m, k, b)
 		}
-		if c.d.Counters.Overdue != 0 {
-			c.failf("%d requests were ended by the guard", c.d.Counters.Overdue)
+		if c.d.Counters.RequestsOverdue != 0 {
+			c.failf("%d requests were ended by the guard", c.d.Counters.RequestsOverdue)
 		}
 		served += c.served
 	}
--- a/cmd/shaleyard/life.go
+++ b/cmd/shaleyard/life.go
@@ -72,8 +72,8 @@
 	if !p.life.Stop(now) {
 		return
 	}
-	p.log.Info("stopping", zap.Int("open", p.director.Open()))
-	p.director.EndBy(now + p.limits.StopAnswer)
+	p.log.Info("stopping", zap.Int("open", p.director.OpenRequests()))
+	p.director.SetShutdownDeadline(now + p.limits.StopAnswer)
 	p.tend()
 }
 
@@ -91,7 +91,7 @@
 		p.clients.Curtail(policy.Curtail.Since, policy.Curtail.By)
 	}
 	before := p.life.State()
-	state := p.life.Pass(now, p.director.Open()+p.clients.Conns())
+	state := p.life.Pass(now, p.director.OpenRequests()+p.clients.Conns())
 	if state != before && state == lifecycle.Drained {
 		p.writeFlight("drained", p.limits.FlightEvents)
 	}
@@ -99,11 +99,11 @@
 	case state == lifecycle.Ended:
 		p.loop.Stop()
 	case state >= lifecycle.Stopping:
-		p.agenda.Set(&p.tending, now+p.limits.StopCheck, p.tend)
+		p.agenda.Schedule(&p.tending, now+p.limits.StopCheck, p.tend)
 	case state >= lifecycle.Draining:
-		p.agenda.Set(&p.tending, now+p.limits.DrainCheck, p.tend)
+		p.agenda.Schedule(&p.tending, now+p.limits.DrainCheck, p.tend)
 	default:
-		p.agenda.Drop(&p.tending)
+		p.agenda.Cancel(&p.tending)
 	}
 }
 
--- a/cmd/shaleyard/plan.go
+++ b/cmd/shaleyard/plan.go
@@ -79,7 +79,7 @@
 	return nil
 }
 
-func newPlanner(s *routing.Settings, members []routing.Member, w failover.Wishes) (*failover.Planner, error) {
+func newPlanner(s *routing.Settings, members []routing.Endpoint, w failover.Wishes) (*failover.Planner, error) {
 	t, err := failover.From(s, members, w)
 	if err != nil {
 		return nil, err
@@ -88,7 +88,7 @@
 }
 
 // siteOf reads the settings, and the servers that the configuration knows.
-func siteOf(path string) (*routing.Settings, []routing.Member, error) {
+func siteOf(path string) (*routing.Settings, []routing.Endpoint, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return nil, nil, err
@@ -107,12 +107,12 @@
 	if err := json.Unmarshal(whole.Settings, s); err != nil {
 		return nil, nil, fmt.Errorf("%s: settings: %w", path, err)
 	}
-	if len(s.Services) == 0 || len(s.Zones) == 0 {
+	if len(s.Classes) == 0 || len(s.Zones) == 0 {
 		return nil, nil, fmt.Errorf("%s: no services or no zones (dcs) in it", path)
 	}
 	known := &listed{}
 	f := discovery.New(&config.Limits{Members: 4096}, s, "", overload.NewListCalls(overload.ListBounds{Directors: 1, Call: time.Second,
-		Heed: 2 * time.Second, Late: 7 * time.Second}, 0), nil, known, &director.Agenda{}, func() routing.Time { return 0 }, zap.NewNop())
+		Heed: 2 * time.Second, Late: 7 * time.Second}, 0), nil, known, &director.Queue{}, func() routing.Time { return 0 }, zap.NewNop())
 	if err := f.Replay(whole.Known); err != nil {
 		return nil, nil, fmt.Errorf("%s: known: %w", path, err)
 	}
@@ -120,23 +120,23 @@
 }
 
 // listed keeps the list that a feed comes to, by name.
-type listed struct{ list []director.Member }
+type listed struct{ list []director.Endpoint }
 
 // Members takes a change of the list.
-func (l *listed) UpdateEndpoints(full bool, _ uint64, list []director.Member) {
+func (l *listed) UpdateEndpoints(full bool, _ uint64, list []director.Endpoint) {
 	if full {
 		l.list = l.list[:0]
 	}
 	for _, m := range list {
-		l.list = slices.DeleteFunc(l.list, func(o director.Member) bool { return o.Name == m.Name })
+		l.list = slices.DeleteFunc(l.list, func(o director.Endpoint) bool { return o.Name == m.Name })
 		l.list = append(l.list, m)
 	}
 }
 
 // members are the servers as the decision module knows them.
-func (l *listed) members() (members []routing.Member) {
+func (l *listed) members() (members []routing.Endpoint) {
 	for _, m := range l.list {
-		members = append(members, m.Member)
+		members = append(members, m.Endpoint)
 	}
 	return members
 }
--- a/cmd/shaleyard/program.go
+++ b/cmd/shaleyard/program.go
@@ -30,7 +30,7 @@
 	log      *zap.Logger
 	config   *config.Config
 	limits   *config.Limits
-	agenda   director.Agenda
+	agenda   director.Queue
 	now      func() routing.Time
 	pool     *buffer.Pool
 	director *director.Director
@@ -40,7 +40,7 @@
 	loop     *eventloop.Loop
 	started  routing.Time
 	life     *lifecycle.Machine
-	tending  director.Entry // the next look at what is left of a drain or a stop
+	tending  director.Timer // the next look at what is left of a drain or a stop
 	admin    *admin.Server  // operators' calls; nil: none
 	flight   *flightrecorder.Recorder
 	rejected uint64
@@ -69,7 +69,7 @@
 		Rejected: p.reject, Inherited: c.Inherited, AcceptFailed: p.acceptFailed, PauseLimit: l.PauseLimit, Settle: l.PauseSettle,
 		Paused: p.paused, Settled: p.settled}
 	p.fleet = upstream.NewFleet(l, s, p.pool, p.loop, p.director, &p.agenda, p.now, p.log, c.Seed)
-	p.director.Attach(p.fleet)
+	p.director.SetUpstream(p.fleet)
 	p.director.Admission = overload.NewAdmission(c.Seed)
 	// A plan that can't be made must not keep the director from starting: it goes on as without one.
 	advice, err := failover.NewAdviser(s, wishes, func(err error) { p.log.Warn("no plan for lost sites", zap.Error(err)) })
@@ -80,15 +80,15 @@
 	} else {
 		follow.Plan = advice.Advise
 	}
-	p.director.Follow(follow)
-	p.director.Closed, p.director.Look = p.closed, p.loop.Look
+	p.director.SetSiteOptions(follow)
+	p.director.RejectUntil, p.director.CheckForPause = p.closed, p.loop.Look
 	p.clients = downstream.NewServer(l, s, p.pool, p.director, &p.agenda, p.now)
 	p.clients.Ready, p.clients.Rejected = p.ready, p.reject
 	p.flight = flightrecorder.NewRecorder(l.FlightEvents)
-	p.director.Flight, p.clients.Flight = p.flight, p.flight
+	p.director.FlightRecorder, p.clients.Flight = p.flight, p.flight
 	p.life = lifecycle.New(spans(l, c.Inherited != 0), c.Inherited != 0)
 	p.life.Changed = p.changed
-	calls := overload.NewListCalls(overload.ListBounds{Directors: s.Balancers, Me: int(s.Me), Heed: l.FeedHeed,
+	calls := overload.NewListCalls(overload.ListBounds{Directors: s.Directors, Me: int(s.ID), Heed: l.FeedHeed,
 		Purge: l.FeedPurge, Start: l.FeedStart, Late: l.FeedLate, Silence: l.FeedSilence, Call: l.FeedCall, Least: l.FeedRetry}, c.Seed)
 	p.feed = discovery.New(l, s, c.Feed, calls, p.loop, p.director, &p.agenda, p.now, p.log)
 	p.feed.Reach = p.reachList
@@ -99,16 +99,16 @@
 func (p *program) boot() {
 	p.started = p.now()
 	p.feed.Start()
-	p.agenda.At(p.started+p.limits.FeedWait, p.reachList)
+	p.agenda.ScheduleFunc(p.started+p.limits.FeedWait, p.reachList)
 	p.tend()
-	p.agenda.At(p.started+p.limits.ReportEvery, p.reportAgain)
+	p.agenda.ScheduleFunc(p.started+p.limits.ReportEvery, p.reportAgain)
 }
 
 // reportAgain writes the counters at every ReportEvery. With hundreds of directors, each meeting most caches
 // seldom, what the fleet did is counted from these lines: a line at the exit alone is lost to SIGKILL.
 func (p *program) reportAgain() {
 	p.report()
-	p.agenda.At(p.now()+p.limits.ReportEvery, p.reportAgain)
+	p.agenda.ScheduleFunc(p.now()+p.limits.ReportEvery, p.reportAgain)
 }
 
 // paused is called when the process has stood still. Nothing is decided until what came meanwhile is read: a cache
@@ -116,14 +116,14 @@
 func (p *program) paused(gap time.Duration) {
 	p.pauses++
 	if p.longPause = p.longPause || gap > p.limits.PauseLong; p.longPause {
-		p.log.Warn("paused: reading the news first", zap.Duration("for", gap), zap.Int("open", p.director.Open()))
+		p.log.Warn("paused: reading the news first", zap.Duration("for", gap), zap.Int("open", p.director.OpenRequests()))
 	}
-	p.director.Hold(gap)
+	p.director.Suspend(gap)
 	p.feed.Paused()
 }
 
 func (p *program) settled() {
-	p.director.Release(p.longPause)
+	p.director.Resume(p.longPause)
 	p.longPause = false
 }
 
@@ -156,8 +156,8 @@
 	p.log.Info("counters", zap.Any("counters", map[string]any{
 		"clients": p.clients.Counters, "director": p.director.Counters, "caches": p.fleet.Counters,
 		"feed": p.feed.Counters, "rejected": p.rejected, "accept_failures": p.acceptFailures.Load(),
-		"pauses": p.pauses, "sites": p.director.Sites(), "reloads": p.reloads,
-		"reloads_failed": p.reloadsFailed, "open": p.director.Open(),
+		"pauses": p.pauses, "sites": p.director.SiteCounters(), "reloads": p.reloads,
+		"reloads_failed": p.reloadsFailed, "open": p.director.OpenRequests(),
 		"client_conns": p.clients.Conns(), "peer_conns": p.fleet.Conns(), "buffers": p.pool.Lent(),
 	}))
 }
--- a/cmd/shaleyard/stories_test.go
+++ b/cmd/shaleyard/stories_test.go
@@ -641,7 +641,7 @@
 	if err := <-s.ended; err != nil {
 		t.Error(err)
 	}
-	if got := s.p.director.Counters.Taken; got != 1 {
+	if got := s.p.director.Counters.RequestsAccepted; got != 1 {
 		t.Errorf("%d requests taken, want 1", got)
 	}
 	if got := s.p.clients.Counters; got.Dropped == 0 || got.LingersCut != 0 {
--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -87,7 +87,7 @@
 		return nil, err
 	}
 	if a, err := failover.NewAdviser(&s, failover.Wishes{}, nil); err == nil {
-		r.Follow(sitehealth.Options{Plan: a.Advise}) // as the real director does without an operators' file
+		r.SetSiteOptions(sitehealth.Options{Plan: a.Advise}) // as the real director does without an operators' file
 	}
 	return r, nil
 }
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -249,8 +249,8 @@
 	memory := int(d.Limits.MemoryMB * (1 << 20))
 	sockets := int(d.Limits.Sockets)
 	longest := time.Duration(0)
-	for _, c := range s.Services {
-		longest = max(longest, c.Deadline)
+	for _, c := range s.Classes {
+		longest = max(longest, c.Timeout)
 	}
 	// Protocol page: SIGKILL comes no sooner after SIGTERM than the longest deadline, counted as 3 s where it is
 	// longer, and 0.7 s.
@@ -335,8 +335,8 @@
 		ReportEvery:  5 * time.Second,
 	}
 	l.BufferCount = memory / 3 / l.BufferSize
-	if s.Ceilings.OpenCap > 0 {
-		l.OpenRequests = min(l.OpenRequests, s.Ceilings.OpenCap)
+	if s.SiteLimits.MaxOpenRequests > 0 {
+		l.OpenRequests = min(l.OpenRequests, s.SiteLimits.MaxOpenRequests)
 	}
 	if v := t.Ceilings.ConnectTimeout; v > 0 {
 		l.ConnectTimeout = v
@@ -347,7 +347,7 @@
 	// What is told in silence is heard when the silence is over and the service was called again. A sign of life comes
 	// each second, so that nothing shorter than that, with room for the way, is a silence.
 	l.FeedSilence = max(beat+beat/10, min(l.FeedSilence, l.FeedHeed-l.FeedCall-beat/5))
-	if v := s.Family.PurgeSlack; v > 0 {
+	if v := s.Tiers.PurgeSlack; v > 0 {
 		l.FeedPurge = v
 	}
 	if v := t.Ceilings.Keepalive; v > 0 {
--- a/internal/director/agenda.go
+++ b/internal/director/agenda.go
@@ -6,12 +6,12 @@
 	"shaleyard/routing"
 )
 
-// Agenda is the one ordered structure in which all deadlines hang: those of requests and attempts, the
+// Queue is the one ordered structure in which all deadlines hang: those of requests and attempts, the
 // router's timers, and those of connections and the feed.
-type Agenda struct{ q entries }
+type Queue struct{ q entries }
 
-// Entry is a deadline in an Agenda. Its zero value is in none.
-type Entry struct {
+// Timer is a deadline in an Agenda. Its zero value is in none.
+type Timer struct {
 	at    routing.Time
 	order uint64
 	index int // place in the heap, counted from 1; 0: not in it
@@ -19,7 +19,7 @@
 }
 
 type entries struct {
-	list  []*Entry
+	list  []*Timer
 	order uint64
 }
 
@@ -33,7 +33,7 @@
 	q.list[i].index, q.list[j].index = i+1, j+1
 }
 func (q *entries) Push(x any) {
-	e := x.(*Entry)
+	e := x.(*Timer)
 	q.list = append(q.list, e)
 	e.index = len(q.list)
 }
@@ -47,39 +47,39 @@
 }
 
 // Pending tells whether e is in an Agenda.
-func (e *Entry) Pending() bool { return e.index > 0 }
+func (e *Timer) Pending() bool { return e.index > 0 }
 
-// Set puts e in at a time, or moves it there; run is called once when that time has come.
-func (a *Agenda) Set(e *Entry, at routing.Time, run func()) {
-	a.Drop(e)
+// Schedule puts e in at a time, or moves it there; run is called once when that time has come.
+func (a *Queue) Schedule(e *Timer, at routing.Time, run func()) {
+	a.Cancel(e)
 	a.q.order++
 	e.at, e.order, e.run = at, a.q.order, run
 	heap.Push(&a.q, e)
 }
 
-// At puts a new entry in.
-func (a *Agenda) At(at routing.Time, run func()) { a.Set(&Entry{}, at, run) }
+// ScheduleFunc puts a new entry in.
+func (a *Queue) ScheduleFunc(at routing.Time, run func()) { a.Schedule(&Timer{}, at, run) }
 
-// Drop takes e out, if it is in.
-func (a *Agenda) Drop(e *Entry) {
+// Cancel takes e out, if it is in.
+func (a *Queue) Cancel(e *Timer) {
 	if e.index > 0 {
 		heap.Remove(&a.q, e.index-1)
 	}
 }
 
-// Next is the time of the earliest entry.
-func (a *Agenda) Next() (routing.Time, bool) {
+// NextDeadline is the time of the earliest entry.
+func (a *Queue) NextDeadline() (routing.Time, bool) {
 	if len(a.q.list) == 0 {
 		return 0, false
 	}
 	return a.q.list[0].at, true
 }
 
-// Run runs what is due. What is set meanwhile waits for the next Run, so that a deadline that sets itself
+// RunDue runs what is due. What is set meanwhile waits for the next RunDue, so that a deadline that sets itself
 // again for now can't hold the loop.
-func (a *Agenda) Run(now routing.Time) {
+func (a *Queue) RunDue(now routing.Time) {
 	last := a.q.order
 	for len(a.q.list) > 0 && a.q.list[0].at <= now && a.q.list[0].order <= last {
-		heap.Pop(&a.q).(*Entry).run()
+		heap.Pop(&a.q).(*Timer).run()
 	}
 }
--- a/internal/director/attempts.go
+++ b/internal/director/attempts.go
@@ -15,7 +15,7 @@
 	host, up routing.Host // up: the source; 0: none
 	sent     routing.Time
 	until    routing.Time // when it is given up
-	deadline Entry
+	deadline Timer
 }
 
 // recall takes back the attempts of which nothing has been written and that news have overtaken since they were
@@ -39,13 +39,13 @@
 	if !ok || !d.peers.CancelIfUnwritten(h) {
 		return
 	}
-	d.Counters.Recalled++
+	d.Counters.AttemptsCancelledUnwritten++
 	r, _ := d.requests.Get(a.req)
-	d.close(h, a, r, Ending{Result: routing.Moot})
+	d.close(h, a, r, AttemptResult{Result: routing.Abandoned})
 }
 
 // send starts an attempt. One for a request that is over never leaves.
-func (d *Director) send(id uint32, host, up routing.Host, timeout time.Duration, c Call) {
+func (d *Director) send(id uint32, host, up routing.Host, timeout time.Duration, c UpstreamRequest) {
 	r, ok := d.requests.Get(Handle(id))
 	if !ok {
 		d.Counters.UnknownActions++
@@ -63,25 +63,25 @@
 		h, ok = d.attempts.Add(a)
 	}
 	if !ok {
-		d.Counters.Moot++
-		d.outcome(r, a, Ending{Result: routing.Moot})
+		d.Counters.AttemptsAbandoned++
+		d.outcome(r, a, AttemptResult{Result: routing.Abandoned})
 		return
 	}
-	d.Counters.Attempts++
+	d.Counters.AttemptsSent++
 	d.record(flightrecorder.AttemptSent, a, "")
 	r.out[a.no] = h
 	d.limit(h, a, r)
-	c.Request, c.Patience = &r.Request, a.until-now
-	c.Once = !repeatable(d.settings.Services[r.Class].Effect)
+	c.Request, c.Timeout = &r.Request, a.until-now
+	c.NonIdempotent = !repeatable(d.settings.Classes[r.Class].Idempotency)
 	if up != 0 {
-		c.Up = d.names[up].name
+		c.Source = d.names[up].name
 	}
 	d.peers.Send(h, host, c)
 }
 
 // record keeps what happens to an attempt.
 func (d *Director) record(kind flightrecorder.Kind, a *attempt, why flightrecorder.Reason) {
-	d.Flight.Record(flightrecorder.Event{At: d.now(), Kind: kind, Reason: why, Request: uint32(a.req), Attempt: a.no, Host: a.host})
+	d.FlightRecorder.Record(flightrecorder.Event{At: d.now(), Kind: kind, Reason: why, Request: uint32(a.req), Attempt: a.no, Host: a.host})
 }
 
 // repeatable tells whether what may have run may be sent again at all. An effect that is not known counts as one that
@@ -90,13 +90,13 @@
 
 // limit sets the time at which an attempt is given up.
 func (d *Director) limit(h Handle, a *attempt, r *request) {
-	d.agenda.Set(&a.deadline, a.until, func() {
-		d.Counters.TimedOut++
+	d.agenda.Schedule(&a.deadline, a.until, func() {
+		d.Counters.AttemptsTimedOut++
 		result := routing.TimedOut
 		if !d.peers.Cancel(h) {
 			result = routing.ConnectFailed // nothing of it was written: it never ran
 		}
-		d.close(h, a, r, Ending{Result: result})
+		d.close(h, a, r, AttemptResult{Result: result})
 	})
 }
 
@@ -110,19 +110,19 @@
 	if !ok {
 		return
 	}
-	d.Counters.Cancelled++
+	d.Counters.AttemptsCancelled++
 	result := routing.Cancelled
 	if !d.peers.Cancel(h) {
-		result = routing.Moot
+		result = routing.Abandoned
 	}
-	d.close(h, a, r, Ending{Result: result})
+	d.close(h, a, r, AttemptResult{Result: result})
 }
 
 // Ended takes the end of an attempt from its peer. One that has ended before is dropped.
-func (d *Director) AttemptEnded(h Handle, e Ending) {
+func (d *Director) AttemptEnded(h Handle, e AttemptResult) {
 	a, ok := d.attempts.Get(h)
 	if !ok {
-		d.Counters.LateEnds++
+		d.Counters.AttemptsEndedLate++
 		e.Body.Release()
 		return
 	}
@@ -131,16 +131,16 @@
 }
 
 // close ends an attempt: a first OK goes to the client at once and ends the request.
-func (d *Director) close(h Handle, a *attempt, r *request, e Ending) {
-	d.agenda.Drop(&a.deadline)
+func (d *Director) close(h Handle, a *attempt, r *request, e AttemptResult) {
+	d.agenda.Cancel(&a.deadline)
 	d.attempts.Remove(h)
 	delete(r.out, a.no)
-	d.Counters.Ended++
+	d.Counters.AttemptsEnded++
 	d.record(flightrecorder.AttemptEnded, a, flightrecorder.Reason(e.Result.String()))
 	d.Counters.Results[e.Result]++
-	d.Counters.Notes[e.Note]++
+	d.Counters.FillStatuses[e.FillStatus]++
 	if e.Result == routing.OK && !r.over {
-		d.answer(r, Answer{Verdict: Served, Same: e.Same, Body: &e.Body, Why: served})
+		d.answer(r, Response{Outcome: Served, NotModified: e.NotModified, Body: &e.Body, Reason: served})
 		e.Body.Release()
 		d.outcome(r, a, e)
 		return
@@ -150,9 +150,9 @@
 }
 
 // outcome tells the router how an attempt ended, and for the request's last one frees its slot behind it.
-func (d *Director) outcome(r *request, a *attempt, e Ending) {
+func (d *Director) outcome(r *request, a *attempt, e AttemptResult) {
 	o := routing.Outcome{ID: uint32(r.handle), Attempt: a.no, Host: a.host, Result: e.Result,
-		After: d.now() - a.sent, Settled: r.over, Note: e.Note, Waited: e.Waited, Report: e.Report}
+		Elapsed: d.now() - a.sent, RequestDone: r.over, FillStatus: e.FillStatus, SourceWait: e.SourceWait, LoadReport: e.LoadReport}
 	ev := event{ev: o}
 	if e.Result == routing.OK && r.over {
 		ev.last = r
--- a/internal/director/counters.go
+++ b/internal/director/counters.go
@@ -10,21 +10,21 @@
 
 // Counters count what passed through.
 type Counters struct {
-	Taken, Served, Refused, Failed, Withdrawn, Overdue       uint64
-	Closed                                                   uint64 // refused, as no work was taken
-	NotAdmitted                                              uint64 // refused, as too much was in hand after a start
-	Attempts, Cancelled, Moot, Ended, LateEnds, TimedOut     uint64
-	Recalled                                                 uint64 // unwritten, and overtaken by news or by the client
-	MemberEvents, MemberEntries, PurgeEvents, UnknownActions uint64
-	Results                                                  Results
-	Notes                                                    Notes
+	RequestsAccepted, RequestsServed, RequestsRejected, RequestsFailed, RequestsCancelled, RequestsOverdue uint64
+	RejectedNotAccepting                                                                                   uint64 // refused, as no work was taken
+	RejectedByAdmission                                                                                    uint64 // refused, as too much was in hand after a start
+	AttemptsSent, AttemptsCancelled, AttemptsAbandoned, AttemptsEnded, AttemptsEndedLate, AttemptsTimedOut uint64
+	AttemptsCancelledUnwritten                                                                             uint64 // unwritten, and overtaken by news or by the client
+	EndpointEvents, EndpointEntries, PurgeEvents, UnknownActions                                           uint64
+	Results                                                                                                ResultCounters
+	FillStatuses                                                                                           FillStatusCounters
 }
 
-// Results count the ends of attempts by kind.
-type Results [routing.Results]uint64
+// ResultCounters count the ends of attempts by kind.
+type ResultCounters [routing.ResultCount]uint64
 
 // MarshalJSON names the kinds.
-func (r Results) MarshalJSON() ([]byte, error) {
+func (r ResultCounters) MarshalJSON() ([]byte, error) {
 	named := map[string]uint64{}
 	for result, n := range r {
 		named[routing.Result(result).String()] = n
@@ -32,14 +32,14 @@
 	return json.Marshal(named)
 }
 
-// Notes count what the ends of attempts told of their fills.
-type Notes [routing.NoteOriginFailed + 1]uint64
+// FillStatusCounters count what the ends of attempts told of their fills.
+type FillStatusCounters [routing.FillStatusOriginFailed + 1]uint64
 
 // MarshalJSON names the notes.
-func (n Notes) MarshalJSON() ([]byte, error) {
-	return json.Marshal(map[string]uint64{"none": n[routing.NoNote], "hit": n[routing.NoteHit],
-		"filled": n[routing.NoteFilled], "filled_by_origin": n[routing.NoteFilledByOrigin],
-		"joined": n[routing.NoteJoined], "stale": n[routing.NoteStale], "source_refused": n[routing.NoteSourceRefused],
-		"source_unreached": n[routing.NoteSourceUnreached], "source_lacks": n[routing.NoteSourceLacks],
-		"no_fill_slot": n[routing.NoteNoFillSlot], "origin_failed": n[routing.NoteOriginFailed]})
+func (n FillStatusCounters) MarshalJSON() ([]byte, error) {
+	return json.Marshal(map[string]uint64{"none": n[routing.FillStatusUnknown], "hit": n[routing.FillStatusHit],
+		"filled": n[routing.FillStatusFilled], "filled_by_origin": n[routing.FillStatusFilledByOrigin],
+		"joined": n[routing.FillStatusCoalesced], "stale": n[routing.FillStatusStale], "source_refused": n[routing.FillStatusSourceRejected],
+		"source_unreached": n[routing.FillStatusSourceUnreachable], "source_lacks": n[routing.FillStatusSourceMiss],
+		"no_fill_slot": n[routing.FillStatusNoFillSlot], "origin_failed": n[routing.FillStatusOriginFailed]})
 }
--- a/internal/director/crossings_test.go
+++ b/internal/director/crossings_test.go
@@ -19,8 +19,8 @@
 	return b
 }
 
-func entry(name string, s routing.State, started time.Duration) Member {
-	return Member{Name: name, Member: routing.Member{Zone: 1, State: s, Weight: 4, Started: started}}
+func entry(name string, s routing.State, started time.Duration) Endpoint {
+	return Endpoint{Name: name, Endpoint: routing.Endpoint{Zone: 1, State: s, Weight: 4, Started: started}}
 }
 
 // A dial may come up late, past what the rules leave: so news that overtake an attempt take it back while nothing of it
@@ -31,24 +31,24 @@
 		news func(*bench)
 		back bool
 	}{
-		{"target drains", func(b *bench) { b.d.UpdateEndpoints(false, 2, []Member{entry("c1", routing.Draining, 0)}) }, true},
-		{"target has gone", func(b *bench) { b.d.UpdateEndpoints(false, 2, []Member{entry("c1", routing.Gone, 0)}) }, true},
-		{"target has started anew", func(b *bench) { b.d.UpdateEndpoints(false, 2, []Member{entry("c1", routing.Ready, b.clock)}) }, true},
+		{"target drains", func(b *bench) { b.d.UpdateEndpoints(false, 2, []Endpoint{entry("c1", routing.Draining, 0)}) }, true},
+		{"target has gone", func(b *bench) { b.d.UpdateEndpoints(false, 2, []Endpoint{entry("c1", routing.Gone, 0)}) }, true},
+		{"target has started anew", func(b *bench) { b.d.UpdateEndpoints(false, 2, []Endpoint{entry("c1", routing.Ready, b.clock)}) }, true},
 		{"target is not in a whole list", func(b *bench) {
-			b.d.UpdateEndpoints(true, 2, []Member{entry("c2", routing.Ready, 0)})
+			b.d.UpdateEndpoints(true, 2, []Endpoint{entry("c2", routing.Ready, 0)})
 		}, true},
 		{"source drains", func(b *bench) {
-			b.d.UpdateEndpoints(false, 2, []Member{{Name: "o", Member: routing.Member{Zone: 0, Kind: 2, State: routing.Draining, Weight: 4}}})
+			b.d.UpdateEndpoints(false, 2, []Endpoint{{Name: "o", Endpoint: routing.Endpoint{Zone: 0, Kind: 2, State: routing.Draining, Weight: 4}}})
 		}, true},
-		{"object is purged", func(b *bench) { b.d.Purge(Purge{Object: 7, Made: b.clock}) }, true},
-		{"group is purged", func(b *bench) { b.d.Purge(Purge{Made: b.clock}) }, true},
-		{"another object is purged", func(b *bench) { b.d.Purge(Purge{Object: 8, Made: b.clock}) }, false},
-		{"another cache drains", func(b *bench) { b.d.UpdateEndpoints(false, 2, []Member{entry("c2", routing.Draining, 0)}) }, false},
+		{"object is purged", func(b *bench) { b.d.Purge(Purge{ObjectKey: 7, IssuedAt: b.clock}) }, true},
+		{"group is purged", func(b *bench) { b.d.Purge(Purge{IssuedAt: b.clock}) }, true},
+		{"another object is purged", func(b *bench) { b.d.Purge(Purge{ObjectKey: 8, IssuedAt: b.clock}) }, false},
+		{"another cache drains", func(b *bench) { b.d.UpdateEndpoints(false, 2, []Endpoint{entry("c2", routing.Draining, 0)}) }, false},
 	} {
 		for _, unwritten := range []bool{true, false} {
 			b := waiting(t, unwritten)
-			if b.sent[0].call.Up != "o" {
-				t.Fatalf("filled from %q, want o", b.sent[0].call.Up)
+			if b.sent[0].call.Source != "o" {
+				t.Fatalf("filled from %q, want o", b.sent[0].call.Source)
 			}
 			first := b.sent[0].h
 			c.news(b)
@@ -68,7 +68,7 @@
 // A purge that overtakes a waiting attempt makes the next one ask for a younger copy.
 func TestPurgedWhileItWaitsIsAskedForAnew(t *testing.T) {
 	b := waiting(t, true)
-	b.d.Purge(Purge{Object: 7, Made: b.clock - time.Millisecond})
+	b.d.Purge(Purge{ObjectKey: 7, IssuedAt: b.clock - time.Millisecond})
 	if len(b.sent) != 2 || b.sent[0].call.MaxAge != 0 || b.sent[1].call.MaxAge != time.Millisecond {
 		t.Fatalf("sent %v, want a second attempt that asks for a copy no older than 1ms", b.sent)
 	}
@@ -81,7 +81,7 @@
 	var back []Handle
 	b.recall = func(h Handle) bool { back = append(back, h); return true }
 	h := b.submit(0)
-	b.d.Hold(100 * time.Millisecond)
+	b.d.Suspend(100 * time.Millisecond)
 	if !b.held {
 		t.Error("the peers are not held")
 	}
@@ -89,7 +89,7 @@
 	if len(back) != 1 || back[0] != b.sent[0].h {
 		t.Errorf("taken back %v, want the one that waits", back)
 	}
-	b.d.Release(false)
+	b.d.Resume(false)
 	if b.held {
 		t.Error("the peers are still held")
 	}
@@ -99,19 +99,19 @@
 // As the program ends, all is answered by a time, also what waits for caches that hang, and what is still taken.
 func TestEverythingIsAnsweredByTheEnd(t *testing.T) {
 	b := newBench(t)
-	b.d.UpdateEndpoints(false, 2, []Member{entry("c2", routing.Ready, 0)})
+	b.d.UpdateEndpoints(false, 2, []Endpoint{entry("c2", routing.Ready, 0)})
 	b.submit(0)
 	b.submit(1)
 	b.pass(100 * time.Millisecond)
-	b.d.EndBy(b.clock + time.Second)
+	b.d.SetShutdownDeadline(b.clock + time.Second)
 	b.submit(0)
 	b.pass(990 * time.Millisecond)
 	if len(b.answers) != 0 {
 		t.Fatalf("answered early: %v", b.answers)
 	}
 	b.pass(20 * time.Millisecond)
-	if c := b.d.Counters; c.Overdue != 0 || c.Moot != 0 {
-		t.Errorf("%d ended by the guard, %d attempts decided past the end; want the module to end them", c.Overdue, c.Moot)
+	if c := b.d.Counters; c.RequestsOverdue != 0 || c.AttemptsAbandoned != 0 {
+		t.Errorf("%d ended by the guard, %d attempts decided past the end; want the module to end them", c.RequestsOverdue, c.AttemptsAbandoned)
 	}
 	b.want("refused", "failed", "refused") // the repayment may have run
 }
@@ -121,29 +121,29 @@
 func TestWhatWaitedUnreadHasLessTime(t *testing.T) {
 	b := newBench(t)
 	paused := time.Duration(0)
-	b.d.Look = func() {
+	b.d.CheckForPause = func() {
 		if paused > 0 {
-			b.d.Hold(paused)
+			b.d.Suspend(paused)
 		}
 	}
 	b.submit(0)
-	whole := b.sent[0].call.Patience
+	whole := b.sent[0].call.Timeout
 	paused = 300 * time.Millisecond
 	b.submit(0)
 	paused = 0
-	b.d.Release(false)
-	if got := b.sent[1].call.Patience; got != whole-300*time.Millisecond {
+	b.d.Resume(false)
+	if got := b.sent[1].call.Timeout; got != whole-300*time.Millisecond {
 		t.Errorf("%v passed on, want %v", got, whole-300*time.Millisecond)
 	}
 	paused = whole
 	b.submit(0)
-	if n := b.d.Counters.Refused; n != 1 {
+	if n := b.d.Counters.RequestsRejected; n != 1 {
 		t.Errorf("%d refused, want the one that has nothing left", n)
 	}
 	paused = 0
-	b.d.Release(false)
+	b.d.Resume(false)
 	b.submit(0)
-	if got := b.sent[2].call.Patience; got != whole {
+	if got := b.sent[2].call.Timeout; got != whole {
 		t.Errorf("%v passed on behind the pause, want %v", got, whole)
 	}
 }
--- a/internal/director/director.go
+++ b/internal/director/director.go
@@ -21,20 +21,20 @@
 // Director drives one router.
 type Director struct {
 	Counters Counters
-	// Closed, where set, tells that work is refused for now, and until when a client may stay away.
-	Closed func() (until routing.Time, closed bool)
-	// Look, where set, notices whether the process has just stood still, and calls Hold if so.
-	Look func()
-	// Flight keeps what happens to requests and attempts; nil: nothing is kept.
-	Flight *flightrecorder.Recorder
+	// RejectUntil, where set, tells that work is refused for now, and until when a client may stay away.
+	RejectUntil func() (until routing.Time, closed bool)
+	// CheckForPause, where set, notices whether the process has just stood still, and calls Hold if so.
+	CheckForPause func()
+	// FlightRecorder keeps what happens to requests and attempts; nil: nothing is kept.
+	FlightRecorder *flightrecorder.Recorder
 	// Admission, where set, is the pace at which work is taken after a start or a pause.
 	Admission *overload.Admission
 
 	router   *routing.Router
 	settings *routing.Settings
 	limits   *config.Limits
-	peers    Peers
-	agenda   *Agenda
+	peers    Upstream
+	agenda   *Queue
 	now      func() routing.Time
 	log      *zap.Logger
 
@@ -60,7 +60,7 @@
 	reply   Replier
 	token   uint64
 	giveUp  routing.Time
-	overdue Entry
+	overdue Timer
 	since   routing.Time   // when it was taken
 	let     bool           // let in by the admission, which hears of its end
 	next    int            // number of the next attempt
@@ -75,7 +75,7 @@
 }
 
 // New returns a director for the settings, within the limits.
-func New(s *routing.Settings, seed uint64, l *config.Limits, agenda *Agenda, now func() routing.Time,
+func New(s *routing.Settings, seed uint64, l *config.Limits, agenda *Queue, now func() routing.Time,
 	log *zap.Logger) (*Director, error) {
 	r, err := routing.New(*s, seed)
 	if err != nil {
@@ -86,17 +86,17 @@
 		names: map[routing.Host]member{}}, nil
 }
 
-// Follow sets what is done when whole sites are lost; it comes before the first event.
-func (d *Director) Follow(o sitehealth.Options) { d.router.Follow(o) }
+// SetSiteOptions sets what is done when whole sites are lost; it comes before the first event.
+func (d *Director) SetSiteOptions(o sitehealth.Options) { d.router.SetSiteOptions(o) }
 
-// Sites counts what was seen of whole sites.
-func (d *Director) Sites() sitehealth.Counters { return d.router.Sites() }
+// SiteCounters counts what was seen of whole sites.
+func (d *Director) SiteCounters() sitehealth.Counters { return d.router.SiteCounters() }
 
-// Attach names the peers; it comes before the first event.
-func (d *Director) Attach(p Peers) { d.peers = p }
+// SetUpstream names the peers; it comes before the first event.
+func (d *Director) SetUpstream(p Upstream) { d.peers = p }
 
-// Open is the number of requests taken and not answered.
-func (d *Director) Open() int { return d.requests.Len() }
+// OpenRequests is the number of requests taken and not answered.
+func (d *Director) OpenRequests() int { return d.requests.Len() }
 
 // Submit takes a request; false: there is no room, nothing was taken, and the caller refuses it.
 func (d *Director) Submit(q Request, reply Replier, token uint64) (Handle, bool) {
@@ -105,44 +105,44 @@
 	if !ok {
 		return 0, false
 	}
-	if d.Look != nil {
-		d.Look()
+	if d.CheckForPause != nil {
+		d.CheckForPause()
 	}
 	now := d.now()
-	r.handle, r.giveUp, r.since = h, now+max(0, q.Allow-d.unread), now
+	r.handle, r.giveUp, r.since = h, now+max(0, q.Timeout-d.unread), now
 	if d.last != 0 {
 		r.giveUp = min(r.giveUp, max(d.last, now))
 	}
-	d.Counters.Taken++
-	d.Flight.Record(flightrecorder.Event{At: now, Kind: flightrecorder.RequestTaken, Conn: q.Conn, Request: uint32(h)})
+	d.Counters.RequestsAccepted++
+	d.FlightRecorder.Record(flightrecorder.Event{At: now, Kind: flightrecorder.RequestTaken, Conn: q.ConnID, Request: uint32(h)})
 	wait, why, ok := d.admit(now, q.Class)
 	if ok && r.giveUp <= now {
 		wait, why, ok = d.limits.RefuseFor, readTooLate, false
 	}
 	if !ok {
-		d.answer(r, Answer{Verdict: Refused, RetryAfter: d.cooldown(wait), Why: why})
+		d.answer(r, Response{Outcome: Rejected, RetryAfter: d.cooldown(wait), Reason: why})
 		d.free(r)
 		return h, true
 	}
 	r.let = true
 	d.guard(r)
-	write := q.Class < len(d.settings.Family.PassOn) && d.settings.Family.PassOn[q.Class]
-	d.post(event{ev: routing.Request{ID: uint32(h), Class: q.Class, Object: q.Key, Part: q.PartNo,
-		Group: q.Group, GiveUpAt: r.giveUp, SizeKB: q.SizeKB, Write: write}})
+	write := q.Class < len(d.settings.Tiers.Uncacheable) && d.settings.Tiers.Uncacheable[q.Class]
+	d.post(event{ev: routing.Request{ID: uint32(h), Class: q.Class, Object: q.ObjectKey, Part: q.PartNumber,
+		Group: q.Group, Deadline: r.giveUp, SizeKB: q.SizeKB, Write: write}})
 	return h, true
 }
 
 // admit tells whether a request is taken, and if not, for how long its client may as well stay away.
 func (d *Director) admit(now routing.Time, class int) (wait time.Duration, why flightrecorder.Reason, ok bool) {
-	if d.Closed != nil {
-		if until, closed := d.Closed(); closed {
-			d.Counters.Closed++
+	if d.RejectUntil != nil {
+		if until, closed := d.RejectUntil(); closed {
+			d.Counters.RejectedNotAccepting++
 			return until - now, noWorkTaken, false
 		}
 	}
-	if d.Admission != nil && repeatable(d.settings.Services[class].Effect) { // the others are refused last
+	if d.Admission != nil && repeatable(d.settings.Classes[class].Idempotency) { // the others are refused last
 		if wait, ok := d.Admission.May(now, d.requests.Len()-1); !ok {
-			d.Counters.NotAdmitted++
+			d.Counters.RejectedByAdmission++
 			return wait, notAdmitted, false
 		}
 	}
@@ -151,20 +151,20 @@
 
 // cooldown is the advice to stay away for so long, as far as the site gives any.
 func (d *Director) cooldown(wait time.Duration) time.Duration {
-	if !d.settings.Ceilings.RetryAfter {
+	if !d.settings.SiteLimits.RetryAfterAllowed {
 		return 0
 	}
-	return max(0, min(wait, d.settings.Ceilings.MaxRetryAfter))
+	return max(0, min(wait, d.settings.SiteLimits.MaxRetryAfter))
 }
 
 // guard fails a request past its time. The module ends each by then; this only guards the rule of one answer
 // against a fault.
 func (d *Director) guard(r *request) {
-	d.agenda.Set(&r.overdue, r.giveUp+d.limits.Overdue, func() {
-		d.Counters.Overdue++
+	d.agenda.Schedule(&r.overdue, r.giveUp+d.limits.Overdue, func() {
+		d.Counters.RequestsOverdue++
 		d.log.Error("request overdue: failed by the guard", zap.String("ref", r.Ref))
-		d.answer(r, Answer{Verdict: Failed, Why: overdue})
-		d.post(event{routing.Expired{ID: uint32(r.handle)}, r})
+		d.answer(r, Response{Outcome: Failed, Reason: overdue})
+		d.post(event{routing.RequestClosed{ID: uint32(r.handle)}, r})
 	})
 }
 
@@ -175,17 +175,17 @@
 	if !ok || r.over {
 		return
 	}
-	d.Counters.Withdrawn++
+	d.Counters.RequestsCancelled++
 	d.finish(r, withdrawn)
 	for _, out := range r.out {
 		d.takeBack(out)
 	}
-	d.post(event{routing.Expired{ID: uint32(h)}, r})
+	d.post(event{routing.RequestClosed{ID: uint32(h)}, r})
 }
 
-// EndBy has everything answered by a time, as the program ends soon after: what is in hand, and what is still
+// SetShutdownDeadline has everything answered by a time, as the program ends soon after: what is in hand, and what is still
 // taken. Who waits longer than that for a cache that hangs would be left without an answer.
-func (d *Director) EndBy(last routing.Time) {
+func (d *Director) SetShutdownDeadline(last routing.Time) {
 	d.last = last
 	var open []Handle
 	d.requests.All(func(h Handle, _ *request) bool {
@@ -211,7 +211,7 @@
 			d.limit(out, a, r)
 		}
 	}
-	d.post(event{ev: routing.Curtail{ID: uint32(h), GiveUpAt: giveUp}})
+	d.post(event{ev: routing.ShortenDeadline{ID: uint32(h), Deadline: giveUp}})
 }
 
 // post hands events to the router one after another. An action can bring the next event before it returns
@@ -224,17 +224,17 @@
 	}
 }
 
-// Hold keeps everything but news from the router, until Release: behind a pause of the process what it believes of
+// Suspend keeps everything but news from the router, until Release: behind a pause of the process what it believes of
 // the servers is old, and the news that would put it right are still to be read. Answers go to their clients all
 // the same. Requests that are read until then may have waited for the whole pause: their clients have so much less left.
-func (d *Director) Hold(pause time.Duration) {
+func (d *Director) Suspend(pause time.Duration) {
 	d.held = true
 	d.unread = max(d.unread, pause)
 	d.peers.SuspendWrites()
 }
 
-// Release takes up what was held. Behind a long pause what comes from now on is let in as after a start.
-func (d *Director) Release(long bool) {
+// Resume takes up what was held. Behind a long pause what comes from now on is let in as after a start.
+func (d *Director) Resume(long bool) {
 	d.held, d.unread = false, 0
 	if d.Admission != nil && long {
 		d.Admission.Restart(d.now())
@@ -268,59 +268,59 @@
 		if up == a.Host {
 			up = 0
 		}
-		d.send(a.ID, a.Host, up, a.Timeout, Call{Keep: a.Keep, How: a.How, MaxAge: a.MaxAge, Before: a.Before})
+		d.send(a.ID, a.Host, up, a.Timeout, UpstreamRequest{RetentionRank: a.RetentionRank, FetchFlags: a.Flags, MaxAge: a.MaxAge, IdempotencyWindowEnd: a.IdempotencyWindowEnd})
 	case routing.Forward:
-		d.send(a.ID, a.Host, 0, a.Timeout, Call{Before: a.Before})
+		d.send(a.ID, a.Host, 0, a.Timeout, UpstreamRequest{IdempotencyWindowEnd: a.IdempotencyWindowEnd})
 	case routing.Cancel:
 		if r, ok := d.requests.Get(Handle(a.ID)); ok {
 			d.cancel(r, a.Attempt)
 		}
-	case routing.Refuse:
-		d.end(a.ID, Answer{Verdict: Refused, RetryAfter: a.RetryAfter, Why: flightrecorder.Reason(a.Why)})
+	case routing.Reject:
+		d.end(a.ID, Response{Outcome: Rejected, RetryAfter: a.RetryAfter, Reason: flightrecorder.Reason(a.Reason)})
 	case routing.Fail:
-		d.end(a.ID, Answer{Verdict: Failed, Why: flightrecorder.Reason(a.Why)})
+		d.end(a.ID, Response{Outcome: Failed, Reason: flightrecorder.Reason(a.Reason)})
 	case routing.SetTimer:
-		d.agenda.At(a.At, func() { d.post(event{ev: routing.Timer{Token: a.Token}}) })
+		d.agenda.ScheduleFunc(a.At, func() { d.post(event{ev: routing.TimerFired{Token: a.Token}}) })
 	case routing.Log:
-		d.log.Info(a.Text)
+		d.log.Info(a.Message)
 	default: // probes, peer messages and discovery calls: this deployment has none of them
 		d.Counters.UnknownActions++
 	}
 }
 
 // end is the router's final answer.
-func (d *Director) end(id uint32, a Answer) {
+func (d *Director) end(id uint32, a Response) {
 	r, ok := d.requests.Get(Handle(id))
 	if !ok || r.over {
 		return
 	}
 	d.answer(r, a)
 	// The router may still call off attempts of the request in this round, so its slot is freed behind it.
-	d.post(event{routing.Expired{ID: id}, r})
+	d.post(event{routing.RequestClosed{ID: id}, r})
 }
 
 // answer gives the client its one answer.
-func (d *Director) answer(r *request, a Answer) {
-	switch a.Verdict {
+func (d *Director) answer(r *request, a Response) {
+	switch a.Outcome {
 	case Served:
-		d.Counters.Served++
-	case Refused:
-		d.Counters.Refused++
+		d.Counters.RequestsServed++
+	case Rejected:
+		d.Counters.RequestsRejected++
 	default:
-		d.Counters.Failed++
+		d.Counters.RequestsFailed++
 	}
 	if d.Admission != nil && r.let {
-		d.Admission.Answered(a.Verdict == Served, d.now()-r.since)
+		d.Admission.Answered(a.Outcome == Served, d.now()-r.since)
 	}
-	d.finish(r, a.Why)
+	d.finish(r, a.Reason)
 	r.reply.Reply(r.token, a)
 }
 
 // finish ends a request, for a reason.
 func (d *Director) finish(r *request, why flightrecorder.Reason) {
-	d.Flight.Record(flightrecorder.Event{At: d.now(), Kind: flightrecorder.RequestEnded, Reason: why, Conn: r.Conn, Request: uint32(r.handle)})
+	d.FlightRecorder.Record(flightrecorder.Event{At: d.now(), Kind: flightrecorder.RequestEnded, Reason: why, Conn: r.ConnID, Request: uint32(r.handle)})
 	r.over = true
-	d.agenda.Drop(&r.overdue)
+	d.agenda.Cancel(&r.overdue)
 }
 
 // free gives the slot back when the router has seen the request's end. By then it has called off all
--- a/internal/director/director_test.go
+++ b/internal/director/director_test.go
@@ -17,7 +17,7 @@
 type bench struct {
 	t       *testing.T
 	d       *Director
-	agenda  Agenda
+	agenda  Queue
 	clock   routing.Time
 	pool    *buffer.Pool
 	sent    []sent
@@ -32,10 +32,10 @@
 type sent struct {
 	h    Handle
 	to   routing.Host
-	call Call
+	call UpstreamRequest
 }
 
-func (b *bench) Send(h Handle, to routing.Host, c Call) {
+func (b *bench) Send(h Handle, to routing.Host, c UpstreamRequest) {
 	b.sent = append(b.sent, sent{h, to, c})
 	if b.onSend != nil {
 		b.onSend(h)
@@ -47,8 +47,8 @@
 func (b *bench) ResumeWrites()                                             { b.held = false }
 func (b *bench) UpdateEndpoint(routing.Host, string, string, routing.Time) {}
 func (b *bench) RemoveEndpoint(routing.Host)                               {}
-func (b *bench) Reply(_ uint64, a Answer) {
-	s := []string{"served", "refused", "failed"}[a.Verdict]
+func (b *bench) Reply(_ uint64, a Response) {
+	s := []string{"served", "refused", "failed"}[a.Outcome]
 	if a.Body != nil {
 		for _, p := range a.Body.Segments(nil) {
 			s += " " + string(p)
@@ -60,27 +60,27 @@
 func newBench(t *testing.T) *bench {
 	t.Helper()
 	b := &bench{t: t, clock: 1000 * time.Second, pool: buffer.NewPool(64, 8), written: true}
-	s := &routing.Settings{Balancers: 1, Zones: []string{"hub", "here"}, Zone: 1, Kinds: []string{"edge", "up", "origin"},
-		Services: []routing.Class{{Name: "read", Aim: time.Second, Deadline: 4 * time.Second, Effect: "read_like"},
-			{Name: "pay", Aim: time.Second, Deadline: 4 * time.Second, Effect: "non_idempotent"}},
-		Ceilings: routing.Ceilings{Cancel: true, MaxAttempts: 3},
-		Family: routing.Tiers{PassOn: []bool{false, true}, MergesFills: true, MasterKind: 2, SecondTierKind: 1,
-			NotesGiven: "all"}}
+	s := &routing.Settings{Directors: 1, Zones: []string{"hub", "here"}, Zone: 1, Kinds: []string{"edge", "up", "origin"},
+		Classes: []routing.Class{{Name: "read", LatencyObjective: time.Second, Timeout: 4 * time.Second, Idempotency: "read_like"},
+			{Name: "pay", LatencyObjective: time.Second, Timeout: 4 * time.Second, Idempotency: "non_idempotent"}},
+		SiteLimits: routing.SiteLimits{CancelAllowed: true, MaxAttempts: 3},
+		Tiers: routing.TierSettings{Uncacheable: []bool{false, true}, CoalescesFills: true, OriginKind: 2, ParentKind: 1,
+			FillStatusReported: "all"}}
 	var err error
 	b.d, err = New(s, 1, &config.Limits{OpenRequests: 8, Overdue: 25 * time.Millisecond}, &b.agenda, func() routing.Time { return b.clock }, zap.NewNop())
 	if err != nil {
 		t.Fatal(err)
 	}
-	b.d.Attach(b)
-	b.d.UpdateEndpoints(true, 1, []Member{
-		{Name: "c1", Member: routing.Member{Zone: 1, Kind: 0, State: routing.Ready, Weight: 4}},
-		{Name: "o", Member: routing.Member{Zone: 0, Kind: 2, State: routing.Ready, Weight: 4}}})
+	b.d.SetUpstream(b)
+	b.d.UpdateEndpoints(true, 1, []Endpoint{
+		{Name: "c1", Endpoint: routing.Endpoint{Zone: 1, Kind: 0, State: routing.Ready, Weight: 4}},
+		{Name: "o", Endpoint: routing.Endpoint{Zone: 0, Kind: 2, State: routing.Ready, Weight: 4}}})
 	return b
 }
 
 func (b *bench) submit(class int) Handle {
 	b.t.Helper()
-	h, ok := b.d.Submit(Request{Ref: "r", Class: class, Key: 7, Allow: 4 * time.Second, Body: b.pool.Chain()}, b, 1)
+	h, ok := b.d.Submit(Request{Ref: "r", Class: class, ObjectKey: 7, Timeout: 4 * time.Second, Body: b.pool.Chain()}, b, 1)
 	if !ok {
 		b.t.Fatal("not taken")
 	}
@@ -90,7 +90,7 @@
 func (b *bench) pass(d time.Duration) {
 	for end := b.clock + d; b.clock < end; {
 		b.clock += 5 * time.Millisecond
-		b.agenda.Run(b.clock)
+		b.agenda.RunDue(b.clock)
 	}
 }
 
@@ -99,7 +99,7 @@
 	if d := cmp.Diff(answers, b.answers); d != "" {
 		b.t.Error(d)
 	}
-	if n := b.d.Open(); n != 0 {
+	if n := b.d.OpenRequests(); n != 0 {
 		b.t.Errorf("%d requests left", n)
 	}
 	if n := b.d.attempts.Len(); n != 0 {
@@ -115,10 +115,10 @@
 	b.submit(0)
 	body := b.pool.Chain()
 	body.Append([]byte("bytes"))
-	b.d.AttemptEnded(b.sent[0].h, Ending{Result: routing.OK, Note: routing.NoteHit, Body: body})
+	b.d.AttemptEnded(b.sent[0].h, AttemptResult{Result: routing.OK, FillStatus: routing.FillStatusHit, Body: body})
 	late := b.pool.Chain()
 	late.Append([]byte("late"))
-	b.d.AttemptEnded(b.sent[0].h, Ending{Result: routing.OK, Body: late})
+	b.d.AttemptEnded(b.sent[0].h, AttemptResult{Result: routing.OK, Body: late})
 	b.pass(5 * time.Second)
 	b.want("served bytes")
 }
@@ -127,7 +127,7 @@
 // actions, as their list is valid only until then.
 func TestEndWithinSendIsQueued(t *testing.T) {
 	b := newBench(t)
-	b.onSend = func(h Handle) { b.d.AttemptEnded(h, Ending{Result: routing.ConnectFailed}) }
+	b.onSend = func(h Handle) { b.d.AttemptEnded(h, AttemptResult{Result: routing.ConnectFailed}) }
 	b.submit(1)
 	b.pass(5 * time.Second)
 	b.want("refused")
@@ -172,7 +172,7 @@
 	for range 8 {
 		b.submit(0)
 	}
-	if _, ok := b.d.Submit(Request{Class: 0, Key: 7, Allow: time.Second}, b, 1); ok {
+	if _, ok := b.d.Submit(Request{Class: 0, ObjectKey: 7, Timeout: time.Second}, b, 1); ok {
 		t.Error("a ninth request was taken")
 	}
 }
@@ -192,19 +192,19 @@
 // meanwhile. While it is held, only news reach the router; what was submitted goes by them afterwards.
 func TestHeldRequestsGoByTheNews(t *testing.T) {
 	b := newBench(t)
-	b.d.Hold(100 * time.Millisecond)
+	b.d.Suspend(100 * time.Millisecond)
 	b.submit(0)
 	if len(b.sent) != 0 {
 		t.Fatalf("sent to %v while held", b.sent)
 	}
-	b.d.UpdateEndpoints(false, 2, []Member{
-		{Name: "c1", Member: routing.Member{Zone: 1, Kind: 0, State: routing.Draining, Weight: 4}},
-		{Name: "c2", Member: routing.Member{Zone: 1, Kind: 0, State: routing.Ready, Weight: 4}}})
-	b.d.Release(true)
+	b.d.UpdateEndpoints(false, 2, []Endpoint{
+		{Name: "c1", Endpoint: routing.Endpoint{Zone: 1, Kind: 0, State: routing.Draining, Weight: 4}},
+		{Name: "c2", Endpoint: routing.Endpoint{Zone: 1, Kind: 0, State: routing.Ready, Weight: 4}}})
+	b.d.Resume(true)
 	if len(b.sent) != 1 || b.sent[0].to != hostOf("c2") {
 		t.Fatalf("sent %v, want one to the cache that is ready", b.sent)
 	}
-	b.d.AttemptEnded(b.sent[0].h, Ending{Result: routing.OK, Note: routing.NoteHit})
+	b.d.AttemptEnded(b.sent[0].h, AttemptResult{Result: routing.OK, FillStatus: routing.FillStatusHit})
 	b.want("served")
 }
 
@@ -212,10 +212,10 @@
 func TestClosedDirectorRefusesAtOnce(t *testing.T) {
 	b := newBench(t)
 	closed := true
-	b.d.Closed = func() (routing.Time, bool) { return b.clock + time.Second, closed }
+	b.d.RejectUntil = func() (routing.Time, bool) { return b.clock + time.Second, closed }
 	b.submit(1)
-	if len(b.sent) != 0 || b.d.Counters.Closed != 1 {
-		t.Errorf("sent %v, %d refused as closed", b.sent, b.d.Counters.Closed)
+	if len(b.sent) != 0 || b.d.Counters.RejectedNotAccepting != 1 {
+		t.Errorf("sent %v, %d refused as closed", b.sent, b.d.Counters.RejectedNotAccepting)
 	}
 	b.want("refused")
 	closed = false
@@ -230,32 +230,32 @@
 func TestWorkBeyondTheAdmissionIsRefusedAtOnce(t *testing.T) {
 	b := newBench(t)
 	b.d.limits.OpenRequests, b.d.requests = 100, NewTable[*request](100)
-	b.d.settings.Ceilings.RetryAfter, b.d.settings.Ceilings.MaxRetryAfter = true, time.Second
+	b.d.settings.SiteLimits.RetryAfterAllowed, b.d.settings.SiteLimits.MaxRetryAfter = true, time.Second
 	b.d.Admission = overload.NewAdmission(1)
 	for range 40 {
 		b.submit(0)
 	}
-	let := b.d.Open()
+	let := b.d.OpenRequests()
 	if n := len(b.answers); let == 0 || let > 20 || n != 40-let || len(b.sent) > let {
 		t.Fatalf("%d in hand, %d answers, %d attempts of 40 requests", let, n, len(b.sent))
 	}
-	if b.d.Counters.NotAdmitted != uint64(40-let) {
-		t.Errorf("%d counted", b.d.Counters.NotAdmitted)
+	if b.d.Counters.RejectedByAdmission != uint64(40-let) {
+		t.Errorf("%d counted", b.d.Counters.RejectedByAdmission)
 	}
 	b.submit(1)
-	if b.d.Open() != let+1 {
+	if b.d.OpenRequests() != let+1 {
 		t.Error("a repayment was refused")
 	}
 	for _, s := range b.sent {
-		b.d.AttemptEnded(s.h, Ending{Result: routing.OK, Note: routing.NoteHit})
+		b.d.AttemptEnded(s.h, AttemptResult{Result: routing.OK, FillStatus: routing.FillStatusHit})
 	}
-	if b.d.Open() != 0 {
-		t.Fatalf("%d still in hand", b.d.Open())
+	if b.d.OpenRequests() != 0 {
+		t.Fatalf("%d still in hand", b.d.OpenRequests())
 	}
 	for range 2 * let {
 		b.submit(0)
 	}
-	if b.d.Open() < 2*let-1 {
-		t.Errorf("%d in hand after %d answers, want twice as many", b.d.Open(), let)
+	if b.d.OpenRequests() < 2*let-1 {
+		t.Errorf("%d in hand after %d answers, want twice as many", b.d.OpenRequests(), let)
 	}
 }
--- a/internal/director/news.go
+++ b/internal/director/news.go
@@ -13,22 +13,22 @@
 const mostLogged = 8 // entries of one event
 
 // Members takes a change of the list of servers; full: what is not in it has gone.
-func (d *Director) UpdateEndpoints(full bool, version uint64, list []Member) {
-	d.Counters.MemberEvents++
-	m := routing.Members{Kind: routing.Delta, Version: version}
+func (d *Director) UpdateEndpoints(full bool, version uint64, list []Endpoint) {
+	d.Counters.EndpointEvents++
+	m := routing.EndpointUpdate{Kind: routing.UpdateDelta, Version: version}
 	seen := map[routing.Host]bool{}
 	left := map[routing.Host]bool{} // draining, gone, or with a new life
 	if full {
-		m.Kind = routing.Full
+		m.Kind = routing.UpdateFull
 	}
 	for i, e := range list {
-		d.Counters.MemberEntries++
+		d.Counters.EndpointEntries++
 		if !full && i < mostLogged { // the news of a release, not the list of a start
 			d.log.Info("member", zap.String("member", e.Name), zap.String("address", e.Address), zap.Uint8("state", uint8(e.State)))
 		}
 		e.Host = hostOf(e.Name)
 		seen[e.Host] = true
-		m.List = append(m.List, e.Member)
+		m.Endpoints = append(m.Endpoints, e.Endpoint)
 		left[e.Host] = e.State != routing.Ready || d.names[e.Host] != member{e.Name, e.Started}
 		if e.State == routing.Gone {
 			delete(d.names, e.Host)
@@ -41,7 +41,7 @@
 	d.recall(func(a *attempt, _ *request) bool {
 		return left[a.host] || left[a.up] || full && (!seen[a.host] || a.up != 0 && !seen[a.up])
 	})
-	for _, e := range m.List {
+	for _, e := range m.Endpoints {
 		if e.State == routing.Gone {
 			d.peers.RemoveEndpoint(e.Host)
 		}
@@ -59,9 +59,9 @@
 // Purge takes a purge. How old it is follows from when it was made on our clock: a stamp of the feed's says nothing here.
 func (d *Director) Purge(p Purge) {
 	d.Counters.PurgeEvents++
-	d.news(routing.Purge{Age: max(0, d.now()-p.Made), Group: p.Group, Object: p.Object})
+	d.news(routing.Purge{Age: max(0, d.now()-p.IssuedAt), Group: p.Group, Object: p.ObjectKey})
 	d.recall(func(_ *attempt, r *request) bool {
-		return r.Key == p.Object || p.Object == 0 && r.Group == p.Group
+		return r.ObjectKey == p.ObjectKey || p.ObjectKey == 0 && r.Group == p.Group
 	})
 }
 
--- a/internal/director/table_test.go
+++ b/internal/director/table_test.go
@@ -38,28 +38,28 @@
 }
 
 func TestAgendaRunsInOrder(t *testing.T) {
-	var a Agenda
+	var a Queue
 	var got []string
 	add := func(s string) func() { return func() { got = append(got, s) } }
-	var moved, dropped Entry
-	a.At(20, add("second"))
-	a.At(10, add("first"))
-	a.At(20, add("third"))
-	a.Set(&moved, 5, add("moved"))
-	a.Set(&moved, 40, add("moved"))
-	a.Set(&dropped, 1, add("dropped"))
-	a.Drop(&dropped)
-	a.At(30, func() { a.At(30, add("set while running")) })
-	a.Run(30)
-	if next, ok := a.Next(); !ok || next != 30 {
+	var moved, dropped Timer
+	a.ScheduleFunc(20, add("second"))
+	a.ScheduleFunc(10, add("first"))
+	a.ScheduleFunc(20, add("third"))
+	a.Schedule(&moved, 5, add("moved"))
+	a.Schedule(&moved, 40, add("moved"))
+	a.Schedule(&dropped, 1, add("dropped"))
+	a.Cancel(&dropped)
+	a.ScheduleFunc(30, func() { a.ScheduleFunc(30, add("set while running")) })
+	a.RunDue(30)
+	if next, ok := a.NextDeadline(); !ok || next != 30 {
 		t.Errorf("next at %v, %v, want 30", next, ok)
 	}
-	a.Run(50)
+	a.RunDue(50)
 	if d := cmp.Diff([]string{"first", "second", "third", "set while running", "moved"}, got); d != "" {
 		// "set while running" is earlier than "moved" and both are due in the last run
 		t.Error(d)
 	}
-	if _, ok := a.Next(); ok {
+	if _, ok := a.NextDeadline(); ok {
 		t.Error("entries left")
 	}
 }
--- a/internal/discovery/feed.go
+++ b/internal/discovery/feed.go
@@ -27,7 +27,7 @@
 
 // Sink takes the feed's news; it is the director.
 type Sink interface {
-	UpdateEndpoints(full bool, version uint64, list []director.Member)
+	UpdateEndpoints(full bool, version uint64, list []director.Endpoint)
 	Purge(director.Purge)
 }
 
@@ -61,7 +61,7 @@
 	address string
 	dialer  eventloop.Dialer
 	sink    Sink
-	agenda  *director.Agenda
+	agenda  *director.Queue
 	now     func() routing.Time
 	zones   map[string]int
 	kinds   map[string]int
@@ -79,8 +79,8 @@
 	stream  *stream      // the one that is up and followed; nil: none
 	next    *stream      // the one that is being dialled; nil: none
 	moving  bool         // the operators have named another service, and it is not up yet
-	silence director.Entry
-	again   director.Entry // the next dial
+	silence director.Timer
+	again   director.Timer // the next dial
 	log     *zap.Logger
 }
 
@@ -99,7 +99,7 @@
 
 // New returns a follower of the feed at the address, for the settings' zones and kinds.
 func New(l *config.Limits, s *routing.Settings, address string, calls *overload.ListCalls, d eventloop.Dialer, sink Sink,
-	a *director.Agenda, now func() routing.Time, log *zap.Logger) *Follower {
+	a *director.Queue, now func() routing.Time, log *zap.Logger) *Follower {
 	f := &Follower{limits: l, address: address, calls: calls, dialer: d, sink: sink, agenda: a, now: now,
 		zones: map[string]int{}, kinds: map[string]int{}, list: map[string]state{}, log: log}
 	for i, z := range s.Zones {
@@ -143,7 +143,7 @@
 // Start calls the feed when it is our turn, and from then on keeps it up.
 func (f *Follower) Start() {
 	f.callAt = f.calls.Start(f.now())
-	f.agenda.Set(&f.again, f.callAt, f.dial)
+	f.agenda.Schedule(&f.again, f.callAt, f.dial)
 }
 
 // CallAt is when the latest call was made, or will be.
@@ -175,7 +175,7 @@
 	switch s {
 	case f.stream:
 		f.stream = nil
-		f.agenda.Drop(&f.silence)
+		f.agenda.Cancel(&f.silence)
 		s.link.Close()
 	case f.next:
 		f.next = nil
@@ -191,7 +191,7 @@
 	f.log.Info("feed lost", zap.String("feed", f.address), zap.Stringer("cause", e), zap.Duration("again_in", at-now),
 		zap.Uint64("behind_event", f.last), zap.Int("failures", f.calls.Failures()))
 	f.callAt = at
-	f.agenda.Set(&f.again, at, f.dial)
+	f.agenda.Schedule(&f.again, at, f.dial)
 }
 
 // Redirect goes over to the feed at another address, behind the last event taken. All directors are told to do so
@@ -212,7 +212,7 @@
 		at = min(at, f.callAt)
 	}
 	f.callAt = at
-	f.agenda.Set(&f.again, at, f.dial)
+	f.agenda.Schedule(&f.again, at, f.dial)
 }
 
 // Paused gives a stream that is up its time anew: while the process stood still it could not read what came.
@@ -225,7 +225,7 @@
 // listen limits the time to the next line. A feed that is cut off says nothing: only this ends it, and what
 // it would have told counts as told all the same.
 func (f *Follower) listen(s *stream) {
-	f.agenda.Set(&f.silence, f.now()+f.limits.FeedSilence, func() {
+	f.agenda.Schedule(&f.silence, f.now()+f.limits.FeedSilence, func() {
 		f.Counters.Silences++
 		f.retry(s, s.silent())
 	})
@@ -433,7 +433,7 @@
 
 // tell hands a list on. After a new start of the numbers it may be older than what we know: then a member that
 // was draining or gone stays so, as long as it has not been started anew, and the lack of one says nothing.
-func (f *Follower) tell(m *members, list []director.Member) {
+func (f *Follower) tell(m *members, list []director.Endpoint) {
 	full := m.Snapshot || f.last == 0
 	if f.replay && m.Index < f.index {
 		full = false
@@ -441,7 +441,7 @@
 	kept := list[:0]
 	for _, e := range list {
 		known, ok := f.list[e.Name]
-		if f.replay && ok && known.state != routing.Ready && e.State == routing.Ready && e.SinceMS <= known.sinceMS {
+		if f.replay && ok && known.state != routing.Ready && e.State == routing.Ready && e.StartedUnixMilli <= known.sinceMS {
 			f.Counters.KeptDrains++
 			if known.state == routing.Gone {
 				continue
@@ -457,7 +457,7 @@
 		if len(f.list) >= 2*f.limits.Members {
 			maps.DeleteFunc(f.list, func(_ string, s state) bool { return s.state == routing.Gone })
 		}
-		f.list[e.Name] = state{e.State, e.SinceMS, e.Started}
+		f.list[e.Name] = state{e.State, e.StartedUnixMilli, e.Started}
 	}
 	f.index = max(f.index, m.Index)
 	f.sink.UpdateEndpoints(full, m.Index, kept)
@@ -482,13 +482,13 @@
 	return nil
 }
 
-func (f *Follower) members(m *members) ([]director.Member, error) {
+func (f *Follower) members(m *members) ([]director.Endpoint, error) {
 	if len(m.Endpoints) > f.limits.Members {
 		return nil, fmt.Errorf("%d members, %d at most", len(m.Endpoints), f.limits.Members)
 	}
-	list := make([]director.Member, 0, len(m.Endpoints))
+	list := make([]director.Endpoint, 0, len(m.Endpoints))
 	for i, e := range m.Endpoints {
-		d := director.Member{Name: e.Name, Address: e.Address, SinceMS: e.SinceMS}
+		d := director.Endpoint{Name: e.Name, Address: e.Address, StartedUnixMilli: e.SinceMS}
 		d.Weight, d.Cell, d.Started = e.Weight, e.Group, f.startedAt(e)
 		switch e.Status {
 		case "ready":
@@ -534,7 +534,7 @@
 func (p *purge) stamp() routing.Time { return routing.Time(p.At) * routing.Time(time.Millisecond) }
 
 func (f *Follower) purge(p *purge) error {
-	told := director.Purge{Stamp: p.stamp(), Made: f.service.Local(p.stamp())}
+	told := director.Purge{RemoteIssuedAt: p.stamp(), IssuedAt: f.service.Local(p.stamp())}
 	if p.Group != nil {
 		told.Group = *p.Group
 	}
@@ -543,7 +543,7 @@
 		if err != nil {
 			return fmt.Errorf("purge.key: %.40q", p.Key)
 		}
-		told.Object = object
+		told.ObjectKey = object
 	}
 	f.sink.Purge(told)
 	return nil
--- a/internal/discovery/feed_test.go
+++ b/internal/discovery/feed_test.go
@@ -23,7 +23,7 @@
 // bench is a follower on scripted dials, with a clock that the test moves.
 type bench struct {
 	f      *Follower
-	agenda director.Agenda
+	agenda director.Queue
 	clock  routing.Time
 	dials  []eventloop.Stream
 	told   []string
@@ -31,14 +31,14 @@
 }
 
 func (b *bench) Dial(_ string, _ time.Duration, s eventloop.Stream) { b.dials = append(b.dials, s) }
-func (b *bench) UpdateEndpoints(full bool, version uint64, list []director.Member) {
+func (b *bench) UpdateEndpoints(full bool, version uint64, list []director.Endpoint) {
 	for _, m := range list {
 		b.told = append(b.told, strings.TrimSpace(fmt.Sprintln(full, version, m.Name, m.Address, m.Zone, m.Kind, m.State, m.Started)))
 	}
 }
 func (b *bench) Purge(p director.Purge) {
-	b.told = append(b.told, fmt.Sprint("purge ", p.Object, " ", p.Group, " ", p.Stamp))
-	b.made = append(b.made, p.Made)
+	b.told = append(b.told, fmt.Sprint("purge ", p.ObjectKey, " ", p.Group, " ", p.RemoteIssuedAt))
+	b.made = append(b.made, p.IssuedAt)
 }
 
 func newBench(t *testing.T) *bench { return fleetBench(t, 1) }
@@ -70,7 +70,7 @@
 
 func (b *bench) pass(d time.Duration) {
 	b.clock += d
-	b.agenda.Run(b.clock)
+	b.agenda.RunDue(b.clock)
 }
 
 const ready = `{"n":1,"members":{"index":7,"snapshot":true,"endpoints":[{"name":"s-1","address":"127.0.0.1:80",` +
--- a/internal/discovery/young_test.go
+++ b/internal/discovery/young_test.go
@@ -168,7 +168,7 @@
 type flapper struct {
 	class
 	f       *Follower
-	agenda  director.Agenda
+	agenda  director.Queue
 	limits  config.Limits
 	clock   routing.Time
 	rng     *rand.Rand
@@ -219,10 +219,12 @@
 }
 
 // Members implements Sink.
-func (v *flapper) UpdateEndpoints(bool, uint64, []director.Member) {}
+func (v *flapper) UpdateEndpoints(bool, uint64, []director.Endpoint) {}
 
 // Purge implements Sink.
-func (v *flapper) Purge(p director.Purge) { v.heard = int(p.Stamp / routing.Time(time.Millisecond)) }
+func (v *flapper) Purge(p director.Purge) {
+	v.heard = int(p.RemoteIssuedAt / routing.Time(time.Millisecond))
+}
 
 // draw is one draw against the run's odds.
 func (v *flapper) draw(i int) bool {
@@ -239,7 +241,7 @@
 	v.spent++
 	v.judge.note(v.clock, "call")
 	fail := func(after time.Duration, err error, text string) {
-		v.agenda.At(v.clock+after, func() {
+		v.agenda.ScheduleFunc(v.clock+after, func() {
 			v.judge.note(v.clock, "dial "+text)
 			s.Failed(err)
 		})
@@ -252,7 +254,7 @@
 		v.timeout++
 		fail(timeout, os.ErrDeadlineExceeded, "timed out")
 	default:
-		v.agenda.At(v.clock+time.Millisecond+v.upTo(v.late), func() { v.open(s) })
+		v.agenda.ScheduleFunc(v.clock+time.Millisecond+v.upTo(v.late), func() { v.open(s) })
 	}
 }
 
@@ -333,7 +335,7 @@
 
 // beat writes the sign of life each second.
 func (v *flapper) beat(u *flap) {
-	v.agenda.At(v.clock+time.Second, func() {
+	v.agenda.ScheduleFunc(v.clock+time.Second, func() {
 		if v.live == u {
 			_ = u.s.Data(fmt.Appendf(nil, "%d\n", v.heard))
 			v.spoke(u)
@@ -353,7 +355,7 @@
 		life += 3 * time.Second
 	}
 	silent, amid := v.silent && (!v.broke || v.draw(4)), v.draw(5)
-	v.agenda.At(v.clock+life, func() {
+	v.agenda.ScheduleFunc(v.clock+life, func() {
 		switch {
 		case v.live != u || v.well:
 		case silent && (u.spoke || v.stalls < v.stalled):
@@ -387,22 +389,22 @@
 	default:
 		v.judge.miss(v.clock, v.events)
 	}
-	v.agenda.At(v.clock+time.Millisecond+v.upTo(160*time.Millisecond), v.publish)
+	v.agenda.ScheduleFunc(v.clock+time.Millisecond+v.upTo(160*time.Millisecond), v.publish)
 }
 
 // run has the service flap for some time, and then be well until all is told.
 func (v *flapper) run(flapping, well time.Duration) {
 	v.f.Start()
-	v.agenda.At(v.f.CallAt()+time.Second, v.publish)
+	v.agenda.ScheduleFunc(v.f.CallAt()+time.Second, v.publish)
 	healed, over := v.clock+flapping, v.clock+flapping+well
-	v.agenda.At(healed, func() { v.well = true })
+	v.agenda.ScheduleFunc(healed, func() { v.well = true })
 	for {
-		at, _ := v.agenda.Next()
+		at, _ := v.agenda.NextDeadline()
 		if at > over {
 			return
 		}
 		v.clock = max(v.clock, at)
-		v.agenda.Run(v.clock)
+		v.agenda.RunDue(v.clock)
 	}
 }
 
--- a/internal/downstream/answers.go
+++ b/internal/downstream/answers.go
@@ -11,7 +11,7 @@
 // What goes out, and the bounds of what clients leave unread.
 
 // Reply writes the one answer to a request.
-func (x *Session) Reply(t uint64, a director.Answer) {
+func (x *Session) Reply(t uint64, a director.Response) {
 	seq := int32(uint32(t))
 	if _, ok := x.open[seq]; !ok || x.phase == closed {
 		x.s.Counters.AnswersToDeadConns++
@@ -19,11 +19,11 @@
 	}
 	delete(x.open, seq)
 	x.lastUse = x.s.now()
-	switch a.Verdict {
+	switch a.Outcome {
 	case director.Served:
 		x.s.Counters.Answers++
 		x.serve(seq, a)
-	case director.Refused:
+	case director.Rejected:
 		x.refuse(seq, a.RetryAfter)
 	default:
 		x.s.Counters.Failures++
@@ -32,17 +32,17 @@
 	x.settle()
 }
 
-func (x *Session) serve(seq int32, a director.Answer) {
+func (x *Session) serve(seq int32, a director.Response) {
 	body := 0
 	iov := append(x.s.iov[:0], nil)
-	if a.Body != nil && !a.Same {
+	if a.Body != nil && !a.NotModified {
 		body = a.Body.Len()
 		iov = a.Body.Segments(iov)
 	}
 	w, tail := &x.s.out, &x.s.tail
 	w.answerHead("submit", seq, body)
 	tail.b = tail.b[:0]
-	if a.Same {
+	if a.NotModified {
 		tail.answerTail(true, "valid", "1")
 	} else {
 		tail.answerTail(true)
--- a/internal/downstream/clients.go
+++ b/internal/downstream/clients.go
@@ -45,7 +45,7 @@
 	limits  *config.Limits
 	pool    *buffer.Pool
 	taker   Taker
-	agenda  *director.Agenda
+	agenda  *director.Queue
 	now     func() routing.Time
 	classes map[string]int
 	conns   *director.Table[*Session]
@@ -62,15 +62,15 @@
 }
 
 // NewServer returns a server that hands requests of the settings' classes to the taker.
-func NewServer(l *config.Limits, s *routing.Settings, pool *buffer.Pool, t Taker, a *director.Agenda,
+func NewServer(l *config.Limits, s *routing.Settings, pool *buffer.Pool, t Taker, a *director.Queue,
 	now func() routing.Time) *Server {
 	classes := map[string]int{}
-	for i, c := range s.Services {
+	for i, c := range s.Classes {
 		classes[c.Name] = i
 	}
 	cooldown := time.Duration(0)
-	if s.Ceilings.RetryAfter {
-		cooldown = min(l.RefuseFor, s.Ceilings.MaxRetryAfter)
+	if s.SiteLimits.RetryAfterAllowed {
+		cooldown = min(l.RefuseFor, s.SiteLimits.MaxRetryAfter)
 	}
 	return &Server{limits: l, pool: pool, taker: t, agenda: a, now: now, classes: classes, cooldown: cooldown,
 		Ready: func() bool { return true }, Rejected: func(error) {},
--- a/internal/downstream/clients_test.go
+++ b/internal/downstream/clients_test.go
@@ -17,7 +17,7 @@
 // bench is a server that hands requests to the test.
 type bench struct {
 	s         *Server
-	agenda    director.Agenda
+	agenda    director.Queue
 	clock     routing.Time
 	pool      *buffer.Pool
 	taken     []director.Request
@@ -53,7 +53,7 @@
 	l := &config.Limits{ClientConns: 5, ClientOpen: 2, RequestFrame: 4096, RequestBody: 100, RequestFields: 16,
 		ClientBacklog: 10_000, TotalBacklog: 15_000, ClientIdle: 30 * time.Second, ClientMessage: 2 * time.Second,
 		ClientKeeps: 5 * time.Second, LongestAllow: time.Minute}
-	s := &routing.Settings{Services: []routing.Class{{Name: "pages"}, {Name: "media"}}}
+	s := &routing.Settings{Classes: []routing.Class{{Name: "pages"}, {Name: "media"}}}
 	b.s = NewServer(l, s, b.pool, b, &b.agenda, func() routing.Time { return b.clock })
 	b.s.Rejected = func(error) { b.rejected++ }
 	return b
@@ -83,7 +83,7 @@
 			t.Fatalf("pieces of %d: %d requests", piece, len(b.taken))
 		}
 		q := b.taken[0]
-		got := []any{q.Ref, q.Service, q.Object, q.Part, q.Class, q.Key, q.PartNo, q.Group, q.SizeKB, q.Known, q.IdempotencyKey, q.Allow,
+		got := []any{q.Ref, q.Service, q.Object, q.Part, q.Class, q.ObjectKey, q.PartNumber, q.Group, q.SizeKB, q.IfNoneMatch, q.IdempotencyKey, q.Timeout,
 			q.Body.Len()}
 		want := []any{ref, "media", "7f3a9c21e0b4d655", "3", 1, uint64(0x7f3a9c21e0b4d655), 3, 17, 412.5,
 			"4be0c1927d55a6f3", "5c0f6e1a2b3d4c59", 1500 * time.Millisecond, 99}
@@ -120,12 +120,12 @@
 	x, y := b.s.Accept(w), b.s.Accept(w2)
 	x.Data([]byte(nettest.SubmitFrame(1, "", request(ref)...)))
 	w.Unread = 9_990
-	b.replier.Reply(b.tokens[0], director.Answer{Verdict: director.Served})
+	b.replier.Reply(b.tokens[0], director.Response{Outcome: director.Served})
 	if !w.Closed || w.Text.Len() > 0 {
 		t.Errorf("closed %v with %d bytes written", w.Closed, w.Text.Len())
 	}
 	y.Data([]byte(nettest.SubmitFrame(1, "", request(ref)...)))
-	b.replier.Reply(b.tokens[1], director.Answer{Verdict: director.Served})
+	b.replier.Reply(b.tokens[1], director.Response{Outcome: director.Served})
 	if w2.Closed || w2.Text.Len() == 0 {
 		t.Error("another client suffers from it")
 	}
@@ -140,7 +140,7 @@
 	}
 	links[0].Unread, links[1].Unread = 6_000, 9_500
 	b.s.backlog = b.s.Unsent()
-	b.replier.Reply(b.tokens[2], director.Answer{Verdict: director.Served})
+	b.replier.Reply(b.tokens[2], director.Response{Outcome: director.Served})
 	if links[0].Closed || !links[1].Closed || links[2].Closed || links[2].Text.Len() == 0 {
 		t.Errorf("closed %v, %v, %v with %d bytes written to the last; want the second closed alone", links[0].Closed,
 			links[1].Closed, links[2].Closed, links[2].Text.Len())
@@ -186,7 +186,7 @@
 		if !links[1].Closed {
 			x[1].Data([]byte("\x00")) // never more than a byte, and never none for long
 		}
-		b.agenda.Run(b.clock)
+		b.agenda.RunDue(b.clock)
 		for i := range links {
 			if links[i].Closed && closed[i] == 0 {
 				closed[i] = second
--- a/internal/downstream/golden_test.go
+++ b/internal/downstream/golden_test.go
@@ -112,9 +112,9 @@
 		body = append(body, segment...)
 	}
 	h.transcript.line("  request seqid=%d service=%q class=%d ref=%q lookup=%q as-number=%016x chunk=%q as-number=%d tag=%d "+
-		"room=%s known=%q replay=%q allow=%dms body=%s", int32(uint32(token)), q.Service, q.Class, q.Ref, q.Object, q.Key, q.Part,
-		q.PartNo, q.Group, strconv.FormatFloat(q.SizeKB, 'g', -1, 64), q.Known, q.IdempotencyKey,
-		q.Allow/time.Millisecond, goldenBytes(body))
+		"room=%s known=%q replay=%q allow=%dms body=%s", int32(uint32(token)), q.Service, q.Class, q.Ref, q.Object, q.ObjectKey, q.Part,
+		q.PartNumber, q.Group, strconv.FormatFloat(q.SizeKB, 'g', -1, 64), q.IfNoneMatch, q.IdempotencyKey,
+		q.Timeout/time.Millisecond, goldenBytes(body))
 	q.Body.Release()
 	h.repliers, h.tokens = append(h.repliers, r), append(h.tokens, token)
 	return director.Handle(len(h.tokens)), true
@@ -148,7 +148,7 @@
 	server     *Server
 	connection *Session
 	pool       *buffer.Pool
-	timers     director.Agenda
+	timers     director.Queue
 }
 
 func newGoldenConnection(t *testing.T, options goldenOptions) *goldenConnection {
@@ -163,8 +163,8 @@
 		ClientKeeps: 5 * time.Second, ClientLinger: time.Second, ClientLingers: 4, LingerBytes: 1 << 20,
 		FlushCheck: 10 * time.Millisecond, PartGrace: time.Second, ClientStuck: time.Second, LongestAllow: time.Minute,
 		RefuseFor: options.cooldown}
-	settings := &routing.Settings{Services: []routing.Class{{Name: "pages"}, {Name: "media"}}}
-	settings.Ceilings.RetryAfter, settings.Ceilings.MaxRetryAfter = options.cooldown > 0, time.Minute
+	settings := &routing.Settings{Classes: []routing.Class{{Name: "pages"}, {Name: "media"}}}
+	settings.SiteLimits.RetryAfterAllowed, settings.SiteLimits.MaxRetryAfter = options.cooldown > 0, time.Minute
 	g.server = NewServer(limits, settings, g.pool, &g.handler, &g.timers, func() routing.Time { return 1000 * time.Second })
 	g.server.Ready = func() bool { return !options.notReady }
 	g.server.Rejected = func(error) { g.transcript.line("  protocol error") }
@@ -185,7 +185,7 @@
 }
 
 // reply answers a request, counted from 0 in the order in which they came, with a body or without (nil).
-func (g *goldenConnection) reply(request int, answer director.Answer, body []byte) {
+func (g *goldenConnection) reply(request int, answer director.Response, body []byte) {
 	g.t.Helper()
 	if body != nil {
 		chain := g.pool.Chain()
@@ -276,16 +276,16 @@
 
 // TestGoldenAnswers compares the bytes of every kind of answer.
 func TestGoldenAnswers(t *testing.T) {
-	served := director.Answer{Verdict: director.Served}
-	same := director.Answer{Verdict: director.Served, Same: true}
-	failed := director.Answer{Verdict: director.Failed}
-	rejected := func(after time.Duration) director.Answer {
-		return director.Answer{Verdict: director.Refused, RetryAfter: after}
+	served := director.Response{Outcome: director.Served}
+	same := director.Response{Outcome: director.Served, NotModified: true}
+	failed := director.Response{Outcome: director.Failed}
+	rejected := func(after time.Duration) director.Response {
+		return director.Response{Outcome: director.Rejected, RetryAfter: after}
 	}
 	var all strings.Builder
 	for _, c := range []struct {
 		name   string
-		answer director.Answer
+		answer director.Response
 		body   []byte
 	}{
 		{"served without a body", served, nil},
@@ -326,14 +326,14 @@
 // goldenOrders holds answers that come in another order than their requests, twice, or for nobody.
 func goldenOrders(t *testing.T) string {
 	t.Helper()
-	served := director.Answer{Verdict: director.Served}
+	served := director.Response{Outcome: director.Served}
 	g := newGoldenConnection(t, goldenOptions{})
 	g.transcript.line("answers in another order, one of them again, one behind its revoke, one behind the end")
 	for seqid := range int32(3) {
 		g.receive(goldenSubmit(seqid+1, "", goldenFields()...), 1<<20)
 	}
 	g.reply(2, served, []byte("third"))
-	g.reply(0, director.Answer{Verdict: director.Failed}, nil)
+	g.reply(0, director.Response{Outcome: director.Failed}, nil)
 	g.reply(0, served, []byte("first again"))
 	g.receive(goldenFrame(goldenMessage(4, "revoke", 9, "\x08\x00\x01"+goldenInt32(2)+"\x00")), 1<<20)
 	g.reply(1, served, []byte("revoked"))
--- a/internal/downstream/phases_test.go
+++ b/internal/downstream/phases_test.go
@@ -21,12 +21,12 @@
 func (b *bench) pass(d time.Duration) {
 	for end := b.clock + d; b.clock < end; {
 		b.clock += 5 * time.Millisecond
-		b.agenda.Run(b.clock)
+		b.agenda.RunDue(b.clock)
 	}
 }
 
 func (b *bench) served(i int) {
-	b.replier.Reply(b.tokens[i], director.Answer{Verdict: director.Served})
+	b.replier.Reply(b.tokens[i], director.Response{Outcome: director.Served})
 }
 
 func submission(seq int32) []byte { return []byte(nettest.SubmitFrame(seq, "", request(ref)...)) }
--- a/internal/downstream/requests.go
+++ b/internal/downstream/requests.go
@@ -153,7 +153,7 @@
 		c.BadMessage++
 		return fmt.Errorf("sequence number %d is open", m.seq)
 	}
-	q := director.Request{Conn: x.id, Body: x.s.pool.Chain()}
+	q := director.Request{ConnID: x.id, Body: x.s.pool.Chain()}
 	err := r.err
 	if err == nil {
 		err = x.s.request(args, &q)
@@ -202,7 +202,7 @@
 // request checks the fields of a request.
 func (s *Server) request(a submit, q *director.Request) error {
 	f := a.fields
-	q.Ref, q.Service, q.Object, q.Part, q.Known = f["ref"], f["service"], f["lookup"], f["chunk"], f["known"]
+	q.Ref, q.Service, q.Object, q.Part, q.IfNoneMatch = f["ref"], f["service"], f["lookup"], f["chunk"], f["known"]
 	q.IdempotencyKey = f["replay"]
 	class, ok := s.classes[q.Service]
 	if !ok {
@@ -214,9 +214,9 @@
 			return fmt.Errorf("%s: %.40q is not 16 hex digits", h.name, h.value)
 		}
 	}
-	q.Key, _ = strconv.ParseUint(q.Object, 16, 64)
-	if q.Known != "" && !token(q.Known) {
-		return fmt.Errorf("known: %.40q is no tag", q.Known)
+	q.ObjectKey, _ = strconv.ParseUint(q.Object, 16, 64)
+	if q.IfNoneMatch != "" && !token(q.IfNoneMatch) {
+		return fmt.Errorf("known: %.40q is no tag", q.IfNoneMatch)
 	}
 	if q.IdempotencyKey != "" && !token(q.IdempotencyKey) {
 		return fmt.Errorf("replay: %.40q is no idempotency key", q.IdempotencyKey)
@@ -225,11 +225,11 @@
 	if err != nil {
 		return err
 	}
-	q.Allow = time.Duration(allow) * time.Millisecond
+	q.Timeout = time.Duration(allow) * time.Millisecond
 	if q.Part == "" {
 		q.Part = "0"
 	}
-	if q.PartNo, err = number("chunk", q.Part, 0, math.MaxInt32); err != nil {
+	if q.PartNumber, err = number("chunk", q.Part, 0, math.MaxInt32); err != nil {
 		return err
 	}
 	if v := f["tag"]; v != "" {
--- a/internal/downstream/session.go
+++ b/internal/downstream/session.go
@@ -34,7 +34,7 @@
 	want    int    // bytes of the frame under way; 0: none
 	got     buffer.Chain
 	open    map[int32]director.Handle
-	idle    director.Entry
+	idle    director.Timer
 	lastUse routing.Time // when it last brought a whole message or was answered
 	heard   routing.Time // when it last brought a whole message
 	unread  int          // bytes that its client had not taken when that last changed, as seen by Curtail
@@ -68,19 +68,19 @@
 	switch to {
 	case failing:
 		s.Counters.Failing++
-		s.agenda.Drop(&x.idle) // what is open ends by its own time
+		s.agenda.Cancel(&x.idle) // what is open ends by its own time
 		x.settle()
 	case lingering:
 		s.Counters.Lingering++
 		s.lingers = append(s.lingers, x)
-		s.agenda.Set(&x.idle, s.now()+s.limits.ClientLinger, x.ebb)
+		s.agenda.Schedule(&x.idle, s.now()+s.limits.ClientLinger, x.ebb)
 		if x.c.CloseWrite() != nil {
 			x.shut(halfCloseFailed)
 		}
 		s.trim()
 	case closed:
 		s.Counters.Closed++
-		s.agenda.Drop(&x.idle)
+		s.agenda.Cancel(&x.idle)
 		for seq, h := range x.open {
 			delete(x.open, seq)
 			s.taker.Cancel(h)
@@ -113,7 +113,7 @@
 	case x.c.OutboundBuffered() > 0 && x.s.now()-x.lastUse >= x.s.limits.ClientIdle:
 		x.shut(answerUnread)
 	case x.c.OutboundBuffered() > 0: // nothing tells when it has gone out
-		x.s.agenda.Set(&x.idle, x.s.now()+x.s.limits.FlushCheck, x.settle)
+		x.s.agenda.Schedule(&x.idle, x.s.now()+x.s.limits.FlushCheck, x.settle)
 	default:
 		x.move(lingering, nothingOwed)
 	}
@@ -129,7 +129,7 @@
 // that it sends behind our close would reset the connection and take the rest along.
 func (x *Session) ebb() {
 	if x.c.Unacknowledged() > 0 && x.s.now()-x.lastUse < x.s.limits.ClientIdle {
-		x.s.agenda.Set(&x.idle, x.s.now()+x.s.limits.ClientLinger, x.ebb)
+		x.s.agenda.Schedule(&x.idle, x.s.now()+x.s.limits.ClientLinger, x.ebb)
 		return
 	}
 	x.cut(lingerOver)
@@ -155,7 +155,7 @@
 	case x.begun != 0:
 		due = min(due, x.begun+l.ClientMessage)
 	}
-	x.s.agenda.Set(&x.idle, due, func() {
+	x.s.agenda.Schedule(&x.idle, due, func() {
 		why := mute
 		switch now := x.s.now(); {
 		case x.begun != 0 && now-x.begun >= l.ClientMessage:
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -117,7 +117,7 @@
 	// AcceptFailed, where set, is told, off the loop, of each accept that failed and is tried again.
 	AcceptFailed func(error)
 
-	Agenda *director.Agenda
+	Agenda *director.Queue
 	Now    func() routing.Time
 
 	listener *listener.Listener
@@ -347,7 +347,7 @@
 	if l.el == nil {
 		return // the doorbell opens before the boot, which arms for all that is due
 	}
-	at, ok := l.Agenda.Next()
+	at, ok := l.Agenda.NextDeadline()
 	if l.rests != 0 {
 		at, ok = l.rests, true
 	}
@@ -374,7 +374,7 @@
 		l.rests = 0
 		l.Settled()
 	}
-	l.Agenda.Run(now)
+	l.Agenda.RunDue(now)
 }
 
 // dial carries a stream from its dial to OnOpen.
--- a/internal/failover/advice.go
+++ b/internal/failover/advice.go
@@ -36,18 +36,18 @@
 }
 
 // members stand for all servers of each zone.
-func (a *Adviser) members(carries []float64) (list []routing.Member) {
-	f := &a.s.Family
+func (a *Adviser) members(carries []float64) (list []routing.Endpoint) {
+	f := &a.s.Tiers
 	cache := 0 // the first kind that is neither a parent nor the origin
-	for cache == f.MasterKind || cache == f.SecondTierKind {
+	for cache == f.OriginKind || cache == f.ParentKind {
 		cache++
 	}
 	for z, c := range carries {
-		kind := f.SecondTierKind
-		if z < len(f.SeatsByZone) && f.SeatsByZone[z] > 0 {
+		kind := f.ParentKind
+		if z < len(f.DirectorsByZone) && f.DirectorsByZone[z] > 0 {
 			kind = cache
 		}
-		list = append(list, routing.Member{Zone: z, Kind: kind, State: routing.Ready, Weight: c})
+		list = append(list, routing.Endpoint{Zone: z, Kind: kind, State: routing.Ready, Weight: c})
 	}
 	return list
 }
--- a/internal/failover/advice_test.go
+++ b/internal/failover/advice_test.go
@@ -11,10 +11,10 @@
 // settings are those of a director of branch edge-1, with three hubs.
 func settings() *routing.Settings {
 	return &routing.Settings{Zones: []string{"west", "middle", "east", "edge-1", "edge-2"}, Zone: 3,
-		Services: []routing.Class{{Name: "media", Worth: 2, Effect: "read_like"}, {Name: "pages", Worth: 1, Effect: "read_like"},
-			{Name: "pay", Worth: 3, Effect: "non_idempotent"}},
-		Family: routing.Tiers{MasterKind: 2, SecondTierKind: 1, SeatsByZone: []int{0, 0, 0, 4, 4}, HubByZone: []int{0, 1, 2, 0, 1},
-			PassOn: []bool{false, false, true}}}
+		Classes: []routing.Class{{Name: "media", PriorityWeight: 2, Idempotency: "read_like"}, {Name: "pages", PriorityWeight: 1, Idempotency: "read_like"},
+			{Name: "pay", PriorityWeight: 3, Idempotency: "non_idempotent"}},
+		Tiers: routing.TierSettings{OriginKind: 2, ParentKind: 1, DirectorsByZone: []int{0, 0, 0, 4, 4}, HubByZone: []int{0, 1, 2, 0, 1},
+			Uncacheable: []bool{false, false, true}}}
 }
 
 func TestAdviceIsThePlanForOurBranch(t *testing.T) {
--- a/internal/failover/topology.go
+++ b/internal/failover/topology.go
@@ -72,20 +72,20 @@
 
 // From takes the topology from a director's settings and the list of servers that it knows. Draining and gone
 // servers carry nothing.
-func From(s *routing.Settings, members []routing.Member, w Wishes) (*Topology, error) {
-	f, g := &s.Family, &s.Guarantees
+func From(s *routing.Settings, members []routing.Endpoint, w Wishes) (*Topology, error) {
+	f, g := &s.Tiers, &s.Guarantees
 	t := &Topology{Bypass: f.BypassAllowed, Load: cmp.Or(w.UsualLoad, usualLoad),
 		Hits: cmp.Or(w.Hits, usualHits), ParentHits: cmp.Or(w.ParentHits, parentHits), Origin: w.Origin,
-		FarPrice: f.TransitPrice,
-		Cold:     g.Cold, ColdFrom: g.ColdFrom, ColdTimes: g.TipMultiple,
-		ParentCold: f.ParentRamp, ParentFrom: f.ParentColdFrom, ParentTops: f.ParentFallMultiple}
+		FarPrice: f.TransitCost,
+		Cold:     g.SlowStartDuration, ColdFrom: g.SlowStartFraction, ColdTimes: g.OverloadMultiple,
+		ParentCold: f.ParentSlowStartDuration, ParentFrom: f.ParentSlowStartFraction, ParentTops: f.ParentOverloadMultiple}
 	carries, hubs, seen := make([]float64, len(s.Zones)), make([]bool, len(s.Zones)), make([]bool, len(s.Zones))
 	for _, m := range members {
-		if m.Zone < 0 || m.Zone >= len(s.Zones) || m.Kind == f.MasterKind {
+		if m.Zone < 0 || m.Zone >= len(s.Zones) || m.Kind == f.OriginKind {
 			continue
 		}
 		seen[m.Zone] = true
-		hubs[m.Zone] = hubs[m.Zone] || m.Kind == f.SecondTierKind
+		hubs[m.Zone] = hubs[m.Zone] || m.Kind == f.ParentKind
 		if m.State == routing.Ready {
 			carries[m.Zone] += m.Weight
 		}
@@ -93,10 +93,10 @@
 	place := make([]int, len(s.Zones)) // of a zone among the sites
 	for z, name := range s.Zones {
 		site := Site{Name: name, Carries: carries[z], Home: -1, Ring: -1}
-		seats := z < len(f.SeatsByZone) && f.SeatsByZone[z] > 0
+		seats := z < len(f.DirectorsByZone) && f.DirectorsByZone[z] > 0
 		site.Hub = hubs[z] || (!seats && !seen[z])
-		if !site.Hub && z < len(f.FeedKBPerS) && f.FlowKBPerS > 0 {
-			site.LinkIn = f.FeedKBPerS[z] / f.FlowKBPerS
+		if !site.Hub && z < len(f.InboundLinkKBPerSecond) && f.TransferKBPerSecond > 0 {
+			site.LinkIn = f.InboundLinkKBPerSecond[z] / f.TransferKBPerSecond
 		}
 		place[z] = len(t.Sites)
 		t.Sites = append(t.Sites, site)
@@ -114,10 +114,10 @@
 			site.Home = place[hub]
 		}
 	}
-	for i, c := range s.Services {
-		k := Class{Name: c.Name, Share: 1 / float64(len(s.Services)), Work: usualWork, Worth: c.Worth,
-			Once: c.Effect == "non_idempotent"}
-		k.PassOn = i < len(f.PassOn) && f.PassOn[i]
+	for i, c := range s.Classes {
+		k := Class{Name: c.Name, Share: 1 / float64(len(s.Classes)), Work: usualWork, Worth: c.PriorityWeight,
+			Once: c.Idempotency == "non_idempotent"}
+		k.PassOn = i < len(f.Uncacheable) && f.Uncacheable[i]
 		if ms := w.WorkMS[c.Name]; ms > 0 {
 			k.Work = time.Duration(ms * float64(time.Millisecond))
 		}
--- a/internal/simwire/wire.go
+++ b/internal/simwire/wire.go
@@ -54,8 +54,8 @@
 )
 
 var results = map[uint16]routing.Result{
-	100: routing.OK, 101: routing.Miss, 301: routing.Errored, 302: routing.Refused, 303: routing.TimedOut,
-	304: routing.ConnectFailed, 305: routing.Reset, 306: routing.Cancelled, 307: routing.Moot,
+	100: routing.OK, 101: routing.Miss, 301: routing.Errored, 302: routing.Rejected, 303: routing.TimedOut,
+	304: routing.ConnectFailed, 305: routing.Reset, 306: routing.Cancelled, 307: routing.Abandoned,
 }
 
 // Born starts an instance.
@@ -87,7 +87,7 @@
 type Reader struct {
 	r     io.Reader
 	buf   []byte
-	banks [banks][]routing.Member
+	banks [banks][]routing.Endpoint
 }
 
 // NewReader returns a Reader on r.
@@ -158,34 +158,34 @@
 	case evCrashNow:
 		rec.Event = Killed{}
 	case evDirectory:
-		m := routing.Members{Kind: routing.ListKind(f.u8()), Version: f.u64()}
+		m := routing.EndpointUpdate{Kind: routing.UpdateKind(f.u8()), Version: f.u64()}
 		bank := f.u16()
-		if m.Kind > routing.Failed || (bank >= banks && m.Kind != routing.Failed) {
+		if m.Kind > routing.UpdateFailed || (bank >= banks && m.Kind != routing.UpdateFailed) {
 			f.fail("list kind %d, bank %d", m.Kind, bank)
-		} else if m.Kind != routing.Failed {
-			m.List = r.banks[bank]
+		} else if m.Kind != routing.UpdateFailed {
+			m.Endpoints = r.banks[bank]
 		}
 		rec.Event = m
 	case evInbound:
 		q := routing.Request{ID: f.u32(), Class: int(f.u16()), Tenant: int(f.u16()), Object: f.u64(),
-			GiveUpAt: f.time(), SizeKB: f.f32(), Group: int(f.f32()), Part: int(f.f32())}
+			Deadline: f.time(), SizeKB: f.f32(), Group: int(f.f32()), Part: int(f.f32())}
 		flags := f.u16()
-		q.Repeat, q.Write = flags&2 != 0, flags&4 != 0
+		q.ClientRetry, q.Write = flags&2 != 0, flags&4 != 0
 		rec.Event = q
 	case evFirst:
-		rec.Event = routing.Started{ID: f.u32(), Attempt: int(f.u16()), Host: f.host(), After: f.time()}
+		rec.Event = routing.StreamStarted{ID: f.u32(), Attempt: int(f.u16()), Host: f.host(), Elapsed: f.time()}
 	case evAnswer:
 		rec.Event = routing.Outcome{ID: f.u32(), Attempt: int(f.u16()), Host: f.host(), Result: f.result(),
-			After: f.time(), Settled: f.u8() != 0, Note: routing.Note(f.u32()), Waited: f.time(),
-			Report: f.report()}
+			Elapsed: f.time(), RequestDone: f.u8() != 0, FillStatus: routing.FillStatus(f.u32()), SourceWait: f.time(),
+			LoadReport: f.report()}
 	case evExpired:
-		rec.Event = routing.Expired{ID: f.u32()}
+		rec.Event = routing.RequestClosed{ID: f.u32()}
 	case evWake:
-		rec.Event = routing.Timer{Token: f.u64()}
+		rec.Event = routing.TimerFired{Token: f.u64()}
 	case evStatus:
 		after := f.time()
 		res := f.result()
-		rec.Event = routing.ProbeResult{After: after, Result: res, Host: f.host(), Report: f.report()}
+		rec.Event = routing.ProbeResult{Elapsed: after, Result: res, Host: f.host(), LoadReport: f.report()}
 	case evDatagram:
 		m := routing.PeerMessage{From: f.u32()}
 		m.Data = append([]byte(nil), f.bytes(int(f.u16()))...)
@@ -255,13 +255,13 @@
 	return r
 }
 
-func (f *fields) members() []routing.Member {
+func (f *fields) members() []routing.Endpoint {
 	n := int(f.u32())
 	if f.err != nil || n > len(f.p)/memberLen {
 		f.fail("list is cut short")
 		return nil
 	}
-	list := make([]routing.Member, n)
+	list := make([]routing.Endpoint, n)
 	for i := range list {
 		m := &list[i]
 		m.Host, m.Zone, m.Kind = f.host(), int(f.u16()), int(f.u8())
@@ -316,9 +316,9 @@
 	case routing.Fetch:
 		code = acPullVia
 		w.u32(a.ID)
-		w.u8(uint8(a.How))
+		w.u8(uint8(a.Flags))
 		w.time(a.Timeout)
-		w.u8(a.Keep)
+		w.u8(a.RetentionRank)
 		w.host(a.Source)
 		w.host(a.Host)
 		w.time(a.MaxAge)
@@ -326,7 +326,7 @@
 		code = acUndo
 		w.u32(a.ID)
 		w.u16(uint16(a.Attempt))
-	case routing.Refuse:
+	case routing.Reject:
 		code = acShed
 		w.u32(a.ID)
 		w.time(a.RetryAfter)
@@ -340,25 +340,25 @@
 	case routing.Probe:
 		code = acPoll
 		w.host(a.Host)
-	case routing.CloseIdle:
+	case routing.CloseIdleConnections:
 		code = acFreeLinks
 		w.host(a.Host)
-	case routing.Tell:
+	case routing.SendPeerMessage:
 		code = acSay
 		w.u32(a.To)
 		w.text(a.Data)
 	case routing.Subscribe:
 		code = acListen
 		on := uint8(0)
-		if a.On {
+		if a.Enabled {
 			on = 1
 		}
 		w.u8(on)
-	case routing.Snapshot:
+	case routing.PollEndpoints:
 		code = acSnapshot
 	case routing.Log:
 		code = acLog
-		w.text([]byte(a.Text))
+		w.text([]byte(a.Message))
 	case Crash:
 		code = acCrash
 		w.text([]byte(a.Text))
--- a/internal/simwire/wire_test.go
+++ b/internal/simwire/wire_test.go
@@ -48,16 +48,16 @@
 			10 00000028 0003 5d3a91c4 0000 0000 91f03b7c55d20a64 0000000203b6db90 44200000 41300000 40400000 0001
 			14 0000000a 0003 000000000000004d
 			13 00000006 0005 0e6f2b19`, 3, []Record{
-			{3, routing.Request{ID: 0x5d3a91c4, Object: 0x91f03b7c55d20a64, GiveUpAt: 0x203b6db90, SizeKB: 640,
+			{3, routing.Request{ID: 0x5d3a91c4, Object: 0x91f03b7c55d20a64, Deadline: 0x203b6db90, SizeKB: 640,
 				Group: 11, Part: 3}},
-			{3, routing.Timer{Token: 77}},
-			{5, routing.Expired{ID: 0x0e6f2b19}}}},
+			{3, routing.TimerFired{Token: 77}},
+			{5, routing.RequestClosed{ID: 0x0e6f2b19}}}},
 		{"list", `
 			18 00000036 0000 00000002
 			0a124a07 138b 0000 00 02 0000000000000000 3f800000 0000
 			0a9011f2 13b4 0001 00 02 000000016b969d00 3fc00000 0000
 			15 0000000d 0003 02 0000000000000029 0000`, 2, []Record{
-			{3, routing.Members{Kind: routing.Cached, Version: 41, List: []routing.Member{
+			{3, routing.EndpointUpdate{Kind: routing.UpdateCached, Version: 41, Endpoints: []routing.Endpoint{
 				{Host: hostA, State: routing.Ready, Weight: 1},
 				{Host: hostB, Zone: 1, State: routing.Ready, Started: 0x16b969d00, Weight: 1.5}}}}}},
 		{"a bank is used anew within the batch", `
@@ -65,25 +65,25 @@
 			15 0000000d 0003 01 0000000000000029 0001
 			18 00000006 0001 00000000
 			15 0000000d 0004 01 0000000000000029 0001`, 4, []Record{
-			{3, routing.Members{Kind: routing.Full, Version: 41, List: []routing.Member{
+			{3, routing.EndpointUpdate{Kind: routing.UpdateFull, Version: 41, Endpoints: []routing.Endpoint{
 				{Host: hostA, State: routing.Ready, Weight: 1}}}},
-			{4, routing.Members{Kind: routing.Full, Version: 41, List: []routing.Member{}}}}},
+			{4, routing.EndpointUpdate{Kind: routing.UpdateFull, Version: 41, Endpoints: []routing.Endpoint{}}}}},
 		{"answer", `11 00000036 0003 5d3a91c4 0000 0a124a07 138b 0064 00000000011a49a0 01 00000002 00000000008f6ec0
 			04 3f1eb85240e000003fa000003ecccccd`, 1, []Record{
-			{3, routing.Outcome{ID: 0x5d3a91c4, Host: hostA, Result: routing.OK, After: 18500000, Settled: true,
-				Note: routing.NoteFilled, Waited: 9400000, Report: []float32{0.62, 7, 1.25, 0.4}}}}},
+			{3, routing.Outcome{ID: 0x5d3a91c4, Host: hostA, Result: routing.OK, Elapsed: 18500000, RequestDone: true,
+				FillStatus: routing.FillStatusFilled, SourceWait: 9400000, LoadReport: []float32{0.62, 7, 1.25, 0.4}}}}},
 		{"purge, crash, first", `
 			19 00000014 0003 000000000510ff40 000b 0000007c55d20a01
 			16 00000002 0003
 			12 00000016 0003 00000001 0002 0a124a07 138b 0000000000000005`, 3, []Record{
 			{3, routing.Purge{Age: 85000000, Group: 11, Object: 0x7c55d20a01}},
 			{3, Killed{}},
-			{3, routing.Started{ID: 1, Attempt: 2, Host: hostA, After: 5}}}},
+			{3, routing.StreamStarted{ID: 1, Attempt: 2, Host: hostA, Elapsed: 5}}}},
 		{"status, datagram, born", `
 			1a 00000017 0003 0000000000000005 0130 0a124a07 138b 01 3f800000
 			17 00000009 0003 00000002 0001 68
 			1b 00000010 0003 0000000000000009 00000002 7b7d`, 3, []Record{
-			{3, routing.ProbeResult{Host: hostA, After: 5, Result: routing.ConnectFailed, Report: []float32{1}}},
+			{3, routing.ProbeResult{Host: hostA, Elapsed: 5, Result: routing.ConnectFailed, LoadReport: []float32{1}}},
 			{3, routing.PeerMessage{From: 2, Data: []byte("h")}},
 			{3, Born{Seed: 9, Settings: []byte("{}")}}}},
 	} {
@@ -109,18 +109,18 @@
 	}{
 		{routing.Forward{ID: 0x5d3a91c4, Timeout: 80000000, Host: hostA}, "10 00000014 0003 5d3a91c4 0000000004c4b400 0a124a07 138b"},
 		{routing.SetTimer{Token: 77, At: 0x213362490}, "11 00000012 0003 000000000000004d 0000000213362490"},
-		{routing.Log{Text: "two servers known"}, "13 00000015 0003 0011 74776f2073657276657273206b6e6f776e"},
-		{routing.Fetch{ID: 0x5d3a91c4, Host: hostA, Source: hostB, Keep: 2, How: routing.JoinFill | routing.Renew,
+		{routing.Log{Message: "two servers known"}, "13 00000015 0003 0011 74776f2073657276657273206b6e6f776e"},
+		{routing.Fetch{ID: 0x5d3a91c4, Host: hostA, Source: hostB, RetentionRank: 2, Flags: routing.CoalesceFill | routing.StaleWhileRevalidate,
 			Timeout: 900000000, MaxAge: 1500000000},
 			"15 00000024 0003 5d3a91c4 09 0000000035a4e900 02 0a9011f2 13b4 0a124a07 138b 0000000059682f00"},
-		{routing.Tell{To: routing.Everyone, Data: []byte("hi 7")}, "19 0000000c 0003 ffffffff 0004 68692037"},
+		{routing.SendPeerMessage{To: routing.AllPeers, Data: []byte("hi 7")}, "19 0000000c 0003 ffffffff 0004 68692037"},
 		{routing.Cancel{ID: 1, Attempt: 2}, "14 00000008 0003 00000001 0002"},
-		{routing.Refuse{ID: 1, RetryAfter: 5}, "1c 0000000e 0003 00000001 0000000000000005"},
+		{routing.Reject{ID: 1, RetryAfter: 5}, "1c 0000000e 0003 00000001 0000000000000005"},
 		{routing.Fail{ID: 1}, "17 00000006 0003 00000001"},
 		{routing.Probe{Host: hostA}, "18 00000008 0003 0a124a07 138b"},
-		{routing.CloseIdle{Host: hostA}, "1b 00000008 0003 0a124a07 138b"},
-		{routing.Subscribe{On: true}, "16 00000003 0003 01"},
-		{routing.Snapshot{}, "12 00000002 0003"},
+		{routing.CloseIdleConnections{Host: hostA}, "1b 00000008 0003 0a124a07 138b"},
+		{routing.Subscribe{Enabled: true}, "16 00000003 0003 01"},
+		{routing.PollEndpoints{}, "12 00000002 0003"},
 		{Crash{Text: "x"}, "1a 00000005 0003 0001 78"},
 	} {
 		var w Reply
--- a/internal/upstream/answers.go
+++ b/internal/upstream/answers.go
@@ -51,7 +51,7 @@
 	if err != nil {
 		f.Counters.BadAnswer++
 		a.body.Release()
-		e = director.Ending{Result: routing.Errored}
+		e = director.AttemptResult{Result: routing.Errored}
 	}
 	if e.Result != routing.OK {
 		c.ghost(k.id) // a request that was served does not come again
@@ -62,12 +62,12 @@
 
 var (
 	words = map[string]routing.Result{"OK": routing.OK, "SAME": routing.OK, "MISS": routing.Miss,
-		"BUSY": routing.Refused, "ERR": routing.Errored, "VOID": routing.Moot}
-	notes = map[string]routing.Note{"HIT": routing.NoteHit, "MISS": routing.NoteFilled,
-		"MISS_ORIGIN": routing.NoteFilledByOrigin, "COLLAPSED": routing.NoteJoined, "STALE": routing.NoteStale,
-		"UP_BUSY": routing.NoteSourceRefused, "UP_DOWN": routing.NoteSourceUnreached,
-		"UP_MISS": routing.NoteSourceLacks, "NO_FILL": routing.NoteNoFillSlot,
-		"ORIGIN_ERR": routing.NoteOriginFailed}
+		"BUSY": routing.Rejected, "ERR": routing.Errored, "VOID": routing.Abandoned}
+	notes = map[string]routing.FillStatus{"HIT": routing.FillStatusHit, "MISS": routing.FillStatusFilled,
+		"MISS_ORIGIN": routing.FillStatusFilledByOrigin, "COLLAPSED": routing.FillStatusCoalesced, "STALE": routing.FillStatusStale,
+		"UP_BUSY": routing.FillStatusSourceRejected, "UP_DOWN": routing.FillStatusSourceUnreachable,
+		"UP_MISS": routing.FillStatusSourceMiss, "NO_FILL": routing.FillStatusNoFillSlot,
+		"ORIGIN_ERR": routing.FillStatusOriginFailed}
 	// reportWords are the wire's words for load figures that the settings name otherwise.
 	reportWords = map[string]string{"active": "inflight", "waiting": "queue", "cpu": "util",
 		"avg_ms": "latency_ms", "rps": "qps", "err_rps": "eps"}
@@ -76,18 +76,18 @@
 var errAnswer = errors.New("unusable answer")
 
 // ending reads the words and fields of an answer.
-func (f *Fleet) ending(a answer, k *call) (director.Ending, error) {
+func (f *Fleet) ending(a answer, k *call) (director.AttemptResult, error) {
 	result, ok := words[a.word]
 	if !ok {
-		return director.Ending{}, errAnswer
+		return director.AttemptResult{}, errAnswer
 	}
-	e := director.Ending{Result: result, Same: a.word == "SAME", Body: a.body}
-	if e.Same && (k.known == "" || a.body.Len() > 0) {
-		return director.Ending{}, errAnswer
+	e := director.AttemptResult{Result: result, NotModified: a.word == "SAME", Body: a.body}
+	if e.NotModified && (k.known == "" || a.body.Len() > 0) {
+		return director.AttemptResult{}, errAnswer
 	}
 	if a.fields == "" || a.fields == "-" {
-		if e.Same {
-			return director.Ending{}, errAnswer
+		if e.NotModified {
+			return director.AttemptResult{}, errAnswer
 		}
 		return e, nil
 	}
@@ -95,27 +95,27 @@
 	for pair := range strings.SplitSeq(a.fields, ",") {
 		name, value, ok := strings.Cut(pair, "=")
 		if !ok {
-			return director.Ending{}, errAnswer
+			return director.AttemptResult{}, errAnswer
 		}
 		switch name {
 		case "n":
-			if e.Note, ok = notes[value]; !ok {
-				return director.Ending{}, errAnswer
+			if e.FillStatus, ok = notes[value]; !ok {
+				return director.AttemptResult{}, errAnswer
 			}
 		case "fill":
 			ms, err := strconv.ParseFloat(value, 64)
 			if err != nil || !(ms >= 0) || ms > 1e9 {
-				return director.Ending{}, errAnswer
+				return director.AttemptResult{}, errAnswer
 			}
-			e.Waited = time.Duration(ms * float64(time.Millisecond))
+			e.SourceWait = time.Duration(ms * float64(time.Millisecond))
 		case "l":
-			e.Report = f.report(value)
+			e.LoadReport = f.report(value)
 		case "rev":
 			named = value == k.known
 		}
 	}
-	if e.Same && !named { // nobody has called the copy current that the client has
-		return director.Ending{}, errAnswer
+	if e.NotModified && !named { // nobody has called the copy current that the client has
+		return director.AttemptResult{}, errAnswer
 	}
 	return e, nil
 }
--- a/internal/upstream/caches.go
+++ b/internal/upstream/caches.go
@@ -19,7 +19,7 @@
 
 // Ender takes the ends of attempts; it is the director.
 type Ender interface {
-	AttemptEnded(director.Handle, director.Ending)
+	AttemptEnded(director.Handle, director.AttemptResult)
 }
 
 // Counters count what passed between the director and its peers.
@@ -41,7 +41,7 @@
 	pool   *buffer.Pool
 	dialer eventloop.Dialer
 	ender  Ender
-	agenda *director.Agenda
+	agenda *director.Queue
 	now    func() routing.Time
 	log    *zap.Logger
 	rng    *rand.Rand
@@ -65,7 +65,7 @@
 	pace    overload.Conns
 	left    bool
 	ended   routing.Time   // when it last ended a connection
-	crossed director.Entry // a request was lost to that, as far as is known: its lesson is drawn a moment later
+	crossed director.Timer // a request was lost to that, as far as is known: its lesson is drawn a moment later
 	logAt   routing.Time   // no line on it before
 }
 
@@ -84,9 +84,9 @@
 }
 
 // NewFleet returns a fleet without members. Attempts' ends go to the ender.
-func NewFleet(l *config.Limits, s *routing.Settings, pool *buffer.Pool, d eventloop.Dialer, e Ender, a *director.Agenda,
+func NewFleet(l *config.Limits, s *routing.Settings, pool *buffer.Pool, d eventloop.Dialer, e Ender, a *director.Queue,
 	now func() routing.Time, log *zap.Logger, seed uint64) *Fleet {
-	return &Fleet{rng: rand.New(rand.NewPCG(seed, 4)), limits: l, fields: s.Report.Fields, pool: pool, dialer: d, ender: e, agenda: a, now: now, log: log,
+	return &Fleet{rng: rand.New(rand.NewPCG(seed, 4)), limits: l, fields: s.LoadReport.Fields, pool: pool, dialer: d, ender: e, agenda: a, now: now, log: log,
 		idle: overload.NewIdle(l.PeerKeepLeast, l.PeerIdle), peers: map[routing.Host]*peer{}, calls: map[director.Handle]*call{},
 		conns: director.NewTable[*conn](l.PeerConns)}
 }
@@ -119,7 +119,7 @@
 	moved := p.address != address
 	p.address, p.started = address, started
 	p.pace.Started(started)
-	f.agenda.Drop(&p.crossed)
+	f.agenda.Cancel(&p.crossed)
 	f.Counters.Restarted++
 	for _, c := range append([]*conn(nil), p.conns...) {
 		// The news come late: what was opened since the start belongs to the new life already, and to
@@ -137,7 +137,7 @@
 		return
 	}
 	p.left = true
-	f.agenda.Drop(&p.crossed)
+	f.agenda.Cancel(&p.crossed)
 	for _, c := range append([]*conn(nil), p.conns...) {
 		c.rest()
 	}
@@ -147,21 +147,21 @@
 }
 
 // Send starts an attempt on a connection that has room, or on a new one.
-func (f *Fleet) Send(h director.Handle, to routing.Host, q director.Call) {
+func (f *Fleet) Send(h director.Handle, to routing.Host, q director.UpstreamRequest) {
 	p := f.peers[to]
 	if p == nil {
 		f.Counters.NoPeer++
-		f.ender.AttemptEnded(h, director.Ending{Result: routing.ConnectFailed})
+		f.ender.AttemptEnded(h, director.AttemptResult{Result: routing.ConnectFailed})
 		return
 	}
-	c := f.pick(p, q.Request.Ref, q.Once)
+	c := f.pick(p, q.Request.Ref, q.NonIdempotent)
 	if c == nil {
 		f.Counters.NoDescriptors++ // our shortage: it never ran, and says nothing of the peer
-		f.ender.AttemptEnded(h, director.Ending{Result: routing.Moot})
+		f.ender.AttemptEnded(h, director.AttemptResult{Result: routing.Abandoned})
 		return
 	}
-	k := &call{h: h, id: q.Request.Ref, at: f.now(), known: q.Request.Known, before: q.Before}
-	until := k.at + q.Patience
+	k := &call{h: h, id: q.Request.Ref, at: f.now(), known: q.Request.IfNoneMatch, before: q.IdempotencyWindowEnd}
+	until := k.at + q.Timeout
 	k.frame = func() { f.write(k, q, until) }
 	f.calls[h] = k
 	c.put(k)
--- a/internal/upstream/caches_test.go
+++ b/internal/upstream/caches_test.go
@@ -22,14 +22,14 @@
 // bench is a fleet on scripted dials, with a clock that the test moves.
 type bench struct {
 	f      *Fleet
-	agenda director.Agenda
+	agenda director.Queue
 	clock  routing.Time
 	dials  []eventloop.Stream
 	ends   map[director.Handle]routing.Result
 }
 
 func (b *bench) Dial(_ string, _ time.Duration, s eventloop.Stream) { b.dials = append(b.dials, s) }
-func (b *bench) AttemptEnded(h director.Handle, e director.Ending) {
+func (b *bench) AttemptEnded(h director.Handle, e director.AttemptResult) {
 	b.ends[h] = e.Result
 	e.Body.Release()
 }
@@ -39,15 +39,15 @@
 	l := &config.Limits{PeerConns: 8, StreamsPerConn: 2, PeerIdle: 10 * time.Second, PeerKeepLeast: 50 * time.Millisecond,
 		PeerCrossing: 50 * time.Millisecond, PeerGhost: 5 * time.Second, PeerSilence: time.Second,
 		AnswerBody: 100, AnswerFields: 100}
-	s := &routing.Settings{Report: routing.ReportSettings{Fields: []string{"active", "x1"}}}
+	s := &routing.Settings{LoadReport: routing.LoadReportSettings{Fields: []string{"active", "x1"}}}
 	b.f = NewFleet(l, s, buffer.NewPool(64, 64), b, b, &b.agenda, func() routing.Time { return b.clock }, zap.NewNop(), 1)
 	b.f.UpdateEndpoint(1, "c1", "a", 0)
 	return b
 }
 
 func (b *bench) send(h director.Handle, ref string) {
-	b.f.Send(h, 1, director.Call{Request: &director.Request{Ref: ref, Service: "s", Object: "o", Part: "0"},
-		Patience: time.Second})
+	b.f.Send(h, 1, director.UpstreamRequest{Request: &director.Request{Ref: ref, Service: "s", Object: "o", Part: "0"},
+		Timeout: time.Second})
 }
 
 func (b *bench) want(t *testing.T, ends map[director.Handle]routing.Result) {
@@ -58,18 +58,18 @@
 }
 
 func TestRequestFields(t *testing.T) {
-	r := director.Request{Service: "media", Object: "7f3a", Part: "3", Known: "k"}
+	r := director.Request{Service: "media", Object: "7f3a", Part: "3", IfNoneMatch: "k"}
 	keyed := r
 	keyed.IdempotencyKey = "5c0f"
 	for _, c := range []struct {
-		call director.Call
+		call director.UpstreamRequest
 		want string
 	}{
-		{director.Call{Request: &r, Up: "s-1", Keep: 2, How: routing.JoinFill | routing.Renew, MaxAge: 8999 * time.Microsecond},
+		{director.UpstreamRequest{Request: &r, Source: "s-1", RetentionRank: 2, FetchFlags: routing.CoalesceFill | routing.StaleWhileRevalidate, MaxAge: 8999 * time.Microsecond},
 			"sort=media,asset=7f3a,slice=3,patience=1500,up=s-1,store=2,cap=8,do=share+swr,inm=k"},
-		{director.Call{Request: &r, How: routing.SourceHolds, MaxAge: 1},
+		{director.UpstreamRequest{Request: &r, FetchFlags: routing.OnlyIfCached, MaxAge: 1},
 			"sort=media,asset=7f3a,slice=3,patience=1500,cap=1,do=peek,inm=k"},
-		{director.Call{Request: &keyed, Up: "s-1"}, "sort=media,asset=7f3a,slice=3,patience=1500,op=5c0f,up=s-1,inm=k"},
+		{director.UpstreamRequest{Request: &keyed, Source: "s-1"}, "sort=media,asset=7f3a,slice=3,patience=1500,op=5c0f,up=s-1,inm=k"},
 	} {
 		if got := string(appendFields(nil, c.call, 1500*time.Millisecond)); got != c.want {
 			t.Errorf("got  %s\nwant %s", got, c.want)
@@ -85,7 +85,7 @@
 	b.send(2, "r2")
 	b.dials[1].Opened(&nettest.Link{})
 	b.dials[1].Closed()
-	b.f.Send(3, 99, director.Call{Request: &director.Request{Ref: "r3"}})
+	b.f.Send(3, 99, director.UpstreamRequest{Request: &director.Request{Ref: "r3"}})
 	b.want(t, map[director.Handle]routing.Result{1: routing.ConnectFailed, 2: routing.Reset, 3: routing.ConnectFailed})
 	if n := b.f.Conns(); n != 0 {
 		t.Errorf("%d connections left", n)
@@ -165,7 +165,7 @@
 	b.send(1, "r1")
 	b.dials[0].Opened(&nettest.Link{})
 	b.dials[0].Data([]byte(bulk("r1", "OK", "-", "x")))
-	b.f.Send(2, 1, director.Call{Request: &director.Request{Ref: "r2"}, Patience: time.Second, Once: true})
+	b.f.Send(2, 1, director.UpstreamRequest{Request: &director.Request{Ref: "r2"}, Timeout: time.Second, NonIdempotent: true})
 	if len(b.dials) != 2 {
 		t.Errorf("%d dials, want a second one", len(b.dials))
 	}
@@ -197,7 +197,7 @@
 		b.dials[1].Opened(&nettest.Link{})
 		b.dials[1].Data([]byte(bulk("r3", "OK", "-", "x")))
 		b.clock += 300 * time.Millisecond
-		b.agenda.Run(b.clock)
+		b.agenda.RunDue(b.clock)
 		b.send(4, "r4")
 		if got := len(b.dials) == 2; got != c.want {
 			t.Errorf("after %v idle: used again %v, want %v", c.idle, got, c.want)
@@ -252,7 +252,7 @@
 		}
 		c.end(b)
 		b.clock += b.f.limits.PeerCrossing
-		b.agenda.Run(b.clock)
+		b.agenda.RunDue(b.clock)
 		if got := b.f.idle.Keep(b.clock); got != c.want {
 			t.Errorf("%s: idle ones are used again for %v, want %v", name, got, c.want)
 		}
@@ -376,7 +376,7 @@
 	if len(b.dials) != 4 {
 		t.Errorf("%d dials, want 4", len(b.dials))
 	}
-	b.want(t, map[director.Handle]routing.Result{9: routing.Moot}) // our shortage, not the peer's failure
+	b.want(t, map[director.Handle]routing.Result{9: routing.Abandoned}) // our shortage, not the peer's failure
 	b.dials[0].Failed(errors.New("refused"))
 	b.dials[1].Opened(&nettest.Link{})
 	b.dials[1].Closed()
@@ -392,11 +392,11 @@
 	l := &nettest.Link{}
 	b.dials[0].Opened(l)
 	b.dials[0].Data([]byte(bulk("r1", "OK", "l=inflight:7;x1:0.5", "x")))
-	b.agenda.Run(b.clock + 9*time.Second)
+	b.agenda.RunDue(b.clock + 9*time.Second)
 	if l.Closed {
 		t.Error("closed before the idle time")
 	}
-	b.agenda.Run(b.clock + 11*time.Second)
+	b.agenda.RunDue(b.clock + 11*time.Second)
 	if !l.Closed {
 		t.Error("still open after the idle time")
 	}
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -43,7 +43,7 @@
 	rested routing.Time            // since when it has nothing open
 	spoilt bool                    // closed by us for what came on it
 	served int                     // answers that came
-	idle   director.Entry
+	idle   director.Timer
 }
 
 // move takes the connection on to a later phase; it is the one place where the phase changes.
@@ -56,7 +56,7 @@
 		return
 	}
 	f := c.f
-	f.agenda.Drop(&c.idle)
+	f.agenda.Cancel(&c.idle)
 	f.conns.Remove(c.handle)
 	c.parser.release()
 	c.p.conns = slices.DeleteFunc(c.p.conns, func(o *conn) bool { return o == c })
@@ -71,7 +71,7 @@
 		k.gap = c.f.now() - c.rested
 	}
 	k.c, c.open[k.id], c.used = c, k, c.f.now()
-	c.f.agenda.Drop(&c.idle)
+	c.f.agenda.Cancel(&c.idle)
 	if c.phase == dialling || c.f.held {
 		c.line = append(c.line, k)
 		return
@@ -171,8 +171,8 @@
 }
 
 // shortages are the results of attempts whose dial failed, by what we ourselves lacked.
-var shortages = map[eventloop.Shortage]routing.Result{eventloop.NoShortage: routing.ConnectFailed, eventloop.NoSocket: routing.NoSocket,
-	eventloop.NoWay: routing.NoWay}
+var shortages = map[eventloop.Shortage]routing.Result{eventloop.NoShortage: routing.ConnectFailed, eventloop.NoSocket: routing.LocalResourcesExhausted,
+	eventloop.NoWay: routing.Unreachable}
 
 // Failed is the other end of a dial: nothing that waited for it has run. What failed for our own want of descriptors, ports
 // or routes is no evidence against the peer.
@@ -189,7 +189,7 @@
 		c.f.Counters.OwnShortages++
 	}
 	if errors.Is(err, syscall.ECONNREFUSED) {
-		c.f.agenda.Drop(&c.p.crossed) // its process has ended
+		c.f.agenda.Cancel(&c.p.crossed) // its process has ended
 	}
 	c.move(dry)
 	for _, k := range line {
@@ -259,13 +259,13 @@
 	p, now := c.p, f.now()
 	alone := !p.crossed.Pending() && (p.ended == 0 || now-p.ended > f.limits.PeerCrossing)
 	p.ended = now
-	f.agenda.Drop(&p.crossed)
+	f.agenda.Cancel(&p.crossed)
 	if !alone || len(c.open) != 1 {
 		return
 	}
 	for _, k := range c.open {
 		if k.written && k.gap > 0 && now-k.at <= f.limits.PeerCrossing {
-			f.agenda.Set(&p.crossed, now+f.limits.PeerCrossing, func() {
+			f.agenda.Schedule(&p.crossed, now+f.limits.PeerCrossing, func() {
 				f.Counters.Crossed++
 				f.idle.Crossed(f.now(), k.gap)
 			})
@@ -296,7 +296,7 @@
 			r = routing.ConnectFailed
 		}
 		f.drop(k)
-		f.ender.AttemptEnded(k.h, director.Ending{Result: r})
+		f.ender.AttemptEnded(k.h, director.AttemptResult{Result: r})
 	}
 }
 
@@ -315,7 +315,7 @@
 	if c.parser.midway() {
 		wait = c.f.limits.PeerSilence // for the rest of an answer that was given up: some never end
 	}
-	c.f.agenda.Set(&c.idle, c.rested+wait, func() {
+	c.f.agenda.Schedule(&c.idle, c.rested+wait, func() {
 		c.f.Counters.Idle++
 		c.shut()
 	})
--- a/internal/upstream/crossings_test.go
+++ b/internal/upstream/crossings_test.go
@@ -61,8 +61,8 @@
 		sent  bool
 	}{{400 * time.Millisecond, true}, {500 * time.Millisecond, false}} {
 		b := newBench()
-		b.f.Send(1, 1, director.Call{Request: &director.Request{Ref: "r1"}, Patience: 2 * time.Second,
-			Before: b.clock + 500*time.Millisecond})
+		b.f.Send(1, 1, director.UpstreamRequest{Request: &director.Request{Ref: "r1"}, Timeout: 2 * time.Second,
+			IdempotencyWindowEnd: b.clock + 500*time.Millisecond})
 		b.clock += c.after
 		l := &nettest.Link{}
 		b.dials[0].Opened(l)
@@ -71,7 +71,7 @@
 		}
 		want := map[director.Handle]routing.Result{}
 		if !c.sent {
-			want[1] = routing.Moot
+			want[1] = routing.Abandoned
 		}
 		b.want(t, want)
 	}
@@ -92,7 +92,7 @@
 	}
 	b.dials[1].Opened(&nettest.Link{})
 	b.dials[0].Data([]byte(bulk("r1", "BUSY", "-", ""))) // the copy
-	b.want(t, map[director.Handle]routing.Result{1: routing.Refused, 2: routing.OK})
+	b.want(t, map[director.Handle]routing.Result{1: routing.Rejected, 2: routing.OK})
 	b.clock += b.f.limits.PeerGhost + 1
 	b.dials[1].Data([]byte(bulk("r1", "BUSY", "-", "")))
 	b.send(4, "r1")
@@ -126,7 +126,7 @@
 	b.clock += time.Millisecond
 	b.dials[2].Data([]byte(bulk("r3", "OK", "-", "x")))
 	b.f.UpdateEndpoint(2, "c2", "a2", 0)
-	b.f.Send(4, 2, director.Call{Request: &director.Request{Ref: "r4"}, Patience: time.Second})
+	b.f.Send(4, 2, director.UpstreamRequest{Request: &director.Request{Ref: "r4"}, Timeout: time.Second})
 	if len(b.dials) != 4 {
 		t.Fatalf("%d dials: another peer's idle connections shut c2 out", len(b.dials))
 	}
@@ -144,7 +144,7 @@
 	l := &nettest.Link{}
 	b.dials[0].Opened(l)
 	b.dials[0].Data([]byte(bulk("r1", "OK", "-", "x")))
-	b.f.Send(2, 1, director.Call{Request: &director.Request{Ref: "r2"}, Patience: time.Second, Once: true})
+	b.f.Send(2, 1, director.UpstreamRequest{Request: &director.Request{Ref: "r2"}, Timeout: time.Second, NonIdempotent: true})
 	if len(b.dials) != 2 || !l.Closed || b.f.Conns() != 1 {
 		t.Errorf("%d dials, idle one closed %v, %d connections; want 2, true, 1", len(b.dials), l.Closed, b.f.Conns())
 	}
@@ -155,7 +155,7 @@
 	for fields, want := range map[string]routing.Result{"rev=tag1,since=1": routing.OK, "rev=tag2,since=1": routing.Errored,
 		"since=1": routing.Errored, "-": routing.Errored} {
 		b := newBench()
-		b.f.Send(1, 1, director.Call{Request: &director.Request{Ref: "r1", Known: "tag1"}, Patience: time.Second})
+		b.f.Send(1, 1, director.UpstreamRequest{Request: &director.Request{Ref: "r1", IfNoneMatch: "tag1"}, Timeout: time.Second})
 		b.dials[0].Opened(&nettest.Link{})
 		b.dials[0].Data([]byte(bulk("r1", "SAME", fields, "")))
 		b.want(t, map[director.Handle]routing.Result{1: want})
@@ -186,7 +186,7 @@
 			continue
 		}
 		b.clock += b.f.limits.PeerSilence
-		b.agenda.Run(b.clock)
+		b.agenda.RunDue(b.clock)
 		if !l.Closed {
 			t.Error("a connection with an answer that does not end is kept")
 		}
--- a/internal/upstream/golden_test.go
+++ b/internal/upstream/golden_test.go
@@ -30,37 +30,37 @@
 var updateGolden = flag.Bool("update", false, "write the golden files in testdata/golden")
 
 var goldenResults = map[routing.Result]string{
-	routing.OK:            "ok",
-	routing.Errored:       "error",
-	routing.Refused:       "busy",
-	routing.TimedOut:      "timed-out",
-	routing.ConnectFailed: "connect-failed",
-	routing.Reset:         "reset",
-	routing.Cancelled:     "cancelled",
-	routing.Moot:          "never-ran",
-	routing.Miss:          "miss",
-	routing.NoSocket:      "no-socket",
-	routing.NoWay:         "no-way",
-}
-
-var goldenNotes = map[routing.Note]string{
-	routing.NoNote:              "none",
-	routing.NoteHit:             "hit",
-	routing.NoteFilled:          "filled",
-	routing.NoteFilledByOrigin:  "filled-by-origin",
-	routing.NoteJoined:          "coalesced",
-	routing.NoteStale:           "stale",
-	routing.NoteSourceRefused:   "source-busy",
-	routing.NoteSourceUnreached: "source-down",
-	routing.NoteSourceLacks:     "source-miss",
-	routing.NoteNoFillSlot:      "no-fill-slot",
-	routing.NoteOriginFailed:    "origin-error",
+	routing.OK:                      "ok",
+	routing.Errored:                 "error",
+	routing.Rejected:                "busy",
+	routing.TimedOut:                "timed-out",
+	routing.ConnectFailed:           "connect-failed",
+	routing.Reset:                   "reset",
+	routing.Cancelled:               "cancelled",
+	routing.Abandoned:               "never-ran",
+	routing.Miss:                    "miss",
+	routing.LocalResourcesExhausted: "no-socket",
+	routing.Unreachable:             "no-way",
+}
+
+var goldenNotes = map[routing.FillStatus]string{
+	routing.FillStatusUnknown:           "none",
+	routing.FillStatusHit:               "hit",
+	routing.FillStatusFilled:            "filled",
+	routing.FillStatusFilledByOrigin:    "filled-by-origin",
+	routing.FillStatusCoalesced:         "coalesced",
+	routing.FillStatusStale:             "stale",
+	routing.FillStatusSourceRejected:    "source-busy",
+	routing.FillStatusSourceUnreachable: "source-down",
+	routing.FillStatusSourceMiss:        "source-miss",
+	routing.FillStatusNoFillSlot:        "no-fill-slot",
+	routing.FillStatusOriginFailed:      "origin-error",
 }
 
 // wireRecorder is one set of pools on scripted dials. It records each result of an attempt as text.
 type wireRecorder struct {
 	pools   *Fleet
-	timers  director.Agenda
+	timers  director.Queue
 	buffers *buffer.Pool
 	now     routing.Time
 	dials   []eventloop.Stream
@@ -80,7 +80,7 @@
 		AnswerBody:     64,
 		AnswerFields:   200,
 	}
-	settings := &routing.Settings{Report: routing.ReportSettings{
+	settings := &routing.Settings{LoadReport: routing.LoadReportSettings{
 		Fields: []string{"active", "waiting", "cpu", "avg_ms", "rps", "err_rps", "x1", "inflight"},
 	}}
 	recorder.pools = NewFleet(limits, settings, recorder.buffers, recorder, recorder, &recorder.timers,
@@ -95,9 +95,9 @@
 }
 
 // Ended implements the interface that takes the results of attempts.
-func (r *wireRecorder) AttemptEnded(attempt director.Handle, end director.Ending) {
+func (r *wireRecorder) AttemptEnded(attempt director.Handle, end director.AttemptResult) {
 	r.results = append(r.results, fmt.Sprintf("attempt %d %s note=%s waited=%v load=%v same=%v body=%q",
-		attempt, goldenResults[end.Result], goldenNotes[end.Note], end.Waited, end.Report, end.Same, chainText(&end.Body)))
+		attempt, goldenResults[end.Result], goldenNotes[end.FillStatus], end.SourceWait, end.LoadReport, end.NotModified, chainText(&end.Body)))
 	end.Body.Release()
 }
 
@@ -176,7 +176,7 @@
 type requestCase struct {
 	name   string
 	body   string
-	change func(*director.Call, *director.Request)
+	change func(*director.UpstreamRequest, *director.Request)
 }
 
 // TestGoldenRequests pins the bytes of each request, with every field and every combination of switches.
@@ -186,7 +186,7 @@
 		recorder := newWireRecorder()
 		request := goldenRequest()
 		request.Body = recorder.body(t, tc.body)
-		call := director.Call{Request: &request, Patience: 1500 * time.Millisecond}
+		call := director.UpstreamRequest{Request: &request, Timeout: 1500 * time.Millisecond}
 		tc.change(&call, &request)
 		recorder.pools.Send(1, 1, call)
 		link := &nettest.Link{}
@@ -200,43 +200,45 @@
 // requestFieldCases are requests with one field, with none and with all.
 func requestFieldCases() []requestCase {
 	return []requestCase{
-		{"plain", "", func(*director.Call, *director.Request) {}},
-		{"source", "", func(call *director.Call, _ *director.Request) { call.Up = "s-00c41f7a" }},
-		{"share", "", func(call *director.Call, _ *director.Request) { call.How = routing.JoinFill }},
-		{"peek", "", func(call *director.Call, _ *director.Request) { call.How = routing.SourceHolds }},
-		{"pass", "", func(call *director.Call, _ *director.Request) { call.How = routing.ParentNoStore }},
-		{"swr", "", func(call *director.Call, _ *director.Request) { call.How = routing.Renew }},
-		{"client's tag", "", func(_ *director.Call, request *director.Request) { request.Known = "4be0c1927d55a6f3" }},
-		{"idempotency key", "", func(_ *director.Call, request *director.Request) { request.IdempotencyKey = "5c0f" }},
-		{"must not run twice", "", func(call *director.Call, _ *director.Request) { call.Once = true }},
-		{"body", "written\r\n\x00\xff", func(*director.Call, *director.Request) {}},
-		{"body in several buffers", strings.Repeat("0123456789", 10), func(*director.Call, *director.Request) {}},
-		{"no words at all", "", func(_ *director.Call, request *director.Request) { *request = director.Request{} }},
-		{"everything", "b", func(call *director.Call, request *director.Request) {
-			request.Known, request.IdempotencyKey = "tag1", "key1"
-			call.Up, call.Keep, call.How, call.MaxAge = "origin", 3, 15, 2500*time.Millisecond
+		{"plain", "", func(*director.UpstreamRequest, *director.Request) {}},
+		{"source", "", func(call *director.UpstreamRequest, _ *director.Request) { call.Source = "s-00c41f7a" }},
+		{"share", "", func(call *director.UpstreamRequest, _ *director.Request) { call.FetchFlags = routing.CoalesceFill }},
+		{"peek", "", func(call *director.UpstreamRequest, _ *director.Request) { call.FetchFlags = routing.OnlyIfCached }},
+		{"pass", "", func(call *director.UpstreamRequest, _ *director.Request) { call.FetchFlags = routing.ParentNoStore }},
+		{"swr", "", func(call *director.UpstreamRequest, _ *director.Request) {
+			call.FetchFlags = routing.StaleWhileRevalidate
+		}},
+		{"client's tag", "", func(_ *director.UpstreamRequest, request *director.Request) { request.IfNoneMatch = "4be0c1927d55a6f3" }},
+		{"idempotency key", "", func(_ *director.UpstreamRequest, request *director.Request) { request.IdempotencyKey = "5c0f" }},
+		{"must not run twice", "", func(call *director.UpstreamRequest, _ *director.Request) { call.NonIdempotent = true }},
+		{"body", "written\r\n\x00\xff", func(*director.UpstreamRequest, *director.Request) {}},
+		{"body in several buffers", strings.Repeat("0123456789", 10), func(*director.UpstreamRequest, *director.Request) {}},
+		{"no words at all", "", func(_ *director.UpstreamRequest, request *director.Request) { *request = director.Request{} }},
+		{"everything", "b", func(call *director.UpstreamRequest, request *director.Request) {
+			request.IfNoneMatch, request.IdempotencyKey = "tag1", "key1"
+			call.Source, call.RetentionRank, call.FetchFlags, call.MaxAge = "origin", 3, 15, 2500*time.Millisecond
 		}},
 	}
 }
 
 // requestFigureCases are requests with the figures and combinations that a field may hold.
 func requestFigureCases() (cases []requestCase) {
-	add := func(name string, change func(*director.Call, *director.Request)) {
+	add := func(name string, change func(*director.UpstreamRequest, *director.Request)) {
 		cases = append(cases, requestCase{name: name, change: change})
 	}
 	for rank := range 4 {
-		add(fmt.Sprintf("rank %d", rank), func(call *director.Call, _ *director.Request) { call.Keep = uint8(rank) })
+		add(fmt.Sprintf("rank %d", rank), func(call *director.UpstreamRequest, _ *director.Request) { call.RetentionRank = uint8(rank) })
 	}
 	for switches := range 16 {
-		add(fmt.Sprintf("switches %04b", switches), func(call *director.Call, _ *director.Request) {
-			call.Up, call.How = "s-1", routing.How(switches)
+		add(fmt.Sprintf("switches %04b", switches), func(call *director.UpstreamRequest, _ *director.Request) {
+			call.Source, call.FetchFlags = "s-1", routing.FetchFlags(switches)
 		})
 	}
 	for _, age := range []time.Duration{0, 1, 999 * time.Microsecond, time.Millisecond, 8999 * time.Microsecond, time.Hour} {
-		add(fmt.Sprintf("oldest copy %v", age), func(call *director.Call, _ *director.Request) { call.MaxAge = age })
+		add(fmt.Sprintf("oldest copy %v", age), func(call *director.UpstreamRequest, _ *director.Request) { call.MaxAge = age })
 	}
 	for _, patience := range []time.Duration{0, 1, 1999 * time.Microsecond, 2 * time.Millisecond, time.Minute} {
-		add(fmt.Sprintf("patience %v", patience), func(call *director.Call, _ *director.Request) { call.Patience = patience })
+		add(fmt.Sprintf("patience %v", patience), func(call *director.UpstreamRequest, _ *director.Request) { call.Timeout = patience })
 	}
 	return cases
 }
@@ -314,7 +316,7 @@
 	s.step("send "+ref, func() {
 		request := goldenRequest()
 		request.Ref = ref
-		s.recorder.pools.Send(attempt, 1, director.Call{Request: &request, Patience: 1500 * time.Millisecond})
+		s.recorder.pools.Send(attempt, 1, director.UpstreamRequest{Request: &request, Timeout: 1500 * time.Millisecond})
 	})
 }
 
@@ -337,7 +339,7 @@
 func (s *wireScript) wait(span time.Duration) {
 	s.step(fmt.Sprintf("wait %v", span), func() {
 		s.recorder.now += span
-		s.recorder.timers.Run(s.recorder.now)
+		s.recorder.timers.RunDue(s.recorder.now)
 	})
 }
 
@@ -415,7 +417,7 @@
 		attempt, ref := director.Handle(i+1), fmt.Sprintf("r%d", i+1)
 		request := goldenRequest()
 		request.Ref, request.IdempotencyKey = ref, "key1"
-		call := director.Call{Request: &request, Patience: 2 * time.Second, Once: true, Before: r.now + 500*time.Millisecond}
+		call := director.UpstreamRequest{Request: &request, Timeout: 2 * time.Second, NonIdempotent: true, IdempotencyWindowEnd: r.now + 500*time.Millisecond}
 		s.step("send "+ref, func() { r.pools.Send(attempt, 1, call) })
 		s.wait(after)
 		s.open(i)
@@ -466,7 +468,7 @@
 
 func playUnknown(r *wireRecorder, s *wireScript) {
 	request := goldenRequest()
-	s.step("send", func() { r.pools.Send(1, 99, director.Call{Request: &request}) })
+	s.step("send", func() { r.pools.Send(1, 99, director.UpstreamRequest{Request: &request}) })
 }
 
 func playDescriptors(r *wireRecorder, s *wireScript) {
@@ -569,9 +571,9 @@
 		recorder.pools.pool = recorder.buffers
 	}
 	first, second := goldenRequest(), goldenRequest()
-	first.Ref, first.Known, second.Ref = "r1", "tag1", "r2"
-	recorder.pools.Send(1, 1, director.Call{Request: &first, Patience: time.Second})
-	recorder.pools.Send(2, 1, director.Call{Request: &second, Patience: time.Second})
+	first.Ref, first.IfNoneMatch, second.Ref = "r1", "tag1", "r2"
+	recorder.pools.Send(1, 1, director.UpstreamRequest{Request: &first, Timeout: time.Second})
+	recorder.pools.Send(2, 1, director.UpstreamRequest{Request: &second, Timeout: time.Second})
 	recorder.dials[0].Opened(&nettest.Link{})
 	verdict := "stream kept"
 	if recorder.deliver(recorder.dials[0], stream, size) {
--- a/internal/upstream/requests.go
+++ b/internal/upstream/requests.go
@@ -11,11 +11,11 @@
 // What goes out: requests and their fields.
 
 // write puts an attempt on its connection. From here on it may run.
-func (f *Fleet) write(k *call, q director.Call, until routing.Time) {
+func (f *Fleet) write(k *call, q director.UpstreamRequest, until routing.Time) {
 	if k.before != 0 && f.now() >= k.before {
 		f.Counters.Expired++
 		f.drop(k)
-		f.ender.AttemptEnded(k.h, director.Ending{Result: routing.Moot}) // it never ran
+		f.ender.AttemptEnded(k.h, director.AttemptResult{Result: routing.Abandoned}) // it never ran
 		k.c.rest()
 		return
 	}
@@ -43,7 +43,7 @@
 var howWords = [...]string{"share", "peek", "pass", "swr"}
 
 // appendFields builds the FIELDS of a request.
-func appendFields(b []byte, q director.Call, patience time.Duration) []byte {
+func appendFields(b []byte, q director.UpstreamRequest, patience time.Duration) []byte {
 	r := q.Request
 	b = append(append(b, "sort="...), r.Service...)
 	b = append(append(b, ",asset="...), r.Object...)
@@ -52,26 +52,26 @@
 	if r.IdempotencyKey != "" {
 		b = append(append(b, ",op="...), r.IdempotencyKey...)
 	}
-	if q.Up != "" {
-		b = append(append(b, ",up="...), q.Up...)
+	if q.Source != "" {
+		b = append(append(b, ",up="...), q.Source...)
 	}
-	if q.Keep > 0 {
-		b = strconv.AppendInt(append(b, ",store="...), int64(q.Keep), 10)
+	if q.RetentionRank > 0 {
+		b = strconv.AppendInt(append(b, ",store="...), int64(q.RetentionRank), 10)
 	}
 	if q.MaxAge > 0 { // a part of a millisecond less is on the safe side of a purge
 		b = strconv.AppendInt(append(b, ",cap="...), int64(max(1, q.MaxAge/time.Millisecond)), 10)
 	}
-	if q.How != 0 {
+	if q.FetchFlags != 0 {
 		sep := ",do="
 		for i, w := range howWords {
-			if q.How&(1<<i) != 0 {
+			if q.FetchFlags&(1<<i) != 0 {
 				b = append(append(b, sep...), w...)
 				sep = "+"
 			}
 		}
 	}
-	if r.Known != "" {
-		b = append(append(b, ",inm="...), r.Known...)
+	if r.IfNoneMatch != "" {
+		b = append(append(b, ",inm="...), r.IfNoneMatch...)
 	}
 	return b
 }
--- a/internal/upstream/shortage_test.go
+++ b/internal/upstream/shortage_test.go
@@ -17,9 +17,9 @@
 // neither ejects nor paces the peer; the attempt never ran in any case.
 func TestOwnShortagesAreNoEvidence(t *testing.T) {
 	for errno, want := range map[syscall.Errno]routing.Result{
-		syscall.EMFILE: routing.NoSocket, syscall.ENFILE: routing.NoSocket, syscall.ENOBUFS: routing.NoSocket, syscall.ENOMEM: routing.NoSocket,
-		syscall.EADDRNOTAVAIL: routing.NoWay, syscall.EAGAIN: routing.NoWay, syscall.ENETUNREACH: routing.NoWay,
-		syscall.EHOSTUNREACH: routing.NoWay, syscall.EACCES: routing.NoWay, syscall.EPERM: routing.NoWay, syscall.EADDRINUSE: routing.NoWay,
+		syscall.EMFILE: routing.LocalResourcesExhausted, syscall.ENFILE: routing.LocalResourcesExhausted, syscall.ENOBUFS: routing.LocalResourcesExhausted, syscall.ENOMEM: routing.LocalResourcesExhausted,
+		syscall.EADDRNOTAVAIL: routing.Unreachable, syscall.EAGAIN: routing.Unreachable, syscall.ENETUNREACH: routing.Unreachable,
+		syscall.EHOSTUNREACH: routing.Unreachable, syscall.EACCES: routing.Unreachable, syscall.EPERM: routing.Unreachable, syscall.EADDRINUSE: routing.Unreachable,
 		syscall.ECONNREFUSED: routing.ConnectFailed, syscall.ECONNRESET: routing.ConnectFailed, syscall.ETIMEDOUT: routing.ConnectFailed,
 	} {
 		b := newBench()
--- a/routing/api.go
+++ b/routing/api.go
@@ -15,88 +15,88 @@
 
 // Class describes a class of requests.
 type Class struct {
-	Name        string        `json:"name"`
-	Aim         time.Duration `json:"aim"`
-	AimStretch  float64       `json:"aimStretch"`
-	Deadline    time.Duration `json:"deadline"`
-	Worth       float64       `json:"worth"`
-	LateWorth   float64       `json:"lateWorth"`
-	Effect      string        `json:"effect"` // read_like, idempotency_key or non_idempotent
-	Group       string        `json:"group"`  // all, zone or cell: who drops repeats of a keyed request
-	DedupWindow time.Duration `json:"dedupWindow"`
-	Streaming   bool          `json:"streaming"`
+	Name                    string        `json:"name"`
+	LatencyObjective        time.Duration `json:"aim"`
+	LatencyObjectivePerSize float64       `json:"aimStretch"`
+	Timeout                 time.Duration `json:"deadline"`
+	PriorityWeight          float64       `json:"worth"`
+	LatePriorityWeight      float64       `json:"lateWorth"`
+	Idempotency             string        `json:"effect"` // read_like, idempotency_key or non_idempotent
+	DedupScope              string        `json:"group"`  // all, zone or cell: who drops repeats of a keyed request
+	DedupWindow             time.Duration `json:"dedupWindow"`
+	Streaming               bool          `json:"streaming"`
 }
 
-// Ceilings are what the site allows.
-type Ceilings struct {
-	Cancel        bool          `json:"cancel"`
-	MaxAttempts   int           `json:"maxAttempts"`
-	MaxRetryAfter time.Duration `json:"maxRetryAfter"`
-	OpenCap       int           `json:"openCap"`
-	PeerMessages  bool          `json:"peerMessages"`
-	Probes        bool          `json:"probes"`
-	RetryAfter    bool          `json:"retryAfter"`
-	SecondCopies  bool          `json:"secondCopies"`
+// SiteLimits are what the site allows.
+type SiteLimits struct {
+	CancelAllowed       bool          `json:"cancel"`
+	MaxAttempts         int           `json:"maxAttempts"`
+	MaxRetryAfter       time.Duration `json:"maxRetryAfter"`
+	MaxOpenRequests     int           `json:"openCap"`
+	PeerMessagesAllowed bool          `json:"peerMessages"`
+	ProbesAllowed       bool          `json:"probes"`
+	RetryAfterAllowed   bool          `json:"retryAfter"`
+	HedgingAllowed      bool          `json:"secondCopies"`
 }
 
-// Tiers are the facts about caches, parents and the origin. Lists by class or zone go by index.
-type Tiers struct {
-	BypassAllowed      bool            `json:"bypassAllowed"`
-	ClassFresh         []time.Duration `json:"classFresh"`
-	StaleFor           []time.Duration `json:"staleFor"`
-	StaleEarns         []float64       `json:"staleEarns"`
-	PassOn             []bool          `json:"passOn"`
-	FlowKBPerS         float64         `json:"flowKbPerS"`
-	FeedKBPerS         []float64       `json:"feedKbPerS"` // by zone: its link in; 0: not told
-	TransitPrice       float64         `json:"transitPrice"`
-	MergesFills        bool            `json:"mergesFills"`
-	RootFallMultiple   float64         `json:"rootFallMultiple"`
-	OriginBears        time.Duration   `json:"originBears"`
-	MasterKind         int             `json:"masterKind"`
-	SecondTierKind     int             `json:"secondTierKind"` // -1: there are no parents
-	ParentColdFrom     float64         `json:"parentColdFrom"`
-	ParentRamp         time.Duration   `json:"parentRamp"`
-	ParentFallMultiple float64         `json:"parentFallMultiple"`
-	PurgeTakes         time.Duration   `json:"purgeTakes"`
-	PurgeSlack         time.Duration   `json:"purgeSlack"`
-	Lateral            string          `json:"lateral"`    // off, location or any
-	NotesGiven         string          `json:"notesGiven"` // all, hit or off
-	SeatsByZone        []int           `json:"seatsByZone"`
-	HubByZone          []int           `json:"hubByZone"`
+// TierSettings are the facts about caches, parents and the origin. Lists by class or zone go by index.
+type TierSettings struct {
+	BypassAllowed           bool            `json:"bypassAllowed"`
+	FreshnessLifetime       []time.Duration `json:"classFresh"`
+	StaleWindow             []time.Duration `json:"staleFor"`
+	StaleValue              []float64       `json:"staleEarns"`
+	Uncacheable             []bool          `json:"passOn"`
+	TransferKBPerSecond     float64         `json:"flowKbPerS"`
+	InboundLinkKBPerSecond  []float64       `json:"feedKbPerS"` // by zone: its link in; 0: not told
+	TransitCost             float64         `json:"transitPrice"`
+	CoalescesFills          bool            `json:"mergesFills"`
+	OriginOverloadMultiple  float64         `json:"rootFallMultiple"`
+	OriginTolerance         time.Duration   `json:"originBears"`
+	OriginKind              int             `json:"masterKind"`
+	ParentKind              int             `json:"secondTierKind"` // -1: there are no parents
+	ParentSlowStartFraction float64         `json:"parentColdFrom"`
+	ParentSlowStartDuration time.Duration   `json:"parentRamp"`
+	ParentOverloadMultiple  float64         `json:"parentFallMultiple"`
+	PurgePropagation        time.Duration   `json:"purgeTakes"`
+	PurgeSlack              time.Duration   `json:"purgeSlack"`
+	SiblingFills            string          `json:"lateral"`    // off, location or any
+	FillStatusReported      string          `json:"notesGiven"` // all, hit or off
+	DirectorsByZone         []int           `json:"seatsByZone"`
+	HubByZone               []int           `json:"hubByZone"`
 }
 
 // Guarantees are the figures of the rules.
 type Guarantees struct {
-	AskWithin     time.Duration `json:"askWithin"`
-	Cold          time.Duration `json:"cold"`
-	ColdFrom      float64       `json:"coldFrom"`
-	DrainGrace    time.Duration `json:"drainGrace"`
-	Fall          time.Duration `json:"fall"`
-	GraceToAnswer time.Duration `json:"graceToAnswer"`
-	TipMultiple   float64       `json:"tipMultiple"`
+	PollWithin        time.Duration `json:"askWithin"`
+	SlowStartDuration time.Duration `json:"cold"`
+	SlowStartFraction float64       `json:"coldFrom"`
+	DrainGrace        time.Duration `json:"drainGrace"`
+	OverloadWindow    time.Duration `json:"fall"`
+	AnswerGrace       time.Duration `json:"graceToAnswer"`
+	OverloadMultiple  float64       `json:"tipMultiple"`
 }
 
-// ReportSettings say which load figures come, and with what.
-type ReportSettings struct {
+// LoadReportSettings say which load figures come, and with what.
+type LoadReportSettings struct {
 	Fields []string `json:"fields"`
 	Via    string   `json:"via"` // inline, on_probe or off
 }
 
 // Settings are handed to a router at its start. Times are nanoseconds in JSON.
 type Settings struct {
-	Balancers    int            `json:"balancers"`
-	Services     []Class        `json:"services"`
-	Ceilings     Ceilings       `json:"ceilings"`
-	Family       Tiers          `json:"familyInfo"`
-	Guarantees   Guarantees     `json:"guarantees"`
-	Kinds        []string       `json:"kinds"`
-	Me           uint32         `json:"me"`
-	Quantum      time.Duration  `json:"quantum"`
-	RegistryMode string         `json:"registryMode"` // automatic or subscribe
-	Report       ReportSettings `json:"report"`
-	Weights      string         `json:"weights"` // off, nominal, rough or live
-	Zone         int            `json:"zone"`
-	Zones        []string       `json:"dcs"`
+	Directors     int                `json:"balancers"`
+	Classes       []Class            `json:"services"`
+	SiteLimits    SiteLimits         `json:"ceilings"`
+	Tiers         TierSettings       `json:"familyInfo"`
+	Guarantees    Guarantees         `json:"guarantees"`
+	Kinds         []string           `json:"kinds"`
+	ID            uint32             `json:"me"`
+	Quantum       time.Duration      `json:"quantum"`
+	DiscoveryMode string             `json:"registryMode"` // automatic or subscribe
+	LoadReport    LoadReportSettings `json:"report"`
+	WeightMode    string             `json:"weights"` // off, nominal, rough or live
+	Zone          int                `json:"zone"`
+	Zones         []string           `json:"dcs"`
 }
 
 // State is a member's state in discovery.
@@ -122,8 +122,8 @@
 	return "unknown"
 }
 
-// Member is a server as discovery lists it.
-type Member struct {
+// Endpoint is a server as discovery lists it.
+type Endpoint struct {
 	Host    Host
 	Zone    int
 	Kind    int
@@ -133,15 +133,15 @@
 	Cell    int
 }
 
-// ListKind says how a Members event is to be taken.
-type ListKind uint8
+// UpdateKind says how a Members event is to be taken.
+type UpdateKind uint8
 
 // Kinds of list.
 const (
-	Delta  ListKind = iota // only the changed entries
-	Full                   // the whole list
-	Cached                 // the whole list as last known, maybe stale
-	Failed                 // a call failed or the subscription broke; no entries
+	UpdateDelta  UpdateKind = iota // only the changed entries
+	UpdateFull                     // the whole list
+	UpdateCached                   // the whole list as last known, maybe stale
+	UpdateFailed                   // a call failed or the subscription broke; no entries
 )
 
 // Result is how an attempt ended.
@@ -151,15 +151,15 @@
 const (
 	OK Result = iota
 	Errored
-	Refused // turned away unseen, or its source refused or could not be reached
+	Rejected // turned away unseen, or its source refused or could not be reached
 	TimedOut
 	ConnectFailed
 	Reset
 	Cancelled
-	Moot
+	Abandoned
 	Miss
-	NoSocket // our own system had no descriptor, buffer or memory for a connection: it never ran
-	NoWay    // or no route or port towards the server: it never ran
+	LocalResourcesExhausted // our own system had no descriptor, buffer or memory for a connection: it never ran
+	Unreachable             // or no route or port towards the server: it never ran
 )
 
 var resultNames = [...]string{"ok", "errored", "refused", "timed_out", "connect_failed", "reset", "cancelled", "moot", "miss",
@@ -173,84 +173,84 @@
 	return "unknown"
 }
 
-// Results is the number of results.
-const Results = len(resultNames)
+// ResultCount is the number of results.
+const ResultCount = len(resultNames)
 
-// Note tells how an answer came about, where the site gives notes.
-type Note uint8
+// FillStatus tells how an answer came about, where the site gives notes.
+type FillStatus uint8
 
 // Notes.
 const (
-	NoNote Note = iota
-	NoteHit
-	NoteFilled
-	NoteFilledByOrigin
-	NoteJoined
-	NoteStale
-	NoteSourceRefused
-	NoteSourceUnreached
-	NoteSourceLacks
-	NoteNoFillSlot
-	NoteOriginFailed
+	FillStatusUnknown FillStatus = iota
+	FillStatusHit
+	FillStatusFilled
+	FillStatusFilledByOrigin
+	FillStatusCoalesced
+	FillStatusStale
+	FillStatusSourceRejected
+	FillStatusSourceUnreachable
+	FillStatusSourceMiss
+	FillStatusNoFillSlot
+	FillStatusOriginFailed
 )
 
 // Event is one of Members, Request, Curtail, Started, Outcome, Expired, Timer, ProbeResult, PeerMessage, Purge.
 type Event any
 
-// Members brings news of the list of servers.
-type Members struct {
-	Kind    ListKind
-	Version uint64
-	List    []Member
+// EndpointUpdate brings news of the list of servers.
+type EndpointUpdate struct {
+	Kind      UpdateKind
+	Version   uint64
+	Endpoints []Endpoint
 }
 
 // Request is a client's request; the router owes it one final answer.
 type Request struct {
-	ID       uint32
-	Class    int
-	Tenant   int
-	Object   uint64
-	Part     int
-	Group    int
-	GiveUpAt Time
-	SizeKB   float64 // 0: not told
-	Repeat   bool
-	Write    bool
+	ID          uint32
+	Class       int
+	Tenant      int
+	Object      uint64
+	Part        int
+	Group       int
+	Deadline    Time
+	SizeKB      float64 // 0: not told
+	ClientRetry bool
+	Write       bool
 }
 
-// Started tells that a streamed answer has begun.
-type Started struct {
+// StreamStarted tells that a streamed answer has begun.
+type StreamStarted struct {
 	ID      uint32
 	Attempt int
 	Host    Host
-	After   time.Duration
+	Elapsed time.Duration
 }
 
 // Outcome is the one end of an attempt.
 type Outcome struct {
-	ID      uint32
-	Attempt int
-	Host    Host
-	Result  Result
-	After   time.Duration
-	Settled bool // the request is finished
-	Note    Note
-	Waited  time.Duration
-	Report  []float32
+	ID          uint32
+	Attempt     int
+	Host        Host
+	Result      Result
+	Elapsed     time.Duration
+	RequestDone bool // the request is finished
+	FillStatus  FillStatus
+	SourceWait  time.Duration
+	LoadReport  []float32
 }
 
-// Expired tells that a request is over without the router.
-type Expired struct{ ID uint32 }
+// RequestClosed tells that a request is over without the router.
+type RequestClosed struct{ ID uint32 }
 
-// Timer is a timer that has come due.
-type Timer struct{ Token uint64 }
+// TimerFired is a timer that has come due.
+type TimerFired struct{ Token uint64 }
 
 // ProbeResult is the result of a Probe.
 type ProbeResult struct {
-	Host   Host
-	Result Result
-	After  time.Duration
-	Report []float32
+	Host       Host
+	Result     Result
+	Elapsed    time.Duration
+	LoadReport []float32
 }
 
 // PeerMessage is a message of another router.
@@ -272,39 +272,39 @@
 
 // Forward asks a host only for what it holds.
 type Forward struct {
-	ID      uint32
-	Host    Host
-	Timeout time.Duration
-	Before  Time // not to be written later, as the window for repeats has ended then; 0: any time
+	ID                   uint32
+	Host                 Host
+	Timeout              time.Duration
+	IdempotencyWindowEnd Time // not to be written later, as the window for repeats has ended then; 0: any time
 }
 
-// How is a set of switches of a Fetch.
-type How uint8
+// FetchFlags is a set of switches of a Fetch.
+type FetchFlags uint8
 
 // Switches of a Fetch.
 const (
-	JoinFill      How = 1
-	SourceHolds   How = 2 // the source gives only what it holds
-	ParentNoStore How = 4
-	Renew         How = 8 // serve an ageing copy and fetch it anew behind
+	CoalesceFill         FetchFlags = 1
+	OnlyIfCached         FetchFlags = 2 // the source gives only what it holds
+	ParentNoStore        FetchFlags = 4
+	StaleWhileRevalidate FetchFlags = 8 // serve an ageing copy and fetch it anew behind
 )
 
-// Curtail brings the time by which a request is to be ended forward.
-type Curtail struct {
+// ShortenDeadline brings the time by which a request is to be ended forward.
+type ShortenDeadline struct {
 	ID       uint32
-	GiveUpAt Time
+	Deadline Time
 }
 
 // Fetch asks a host, and says where a miss is filled from.
 type Fetch struct {
-	ID      uint32
-	Host    Host
-	Source  Host // the host itself: no fill
-	Keep    uint8
-	How     How
-	Timeout time.Duration // 0: until the client gives up
-	MaxAge  time.Duration // 0: the class's fresh time
-	Before  Time          // not to be written later, as the window for repeats has ended then; 0: any time
+	ID                   uint32
+	Host                 Host
+	Source               Host // the host itself: no fill
+	RetentionRank        uint8
+	Flags                FetchFlags
+	Timeout              time.Duration // 0: until the client gives up
+	MaxAge               time.Duration // 0: the class's fresh time
+	IdempotencyWindowEnd Time          // not to be written later, as the window for repeats has ended then; 0: any time
 }
 
 // Cancel calls an attempt off.
@@ -313,31 +313,31 @@
 	Attempt int
 }
 
-// Refuse ends a request; trying again is harmless.
-type Refuse struct {
+// Reject ends a request; trying again is harmless.
+type Reject struct {
 	ID         uint32
 	RetryAfter time.Duration
-	Why        GivenUp
+	Reason     Reason
 }
 
 // Fail ends a request with no promise about its effect.
 type Fail struct {
-	ID  uint32
-	Why GivenUp
+	ID     uint32
+	Reason Reason
 }
 
-// GivenUp is why the router ended a request without an answer of a server.
-type GivenUp string
+// Reason is why the router ended a request without an answer of a server.
+type Reason string
 
 // Why requests are given up.
 const (
-	OutOfTime     GivenUp = "its time is over"
-	OutOfAttempts GivenUp = "no attempt is left"
-	MayHaveRun    GivenUp = "an attempt may have run, and may not be repeated"
-	SiteLost      GivenUp = "our site is lost"
-	NoneInTime    GivenUp = "no server could take it within half its aim"
-	RepeatsSpent  GivenUp = "the budget for further attempts is spent"
-	OriginSpared  GivenUp = "the origin is spared"
+	ReasonDeadlineExceeded     Reason = "its time is over"
+	ReasonAttemptsExhausted    Reason = "no attempt is left"
+	ReasonMayHaveExecuted      Reason = "an attempt may have run, and may not be repeated"
+	ReasonSiteLost             Reason = "our site is lost"
+	ReasonNoServerInTime       Reason = "no server could take it within half its aim"
+	ReasonRetryBudgetExhausted Reason = "the budget for further attempts is spent"
+	ReasonOriginShielded       Reason = "the origin is spared"
 )
 
 // SetTimer asks for a Timer event.
@@ -349,23 +349,23 @@
 // Probe checks a host.
 type Probe struct{ Host Host }
 
-// CloseIdle closes idle connections to a host.
-type CloseIdle struct{ Host Host }
+// CloseIdleConnections closes idle connections to a host.
+type CloseIdleConnections struct{ Host Host }
 
-// Everyone as the receiver of a Tell reaches all peers.
-const Everyone = ^uint32(0)
+// AllPeers as the receiver of a Tell reaches all peers.
+const AllPeers = ^uint32(0)
 
-// Tell sends a message to a peer.
-type Tell struct {
+// SendPeerMessage sends a message to a peer.
+type SendPeerMessage struct {
 	To   uint32
 	Data []byte
 }
 
 // Subscribe asks discovery for changes.
-type Subscribe struct{ On bool }
+type Subscribe struct{ Enabled bool }
 
-// Snapshot asks discovery for the full list once.
-type Snapshot struct{}
+// PollEndpoints asks discovery for the full list once.
+type PollEndpoints struct{}
 
 // Log is a line for the people on call.
-type Log struct{ Text string }
+type Log struct{ Message string }
--- a/routing/bench_test.go
+++ b/routing/bench_test.go
@@ -17,16 +17,16 @@
 			}
 			now, list := 100*time.Second, siteMembers(5)
 			for i := len(list); i < members; i++ {
-				list = append(list, Member{Host: Host(2000 + i), Zone: 2, State: Ready, Weight: 6})
+				list = append(list, Endpoint{Host: Host(2000 + i), Zone: 2, State: Ready, Weight: 6})
 			}
-			r.Handle(now, Members{Kind: Cached, List: list})
+			r.Handle(now, EndpointUpdate{Kind: UpdateCached, Endpoints: list})
 			b.ReportAllocs()
 			b.ResetTimer()
 			for i := range b.N {
 				id := uint32(i + 1)
 				now += 100 * time.Microsecond
-				r.Handle(now, Request{ID: id, Class: 1, Object: uint64(i % 500), GiveUpAt: now + time.Second})
-				r.Handle(now, Outcome{ID: id, Result: OK, Note: NoteHit, After: 40 * ms, Settled: true})
+				r.Handle(now, Request{ID: id, Class: 1, Object: uint64(i % 500), Deadline: now + time.Second})
+				r.Handle(now, Outcome{ID: id, Result: OK, FillStatus: FillStatusHit, Elapsed: 40 * ms, RequestDone: true})
 			}
 		})
 	}
--- a/routing/cold.go
+++ b/routing/cold.go
@@ -31,7 +31,7 @@
 	}
 	rate := d.coldRate(s)
 	spent := s.spent.Spent(d.now, rate)
-	return spent == 0 || spent+work <= rate*d.s.Guarantees.Fall.Seconds()/2
+	return spent == 0 || spent+work <= rate*d.s.Guarantees.OverloadWindow.Seconds()/2
 }
 
 // carriedByLike is what warm servers of like kind carry for us, in transfers: a low estimate of our part.
@@ -43,5 +43,5 @@
 			n++
 		}
 	}
-	return max(coldCarry/float64(max(d.s.Balancers, 1)), sum/max(n, 1))
+	return max(coldCarry/float64(max(d.s.Directors, 1)), sum/max(n, 1))
 }
--- a/routing/ejection.go
+++ b/routing/ejection.go
@@ -24,8 +24,8 @@
 	s.backoff = min(2*s.backoff, ejectMost, d.sites.LookEvery())
 	s.until = d.now + s.backoff
 	for _, a := range slices.Concat(s.to.out, s.from.out) { // what may be sent again elsewhere is called off
-		r, safe := d.reqs[a.id], d.s.Services[a.class].Effect == "read_like"
-		if r != nil && !r.stream && safe && len(r.tries) < d.s.Ceilings.MaxAttempts {
+		r, safe := d.reqs[a.id], d.s.Classes[a.class].Idempotency == "read_like"
+		if r != nil && !r.stream && safe && len(r.tries) < d.s.SiteLimits.MaxAttempts {
 			d.cancel(a)
 		}
 	}
--- a/routing/example_test.go
+++ b/routing/example_test.go
@@ -11,12 +11,12 @@
 // and is filled by a parent; then the object is purged and its cache drains.
 func Example() {
 	s := routing.Settings{
-		Balancers: 1, Zones: []string{"hub", "here"}, Zone: 1, Weights: "off", RegistryMode: "automatic",
-		Services: []routing.Class{{Name: "video", Aim: time.Second, Deadline: 4 * time.Second, Worth: 1,
-			Effect: "read_like"}},
-		Ceilings: routing.Ceilings{MaxAttempts: 4, Cancel: true},
-		Family: routing.Tiers{MasterKind: 2, SecondTierKind: 1, Lateral: "location", NotesGiven: "all", MergesFills: true,
-			SeatsByZone: []int{0, 1}, HubByZone: []int{0, 0}, PurgeTakes: 6 * time.Second},
+		Directors: 1, Zones: []string{"hub", "here"}, Zone: 1, WeightMode: "off", DiscoveryMode: "automatic",
+		Classes: []routing.Class{{Name: "video", LatencyObjective: time.Second, Timeout: 4 * time.Second, PriorityWeight: 1,
+			Idempotency: "read_like"}},
+		SiteLimits: routing.SiteLimits{MaxAttempts: 4, CancelAllowed: true},
+		Tiers: routing.TierSettings{OriginKind: 2, ParentKind: 1, SiblingFills: "location", FillStatusReported: "all", CoalescesFills: true,
+			DirectorsByZone: []int{0, 1}, HubByZone: []int{0, 0}, PurgePropagation: 6 * time.Second},
 	}
 	r, err := routing.New(s, 7)
 	if err != nil {
@@ -33,25 +33,25 @@
 		now += 10 * time.Millisecond
 	}
 	ask := func(id uint32) {
-		step(routing.Request{ID: id, Object: 49, Group: 3, GiveUpAt: now + 4*time.Second})
+		step(routing.Request{ID: id, Object: 49, Group: 3, Deadline: now + 4*time.Second})
 	}
-	done := func(id uint32, attempt int, res routing.Result, note routing.Note) {
-		step(routing.Outcome{ID: id, Attempt: attempt, Result: res, Note: note, Settled: res == routing.OK, After: 10 * time.Millisecond})
+	done := func(id uint32, attempt int, res routing.Result, note routing.FillStatus) {
+		step(routing.Outcome{ID: id, Attempt: attempt, Result: res, FillStatus: note, RequestDone: res == routing.OK, Elapsed: 10 * time.Millisecond})
 	}
 
-	step(routing.Members{Kind: routing.Cached, List: []routing.Member{
+	step(routing.EndpointUpdate{Kind: routing.UpdateCached, Endpoints: []routing.Endpoint{
 		{Host: 8, Kind: 1, State: routing.Ready}, {Host: 9, Kind: 2, State: routing.Ready},
 		{Host: 1, Zone: 1, State: routing.Ready}}})
 	ask(1)
-	done(1, 0, routing.OK, routing.NoteFilled) // cache A now holds the object
-	step(routing.Members{Kind: routing.Delta, List: []routing.Member{{Host: 2, Zone: 1, State: routing.Ready}}})
+	done(1, 0, routing.OK, routing.FillStatusFilled) // cache A now holds the object
+	step(routing.EndpointUpdate{Kind: routing.UpdateDelta, Endpoints: []routing.Endpoint{{Host: 2, Zone: 1, State: routing.Ready}}})
 	ask(2)
-	done(2, 0, routing.Miss, routing.NoteSourceLacks) // the sibling has dropped it: up a tier
-	done(2, 1, routing.OK, routing.NoteFilled)
+	done(2, 0, routing.Miss, routing.FillStatusSourceMiss) // the sibling has dropped it: up a tier
+	done(2, 1, routing.OK, routing.FillStatusFilled)
 	step(routing.Purge{Object: 49, Group: 3, Age: 100 * time.Millisecond})
 	ask(3)
-	done(3, 0, routing.OK, routing.NoteFilled)
-	step(routing.Members{Kind: routing.Delta, List: []routing.Member{{Host: 2, Zone: 1, State: routing.Draining}}})
+	done(3, 0, routing.OK, routing.FillStatusFilled)
+	step(routing.EndpointUpdate{Kind: routing.UpdateDelta, Endpoints: []routing.Endpoint{{Host: 2, Zone: 1, State: routing.Draining}}})
 	ask(4)
 	// Output:
 	// request 1: cache A, filled from parent, age limit 0s
--- a/routing/harness_test.go
+++ b/routing/harness_test.go
@@ -12,24 +12,24 @@
 // siteSettings is a small invented site: one location with a hub, an origin, and three kinds of effects.
 func siteSettings() Settings {
 	return Settings{
-		Balancers: 2, Quantum: 2 * ms, RegistryMode: "automatic", Weights: "nominal", Zone: 1,
+		Directors: 2, Quantum: 2 * ms, DiscoveryMode: "automatic", WeightMode: "nominal", Zone: 1,
 		Zones: []string{"hub", "here", "there"}, Kinds: []string{"edge", "parent", "origin"},
-		Services: []Class{
-			{Name: "big", Aim: 500 * ms, AimStretch: 1.5, Deadline: 4 * time.Second, Worth: 2, Effect: "read_like", Group: "all"},
-			{Name: "small", Aim: 250 * ms, Deadline: 2 * time.Second, Worth: 1, Effect: "read_like", Group: "all"},
-			{Name: "keyed", Aim: 400 * ms, Deadline: 2 * time.Second, Worth: 3, Effect: "idempotency_key", Group: "zone",
+		Classes: []Class{
+			{Name: "big", LatencyObjective: 500 * ms, LatencyObjectivePerSize: 1.5, Timeout: 4 * time.Second, PriorityWeight: 2, Idempotency: "read_like", DedupScope: "all"},
+			{Name: "small", LatencyObjective: 250 * ms, Timeout: 2 * time.Second, PriorityWeight: 1, Idempotency: "read_like", DedupScope: "all"},
+			{Name: "keyed", LatencyObjective: 400 * ms, Timeout: 2 * time.Second, PriorityWeight: 3, Idempotency: "idempotency_key", DedupScope: "zone",
 				DedupWindow: time.Second},
-			{Name: "unsafe", Aim: 400 * ms, Deadline: 2 * time.Second, Worth: 3, Effect: "non_idempotent"},
+			{Name: "unsafe", LatencyObjective: 400 * ms, Timeout: 2 * time.Second, PriorityWeight: 3, Idempotency: "non_idempotent"},
 		},
-		Ceilings: Ceilings{Cancel: true, MaxAttempts: 5},
-		Family: Tiers{BypassAllowed: true, ClassFresh: []time.Duration{0, 8 * time.Second, 0, 0},
-			StaleFor: []time.Duration{0, 10 * time.Second, 0, 0}, StaleEarns: []float64{1, .5, 1, 1},
-			PassOn: []bool{false, false, true, true}, MergesFills: true, MasterKind: 2, SecondTierKind: 1,
-			ParentColdFrom: 0.1, ParentRamp: 15 * time.Second, ParentFallMultiple: 2, PurgeTakes: 6 * time.Second,
-			PurgeSlack: time.Second, Lateral: "location", NotesGiven: "all", SeatsByZone: []int{0, 1, 1},
+		SiteLimits: SiteLimits{CancelAllowed: true, MaxAttempts: 5},
+		Tiers: TierSettings{BypassAllowed: true, FreshnessLifetime: []time.Duration{0, 8 * time.Second, 0, 0},
+			StaleWindow: []time.Duration{0, 10 * time.Second, 0, 0}, StaleValue: []float64{1, .5, 1, 1},
+			Uncacheable: []bool{false, false, true, true}, CoalescesFills: true, OriginKind: 2, ParentKind: 1,
+			ParentSlowStartFraction: 0.1, ParentSlowStartDuration: 15 * time.Second, ParentOverloadMultiple: 2, PurgePropagation: 6 * time.Second,
+			PurgeSlack: time.Second, SiblingFills: "location", FillStatusReported: "all", DirectorsByZone: []int{0, 1, 1},
 			HubByZone: []int{0, 0, 0}},
-		Guarantees: Guarantees{AskWithin: 10 * time.Second, Cold: 12 * time.Second, ColdFrom: 0.2,
-			DrainGrace: 2 * time.Second, Fall: time.Second, GraceToAnswer: 8 * ms, TipMultiple: 3},
+		Guarantees: Guarantees{PollWithin: 10 * time.Second, SlowStartDuration: 12 * time.Second, SlowStartFraction: 0.2,
+			DrainGrace: 2 * time.Second, OverloadWindow: time.Second, AnswerGrace: 8 * ms, OverloadMultiple: 3},
 	}
 }
 
@@ -39,13 +39,13 @@
 	hostEdge   = Host(100) // and following
 )
 
-func siteMembers(edges int) []Member {
-	list := []Member{{Host: hostOrigin, Kind: 2, State: Ready, Weight: 20},
+func siteMembers(edges int) []Endpoint {
+	list := []Endpoint{{Host: hostOrigin, Kind: 2, State: Ready, Weight: 20},
 		{Host: hostParent, Kind: 1, State: Ready, Weight: 12}, {Host: hostParent + 1, Kind: 1, State: Ready, Weight: 12}}
 	for i := range edges {
-		list = append(list, Member{Host: hostEdge + Host(i), Zone: 1, State: Ready, Weight: 6})
+		list = append(list, Endpoint{Host: hostEdge + Host(i), Zone: 1, State: Ready, Weight: 6})
 	}
-	return append(list, Member{Host: 700, Zone: 2, State: Ready, Weight: 6})
+	return append(list, Endpoint{Host: 700, Zone: 2, State: Ready, Weight: 6})
 }
 
 type tried struct {
@@ -83,12 +83,12 @@
 	r       *Router
 	rng     *rand.Rand
 	now     Time
-	members map[Host]Member
+	members map[Host]Endpoint
 	reqs    map[uint32]*open
 	queue   []due
 	purges  []told
 	cold    map[Host][]spent
-	answer  func(w *world, o *open, n int) (Result, Note, time.Duration)
+	answer  func(w *world, o *open, n int) (Result, FillStatus, time.Duration)
 	sent    []Fetch
 	acts    []Action
 	seq     int
@@ -101,9 +101,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	w := &world{t: t, s: s, r: r, rng: rand.New(rand.NewPCG(seed, 2)), members: map[Host]Member{},
+	w := &world{t: t, s: s, r: r, rng: rand.New(rand.NewPCG(seed, 2)), members: map[Host]Endpoint{},
 		reqs: map[uint32]*open{}, cold: map[Host][]spent{}, now: 100 * time.Second}
-	w.answer = func(*world, *open, int) (Result, Note, time.Duration) { return OK, NoteHit, 50 * ms }
+	w.answer = func(*world, *open, int) (Result, FillStatus, time.Duration) { return OK, FillStatusHit, 50 * ms }
 	return w
 }
 
@@ -118,8 +118,8 @@
 	w.queue = append(w.queue, due{w.now + after, ev, w.seq})
 }
 
-func (w *world) list(kind ListKind, list ...Member) {
-	if kind != Delta {
+func (w *world) list(kind UpdateKind, list ...Endpoint) {
+	if kind != UpdateDelta {
 		for h, m := range w.members {
 			m.State = Gone
 			w.members[h] = m
@@ -131,7 +131,7 @@
 		}
 		w.members[m.Host] = m
 	}
-	w.handle(Members{Kind: kind, List: list})
+	w.handle(EndpointUpdate{Kind: kind, Endpoints: list})
 }
 
 func (w *world) ask(q Request) *open {
@@ -170,7 +170,7 @@
 	}
 	w.now = max(w.now, until)
 	for _, o := range w.reqs {
-		if !o.ended && w.now > o.GiveUpAt+w.s.Guarantees.GraceToAnswer {
+		if !o.ended && w.now > o.Deadline+w.s.Guarantees.AnswerGrace {
 			w.fail("request %d lost", o.ID)
 		}
 	}
@@ -183,12 +183,12 @@
 		return
 	}
 	a.out = false
-	a.mayRun = !(o.Result == Refused || o.Result == ConnectFailed || o.Result == Moot || o.Result == Miss)
-	o.After = w.now - a.sent
+	a.mayRun = !(o.Result == Rejected || o.Result == ConnectFailed || o.Result == Abandoned || o.Result == Miss)
+	o.Elapsed = w.now - a.sent
 	if o.Result == OK {
 		q.ended = true
 	}
-	o.Settled = q.ended
+	o.RequestDone = q.ended
 	w.handle(o)
 }
 
@@ -204,12 +204,12 @@
 			w.attempt(a.ID, a.Host, a.Host, a.Timeout, 0)
 		case Cancel:
 			w.later(2*ms, Outcome{ID: a.ID, Attempt: a.Attempt, Result: Cancelled, Host: w.reqs[a.ID].tries[a.Attempt].host})
-		case Refuse:
+		case Reject:
 			w.final(a.ID, true)
 		case Fail:
 			w.final(a.ID, false)
 		case SetTimer:
-			w.later(max(a.At-w.now, ms), Timer{a.Token})
+			w.later(max(a.At-w.now, ms), TimerFired{a.Token})
 		}
 	}
 }
@@ -220,9 +220,9 @@
 		w.fail("request %d ended twice", id)
 	}
 	o.ended = true
-	c := w.s.Services[o.Class]
+	c := w.s.Classes[o.Class]
 	for _, a := range o.tries {
-		if refused && a.mayRun && (c.Effect == "non_idempotent" || (c.Effect == "idempotency_key" && c.Group != "all")) {
+		if refused && a.mayRun && (c.Idempotency == "non_idempotent" || (c.Idempotency == "idempotency_key" && c.DedupScope != "all")) {
 			w.fail("request %d refused though it may have run", id)
 		}
 	}
@@ -231,11 +231,11 @@
 // attempt checks one attempt against the rules and has the world answer it.
 func (w *world) attempt(id uint32, host, source Host, timeout, age time.Duration) {
 	o := w.reqs[id]
-	c, f := w.s.Services[o.Class], w.s.Family
+	c, f := w.s.Classes[o.Class], w.s.Tiers
 	if o.ended {
 		w.fail("attempt for ended request %d", id)
 	}
-	if len(o.tries) >= w.s.Ceilings.MaxAttempts {
+	if len(o.tries) >= w.s.SiteLimits.MaxAttempts {
 		w.fail("request %d: too many attempts", id)
 	}
 	for _, h := range []Host{host, source} {
@@ -245,21 +245,21 @@
 	}
 	m := w.members[host]
 	for _, a := range o.tries {
-		if a.out && !w.s.Ceilings.SecondCopies {
+		if a.out && !w.s.SiteLimits.HedgingAllowed {
 			w.fail("request %d: two attempts out", id)
 		}
-		if a.mayRun && c.Effect == "non_idempotent" {
+		if a.mayRun && c.Idempotency == "non_idempotent" {
 			w.fail("request %d: unsafe sent again", id)
 		}
-		if a.mayRun && c.Effect == "idempotency_key" && (w.now >= a.sent+c.DedupWindow ||
-			(c.Group == "zone" && w.members[a.host].Zone != m.Zone) || (c.Group == "cell" && w.members[a.host].Cell != m.Cell)) {
+		if a.mayRun && c.Idempotency == "idempotency_key" && (w.now >= a.sent+c.DedupWindow ||
+			(c.DedupScope == "zone" && w.members[a.host].Zone != m.Zone) || (c.DedupScope == "cell" && w.members[a.host].Cell != m.Cell)) {
 			w.fail("request %d: keyed sent again outside its group or window", id)
 		}
 	}
 	for _, p := range w.purges {
 		hit := p.Object == o.Object || (p.Object == 0 && p.Group == o.Group)
 		made := p.at - p.Age
-		if hit && m.Kind != f.MasterKind && w.now > p.at+f.PurgeSlack && w.now < made+f.PurgeTakes {
+		if hit && m.Kind != f.OriginKind && w.now > p.at+f.PurgeSlack && w.now < made+f.PurgePropagation {
 			if age <= 0 || age > max(1, w.now-made) {
 				w.fail("request %d: age %v admits a copy from before a purge %v ago", id, age, w.now-made)
 			}
@@ -268,32 +268,32 @@
 	n := len(o.tries)
 	o.tries = append(o.tries, tried{host, source, w.now, true, true})
 	res, note, after := w.answer(w, o, n)
-	if f.NotesGiven == "off" || (f.NotesGiven == "hit" && note > NoteJoined) {
-		note = NoNote
+	if f.FillStatusReported == "off" || (f.FillStatusReported == "hit" && note > FillStatusCoalesced) {
+		note = FillStatusUnknown
 	}
 	w.charge(host)
-	if source != host && (note != NoteHit || f.NotesGiven == "off") {
+	if source != host && (note != FillStatusHit || f.FillStatusReported == "off") {
 		w.charge(source)
 	}
-	limit := o.GiveUpAt - w.now
+	limit := o.Deadline - w.now
 	if timeout > 0 {
 		limit = min(limit, timeout)
 	}
 	if after >= limit {
-		res, note, after = TimedOut, NoNote, limit
+		res, note, after = TimedOut, FillStatusUnknown, limit
 	}
-	w.later(max(after, ms), Outcome{ID: id, Attempt: n, Host: host, Result: res, Note: note})
+	w.later(max(after, ms), Outcome{ID: id, Attempt: n, Host: host, Result: res, FillStatus: note})
 }
 
 // charge books an attempt on a cold server's budget: our part of what all may send.
 func (w *world) charge(h Host) {
-	m, f, g := w.members[h], w.s.Family, w.s.Guarantees
-	if m.Started == 0 || m.Kind == f.MasterKind {
+	m, f, g := w.members[h], w.s.Tiers, w.s.Guarantees
+	if m.Started == 0 || m.Kind == f.OriginKind {
 		return
 	}
-	from, ramp, multiple, seats := g.ColdFrom, g.Cold, g.TipMultiple, w.s.Family.SeatsByZone[m.Zone]
-	if m.Kind == f.SecondTierKind {
-		from, ramp, multiple, seats = f.ParentColdFrom, f.ParentRamp, f.ParentFallMultiple, w.s.Balancers
+	from, ramp, multiple, seats := g.SlowStartFraction, g.SlowStartDuration, g.OverloadMultiple, w.s.Tiers.DirectorsByZone[m.Zone]
+	if m.Kind == f.ParentKind {
+		from, ramp, multiple, seats = f.ParentSlowStartFraction, f.ParentSlowStartDuration, f.ParentOverloadMultiple, w.s.Directors
 	}
 	if w.now-m.Started > ramp {
 		return
@@ -301,12 +301,12 @@
 	w.cold[h] = append(w.cold[h], spent{w.now, 0.05})
 	sum := 0.0
 	for _, s := range w.cold[h] {
-		if s.at > w.now-g.Fall {
+		if s.at > w.now-g.OverloadWindow {
 			sum += s.work
 		}
 	}
-	share := from + (1-from)*float64(w.now-g.Fall-m.Started)/float64(ramp)
-	allowed := multiple * max(from, share) * m.Weight / float64(seats) * g.Fall.Seconds()
+	share := from + (1-from)*float64(w.now-g.OverloadWindow-m.Started)/float64(ramp)
+	allowed := multiple * max(from, share) * m.Weight / float64(seats) * g.OverloadWindow.Seconds()
 	if sum > allowed {
 		w.fail("cold host %d: %.2f s of work in its span, %.2f allowed", h, sum, allowed)
 	}
--- a/routing/limits.go
+++ b/routing/limits.go
@@ -15,8 +15,8 @@
 
 // swamped tells that a cache has more out than a part of what its link, at its pace, can send within the aim.
 func (d *Router) swamped(r *request, t *server, part float64) bool {
-	c, work := &d.s.Services[r.Class], d.cost(r)
-	return t.sized && t.sending+work > part*d.weight(t)/t.seats*(c.Aim.Seconds()+c.AimStretch*work)
+	c, work := &d.s.Classes[r.Class], d.cost(r)
+	return t.sized && t.sending+work > part*d.weight(t)/t.seats*(c.LatencyObjective.Seconds()+c.LatencyObjectivePerSize*work)
 }
 
 // cost is what a request counts on budgets and limits, in seconds of sending: never under its class's mean.
@@ -35,22 +35,22 @@
 	t, s := blamed(a)
 	switch {
 	case a.target.role != edge:
-	case o.Note == NoteHit, o.Result == TimedOut && a.target.heard <= a.sent:
+	case o.FillStatus == FillStatusHit, o.Result == TimedOut && a.target.heard <= a.sent:
 		t, s = a.target, &a.target.to
 	case o.Result == TimedOut && a.source != nil: // the cache speaks, so a source hangs
 		t, s = a.source, &a.source.from
 	}
-	if a.look || (o.Result != OK && o.Result != Refused && o.Result != TimedOut) {
+	if a.look || (o.Result != OK && o.Result != Rejected && o.Result != TimedOut) {
 		return
 	}
-	late := o.After > a.aim
+	late := o.Elapsed > a.aim
 	switch to := &a.target.to; {
-	case s == to && (o.Note == NoteHit || o.Result != OK):
+	case s == to && (o.FillStatus == FillStatusHit || o.Result != OK):
 		to.late.Set(d.now, late || o.Result != OK)
-	case a.target.role == edge && o.Result == OK && o.After-o.Waited > a.aim && to.late.Is(d.now):
+	case a.target.role == edge && o.Result == OK && o.Elapsed-o.SourceWait > a.aim && to.late.Is(d.now):
 		t, s = a.target, to // hits are late there too, and the source did not keep it waiting
 	}
-	if o.Result == OK && !late && (s == &a.target.to || o.Note == NoteFilledByOrigin) {
+	if o.Result == OK && !late && (s == &a.target.to || o.FillStatus == FillStatusFilledByOrigin) {
 		s.good = max(s.good, a.sent)
 	}
 	if o.Result == TimedOut && d.lost(a) {
@@ -61,7 +61,7 @@
 		return
 	}
 	top := max(limitFirst*a.work/t.seats, limitMost*(s.load+a.work))
-	fit := limitFit * max(a.load, s.load+a.work) * a.aim.Seconds() / max(o.After, a.aim).Seconds()
+	fit := limitFit * max(a.load, s.load+a.work) * a.aim.Seconds() / max(o.Elapsed, a.aim).Seconds()
 	s.limit.Lower(d.now, top, fit, limitLeast*d.largest()/t.seats)
 }
 
@@ -84,6 +84,6 @@
 	if a.fill {
 		should += d.waited.Is
 	}
-	due := copyPace*should*math.Exp(max(0, a.target.pace)) + copyAfter*d.s.Services[a.class].Aim.Seconds()
+	due := copyPace*should*math.Exp(max(0, a.target.pace)) + copyAfter*d.s.Classes[a.class].LatencyObjective.Seconds()
 	return side.good > a.sent && (d.now-a.sent).Seconds() >= due
 }
--- a/routing/members.go
+++ b/routing/members.go
@@ -9,18 +9,18 @@
 // What the list of servers tells.
 
 // members follows the list. Draining and gone servers are dropped at once, as targets and as sources.
-func (d *Router) members(m Members) {
-	if m.Kind == Failed {
-		again := d.s.Guarantees.AskWithin/8 + time.Duration(d.rng.Int64N(int64(time.Second)))
+func (d *Router) members(m EndpointUpdate) {
+	if m.Kind == UpdateFailed {
+		again := d.s.Guarantees.PollWithin/8 + time.Duration(d.rng.Int64N(int64(time.Second)))
 		d.do(SetTimer{Token: subscribeTimer, At: d.now + again})
 		return
 	}
-	if m.Kind != Delta {
+	if m.Kind != UpdateDelta {
 		for _, s := range d.order {
 			s.listed = false
 		}
 	}
-	for _, e := range m.List {
+	for _, e := range m.Endpoints {
 		d.member(e)
 	}
 	slices.SortFunc(d.order, func(a, b *server) int { return cmp.Compare(a.Host, b.Host) })
@@ -44,10 +44,10 @@
 }
 
 // member takes one entry; a new start time voids holdings and health of the old life.
-func (d *Router) member(e Member) {
+func (d *Router) member(e Endpoint) {
 	s := d.servers[e.Host]
 	if s == nil {
-		if e.State == Gone || e.Zone < 0 || e.Zone >= len(d.s.Family.SeatsByZone) {
+		if e.State == Gone || e.Zone < 0 || e.Zone >= len(d.s.Tiers.DirectorsByZone) {
 			return
 		}
 		s = &server{}
@@ -62,18 +62,18 @@
 		owes := max(d.largest(), d.slowest) // all hear at once; who is new has not seen what a call takes
 		s.spent.Spend(d.rng.Float64()*owes - s.spent.Spent(d.now, 0))
 	}
-	f, g := &d.s.Family, &d.s.Guarantees
-	s.Member, s.listed, s.seats = e, e.State != Gone, float64(max(d.s.Balancers, 1))
-	s.coldFrom, s.ramp, s.multiple = g.ColdFrom, g.Cold, g.TipMultiple
-	s.sized = (d.s.Weights == "nominal" || d.s.Weights == "rough") && s.Weight > 0
+	f, g := &d.s.Tiers, &d.s.Guarantees
+	s.Endpoint, s.listed, s.seats = e, e.State != Gone, float64(max(d.s.Directors, 1))
+	s.coldFrom, s.ramp, s.multiple = g.SlowStartFraction, g.SlowStartDuration, g.OverloadMultiple
+	s.sized = (d.s.WeightMode == "nominal" || d.s.WeightMode == "rough") && s.Weight > 0
 	switch {
-	case e.Kind == f.MasterKind:
+	case e.Kind == f.OriginKind:
 		s.role = origin
-	case e.Kind == f.SecondTierKind:
+	case e.Kind == f.ParentKind:
 		s.role = parent
-		s.coldFrom, s.ramp, s.multiple = f.ParentColdFrom, f.ParentRamp, f.ParentFallMultiple
+		s.coldFrom, s.ramp, s.multiple = f.ParentSlowStartFraction, f.ParentSlowStartDuration, f.ParentOverloadMultiple
 	case e.Zone == d.s.Zone:
-		s.seats = float64(max(f.SeatsByZone[e.Zone], 1))
+		s.seats = float64(max(f.DirectorsByZone[e.Zone], 1))
 	}
 	if s.role != origin {
 		s.seen = d.sites.Join(d.now, s.seen, e.Zone, e.Weight, e.State == Ready, e.Started)
--- a/routing/outcomes.go
+++ b/routing/outcomes.go
@@ -26,7 +26,7 @@
 	a.target.sending -= a.work
 	_, side := blamed(a)
 	side.load -= a.work
-	a.mayRun = !slices.Contains([]Result{Refused, ConnectFailed, Moot, Miss, NoSocket, NoWay}, o.Result)
+	a.mayRun = !slices.Contains([]Result{Rejected, ConnectFailed, Abandoned, Miss, LocalResourcesExhausted, Unreachable}, o.Result)
 	d.learn(a, r, o)
 	if r == nil {
 		return
@@ -36,14 +36,14 @@
 		d.copies = min(d.copies+copyEarns, copyMost)
 	}
 	switch {
-	case o.Settled:
+	case o.RequestDone:
 		d.forget(r)
 	case r.out > 0:
-	case d.now >= r.GiveUpAt:
-		d.end(r, OutOfTime)
+	case d.now >= r.Deadline:
+		d.end(r, ReasonDeadlineExceeded)
 	case turnedAway(o) && !d.repeats.May(d.now, r.passOn):
-		d.end(r, RepeatsSpent)
-	case d.lesson(r, a, o), a.mayRun && o.Result != Errored && !d.s.Ceilings.SecondCopies:
+		d.end(r, ReasonRetryBudgetExhausted)
+	case d.lesson(r, a, o), a.mayRun && o.Result != Errored && !d.s.SiteLimits.HedgingAllowed:
 		d.hold(r) // also where what calls an attempt off may be overtaken: two would be out at once
 	default:
 		d.advance(r)
@@ -52,16 +52,16 @@
 
 // turnedAway tells that an attempt has failed as in a crowd: to try again at once adds to it.
 func turnedAway(o Outcome) bool {
-	return o.Result == Refused || o.Result == ConnectFailed || o.Result == TimedOut
+	return o.Result == Rejected || o.Result == ConnectFailed || o.Result == TimedOut
 }
 
 // lesson notes what a failure rules out for its request, and tells whether it must wait: who is full stays
 // full for a moment, and to go elsewhere at once doubles a jam. Harm: it waits though another had room.
 func (d *Router) lesson(r *request, a *attempt, o Outcome) (wait bool) {
-	src, full := a.source, o.Result == Refused && (o.Note == NoNote || o.Note == NoteNoFillSlot)
-	untold := full && o.Note == NoNote && d.s.Family.NotesGiven != "all" // who refused: the source may have
+	src, full := a.source, o.Result == Rejected && (o.FillStatus == FillStatusUnknown || o.FillStatus == FillStatusNoFillSlot)
+	untold := full && o.FillStatus == FillStatusUnknown && d.s.Tiers.FillStatusReported != "all" // who refused: the source may have
 	switch {
-	case src == nil || (full && !untold) || (o.Result != Miss && o.Result != Refused && o.Result != TimedOut):
+	case src == nil || (full && !untold) || (o.Result != Miss && o.Result != Rejected && o.Result != TimedOut):
 	case src.role == edge:
 		r.tier = max(r.tier, parent)
 		for i, h := range r.held.by {
@@ -73,12 +73,12 @@
 		r.tier = origin
 	}
 	switch o.Result {
-	case Errored, TimedOut, ConnectFailed, Reset, NoWay:
+	case Errored, TimedOut, ConnectFailed, Reset, Unreachable:
 		r.avoid = append(r.avoid, a.target)
-	case NoSocket:
+	case LocalResourcesExhausted:
 		return true // no other server can be reached either
 	case Miss:
-		if r.looked = r.looked || (src == nil && o.Note == NoteJoined); o.Note != NoteJoined {
+		if r.looked = r.looked || (src == nil && o.FillStatus == FillStatusCoalesced); o.FillStatus != FillStatusCoalesced {
 			r.looks = overload.LooksMost // none fills it: it may be filled at once
 		}
 		return src == nil && r.looked && !a.look && !r.shut
@@ -93,13 +93,13 @@
 		looked(a).looking = false
 	}
 	switch o.Result {
-	case Cancelled, Moot, NoSocket, NoWay:
+	case Cancelled, Abandoned, LocalResourcesExhausted, Unreachable:
 		return // says nothing
 	}
 	d.repeats.Ended(d.now, o.Result == OK, turnedAway(o))
-	failed := o.Note == NoteOriginFailed
-	if a.source != nil && a.source.role != edge && (failed || o.Note == NoteFilledByOrigin) {
-		late := o.After > a.aim && o.After-o.Waited <= a.aim // by the source, not by the cache or the link
+	failed := o.FillStatus == FillStatusOriginFailed
+	if a.source != nil && a.source.role != edge && (failed || o.FillStatus == FillStatusFilledByOrigin) {
+		late := o.Elapsed > a.aim && o.Elapsed-o.SourceWait <= a.aim // by the source, not by the cache or the link
 		d.shield.Answered(d.now, a.sent, late || failed)
 	}
 	d.throttle(a, o)
@@ -107,20 +107,20 @@
 	if o.Result == OK || o.Result == TimedOut {
 		d.timed(a)
 	}
-	if src := a.source; o.Note == NoteHit && src != nil && src.cold != 0 { // no fill reached the source
+	if src := a.source; o.FillStatus == FillStatusHit && src != nil && src.cold != 0 { // no fill reached the source
 		src.spent.Spend(-max(0, a.work-d.coldRate(src)*(d.now-a.sent).Seconds()))
 	}
 	if o.Result != OK {
 		return
 	}
 	c := &d.classes[a.class]
-	if c.latency.Learn(o.After.Seconds()); o.Note == NoteFilledByOrigin {
-		d.waited.Learn(o.Waited.Seconds())
+	if c.latency.Learn(o.Elapsed.Seconds()); o.FillStatus == FillStatusFilledByOrigin {
+		d.waited.Learn(o.SourceWait.Seconds())
 	}
 	if r != nil && r.told > 0 {
 		c.work.Learn(r.told)
-	} else if o.Note == NoteHit || o.Note == NoNote {
-		c.work.Learn(o.After.Seconds())
+	} else if o.FillStatus == FillStatusHit || o.FillStatus == FillStatusUnknown {
+		c.work.Learn(o.Elapsed.Seconds())
 	}
 	t.carried = t.carried*math.Exp(-float64(d.now-t.carriedAt)/float64(carryOver)) + a.work
 	t.carriedAt = d.now
@@ -136,7 +136,7 @@
 func (d *Router) judge(a *attempt, o Outcome) {
 	t, src := a.target, a.source
 	switch o.Result {
-	case OK, Miss, Refused, Errored:
+	case OK, Miss, Rejected, Errored:
 		t.heard = d.now
 		t.seen.Answered(d.now)
 		if t.ejected && (a.look || o.Result == OK) {
@@ -151,17 +151,17 @@
 	if a.look && (o.Result == TimedOut || o.Result == Reset) { // else a reset tells nothing
 		d.eject(looked(a), "look unanswered")
 	}
-	untold := o.Note == NoNote && (o.Result == OK || o.Result == Miss)
+	untold := o.FillStatus == FillStatusUnknown && (o.Result == OK || o.Result == Miss)
 	switch {
 	case src == nil:
-	case o.Note == NoteSourceUnreached:
+	case o.FillStatus == FillStatusSourceUnreachable:
 		// Quickly: it is down. Late: perhaps crowded, and to eject it would crowd the others in a cascade.
-		n, down := src.missed.Add(d.now), o.Waited < quickly
+		n, down := src.missed.Add(d.now), o.SourceWait < quickly
 		if src.seen.Unreached(d.now, a.sent, down); src.ejected || down || (n >= 3 && src.seen.Alone(d.now)) {
 			d.eject(src, "source not reached")
 		}
-	case untold, o.Note == NoteSourceRefused, o.Note == NoteSourceLacks, o.Note == NoteOriginFailed,
-		o.Note >= NoteFilled && o.Note <= NoteJoined:
+	case untold, o.FillStatus == FillStatusSourceRejected, o.FillStatus == FillStatusSourceMiss, o.FillStatus == FillStatusOriginFailed,
+		o.FillStatus >= FillStatusFilled && o.FillStatus <= FillStatusCoalesced:
 		src.missed, src.spoke = overload.Streak{}, d.now
 		src.seen.Answered(d.now)
 		if src.ejected {
--- a/routing/peering.go
+++ b/routing/peering.go
@@ -9,7 +9,7 @@
 // askMasters asks the routers zero of other locations who holds the object, when no parent is up, peers may
 // talk and any cache may be a source. The request waits for the class's aim at the longest.
 func (d *Router) askMasters(r *request) bool {
-	if r.asked || r.passOn || !d.s.Ceilings.PeerMessages || d.s.Family.Lateral != "any" ||
+	if r.asked || r.passOn || !d.s.SiteLimits.PeerMessagesAllowed || d.s.Tiers.SiblingFills != "any" ||
 		slices.ContainsFunc(d.upper, func(s *server) bool { return s.role == parent && d.usable(s) }) {
 		return false
 	}
@@ -17,8 +17,8 @@
 	d.asking = append(d.asking, r)
 	r.asked, r.waiting = true, true
 	key := objectPart{r.Object, r.Part}
-	d.do(Tell{To: Everyone, Data: peerMessage{peerQuery, d.s.Zone, key, 0}.encode()})
-	d.do(SetTimer{Token: requestTimer | uint64(r.ID), At: min(d.now+d.s.Services[r.Class].Aim, r.GiveUpAt)})
+	d.do(SendPeerMessage{To: AllPeers, Data: peerMessage{peerQuery, d.s.Zone, key, 0}.encode()})
+	d.do(SetTimer{Token: requestTimer | uint64(r.ID), At: min(d.now+d.s.Classes[r.Class].LatencyObjective, r.Deadline)})
 	return true
 }
 
@@ -26,15 +26,15 @@
 func (d *Router) peer(m PeerMessage) {
 	q, ok := decodePeer(m.Data)
 	switch {
-	case !ok || m.From == d.s.Me:
+	case !ok || m.From == d.s.ID:
 	case q.zone == d.s.Zone:
-		d.notZero = d.notZero || m.From < d.s.Me
+		d.notZero = d.notZero || m.From < d.s.ID
 	case q.kind == peerQuery && !d.notZero:
 		asked := &request{Request: Request{Object: q.key.object, Group: -1}, held: d.use(q.key)}
 		if h := d.holder(asked, nil); h != nil {
 			q.holder = h.Host
 		}
-		d.do(Tell{To: m.From, Data: peerMessage{peerReply, d.s.Zone, q.key, q.holder}.encode()})
+		d.do(SendPeerMessage{To: m.From, Data: peerMessage{peerReply, d.s.Zone, q.key, q.holder}.encode()})
 	case q.kind == peerReply && q.holder != 0:
 		for _, r := range slices.Clone(d.asking) {
 			if r.waiting && d.reqs[r.ID] == r && q.key == (objectPart{r.Object, r.Part}) {
--- a/routing/refusal_test.go
+++ b/routing/refusal_test.go
@@ -20,11 +20,13 @@
 		"site lost":   {true, true, 5 * time.Second, 250 * ms, 500 * ms},
 	} {
 		w := simpleWorld(t, func(s *Settings) {
-			s.Ceilings.RetryAfter, s.Ceilings.MaxRetryAfter = c.allowed, c.longest
+			s.SiteLimits.RetryAfterAllowed, s.SiteLimits.MaxRetryAfter = c.allowed, c.longest
 		})
-		w.answer = func(*world, *open, int) (Result, Note, time.Duration) { return Refused, NoNote, 5 * ms }
+		w.answer = func(*world, *open, int) (Result, FillStatus, time.Duration) {
+			return Rejected, FillStatusUnknown, 5 * ms
+		}
 		if c.lost {
-			w.list(Full) // nobody is left to ask
+			w.list(UpdateFull) // nobody is left to ask
 			w.run(w.now + 100*ms)
 		}
 		if o := w.read(1, 7, 0); c.lost && !o.ended {
@@ -33,7 +35,7 @@
 		w.run(w.now + 4*time.Second)
 		got := -1 * ms
 		for _, a := range w.acts {
-			if r, ok := a.(Refuse); ok {
+			if r, ok := a.(Reject); ok {
 				got = r.RetryAfter
 			}
 		}
@@ -47,10 +49,10 @@
 func TestGivenUpIsAnsweredAtOnce(t *testing.T) {
 	for seed := range uint64(20) {
 		w := newWorld(t, siteSettings(), seed)
-		w.list(Cached, siteMembers(4)...)
-		w.list(Full)
+		w.list(UpdateCached, siteMembers(4)...)
+		w.list(UpdateFull)
 		o := w.read(1, 7, 0)
-		limit := w.s.Services[0].Aim/2 + holdFor
+		limit := w.s.Classes[0].LatencyObjective/2 + holdFor
 		w.run(w.now + limit)
 		if !o.ended {
 			t.Fatalf("seed %d: still held %v after it came", seed, limit)
--- a/routing/router.go
+++ b/routing/router.go
@@ -20,10 +20,10 @@
 	d := &Router{s: s, rng: rand.New(rand.NewPCG(seed, 1)), servers: map[Host]*server{},
 		reqs: map[uint32]*request{}, tries: map[uint64]*attempt{},
 		cur: map[objectPart]*entry{}, prev: map[objectPart]*entry{},
-		purges: map[purgeKey]purge{}, shield: overload.NewShield(s.Balancers),
-		sites: sitehealth.New(sitehealth.Config{Names: s.Zones, Own: s.Zone, Hub: s.Family.HubByZone[s.Zone]})}
-	for _, c := range s.Services { // sending is a part of the aim, or nothing would be in time
-		aim := c.Aim.Seconds()
+		purges: map[purgeKey]purge{}, shield: overload.NewShield(s.Directors),
+		sites: sitehealth.New(sitehealth.Config{Names: s.Zones, Own: s.Zone, Hub: s.Tiers.HubByZone[s.Zone]})}
+	for _, c := range s.Classes { // sending is a part of the aim, or nothing would be in time
+		aim := c.LatencyObjective.Seconds()
 		d.slowest = max(d.slowest, aim)
 		d.classes = append(d.classes, classStats{overload.Guess(aim * guessWork), overload.Guess(aim)})
 	}
@@ -36,44 +36,44 @@
 	if !d.started {
 		d.started = true
 		d.do(SetTimer{Token: tickTimer, At: now + tickEvery})
-		if d.s.RegistryMode == "subscribe" {
-			d.do(Subscribe{On: true})
+		if d.s.DiscoveryMode == "subscribe" {
+			d.do(Subscribe{Enabled: true})
 		}
 	}
 	switch e := ev.(type) {
-	case Members:
+	case EndpointUpdate:
 		d.members(e)
 	case Request:
-		e.Class = min(max(e.Class, 0), len(d.s.Services)-1)
+		e.Class = min(max(e.Class, 0), len(d.s.Classes)-1)
 		r := &request{Request: e, since: now, held: d.use(objectPart{e.Object, e.Part})}
-		if f := d.s.Family.FlowKBPerS; f > 0 {
+		if f := d.s.Tiers.TransferKBPerSecond; f > 0 {
 			r.told = e.SizeKB / f
 		}
-		r.passOn = e.Write || d.s.Family.PassOn[e.Class]
+		r.passOn = e.Write || d.s.Tiers.Uncacheable[e.Class]
 		d.reqs[e.ID] = r
 		d.copies = min(d.copies+copyShare, copyMost)
 		d.repeats.Request(d.now)
 		d.advance(r)
-	case Started:
+	case StreamStarted:
 		if r := d.reqs[e.ID]; r != nil {
 			r.stream = true
 		}
 	case Outcome:
 		d.outcome(e)
-	case Expired:
+	case RequestClosed:
 		if r := d.reqs[e.ID]; r != nil {
 			d.forget(r)
 		}
-	case Curtail:
+	case ShortenDeadline:
 		if r := d.reqs[e.ID]; r != nil {
-			r.GiveUpAt = min(r.GiveUpAt, e.GiveUpAt)
+			r.Deadline = min(r.Deadline, e.Deadline)
 		}
-	case Timer:
+	case TimerFired:
 		switch r := d.reqs[uint32(e.Token)]; {
 		case e.Token == tickTimer:
 			d.tick()
 		case e.Token == subscribeTimer:
-			d.do(Subscribe{On: true})
+			d.do(Subscribe{Enabled: true})
 		case r != nil && r.waiting:
 			r.waiting, r.drawn, r.shut = false, false, false
 			r.avoid, r.tier = r.avoid[:0], min(r.tier, parent)
@@ -93,7 +93,7 @@
 func (d *Router) log(format string, a ...any) {
 	if d.now >= d.logAt {
 		d.logAt = d.now + time.Second
-		d.do(Log{Text: fmt.Sprintf(format, a...)})
+		d.do(Log{Message: fmt.Sprintf(format, a...)})
 	}
 }
 
--- a/routing/routing.go
+++ b/routing/routing.go
@@ -13,19 +13,19 @@
 // advance sends the request's next attempt, holds it for a moment, or ends it.
 func (d *Router) advance(r *request) {
 	switch {
-	case len(r.tries) >= d.s.Ceilings.MaxAttempts:
-		d.end(r, OutOfAttempts)
-	case d.now >= r.GiveUpAt:
-		d.end(r, OutOfTime)
+	case len(r.tries) >= d.s.SiteLimits.MaxAttempts:
+		d.end(r, ReasonAttemptsExhausted)
+	case d.now >= r.Deadline:
+		d.end(r, ReasonDeadlineExceeded)
 	case d.route(r):
 	case d.sites.Shut():
-		d.end(r, SiteLost)
+		d.end(r, ReasonSiteLost)
 	case !d.maySend(r, nil):
-		d.end(r, MayHaveRun)
+		d.end(r, ReasonMayHaveExecuted)
 	case r.shut && r.tier == origin:
-		d.end(r, OriginSpared)
-	case d.now-r.since > d.s.Services[r.Class].Aim/2:
-		d.end(r, NoneInTime)
+		d.end(r, ReasonOriginShielded)
+	case d.now-r.since > d.s.Classes[r.Class].LatencyObjective/2:
+		d.end(r, ReasonNoServerInTime)
 	default:
 		d.hold(r)
 	}
@@ -36,9 +36,9 @@
 func (d *Router) hold(r *request) {
 	wait := holdFor << min(r.holds, 5)
 	wait += time.Duration(d.rng.Int64N(int64(wait)))
-	wait = min(wait, max(holdFor, r.since+d.s.Services[r.Class].Aim/2-d.now))
+	wait = min(wait, max(holdFor, r.since+d.s.Classes[r.Class].LatencyObjective/2-d.now))
 	r.holds, r.waiting = r.holds+1, true
-	d.do(SetTimer{Token: requestTimer | uint64(r.ID), At: min(d.now+wait, r.GiveUpAt)})
+	d.do(SetTimer{Token: requestTimer | uint64(r.ID), At: min(d.now+wait, r.Deadline)})
 }
 
 // route tries the ordinary path and its departures; it tells whether an attempt has left. Past a cache at its
@@ -51,7 +51,7 @@
 	room := slices.ContainsFunc(d.caches, free)
 	for _, t := range d.caches {
 		switch {
-		case slices.Contains(r.avoid, t), r.passOn && (t.ejected || d.s.Family.BypassAllowed):
+		case slices.Contains(r.avoid, t), r.passOn && (t.ejected || d.s.Tiers.BypassAllowed):
 		case t.ejected:
 			if d.mayLook(t) && d.send(r, t, nil) {
 				return true
@@ -79,7 +79,7 @@
 	if limited && !r.drawn {
 		r.drawn, r.shut = true, d.rng.Float64() >= min(d.shield.Open(d.now), d.sites.Fills(d.now, r.Class))
 	}
-	tells := limited && !r.shut && !d.s.Family.MergesFills && d.s.Family.NotesGiven == "all"
+	tells := limited && !r.shut && !d.s.Tiers.CoalescesFills && d.s.Tiers.FillStatusReported == "all"
 	if tells && d.firsts.Look(d.now, t.cold != 0, d.shield.Open(d.now), max(r.looks, len(r.tries))) &&
 		d.affordable(t, 2*d.cost(r)) { // what it lacks is then filled there
 		return d.send(r, t, nil)
@@ -93,7 +93,7 @@
 			return true
 		}
 	}
-	stale := r.shut && r.tier == origin && d.s.Family.StaleFor[r.Class] > 0
+	stale := r.shut && r.tier == origin && d.s.Tiers.StaleWindow[r.Class] > 0
 	if !full || r.looked || (!stale && (r.looks > 0 || r.shut)) {
 		return false
 	}
@@ -107,7 +107,7 @@
 	for _, s := range d.upper {
 		master := d.upper[len(d.upper)-1]
 		switch {
-		case !d.s.Family.BypassAllowed || s.role > last || (r.shut && !r.passOn):
+		case !d.s.Tiers.BypassAllowed || s.role > last || (r.shut && !r.passOn):
 		case s.role == parent && master.role == origin && d.maySource(r, s) &&
 			!d.full(&s.from, 2*d.cost(r)) && d.send(r, s, master):
 			return true
@@ -125,7 +125,7 @@
 
 // sibling is the ordinary path's source: the table's other holder; or the far cache that a master named.
 func (d *Router) sibling(r *request, target *server) *server {
-	if r.tier > edge || r.passOn || (d.s.Family.Lateral != "location" && d.s.Family.Lateral != "any") {
+	if r.tier > edge || r.passOn || (d.s.Tiers.SiblingFills != "location" && d.s.Tiers.SiblingFills != "any") {
 		return nil
 	}
 	if far := d.servers[r.far]; d.usable(far) {
@@ -145,7 +145,7 @@
 			s.score = math.Inf(-1)
 		case s.role == parent && d.sites.Pull(s.Zone) > 0:
 			s.score *= d.sites.Pull(s.Zone)
-		case s.role == parent && s.Zone == d.s.Family.HubByZone[d.s.Zone] && d.mayLook(s):
+		case s.role == parent && s.Zone == d.s.Tiers.HubByZone[d.s.Zone] && d.mayLook(s):
 			s.score = math.Inf(1) // our hub is lost: the next request is the look
 		case s.role == parent:
 			s.score = -1 / s.score // after all that get some by plan, in the same order
