--- a/cmd/shaleyard/anyorder_test.go
+++ b/cmd/shaleyard/anyorder_test.go
@@ -33,7 +33,7 @@
 	clock  routing.Time
 	agenda director.Queue
 	d      *director.Director
-	f      *upstream.Fleet
+	f      *upstream.Pools
 	s      *downstream.Server
 	pool   *buffer.Pool
 
@@ -65,7 +65,7 @@
 }
 
 type cacheEnd struct {
-	nettest.Link
+	nettest.FakeConn
 	c       *chaos
 	name    string
 	stream  eventloop.Stream
@@ -77,7 +77,7 @@
 }
 
 type clientEnd struct {
-	nettest.Link
+	nettest.FakeConn
 	c     *chaos
 	x     eventloop.Session
 	seq   int32
@@ -219,7 +219,7 @@
 
 // Close implements loop.Conn; it takes effect later.
 func (e *clientEnd) Close() error {
-	if !e.ended && !e.half && e.Unread == 0 {
+	if !e.ended && !e.half && e.Buffered == 0 {
 		for seq, a := range e.open {
 			if !a.gone {
 				e.c.failf("sequence number %d was closed upon", seq)
@@ -258,12 +258,12 @@
 		SiteLimits: routing.SiteLimits{CancelAllowed: true, MaxAttempts: 6, HedgingAllowed: true, RetryAfterAllowed: true, MaxRetryAfter: 500 * time.Millisecond},
 		Tiers: routing.TierSettings{Uncacheable: []bool{false, true, true}, OriginKind: 2, ParentKind: 1, FillStatusReported: "all", SiblingFills: "location",
 			TransferKBPerSecond: 1000}}
-	l := &config.Limits{OpenRequests: 200, Overdue: 25 * time.Millisecond, ClientConns: 6, ClientOpen: 8, RequestFrame: 4096,
-		RequestBody: 1000, RequestFields: 16, ClientBacklog: 100_000, TotalBacklog: 1 << 20, ClientMessage: 2 * time.Second,
-		ClientKeeps: 4 * time.Second, ClientIdle: 5 * time.Second, ClientLinger: 500 * time.Millisecond, ClientLingers: 3,
-		LingerBytes: 1 << 20, FlushCheck: 10 * time.Millisecond, PartGrace: 50 * time.Millisecond, LongestAllow: time.Minute,
-		PeerConns: 16, DialRoom: 4, ConnsPerPeer: 3, StreamsPerConn: 4, ConnectTimeout: time.Second, PeerIdle: 3 * time.Second,
-		PeerKeepLeast: 50 * time.Millisecond, PeerSilence: time.Second, PeerGhost: 5 * time.Second, AnswerBody: 2000, AnswerFields: 500}
+	l := &config.Limits{MaxOpenRequests: 200, OverdueGracePeriod: 25 * time.Millisecond, MaxClientConns: 6, MaxRequestsPerConn: 8, MaxFrameBytes: 4096,
+		MaxRequestBodyBytes: 1000, MaxRequestFields: 16, ClientBacklogBytes: 100_000, TotalBacklogBytes: 1 << 20, MessageTimeout: 2 * time.Second,
+		ClientKeepAlive: 4 * time.Second, ClientIdleTimeout: 5 * time.Second, LingerTimeout: 500 * time.Millisecond, MaxLingeringConns: 3,
+		MaxLingerBytes: 1 << 20, FlushCheckInterval: 10 * time.Millisecond, NewConnGracePeriod: 50 * time.Millisecond, MaxRequestTimeout: time.Minute,
+		MaxUpstreamConns: 16, MaxReplacementDials: 4, MaxConnsPerEndpoint: 3, MaxAttemptsPerConn: 4, ConnectTimeout: time.Second, UpstreamIdleTimeout: 3 * time.Second,
+		MinIdleTimeout: 50 * time.Millisecond, UpstreamSilenceTimeout: time.Second, LateAnswerWindow: 5 * time.Second, MaxAnswerBodyBytes: 2000, MaxAnswerFieldBytes: 500}
 	now := func() routing.Time { return c.clock }
 	if c.single = seed%3 == 0; c.single {
 		s.SiteLimits.HedgingAllowed = false
@@ -272,7 +272,7 @@
 	if c.d, err = director.New(s, seed, l, &c.agenda, now, zap.NewNop()); err != nil {
 		t.Fatal(err)
 	}
-	c.f = upstream.NewFleet(l, s, c.pool, c, c.d, &c.agenda, now, zap.NewNop(), seed)
+	c.f = upstream.NewPools(l, s, c.pool, c, c.d, &c.agenda, now, zap.NewNop(), seed)
 	c.d.SetUpstream(c.f)
 	c.d.Admission = overload.NewAdmission(seed)
 	c.s = downstream.NewServer(l, s, c.pool, c.d, &c.agenda, now)
@@ -375,9 +375,9 @@
 		c.d.Resume(c.rng.IntN(2) == 0)
 		c.agenda.RunDue(c.clock)
 	case n < 83 && hasEnd:
-		end.Unread = 5 - end.Unread
+		end.Buffered = 5 - end.Buffered
 	case n < 84:
-		client.Unread = 5 - client.Unread
+		client.Buffered = 5 - client.Buffered
 	case len(c.closing) > 0 && n < 92:
 		do := c.closing[0]
 		c.closing = c.closing[1:]
@@ -516,7 +516,7 @@
 			c.agenda.RunDue(c.clock)
 		}
 		for _, e := range c.clients {
-			e.Unread = 0
+			e.Buffered = 0
 		}
 		if seed%2 == 0 { // the program is told to end
 			last := c.clock + 300*time.Millisecond
@@ -534,9 +534,9 @@
 			}
 		}
 		for _, e := range c.clients {
-			e.Unread = 0
+			e.Buffered = 0
 		}
-		c.s.Part()
+		c.s.StartGracefulClose()
 		for range 100 { // to the end: dials fail, closes are carried out, time passes
 			for _, e := range c.dials {
 				e.stream.Failed(errors.New("refused"))
@@ -548,12 +548,12 @@
 				do()
 			}
 			c.pass(50 * time.Millisecond)
-			c.s.Part()
+			c.s.StartGracefulClose()
 		}
 		for _, e := range c.ends {
 			e.end()
 		}
-		if n, m, k, b := c.d.OpenRequests(), c.s.Conns(), c.f.Conns(), c.pool.Lent(); n+m+k+b != 0 {
+		if n, m, k, b := c.d.OpenRequests(), c.s.Conns(), c.f.NumConns(), c.pool.InUse(); n+m+k+b != 0 {
 			c.failf("%d requests, %d client connections, %d peer connections and %d buffers are left", n, m, k, b)
 		}
 		if c.d.Counters.RequestsOverdue != 0 {
--- a/cmd/shaleyard/drain_test.go
+++ b/cmd/shaleyard/drain_test.go
@@ -78,7 +78,7 @@
 			o.child.configure(o.site.config(256))
 			o.signal(syscall.SIGHUP)
 			o.logged("configuration read anew")
-			idle.EOF()
+			idle.ReadUntilEOF()
 			idle.Close()
 			o.emptied(at)
 			o.takenBack()
@@ -87,7 +87,7 @@
 			waiting, idle := o.connect(), o.connect()
 			waiting.Submit(1, "", fields("media", ref1)...)
 			cache := o.cache.Accept()
-			cache.Command()
+			cache.ReadCommand()
 			idle.Heartbeat(1)
 			o.drain()
 			o.signal(syscall.SIGTERM)
@@ -95,11 +95,11 @@
 			if o.status(http.MethodPut, "/healthcheck/ok") == http.StatusOK {
 				t.Error("a process that stops was called back to work")
 			}
-			cache.Answer(ref1, "OK", "n=HIT", "owed")
-			o.want(waiting.Reply(), nettest.Reply{Seq: 1, Body: "owed", Good: true})
-			waiting.EOF()
+			cache.WriteArray(ref1, "OK", "n=HIT", "owed")
+			o.want(waiting.ReadReply(), nettest.Reply{Seq: 1, Body: "owed", Good: true})
+			waiting.ReadUntilEOF()
 			waiting.Close()
-			idle.EOF()
+			idle.ReadUntilEOF()
 			idle.Close()
 			o.logged(`"to":"ended"`)
 		},
@@ -116,7 +116,7 @@
 				}
 			}
 			at := o.drain()
-			cl.EOF()
+			cl.ReadUntilEOF()
 			cl.Close()
 			o.emptied(at)
 			o.takenBack()
@@ -128,10 +128,10 @@
 			at := o.drain()
 			time.Sleep(1700 * time.Millisecond) // amid its 2 s
 			cl.Send(text[30:])
-			if r := cl.Reply(); r.Seq != 1 || r.Field != 1 || r.Fields["cooldown"] == "" {
+			if r := cl.ReadReply(); r.Seq != 1 || r.Field != 1 || r.Fields["cooldown"] == "" {
 				t.Errorf("%+v, want request 1 refused, with a time to stay away", r)
 			}
-			cl.EOF()
+			cl.ReadUntilEOF()
 			cl.Close()
 			o.emptied(at)
 		},
@@ -141,17 +141,17 @@
 			late := o.connect()
 			late.Submit(1, "", fields("media", ref1)...)
 			cache := o.cache.Accept()
-			cache.Answer(cache.Command()[1], "OK", "n=HIT", "late")
-			o.want(late.Reply(), nettest.Reply{Seq: 1, Body: "late", Good: true})
-			late.EOF()
+			cache.WriteArray(cache.ReadCommand()[1], "OK", "n=HIT", "late")
+			o.want(late.ReadReply(), nettest.Reply{Seq: 1, Body: "late", Good: true})
+			late.ReadUntilEOF()
 			late.Close()
 			time.Sleep(time.Until(at.Add(2 * time.Second)))
 			later := o.connect()
 			later.Submit(1, "", fields("media", ref2)...)
-			if r := later.Reply(); r.Field != 1 {
+			if r := later.ReadReply(); r.Field != 1 {
 				t.Errorf("%+v, want a refusal", r)
 			}
-			later.EOF()
+			later.ReadUntilEOF()
 			later.Close()
 			o.emptied(at)
 		},
@@ -169,7 +169,7 @@
 	cache := answering(t, answeringCache(0, body))
 	o := operateWith(t, func(text string, s *site) string { return strings.ReplaceAll(text, s.cache.Addr(), cache) })
 	cl := o.connect()
-	cl.Narrow(4 << 10)
+	cl.SetReadBuffer(4 << 10)
 	const answers = 24 // more than the system takes for a client
 	for seq := int32(1); o.counted("Answers") < answers; seq++ {
 		if seq > 20*answers {
@@ -202,7 +202,7 @@
 			t.Fatal("ready while drained")
 		}
 	}
-	cl.EOF()
+	cl.ReadUntilEOF()
 	cl.Close()
 	o.takenBack()
 }
@@ -210,11 +210,11 @@
 // The event loop stands still: operators' calls are answered all the same, the process is not ready, and a drain that is
 // asked for meanwhile is carried out as soon as the loop runs.
 func TestOperatorsAreAnsweredWhileTheLoopStandsStill(t *testing.T) {
-	s := launch(t, 256, io.Discard, func(l *config.Limits) { l.LoopStalled = 50 * time.Millisecond })
+	s := launch(t, 256, io.Discard, func(l *config.Limits) { l.LoopStallThreshold = 50 * time.Millisecond })
 	o := &operated{p: s.p}
 	o.booted.Store(true)
 	f := s.feed.Accept()
-	f.Line()
+	f.ReadLine()
 	cl := s.client()
 	cl.Heartbeat(1)
 	stands, goOn := make(chan struct{}), make(chan struct{})
@@ -233,5 +233,5 @@
 		t.Errorf("ready %v: %s", ready, why)
 	}
 	close(goOn)
-	cl.EOF()
+	cl.ReadUntilEOF()
 }
--- a/cmd/shaleyard/faults_test.go
+++ b/cmd/shaleyard/faults_test.go
@@ -34,7 +34,7 @@
 func TestPatienceIsWhatTheClientHasLeft(t *testing.T) {
 	s := &site{t: t, cache: nettest.Listen(t), origin: nettest.Listen(t), feed: nettest.Listen(t)}
 	child := startChild(t, s.config(256), 256)
-	s.feed.Accept().Line()
+	s.feed.Accept().ReadLine()
 	allow := func(ref string) []string {
 		f := fields("media", ref)
 		f[5] = "6000"
@@ -50,22 +50,22 @@
 	sent := time.Now()
 	cl.Submit(1, "", allow(ref1)...)
 	c := s.cache.Accept()
-	left("the first attempt", sent, c.Command())
+	left("the first attempt", sent, c.ReadCommand())
 	time.Sleep(600 * time.Millisecond) // a reset that comes late
 	c.Reset()
 	c = s.cache.Accept()
-	left("behind a reset", sent, c.Command())
-	c.Answer(ref1, "OK", "n=HIT", "x")
-	cl.Reply()
+	left("behind a reset", sent, c.ReadCommand())
+	c.WriteArray(ref1, "OK", "n=HIT", "x")
+	cl.ReadReply()
 
 	child.signal(syscall.SIGSTOP)
 	sent = time.Now()
 	cl.Submit(2, "", allow(ref2)...)
 	time.Sleep(1500 * time.Millisecond)
 	child.signal(syscall.SIGCONT)
-	left("behind a pause", sent, c.Command())
-	c.Answer(ref2, "OK", "n=HIT", "y")
-	s.want(cl.Reply(), nettest.Reply{Seq: 2, Body: "y", Good: true})
+	left("behind a pause", sent, c.ReadCommand())
+	c.WriteArray(ref2, "OK", "n=HIT", "y")
+	s.want(cl.ReadReply(), nettest.Reply{Seq: 2, Body: "y", Good: true})
 	child.stop()
 }
 
@@ -152,7 +152,7 @@
 func TestConnectsWithoutDescriptorsAreNoEvidence(t *testing.T) {
 	s := &site{t: t, cache: nettest.Listen(t), origin: nettest.Listen(t), feed: nettest.Listen(t)}
 	child := startChild(t, s.config(256), 256)
-	s.feed.Accept().Line()
+	s.feed.Accept().ReadLine()
 	cl := nettest.Dial(t, child.address)
 	cl.Heartbeat(1)
 	var before syscall.Rlimit
@@ -164,8 +164,8 @@
 	}
 	prlimit(t, child.Process.Pid, &before, nil)
 	c := s.cache.Accept()
-	c.Answer(c.Command()[1], "OK", "n=HIT", "x")
-	s.want(cl.Reply(), nettest.Reply{Seq: 2, Body: "x", Good: true})
+	c.WriteArray(c.ReadCommand()[1], "OK", "n=HIT", "x")
+	s.want(cl.ReadReply(), nettest.Reply{Seq: 2, Body: "x", Good: true})
 	child.signal(syscall.SIGTERM)
 	for child.lines.Scan() {
 		if strings.Contains(child.lines.Text(), `"msg":"eject`) {
--- a/cmd/shaleyard/interface_process_test.go
+++ b/cmd/shaleyard/interface_process_test.go
@@ -240,7 +240,7 @@
 		o.site.feed = nettest.Listen(t)
 		o.child.configure(o.site.config(256))
 		o.signal(syscall.SIGHUP)
-		if got := o.site.feed.Accept().Line(); got != "SUB 1" {
+		if got := o.site.feed.Accept().ReadLine(); got != "SUB 1" {
 			t.Errorf("behind SIGHUP the new address was asked %q", got)
 		}
 		if got, want := operatorCall(t, o.operators, http.MethodPut, "/healthcheck/fail"), `PUT /healthcheck/fail: 200 ""`; got != want {
--- a/cmd/shaleyard/interface_test.go
+++ b/cmd/shaleyard/interface_test.go
@@ -223,7 +223,7 @@
 
 // The operators' file has exactly the keys of the golden list: by their tags, in a file with all of them, and written again.
 func TestKeysOfOperatorsFile(t *testing.T) {
-	keys := keyList(typeKeys(reflect.TypeFor[config.Operator](), "toml", ""))
+	keys := keyList(typeKeys(reflect.TypeFor[config.OperatorFile](), "toml", ""))
 	wantGolden(t, "operators-file.keys", keys)
 	document := decodeTOML(t, []byte(fullOperatorFile))
 	if diff := cmp.Diff(keys, keyList(documentKeys(document, ""))); diff != "" {
@@ -307,8 +307,8 @@
 		t.Fatal(err)
 	}
 	limits := &full.Limits
-	got := fmt.Sprintln(full.Name, full.Listen, full.Feed, full.Operator, full.Seed, full.Known.N, len(full.Known.Events),
-		limits.Cores, limits.MemoryBytes, limits.Descriptors, limits.ConnectTimeout, limits.PeerIdle, limits.StreamsPerConn)
+	got := fmt.Sprintln(full.Name, full.ListenAddress, full.DiscoveryAddress, full.OperatorAddress, full.Seed, full.Bootstrap.Revision, len(full.Bootstrap.Events),
+		limits.Cores, limits.MemoryBytes, limits.Descriptors, limits.ConnectTimeout, limits.UpstreamIdleTimeout, limits.MaxAttemptsPerConn)
 	if want := "n1 127.0.0.1:0 127.0.0.1:1 127.0.0.1:2 31 1 1 1.5 150994944 200 1.3s 6s 17\n"; got != want {
 		t.Errorf("read as %s, want %s", got, want)
 	}
@@ -327,7 +327,7 @@
 			t.Errorf("%s of a wrong type: %v, want an error that spells it", key, err)
 		}
 	}
-	if diff := cmp.Diff("events[] any\nn number\n", keyList(typeKeys(reflect.TypeFor[config.Known](), "json", ""))); diff != "" {
+	if diff := cmp.Diff("events[] any\nn number\n", keyList(typeKeys(reflect.TypeFor[config.Bootstrap](), "json", ""))); diff != "" {
 		t.Errorf("known (-want +got):\n%s", diff)
 	}
 }
--- a/cmd/shaleyard/life.go
+++ b/cmd/shaleyard/life.go
@@ -12,11 +12,11 @@
 )
 
 // spans are the times of drains and stops.
-func spans(l *config.Limits, shared bool) lifecycle.Spans {
-	s := lifecycle.Spans{DrainNotice: l.DrainNotice, DrainWork: l.DrainWork, DrainEnd: l.DrainEnd, StopWork: l.StopWork,
-		StopEnd: l.StopEnd}
+func spans(l *config.Limits, shared bool) lifecycle.Timeouts {
+	s := lifecycle.Timeouts{DrainNoticePeriod: l.DrainNoticePeriod, DrainGracePeriod: l.DrainGracePeriod, DrainDeadline: l.DrainDeadline, StopGracePeriod: l.StopGracePeriod,
+		StopDeadline: l.StopDeadline}
 	if shared {
-		s.StopWork = max(l.StopWork, l.StopMoving)
+		s.StopGracePeriod = max(l.StopGracePeriod, l.StopHandoverPeriod)
 	}
 	return s
 }
@@ -36,7 +36,7 @@
 }
 
 // changed logs a change of the process's state, from whatever goroutine brought it.
-func (p *program) changed(c lifecycle.Change) {
+func (p *program) changed(c lifecycle.Transition) {
 	p.log.Info("state", zap.Stringer("from", c.From), zap.Stringer("to", c.To), zap.String("cause", string(c.Cause)))
 }
 
@@ -44,7 +44,7 @@
 // configuration was written count as told, so work is taken only once they are on their way, though our turn to ask is up
 // to the spread of the fleet's calls away.
 func (p *program) reachList() {
-	p.life.ReachList(p.now())
+	p.life.DiscoveryReady(p.now())
 	p.tend()
 }
 
@@ -56,13 +56,13 @@
 // clients don't come back in step.
 func (p *program) closed() (until routing.Time, closed bool) {
 	now := p.now()
-	if !p.life.Policy(now).TakeWork {
-		return now + p.limits.RefuseFor, true
+	if !p.life.Policy(now).AcceptRequests {
+		return now + p.limits.ShutdownRetryAfter, true
 	}
-	if p.limits.FeedStart == 0 || p.feed.Reached() || now-p.started > p.limits.FeedWait {
+	if p.limits.InitialJitterWindow == 0 || p.feed.EverConnected() || now-p.started > p.limits.InitialListTimeout {
 		return 0, false
 	}
-	return p.feed.CallAt() + p.limits.FeedRetry, true
+	return p.feed.DialTime() + p.limits.MinWatchBackoff, true
 }
 
 // stop begins a planned stop. Connections and requests are taken a while longer, as the front hears of it late; the program
@@ -73,7 +73,7 @@
 		return
 	}
 	p.log.Info("stopping", zap.Int("open", p.director.OpenRequests()))
-	p.director.SetShutdownDeadline(now + p.limits.StopAnswer)
+	p.director.SetShutdownDeadline(now + p.limits.StopAnswerDeadline)
 	p.tend()
 }
 
@@ -81,27 +81,27 @@
 func (p *program) tend() {
 	now := p.now()
 	policy := p.life.Policy(now)
-	p.loop.Accepting(policy.Accept)
-	if policy.KeepResting {
-		p.clients.Stay()
+	p.loop.SetAccepting(policy.AcceptConnections)
+	if policy.KeepIdleConnections {
+		p.clients.CancelGracefulClose()
 	} else {
-		p.clients.Part()
+		p.clients.StartGracefulClose()
 	}
-	if policy.Curtail != nil {
-		p.clients.Curtail(policy.Curtail.Since, policy.Curtail.By)
+	if policy.ShortenDeadline != nil {
+		p.clients.ShortenDeadlines(policy.ShortenDeadline.ActiveSince, policy.ShortenDeadline.Deadline)
 	}
 	before := p.life.State()
-	state := p.life.Pass(now, p.director.OpenRequests()+p.clients.Conns())
+	state := p.life.Advance(now, p.director.OpenRequests()+p.clients.Conns())
 	if state != before && state == lifecycle.Drained {
-		p.writeFlight("drained", p.limits.FlightEvents)
+		p.writeFlight("drained", p.limits.FlightRecorderEvents)
 	}
 	switch {
 	case state == lifecycle.Ended:
 		p.loop.Stop()
 	case state >= lifecycle.Stopping:
-		p.agenda.Schedule(&p.tending, now+p.limits.StopCheck, p.tend)
+		p.agenda.Schedule(&p.tending, now+p.limits.StopCheckInterval, p.tend)
 	case state >= lifecycle.Draining:
-		p.agenda.Schedule(&p.tending, now+p.limits.DrainCheck, p.tend)
+		p.agenda.Schedule(&p.tending, now+p.limits.DrainCheckInterval, p.tend)
 	default:
 		p.agenda.Cancel(&p.tending)
 	}
@@ -119,7 +119,7 @@
 	if !o.p.life.Policy(now).Ready {
 		return false, o.p.life.State().String()
 	}
-	if stands := now - o.p.loop.Ran(); stands > o.p.limits.LoopStalled {
+	if stands := now - o.p.loop.LastRun(); stands > o.p.limits.LoopStallThreshold {
 		return false, "the event loop has not run for " + stands.String()
 	}
 	return true, ""
@@ -133,7 +133,7 @@
 
 // Resume implements admin.Process.
 func (o *operated) Resume() bool {
-	back := o.p.life.TakeBack(o.p.now())
+	back := o.p.life.CancelDrain(o.p.now())
 	o.tend()
 	return back
 }
--- a/cmd/shaleyard/main.go
+++ b/cmd/shaleyard/main.go
@@ -48,7 +48,7 @@
 	// From here on no signal that the program knows ends it unasked, also while it starts.
 	signals := listen()
 	defer signals.stop()
-	operator := &config.Operator{}
+	operator := &config.OperatorFile{}
 	if path := getenv("SHALEYARD_CONFIG"); path != "" {
 		var err error
 		if operator, err = config.LoadOperator(path); err != nil {
@@ -70,17 +70,17 @@
 	// One more than the cores: the loop sits in the kernel's wait, and timers and dials must not wait for
 	// the runtime to notice that.
 	runtime.GOMAXPROCS(int(math.Ceil(c.Limits.Cores)) + 1)
-	p, err := assemble(c, operator.Plan, newLogger(logTo, operator.Log.Level, c.Name))
+	p, err := assemble(c, operator.Failover, newLogger(logTo, operator.Log.Level, c.Name))
 	if err != nil {
 		return err
 	}
-	if err := p.feed.Replay(c.Known); err != nil {
+	if err := p.feed.Bootstrap(c.Bootstrap); err != nil {
 		return err
 	}
-	c.Known = config.Known{} // replayed; it would take up memory for good
+	c.Bootstrap = config.Bootstrap{} // replayed; it would take up memory for good
 	operators := &operated{p: p}
-	if c.Operator != "" {
-		if p.admin, err = admin.Listen(c.Operator, c.Limits.OperatorConns, operators); err != nil {
+	if c.OperatorAddress != "" {
+		if p.admin, err = admin.Listen(c.OperatorAddress, c.Limits.MaxOperatorConns, operators); err != nil {
 			return fmt.Errorf("operator: %w", err)
 		}
 		defer p.admin.Close()
@@ -93,9 +93,9 @@
 		p.boot()
 		p.obey(signals, load)
 	}
-	err = p.loop.Run(c.Listen)
+	err = p.loop.Run(c.ListenAddress)
 	p.report()
-	p.log.Info("latest events", zap.String("cause", "exit"), zap.Uint64("recorded", p.flight.Recorded()),
-		zap.Array("events", p.flight.Latest(c.Limits.FlightAtExit)))
+	p.log.Info("latest events", zap.String("cause", "exit"), zap.Uint64("recorded", p.flight.Total()),
+		zap.Array("events", p.flight.Latest(c.Limits.FlightRecorderEventsAtExit)))
 	return err
 }
--- a/cmd/shaleyard/operator_test.go
+++ b/cmd/shaleyard/operator_test.go
@@ -52,7 +52,7 @@
 	o.Env = append(o.Env, "EDGE_OPERATOR="+o.operators)
 	o.launch()
 	o.listening()
-	o.feed.Accept().Line()
+	o.feed.Accept().ReadLine()
 	o.until(readyAgain, true)
 	return o
 }
@@ -104,9 +104,9 @@
 	idle.Heartbeat(1)
 	waiting.Submit(1, "", fields("media", ref1)...)
 	cache := o.cache.Accept()
-	cache.Command()
+	cache.ReadCommand()
 	sending.Submit(1, "", fields("media", ref2)...)
-	o.cache.Accept().Command() // never answered
+	o.cache.Accept().ReadCommand() // never answered
 
 	drained := time.Now()
 	for range 2 { // told twice, it is drained from the first time on
@@ -120,11 +120,11 @@
 	if r := sending.Heartbeat(2); r.Good {
 		t.Error("ready by heartbeat behind the drain")
 	}
-	idle.EOF()
+	idle.ReadUntilEOF()
 	idle.Close()
-	cache.Answer(ref1, "OK", "n=HIT", "whole")
-	o.want(waiting.Reply(), nettest.Reply{Seq: 1, Body: "whole", Good: true})
-	waiting.EOF()
+	cache.WriteArray(ref1, "OK", "n=HIT", "whole")
+	o.want(waiting.ReadReply(), nettest.Reply{Seq: 1, Body: "whole", Good: true})
+	waiting.ReadUntilEOF()
 	waiting.Close()
 	answers := o.sendOn(sending, 3, drained)
 	for seq, n := range answers {
@@ -172,7 +172,7 @@
 		}
 	}()
 	for {
-		r, ok := c.TryReply()
+		r, ok := c.TryReadReply()
 		if !ok {
 			break
 		}
@@ -196,19 +196,19 @@
 	holding := nettest.Dial(t, child.address)
 	holding.Submit(1, "", fields("media", ref1)...)
 	cache := s.cache.Accept()
-	cache.Command()
+	cache.ReadCommand()
 	var before syscall.Rlimit
 	prlimit(t, child.Process.Pid, nil, &before)
 	prlimit(t, child.Process.Pid, &syscall.Rlimit{Cur: 3, Max: before.Max}, nil)
 	late := nettest.Dial(t, child.address)
 	late.Submit(1, "", fields("media", ref2)...)
-	cache.Answer(ref1, "OK", "n=HIT", "held")
-	s.want(holding.Reply(), nettest.Reply{Seq: 1, Body: "held", Good: true})
+	cache.WriteArray(ref1, "OK", "n=HIT", "held")
+	s.want(holding.ReadReply(), nettest.Reply{Seq: 1, Body: "held", Good: true})
 	child.logged("accept")
 	prlimit(t, child.Process.Pid, &before, nil)
-	cache.Command()
-	cache.Answer(ref2, "OK", "n=HIT", "late")
-	s.want(late.Reply(), nettest.Reply{Seq: 1, Body: "late", Good: true})
+	cache.ReadCommand()
+	cache.WriteArray(ref2, "OK", "n=HIT", "late")
+	s.want(late.ReadReply(), nettest.Reply{Seq: 1, Body: "late", Good: true})
 	child.stop()
 }
 
@@ -235,19 +235,19 @@
 			child.launch()
 			child.listening()
 			feed := s.feed.Accept()
-			feed.Line()
+			feed.ReadLine()
 			begun := time.Now()
 			cl := nettest.Dial(t, child.address)
 			cl.Submit(1, "", append(fields("repayment", ref1)[:5:5], append([]string{"2500"}, fields("repayment", ref1)[6:]...)...)...)
-			s.cache.Accept().Command() // never answered
-			if r := cl.Reply(); r.Field != 2 {
+			s.cache.Accept().ReadCommand() // never answered
+			if r := cl.ReadReply(); r.Field != 2 {
 				t.Errorf("%+v, want request 1 failed", r)
 			}
 			if took := time.Since(begun); took < 2400*time.Millisecond || took > 3*time.Second {
 				t.Errorf("given up after %v, want 2.5 s", took)
 			}
 			begun = o.drain()
-			cl.EOF()
+			cl.ReadUntilEOF()
 			cl.Close()
 			if took := time.Since(begun); took < 300*time.Millisecond || took > 2*time.Second {
 				t.Errorf("a resting client was ended %v behind the drain, want 0.5 s", took)
@@ -256,7 +256,7 @@
 			s.feed = nettest.Listen(t)
 			child.configure(s.config(256))
 			child.signal(syscall.SIGHUP)
-			s.feed.Accept().Line()
+			s.feed.Accept().ReadLine()
 			begun = time.Now()
 			child.stop()
 			if took := time.Since(begun); took > 2*time.Second {
--- a/cmd/shaleyard/plan.go
+++ b/cmd/shaleyard/plan.go
@@ -38,7 +38,7 @@
 		flags.Usage()
 		return errors.New("plan: --settings FILE is needed, and nothing but options")
 	}
-	o, wishes := &config.Operator{}, []byte(nil)
+	o, wishes := &config.OperatorFile{}, []byte(nil)
 	if *operator != "" {
 		var err error
 		if o, err = config.LoadOperator(*operator); err != nil {
@@ -52,17 +52,17 @@
 	if err != nil {
 		return err
 	}
-	planner, err := newPlanner(s, members, o.Plan)
-	var wish *failover.WishError
+	planner, err := newPlanner(s, members, o.Failover)
+	var wish *failover.OverrideError
 	if errors.As(err, &wish) {
-		return fmt.Errorf("%s:%d: %w", *operator, strictconfig.Line(wishes, wish.Key), err)
+		return fmt.Errorf("%s:%d: %w", *operator, strictconfig.FindLine(wishes, wish.Key), err)
 	}
 	if err != nil {
 		return err
 	}
-	plans := planner.All()
+	plans := planner.AllPlans()
 	if *lost != "" {
-		plan, err := planner.For(strings.Split(*lost, ",")...)
+		plan, err := planner.Plan(strings.Split(*lost, ",")...)
 		if err != nil {
 			return err
 		}
@@ -79,8 +79,8 @@
 	return nil
 }
 
-func newPlanner(s *routing.Settings, members []routing.Endpoint, w failover.Wishes) (*failover.Planner, error) {
-	t, err := failover.From(s, members, w)
+func newPlanner(s *routing.Settings, members []routing.Endpoint, w failover.Overrides) (*failover.Planner, error) {
+	t, err := failover.NewTopology(s, members, w)
 	if err != nil {
 		return nil, err
 	}
@@ -94,8 +94,8 @@
 		return nil, nil, err
 	}
 	var whole struct {
-		Settings json.RawMessage `json:"settings"`
-		Known    config.Known    `json:"known"`
+		Settings json.RawMessage  `json:"settings"`
+		Known    config.Bootstrap `json:"known"`
 	}
 	if err := json.Unmarshal(text, &whole); err != nil {
 		return nil, nil, fmt.Errorf("%s: %w", path, err)
@@ -111,9 +111,9 @@
 		return nil, nil, fmt.Errorf("%s: no services or no zones (dcs) in it", path)
 	}
 	known := &listed{}
-	f := discovery.New(&config.Limits{Members: 4096}, s, "", overload.NewListCalls(overload.ListBounds{Directors: 1, Call: time.Second,
-		Heed: 2 * time.Second, Late: 7 * time.Second}, 0), nil, known, &director.Queue{}, func() routing.Time { return 0 }, zap.NewNop())
-	if err := f.Replay(whole.Known); err != nil {
+	f := discovery.New(&config.Limits{MaxMembers: 4096}, s, "", overload.NewBackoff(overload.BackoffConfig{Directors: 1, CallDuration: time.Second,
+		ApplyWithin: 2 * time.Second, NotifiedAfter: 7 * time.Second}, 0), nil, known, &director.Queue{}, func() routing.Time { return 0 }, zap.NewNop())
+	if err := f.Bootstrap(whole.Known); err != nil {
 		return nil, nil, fmt.Errorf("%s: known: %w", path, err)
 	}
 	return s, known.members(), nil
--- a/cmd/shaleyard/program.go
+++ b/cmd/shaleyard/program.go
@@ -35,8 +35,8 @@
 	pool     *buffer.Pool
 	director *director.Director
 	clients  *downstream.Server
-	fleet    *upstream.Fleet
-	feed     *discovery.Follower
+	fleet    *upstream.Pools
+	feed     *discovery.Watcher
 	loop     *eventloop.Loop
 	started  routing.Time
 	life     *lifecycle.Machine
@@ -55,7 +55,7 @@
 	rejectLogAt routing.Time // no line on a rejected connection before
 }
 
-func assemble(c *config.Config, wishes failover.Wishes, logger *zap.Logger) (*program, error) {
+func assemble(c *config.Config, wishes failover.Overrides, logger *zap.Logger) (*program, error) {
 	p := &program{log: logger, config: c, limits: &c.Limits, now: clock.New().Now,
 		acceptLog: rate.Sometimes{Interval: time.Second}}
 	l, s := p.limits, &c.Settings
@@ -65,33 +65,35 @@
 	if err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	p.loop = &eventloop.Loop{Agenda: &p.agenda, Now: p.now, Front: front{p}, Logf: p.log.Sugar().Warnf,
-		Rejected: p.reject, Inherited: c.Inherited, AcceptFailed: p.acceptFailed, PauseLimit: l.PauseLimit, Settle: l.PauseSettle,
+	p.loop = &eventloop.Loop{Timers: &p.agenda, Now: p.now, Acceptor: front{p}, Logf: p.log.Sugar().Warnf,
+		SessionFailed: p.reject, InheritedFD: c.InheritedFD, AcceptFailed: p.acceptFailed, PauseThreshold: l.PauseThreshold, SettleTime: l.PauseSettleTime,
 		Paused: p.paused, Settled: p.settled}
-	p.fleet = upstream.NewFleet(l, s, p.pool, p.loop, p.director, &p.agenda, p.now, p.log, c.Seed)
+	p.fleet = upstream.NewPools(l, s, p.pool, p.loop, p.director, &p.agenda, p.now, p.log, c.Seed)
 	p.director.SetUpstream(p.fleet)
 	p.director.Admission = overload.NewAdmission(c.Seed)
 	// A plan that can't be made must not keep the director from starting: it goes on as without one.
-	advice, err := failover.NewAdviser(s, wishes, func(err error) { p.log.Warn("no plan for lost sites", zap.Error(err)) })
-	follow := sitehealth.Options{Rate: wishes.MovePerS, Stay: time.Duration(wishes.StayMS * float64(time.Millisecond)),
-		Deaf: func() bool { return p.feed.Reached() && p.now()-p.feed.Heard() > p.limits.FeedSilence }}
+	advice, err := failover.NewLocalPlanner(s, wishes, func(err error) { p.log.Warn("no plan for lost sites", zap.Error(err)) })
+	follow := sitehealth.Options{ShiftRate: wishes.ShiftRatePerS, MinLostTime: time.Duration(wishes.MinLostMS * float64(time.Millisecond)),
+		DiscoveryStale: func() bool {
+			return p.feed.EverConnected() && p.now()-p.feed.LastUsableLine() > p.limits.WatchSilenceTimeout
+		}}
 	if err != nil {
 		p.log.Warn("no plan for lost sites", zap.Error(err))
 	} else {
-		follow.Plan = advice.Advise
+		follow.Plan = advice.Shares
 	}
 	p.director.SetSiteOptions(follow)
-	p.director.RejectUntil, p.director.CheckForPause = p.closed, p.loop.Look
+	p.director.RejectUntil, p.director.CheckForPause = p.closed, p.loop.CheckForPause
 	p.clients = downstream.NewServer(l, s, p.pool, p.director, &p.agenda, p.now)
-	p.clients.Ready, p.clients.Rejected = p.ready, p.reject
-	p.flight = flightrecorder.NewRecorder(l.FlightEvents)
-	p.director.FlightRecorder, p.clients.Flight = p.flight, p.flight
-	p.life = lifecycle.New(spans(l, c.Inherited != 0), c.Inherited != 0)
-	p.life.Changed = p.changed
-	calls := overload.NewListCalls(overload.ListBounds{Directors: s.Directors, Me: int(s.ID), Heed: l.FeedHeed,
-		Purge: l.FeedPurge, Start: l.FeedStart, Late: l.FeedLate, Silence: l.FeedSilence, Call: l.FeedCall, Least: l.FeedRetry}, c.Seed)
-	p.feed = discovery.New(l, s, c.Feed, calls, p.loop, p.director, &p.agenda, p.now, p.log)
-	p.feed.Reach = p.reachList
+	p.clients.Ready, p.clients.OnProtocolError = p.ready, p.reject
+	p.flight = flightrecorder.NewRecorder(l.FlightRecorderEvents)
+	p.director.FlightRecorder, p.clients.FlightRecorder = p.flight, p.flight
+	p.life = lifecycle.New(spans(l, c.InheritedFD != 0), c.InheritedFD != 0)
+	p.life.OnTransition = p.changed
+	calls := overload.NewBackoff(overload.BackoffConfig{Directors: s.Directors, DirectorIndex: int(s.ID), ApplyWithin: l.DrainApplyWithin,
+		ApplyPurgeWithin: l.PurgeApplyWithin, StartWindow: l.InitialJitterWindow, NotifiedAfter: l.MaxEventDelay, SilenceTimeout: l.WatchSilenceTimeout, CallDuration: l.WatchCallTime, MinWait: l.MinWatchBackoff}, c.Seed)
+	p.feed = discovery.New(l, s, c.DiscoveryAddress, calls, p.loop, p.director, &p.agenda, p.now, p.log)
+	p.feed.OnFirstConnect = p.reachList
 	return p, nil
 }
 
@@ -99,27 +101,27 @@
 func (p *program) boot() {
 	p.started = p.now()
 	p.feed.Start()
-	p.agenda.ScheduleFunc(p.started+p.limits.FeedWait, p.reachList)
+	p.agenda.ScheduleFunc(p.started+p.limits.InitialListTimeout, p.reachList)
 	p.tend()
-	p.agenda.ScheduleFunc(p.started+p.limits.ReportEvery, p.reportAgain)
+	p.agenda.ScheduleFunc(p.started+p.limits.CountersInterval, p.reportAgain)
 }
 
 // reportAgain writes the counters at every ReportEvery. With hundreds of directors, each meeting most caches
 // seldom, what the fleet did is counted from these lines: a line at the exit alone is lost to SIGKILL.
 func (p *program) reportAgain() {
 	p.report()
-	p.agenda.ScheduleFunc(p.now()+p.limits.ReportEvery, p.reportAgain)
+	p.agenda.ScheduleFunc(p.now()+p.limits.CountersInterval, p.reportAgain)
 }
 
 // paused is called when the process has stood still. Nothing is decided until what came meanwhile is read: a cache
 // may have drained, an object been purged, and both count as told.
 func (p *program) paused(gap time.Duration) {
 	p.pauses++
-	if p.longPause = p.longPause || gap > p.limits.PauseLong; p.longPause {
+	if p.longPause = p.longPause || gap > p.limits.LongPauseThreshold; p.longPause {
 		p.log.Warn("paused: reading the news first", zap.Duration("for", gap), zap.Int("open", p.director.OpenRequests()))
 	}
 	p.director.Suspend(gap)
-	p.feed.Paused()
+	p.feed.HandlePause()
 }
 
 func (p *program) settled() {
@@ -148,7 +150,7 @@
 // writeFlight writes the latest events out, most at most, aside of the loop: a log that is read slowly must not hold it up.
 func (p *program) writeFlight(cause string, most int) {
 	events := p.flight.Latest(most)
-	go p.log.Info("latest events", zap.String("cause", cause), zap.Uint64("recorded", p.flight.Recorded()), zap.Array("events", events))
+	go p.log.Info("latest events", zap.String("cause", cause), zap.Uint64("recorded", p.flight.Total()), zap.Array("events", events))
 }
 
 // report writes all counters as one line.
@@ -158,6 +160,6 @@
 		"feed": p.feed.Counters, "rejected": p.rejected, "accept_failures": p.acceptFailures.Load(),
 		"pauses": p.pauses, "sites": p.director.SiteCounters(), "reloads": p.reloads,
 		"reloads_failed": p.reloadsFailed, "open": p.director.OpenRequests(),
-		"client_conns": p.clients.Conns(), "peer_conns": p.fleet.Conns(), "buffers": p.pool.Lent(),
+		"client_conns": p.clients.Conns(), "peer_conns": p.fleet.NumConns(), "buffers": p.pool.InUse(),
 	}))
 }
--- a/cmd/shaleyard/signals.go
+++ b/cmd/shaleyard/signals.go
@@ -42,7 +42,7 @@
 	go each(s.report, func() {
 		p.loop.Do(func() {
 			p.report()
-			p.writeFlight("SIGUSR1", p.limits.FlightEvents)
+			p.writeFlight("SIGUSR1", p.limits.FlightRecorderEvents)
 		})
 	})
 	go each(s.reload, func() {
@@ -56,7 +56,7 @@
 // runs; a file that is bad, or that is for another director, is reported and changes nothing.
 func (p *program) reload(c *config.Config, err error) {
 	if err == nil {
-		err = p.config.Replaceable(c)
+		err = p.config.CheckReload(c)
 	}
 	if err != nil {
 		p.reloadsFailed++
@@ -64,10 +64,10 @@
 		return
 	}
 	p.reloads++
-	p.log.Info("configuration read anew", zap.String("feed", c.Feed))
+	p.log.Info("configuration read anew", zap.String("feed", c.DiscoveryAddress))
 	if c.Limits != p.config.Limits || !reflect.DeepEqual(c.Settings, p.config.Settings) {
 		p.log.Info("changed limits and settings wait for a restart")
 	}
-	p.config.Feed = c.Feed
-	p.feed.Redirect(c.Feed)
+	p.config.DiscoveryAddress = c.DiscoveryAddress
+	p.feed.Redirect(c.DiscoveryAddress)
 }
--- a/cmd/shaleyard/stories_test.go
+++ b/cmd/shaleyard/stories_test.go
@@ -71,14 +71,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for text, wishes := range map[string]failover.Wishes{
+	for text, wishes := range map[string]failover.Overrides{
 		"":                       {},
 		"plan.forbid[0].lost":    {Forbids: []failover.Forbid{{Lost: "moon", To: "hub"}}},
-		"plan.shares: the class": {Shares: map[string]float64{"media": 0.2, "repayment": 0.2}},
+		"plan.shares: the class": {ClassShares: map[string]float64{"media": 0.2, "repayment": 0.2}},
 	} {
 		var log strings.Builder
 		p, err := assemble(c, wishes, newLogger(&log, "", c.Name))
-		if err != nil || p.feed.Replay(c.Known) != nil {
+		if err != nil || p.feed.Bootstrap(c.Bootstrap) != nil {
 			t.Fatalf("%s: %v", text, err)
 		}
 		if told := strings.Contains(log.String(), "no plan for lost sites"); told != (text != "") || !strings.Contains(log.String(), text) {
@@ -99,15 +99,15 @@
 	if change != nil {
 		change(&c.Limits)
 	}
-	if s.p, err = assemble(c, failover.Wishes{}, newLogger(logTo, "", c.Name)); err != nil {
+	if s.p, err = assemble(c, failover.Overrides{}, newLogger(logTo, "", c.Name)); err != nil {
 		t.Fatal(err)
 	}
-	if err := s.p.feed.Replay(c.Known); err != nil {
+	if err := s.p.feed.Bootstrap(c.Bootstrap); err != nil {
 		t.Fatal(err)
 	}
 	up := make(chan struct{})
 	s.p.loop.Boot = func() { s.p.boot(); close(up) }
-	go func() { s.ended <- s.p.loop.Run(c.Listen) }()
+	go func() { s.ended <- s.p.loop.Run(c.ListenAddress) }()
 	select {
 	case <-up:
 	case err := <-s.ended:
@@ -157,7 +157,7 @@
 	cl := s.client()
 	cl.Submit(1, "", append(fields("media", ref1), "known", "tag1")...)
 	c := s.cache.Accept()
-	got := c.Command()
+	got := c.ReadCommand()
 	if len(got) == 4 {
 		got[2] = without(got[2], "patience")
 	}
@@ -166,19 +166,19 @@
 		t.Error(d)
 	}
 	body := strings.Repeat("0123456789abcdef", 15_000)
-	c.Answer(ref1, "OK", "n=HIT,rev=tag2,since=1764576000000,l=active:3", body)
-	s.want(cl.Reply(), nettest.Reply{Seq: 1, Body: body, Good: true})
+	c.WriteArray(ref1, "OK", "n=HIT,rev=tag2,since=1764576000000,l=active:3", body)
+	s.want(cl.ReadReply(), nettest.Reply{Seq: 1, Body: body, Good: true})
 
 	cl.Submit(2, "", append(fields("media", ref2), "known", "tag2")...)
-	c.Command()
-	c.Answer(ref2, "SAME", "n=HIT,rev=tag2,since=1764576000000", "")
-	s.want(cl.Reply(), nettest.Reply{Seq: 2, Good: true, Fields: map[string]string{"valid": "1"}})
+	c.ReadCommand()
+	c.WriteArray(ref2, "SAME", "n=HIT,rev=tag2,since=1764576000000", "")
+	s.want(cl.ReadReply(), nettest.Reply{Seq: 2, Good: true, Fields: map[string]string{"valid": "1"}})
 }
 
 // A flood meets a director that has just started: it takes as many requests as it can hope to answer, refuses the rest
 // at once with a time of its own for each to come back, and takes twice as many when those are answered.
 func TestFloodAfterAStartIsLetInAsAnswersCome(t *testing.T) {
-	s := launch(t, 1024, io.Discard, func(l *config.Limits) { l.ConnsPerPeer = 1 })
+	s := launch(t, 1024, io.Discard, func(l *config.Limits) { l.MaxConnsPerEndpoint = 1 })
 	flood := func(cl *nettest.Conn, from, n int) {
 		for i := range n {
 			cl.Submit(int32(from+i), "", fields("media", fmt.Sprintf("%016x", 1000+from+i))...)
@@ -191,7 +191,7 @@
 	refused := func(cl *nettest.Conn, n int) {
 		t.Helper()
 		for range n {
-			r := cl.Reply()
+			r := cl.ReadReply()
 			if r.Field != 1 || r.Fields["cooldown"] == "" {
 				t.Fatalf("%+v, want a refusal that says when to come back", r)
 			}
@@ -208,10 +208,10 @@
 	serve := func(n int) {
 		t.Helper()
 		for range n {
-			c.Answer(c.Command()[1], "OK", "n=HIT,rev=t,since=1764576000000", "x")
+			c.WriteArray(c.ReadCommand()[1], "OK", "n=HIT,rev=t,since=1764576000000", "x")
 		}
 		for range n {
-			if r := one.Reply(); !r.Good {
+			if r := one.ReadReply(); !r.Good {
 				t.Fatalf("%+v, want an answer", r)
 			}
 		}
@@ -227,11 +227,11 @@
 	cl := s.client()
 	cl.Submit(1, "pay", fields("repayment", ref1)...)
 	c := s.cache.Accept()
-	if got := c.Command(); got[3] != "pay" {
+	if got := c.ReadCommand(); got[3] != "pay" {
 		t.Errorf("body %q", got[3])
 	}
 	c.Reset()
-	s.want(cl.Reply(), nettest.Reply{Seq: 1, Field: 2})
+	s.want(cl.ReadReply(), nettest.Reply{Seq: 1, Field: 2})
 }
 
 // A spoilt answer ends its connection, and a reset one what is open on it: that must be one attempt, so that a
@@ -241,19 +241,19 @@
 	cl := s.client()
 	cl.Submit(1, "pay", fields("repayment", ref1)...)
 	pay := s.cache.Accept()
-	pay.Command()
+	pay.ReadCommand()
 	cl.Submit(2, "", fields("media", ref2)...)
 	spoilt := s.cache.Accept()
-	spoilt.Command()
+	spoilt.ReadCommand()
 	spoilt.Send("*4\r\n$noise")
-	spoilt.Ended()
+	spoilt.ReadUntilClose()
 	cl.Submit(3, "", fields("media", ref3)...)
 	c := s.cache.Accept()
-	if got := c.Command(); got[1] != ref3 {
+	if got := c.ReadCommand(); got[1] != ref3 {
 		t.Errorf("the cache was asked for %s, want %s", got[1], ref3)
 	}
-	pay.Answer(ref1, "OK", "-", "paid")
-	s.want(cl.Reply(), nettest.Reply{Seq: 1, Body: "paid", Good: true})
+	pay.WriteArray(ref1, "OK", "-", "paid")
+	s.want(cl.ReadReply(), nettest.Reply{Seq: 1, Body: "paid", Good: true})
 }
 
 // Refused connections prove that nothing ran: the repayment may be refused, which lets the client retry.
@@ -263,7 +263,7 @@
 	s.origin.Close()
 	cl := s.client()
 	cl.Submit(1, "pay", fields("repayment", ref1)...)
-	if r := cl.Reply(); r.Field != 1 {
+	if r := cl.ReadReply(); r.Field != 1 {
 		t.Errorf("answer %+v, want a refusal", r)
 	}
 }
@@ -274,16 +274,16 @@
 	cl := s.client()
 	cl.Submit(1, "", fields("media", ref1)...)
 	c := s.cache.Accept()
-	c.Command()
+	c.ReadCommand()
 	cl.Revoke(1)
-	if d := cmp.Diff([]string{"STOP", ref1}, c.Command()); d != "" {
+	if d := cmp.Diff([]string{"STOP", ref1}, c.ReadCommand()); d != "" {
 		t.Error(d)
 	}
-	c.Answer(ref1, "OK", "n=HIT", "late")
+	c.WriteArray(ref1, "OK", "n=HIT", "late")
 	cl.Submit(2, "", fields("media", ref2)...)
-	c.Command()
-	c.Answer(ref2, "OK", "n=HIT", "in time")
-	s.want(cl.Reply(), nettest.Reply{Seq: 2, Body: "in time", Good: true})
+	c.ReadCommand()
+	c.WriteArray(ref2, "OK", "n=HIT", "in time")
+	s.want(cl.ReadReply(), nettest.Reply{Seq: 2, Body: "in time", Good: true})
 }
 
 func TestDeadClientEndsItsRequests(t *testing.T) {
@@ -291,9 +291,9 @@
 	cl := s.client()
 	cl.Submit(1, "", fields("media", ref1)...)
 	c := s.cache.Accept()
-	c.Command()
+	c.ReadCommand()
 	cl.Reset()
-	if d := cmp.Diff([]string{"STOP", ref1}, c.Command()); d != "" {
+	if d := cmp.Diff([]string{"STOP", ref1}, c.ReadCommand()); d != "" {
 		t.Error(d)
 	}
 }
@@ -305,26 +305,26 @@
 	for _, junk := range []string{"GET / HTTP/1.1\r\n\r\n", "\x00\x00\x00\x00", "\xff\xff\xff\xff", "\x00\x00\x00\x01\x80"} {
 		bad := s.client()
 		bad.Send(junk)
-		if got := bad.Ended(); got != "" {
+		if got := bad.ReadUntilClose(); got != "" {
 			t.Errorf("%q was answered %q", junk, got)
 		}
 	}
 	good.Send(nettest.Frame(1, "nonsense", 1, nil))
-	if r := good.Reply(); !r.Application || r.Seq != 1 {
+	if r := good.ReadReply(); !r.Application || r.Seq != 1 {
 		t.Errorf("unknown method: %+v", r)
 	}
 	good.Submit(2, "", "service", "media", "ref", "short")
-	if r := good.Reply(); !r.Application || r.Seq != 2 {
+	if r := good.ReadReply(); !r.Application || r.Seq != 2 {
 		t.Errorf("bad fields: %+v", r)
 	}
 	good.Submit(3, "", fields("media", ref1)...)
 	c := s.cache.Accept()
-	c.Command()
-	c.Answer(ref1, "WHAT", "-", "")
+	c.ReadCommand()
+	c.WriteArray(ref1, "WHAT", "-", "")
 	c = s.cache.Accept() // not on the connection of the first try, where a second copy might still come
-	c.Command()          // the bad answer failed its attempt; the origin or the cache is asked again
-	c.Answer(ref1, "OK", "n=HIT", "x")
-	s.want(good.Reply(), nettest.Reply{Seq: 3, Body: "x", Good: true})
+	c.ReadCommand()      // the bad answer failed its attempt; the origin or the cache is asked again
+	c.WriteArray(ref1, "OK", "n=HIT", "x")
+	s.want(good.ReadReply(), nettest.Reply{Seq: 3, Body: "x", Good: true})
 }
 
 // The loop accepts with SO_REUSEPORT, which by itself would let two programs share an address unnoticed.
@@ -342,7 +342,7 @@
 	waiting := s.client()
 	waiting.Submit(1, "", fields("media", ref1)...)
 	c := s.cache.Accept()
-	c.Command()
+	c.ReadCommand()
 	var silent []*nettest.Conn
 	for range 50 {
 		silent = append(silent, s.client())
@@ -351,10 +351,10 @@
 		t.Errorf("answer to call %d, want 1", r.Seq)
 	}
 	for _, c := range silent[:50-22] {
-		c.Ended()
+		c.ReadUntilClose()
 	}
-	c.Answer(ref1, "OK", "n=HIT", "x")
-	s.want(waiting.Reply(), nettest.Reply{Seq: 1, Body: "x", Good: true})
+	c.WriteArray(ref1, "OK", "n=HIT", "x")
+	s.want(waiting.ReadReply(), nettest.Reply{Seq: 1, Body: "x", Good: true})
 }
 
 const childLimit = "SHALEYARD_TEST_DESCRIPTORS"
@@ -460,12 +460,12 @@
 	text := s.config(256)
 	child := startChild(t, text, 256)
 	old := s.feed.Accept()
-	old.Line()
+	old.ReadLine()
 	old.Send(`{"n":2,"purge":{"group":3,"at":1}}` + "\n")
 	cl := nettest.Dial(t, child.address)
 	cl.Submit(1, "", fields("media", ref1)...)
 	c := s.cache.Accept()
-	c.Command()
+	c.ReadCommand()
 	for _, bad := range []string{"{", strings.Replace(string(text), `"n1"`, `"n2"`, 1)} {
 		child.configure([]byte(bad))
 		child.signal(syscall.SIGHUP)
@@ -474,14 +474,14 @@
 	s.feed = nettest.Listen(t)
 	child.configure(s.config(256))
 	child.signal(syscall.SIGHUP)
-	if got := s.feed.Accept().Line(); got != "SUB 2" {
+	if got := s.feed.Accept().ReadLine(); got != "SUB 2" {
 		t.Errorf("the new feed was asked %q", got)
 	}
-	if got := old.Ended(); got != "" {
+	if got := old.ReadUntilClose(); got != "" {
 		t.Errorf("the old feed was told %q", got)
 	}
-	c.Answer(ref1, "OK", "n=HIT", "kept")
-	s.want(cl.Reply(), nettest.Reply{Seq: 1, Body: "kept", Good: true})
+	c.WriteArray(ref1, "OK", "n=HIT", "kept")
+	s.want(cl.ReadReply(), nettest.Reply{Seq: 1, Body: "kept", Good: true})
 	child.stop()
 }
 
@@ -512,16 +512,16 @@
 	resting.Heartbeat(1)
 	cl.Submit(1, "", fields("media", ref1)...)
 	c := s.cache.Accept()
-	c.Command()
+	c.ReadCommand()
 	child.signal(syscall.SIGTERM)
-	resting.EOF() // the program parts
+	resting.ReadUntilEOF() // the program parts
 	last := resting
 	for range 100 {
 		last = nettest.Dial(t, child.address)
 	}
-	last.Ended() // it was accepted, and all before it
-	c.Answer(ref1, "OK", "n=HIT", "owed")
-	s.want(cl.Reply(), nettest.Reply{Seq: 1, Body: "owed", Good: true})
+	last.ReadUntilClose() // it was accepted, and all before it
+	c.WriteArray(ref1, "OK", "n=HIT", "owed")
+	s.want(cl.ReadReply(), nettest.Reply{Seq: 1, Body: "owed", Good: true})
 	child.stop()
 }
 
@@ -541,44 +541,44 @@
 func TestFeedResumesAndANewCacheIsAnotherPeer(t *testing.T) {
 	s := start(t)
 	f := s.feed.Accept()
-	if got := f.Line(); got != "SUB 1" {
+	if got := f.ReadLine(); got != "SUB 1" {
 		t.Errorf("subscribed with %q", got)
 	}
 	cl := s.client()
 	cl.Submit(1, "", fields("media", ref1)...)
 	old := s.cache.Accept()
-	old.Command()
-	old.Answer(ref1, "OK", "n=HIT", "old")
-	cl.Reply()
+	old.ReadCommand()
+	old.WriteArray(ref1, "OK", "n=HIT", "old")
+	cl.ReadReply()
 	f.Send(members(2, false, member("c1", s.cache.Addr(), "here", "edge", "gone"),
 		member("c2", s.cache.Addr(), "here", "edge", "ready")) + "\nnonsense\n")
-	f.Ended()
+	f.ReadUntilClose()
 	f = s.feed.Accept()
-	if got := f.Line(); got != "SUB 2" {
+	if got := f.ReadLine(); got != "SUB 2" {
 		t.Errorf("resumed with %q", got)
 	}
-	if got := old.Ended(); got != "" {
+	if got := old.ReadUntilClose(); got != "" {
 		t.Errorf("the cache that has gone got %q", got)
 	}
 	cl.Submit(2, "", fields("media", ref2)...)
 	c := s.cache.Accept()
-	c.Command()
-	c.Answer(ref2, "OK", "n=HIT", "new")
-	s.want(cl.Reply(), nettest.Reply{Seq: 2, Body: "new", Good: true})
+	c.ReadCommand()
+	c.WriteArray(ref2, "OK", "n=HIT", "new")
+	s.want(cl.ReadReply(), nettest.Reply{Seq: 2, Body: "new", Good: true})
 }
 
 // A stop answers what was taken, and what still comes for a while, before the program ends without an error.
 func TestStopAnswersWhatWasTaken(t *testing.T) {
 	s := start(t)
 	f := s.feed.Accept()
-	f.Line()
+	f.ReadLine()
 	cl := s.client()
 	if r := cl.Heartbeat(1); !r.Good {
 		t.Error("not ready with the feed up")
 	}
 	cl.Submit(2, "", fields("media", ref1)...)
 	c := s.cache.Accept()
-	c.Command()
+	c.ReadCommand()
 	stopping := make(chan struct{})
 	s.p.loop.Do(func() { s.p.stop(); close(stopping) })
 	<-stopping
@@ -588,11 +588,11 @@
 	late := s.client()
 	late.Submit(1, "", fields("media", ref2)...)
 	c2 := s.cache.Accept()
-	c2.Command()
-	c2.Answer(ref2, "OK", "n=HIT", "late")
-	s.want(late.Reply(), nettest.Reply{Seq: 1, Body: "late", Good: true})
-	c.Answer(ref1, "OK", "n=HIT", "taken")
-	s.want(cl.Reply(), nettest.Reply{Seq: 2, Body: "taken", Good: true})
+	c2.ReadCommand()
+	c2.WriteArray(ref2, "OK", "n=HIT", "late")
+	s.want(late.ReadReply(), nettest.Reply{Seq: 1, Body: "late", Good: true})
+	c.WriteArray(ref1, "OK", "n=HIT", "taken")
+	s.want(cl.ReadReply(), nettest.Reply{Seq: 2, Body: "taken", Good: true})
 	if err := <-s.ended; err != nil {
 		t.Error(err)
 	}
@@ -605,16 +605,16 @@
 	cl := s.client()
 	cl.Submit(1, "", fields("media", ref1)...)
 	c := s.cache.Accept()
-	c.Command()
+	c.ReadCommand()
 	cl.Send("\xff\xff\xff\xff" + strings.Repeat("junk", 5000))
 	rejected := make(chan struct{})
 	for done := false; !done; {
 		s.p.loop.Do(func() { done = s.p.rejected > 0; rejected <- struct{}{} })
 		<-rejected
 	}
-	c.Answer(ref1, "OK", "n=HIT", "whole")
-	s.want(cl.Reply(), nettest.Reply{Seq: 1, Body: "whole", Good: true})
-	if rest := cl.EOF(); rest != "" {
+	c.WriteArray(ref1, "OK", "n=HIT", "whole")
+	s.want(cl.ReadReply(), nettest.Reply{Seq: 1, Body: "whole", Good: true})
+	if rest := cl.ReadUntilEOF(); rest != "" {
 		t.Errorf("%q behind the answer", rest)
 	}
 }
@@ -623,17 +623,17 @@
 // read until the client closes it, so that no reset takes the last answer with it.
 func TestRequestBehindTheLastHalfCloseIsNotTaken(t *testing.T) {
 	s := launch(t, 1024, io.Discard, func(l *config.Limits) {
-		l.StopWork, l.StopAnswer, l.ClientLinger = 10*time.Millisecond, 10*time.Second, 20*time.Second
-		l.StopEnd = 20 * time.Second
+		l.StopGracePeriod, l.StopAnswerDeadline, l.LingerTimeout = 10*time.Millisecond, 10*time.Second, 20*time.Second
+		l.StopDeadline = 20 * time.Second
 	})
 	cl := s.client()
 	cl.Submit(1, "", fields("media", ref1)...)
 	c := s.cache.Accept()
-	c.Command()
-	c.Answer(ref1, "OK", "n=HIT", "last")
-	s.want(cl.Reply(), nettest.Reply{Seq: 1, Body: "last", Good: true})
+	c.ReadCommand()
+	c.WriteArray(ref1, "OK", "n=HIT", "last")
+	s.want(cl.ReadReply(), nettest.Reply{Seq: 1, Body: "last", Good: true})
 	s.p.loop.Do(s.p.stop)
-	if rest := cl.EOF(); rest != "" {
+	if rest := cl.ReadUntilEOF(); rest != "" {
 		t.Errorf("%q before the end", rest)
 	}
 	cl.Submit(2, "", fields("media", ref2)...)
@@ -644,8 +644,8 @@
 	if got := s.p.director.Counters.RequestsAccepted; got != 1 {
 		t.Errorf("%d requests taken, want 1", got)
 	}
-	if got := s.p.clients.Counters; got.Dropped == 0 || got.LingersCut != 0 {
-		t.Errorf("%d bytes dropped, %d lingers cut; want some and none", got.Dropped, got.LingersCut)
+	if got := s.p.clients.Counters; got.DroppedBytes == 0 || got.LingersAborted != 0 {
+		t.Errorf("%d bytes dropped, %d lingers cut; want some and none", got.DroppedBytes, got.LingersAborted)
 	}
 }
 
@@ -653,16 +653,16 @@
 // of our end, sends its next request long behind it, and still gets the answer whole.
 func TestSlowReaderGetsItsAnswerBehindOurHalfClose(t *testing.T) {
 	s := launch(t, 1024, io.Discard, func(l *config.Limits) {
-		l.StopWork, l.StopAnswer, l.StopEnd = 10*time.Millisecond, 10*time.Second, 20*time.Second
-		l.ClientLinger = 20 * time.Millisecond
+		l.StopGracePeriod, l.StopAnswerDeadline, l.StopDeadline = 10*time.Millisecond, 10*time.Second, 20*time.Second
+		l.LingerTimeout = 20 * time.Millisecond
 	})
 	cl := s.client()
-	cl.Narrow(16 << 10)
+	cl.SetReadBuffer(16 << 10)
 	body := strings.Repeat("0123456789abcdef", 15_000)
 	cl.Submit(1, "", fields("media", ref1)...)
 	c := s.cache.Accept()
-	c.Command()
-	c.Answer(ref1, "OK", "n=HIT", body)
+	c.ReadCommand()
+	c.WriteArray(ref1, "OK", "n=HIT", body)
 	at := func(done func() bool) {
 		for yes := make(chan bool, 1); ; {
 			s.p.loop.Do(func() { yes <- done() })
@@ -681,10 +681,10 @@
 	s.p.loop.Do(s.p.stop)
 	var parted time.Duration
 	at(func() bool { parted = s.p.now(); return s.p.clients.Counters.Lingering == 1 })
-	at(func() bool { return s.p.now()-parted > 3*s.p.limits.ClientLinger })
+	at(func() bool { return s.p.now()-parted > 3*s.p.limits.LingerTimeout })
 	cl.Submit(2, "", fields("media", ref2)...)
-	s.want(cl.Reply(), nettest.Reply{Seq: 1, Body: body, Good: true})
-	cl.EOF()
+	s.want(cl.ReadReply(), nettest.Reply{Seq: 1, Body: body, Good: true})
+	cl.ReadUntilEOF()
 	cl.Close()
 	if err := <-s.ended; err != nil {
 		t.Error(err)
@@ -693,7 +693,7 @@
 
 // SIGTERM may come while reloads wait behind one whose file takes long to read, and more of them than any channel holds.
 func TestStopIsNotLostBehindReloads(t *testing.T) {
-	s := launch(t, 1024, io.Discard, func(l *config.Limits) { l.StopWork = 10 * time.Millisecond })
+	s := launch(t, 1024, io.Discard, func(l *config.Limits) { l.StopGracePeriod = 10 * time.Millisecond })
 	got := signals{make(chan os.Signal, 1), make(chan os.Signal, 1), make(chan os.Signal, 1)}
 	reading, proceed := make(chan struct{}), make(chan struct{})
 	s.p.obey(got, func() (*config.Config, error) {
@@ -718,13 +718,13 @@
 // and a request that still comes is refused at once.
 func TestStopAnswersWhatHangs(t *testing.T) {
 	s := launch(t, 1024, io.Discard, func(l *config.Limits) {
-		l.StopWork, l.StopAnswer, l.StopEnd = 10*time.Millisecond, 300*time.Millisecond, 20*time.Second
-		l.PartGrace, l.ClientLinger = 10*time.Second, 10*time.Second // however late the test's own request comes
+		l.StopGracePeriod, l.StopAnswerDeadline, l.StopDeadline = 10*time.Millisecond, 300*time.Millisecond, 20*time.Second
+		l.NewConnGracePeriod, l.LingerTimeout = 10*time.Second, 10*time.Second // however late the test's own request comes
 	})
 	cl, second := s.client(), s.client()
 	second.Heartbeat(1)
 	cl.Submit(1, "", fields("media", ref1)...)
-	s.cache.Accept().Command()
+	s.cache.Accept().ReadCommand()
 	s.p.loop.Do(s.p.stop)
 	parted := make(chan struct{})
 	for done := false; !done; {
@@ -732,21 +732,21 @@
 		<-parted
 	}
 	cl.Submit(2, "", fields("media", ref2)...)
-	if r := cl.Reply(); r.Seq != 2 || r.Field != 1 {
+	if r := cl.ReadReply(); r.Seq != 2 || r.Field != 1 {
 		t.Errorf("behind the time for new work: %+v, want request 2 refused", r)
 	}
 	late := s.client() // accepted, and not read yet, as the program parts
 	late.Submit(1, "", fields("media", ref2)...)
-	if r := late.Reply(); r.Seq != 1 || r.Field != 1 {
+	if r := late.ReadReply(); r.Seq != 1 || r.Field != 1 {
 		t.Errorf("on a new connection: %+v, want its request refused", r)
 	}
 	late.Close()
-	if r := cl.Reply(); r.Seq != 1 || r.Field != 1 {
+	if r := cl.ReadReply(); r.Seq != 1 || r.Field != 1 {
 		t.Errorf("at a cache that hangs: %+v, want request 1 refused", r)
 	}
-	cl.EOF()
+	cl.ReadUntilEOF()
 	cl.Close()
-	second.EOF()
+	second.ReadUntilEOF()
 	second.Close()
 	if err := <-s.ended; err != nil {
 		t.Error(err)
@@ -768,7 +768,7 @@
 // seen, and nothing could be counted across the fleet. They are written as the program runs.
 func TestCountersAreLoggedAsTheProgramRuns(t *testing.T) {
 	logged := make(lines, 64)
-	launch(t, 1024, logged, func(l *config.Limits) { l.ReportEvery = 10 * time.Millisecond })
+	launch(t, 1024, logged, func(l *config.Limits) { l.CountersInterval = 10 * time.Millisecond })
 	late := time.After(20 * time.Second) // only so that a failure ends
 	for seen := 0; seen < 2; {
 		select {
--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -60,14 +60,14 @@
 		}
 	}()
 	switch e := rec.Event.(type) {
-	case simwire.Born:
+	case simwire.StartInstance:
 		r, err := born(e)
 		if err != nil {
 			return []routing.Action{simwire.Crash{Text: err.Error()}}
 		}
 		routers[rec.Instance] = r
 		return nil
-	case simwire.Killed:
+	case simwire.StopInstance:
 		delete(routers, rec.Instance)
 		return nil
 	}
@@ -77,7 +77,7 @@
 	return nil
 }
 
-func born(b simwire.Born) (*routing.Router, error) {
+func born(b simwire.StartInstance) (*routing.Router, error) {
 	var s routing.Settings
 	if err := json.Unmarshal(b.Settings, &s); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
@@ -86,8 +86,8 @@
 	if err != nil {
 		return nil, err
 	}
-	if a, err := failover.NewAdviser(&s, failover.Wishes{}, nil); err == nil {
-		r.SetSiteOptions(sitehealth.Options{Plan: a.Advise}) // as the real director does without an operators' file
+	if a, err := failover.NewLocalPlanner(&s, failover.Overrides{}, nil); err == nil {
+		r.SetSiteOptions(sitehealth.Options{Plan: a.Shares}) // as the real director does without an operators' file
 	}
 	return r, nil
 }
--- a/cmd/testbed/main.go
+++ b/cmd/testbed/main.go
@@ -93,18 +93,18 @@
 
 // result is what result.json holds.
 type result struct {
-	Experiment string             `json:"experiment"`
-	Seed       uint64             `json:"seed"`
-	Directors  int                `json:"directors"`
-	Verdict    string             `json:"verdict"`
-	Broken     []checker.Broken   `json:"broken"`
-	Figures    map[string]float64 `json:"figures"`
-	Baseline   map[string]float64 `json:"baseline,omitempty"`
+	Experiment string              `json:"experiment"`
+	Seed       uint64              `json:"seed"`
+	Directors  int                 `json:"directors"`
+	Verdict    string              `json:"verdict"`
+	Violations []checker.Violation `json:"broken"`
+	Metrics    map[string]float64  `json:"figures"`
+	Baseline   map[string]float64  `json:"baseline,omitempty"`
 }
 
 // Run plays the experiment, and the baseline after it.
 func (c *runCommand) Run(o *console) error {
-	x, err := testbed.Load(c.File)
+	x, err := testbed.LoadExperiment(c.File)
 	if err != nil {
 		return err
 	}
@@ -141,18 +141,18 @@
 	if err != nil {
 		return err
 	}
-	r := result{Experiment: x.Name, Seed: x.Seed, Directors: x.Directors, Figures: v.Figures}
-	r.Broken = append([]checker.Broken{}, v.Broken...)
+	r := result{Experiment: x.Name, Seed: x.Seed, Directors: x.Directors, Metrics: v.Metrics}
+	r.Violations = append([]checker.Violation{}, v.Violations...)
 	if c.Baseline != "" {
 		b, err := play(ctx, x, c.Baseline, filepath.Join(c.Out, "baseline"), logger)
 		if err != nil {
 			return fmt.Errorf("baseline: %w", err)
 		}
-		r.Baseline = b.Figures
+		r.Baseline = b.Metrics
 	}
-	r.Broken = append(r.Broken, x.Judge(r.Figures, r.Baseline)...)
+	r.Violations = append(r.Violations, x.CheckBounds(r.Metrics, r.Baseline)...)
 	r.Verdict = "pass"
-	if len(r.Broken) > 0 {
+	if len(r.Violations) > 0 {
 		r.Verdict = "fail"
 	}
 	text, err := json.MarshalIndent(r, "", "  ")
@@ -163,7 +163,7 @@
 		return err
 	}
 	print(o.out, &r)
-	if len(r.Broken) > 0 {
+	if len(r.Violations) > 0 {
 		return verdictError{}
 	}
 	return nil
@@ -198,17 +198,17 @@
 
 func print(w io.Writer, r *result) {
 	fmt.Fprintf(w, "%s, seed %d, %d directors: %s\n", r.Experiment, r.Seed, r.Directors, r.Verdict)
-	for _, n := range checker.FigureNames {
-		fmt.Fprintf(w, "  %-28s %10.3f", n, r.Figures[n])
+	for _, n := range checker.MetricNames {
+		fmt.Fprintf(w, "  %-28s %10.3f", n, r.Metrics[n])
 		if r.Baseline != nil {
 			fmt.Fprintf(w, "   baseline %10.3f", r.Baseline[n])
 		}
 		fmt.Fprintln(w)
 	}
 	const most = 20
-	for i, b := range r.Broken {
+	for i, b := range r.Violations {
 		if i == most {
-			fmt.Fprintf(w, "  and %d more\n", len(r.Broken)-most)
+			fmt.Fprintf(w, "  and %d more\n", len(r.Violations)-most)
 			break
 		}
 		fmt.Fprintf(w, "  %s at %.0f ms, %s: %s\n", b.Rule, b.AtMS, b.Who, b.Detail)
@@ -231,7 +231,7 @@
 	}
 	slices.Sort(files)
 	for _, f := range files {
-		x, err := testbed.Load(f)
+		x, err := testbed.LoadExperiment(f)
 		if err != nil {
 			return err
 		}
@@ -241,21 +241,21 @@
 }
 
 type checkCommand struct {
-	Record string `arg:"" name:"record" type:"existingfile"`
+	History string `arg:"" name:"record" type:"existingfile"`
 }
 
 // Run judges a record.
 func (c *checkCommand) Run(o *console) error {
-	v, err := check(c.Record)
+	v, err := check(c.History)
 	if err != nil {
 		return err
 	}
-	r := result{Experiment: c.Record, Verdict: "pass", Broken: v.Broken, Figures: v.Figures}
-	if len(v.Broken) > 0 {
+	r := result{Experiment: c.History, Verdict: "pass", Violations: v.Violations, Metrics: v.Metrics}
+	if len(v.Violations) > 0 {
 		r.Verdict = "fail"
 	}
 	print(o.out, &r)
-	if len(v.Broken) > 0 {
+	if len(v.Violations) > 0 {
 		return verdictError{}
 	}
 	return nil
--- a/cmd/testbed/main_test.go
+++ b/cmd/testbed/main_test.go
@@ -97,7 +97,7 @@
 		Experiment, Verdict string
 		Seed                uint64
 		Directors           int
-		Broken              []checker.Broken
+		Broken              []checker.Violation
 		Figures, Baseline   map[string]float64
 	}
 	if err := json.Unmarshal(text, &r); err != nil {
--- a/internal/buffer/buffer.go
+++ b/internal/buffer/buffer.go
@@ -17,8 +17,8 @@
 // NewPool returns a pool of at most most buffers of size bytes.
 func NewPool(size, most int) *Pool { return &Pool{size: size, most: most} }
 
-// Lent is the number of buffers out.
-func (p *Pool) Lent() int { return p.lent }
+// InUse is the number of buffers out.
+func (p *Pool) InUse() int { return p.lent }
 
 func (p *Pool) get() ([]byte, error) {
 	if p.lent >= p.most {
@@ -49,8 +49,8 @@
 	n    int
 }
 
-// Chain returns an empty chain on the pool.
-func (p *Pool) Chain() Chain { return Chain{pool: p} }
+// NewChain returns an empty chain on the pool.
+func (p *Pool) NewChain() Chain { return Chain{pool: p} }
 
 // Len is the number of bytes held.
 func (c *Chain) Len() int { return c.n }
--- a/internal/buffer/buffer_test.go
+++ b/internal/buffer/buffer_test.go
@@ -8,7 +8,7 @@
 
 func TestChainHoldsWhatWasAppended(t *testing.T) {
 	p := NewPool(8, 4)
-	c := p.Chain()
+	c := p.NewChain()
 	want := []byte("0123456789abcdefXYZ")
 	for _, b := range want {
 		if err := c.Append([]byte{b}); err != nil {
@@ -18,19 +18,19 @@
 	if got := bytes.Join(c.Segments(nil), nil); !bytes.Equal(got, want) || c.Len() != len(want) {
 		t.Errorf("chain holds %q (%d), want %q", got, c.Len(), want)
 	}
-	if p.Lent() != 3 {
-		t.Errorf("%d buffers lent, want 3", p.Lent())
+	if p.InUse() != 3 {
+		t.Errorf("%d buffers lent, want 3", p.InUse())
 	}
 	c.Release()
-	if p.Lent() != 0 || c.Len() != 0 {
-		t.Errorf("after release %d buffers lent, chain of %d", p.Lent(), c.Len())
+	if p.InUse() != 0 || c.Len() != 0 {
+		t.Errorf("after release %d buffers lent, chain of %d", p.InUse(), c.Len())
 	}
 }
 
 // A pool that lent without a bound would be the end of a director under its memory limit.
 func TestPoolIsBounded(t *testing.T) {
 	p := NewPool(4, 2)
-	a, b := p.Chain(), p.Chain()
+	a, b := p.NewChain(), p.NewChain()
 	if err := a.Append(make([]byte, 8)); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/checker/check.go
+++ b/internal/checker/check.go
@@ -12,8 +12,8 @@
 	"strings"
 )
 
-// Broken is one breach of a rule.
-type Broken struct {
+// Violation is one breach of a rule.
+type Violation struct {
 	Rule   string  `json:"rule"`
 	AtMS   float64 `json:"at_ms"`
 	Who    string  `json:"who"`
@@ -22,33 +22,33 @@
 
 // Verdict is what a record comes to.
 type Verdict struct {
-	Broken  []Broken
-	Figures map[string]float64
+	Violations []Violation
+	Metrics    map[string]float64
 }
 
 // line is a line of the record. Times are milliseconds.
 type line struct {
-	MS       float64 `json:"ms"`
-	Kind     string  `json:"kind"`
-	Who      string  `json:"who"`
-	What     string  `json:"what"`
-	Director string  `json:"director"`
-	Ref      string  `json:"ref"`
-	Class    string  `json:"class"`
-	Object   string  `json:"object"`
-	Up       string  `json:"up"`
-	Site     string  `json:"site"`
-	N        int     `json:"n"`
-	Value    float64 `json:"value"`
-	Work     float64 `json:"work"`
-	Since    float64 `json:"since"`
-	Allow    float64 `json:"allow"`
-	Weight   float64 `json:"weight"`
-	Ramp     float64 `json:"ramp"`
-	Fall     float64 `json:"fall"`
-	Multiple float64 `json:"multiple"`
-	ColdFrom float64 `json:"cold_from"`
-	Again    bool    `json:"again"`
+	AtMS      float64 `json:"ms"`
+	Kind      string  `json:"kind"`
+	Who       string  `json:"who"`
+	What      string  `json:"what"`
+	Director  string  `json:"director"`
+	Ref       string  `json:"ref"`
+	Class     string  `json:"class"`
+	Object    string  `json:"object"`
+	Source    string  `json:"up"`
+	Site      string  `json:"site"`
+	Number    int     `json:"n"`
+	Value     float64 `json:"value"`
+	Work      float64 `json:"work"`
+	Since     float64 `json:"since"`
+	TimeoutMS float64 `json:"allow"`
+	Weight    float64 `json:"weight"`
+	Ramp      float64 `json:"ramp"`
+	Fall      float64 `json:"fall"`
+	Multiple  float64 `json:"multiple"`
+	ColdFrom  float64 `json:"cold_from"`
+	Retry     bool    `json:"again"`
 }
 
 // Figures of the rules, in milliseconds (protocol page): every limit is 50 ms longer on sockets.
@@ -117,7 +117,7 @@
 	rec.leavers(v)
 	rec.starts(v)
 	rec.faults(v)
-	slices.SortStableFunc(v.Broken, func(a, b Broken) int {
+	slices.SortStableFunc(v.Violations, func(a, b Violation) int {
 		switch {
 		case a.AtMS < b.AtMS:
 			return -1
@@ -126,13 +126,13 @@
 		}
 		return 0
 	})
-	v.Figures = rec.figures()
-	v.Figures["cold_budget_worst"], v.Figures["old_copies"] = worst, float64(old)
+	v.Metrics = rec.figures()
+	v.Metrics["cold_budget_worst"], v.Metrics["old_copies"] = worst, float64(old)
 	return v, nil
 }
 
 func (v *Verdict) broke(rule string, at float64, who, format string, a ...any) {
-	v.Broken = append(v.Broken, Broken{rule, at, who, fmt.Sprintf(format, a...)})
+	v.Violations = append(v.Violations, Violation{rule, at, who, fmt.Sprintf(format, a...)})
 }
 
 // sort puts the lines in order and by kind.
@@ -153,7 +153,7 @@
 			r.lives[l.Who] = append(r.lives[l.Who], l)
 		case "answer":
 			if first, ok := r.ends[l.Ref]; ok {
-				v.broke("answer", l.MS, l.Director, "%s was answered %s and then %s", l.Ref, first.What, l.What)
+				v.broke("answer", l.AtMS, l.Director, "%s was answered %s and then %s", l.Ref, first.What, l.What)
 				continue
 			}
 			r.ends[l.Ref] = l
@@ -173,10 +173,10 @@
 			if l.What == "break" {
 				break
 			}
-			r.unwell = end(r.unwell, "service", l.MS)
+			r.unwell = end(r.unwell, "service", l.AtMS)
 			if l.What != "well" || (l.Value != 0 && l.Value != 1) {
 				open["service"] = len(r.unwell)
-				r.unwell = append(r.unwell, span{l.MS, forever})
+				r.unwell = append(r.unwell, span{l.AtMS, forever})
 			}
 		case "link":
 			spans := &r.links
@@ -185,10 +185,10 @@
 			} else if l.Who != "clients" {
 				break
 			}
-			*spans = end(*spans, l.Who, l.MS)
+			*spans = end(*spans, l.Who, l.AtMS)
 			if l.What != "well" && l.What != "delay" && l.What != "drip" {
 				open[l.Who] = len(*spans)
-				*spans = append(*spans, span{l.MS, forever})
+				*spans = append(*spans, span{l.AtMS, forever})
 			}
 		}
 	}
@@ -202,7 +202,7 @@
 func (r *record) lag(from, to float64) float64 {
 	most := 0.0
 	for _, l := range r.lags {
-		if l.MS >= from-100 && l.MS-l.Value <= to+100 {
+		if l.AtMS >= from-100 && l.AtMS-l.Value <= to+100 {
 			most = max(most, l.Value)
 		}
 	}
@@ -213,10 +213,10 @@
 func (r *record) excused(director string, from, to float64) bool {
 	up, stopped, leaves := false, false, forever
 	for _, l := range r.lives[director] {
-		if l.MS > to {
+		if l.AtMS > to {
 			break
 		}
-		if l.MS > from && (!up || stopped || from > leaves) {
+		if l.AtMS > from && (!up || stopped || from > leaves) {
 			return true
 		}
 		switch {
@@ -226,13 +226,13 @@
 			stopped = true
 		case l.What == "cont":
 			stopped = false
-			if l.MS > from {
+			if l.AtMS > from {
 				return true
 			}
 		case l.What == "term":
-			leaves = l.MS + stopTakes
+			leaves = l.AtMS + stopTakes
 		case l.What == "kill", l.What == "gone":
-			if up && l.MS > from && leaves == forever {
+			if up && l.AtMS > from && leaves == forever {
 				return true
 			}
 			if l.What == "gone" {
@@ -249,22 +249,22 @@
 		switch l.Kind {
 		case "ask":
 			end, ok := r.ends[l.Ref]
-			limit := l.Allow + slack + r.lag(l.MS, l.MS+l.Allow+slack)
-			if r.excused(l.Director, l.MS, l.MS+limit) || touches(r.links, l.MS, l.MS+limit) {
+			limit := l.TimeoutMS + slack + r.lag(l.AtMS, l.AtMS+l.TimeoutMS+slack)
+			if r.excused(l.Director, l.AtMS, l.AtMS+limit) || touches(r.links, l.AtMS, l.AtMS+limit) {
 				continue
 			}
 			gone, left := r.left[l.Ref]
 			switch {
-			case left && gone.MS <= l.MS+limit: // none is owed
+			case left && gone.AtMS <= l.AtMS+limit: // none is owed
 			case !ok:
-				v.broke("answer", l.MS, l.Director, "%s was never answered", l.Ref)
+				v.broke("answer", l.AtMS, l.Director, "%s was never answered", l.Ref)
 			case end.What != "served" && end.What != "refused" && end.What != "failed":
-				v.broke("answer", l.MS, l.Director, "%s: %s", l.Ref, end.What)
-			case end.MS-l.MS > limit:
-				v.broke("answer", l.MS, l.Director, "%s was answered after %.0f ms of %.0f", l.Ref, end.MS-l.MS, l.Allow)
+				v.broke("answer", l.AtMS, l.Director, "%s: %s", l.Ref, end.What)
+			case end.AtMS-l.AtMS > limit:
+				v.broke("answer", l.AtMS, l.Director, "%s was answered after %.0f ms of %.0f", l.Ref, end.AtMS-l.AtMS, l.TimeoutMS)
 			}
 		case "stray":
-			v.broke("answer", l.MS, l.Who, "call %d was answered twice, or never made", l.N)
+			v.broke("answer", l.AtMS, l.Who, "call %d was answered twice, or never made", l.Number)
 		}
 	}
 }
@@ -277,10 +277,10 @@
 			continue
 		}
 		if runs[l.Ref]++; runs[l.Ref] == 2 {
-			v.broke("repayment", l.MS, l.Who, "%s ran twice", l.Ref)
+			v.broke("repayment", l.AtMS, l.Who, "%s ran twice", l.Ref)
 		}
 		if end := r.ends[l.Ref]; end.What == "refused" {
-			v.broke("repayment", l.MS, end.Director, "%s ran and was refused", l.Ref)
+			v.broke("repayment", l.AtMS, end.Director, "%s ran and was refused", l.Ref)
 		}
 	}
 }
@@ -289,12 +289,12 @@
 // if the service is well from then on; else when it was written to it, or toldAtMost later. One whose stream the service
 // has ended, with the service well else, has the times of streamTold.
 func (r *record) heard(director string, e line) float64 {
-	at := e.MS
-	if strings.HasSuffix(e.What, "unheard") || touches(r.unwell, e.MS, e.MS+drainMost) {
-		at = e.MS + toldAtMost
+	at := e.AtMS
+	if strings.HasSuffix(e.What, "unheard") || touches(r.unwell, e.AtMS, e.AtMS+drainMost) {
+		at = e.AtMS + toldAtMost
 		for _, t := range r.told[director] {
-			if t.N >= e.N && t.MS >= e.MS {
-				at = min(at, t.MS)
+			if t.Number >= e.Number && t.AtMS >= e.AtMS {
+				at = min(at, t.AtMS)
 				break
 			}
 		}
@@ -312,14 +312,14 @@
 func (r *record) streamTold(director string, e line) float64 {
 	deaf, by := false, 0.0
 	fault := func(l line) {
-		deaf, by = true, l.MS+toldBreak
+		deaf, by = true, l.AtMS+toldBreak
 		if l.What == "silent" {
-			by = l.MS + toldStop
+			by = l.AtMS + toldStop
 		}
 	}
 	for _, l := range r.lists[director] {
-		before := l.MS <= e.MS
-		if !before && deaf && l.MS >= by { // it counted as told before this
+		before := l.AtMS <= e.AtMS
+		if !before && deaf && l.AtMS >= by { // it counted as told before this
 			break
 		}
 		switch {
@@ -328,18 +328,18 @@
 		case before && l.Kind == "stream":
 			fault(l)
 		case before:
-		case l.Kind == "told" && l.N >= e.N && deaf:
-			return min(l.MS, e.MS+toldAtMost)
-		case l.Kind == "told" && l.N >= e.N:
-			return e.MS
-		case l.Kind == "stream" && l.N <= e.N && (deaf || l.MS <= e.MS+toldCross): // it ended without the event
+		case l.Kind == "told" && l.Number >= e.Number && deaf:
+			return min(l.AtMS, e.AtMS+toldAtMost)
+		case l.Kind == "told" && l.Number >= e.Number:
+			return e.AtMS
+		case l.Kind == "stream" && l.Number <= e.Number && (deaf || l.AtMS <= e.AtMS+toldCross): // it ended without the event
 			fault(l)
 		}
 	}
 	if !deaf {
-		return e.MS
+		return e.AtMS
 	}
-	return min(max(by, e.MS), e.MS+toldAtMost)
+	return min(max(by, e.AtMS), e.AtMS+toldAtMost)
 }
 
 // streams tells of the last calls of a director and how its streams ended, up to a time; "": none was ended by a flap.
@@ -350,22 +350,22 @@
 	var parts []string
 	since, up := 0.0, false // the last end or begin of a stream
 	for _, l := range r.lists[director] {
-		if l.MS > at {
+		if l.AtMS > at {
 			break
 		}
 		switch l.Kind {
 		case "call":
-			part := fmt.Sprintf("called after %.2f s", max(0, l.MS-l.Value-since)/1000)
+			part := fmt.Sprintf("called after %.2f s", max(0, l.AtMS-l.Value-since)/1000)
 			if l.What != "served" {
 				parts = append(parts, part+", "+l.What)
 				continue
 			}
 			parts = append(parts, part)
-			since, up = l.MS, true
+			since, up = l.AtMS, true
 		case "stream":
-			what := map[string]string{"break": "broke", "half": fmt.Sprintf("broke in event %d", l.N), "silent": "silent"}[l.What]
+			what := map[string]string{"break": "broke", "half": fmt.Sprintf("broke in event %d", l.Number), "silent": "silent"}[l.What]
 			parts = append(parts, fmt.Sprintf("up %.2f s, %s", l.Value/1000, what))
-			since, up = l.MS, false
+			since, up = l.AtMS, false
 		}
 	}
 	last := "without a stream for"
@@ -383,8 +383,8 @@
 func (r *record) life(director string, at float64) float64 {
 	start := 0.0
 	for _, l := range r.lives[director] {
-		if l.What == "start" && l.MS <= at {
-			start = l.MS
+		if l.What == "start" && l.AtMS <= at {
+			start = l.AtMS
 		}
 	}
 	return start
@@ -403,13 +403,13 @@
 			continue
 		}
 		e, ok := left[l.Who]
-		if !ok || l.MS < e.MS {
+		if !ok || l.AtMS < e.AtMS {
 			continue
 		}
-		told := max(r.heard(l.Director, e), r.life(l.Director, l.MS))
-		if over := l.MS - told - drainMost - slack; over > r.lag(l.MS-drainMost, l.MS) {
-			v.broke("drain", l.MS, l.Director, "%s went to %s %.0f ms after it was told (%s)%s", l.Ref, l.Who, l.MS-told, l.Kind,
-				r.streams(l.Director, l.MS))
+		told := max(r.heard(l.Director, e), r.life(l.Director, l.AtMS))
+		if over := l.AtMS - told - drainMost - slack; over > r.lag(l.AtMS-drainMost, l.AtMS) {
+			v.broke("drain", l.AtMS, l.Director, "%s went to %s %.0f ms after it was told (%s)%s", l.Ref, l.Who, l.AtMS-told, l.Kind,
+				r.streams(l.Director, l.AtMS))
 		}
 	}
 }
@@ -440,19 +440,19 @@
 			if s == nil || l.Work == 0 {
 				continue
 			}
-			share := s.up.ColdFrom + (1-s.up.ColdFrom)*(l.MS-s.up.MS)/max(s.up.Ramp, 1)
+			share := s.up.ColdFrom + (1-s.up.ColdFrom)*(l.AtMS-s.up.AtMS)/max(s.up.Ramp, 1)
 			if share >= 1 {
 				delete(cold, l.Who)
 				continue
 			}
 			s.arrived = append(s.arrived, l)
-			for l.MS-s.arrived[0].MS > s.up.Fall {
+			for l.AtMS-s.arrived[0].AtMS > s.up.Fall {
 				s.arrived = s.arrived[1:]
 			}
 			sum, told := 0.0, 0.0
 			for _, a := range s.arrived {
 				sum += a.Work
-				if e, ok := ready[l.Who]; !ok || r.heard(a.Director, e) <= a.MS {
+				if e, ok := ready[l.Who]; !ok || r.heard(a.Director, e) <= a.AtMS {
 					told += a.Work
 				}
 			}
@@ -460,7 +460,7 @@
 			worst = max(worst, part)
 			if part > budgetOver && told >= sum*2/3 && !s.broken {
 				s.broken = true
-				v.broke("cold", l.MS, l.Who, "%.2f times its budget within %.0f ms, from %d attempts", part, s.up.Fall, len(s.arrived))
+				v.broke("cold", l.AtMS, l.Who, "%.2f times its budget within %.0f ms, from %d attempts", part, s.up.Fall, len(s.arrived))
 			}
 		}
 	}
@@ -486,14 +486,14 @@
 				if e.Object == "" || e.Object != object[l.Ref] || l.Since >= e.Since {
 					continue
 				}
-				if q.MS > e.MS && !counted {
+				if q.AtMS > e.AtMS && !counted {
 					counted = true
 					old++
 				}
-				told := max(r.heard(l.Director, e), r.life(l.Director, q.MS))
-				if over := q.MS - told - purgeMost - slack; over > r.lag(q.MS-purgeMost, q.MS) {
-					v.broke("purge", q.MS, l.Director, "%s got a copy of %s from %.0f ms before its purge, asked for %.0f ms after that was told%s",
-						l.Ref, e.Object, e.Since-l.Since, q.MS-told, r.streams(l.Director, q.MS))
+				told := max(r.heard(l.Director, e), r.life(l.Director, q.AtMS))
+				if over := q.AtMS - told - purgeMost - slack; over > r.lag(q.AtMS-purgeMost, q.AtMS) {
+					v.broke("purge", q.AtMS, l.Director, "%s got a copy of %s from %.0f ms before its purge, asked for %.0f ms after that was told%s",
+						l.Ref, e.Object, e.Since-l.Since, q.AtMS-told, r.streams(l.Director, q.AtMS))
 				}
 			}
 		}
@@ -511,19 +511,19 @@
 		if l.Kind != "req" || !left {
 			continue
 		}
-		if l.MS <= gone.MS {
+		if l.AtMS <= gone.AtMS {
 			begun[l.Ref] = true
 		}
-		if l.MS-gone.MS > leftMost+r.lag(gone.MS, l.MS) {
+		if l.AtMS-gone.AtMS > leftMost+r.lag(gone.AtMS, l.AtMS) {
 			late = append(late, l)
 		}
-		if l.MS-gone.MS > leftLong+r.lag(gone.MS, l.MS) {
+		if l.AtMS-gone.AtMS > leftLong+r.lag(gone.AtMS, l.AtMS) {
 			long[l.Ref] = true
 		}
 	}
 	for i, l := range late {
 		if i >= leftSome {
-			v.broke("left", l.MS, l.Director, "%s was begun %.0f ms after its client had gone", l.Ref, l.MS-r.left[l.Ref].MS)
+			v.broke("left", l.AtMS, l.Director, "%s was begun %.0f ms after its client had gone", l.Ref, l.AtMS-r.left[l.Ref].AtMS)
 		}
 	}
 	waited, sent := 0, 0
@@ -543,20 +543,20 @@
 // starts: nine in ten processes that are started, and neither ended nor stopped meanwhile, are ready in time.
 func (r *record) starts(v *Verdict) {
 	started, late, who := 0, 0, ""
-	end := r.lines[len(r.lines)-1].MS
+	end := r.lines[len(r.lines)-1].AtMS
 	for name, lives := range r.lives {
 		for i, l := range lives {
-			if l.What != "start" || l.MS+readyMost > end {
+			if l.What != "start" || l.AtMS+readyMost > end {
 				continue
 			}
-			next := line{MS: forever}
+			next := line{AtMS: forever}
 			if i+1 < len(lives) {
 				next = lives[i+1]
 			}
 			switch {
-			case next.Kind == "ready" && next.MS-l.MS <= readyMost:
+			case next.Kind == "ready" && next.AtMS-l.AtMS <= readyMost:
 				started++
-			case next.Kind == "ready" || next.MS-l.MS > readyMost:
+			case next.Kind == "ready" || next.AtMS-l.AtMS > readyMost:
 				started, late, who = started+1, late+1, max(who, name)
 			} // else it was ended, or stopped, before it could be
 		}
@@ -570,7 +570,7 @@
 func (r *record) faults(v *Verdict) {
 	for _, l := range r.lines {
 		if l.Kind == "fault" {
-			v.broke("protocol", l.MS, l.Who, "%s", l.What)
+			v.broke("protocol", l.AtMS, l.Who, "%s", l.What)
 		}
 	}
 	for who, lives := range r.lives {
@@ -582,8 +582,8 @@
 			case "start":
 				asked = false
 			case "gone":
-				if !asked && l.MS < r.lines[len(r.lines)-1].MS && !r.over(l.MS) {
-					v.broke("crash", l.MS, who, "ended unasked: %s", l.Class)
+				if !asked && l.AtMS < r.lines[len(r.lines)-1].AtMS && !r.over(l.AtMS) {
+					v.broke("crash", l.AtMS, who, "ended unasked: %s", l.Class)
 				}
 			}
 		}
@@ -593,7 +593,7 @@
 // over tells that the load had ended, and the lab is taking all down.
 func (r *record) over(at float64) bool {
 	for _, l := range r.lines {
-		if l.Kind == "load" && l.What == "end" && l.MS <= at {
+		if l.Kind == "load" && l.What == "end" && l.AtMS <= at {
 			return true
 		}
 	}
--- a/internal/checker/check_test.go
+++ b/internal/checker/check_test.go
@@ -148,7 +148,7 @@
 	} {
 		v := judge(t, c.without, c.more...)
 		var rules []string
-		for _, b := range v.Broken {
+		for _, b := range v.Violations {
 			rules = append(rules, b.Rule)
 		}
 		want := []string{c.rule}
@@ -156,7 +156,7 @@
 			want = nil
 		}
 		if !slices.Equal(rules, want) {
-			t.Errorf("%s: broken %+v, want %q", c.name, v.Broken, c.rule)
+			t.Errorf("%s: broken %+v, want %q", c.name, v.Violations, c.rule)
 		}
 	}
 }
@@ -170,7 +170,7 @@
 			more = append(more, fmt.Sprintf(`{"ms":%d,"kind":"call","director":"e%d","what":"served","value":1}`, 2400+i, i))
 		}
 	}
-	f := judge(t, "", more...).Figures
+	f := judge(t, "", more...).Metrics
 	if f["list_peak_ratio"] < 14 || f["list_peak_ratio"] > 16 { // all 20 in one of 15 bins
 		t.Errorf("peak ratio %v, want about 15", f["list_peak_ratio"])
 	}
@@ -196,7 +196,7 @@
 			more = append(more, fmt.Sprintf(`{"ms":%d,"kind":"req","who":"c1","director":"d0","ref":%q,"object":"o9","work":0.001}`, at+10, ref))
 		}
 	}
-	if got := judge(t, "", more...).Figures["attempts_after"]; got != 2 {
+	if got := judge(t, "", more...).Metrics["attempts_after"]; got != 2 {
 		t.Errorf("%v attempts for a request, want (3+2+1)/3", got)
 	}
 }
@@ -214,7 +214,7 @@
 			fmt.Sprintf(`{"ms":310,"kind":"answer","ref":%q,"director":"d0","what":%q}`, ref, what))
 	}
 	more = append(more, ask2, left)
-	f := judge(t, "", more...).Figures
+	f := judge(t, "", more...).Metrics
 	if got, want := f["large_share"], (1.0/4)/(19.0/40); got != want {
 		t.Errorf("share of the largest %v, want %v", got, want)
 	}
--- a/internal/checker/figures.go
+++ b/internal/checker/figures.go
@@ -7,8 +7,8 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// FigureNames are the figures that a verdict has.
-var FigureNames = append([]string{"list_peak_ratio", "list_calls_per_start", "list_timeouts", "list_calls", "cold_budget_worst",
+// MetricNames are the figures that a verdict has.
+var MetricNames = append([]string{"list_peak_ratio", "list_calls_per_start", "list_timeouts", "list_calls", "cold_budget_worst",
 	"origin_fetches_per_object", "origin_busy", "ready_ms_p99", "served_share", "served_share_all", "refused_share",
 	"attempts_per_request", "attempts_after", "conns_turned_away", "answer_ms_p50", "answer_ms_p99", "lag_ms_max", "requests",
 	"large_share", "left", "purges", "old_copies", "list_young_ends", "list_deaf_ms_max"}, siteNames...)
@@ -26,7 +26,7 @@
 // figures reads all figures but those that come of a rule.
 func (r *record) figures() map[string]float64 {
 	f := map[string]float64{}
-	for _, n := range FigureNames {
+	for _, n := range MetricNames {
 		f[n] = 0
 	}
 	r.listFigures(f)
@@ -39,14 +39,14 @@
 		switch l.Kind {
 		case "load":
 			if l.What == "begin" {
-				begin = l.MS
+				begin = l.AtMS
 			}
 		case "ask":
 			asks[l.Ref] = l
 			requests++
-			if !l.Again {
+			if !l.Retry {
 				firstAll++
-				if l.MS-begin <= firstSpan {
+				if l.AtMS-begin <= firstSpan {
 					first++
 				}
 			}
@@ -58,8 +58,8 @@
 			switch l.What {
 			case "served":
 				servedAll++
-				_ = answers.RecordValue(int64(max(1, l.MS-q.MS)))
-				if q.MS-begin <= firstSpan {
+				_ = answers.RecordValue(int64(max(1, l.AtMS-q.AtMS)))
+				if q.AtMS-begin <= firstSpan {
 					firstServed++
 				}
 			case "refused":
@@ -129,16 +129,16 @@
 	end, attempts, requests := 0.0, 0.0, 0.0
 	for _, l := range r.lines {
 		if l.Kind == "step" { // done, and nothing undoes it; or undone
-			end = l.MS
+			end = l.AtMS
 		}
 	}
 	for _, q := range asks {
-		if q.MS >= end+calmsIn {
+		if q.AtMS >= end+calmsIn {
 			requests++
 		}
 	}
 	for _, l := range r.lines {
-		if q, known := asks[l.Ref]; known && l.Kind == "req" && q.MS >= end+calmsIn {
+		if q, known := asks[l.Ref]; known && l.Kind == "req" && q.AtMS >= end+calmsIn {
 			attempts++
 		}
 	}
@@ -170,14 +170,14 @@
 			if l.Value < youngMost {
 				f["list_young_ends"]++
 			}
-			deaf[l.Director] = l.MS
+			deaf[l.Director] = l.AtMS
 		case l.Kind == "call" && l.What == "served":
-			ends(l.Director, l.MS)
+			ends(l.Director, l.AtMS)
 		case l.Kind == "process" && l.What == "gone": // without a process there is nobody to be deaf
 			delete(deaf, l.Who)
 		case l.Kind == "load" && l.What == "end":
 			for who := range deaf {
-				ends(who, l.MS)
+				ends(who, l.AtMS)
 			}
 		}
 	}
@@ -199,13 +199,13 @@
 				f["list_timeouts"]++
 			}
 			// The line is written when the call ends; it came so much sooner.
-			calls[l.Director] = append(calls[l.Director], l.MS-l.Value)
+			calls[l.Director] = append(calls[l.Director], l.AtMS-l.Value)
 		}
 	}
 	var fleet []line // the largest start
 	for i := range starts {
 		n := i
-		for n < len(starts) && (n == i || starts[n].MS-starts[n-1].MS <= startGap) {
+		for n < len(starts) && (n == i || starts[n].AtMS-starts[n-1].AtMS <= startGap) {
 			n++
 		}
 		if n-i > len(fleet) {
@@ -216,7 +216,7 @@
 	inStart := 0
 	for _, s := range starts {
 		within := slices.DeleteFunc(slices.Clone(calls[s.Who]), func(at float64) bool {
-			return at < s.MS || at > s.MS+callsSpan
+			return at < s.AtMS || at > s.AtMS+callsSpan
 		})
 		inStart += len(within)
 		if len(within) > 0 && slices.Contains(fleet, s) {
--- a/internal/checker/golden_test.go
+++ b/internal/checker/golden_test.go
@@ -64,11 +64,11 @@
 		t.Fatal(err)
 	}
 	var text strings.Builder
-	for _, b := range verdict.Broken {
+	for _, b := range verdict.Violations {
 		fmt.Fprintf(&text, "%s at %v ms, %s: %s\n", b.Rule, b.AtMS, b.Who, b.Detail)
 	}
-	for _, name := range slices.Sorted(maps.Keys(verdict.Figures)) {
-		fmt.Fprintf(&text, "%s %s\n", name, strconv.FormatFloat(verdict.Figures[name], 'g', -1, 64))
+	for _, name := range slices.Sorted(maps.Keys(verdict.Metrics)) {
+		fmt.Fprintf(&text, "%s %s\n", name, strconv.FormatFloat(verdict.Metrics[name], 'g', -1, 64))
 	}
 	return text.String()
 }
--- a/internal/checker/sites.go
+++ b/internal/checker/sites.go
@@ -30,12 +30,12 @@
 			continue
 		}
 		if l.What != "back" {
-			list = append(list, loss{l.Who, l.What, l.Value, l.MS, forever})
+			list = append(list, loss{l.Who, l.What, l.Value, l.AtMS, forever})
 			continue
 		}
 		for i := len(list) - 1; i >= 0; i-- {
 			if list[i].site == l.Who && list[i].to == forever {
-				list[i].to = l.MS
+				list[i].to = l.AtMS
 				break
 			}
 		}
@@ -67,10 +67,10 @@
 	if len(losses) == 0 {
 		return
 	}
-	end := r.lines[len(r.lines)-1].MS
+	end := r.lines[len(r.lines)-1].AtMS
 	for _, l := range r.lines {
 		if l.Kind == "load" && l.What == "end" {
-			end = l.MS
+			end = l.AtMS
 		}
 	}
 	from, to := losses[0].from, 0.0
@@ -97,12 +97,12 @@
 	}
 	for _, l := range r.lines {
 		switch {
-		case l.Kind == "nowhere" && l.MS >= from && l.MS < to:
+		case l.Kind == "nowhere" && l.AtMS >= from && l.AtMS < to:
 			first++
-		case l.Kind == "ask" && l.MS >= from && l.MS < to:
+		case l.Kind == "ask" && l.AtMS >= from && l.AtMS < to:
 			asks[l.Ref] = l
 			tries[class(l)]++
-			if !l.Again {
+			if !l.Retry {
 				first++
 			}
 		case l.Kind == "answer":
@@ -146,9 +146,9 @@
 			continue
 		}
 		if l.What == "up" {
-			all[l.Who] = capacity{l.MS, forever, l}
+			all[l.Who] = capacity{l.AtMS, forever, l}
 		} else if c, ok := all[l.Who]; ok {
-			c.down = min(c.down, l.MS)
+			c.down = min(c.down, l.AtMS)
 			all[l.Who] = c
 		}
 	}
@@ -177,10 +177,10 @@
 		case "req":
 			work = max(work, l.Work)
 		case "ask", "nowhere":
-			if l.Again || l.MS < from || l.MS >= to {
+			if l.Retry || l.AtMS < from || l.AtMS >= to {
 				continue
 			}
-			k := key{l.Site, int((l.MS - from) / siteBin)}
+			k := key{l.Site, int((l.AtMS - from) / siteBin)}
 			if l.Class == "repayment" {
 				writes[k]++
 			} else {
@@ -234,10 +234,10 @@
 		if l.Kind != "req" && l.Kind != "source" {
 			continue
 		}
-		any := slices.ContainsFunc(losses, func(x loss) bool { return during(x, l.MS) })
-		own := slices.ContainsFunc(losses, func(x loss) bool { return during(x, l.MS) && x.site == caches[l.Who].line.Site })
+		any := slices.ContainsFunc(losses, func(x loss) bool { return during(x, l.AtMS) })
+		own := slices.ContainsFunc(losses, func(x loss) bool { return during(x, l.AtMS) && x.site == caches[l.Who].line.Site })
 		if any && !own {
-			got[key{l.Who, int(l.MS / peakBin)}] += l.Work
+			got[key{l.Who, int(l.AtMS / peakBin)}] += l.Work
 		}
 	}
 	for k, work := range got {
@@ -266,16 +266,16 @@
 			at, asked, known := notFound, false, false
 			for _, l := range r.lines {
 				switch {
-				case l.MS > x.to:
+				case l.AtMS > x.to:
 				case l.Kind == "state" && l.Who == director && l.Site == x.site:
-					if l.MS < x.from {
+					if l.AtMS < x.from {
 						known = gone(l.What) // since a loss just before
 					} else if gone(l.What) {
-						at = min(at, l.MS-x.from)
+						at = min(at, l.AtMS-x.from)
 					}
 				case l.Kind == "process" && l.Who == director:
 					known = false
-				case l.MS >= x.from && l.Kind == "answer" && l.Director == director:
+				case l.AtMS >= x.from && l.Kind == "answer" && l.Director == director:
 					asked = asked || (l.What != "unreached" && l.What != "lost")
 				}
 			}
@@ -294,10 +294,10 @@
 func (r *record) alarms(f map[string]float64, losses []loss) {
 	for _, l := range r.lines { // a site that a director can't reach is as good as lost to it
 		if l.Kind == "link" && l.Who == "caches" && l.What != "well" && l.What != "delay" && l.What != "drip" {
-			x := loss{"", l.What, 1, l.MS, forever}
+			x := loss{"", l.What, 1, l.AtMS, forever}
 			for _, w := range r.lines {
-				if w.Kind == "link" && w.Who == l.Who && w.What == "well" && w.MS > l.MS {
-					x.to = w.MS
+				if w.Kind == "link" && w.Who == l.Who && w.What == "well" && w.AtMS > l.AtMS {
+					x.to = w.AtMS
 					break
 				}
 			}
@@ -317,7 +317,7 @@
 			continue
 		}
 		known := slices.ContainsFunc(losses, func(x loss) bool {
-			return (x.site == l.Site || x.site == "") && l.MS >= x.from && l.MS <= x.to+lateAlarm
+			return (x.site == l.Site || x.site == "") && l.AtMS >= x.from && l.AtMS <= x.to+lateAlarm
 		})
 		if gone(l.What) && !known {
 			f["false_alarms"]++
@@ -327,7 +327,7 @@
 		}
 		for i, x := range losses {
 			key := l.Who + " " + l.Site + " " + string(rune('a'+i))
-			in := (x.site == l.Site || x.site == "") && l.MS >= x.from && l.MS <= x.to+lateAlarm
+			in := (x.site == l.Site || x.site == "") && l.AtMS >= x.from && l.AtMS <= x.to+lateAlarm
 			if in && !moved[key] && gone(l.What) {
 				moved[key] = true
 				events++
@@ -346,9 +346,9 @@
 		var first, served float64
 		for _, l := range r.lines {
 			switch {
-			case (l.Kind == "ask" || l.Kind == "nowhere") && l.MS >= a && l.MS < b:
+			case (l.Kind == "ask" || l.Kind == "nowhere") && l.AtMS >= a && l.AtMS < b:
 				asks[l.Ref] = l.Kind == "ask"
-				if !l.Again {
+				if !l.Retry {
 					first++
 				}
 			case l.Kind == "answer" && l.What == "served" && asks[l.Ref]:
--- a/internal/checker/sites_test.go
+++ b/internal/checker/sites_test.go
@@ -49,7 +49,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return v.Figures
+	return v.Metrics
 }
 
 func want(t *testing.T, f map[string]float64, figures map[string]float64) {
--- a/internal/checker/streams_test.go
+++ b/internal/checker/streams_test.go
@@ -70,13 +70,13 @@
 		{"at once if another's stream has ended", 5100, []string{streamEnd(5000, "d1", "break", 2, 4100), purgeAt(5100, 2)}},
 	} {
 		within, past := c.told+int(purgeMost+slack), c.told+int(purgeMost+slack)+5
-		if v := judge(t, "", append(askedAt(within), c.more...)...); len(v.Broken) > 0 {
-			t.Errorf("%s: asked just within the limit, and broken %+v", c.name, v.Broken)
+		if v := judge(t, "", append(askedAt(within), c.more...)...); len(v.Violations) > 0 {
+			t.Errorf("%s: asked just within the limit, and broken %+v", c.name, v.Violations)
 		}
 		v := judge(t, "", append(askedAt(past), c.more...)...)
-		if want := "asked for 555 ms after that was told"; len(v.Broken) != 1 || v.Broken[0].Rule != "purge" ||
-			!strings.Contains(v.Broken[0].Detail, want) {
-			t.Errorf("%s: asked just past the limit, and broken %+v", c.name, v.Broken)
+		if want := "asked for 555 ms after that was told"; len(v.Violations) != 1 || v.Violations[0].Rule != "purge" ||
+			!strings.Contains(v.Violations[0].Detail, want) {
+			t.Errorf("%s: asked just past the limit, and broken %+v", c.name, v.Violations)
 		}
 	}
 }
@@ -84,13 +84,13 @@
 // Drains are told as purges are.
 func TestDrainIsToldAfterTheBreak(t *testing.T) {
 	more := []string{streamEnd(5000, "d0", "break", 2, 4960), `{"ms":5100,"kind":"news","who":"c1","what":"draining","n":2}`}
-	if v := judge(t, "", append(more, req(9050, "c1"))...); len(v.Broken) > 0 {
-		t.Errorf("within the limit, and broken %+v", v.Broken)
+	if v := judge(t, "", append(more, req(9050, "c1"))...); len(v.Violations) > 0 {
+		t.Errorf("within the limit, and broken %+v", v.Violations)
 	}
 	v := judge(t, "", append(more, req(9055, "c1"))...)
-	if len(v.Broken) != 1 || v.Broken[0].Rule != "drain" || !strings.Contains(v.Broken[0].Detail, "2055 ms after it was told") ||
-		!strings.Contains(v.Broken[0].Detail, "up 4.96 s, broke; without a stream for 4.05 s") {
-		t.Errorf("past the limit: %+v", v.Broken)
+	if len(v.Violations) != 1 || v.Violations[0].Rule != "drain" || !strings.Contains(v.Violations[0].Detail, "2055 ms after it was told") ||
+		!strings.Contains(v.Violations[0].Detail, "up 4.96 s, broke; without a stream for 4.05 s") {
+		t.Errorf("past the limit: %+v", v.Violations)
 	}
 }
 
@@ -102,8 +102,8 @@
 	v := judge(t, "", more...)
 	want := "that was told; streams: up 1.20 s, broke; called after 0.40 s, turned away; called after 0.76 s; " +
 		"up 0.80 s, silent; called after 1.30 s; up 0.39 s, broke in event 2; without a stream for 4.49 s"
-	if len(v.Broken) != 1 || !strings.HasSuffix(v.Broken[0].Detail, want) {
-		t.Errorf("%+v, want %q", v.Broken, want)
+	if len(v.Violations) != 1 || !strings.HasSuffix(v.Violations[0].Detail, want) {
+		t.Errorf("%+v, want %q", v.Violations, want)
 	}
 }
 
@@ -112,14 +112,14 @@
 	more := append(askedAt(4000), streamEnd(1000, "d0", "break", 2, 960), callAt(1400, "turned away"), callAt(1900, "served"),
 		streamEnd(5000, "d0", "silent", 2, 3100), streamEnd(8000, "d1", "half", 2, 2999), callAt(6200, "served"), purgeAt(3900, 2),
 		`{"ms":3950,"kind":"news","what":"purge","object":"o9","since":3950,"n":3}`)
-	f := judge(t, "", more...).Figures
+	f := judge(t, "", more...).Metrics
 	for name, want := range map[string]float64{"list_young_ends": 2, "list_deaf_ms_max": 1200, "purges": 2, "old_copies": 1} {
 		if f[name] != want {
 			t.Errorf("%s %v, want %v", name, f[name], want)
 		}
 	}
 	more = append(more, streamEnd(7000, "d0", "silent", 2, 100))
-	if got := judge(t, "", more...).Figures["list_deaf_ms_max"]; got != 2000 { // to the end of the load
+	if got := judge(t, "", more...).Metrics["list_deaf_ms_max"]; got != 2000 { // to the end of the load
 		t.Errorf("%v ms without a stream, want 2000", got)
 	}
 }
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -17,7 +17,7 @@
 		hour := int64(time.Hour)
 		difference := routing.Time(rapid.Int64Range(-2*hour, 2*hour).Draw(t, "difference"))
 		now := routing.Time(1_764_576_000 * time.Second)
-		var p Peer
+		var p PeerClock
 		for range rapid.IntRange(1, 40).Draw(t, "events") {
 			now += routing.Time(rapid.Int64Range(0, int64(2*time.Second)).Draw(t, "pause"))
 			if rapid.IntRange(0, 9).Draw(t, "step") == 0 { // back by an hour or by seconds, or forward
@@ -40,7 +40,7 @@
 // clock was an hour off at the start.
 func TestPeerStampsOfABacklogKeepTheirDistances(t *testing.T) {
 	now := routing.Time(1_764_576_000*time.Second) + time.Hour
-	var p Peer
+	var p PeerClock
 	stamps := []routing.Time{}
 	for _, ago := range []time.Duration{time.Minute, 30 * time.Second, 100 * time.Millisecond} {
 		stamp := now - time.Hour - ago
--- a/internal/clock/peer.go
+++ b/internal/clock/peer.go
@@ -14,13 +14,13 @@
 	drift = 0.001
 )
 
-// Peer brings the stamps of one peer's clock onto ours. A stamp that is told can't lie in the future: so the least by which
+// PeerClock brings the stamps of one peer's clock onto ours. A stamp that is told can't lie in the future: so the least by which
 // our clock was past a stamp bounds the difference of the two clocks, and nothing is taken for older than it is. It errs
 // towards younger, by the shortest time that an event has taken to arrive. A peer's clock that is set back between two events
 // by less than the time between them can't be told from an event that came late.
 //
-// The zero Peer has seen no stamp and takes both clocks for the same.
-type Peer struct {
+// The zero PeerClock has seen no stamp and takes both clocks for the same.
+type PeerClock struct {
 	seen   bool
 	offset routing.Time // ours less the peer's, at most
 	at     routing.Time // when offset was learnt
@@ -28,7 +28,7 @@
 }
 
 // Observe learns from a stamp that the peer has put on something that had happened by now.
-func (p *Peer) Observe(stamp, now routing.Time) {
+func (p *PeerClock) Observe(stamp, now routing.Time) {
 	past := now - stamp
 	if !p.seen || stamp < p.latest-stepBack {
 		p.seen, p.offset, p.at, p.latest = true, past, now, stamp
@@ -40,4 +40,4 @@
 }
 
 // Local is the time on our clock at which the peer's clock showed a stamp.
-func (p *Peer) Local(stamp routing.Time) routing.Time { return stamp + p.offset }
+func (p *PeerClock) Local(stamp routing.Time) routing.Time { return stamp + p.offset }
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -18,22 +18,22 @@
 
 // Config is what EDGE_CONFIG holds, checked.
 type Config struct {
-	Name     string
-	Listen   string
-	Feed     string
-	Operator string // where operators call; "": nowhere
-	Seed     uint64
-	Known    Known
-	Settings routing.Settings
-	Limits   Limits
+	Name             string
+	ListenAddress    string
+	DiscoveryAddress string
+	OperatorAddress  string // where operators call; "": nowhere
+	Seed             uint64
+	Bootstrap        Bootstrap
+	Settings         routing.Settings
+	Limits           Limits
 
-	Inherited int // descriptor of a listening socket that was handed down; 0: none
+	InheritedFD int // descriptor of a listening socket that was handed down; 0: none
 }
 
-// Known is the control feed's history at the start.
-type Known struct {
-	N      uint64            `json:"n"`
-	Events []json.RawMessage `json:"events"`
+// Bootstrap is the control feed's history at the start.
+type Bootstrap struct {
+	Revision uint64            `json:"n"`
+	Events   []json.RawMessage `json:"events"`
 }
 
 // Limits are all sizes, counts and times that the program keeps to.
@@ -43,81 +43,81 @@
 	Descriptors int
 
 	// Clients.
-	ClientConns   int           // connections clients may hold
-	ClientOpen    int           // open requests on one connection
-	RequestFrame  int           // bytes of one Thrift frame
-	RequestBody   int           // bytes a write carries
-	RequestFields int           // entries of the field map
-	ClientBacklog int           // bytes a client may leave unread
-	TotalBacklog  int           // bytes all clients together may leave unread
-	ClientMessage time.Duration // for a connection's first message, and for any from its first byte to its last
-	ClientKeeps   time.Duration // clients close a connection that was idle for so long, or leave it for good
-	ClientIdle    time.Duration // an idle client connection is closed after this
-	ClientLinger  time.Duration // our half closed, a connection is read on for so long until the client closes its own
-	ClientStuck   time.Duration // who takes nothing for so long is cut off where the program is to be emptied
-	ClientLingers int           // connections that linger at once, beyond ClientConns
-	LingerBytes   int           // that are read and dropped on a connection that is ending
-	FlushCheck    time.Duration // between looks whether a client has read what is left for it
-	PartGrace     time.Duration // a new connection has so long for its first message when the program parts or is drained
-	OpenRequests  int           // requests taken and not answered
-	LongestAllow  time.Duration // that a client may wait
-	Overdue       time.Duration // past its time, a request without an answer is failed
+	MaxClientConns      int           // connections clients may hold
+	MaxRequestsPerConn  int           // open requests on one connection
+	MaxFrameBytes       int           // bytes of one Thrift frame
+	MaxRequestBodyBytes int           // bytes a write carries
+	MaxRequestFields    int           // entries of the field map
+	ClientBacklogBytes  int           // bytes a client may leave unread
+	TotalBacklogBytes   int           // bytes all clients together may leave unread
+	MessageTimeout      time.Duration // for a connection's first message, and for any from its first byte to its last
+	ClientKeepAlive     time.Duration // clients close a connection that was idle for so long, or leave it for good
+	ClientIdleTimeout   time.Duration // an idle client connection is closed after this
+	LingerTimeout       time.Duration // our half closed, a connection is read on for so long until the client closes its own
+	SlowReaderTimeout   time.Duration // who takes nothing for so long is cut off where the program is to be emptied
+	MaxLingeringConns   int           // connections that linger at once, beyond ClientConns
+	MaxLingerBytes      int           // that are read and dropped on a connection that is ending
+	FlushCheckInterval  time.Duration // between looks whether a client has read what is left for it
+	NewConnGracePeriod  time.Duration // a new connection has so long for its first message when the program parts or is drained
+	MaxOpenRequests     int           // requests taken and not answered
+	MaxRequestTimeout   time.Duration // that a client may wait
+	OverdueGracePeriod  time.Duration // past its time, a request without an answer is failed
 
 	// Caches, parents, origin.
-	PeerConns      int           // descriptors that dialled connections may hold
-	DialRoom       int           // beyond those: for dials that take the place of idle ones, until these are closed
-	ConnsPerPeer   int           // connections to one peer, before attempts share them
-	StreamsPerConn int           // attempts open on one connection
-	ConnectTimeout time.Duration // a connection not up by then has failed
-	PeerIdle       time.Duration // an idle connection is closed after this
-	PeerKeepLeast  time.Duration // connections idle for less are used again, whatever resets teach
-	PeerCrossing   time.Duration // a request that is reset within this of its writing may have crossed the close of an idle connection
-	PeerSilence    time.Duration // asked and silent for so long, a connection takes nothing new
-	PeerGhost      time.Duration // an answer that crosses a STOP is looked out for so long
-	AnswerBody     int           // bytes of an object
-	AnswerFields   int           // bytes of an answer's fields
+	MaxUpstreamConns       int           // descriptors that dialled connections may hold
+	MaxReplacementDials    int           // beyond those: for dials that take the place of idle ones, until these are closed
+	MaxConnsPerEndpoint    int           // connections to one peer, before attempts share them
+	MaxAttemptsPerConn     int           // attempts open on one connection
+	ConnectTimeout         time.Duration // a connection not up by then has failed
+	UpstreamIdleTimeout    time.Duration // an idle connection is closed after this
+	MinIdleTimeout         time.Duration // connections idle for less are used again, whatever resets teach
+	IdleCloseRaceWindow    time.Duration // a request that is reset within this of its writing may have crossed the close of an idle connection
+	UpstreamSilenceTimeout time.Duration // asked and silent for so long, a connection takes nothing new
+	LateAnswerWindow       time.Duration // an answer that crosses a STOP is looked out for so long
+	MaxAnswerBodyBytes     int           // bytes of an object
+	MaxAnswerFieldBytes    int           // bytes of an answer's fields
 
 	// Control feed.
-	FeedLine    int           // bytes of one line
-	FeedSilence time.Duration // no line for so long: call again
-	FeedRetry   time.Duration // shortest wait after a call that failed
-	FeedCall    time.Duration // a call takes no longer with the service well: connect, subscribe, read what was missed
-	FeedHeed    time.Duration // within which a drain must be heeded from when the service has it
-	FeedPurge   time.Duration // and a purge
-	FeedStart   time.Duration // span of the fleet's first calls; no work is taken before ours. 0: FeedPurge's, and all work
-	FeedLate    time.Duration // after which its news count as told though nothing arrived
-	FeedWait    time.Duration // readiness waits for a list no longer
-	Members     int           // members held at once
+	MaxWatchLineBytes   int           // bytes of one line
+	WatchSilenceTimeout time.Duration // no line for so long: call again
+	MinWatchBackoff     time.Duration // shortest wait after a call that failed
+	WatchCallTime       time.Duration // a call takes no longer with the service well: connect, subscribe, read what was missed
+	DrainApplyWithin    time.Duration // within which a drain must be heeded from when the service has it
+	PurgeApplyWithin    time.Duration // and a purge
+	InitialJitterWindow time.Duration // span of the fleet's first calls; no work is taken before ours. 0: FeedPurge's, and all work
+	MaxEventDelay       time.Duration // after which its news count as told though nothing arrived
+	InitialListTimeout  time.Duration // readiness waits for a list no longer
+	MaxMembers          int           // members held at once
 
 	// Buffers.
 	BufferSize  int
 	BufferCount int
 
 	// Operators' calls and drains.
-	OperatorConns int           // connections of operators held at once
-	LoopStalled   time.Duration // an event loop that has not run for so long makes the process not ready
-	DrainNotice   time.Duration // the front hears of a drain within this; until then clients would come back
-	DrainWork     time.Duration // after a drain was asked for, work is taken on open connections for so long
-	DrainEnd      time.Duration // and who goes on sending, or reads nothing, is ended by then
-	DrainCheck    time.Duration // between looks at what a drained process holds
+	MaxOperatorConns   int           // connections of operators held at once
+	LoopStallThreshold time.Duration // an event loop that has not run for so long makes the process not ready
+	DrainNoticePeriod  time.Duration // the front hears of a drain within this; until then clients would come back
+	DrainGracePeriod   time.Duration // after a drain was asked for, work is taken on open connections for so long
+	DrainDeadline      time.Duration // and who goes on sending, or reads nothing, is ended by then
+	DrainCheckInterval time.Duration // between looks at what a drained process holds
 
 	// Stop.
-	StopWork   time.Duration // after SIGTERM connections and requests are still taken for so long
-	StopMoving time.Duration // and so long on a listener that another process takes over: clients move there as they have nothing open
-	StopAnswer time.Duration // after SIGTERM all that was taken is answered by then
-	RefuseFor  time.Duration // who is refused as the process is being emptied may as well stay away for so long
-	StopCheck  time.Duration // between looks whether all is answered
-	StopEnd    time.Duration // after SIGTERM the program ends no later
+	StopGracePeriod    time.Duration // after SIGTERM connections and requests are still taken for so long
+	StopHandoverPeriod time.Duration // and so long on a listener that another process takes over: clients move there as they have nothing open
+	StopAnswerDeadline time.Duration // after SIGTERM all that was taken is answered by then
+	ShutdownRetryAfter time.Duration // who is refused as the process is being emptied may as well stay away for so long
+	StopCheckInterval  time.Duration // between looks whether all is answered
+	StopDeadline       time.Duration // after SIGTERM the program ends no later
 
 	// Pauses of the process.
-	PauseLimit  time.Duration // a loop that has not run for so long was paused
-	PauseSettle time.Duration // and then reads what has come for a tenth of that, and so long at most, before it acts
-	PauseLong   time.Duration // behind a longer pause, work is let in as after a start
+	PauseThreshold     time.Duration // a loop that has not run for so long was paused
+	PauseSettleTime    time.Duration // and then reads what has come for a tenth of that, and so long at most, before it acts
+	LongPauseThreshold time.Duration // behind a longer pause, work is let in as after a start
 
 	// Logs.
-	FlightEvents int           // latest events that are kept in memory
-	FlightAtExit int           // and of these, so many are written at the exit
-	ReportEvery  time.Duration // all counters are logged so often, so that a fleet can be counted from its logs
+	FlightRecorderEvents       int           // latest events that are kept in memory
+	FlightRecorderEventsAtExit int           // and of these, so many are written at the exit
+	CountersInterval           time.Duration // all counters are logged so often, so that a fleet can be counted from its logs
 }
 
 type document struct {
@@ -129,10 +129,10 @@
 		MemoryMB float64 `json:"memory_mb"`
 		Sockets  float64 `json:"sockets"`
 	} `json:"limits"`
-	Feed     string          `json:"feed"`
-	Operator string          `json:"operator"`
-	Known    Known           `json:"known"`
-	Settings json.RawMessage `json:"settings"`
+	Discovery string          `json:"feed"`
+	Operator  string          `json:"operator"`
+	Bootstrap Bootstrap       `json:"known"`
+	Settings  json.RawMessage `json:"settings"`
 }
 
 // transport holds the settings that only sockets need.
@@ -167,11 +167,11 @@
 	if v := getenv("EDGE_NAME"); v != "" && v != c.Name {
 		return nil, fmt.Errorf("EDGE_NAME: %q, but name is %q", v, c.Name)
 	}
-	if v := getenv("EDGE_LISTEN"); v != "" && v != c.Listen {
-		return nil, fmt.Errorf("EDGE_LISTEN: %q, but listen is %q", v, c.Listen)
+	if v := getenv("EDGE_LISTEN"); v != "" && v != c.ListenAddress {
+		return nil, fmt.Errorf("EDGE_LISTEN: %q, but listen is %q", v, c.ListenAddress)
 	}
 	if v := getenv("EDGE_FD"); v != "" {
-		if c.Inherited, err = strconv.Atoi(v); err != nil || c.Inherited < 3 {
+		if c.InheritedFD, err = strconv.Atoi(v); err != nil || c.InheritedFD < 3 {
 			return nil, fmt.Errorf("EDGE_FD: %q is no descriptor", v)
 		}
 	}
@@ -192,11 +192,11 @@
 		return nil, fmt.Errorf("config: %w", err)
 	}
 	d.Operator = cmp.Or(operator, d.Operator)
-	c := &Config{Name: d.Name, Listen: d.Listen, Feed: d.Feed, Operator: d.Operator, Known: d.Known}
+	c := &Config{Name: d.Name, ListenAddress: d.Listen, DiscoveryAddress: d.Discovery, OperatorAddress: d.Operator, Bootstrap: d.Bootstrap}
 	if d.Name == "" {
 		return nil, errors.New("name: missing")
 	}
-	for _, a := range []struct{ field, value string }{{"listen", d.Listen}, {"feed", d.Feed}, {"operator", d.Operator}} {
+	for _, a := range []struct{ field, value string }{{"listen", d.Listen}, {"feed", d.Discovery}, {"operator", d.Operator}} {
 		if a.field == "operator" && a.value == "" {
 			continue
 		}
@@ -231,14 +231,14 @@
 	return c, nil
 }
 
-// Replaceable tells whether a running program may go over to the configuration n: one that is for another
+// CheckReload tells whether a running program may go over to the configuration n: one that is for another
 // director, or for another address, must not be taken for this one's.
-func (c *Config) Replaceable(n *Config) error {
+func (c *Config) CheckReload(n *Config) error {
 	switch {
 	case n.Name != c.Name:
 		return fmt.Errorf("name: %q, but this is %q", n.Name, c.Name)
-	case n.Listen != c.Listen:
-		return fmt.Errorf("listen: %q can't change from %q without a restart", n.Listen, c.Listen)
+	case n.ListenAddress != c.ListenAddress:
+		return fmt.Errorf("listen: %q can't change from %q without a restart", n.ListenAddress, c.ListenAddress)
 	}
 	return nil
 }
@@ -267,94 +267,94 @@
 		MemoryBytes: int64(memory) * 3 / 4,
 		Descriptors: sockets,
 
-		ClientConns:   sockets / 3,
-		ClientOpen:    32,
-		RequestFrame:  96 << 10,
-		RequestBody:   48_000,
-		RequestFields: 32,
-		ClientBacklog: 32 * (240_000 + 1<<10),
-		TotalBacklog:  memory / 6,
-		ClientMessage: 2 * time.Second,
-		ClientKeeps:   4500 * time.Millisecond,
-		ClientIdle:    30 * time.Second,
-		ClientLinger:  500 * time.Millisecond,
-		ClientStuck:   500 * time.Millisecond,
-		ClientLingers: lingers,
-		LingerBytes:   1 << 20,
-		FlushCheck:    10 * time.Millisecond,
-		PartGrace:     2 * time.Second, // some clients take that long to write: what comes on a new connection is owed an answer
-		OpenRequests:  4096,
-		LongestAllow:  10 * time.Minute,
-		Overdue:       25 * time.Millisecond,
+		MaxClientConns:      sockets / 3,
+		MaxRequestsPerConn:  32,
+		MaxFrameBytes:       96 << 10,
+		MaxRequestBodyBytes: 48_000,
+		MaxRequestFields:    32,
+		ClientBacklogBytes:  32 * (240_000 + 1<<10),
+		TotalBacklogBytes:   memory / 6,
+		MessageTimeout:      2 * time.Second,
+		ClientKeepAlive:     4500 * time.Millisecond,
+		ClientIdleTimeout:   30 * time.Second,
+		LingerTimeout:       500 * time.Millisecond,
+		SlowReaderTimeout:   500 * time.Millisecond,
+		MaxLingeringConns:   lingers,
+		MaxLingerBytes:      1 << 20,
+		FlushCheckInterval:  10 * time.Millisecond,
+		NewConnGracePeriod:  2 * time.Second, // some clients take that long to write: what comes on a new connection is owed an answer
+		MaxOpenRequests:     4096,
+		MaxRequestTimeout:   10 * time.Minute,
+		OverdueGracePeriod:  25 * time.Millisecond,
 
-		PeerConns:      sockets - sockets/3 - reserve,
-		DialRoom:       dialRoom,
-		ConnsPerPeer:   min(max((sockets-sockets/3-reserve)/8, 1), 32),
-		StreamsPerConn: 100,
-		ConnectTimeout: time.Second,
-		PeerIdle:       15 * time.Second,
-		PeerKeepLeast:  50 * time.Millisecond,
-		PeerCrossing:   50 * time.Millisecond, // protocol page, of the close of an idle connection
-		PeerSilence:    time.Second,
-		PeerGhost:      5 * time.Second,
-		AnswerBody:     240_000,
-		AnswerFields:   4 << 10,
+		MaxUpstreamConns:       sockets - sockets/3 - reserve,
+		MaxReplacementDials:    dialRoom,
+		MaxConnsPerEndpoint:    min(max((sockets-sockets/3-reserve)/8, 1), 32),
+		MaxAttemptsPerConn:     100,
+		ConnectTimeout:         time.Second,
+		UpstreamIdleTimeout:    15 * time.Second,
+		MinIdleTimeout:         50 * time.Millisecond,
+		IdleCloseRaceWindow:    50 * time.Millisecond, // protocol page, of the close of an idle connection
+		UpstreamSilenceTimeout: time.Second,
+		LateAnswerWindow:       5 * time.Second,
+		MaxAnswerBodyBytes:     240_000,
+		MaxAnswerFieldBytes:    4 << 10,
 
-		FeedLine:    4 << 20,
-		FeedSilence: 1300 * time.Millisecond,
-		FeedRetry:   100 * time.Millisecond,
-		FeedCall:    500 * time.Millisecond,
-		FeedHeed:    2 * time.Second,
-		FeedPurge:   500 * time.Millisecond,
-		FeedLate:    7 * time.Second, // protocol page, 'Figures'
-		FeedWait:    2 * time.Second, // the spread of the first calls, and a call
-		Members:     4096,
+		MaxWatchLineBytes:   4 << 20,
+		WatchSilenceTimeout: 1300 * time.Millisecond,
+		MinWatchBackoff:     100 * time.Millisecond,
+		WatchCallTime:       500 * time.Millisecond,
+		DrainApplyWithin:    2 * time.Second,
+		PurgeApplyWithin:    500 * time.Millisecond,
+		MaxEventDelay:       7 * time.Second, // protocol page, 'Figures'
+		InitialListTimeout:  2 * time.Second, // the spread of the first calls, and a call
+		MaxMembers:          4096,
 
 		BufferSize: 16 << 10,
 
-		OperatorConns: operatorConns,
-		LoopStalled:   time.Second,
-		DrainNotice:   500 * time.Millisecond, // the front asks ten times a second and sends nobody new 0.2 s behind a no
-		DrainWork:     1200 * time.Millisecond,
-		DrainEnd:      3200 * time.Millisecond,
-		DrainCheck:    20 * time.Millisecond,
+		MaxOperatorConns:   operatorConns,
+		LoopStallThreshold: time.Second,
+		DrainNoticePeriod:  500 * time.Millisecond, // the front asks ten times a second and sends nobody new 0.2 s behind a no
+		DrainGracePeriod:   1200 * time.Millisecond,
+		DrainDeadline:      3200 * time.Millisecond,
+		DrainCheckInterval: 20 * time.Millisecond,
 
-		StopWork:   700 * time.Millisecond,
-		RefuseFor:  time.Second,
-		StopCheck:  5 * time.Millisecond,
-		StopMoving: (kill - 200*time.Millisecond) * 3 / 5, // what comes then has the rest of the time for its answer
-		StopAnswer: kill - 200*time.Millisecond,
-		StopEnd:    kill - 50*time.Millisecond,
+		StopGracePeriod:    700 * time.Millisecond,
+		ShutdownRetryAfter: time.Second,
+		StopCheckInterval:  5 * time.Millisecond,
+		StopHandoverPeriod: (kill - 200*time.Millisecond) * 3 / 5, // what comes then has the rest of the time for its answer
+		StopAnswerDeadline: kill - 200*time.Millisecond,
+		StopDeadline:       kill - 50*time.Millisecond,
 
-		PauseLimit:  80 * time.Millisecond, // under the time in which a client's leaving must be heeded, over the router's tick
-		PauseSettle: 30 * time.Millisecond,
-		PauseLong:   300 * time.Millisecond, // well under the time to heed a purge
+		PauseThreshold:     80 * time.Millisecond, // under the time in which a client's leaving must be heeded, over the router's tick
+		PauseSettleTime:    30 * time.Millisecond,
+		LongPauseThreshold: 300 * time.Millisecond, // well under the time to heed a purge
 
-		FlightEvents: 2048,
-		FlightAtExit: 256,
-		ReportEvery:  5 * time.Second,
+		FlightRecorderEvents:       2048,
+		FlightRecorderEventsAtExit: 256,
+		CountersInterval:           5 * time.Second,
 	}
 	l.BufferCount = memory / 3 / l.BufferSize
 	if s.SiteLimits.MaxOpenRequests > 0 {
-		l.OpenRequests = min(l.OpenRequests, s.SiteLimits.MaxOpenRequests)
+		l.MaxOpenRequests = min(l.MaxOpenRequests, s.SiteLimits.MaxOpenRequests)
 	}
 	if v := t.Ceilings.ConnectTimeout; v > 0 {
 		l.ConnectTimeout = v
 	}
 	if v := s.Guarantees.DrainGrace; v > 0 {
-		l.FeedHeed = v
+		l.DrainApplyWithin = v
 	}
 	// What is told in silence is heard when the silence is over and the service was called again. A sign of life comes
 	// each second, so that nothing shorter than that, with room for the way, is a silence.
-	l.FeedSilence = max(beat+beat/10, min(l.FeedSilence, l.FeedHeed-l.FeedCall-beat/5))
+	l.WatchSilenceTimeout = max(beat+beat/10, min(l.WatchSilenceTimeout, l.DrainApplyWithin-l.WatchCallTime-beat/5))
 	if v := s.Tiers.PurgeSlack; v > 0 {
-		l.FeedPurge = v
+		l.PurgeApplyWithin = v
 	}
 	if v := t.Ceilings.Keepalive; v > 0 {
-		l.PeerIdle = v * 3 / 4 // before the peer does: an attempt that crosses its close may have run
+		l.UpstreamIdleTimeout = v * 3 / 4 // before the peer does: an attempt that crosses its close may have run
 	}
 	if v := t.Ceilings.StreamsPerConn; v > 0 {
-		l.StreamsPerConn = min(v, math.MaxInt16)
+		l.MaxAttemptsPerConn = min(v, math.MaxInt16)
 	}
 	return l
 }
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -22,7 +22,7 @@
 		t.Fatal(err)
 	}
 	l := c.Limits
-	got := []any{l.ClientConns, l.ConnectTimeout, l.PeerIdle, l.StreamsPerConn, l.OpenRequests, l.StopEnd}
+	got := []any{l.MaxClientConns, l.ConnectTimeout, l.UpstreamIdleTimeout, l.MaxAttemptsPerConn, l.MaxOpenRequests, l.StopDeadline}
 	want := []any{341, 400 * time.Millisecond, 11250 * time.Millisecond, 64, 100, 3650 * time.Millisecond}
 	if d := cmp.Diff(want, got); d != "" {
 		t.Error(d)
@@ -30,15 +30,15 @@
 	for grace, want := range map[string]time.Duration{"2000000000": 1300 * time.Millisecond, "9000000000": 1300 * time.Millisecond,
 		"1500000000": 1100 * time.Millisecond, "1900000000": 1200 * time.Millisecond, "800000000": 1100 * time.Millisecond} {
 		text := strings.Replace(good, `"ceilings"`, `"guarantees":{"drainGrace":`+grace+`},"ceilings"`, 1)
-		if c, err := Parse([]byte(text), 1<<20); err != nil || c.Limits.FeedSilence != want {
-			t.Errorf("drains to be heeded within %s ns: a silence is %v, want %v (%v)", grace, c.Limits.FeedSilence, want, err)
+		if c, err := Parse([]byte(text), 1<<20); err != nil || c.Limits.WatchSilenceTimeout != want {
+			t.Errorf("drains to be heeded within %s ns: a silence is %v, want %v (%v)", grace, c.Limits.WatchSilenceTimeout, want, err)
 		}
 	}
 	// gnet's accept ends the engine when descriptors run out: the shares must leave a reserve.
-	if sum := l.ClientConns + l.ClientLingers + l.PeerConns + l.DialRoom; sum > l.Descriptors-20 {
+	if sum := l.MaxClientConns + l.MaxLingeringConns + l.MaxUpstreamConns + l.MaxReplacementDials; sum > l.Descriptors-20 {
 		t.Errorf("%d descriptors shared out of %d", sum, l.Descriptors)
 	}
-	if held := int64(l.BufferCount*l.BufferSize + l.TotalBacklog); held > l.MemoryBytes {
+	if held := int64(l.BufferCount*l.BufferSize + l.TotalBacklogBytes); held > l.MemoryBytes {
 		t.Errorf("bodies may hold %d bytes of %d", held, l.MemoryBytes)
 	}
 }
@@ -49,8 +49,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if c.Limits.Descriptors != 256 || c.Limits.ClientConns != 85 {
-		t.Errorf("%d descriptors, %d for clients", c.Limits.Descriptors, c.Limits.ClientConns)
+	if c.Limits.Descriptors != 256 || c.Limits.MaxClientConns != 85 {
+		t.Errorf("%d descriptors, %d for clients", c.Limits.Descriptors, c.Limits.MaxClientConns)
 	}
 }
 
@@ -96,7 +96,7 @@
 	}
 	env := map[string]string{"EDGE_CONFIG": path, "EDGE_NAME": "n1", "EDGE_FD": "7"}
 	c, err := Load(func(name string) string { return env[name] }, 1<<20)
-	if err != nil || c.Inherited != 7 {
+	if err != nil || c.InheritedFD != 7 {
 		t.Errorf("%+v, %v", c, err)
 	}
 }
--- a/internal/config/operator_test.go
+++ b/internal/config/operator_test.go
@@ -27,8 +27,8 @@
 		t.Fatal(err)
 	}
 	o.Apply(&c.Limits)
-	if c.Limits.FeedLate != 9*time.Second || c.Limits.PauseLimit != 250500*time.Microsecond || c.Limits.FeedHeed != before.FeedHeed {
-		t.Errorf("late %v, pause %v, heed %v", c.Limits.FeedLate, c.Limits.PauseLimit, c.Limits.FeedHeed)
+	if c.Limits.MaxEventDelay != 9*time.Second || c.Limits.PauseThreshold != 250500*time.Microsecond || c.Limits.DrainApplyWithin != before.DrainApplyWithin {
+		t.Errorf("late %v, pause %v, heed %v", c.Limits.MaxEventDelay, c.Limits.PauseThreshold, c.Limits.DrainApplyWithin)
 	}
 	if got := strings.Join(o.Describe(), "; "); got != "list.late_ms: 9s; pause.limit_ms: 250.5ms" {
 		t.Errorf("described as %q", got)
--- a/internal/director/director.go
+++ b/internal/director/director.go
@@ -82,7 +82,7 @@
 		return nil, err
 	}
 	return &Director{router: r, settings: s, limits: l, agenda: agenda, now: now, log: log,
-		requests: NewTable[*request](l.OpenRequests), attempts: NewTable[*attempt](maxSlots),
+		requests: NewTable[*request](l.MaxOpenRequests), attempts: NewTable[*attempt](maxSlots),
 		names: map[routing.Host]member{}}, nil
 }
 
@@ -114,10 +114,10 @@
 		r.giveUp = min(r.giveUp, max(d.last, now))
 	}
 	d.Counters.RequestsAccepted++
-	d.FlightRecorder.Record(flightrecorder.Event{At: now, Kind: flightrecorder.RequestTaken, Conn: q.ConnID, Request: uint32(h)})
+	d.FlightRecorder.Record(flightrecorder.Event{At: now, Kind: flightrecorder.RequestAccepted, Conn: q.ConnID, Request: uint32(h)})
 	wait, why, ok := d.admit(now, q.Class)
 	if ok && r.giveUp <= now {
-		wait, why, ok = d.limits.RefuseFor, readTooLate, false
+		wait, why, ok = d.limits.ShutdownRetryAfter, readTooLate, false
 	}
 	if !ok {
 		d.answer(r, Response{Outcome: Rejected, RetryAfter: d.cooldown(wait), Reason: why})
@@ -141,7 +141,7 @@
 		}
 	}
 	if d.Admission != nil && repeatable(d.settings.Classes[class].Idempotency) { // the others are refused last
-		if wait, ok := d.Admission.May(now, d.requests.Len()-1); !ok {
+		if wait, ok := d.Admission.Admit(now, d.requests.Len()-1); !ok {
 			d.Counters.RejectedByAdmission++
 			return wait, notAdmitted, false
 		}
@@ -160,7 +160,7 @@
 // guard fails a request past its time. The module ends each by then; this only guards the rule of one answer
 // against a fault.
 func (d *Director) guard(r *request) {
-	d.agenda.Schedule(&r.overdue, r.giveUp+d.limits.Overdue, func() {
+	d.agenda.Schedule(&r.overdue, r.giveUp+d.limits.OverdueGracePeriod, func() {
 		d.Counters.RequestsOverdue++
 		d.log.Error("request overdue: failed by the guard", zap.String("ref", r.Ref))
 		d.answer(r, Response{Outcome: Failed, Reason: overdue})
@@ -310,7 +310,7 @@
 		d.Counters.RequestsFailed++
 	}
 	if d.Admission != nil && r.let {
-		d.Admission.Answered(a.Outcome == Served, d.now()-r.since)
+		d.Admission.RecordAnswer(a.Outcome == Served, d.now()-r.since)
 	}
 	d.finish(r, a.Reason)
 	r.reply.Reply(r.token, a)
--- a/internal/director/director_test.go
+++ b/internal/director/director_test.go
@@ -67,7 +67,7 @@
 		Tiers: routing.TierSettings{Uncacheable: []bool{false, true}, CoalescesFills: true, OriginKind: 2, ParentKind: 1,
 			FillStatusReported: "all"}}
 	var err error
-	b.d, err = New(s, 1, &config.Limits{OpenRequests: 8, Overdue: 25 * time.Millisecond}, &b.agenda, func() routing.Time { return b.clock }, zap.NewNop())
+	b.d, err = New(s, 1, &config.Limits{MaxOpenRequests: 8, OverdueGracePeriod: 25 * time.Millisecond}, &b.agenda, func() routing.Time { return b.clock }, zap.NewNop())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -80,7 +80,7 @@
 
 func (b *bench) submit(class int) Handle {
 	b.t.Helper()
-	h, ok := b.d.Submit(Request{Ref: "r", Class: class, ObjectKey: 7, Timeout: 4 * time.Second, Body: b.pool.Chain()}, b, 1)
+	h, ok := b.d.Submit(Request{Ref: "r", Class: class, ObjectKey: 7, Timeout: 4 * time.Second, Body: b.pool.NewChain()}, b, 1)
 	if !ok {
 		b.t.Fatal("not taken")
 	}
@@ -105,7 +105,7 @@
 	if n := b.d.attempts.Len(); n != 0 {
 		b.t.Errorf("%d attempts left", n)
 	}
-	if n := b.pool.Lent(); n != 0 {
+	if n := b.pool.InUse(); n != 0 {
 		b.t.Errorf("%d buffers left", n)
 	}
 }
@@ -113,10 +113,10 @@
 func TestFirstAnswerIsPassedOnOnce(t *testing.T) {
 	b := newBench(t)
 	b.submit(0)
-	body := b.pool.Chain()
+	body := b.pool.NewChain()
 	body.Append([]byte("bytes"))
 	b.d.AttemptEnded(b.sent[0].h, AttemptResult{Result: routing.OK, FillStatus: routing.FillStatusHit, Body: body})
-	late := b.pool.Chain()
+	late := b.pool.NewChain()
 	late.Append([]byte("late"))
 	b.d.AttemptEnded(b.sent[0].h, AttemptResult{Result: routing.OK, Body: late})
 	b.pass(5 * time.Second)
@@ -229,7 +229,7 @@
 // back. A repayment is taken all the same, and so is all work once answers have come.
 func TestWorkBeyondTheAdmissionIsRefusedAtOnce(t *testing.T) {
 	b := newBench(t)
-	b.d.limits.OpenRequests, b.d.requests = 100, NewTable[*request](100)
+	b.d.limits.MaxOpenRequests, b.d.requests = 100, NewTable[*request](100)
 	b.d.settings.SiteLimits.RetryAfterAllowed, b.d.settings.SiteLimits.MaxRetryAfter = true, time.Second
 	b.d.Admission = overload.NewAdmission(1)
 	for range 40 {
--- a/internal/discovery/anyorder_test.go
+++ b/internal/discovery/anyorder_test.go
@@ -23,7 +23,7 @@
 
 // up is a stream to the service.
 type up struct {
-	nettest.Link
+	nettest.FakeConn
 	s      *stream
 	next   int // event that is told next
 	silent bool
@@ -52,7 +52,7 @@
 		default:
 			u := &up{s: s, silent: !well && k < 5}
 			s.Opened(u)
-			if _, err := fmt.Sscanf(u.Text.String(), "SUB %d\n", &u.next); err != nil {
+			if _, err := fmt.Sscanf(u.Written.String(), "SUB %d\n", &u.next); err != nil {
 				continue // a dial that was overtaken: closed, nothing asked
 			}
 			u.next++
@@ -143,7 +143,7 @@
 		}
 		if len(b.told) != v.events {
 			t.Fatalf("seed %d: %d events of %d are known 8 s after all is well; ends %v, last lines %q",
-				seed, len(b.told), v.events, b.f.Counters.Ends, strings.Join(b.told[max(0, len(b.told)-3):], ", "))
+				seed, len(b.told), v.events, b.f.Counters.WatchEnds, strings.Join(b.told[max(0, len(b.told)-3):], ", "))
 		}
 	}
 }
--- a/internal/discovery/feed.go
+++ b/internal/discovery/feed.go
@@ -33,29 +33,29 @@
 
 // Counters count what the feed brought.
 type Counters struct {
-	Connects, ConnectsFailed, Losses, Silences, Redirects uint64
-	Lines, Events, BadLines, SkippedEntries               uint64
-	Ends                                                  Ends
-	Behind, Resyncs, KeptDrains                           uint64
+	Connects, ConnectFailures, Disconnects, SilenceTimeouts, Redirects uint64
+	Lines, Events, BadLines, SkippedEndpoints                          uint64
+	WatchEnds                                                          EndCounts
+	RevisionBehind, FullResyncs, RetainedDrains                        uint64
 }
 
-// Ends count the ends of calls by kind.
-type Ends [overload.Silent + 1]uint64
+// EndCounts count the ends of calls by kind.
+type EndCounts [overload.EndSilent + 1]uint64
 
 // MarshalJSON names the kinds.
-func (e Ends) MarshalJSON() ([]byte, error) {
+func (e EndCounts) MarshalJSON() ([]byte, error) {
 	m := map[string]uint64{}
 	for i, n := range e {
-		m[overload.End(i).String()] = n
+		m[overload.WatchEnd(i).String()] = n
 	}
 	return json.Marshal(m)
 }
 
-// Follower follows one feed.
-type Follower struct {
+// Watcher follows one feed.
+type Watcher struct {
 	Counters Counters
-	// Reach, where set, is called once, as the service is reached for the first time.
-	Reach func()
+	// OnFirstConnect, where set, is called once, as the service is reached for the first time.
+	OnFirstConnect func()
 
 	limits  *config.Limits
 	address string
@@ -65,14 +65,14 @@
 	now     func() routing.Time
 	zones   map[string]int
 	kinds   map[string]int
-	calls   *overload.ListCalls
+	calls   *overload.Backoff
 	moveTo  string // address to go over to with the next dial; "": none
 	last    uint64 // number of the last event taken
 	index   uint64 // the latest list's version
 	list    map[string]state
-	service clock.Peer // the service's clock, as the stamps of purges show it
-	behind  int        // streams in a row whose numbers were behind ours
-	replay  bool       // after a new start of the numbers, until the service's last event is reached
+	service clock.PeerClock // the service's clock, as the stamps of purges show it
+	behind  int             // streams in a row whose numbers were behind ours
+	replay  bool            // after a new start of the numbers, until the service's last event is reached
 	reached bool
 	heard   routing.Time // the last line that could be used
 	callAt  routing.Time // when the next call is made
@@ -98,9 +98,9 @@
 const behindMost = 5
 
 // New returns a follower of the feed at the address, for the settings' zones and kinds.
-func New(l *config.Limits, s *routing.Settings, address string, calls *overload.ListCalls, d eventloop.Dialer, sink Sink,
-	a *director.Queue, now func() routing.Time, log *zap.Logger) *Follower {
-	f := &Follower{limits: l, address: address, calls: calls, dialer: d, sink: sink, agenda: a, now: now,
+func New(l *config.Limits, s *routing.Settings, address string, calls *overload.Backoff, d eventloop.Dialer, sink Sink,
+	a *director.Queue, now func() routing.Time, log *zap.Logger) *Watcher {
+	f := &Watcher{limits: l, address: address, calls: calls, dialer: d, sink: sink, agenda: a, now: now,
 		zones: map[string]int{}, kinds: map[string]int{}, list: map[string]state{}, log: log}
 	for i, z := range s.Zones {
 		f.zones[z] = i
@@ -111,23 +111,23 @@
 	return f
 }
 
-// Replay takes the events that the configuration holds.
-func (f *Follower) Replay(k config.Known) error {
+// Bootstrap takes the events that the configuration holds.
+func (f *Watcher) Bootstrap(k config.Bootstrap) error {
 	f.learnClock(k.Events)
 	for i, e := range k.Events {
 		if err := f.take(e, nil); err != nil {
 			return fmt.Errorf("known.events[%d]: %w", i, err)
 		}
 	}
-	if f.last > k.N {
-		return fmt.Errorf("known.n: %d, but its events go to %d", k.N, f.last)
+	if f.last > k.Revision {
+		return fmt.Errorf("known.n: %d, but its events go to %d", k.Revision, f.last)
 	}
-	f.last = k.N
+	f.last = k.Revision
 	return nil
 }
 
 // learnClock learns the service's clock from the stamps of a backlog, before the first of its events is dated by them.
-func (f *Follower) learnClock(backlog []json.RawMessage) {
+func (f *Watcher) learnClock(backlog []json.RawMessage) {
 	now := f.now()
 	for _, text := range backlog {
 		if !bytes.Contains(text, []byte(`"purge"`)) {
@@ -141,17 +141,17 @@
 }
 
 // Start calls the feed when it is our turn, and from then on keeps it up.
-func (f *Follower) Start() {
-	f.callAt = f.calls.Start(f.now())
+func (f *Watcher) Start() {
+	f.callAt = f.calls.FirstCall(f.now())
 	f.agenda.Schedule(&f.again, f.callAt, f.dial)
 }
 
-// CallAt is when the latest call was made, or will be.
-func (f *Follower) CallAt() routing.Time { return f.callAt }
+// DialTime is when the latest call was made, or will be.
+func (f *Watcher) DialTime() routing.Time { return f.callAt }
 
 // dial opens a stream. One that is up, because the operators have named another service, is followed until the new
 // one is: what is told meanwhile counts as told, and the new service may be down or slow.
-func (f *Follower) dial() {
+func (f *Watcher) dial() {
 	if f.moveTo != "" {
 		f.address, f.moveTo, f.moving = f.moveTo, "", true
 	}
@@ -160,18 +160,18 @@
 }
 
 // Connected tells whether the feed is up.
-func (f *Follower) Connected() bool { return f.stream != nil }
+func (f *Watcher) Connected() bool { return f.stream != nil }
 
-// Reached tells whether a stream has been opened since the start: what there is to tell is on its way then. Who has
+// EverConnected tells whether a stream has been opened since the start: what there is to tell is on its way then. Who has
 // lost it since goes on by what it knows.
-func (f *Follower) Reached() bool { return f.reached }
+func (f *Watcher) EverConnected() bool { return f.reached }
 
-// Heard is when the feed's last line came that could be used; 0: none has.
-func (f *Follower) Heard() routing.Time { return f.heard }
+// LastUsableLine is when the feed's last line came that could be used; 0: none has.
+func (f *Watcher) LastUsableLine() routing.Time { return f.heard }
 
 // retry gives a stream, or a dial that has failed, up and calls again in its time. A stream that ends while the next
 // one is being dialled is replaced by that.
-func (f *Follower) retry(s *stream, e overload.End) {
+func (f *Watcher) retry(s *stream, e overload.WatchEnd) {
 	switch s {
 	case f.stream:
 		f.stream = nil
@@ -182,12 +182,12 @@
 	default:
 		return
 	}
-	f.Counters.Ends[e]++
+	f.Counters.WatchEnds[e]++
 	if f.next != nil {
 		return
 	}
 	now := f.now()
-	at := f.calls.Next(now, e)
+	at := f.calls.NextCall(now, e)
 	f.log.Info("feed lost", zap.String("feed", f.address), zap.Stringer("cause", e), zap.Duration("again_in", at-now),
 		zap.Uint64("behind_event", f.last), zap.Int("failures", f.calls.Failures()))
 	f.callAt = at
@@ -197,7 +197,7 @@
 // Redirect goes over to the feed at another address, behind the last event taken. All directors are told to do so
 // at once: each goes when it is its turn, and follows the old feed until then. A call that was due before is made all the
 // same, and told again, only the address changes: however often it is told, the next call comes no later.
-func (f *Follower) Redirect(address string) {
+func (f *Watcher) Redirect(address string) {
 	due := f.moveTo != ""
 	if address == cmp.Or(f.moveTo, f.address) {
 		return
@@ -207,7 +207,7 @@
 	if due {
 		return
 	}
-	at := f.calls.Move(f.now())
+	at := f.calls.RedirectCall(f.now())
 	if f.again.Pending() {
 		at = min(at, f.callAt)
 	}
@@ -215,8 +215,8 @@
 	f.agenda.Schedule(&f.again, at, f.dial)
 }
 
-// Paused gives a stream that is up its time anew: while the process stood still it could not read what came.
-func (f *Follower) Paused() {
+// HandlePause gives a stream that is up its time anew: while the process stood still it could not read what came.
+func (f *Watcher) HandlePause() {
 	if f.Connected() {
 		f.listen(f.stream)
 	}
@@ -224,16 +224,16 @@
 
 // listen limits the time to the next line. A feed that is cut off says nothing: only this ends it, and what
 // it would have told counts as told all the same.
-func (f *Follower) listen(s *stream) {
-	f.agenda.Schedule(&f.silence, f.now()+f.limits.FeedSilence, func() {
-		f.Counters.Silences++
+func (f *Watcher) listen(s *stream) {
+	f.agenda.Schedule(&f.silence, f.now()+f.limits.WatchSilenceTimeout, func() {
+		f.Counters.SilenceTimeouts++
 		f.retry(s, s.silent())
 	})
 }
 
 // stream is one connection to the feed.
 type stream struct {
-	f      *Follower
+	f      *Watcher
 	link   eventloop.Conn
 	line   []byte
 	spoke  bool // a good line has come
@@ -258,56 +258,56 @@
 	f.listen(s)
 	from := f.last
 	if f.behind >= behindMost {
-		f.Counters.Resyncs++
+		f.Counters.FullResyncs++
 		f.log.Warn("feed counts anew: asking for everything", zap.String("feed", f.address), zap.Uint64("event", f.last))
 		s.anew, from = true, 0
 	}
 	sub := strconv.AppendUint([]byte("SUB "), from, 10)
 	if _, err := c.Writev([][]byte{append(sub, '\n')}); err != nil {
-		f.retry(s, overload.Unfit)
+		f.retry(s, overload.EndUnusable)
 	}
-	if first && f.Reach != nil {
-		f.Reach()
+	if first && f.OnFirstConnect != nil {
+		f.OnFirstConnect()
 	}
 }
 
 // Failed is a dial's end. A connect that is refused or reset is a service that is down; one that takes too long
 // is one that is crowded, or behind a cut: both suffer from being asked more.
 func (s *stream) Failed(err error) {
-	s.f.Counters.ConnectsFailed++
+	s.f.Counters.ConnectFailures++
 	if errors.Is(err, syscall.ECONNREFUSED) || errors.Is(err, syscall.ECONNRESET) {
-		s.f.retry(s, overload.Refused)
+		s.f.retry(s, overload.EndRefused)
 		return
 	}
-	s.f.retry(s, overload.TimedOut)
+	s.f.retry(s, overload.EndTimedOut)
 }
 
 // Closed calls again. What the feed has to tell counts as told while it is down, so a stream that was good is
 // replaced soon; one that never was, or broke off within a list, waits longer, lest a broken feed be hammered.
 func (s *stream) Closed() {
 	if s.f.stream == s {
-		s.f.Counters.Losses++
+		s.f.Counters.Disconnects++
 	}
 	s.f.retry(s, s.broken())
 }
 
 // broken is what the end of the stream means, by itself or for a line that can't be used: it was good until then, or not.
-func (s *stream) broken() overload.End {
+func (s *stream) broken() overload.WatchEnd {
 	if s.spoke {
-		return overload.Broke
+		return overload.EndBroken
 	}
-	return overload.Unfit
+	return overload.EndUnusable
 }
 
 // silent is what silence on the stream means.
-func (s *stream) silent() overload.End {
+func (s *stream) silent() overload.WatchEnd {
 	switch {
 	case s.behind:
-		return overload.Unfit
+		return overload.EndUnusable
 	case s.spoke:
-		return overload.Silent
+		return overload.EndSilent
 	}
-	return overload.TimedOut
+	return overload.EndTimedOut
 }
 
 // Data takes whole lines. A line that can't be used closes the stream, and the next one starts behind the
@@ -319,7 +319,7 @@
 		}
 		i := bytes.IndexByte(p, '\n')
 		if i < 0 {
-			if len(s.line)+len(p) > s.f.limits.FeedLine {
+			if len(s.line)+len(p) > s.f.limits.MaxWatchLineBytes {
 				s.f.Counters.BadLines++
 				return errors.New("feed line too long")
 			}
@@ -346,7 +346,7 @@
 		s.f.listen(s)
 		s.spoke, s.f.heard = true, s.f.now()
 		if !s.f.moving { // what the old service tells says nothing of calls of the new one
-			s.f.calls.Good(s.f.now())
+			s.f.calls.RecordUsableLine(s.f.now())
 		}
 	}
 	return nil
@@ -354,13 +354,13 @@
 
 // line is an event, or with a number only the sign of life.
 type line struct {
-	N       *uint64  `json:"n"`
-	Members *members `json:"members"`
-	Purge   *purge   `json:"purge"`
+	Revision *uint64  `json:"n"`
+	Members  *members `json:"members"`
+	Purge    *purge   `json:"purge"`
 }
 
 type members struct {
-	Index     uint64     `json:"index"`
+	Version   uint64     `json:"index"`
 	Snapshot  bool       `json:"snapshot"`
 	Endpoints []endpoint `json:"endpoints"`
 }
@@ -377,14 +377,14 @@
 }
 
 type purge struct {
-	Key   string `json:"key"`
-	Group *int   `json:"group"`
-	At    int64  `json:"at"`
+	Key    string `json:"key"`
+	Group  *int   `json:"group"`
+	MadeAt int64  `json:"at"`
 }
 
 // take reads one line and hands its event on. Events must come without a gap where they come on a stream (s not
 // nil); what is known already is passed over.
-func (f *Follower) take(text []byte, s *stream) error {
+func (f *Watcher) take(text []byte, s *stream) error {
 	if n, err := strconv.ParseUint(string(bytes.TrimSpace(text)), 10, 64); err == nil {
 		return f.alive(n, s)
 	}
@@ -394,22 +394,22 @@
 	}
 	anew := s != nil && s.anew
 	switch {
-	case l.N == nil:
+	case l.Revision == nil:
 		return fmt.Errorf("line %.80q has no number", text)
 	case l.Members == nil && l.Purge == nil:
-		return f.alive(*l.N, s)
-	case anew && (*l.N != 1 || l.Members == nil || !l.Members.Snapshot):
-		return fmt.Errorf("event %d, asked for everything: want event 1 with a whole list", *l.N)
+		return f.alive(*l.Revision, s)
+	case anew && (*l.Revision != 1 || l.Members == nil || !l.Members.Snapshot):
+		return fmt.Errorf("event %d, asked for everything: want event 1 with a whole list", *l.Revision)
 	case anew:
-	case *l.N <= f.last:
+	case *l.Revision <= f.last:
 		return nil
-	case s != nil && *l.N != f.last+1:
-		return fmt.Errorf("event %d after %d", *l.N, f.last)
+	case s != nil && *l.Revision != f.last+1:
+		return fmt.Errorf("event %d after %d", *l.Revision, f.last)
 	}
 	if l.Members != nil {
 		list, err := f.members(l.Members)
 		if err != nil {
-			return fmt.Errorf("event %d: %w", *l.N, err)
+			return fmt.Errorf("event %d: %w", *l.Revision, err)
 		}
 		f.replay = f.replay || anew
 		f.tell(l.Members, list)
@@ -419,30 +419,30 @@
 			f.service.Observe(l.Purge.stamp(), f.now())
 		}
 		if err := f.purge(l.Purge); err != nil {
-			return fmt.Errorf("event %d: %w", *l.N, err)
+			return fmt.Errorf("event %d: %w", *l.Revision, err)
 		}
 	}
 	if s != nil {
 		s.anew, s.behind = false, false
 		f.behind = 0
 	}
-	f.last = *l.N
+	f.last = *l.Revision
 	f.Counters.Events++
 	return nil
 }
 
 // tell hands a list on. After a new start of the numbers it may be older than what we know: then a member that
 // was draining or gone stays so, as long as it has not been started anew, and the lack of one says nothing.
-func (f *Follower) tell(m *members, list []director.Endpoint) {
+func (f *Watcher) tell(m *members, list []director.Endpoint) {
 	full := m.Snapshot || f.last == 0
-	if f.replay && m.Index < f.index {
+	if f.replay && m.Version < f.index {
 		full = false
 	}
 	kept := list[:0]
 	for _, e := range list {
 		known, ok := f.list[e.Name]
 		if f.replay && ok && known.state != routing.Ready && e.State == routing.Ready && e.StartedUnixMilli <= known.sinceMS {
-			f.Counters.KeptDrains++
+			f.Counters.RetainedDrains++
 			if known.state == routing.Gone {
 				continue
 			}
@@ -454,18 +454,18 @@
 		clear(f.list)
 	}
 	for _, e := range kept {
-		if len(f.list) >= 2*f.limits.Members {
+		if len(f.list) >= 2*f.limits.MaxMembers {
 			maps.DeleteFunc(f.list, func(_ string, s state) bool { return s.state == routing.Gone })
 		}
 		f.list[e.Name] = state{e.State, e.StartedUnixMilli, e.Started}
 	}
-	f.index = max(f.index, m.Index)
-	f.sink.UpdateEndpoints(full, m.Index, kept)
+	f.index = max(f.index, m.Version)
+	f.sink.UpdateEndpoints(full, m.Version, kept)
 }
 
 // alive takes a line with only the last number. One that is behind ours comes from a service that lags, or was
 // put back: what it tells next is not what comes next for us.
-func (f *Follower) alive(n uint64, s *stream) error {
+func (f *Watcher) alive(n uint64, s *stream) error {
 	switch {
 	case s == nil || s.anew:
 		return nil
@@ -476,15 +476,15 @@
 	case !s.behind:
 		s.behind = true
 		f.behind++
-		f.Counters.Behind++
+		f.Counters.RevisionBehind++
 		f.log.Warn("feed is behind", zap.String("feed", f.address), zap.Uint64("at_event", n), zap.Uint64("event", f.last))
 	}
 	return nil
 }
 
-func (f *Follower) members(m *members) ([]director.Endpoint, error) {
-	if len(m.Endpoints) > f.limits.Members {
-		return nil, fmt.Errorf("%d members, %d at most", len(m.Endpoints), f.limits.Members)
+func (f *Watcher) members(m *members) ([]director.Endpoint, error) {
+	if len(m.Endpoints) > f.limits.MaxMembers {
+		return nil, fmt.Errorf("%d members, %d at most", len(m.Endpoints), f.limits.MaxMembers)
 	}
 	list := make([]director.Endpoint, 0, len(m.Endpoints))
 	for i, e := range m.Endpoints {
@@ -510,7 +510,7 @@
 		d.Zone, zone = f.zones[e.Zone]
 		d.Kind, kind = f.kinds[e.Type]
 		if d.State != routing.Gone && (!zone || !kind) {
-			f.Counters.SkippedEntries++ // of a place or kind that the settings do not know: nothing goes there
+			f.Counters.SkippedEndpoints++ // of a place or kind that the settings do not know: nothing goes there
 			continue
 		}
 		list = append(list, d)
@@ -520,7 +520,7 @@
 
 // startedAt is when a member was started late, on our clock; 0: it was not. The same start keeps the same time, whatever is
 // learnt of the service's clock meanwhile: another time would be another life of the member.
-func (f *Follower) startedAt(e endpoint) routing.Time {
+func (f *Watcher) startedAt(e endpoint) routing.Time {
 	if e.SinceMS == 0 {
 		return 0
 	}
@@ -531,9 +531,9 @@
 }
 
 // stamp is when the purge was made, on the service's clock.
-func (p *purge) stamp() routing.Time { return routing.Time(p.At) * routing.Time(time.Millisecond) }
+func (p *purge) stamp() routing.Time { return routing.Time(p.MadeAt) * routing.Time(time.Millisecond) }
 
-func (f *Follower) purge(p *purge) error {
+func (f *Watcher) purge(p *purge) error {
 	told := director.Purge{RemoteIssuedAt: p.stamp(), IssuedAt: f.service.Local(p.stamp())}
 	if p.Group != nil {
 		told.Group = *p.Group
--- a/internal/discovery/feed_test.go
+++ b/internal/discovery/feed_test.go
@@ -22,7 +22,7 @@
 
 // bench is a follower on scripted dials, with a clock that the test moves.
 type bench struct {
-	f      *Follower
+	f      *Watcher
 	agenda director.Queue
 	clock  routing.Time
 	dials  []eventloop.Stream
@@ -45,11 +45,11 @@
 
 func fleetBench(t *testing.T, directors int) *bench {
 	b := &bench{clock: 1000 * time.Second}
-	l := &config.Limits{FeedLine: 1000, FeedSilence: 1300 * time.Millisecond, FeedRetry: 100 * time.Millisecond,
-		Members: 2}
+	l := &config.Limits{MaxWatchLineBytes: 1000, WatchSilenceTimeout: 1300 * time.Millisecond, MinWatchBackoff: 100 * time.Millisecond,
+		MaxMembers: 2}
 	s := &routing.Settings{Zones: []string{"west", "here"}, Kinds: []string{"small", "origin"}}
-	calls := overload.NewListCalls(overload.ListBounds{Directors: directors, Me: 200, Heed: 2 * time.Second,
-		Purge: 500 * time.Millisecond, Late: 7 * time.Second, Silence: l.FeedSilence, Call: 500 * time.Millisecond, Least: l.FeedRetry}, 1)
+	calls := overload.NewBackoff(overload.BackoffConfig{Directors: directors, DirectorIndex: 200, ApplyWithin: 2 * time.Second,
+		ApplyPurgeWithin: 500 * time.Millisecond, NotifiedAfter: 7 * time.Second, SilenceTimeout: l.WatchSilenceTimeout, CallDuration: 500 * time.Millisecond, MinWait: l.MinWatchBackoff}, 1)
 	b.f = New(l, s, "a", calls, b, b, &b.agenda, func() routing.Time { return b.clock }, zap.NewNop())
 	return b
 }
@@ -62,8 +62,8 @@
 	return b
 }
 
-func (b *bench) open() *nettest.Link {
-	l := &nettest.Link{}
+func (b *bench) open() *nettest.FakeConn {
+	l := &nettest.FakeConn{}
 	b.dials[len(b.dials)-1].Opened(l)
 	return l
 }
@@ -78,13 +78,13 @@
 
 func TestEventsReachTheSink(t *testing.T) {
 	b := newBench(t)
-	if err := b.f.Replay(config.Known{N: 1, Events: []json.RawMessage{[]byte(ready)}}); err != nil {
+	if err := b.f.Bootstrap(config.Bootstrap{Revision: 1, Events: []json.RawMessage{[]byte(ready)}}); err != nil {
 		t.Fatal(err)
 	}
 	b.f.Start()
 	b.pass(0)
 	l := b.open()
-	if got := l.Text.String(); got != "SUB 1\n" {
+	if got := l.Written.String(); got != "SUB 1\n" {
 		t.Errorf("subscribed with %q", got)
 	}
 	stream := `{"n":1}` + "\n1\n" + `{"n":2,"purge":{"key":"00000000000000ff","at":9}}` + "\n" +
@@ -99,8 +99,8 @@
 	if d := cmp.Diff(want, b.told); d != "" {
 		t.Error(d)
 	}
-	if b.f.last != 4 || b.f.Counters.SkippedEntries != 1 {
-		t.Errorf("at event %d, %d entries skipped", b.f.last, b.f.Counters.SkippedEntries)
+	if b.f.last != 4 || b.f.Counters.SkippedEndpoints != 1 {
+		t.Errorf("at event %d, %d entries skipped", b.f.last, b.f.Counters.SkippedEndpoints)
 	}
 }
 
@@ -121,7 +121,7 @@
 			t.Errorf("%.60q: %d dials", bad, len(b.dials))
 			continue
 		}
-		if got := b.open().Text.String(); got != "SUB 0\n" {
+		if got := b.open().Written.String(); got != "SUB 0\n" {
 			t.Errorf("%.60q: resumed with %q", bad, got)
 		}
 	}
@@ -247,7 +247,7 @@
 		b.pass(200 * time.Millisecond)
 	}
 	last := b.f.last
-	if got, want := b.open().Text.String(), fmt.Sprintf("SUB %d\n", last); got != want || !old.Closed {
+	if got, want := b.open().Written.String(), fmt.Sprintf("SUB %d\n", last); got != want || !old.Closed {
 		t.Errorf("subscribed with %q, want %q; old stream closed %v", got, want, old.Closed)
 	}
 	if err := b.dials[0].Data(fmt.Appendf(nil, "{\"n\":%d,\"purge\":{\"group\":1,\"at\":1}}\n", last+1)); err == nil || b.f.last != last {
@@ -276,7 +276,7 @@
 	if len(b.dials) != 2 {
 		t.Fatalf("%d dials, want the one under way alone", len(b.dials))
 	}
-	if got := b.open().Text.String(); got != "SUB 1\n" || !b.f.Connected() {
+	if got := b.open().Written.String(); got != "SUB 1\n" || !b.f.Connected() {
 		t.Errorf("subscribed with %q, connected %v", got, b.f.Connected())
 	}
 	b.f.Redirect("c") // and told of another one while a dial is under way: only the last one counts
@@ -286,9 +286,9 @@
 	if len(b.dials) != 4 || b.f.address != "d" {
 		t.Fatalf("%d dials, at %s", len(b.dials), b.f.address)
 	}
-	late := &nettest.Link{}
+	late := &nettest.FakeConn{}
 	b.dials[2].Opened(late)
-	if !late.Closed || late.Text.Len() != 0 {
+	if !late.Closed || late.Written.Len() != 0 {
 		t.Error("a dial that was overtaken is followed")
 	}
 }
@@ -304,7 +304,7 @@
 	if len(b.dials) != 2 {
 		t.Fatalf("%d dials 0.4 s after a bad line, want 2", len(b.dials))
 	}
-	if got := b.open().Text.String(); got != "SUB 1\n" {
+	if got := b.open().Written.String(); got != "SUB 1\n" {
 		t.Errorf("resumed with %q", got)
 	}
 }
@@ -337,11 +337,11 @@
 	}
 	b.dials[0].Closed()
 	b.pass(1500 * time.Millisecond)
-	if got := b.open().Text.String(); got != "SUB 0\n" || len(b.told) != 0 {
+	if got := b.open().Written.String(); got != "SUB 0\n" || len(b.told) != 0 {
 		t.Errorf("resumed with %q, told %v", got, b.told)
 	}
-	if b.f.Counters.Ends[overload.Unfit] != 1 {
-		t.Errorf("ends %v, want one unfit", b.f.Counters.Ends)
+	if b.f.Counters.WatchEnds[overload.EndUnusable] != 1 {
+		t.Errorf("ends %v, want one unfit", b.f.Counters.WatchEnds)
 	}
 }
 
@@ -351,8 +351,8 @@
 	l := b.open()
 	b.dials[0].Data([]byte(ready[:len(ready)/2]))
 	b.pass(1300 * time.Millisecond)
-	if !l.Closed || b.f.Counters.Ends[overload.TimedOut] != 1 {
-		t.Errorf("closed %v, ends %v, want one timed out", l.Closed, b.f.Counters.Ends)
+	if !l.Closed || b.f.Counters.WatchEnds[overload.EndTimedOut] != 1 {
+		t.Errorf("closed %v, ends %v, want one timed out", l.Closed, b.f.Counters.WatchEnds)
 	}
 }
 
@@ -374,7 +374,7 @@
 	for range behindMost {
 		b.pass(7 * time.Second)
 		last := b.dials[len(b.dials)-1]
-		if got := b.open().Text.String(); got != "SUB 2\n" {
+		if got := b.open().Written.String(); got != "SUB 2\n" {
 			t.Fatalf("asked a service that lags %q", got)
 		}
 		last.Data([]byte("1\n"))
@@ -389,7 +389,7 @@
 		t.Fatalf("told %v by a service behind", b.told)
 	}
 	b.pass(7 * time.Second)
-	if got := b.open().Text.String(); got != "SUB 0\n" {
+	if got := b.open().Written.String(); got != "SUB 0\n" {
 		t.Fatalf("asked a service that counts anew %q", got)
 	}
 	fresh := b.dials[len(b.dials)-1]
@@ -406,7 +406,7 @@
 	if d := cmp.Diff("false 8 s-1 127.0.0.1:80 1 0 ready 9ms", b.told[1]); d != "" {
 		t.Error(d)
 	}
-	if c := &b.f.Counters; c.Behind != behindMost || c.Resyncs != 1 || c.KeptDrains != 1 {
+	if c := &b.f.Counters; c.RevisionBehind != behindMost || c.FullResyncs != 1 || c.RetainedDrains != 1 {
 		t.Errorf("counters %+v", *c)
 	}
 }
@@ -430,8 +430,8 @@
 
 func TestKnownMustAddUp(t *testing.T) {
 	b := newBench(t)
-	for _, k := range []config.Known{{N: 0, Events: []json.RawMessage{[]byte(ready)}}, {N: 9, Events: []json.RawMessage{[]byte("{}")}}} {
-		if err := b.f.Replay(k); err == nil || !strings.HasPrefix(err.Error(), "known.") {
+	for _, k := range []config.Bootstrap{{Revision: 0, Events: []json.RawMessage{[]byte(ready)}}, {Revision: 9, Events: []json.RawMessage{[]byte("{}")}}} {
+		if err := b.f.Bootstrap(k); err == nil || !strings.HasPrefix(err.Error(), "known.") {
 			t.Errorf("%v: error %v", k, err)
 		}
 	}
--- a/internal/discovery/stamps_test.go
+++ b/internal/discovery/stamps_test.go
@@ -15,11 +15,11 @@
 	for _, off := range []time.Duration{-time.Hour, -5 * time.Second, 0, 5 * time.Second, time.Hour} {
 		b := newBench(t)
 		stamp := func(ago time.Duration) int64 { return (b.clock + off - ago).Milliseconds() }
-		known := config.Known{N: 3, Events: []json.RawMessage{[]byte(ready)}}
+		known := config.Bootstrap{Revision: 3, Events: []json.RawMessage{[]byte(ready)}}
 		for n, ago := range []time.Duration{9 * time.Second, time.Second} {
 			known.Events = append(known.Events, fmt.Appendf(nil, `{"n":%d,"purge":{"group":%d,"at":%d}}`, n+2, n+2, stamp(ago)))
 		}
-		if err := b.f.Replay(known); err != nil {
+		if err := b.f.Bootstrap(known); err != nil {
 			t.Fatal(err)
 		}
 		b.f.Start()
@@ -40,7 +40,7 @@
 // A member's start keeps its time on our clock, whatever is learnt of the service's meanwhile: told again, it is no new life.
 func TestAStartToldAgainIsTheSame(t *testing.T) {
 	b := newBench(t)
-	if err := b.f.Replay(config.Known{N: 1, Events: []json.RawMessage{[]byte(ready)}}); err != nil {
+	if err := b.f.Bootstrap(config.Bootstrap{Revision: 1, Events: []json.RawMessage{[]byte(ready)}}); err != nil {
 		t.Fatal(err)
 	}
 	b.f.Start()
--- a/internal/discovery/young_test.go
+++ b/internal/discovery/young_test.go
@@ -167,7 +167,7 @@
 // happens on the follower's agenda.
 type flapper struct {
 	class
-	f       *Follower
+	f       *Watcher
 	agenda  director.Queue
 	limits  config.Limits
 	clock   routing.Time
@@ -190,7 +190,7 @@
 
 // flap is a stream to the flapper.
 type flap struct {
-	nettest.Link
+	nettest.FakeConn
 	s        *stream
 	spoke    bool // a good line was told
 	stopping bool // it stops behind the next line
@@ -201,12 +201,12 @@
 
 func newFlapper(c class, directors int, seed uint64) *flapper {
 	v := &flapper{class: c, clock: 1000 * time.Second, rng: rand.New(rand.NewPCG(seed, uint64(directors)))}
-	v.limits = config.Limits{FeedLine: 1000, FeedSilence: 1300 * time.Millisecond, FeedRetry: 100 * time.Millisecond, Members: 2,
-		ConnectTimeout: time.Second, FeedHeed: 2 * time.Second, FeedPurge: 500 * time.Millisecond, FeedCall: 500 * time.Millisecond,
-		FeedLate: toldLate}
+	v.limits = config.Limits{MaxWatchLineBytes: 1000, WatchSilenceTimeout: 1300 * time.Millisecond, MinWatchBackoff: 100 * time.Millisecond, MaxMembers: 2,
+		ConnectTimeout: time.Second, DrainApplyWithin: 2 * time.Second, PurgeApplyWithin: 500 * time.Millisecond, WatchCallTime: 500 * time.Millisecond,
+		MaxEventDelay: toldLate}
 	l := &v.limits
-	calls := overload.NewListCalls(overload.ListBounds{Directors: directors, Me: v.rng.IntN(directors), Heed: l.FeedHeed, Purge: l.FeedPurge,
-		Late: l.FeedLate, Silence: l.FeedSilence, Call: l.FeedCall, Least: l.FeedRetry}, seed)
+	calls := overload.NewBackoff(overload.BackoffConfig{Directors: directors, DirectorIndex: v.rng.IntN(directors), ApplyWithin: l.DrainApplyWithin, ApplyPurgeWithin: l.PurgeApplyWithin,
+		NotifiedAfter: l.MaxEventDelay, SilenceTimeout: l.WatchSilenceTimeout, CallDuration: l.WatchCallTime, MinWait: l.MinWatchBackoff}, seed)
 	v.f = New(l, &routing.Settings{}, "a", calls, v, v, &v.agenda, func() routing.Time { return v.clock }, zap.NewNop())
 	for i := range v.odds {
 		v.odds[i] = []float64{0.05, 0.3, 0.6, 0.95}[v.rng.IntN(4)]
@@ -228,7 +228,7 @@
 
 // draw is one draw against the run's odds.
 func (v *flapper) draw(i int) bool {
-	return !v.well && (v.class.burst == 0 || v.spent < v.class.burst) && v.f.Reached() && v.begun && v.rng.Float64() < v.odds[i]
+	return !v.well && (v.class.burst == 0 || v.spent < v.class.burst) && v.f.EverConnected() && v.begun && v.rng.Float64() < v.odds[i]
 }
 
 func (v *flapper) upTo(d time.Duration) time.Duration {
@@ -294,7 +294,7 @@
 			panic(err) // the service writes nothing that can't be used
 		}
 		if len(v.judge.missed) > 0 && v.judge.missed[0].n == v.heard {
-			v.judge.hear(v.clock, v.limits.FeedPurge)
+			v.judge.hear(v.clock, v.limits.PurgeApplyWithin)
 		}
 	}
 }
@@ -395,7 +395,7 @@
 // run has the service flap for some time, and then be well until all is told.
 func (v *flapper) run(flapping, well time.Duration) {
 	v.f.Start()
-	v.agenda.ScheduleFunc(v.f.CallAt()+time.Second, v.publish)
+	v.agenda.ScheduleFunc(v.f.DialTime()+time.Second, v.publish)
 	healed, over := v.clock+flapping, v.clock+flapping+well
 	v.agenda.ScheduleFunc(healed, func() { v.well = true })
 	for {
--- a/internal/downstream/answers.go
+++ b/internal/downstream/answers.go
@@ -11,10 +11,10 @@
 // What goes out, and the bounds of what clients leave unread.
 
 // Reply writes the one answer to a request.
-func (x *Session) Reply(t uint64, a director.Response) {
+func (x *Connection) Reply(t uint64, a director.Response) {
 	seq := int32(uint32(t))
 	if _, ok := x.open[seq]; !ok || x.phase == closed {
-		x.s.Counters.AnswersToDeadConns++
+		x.s.Counters.AnswersAfterClose++
 		return
 	}
 	delete(x.open, seq)
@@ -32,7 +32,7 @@
 	x.settle()
 }
 
-func (x *Session) serve(seq int32, a director.Response) {
+func (x *Connection) serve(seq int32, a director.Response) {
 	body := 0
 	iov := append(x.s.iov[:0], nil)
 	if a.Body != nil && !a.NotModified {
@@ -55,13 +55,13 @@
 }
 
 // turnAway refuses a request that the director has not seen.
-func (x *Session) turnAway(seq int32, why flightrecorder.Reason) {
-	x.s.Flight.Record(flightrecorder.Event{At: x.s.now(), Kind: flightrecorder.RequestRefused, Conn: x.id, Reason: why})
+func (x *Connection) turnAway(seq int32, why flightrecorder.Reason) {
+	x.s.FlightRecorder.Record(flightrecorder.Event{At: x.s.now(), Kind: flightrecorder.RequestRejected, Conn: x.id, Reason: why})
 	x.refuse(seq, x.s.cooldown)
 }
 
-func (x *Session) refuse(seq int32, after time.Duration) {
-	x.s.Counters.Refusals++
+func (x *Connection) refuse(seq int32, after time.Duration) {
+	x.s.Counters.Rejections++
 	var pairs []string
 	if ms := (after + time.Millisecond - 1) / time.Millisecond; ms > 0 {
 		pairs = []string{"cooldown", strconv.FormatInt(int64(ms), 10)}
@@ -71,9 +71,9 @@
 
 // write passes an answer to the socket. What a client leaves unread is bounded, for each and for all
 // together: one who does not read loses its connection, not the others their memory.
-func (x *Session) write(parts ...[]byte) {
+func (x *Connection) write(parts ...[]byte) {
 	if x.phase >= lingering {
-		x.s.Counters.AnswersToDeadConns++
+		x.s.Counters.AnswersAfterClose++
 		return
 	}
 	size := 0
@@ -82,8 +82,8 @@
 	}
 	s := x.s
 	s.backlog += size
-	if x.c.OutboundBuffered()+size > s.limits.ClientBacklog {
-		s.Counters.Backlogged++
+	if x.c.OutboundBuffered()+size > s.limits.ClientBacklogBytes {
+		s.Counters.SlowReadersClosed++
 		x.shut(backlog)
 		return
 	}
@@ -97,18 +97,18 @@
 // relieve closes those who have left the most unread, until all together keep within their bound. It comes behind the
 // write, as what a close withdraws may bring answers to others.
 func (s *Server) relieve() {
-	for s.backlog > s.limits.TotalBacklog {
-		if s.backlog = s.Unsent(); s.backlog <= s.limits.TotalBacklog {
+	for s.backlog > s.limits.TotalBacklogBytes {
+		if s.backlog = s.OutboundBuffered(); s.backlog <= s.limits.TotalBacklogBytes {
 			return
 		}
-		var worst *Session
-		s.conns.All(func(_ director.Handle, x *Session) bool {
+		var worst *Connection
+		s.conns.All(func(_ director.Handle, x *Connection) bool {
 			if worst == nil || x.c.OutboundBuffered() > worst.c.OutboundBuffered() {
 				worst = x
 			}
 			return true
 		})
-		s.Counters.Backlogged++
+		s.Counters.SlowReadersClosed++
 		worst.shut(backlog)
 	}
 }
--- a/internal/downstream/clients.go
+++ b/internal/downstream/clients.go
@@ -13,8 +13,8 @@
 	"shaleyard/routing"
 )
 
-// Taker takes requests; it is the director.
-type Taker interface {
+// RequestHandler takes requests; it is the director.
+type RequestHandler interface {
 	Submit(q director.Request, r director.Replier, token uint64) (director.Handle, bool)
 	Cancel(director.Handle)
 	ShortenDeadline(h director.Handle, giveUp routing.Time)
@@ -22,14 +22,14 @@
 
 // Counters count what clients sent and were answered.
 type Counters struct {
-	Accepted, TurnedAway, Evicted, Closed             uint64
-	Idle, Mute                                        uint64
-	Frames, Submits, Revokes, Heartbeats              uint64
-	BadFrame, BadMessage, BadFields, UnknownMethod    uint64
-	Answers, Refusals, Failures, OverOpen, TableFull  uint64
-	Backlogged, BytesIn, BytesOut, AnswersToDeadConns uint64
-	Failing, Lingering, LingersCut, Dropped           uint64
-	Stuck                                             uint64 // cut off in a drain, having taken nothing for long
+	Accepted, RejectedConnections, Evicted, Closed                    uint64
+	IdleTimeouts, MessageTimeouts                                     uint64
+	Frames, Submits, Revokes, Heartbeats                              uint64
+	BadFrame, BadMessage, BadFields, UnknownMethod                    uint64
+	Answers, Rejections, Failures, TooManyOpenRequests, OutOfCapacity uint64
+	SlowReadersClosed, BytesIn, BytesOut, AnswersAfterClose           uint64
+	Draining, Lingering, LingersAborted, DroppedBytes                 uint64
+	StalledReadersClosed                                              uint64 // cut off in a drain, having taken nothing for long
 }
 
 // Server holds the client connections.
@@ -37,20 +37,20 @@
 	Counters Counters
 	// Ready tells whether heartbeats are answered good.
 	Ready func() bool
-	// Rejected is told why nothing more is taken from a connection.
-	Rejected func(reason error)
-	// Flight keeps what happens to connections and requests; nil: nothing is kept.
-	Flight *flightrecorder.Recorder
+	// OnProtocolError is told why nothing more is taken from a connection.
+	OnProtocolError func(reason error)
+	// FlightRecorder keeps what happens to connections and requests; nil: nothing is kept.
+	FlightRecorder *flightrecorder.Recorder
 
 	limits  *config.Limits
 	pool    *buffer.Pool
-	taker   Taker
+	taker   RequestHandler
 	agenda  *director.Queue
 	now     func() routing.Time
 	classes map[string]int
-	conns   *director.Table[*Session]
-	lingers []*Session // eldest first; they are not among conns
-	parting bool       // the program ends: more may linger, in the places that are free
+	conns   *director.Table[*Connection]
+	lingers []*Connection // eldest first; they are not among conns
+	parting bool          // the program ends: more may linger, in the places that are free
 	out     writer
 	tail    writer
 	frame   []byte // scratch: a frame that came in pieces
@@ -62,7 +62,7 @@
 }
 
 // NewServer returns a server that hands requests of the settings' classes to the taker.
-func NewServer(l *config.Limits, s *routing.Settings, pool *buffer.Pool, t Taker, a *director.Queue,
+func NewServer(l *config.Limits, s *routing.Settings, pool *buffer.Pool, t RequestHandler, a *director.Queue,
 	now func() routing.Time) *Server {
 	classes := map[string]int{}
 	for i, c := range s.Classes {
@@ -70,30 +70,30 @@
 	}
 	cooldown := time.Duration(0)
 	if s.SiteLimits.RetryAfterAllowed {
-		cooldown = min(l.RefuseFor, s.SiteLimits.MaxRetryAfter)
+		cooldown = min(l.ShutdownRetryAfter, s.SiteLimits.MaxRetryAfter)
 	}
 	return &Server{limits: l, pool: pool, taker: t, agenda: a, now: now, classes: classes, cooldown: cooldown,
-		Ready: func() bool { return true }, Rejected: func(error) {},
-		conns: director.NewTable[*Session](l.ClientConns)}
+		Ready: func() bool { return true }, OnProtocolError: func(error) {},
+		conns: director.NewTable[*Connection](l.MaxClientConns)}
 }
 
 // Accept takes a connection in. Where clients hold all that they may, another has to go for it, or nil is
 // returned.
-func (s *Server) Accept(c eventloop.Conn) *Session {
-	if s.conns.Len() >= s.limits.ClientConns {
+func (s *Server) Accept(c eventloop.Conn) *Connection {
+	if s.conns.Len() >= s.limits.MaxClientConns {
 		s.evict()
 	}
 	s.lastID++
-	x := &Session{s: s, c: c, id: s.lastID, got: s.pool.Chain()}
+	x := &Connection{s: s, c: c, id: s.lastID, got: s.pool.NewChain()}
 	h, ok := s.conns.Add(x)
 	if !ok {
-		s.Counters.TurnedAway++
-		s.Flight.Record(flightrecorder.Event{At: s.now(), Kind: flightrecorder.ConnClosed, Conn: x.id, Reason: turnedAway})
+		s.Counters.RejectedConnections++
+		s.FlightRecorder.Record(flightrecorder.Event{At: s.now(), Kind: flightrecorder.ConnClosed, Conn: x.id, Reason: turnedAway})
 		return nil
 	}
 	s.Counters.Accepted++
 	x.handle, x.lastUse, x.begun = h, s.now(), s.now()
-	s.Flight.Record(flightrecorder.Event{At: x.begun, Kind: flightrecorder.ConnOpened, Conn: x.id})
+	s.FlightRecorder.Record(flightrecorder.Event{At: x.begun, Kind: flightrecorder.ConnOpened, Conn: x.id})
 	x.watch()
 	s.trim()
 	return x
@@ -102,9 +102,9 @@
 // trim cuts the eldest that linger, beyond what the descriptors leave for them. As the program ends nearly all linger
 // at once: they may have the places that are free then, but newcomers still take those.
 func (s *Server) trim() {
-	most := s.limits.ClientLingers
+	most := s.limits.MaxLingeringConns
 	if s.parting {
-		most += s.limits.ClientConns - s.conns.Len()
+		most += s.limits.MaxClientConns - s.conns.Len()
 	}
 	for len(s.lingers) > most {
 		s.lingers[0].cut(lingersFull)
@@ -116,20 +116,20 @@
 // the eldest that has brought no message yet, else the longest idle, else one that is just bringing a message.
 // One that is owed an answer stays.
 func (s *Server) evict() {
-	var worst *Session
+	var worst *Connection
 	now := s.now()
-	class := func(x *Session) int {
+	class := func(x *Connection) int {
 		switch {
 		case x.midway():
 			return 3
-		case x.spoke && now-x.lastUse > s.limits.ClientKeeps:
+		case x.spoke && now-x.lastUse > s.limits.ClientKeepAlive:
 			return 0
 		case !x.spoke:
 			return 1
 		}
 		return 2
 	}
-	s.conns.All(func(_ director.Handle, x *Session) bool {
+	s.conns.All(func(_ director.Handle, x *Connection) bool {
 		if !x.busy() && (worst == nil || class(x) < class(worst) ||
 			(class(x) == class(worst) && x.lastUse < worst.lastUse)) {
 			worst = x
@@ -143,14 +143,14 @@
 	worst.move(lingering, evicted)
 }
 
-// Part ends all connections on which nothing is owed, as the program ends or is drained. It is called again until none is
+// StartGracefulClose ends all connections on which nothing is owed, as the program ends or is drained. It is called again until none is
 // left, or Stay takes it back. A message that has begun may come whole first, and a new connection has a moment to bring one.
-func (s *Server) Part() {
+func (s *Server) StartGracefulClose() {
 	s.parting = true
-	var free []*Session
+	var free []*Connection
 	now := s.now()
-	s.conns.All(func(_ director.Handle, x *Session) bool {
-		if !x.busy() && !x.midway() && (x.begun == 0 || now-x.begun >= s.limits.PartGrace) {
+	s.conns.All(func(_ director.Handle, x *Connection) bool {
+		if !x.busy() && !x.midway() && (x.begun == 0 || now-x.begun >= s.limits.NewConnGracePeriod) {
 			free = append(free, x)
 		}
 		return true
@@ -160,23 +160,23 @@
 	}
 }
 
-// Stay ends what Part began: connections are kept again.
-func (s *Server) Stay() {
+// CancelGracefulClose ends what Part began: connections are kept again.
+func (s *Server) CancelGracefulClose() {
 	s.parting = false
 	s.trim()
 }
 
-// Curtail bounds the time of those who hold their connections open while the program is to be emptied: whose client has sent
+// ShortenDeadlines bounds the time of those who hold their connections open while the program is to be emptied: whose client has sent
 // a message since a time gets its answers by another, and once that has come, who has long taken nothing of what is left for
 // it is cut off.
-func (s *Server) Curtail(since, by routing.Time) {
+func (s *Server) ShortenDeadlines(since, by routing.Time) {
 	now := s.now()
-	var stuck []*Session
-	s.conns.All(func(_ director.Handle, x *Session) bool {
+	var stuck []*Connection
+	s.conns.All(func(_ director.Handle, x *Connection) bool {
 		if n := x.c.OutboundBuffered(); n != x.unread {
 			x.unread, x.moved = n, now
 		}
-		if len(x.open) == 0 && x.unread > 0 && now >= by && now-x.moved >= s.limits.ClientStuck {
+		if len(x.open) == 0 && x.unread > 0 && now >= by && now-x.moved >= s.limits.SlowReaderTimeout {
 			stuck = append(stuck, x)
 		}
 		if x.heard >= since {
@@ -187,7 +187,7 @@
 		return true
 	})
 	for _, x := range stuck {
-		s.Counters.Stuck++
+		s.Counters.StalledReadersClosed++
 		x.shut(answerUnread)
 	}
 }
@@ -195,10 +195,10 @@
 // Conns is the number of connections held, those that linger with them.
 func (s *Server) Conns() int { return s.conns.Len() + len(s.lingers) }
 
-// Unsent is the number of bytes that clients have not read yet.
-func (s *Server) Unsent() int {
+// OutboundBuffered is the number of bytes that clients have not read yet.
+func (s *Server) OutboundBuffered() int {
 	n := 0
-	s.conns.All(func(_ director.Handle, x *Session) bool {
+	s.conns.All(func(_ director.Handle, x *Connection) bool {
 		n += x.c.OutboundBuffered()
 		return true
 	})
--- a/internal/downstream/clients_test.go
+++ b/internal/downstream/clients_test.go
@@ -50,12 +50,12 @@
 
 func newBench() *bench {
 	b := &bench{clock: 1000 * time.Second, pool: buffer.NewPool(64, 64), curtailed: map[director.Handle]routing.Time{}}
-	l := &config.Limits{ClientConns: 5, ClientOpen: 2, RequestFrame: 4096, RequestBody: 100, RequestFields: 16,
-		ClientBacklog: 10_000, TotalBacklog: 15_000, ClientIdle: 30 * time.Second, ClientMessage: 2 * time.Second,
-		ClientKeeps: 5 * time.Second, LongestAllow: time.Minute}
+	l := &config.Limits{MaxClientConns: 5, MaxRequestsPerConn: 2, MaxFrameBytes: 4096, MaxRequestBodyBytes: 100, MaxRequestFields: 16,
+		ClientBacklogBytes: 10_000, TotalBacklogBytes: 15_000, ClientIdleTimeout: 30 * time.Second, MessageTimeout: 2 * time.Second,
+		ClientKeepAlive: 5 * time.Second, MaxRequestTimeout: time.Minute}
 	s := &routing.Settings{Classes: []routing.Class{{Name: "pages"}, {Name: "media"}}}
 	b.s = NewServer(l, s, b.pool, b, &b.agenda, func() routing.Time { return b.clock })
-	b.s.Rejected = func(error) { b.rejected++ }
+	b.s.OnProtocolError = func(error) { b.rejected++ }
 	return b
 }
 
@@ -71,7 +71,7 @@
 		nettest.SubmitFrame(2, "", request(ref)...)
 	for _, piece := range []int{1, 3, 64, 65, len(stream)} {
 		b := newBench()
-		x := b.s.Accept(&nettest.Link{})
+		x := b.s.Accept(&nettest.FakeConn{})
 		for rest := stream; rest != ""; {
 			k := min(piece, len(rest))
 			if err := x.Data([]byte(rest[:k])); err != nil {
@@ -91,8 +91,8 @@
 			t.Fatalf("pieces of %d: %s", piece, d)
 		}
 		q.Body.Release()
-		if b.pool.Lent() != 0 {
-			t.Fatalf("pieces of %d: %d buffers left", piece, b.pool.Lent())
+		if b.pool.InUse() != 0 {
+			t.Fatalf("pieces of %d: %d buffers left", piece, b.pool.InUse())
 		}
 	}
 }
@@ -102,13 +102,13 @@
 		{"allow", "0"}, {"allow", "soon"}, {"lookup", ""}, {"chunk", "-1"}, {"chunk", "+3"}, {"chunk", "03"}, {"tag", "256"}, {"room", "NaN"},
 		{"room", "-1"}, {"known", "a,up=b"}, {"replay", "a,up=b"}} {
 		b := newBench()
-		w := &nettest.Link{}
+		w := &nettest.FakeConn{}
 		x := b.s.Accept(w)
 		if err := x.Data([]byte(nettest.SubmitFrame(1, "", append(request(ref), c.name, c.value)...))); err != nil {
 			t.Errorf("%v: %v", c, err)
 		}
-		if len(b.taken) != 0 || !strings.Contains(w.Text.String(), c.name+":") {
-			t.Errorf("%v: taken %d, answered %q", c, len(b.taken), w.Text.String())
+		if len(b.taken) != 0 || !strings.Contains(w.Written.String(), c.name+":") {
+			t.Errorf("%v: taken %d, answered %q", c, len(b.taken), w.Written.String())
 		}
 	}
 }
@@ -116,17 +116,17 @@
 // A client that does not read must lose its connection, not the program its memory.
 func TestBacklogIsBounded(t *testing.T) {
 	b := newBench()
-	w, w2 := &nettest.Link{}, &nettest.Link{}
+	w, w2 := &nettest.FakeConn{}, &nettest.FakeConn{}
 	x, y := b.s.Accept(w), b.s.Accept(w2)
 	x.Data([]byte(nettest.SubmitFrame(1, "", request(ref)...)))
-	w.Unread = 9_990
+	w.Buffered = 9_990
 	b.replier.Reply(b.tokens[0], director.Response{Outcome: director.Served})
-	if !w.Closed || w.Text.Len() > 0 {
-		t.Errorf("closed %v with %d bytes written", w.Closed, w.Text.Len())
+	if !w.Closed || w.Written.Len() > 0 {
+		t.Errorf("closed %v with %d bytes written", w.Closed, w.Written.Len())
 	}
 	y.Data([]byte(nettest.SubmitFrame(1, "", request(ref)...)))
 	b.replier.Reply(b.tokens[1], director.Response{Outcome: director.Served})
-	if w2.Closed || w2.Text.Len() == 0 {
+	if w2.Closed || w2.Written.Len() == 0 {
 		t.Error("another client suffers from it")
 	}
 }
@@ -134,28 +134,28 @@
 // Where all together leave too much unread, who has left the most loses its connection, not who is just answered.
 func TestTotalBacklogIsChargedToWhoLeavesMost(t *testing.T) {
 	b := newBench()
-	links := [3]nettest.Link{}
+	links := [3]nettest.FakeConn{}
 	for i := range links {
 		b.s.Accept(&links[i]).Data([]byte(nettest.SubmitFrame(1, "", request(ref)...)))
 	}
-	links[0].Unread, links[1].Unread = 6_000, 9_500
-	b.s.backlog = b.s.Unsent()
+	links[0].Buffered, links[1].Buffered = 6_000, 9_500
+	b.s.backlog = b.s.OutboundBuffered()
 	b.replier.Reply(b.tokens[2], director.Response{Outcome: director.Served})
-	if links[0].Closed || !links[1].Closed || links[2].Closed || links[2].Text.Len() == 0 {
+	if links[0].Closed || !links[1].Closed || links[2].Closed || links[2].Written.Len() == 0 {
 		t.Errorf("closed %v, %v, %v with %d bytes written to the last; want the second closed alone", links[0].Closed,
-			links[1].Closed, links[2].Closed, links[2].Text.Len())
+			links[1].Closed, links[2].Closed, links[2].Written.Len())
 	}
 }
 
 func TestOpenRequestsAreBounded(t *testing.T) {
 	b := newBench()
-	w := &nettest.Link{}
+	w := &nettest.FakeConn{}
 	x := b.s.Accept(w)
 	for seq := range int32(3) {
 		x.Data([]byte(nettest.SubmitFrame(seq+1, "", request(ref)...)))
 	}
-	if len(b.taken) != 2 || b.s.Counters.OverOpen != 1 || w.Text.Len() == 0 {
-		t.Errorf("taken %d, over %d, answered %d bytes", len(b.taken), b.s.Counters.OverOpen, w.Text.Len())
+	if len(b.taken) != 2 || b.s.Counters.TooManyOpenRequests != 1 || w.Written.Len() == 0 {
+		t.Errorf("taken %d, over %d, answered %d bytes", len(b.taken), b.s.Counters.TooManyOpenRequests, w.Written.Len())
 	}
 	x.Data([]byte(nettest.SubmitFrame(2, "", request(ref)...)))
 	if len(b.taken) != 2 || b.rejected != 1 || x.phase != failing {
@@ -171,8 +171,8 @@
 // requests is not, and who waits for an answer never.
 func TestIdleAndStuckConnectionsAreClosed(t *testing.T) {
 	b := newBench()
-	links := [5]nettest.Link{}
-	var x [5]*Session
+	links := [5]nettest.FakeConn{}
+	var x [5]*Connection
 	for i := range x {
 		x[i] = b.s.Accept(&links[i])
 	}
@@ -202,15 +202,15 @@
 // idle longest; never one whose answer is owed, or still in our buffer. Else the newcomer is turned away.
 func TestFullTableEvictsWhoIsMissedLeast(t *testing.T) {
 	b := newBench()
-	links := [8]nettest.Link{}
-	accept := func(i int) *Session {
+	links := [8]nettest.FakeConn{}
+	accept := func(i int) *Connection {
 		b.clock += 100 * time.Millisecond
 		return b.s.Accept(&links[i])
 	}
 	heartbeat := []byte(nettest.Frame(1, "heartbeat", 1, []byte{2, 0, 1, 0}))
 	accept(0).Data([]byte(nettest.SubmitFrame(1, "", request(ref)...)))
 	accept(1).Data(heartbeat)
-	links[1].Unread = 7
+	links[1].Buffered = 7
 	accept(2).Data(heartbeat)
 	b.clock += 6 * time.Second
 	accept(3) // has not spoken
@@ -225,7 +225,7 @@
 	if links[0].Closed || links[1].Closed {
 		t.Error("a connection that is owed an answer was closed")
 	}
-	if b.s.Accept(&nettest.Link{}) != nil || b.s.Counters.TurnedAway != 1 {
+	if b.s.Accept(&nettest.FakeConn{}) != nil || b.s.Counters.RejectedConnections != 1 {
 		t.Error("one more was taken, though all others wait for answers")
 	}
 }
@@ -236,7 +236,7 @@
 	f.Add([]byte(nettest.Frame(1, "heartbeat", 3, []byte{15, 0, 1, 12, 0, 0, 0, 9, 13, 0, 2, 11, 11})), uint8(200))
 	f.Fuzz(func(t *testing.T, stream []byte, piece uint8) {
 		b := newBench()
-		w := &nettest.Link{}
+		w := &nettest.FakeConn{}
 		x := b.s.Accept(w)
 		for len(stream) > 0 && !w.Closed {
 			k := min(int(piece)+1, len(stream))
@@ -249,7 +249,7 @@
 		for i := range b.taken {
 			b.taken[i].Body.Release()
 		}
-		if n := b.pool.Lent(); n != 0 {
+		if n := b.pool.InUse(); n != 0 {
 			t.Errorf("%d buffers left", n)
 		}
 	})
--- a/internal/downstream/golden_test.go
+++ b/internal/downstream/golden_test.go
@@ -146,7 +146,7 @@
 	transcript goldenTranscript
 	handler    goldenHandler
 	server     *Server
-	connection *Session
+	connection *Connection
 	pool       *buffer.Pool
 	timers     director.Queue
 }
@@ -158,16 +158,16 @@
 	}
 	g := &goldenConnection{t: t, pool: buffer.NewPool(4096, options.buffers)}
 	g.handler = goldenHandler{transcript: &g.transcript, full: options.full}
-	limits := &config.Limits{ClientConns: 4, ClientOpen: 3, RequestFrame: 60_000, RequestBody: 48_000, RequestFields: 16,
-		ClientBacklog: 1 << 20, TotalBacklog: 1 << 24, ClientIdle: 30 * time.Second, ClientMessage: 2 * time.Second,
-		ClientKeeps: 5 * time.Second, ClientLinger: time.Second, ClientLingers: 4, LingerBytes: 1 << 20,
-		FlushCheck: 10 * time.Millisecond, PartGrace: time.Second, ClientStuck: time.Second, LongestAllow: time.Minute,
-		RefuseFor: options.cooldown}
+	limits := &config.Limits{MaxClientConns: 4, MaxRequestsPerConn: 3, MaxFrameBytes: 60_000, MaxRequestBodyBytes: 48_000, MaxRequestFields: 16,
+		ClientBacklogBytes: 1 << 20, TotalBacklogBytes: 1 << 24, ClientIdleTimeout: 30 * time.Second, MessageTimeout: 2 * time.Second,
+		ClientKeepAlive: 5 * time.Second, LingerTimeout: time.Second, MaxLingeringConns: 4, MaxLingerBytes: 1 << 20,
+		FlushCheckInterval: 10 * time.Millisecond, NewConnGracePeriod: time.Second, SlowReaderTimeout: time.Second, MaxRequestTimeout: time.Minute,
+		ShutdownRetryAfter: options.cooldown}
 	settings := &routing.Settings{Classes: []routing.Class{{Name: "pages"}, {Name: "media"}}}
 	settings.SiteLimits.RetryAfterAllowed, settings.SiteLimits.MaxRetryAfter = options.cooldown > 0, time.Minute
 	g.server = NewServer(limits, settings, g.pool, &g.handler, &g.timers, func() routing.Time { return 1000 * time.Second })
 	g.server.Ready = func() bool { return !options.notReady }
-	g.server.Rejected = func(error) { g.transcript.line("  protocol error") }
+	g.server.OnProtocolError = func(error) { g.transcript.line("  protocol error") }
 	g.connection = g.server.Accept(&goldenSocket{transcript: &g.transcript})
 	return g
 }
@@ -188,7 +188,7 @@
 func (g *goldenConnection) reply(request int, answer director.Response, body []byte) {
 	g.t.Helper()
 	if body != nil {
-		chain := g.pool.Chain()
+		chain := g.pool.NewChain()
 		if err := chain.Append(body); err != nil {
 			g.t.Fatal(err)
 		}
@@ -208,7 +208,7 @@
 	for _, request := range g.handler.givenUp {
 		g.transcript.line("  given up: request %d", request)
 	}
-	if n := g.pool.Lent(); n != 0 {
+	if n := g.pool.InUse(); n != 0 {
 		g.t.Errorf("%d buffers left in use", n)
 	}
 	return g.transcript.String()
@@ -365,9 +365,9 @@
 	heartbeat(2)
 	g.server.Ready = func() bool { return true }
 	heartbeat(3)
-	g.server.Part()
+	g.server.StartGracefulClose()
 	heartbeat(4)
-	g.server.Stay()
+	g.server.CancelGracefulClose()
 	all.WriteString(g.end())
 	return all.String()
 }
--- a/internal/downstream/phases_test.go
+++ b/internal/downstream/phases_test.go
@@ -13,8 +13,8 @@
 func lasting() *bench {
 	b := newBench()
 	l := b.s.limits
-	l.ClientLinger, l.ClientLingers, l.LingerBytes = 500*time.Millisecond, 2, 5000
-	l.FlushCheck, l.PartGrace = 10*time.Millisecond, 50*time.Millisecond
+	l.LingerTimeout, l.MaxLingeringConns, l.MaxLingerBytes = 500*time.Millisecond, 2, 5000
+	l.FlushCheckInterval, l.NewConnGracePeriod = 10*time.Millisecond, 50*time.Millisecond
 	return b
 }
 
@@ -34,33 +34,33 @@
 // What a client has asked for before its stream goes bad, or before a message of it gets stuck, is owed an answer all
 // the same: a close would lose it. Nothing more is taken, and the connection ends behind the answer.
 func TestAnswersOwedGoOutBeforeABadStreamEnds(t *testing.T) {
-	for name, spoil := range map[string]func(*bench, *Session){
-		"bad frame": func(_ *bench, x *Session) { x.Data([]byte("GET / HTTP/1.1\r\n\r\n")) },
-		"stuck message": func(b *bench, x *Session) {
+	for name, spoil := range map[string]func(*bench, *Connection){
+		"bad frame": func(_ *bench, x *Connection) { x.Data([]byte("GET / HTTP/1.1\r\n\r\n")) },
+		"stuck message": func(b *bench, x *Connection) {
 			x.Data(submission(2)[:9])
 			b.pass(2100 * time.Millisecond)
 		},
 	} {
 		b := lasting()
-		w := &nettest.Link{}
+		w := &nettest.FakeConn{}
 		x := b.s.Accept(w)
 		x.Data(submission(1))
 		spoil(b, x)
 		x.Data(submission(3))
-		if x.phase != failing || w.Half || w.Closed || b.withdrawn != 0 || len(b.taken) != 1 {
+		if x.phase != failing || w.WriteClosed || w.Closed || b.withdrawn != 0 || len(b.taken) != 1 {
 			t.Fatalf("%s: phase %d, half %v, closed %v, %d withdrawn, %d taken; want an open connection with one request",
-				name, x.phase, w.Half, w.Closed, b.withdrawn, len(b.taken))
+				name, x.phase, w.WriteClosed, w.Closed, b.withdrawn, len(b.taken))
 		}
-		w.Unread = 100 // the client reads slowly
+		w.Buffered = 100 // the client reads slowly
 		b.served(0)
 		b.pass(100 * time.Millisecond)
-		if w.Half || w.Text.Len() == 0 {
-			t.Fatalf("%s: half %v with %d bytes written, before the client has read them", name, w.Half, w.Text.Len())
+		if w.WriteClosed || w.Written.Len() == 0 {
+			t.Fatalf("%s: half %v with %d bytes written, before the client has read them", name, w.WriteClosed, w.Written.Len())
 		}
-		w.Unread = 0
+		w.Buffered = 0
 		b.pass(20 * time.Millisecond)
-		if !w.Half || w.Closed {
-			t.Errorf("%s: half %v, closed %v; want our half closed behind the answer", name, w.Half, w.Closed)
+		if !w.WriteClosed || w.Closed {
+			t.Errorf("%s: half %v, closed %v; want our half closed behind the answer", name, w.WriteClosed, w.Closed)
 		}
 		x.Closed()
 		if n := b.s.Conns(); n != 0 || x.phase != closed {
@@ -73,9 +73,9 @@
 // is read and dropped, so that no reset takes the last answer with it, for a bounded time and a bounded number of bytes.
 func TestNothingIsTakenBehindAHalfClose(t *testing.T) {
 	b := lasting()
-	b.s.limits.ClientIdle = time.Second
-	links := [3]nettest.Link{}
-	var x [3]*Session
+	b.s.limits.ClientIdleTimeout = time.Second
+	links := [3]nettest.FakeConn{}
+	var x [3]*Connection
 	for i := range x {
 		x[i] = b.s.Accept(&links[i])
 		x[i].Data([]byte(nettest.Frame(1, "heartbeat", 1, []byte{2, 0, 1, 0})))
@@ -87,7 +87,7 @@
 	if len(b.taken) != 0 {
 		t.Errorf("%d requests taken behind the half-close", len(b.taken))
 	}
-	if !links[0].Closed || links[1].Closed || links[2].Closed || !links[1].Half || !links[2].Half {
+	if !links[0].Closed || links[1].Closed || links[2].Closed || !links[1].WriteClosed || !links[2].WriteClosed {
 		t.Errorf("links %+v; want the eldest closed, as two may linger", links)
 	}
 	x[2].Data([]byte(strings.Repeat("x", 5000)))
@@ -104,29 +104,29 @@
 // which a message is just arriving. Any number may linger then.
 func TestPartEndsWhatOwesNothing(t *testing.T) {
 	b := lasting()
-	b.s.limits.ClientLingers = 0
-	links := [4]nettest.Link{}
-	var x [4]*Session
+	b.s.limits.MaxLingeringConns = 0
+	links := [4]nettest.FakeConn{}
+	var x [4]*Connection
 	for i := range x {
 		x[i] = b.s.Accept(&links[i])
 		x[i].Data([]byte(nettest.Frame(1, "heartbeat", 1, []byte{2, 0, 1, 0})))
 	}
 	x[1].Data(submission(2))
 	x[2].Data(submission(2)[:20])
-	b.s.Part()
-	if !links[0].Half || links[1].Half || links[2].Half || !links[3].Half || links[0].Closed || links[3].Closed {
+	b.s.StartGracefulClose()
+	if !links[0].WriteClosed || links[1].WriteClosed || links[2].WriteClosed || !links[3].WriteClosed || links[0].Closed || links[3].Closed {
 		t.Fatalf("links %+v; want the first and the last half-closed alone", links)
 	}
 	x[2].Data(submission(2)[20:])
-	b.s.Part()
-	if len(b.taken) != 2 || links[2].Half {
-		t.Errorf("%d taken, half %v: a message that had begun was cut off", len(b.taken), links[2].Half)
+	b.s.StartGracefulClose()
+	if len(b.taken) != 2 || links[2].WriteClosed {
+		t.Errorf("%d taken, half %v: a message that had begun was cut off", len(b.taken), links[2].WriteClosed)
 	}
 	b.served(0)
 	b.served(1) // both have sequence number 2; the second replier is the last session
 	b.pass(60 * time.Millisecond)
-	b.s.Part()
-	if !links[2].Half {
+	b.s.StartGracefulClose()
+	if !links[2].WriteClosed {
 		t.Error("still open with nothing owed")
 	}
 }
@@ -135,7 +135,7 @@
 // as it has a handle, or it would go on for a client that has gone.
 func TestRequestTakenAsItsConnectionDiesIsWithdrawn(t *testing.T) {
 	b := lasting()
-	x := b.s.Accept(&nettest.Link{})
+	x := b.s.Accept(&nettest.FakeConn{})
 	x.Data(submission(1))
 	b.within = x.Closed
 	x.Data(submission(2))
@@ -149,7 +149,7 @@
 func TestWhoNeverReadsIsClosed(t *testing.T) {
 	for _, bad := range []bool{false, true} {
 		b := lasting()
-		w := &nettest.Link{}
+		w := &nettest.FakeConn{}
 		x := b.s.Accept(w)
 		x.Data(submission(1))
 		if bad {
@@ -159,7 +159,7 @@
 		if w.Closed || b.withdrawn != 0 {
 			t.Fatalf("bad %v: closed %v, %d withdrawn while an answer was owed", bad, w.Closed, b.withdrawn)
 		}
-		w.Unread = 100
+		w.Buffered = 100
 		b.served(0)
 		b.pass(29 * time.Second)
 		if w.Closed {
@@ -175,16 +175,16 @@
 // Whatever part of a message has come, be it its length alone, the rest is owed within 2 s.
 func TestStuckMessageEndsItsConnection(t *testing.T) {
 	for _, bytes := range []int{1, 4, 9} {
-		b, w := lasting(), &nettest.Link{}
+		b, w := lasting(), &nettest.FakeConn{}
 		x := b.s.Accept(w)
 		x.Data([]byte(nettest.Frame(1, "heartbeat", 1, []byte{2, 0, 1, 0})))
 		b.pass(5 * time.Second)
 		x.Data(submission(2)[:bytes])
 		b.pass(1900 * time.Millisecond)
-		early := w.Half
+		early := w.WriteClosed
 		b.pass(200 * time.Millisecond)
-		if early || !w.Half {
-			t.Errorf("%d bytes of a message: half-closed %v before 2 s, %v behind it", bytes, early, w.Half)
+		if early || !w.WriteClosed {
+			t.Errorf("%d bytes of a message: half-closed %v before 2 s, %v behind it", bytes, early, w.WriteClosed)
 		}
 	}
 }
@@ -192,8 +192,8 @@
 // A message that has begun to come may come whole: neither the end of an idle time nor a newcomer nor the program's parting cuts it off. Its client
 // writes on, and a request whose end comes long behind our half-close would be lost.
 func TestMessageThatHasBegunIsNotCutOff(t *testing.T) {
-	begin := func() (b *bench, x *Session, w *nettest.Link) {
-		b, w = lasting(), &nettest.Link{}
+	begin := func() (b *bench, x *Connection, w *nettest.FakeConn) {
+		b, w = lasting(), &nettest.FakeConn{}
 		x = b.s.Accept(w)
 		x.Data([]byte(nettest.Frame(1, "heartbeat", 1, []byte{2, 0, 1, 0})))
 		b.pass(29 * time.Second)
@@ -203,33 +203,33 @@
 	b, x, w := begin()
 	b.pass(1900 * time.Millisecond)
 	x.Data(submission(2)[9:])
-	if w.Half || len(b.taken) != 1 {
-		t.Errorf("half %v, %d taken past the idle time; want the request taken", w.Half, len(b.taken))
+	if w.WriteClosed || len(b.taken) != 1 {
+		t.Errorf("half %v, %d taken past the idle time; want the request taken", w.WriteClosed, len(b.taken))
 	}
 	b, x, w = begin()
-	others := [5]nettest.Link{}
+	others := [5]nettest.FakeConn{}
 	for i := range others {
 		b.s.Accept(&others[i]).Data([]byte(nettest.Frame(1, "heartbeat", 1, []byte{2, 0, 1, 0})))
 	}
 	x.Data(submission(2)[9:])
-	if w.Half || len(b.taken) != 1 || !others[0].Half {
-		t.Errorf("half %v, %d taken, the longest resting half-closed %v; want that one gone", w.Half, len(b.taken), others[0].Half)
+	if w.WriteClosed || len(b.taken) != 1 || !others[0].WriteClosed {
+		t.Errorf("half %v, %d taken, the longest resting half-closed %v; want that one gone", w.WriteClosed, len(b.taken), others[0].WriteClosed)
 	}
 	b, x, w = begin()
 	for range 100 {
-		b.s.Part()
+		b.s.StartGracefulClose()
 		b.pass(5 * time.Millisecond)
 	}
 	x.Data(submission(2)[9:])
-	if w.Half || len(b.taken) != 1 {
-		t.Errorf("half %v, %d taken 0.5 s behind the parting; want the request taken, to be refused", w.Half, len(b.taken))
+	if w.WriteClosed || len(b.taken) != 1 {
+		t.Errorf("half %v, %d taken 0.5 s behind the parting; want the request taken, to be refused", w.WriteClosed, len(b.taken))
 	}
 	b, _, w = begin()
 	for range 420 {
-		b.s.Part()
+		b.s.StartGracefulClose()
 		b.pass(5 * time.Millisecond)
 	}
-	if !w.Half {
+	if !w.WriteClosed {
 		t.Error("a message that is stuck keeps the program from ending")
 	}
 }
@@ -251,7 +251,7 @@
 		submit(3, fieldMap) + submit(4, "") + submit(5, "\x0d\x00\x01\x00\x00\x00\x00\x00\x00") +
 		nettest.Frame(1, "heartbeat", 6, nil) + nettest.Frame(1, "heartbeat", 7, []byte(unknown))
 	for _, piece := range []int{1, 7, len(stream)} {
-		b, w := lasting(), &nettest.Link{}
+		b, w := lasting(), &nettest.FakeConn{}
 		x := b.s.Accept(w)
 		for rest := stream; rest != ""; {
 			k := min(piece, len(rest))
--- a/internal/downstream/requests.go
+++ b/internal/downstream/requests.go
@@ -17,27 +17,27 @@
 
 // Data takes what has come in. A stream that can't be followed any more ends the connection, once all that was taken
 // from it is answered.
-func (x *Session) Data(p []byte) error {
+func (x *Connection) Data(p []byte) error {
 	x.s.Counters.BytesIn += uint64(len(p))
 	if x.phase == serving {
 		err := x.read(p)
 		if err != nil && x.phase == serving {
-			x.s.Rejected(err)
+			x.s.OnProtocolError(err)
 			x.finish(badStream)
 		}
 		return nil
 	}
-	x.s.Counters.Dropped += uint64(len(p))
-	if x.dropped += len(p); x.dropped > x.s.limits.LingerBytes {
+	x.s.Counters.DroppedBytes += uint64(len(p))
+	if x.dropped += len(p); x.dropped > x.s.limits.MaxLingerBytes {
 		x.shut(tooMuchDropped)
 		return nil
 	}
-	x.s.Flight.Record(flightrecorder.Event{At: x.s.now(), Kind: flightrecorder.ConnEnding, Conn: x.id, Reason: bytesDropped, Count: len(p)})
+	x.s.FlightRecorder.Record(flightrecorder.Event{At: x.s.now(), Kind: flightrecorder.ConnClosing, Conn: x.id, Reason: bytesDropped, Count: len(p)})
 	return nil
 }
 
 // read takes messages off the stream.
-func (x *Session) read(p []byte) error {
+func (x *Connection) read(p []byte) error {
 	for len(p) > 0 && x.phase == serving {
 		if x.want == 0 {
 			if x.begun == 0 {
@@ -47,7 +47,7 @@
 				x.watch()
 				return nil
 			}
-			if x.want < 0 || x.want > x.s.limits.RequestFrame {
+			if x.want < 0 || x.want > x.s.limits.MaxFrameBytes {
 				x.s.Counters.BadFrame++
 				return fmt.Errorf("frame of %d bytes", x.want)
 			}
@@ -87,7 +87,7 @@
 }
 
 // length takes a frame's length off p. A frame of no bytes is malformed and comes out negative.
-func (x *Session) length(p []byte) []byte {
+func (x *Connection) length(p []byte) []byte {
 	k := min(4-len(x.head), len(p))
 	x.head = append(x.head, p[:k]...)
 	if len(x.head) == 4 {
@@ -101,7 +101,7 @@
 }
 
 // message handles one frame.
-func (x *Session) message(frame []byte) error {
+func (x *Connection) message(frame []byte) error {
 	c := &x.s.Counters
 	c.Frames++
 	x.lastUse, x.begun, x.spoke = x.s.now(), 0, true
@@ -146,14 +146,14 @@
 }
 
 // submit takes a request, or answers at once where it can't be taken.
-func (x *Session) submit(m message, r *reader) error {
+func (x *Connection) submit(m message, r *reader) error {
 	c := &x.s.Counters
-	args := r.submit(x.s.limits.RequestFields)
+	args := r.submit(x.s.limits.MaxRequestFields)
 	if _, dup := x.open[m.seq]; dup {
 		c.BadMessage++
 		return fmt.Errorf("sequence number %d is open", m.seq)
 	}
-	q := director.Request{ConnID: x.id, Body: x.s.pool.Chain()}
+	q := director.Request{ConnID: x.id, Body: x.s.pool.NewChain()}
 	err := r.err
 	if err == nil {
 		err = x.s.request(args, &q)
@@ -164,17 +164,17 @@
 	switch {
 	case errors.Is(err, buffer.ErrExhausted):
 		q.Body.Release()
-		c.TableFull++
+		c.OutOfCapacity++
 		x.turnAway(m.seq, buffersFull)
 		return nil
 	case err != nil:
 		c.BadFields++
-		x.s.Flight.Record(flightrecorder.Event{At: x.s.now(), Kind: flightrecorder.RequestRefused, Conn: x.id, Reason: badFields})
+		x.s.FlightRecorder.Record(flightrecorder.Event{At: x.s.now(), Kind: flightrecorder.RequestRejected, Conn: x.id, Reason: badFields})
 		x.write(x.s.out.application(m.name, m.seq, appProtocolError, err.Error()))
 		return nil
-	case len(x.open) >= x.s.limits.ClientOpen:
+	case len(x.open) >= x.s.limits.MaxRequestsPerConn:
 		q.Body.Release()
-		c.OverOpen++
+		c.TooManyOpenRequests++
 		x.turnAway(m.seq, overOpen)
 		return nil
 	}
@@ -187,7 +187,7 @@
 	if !ok {
 		q.Body.Release()
 		delete(x.open, m.seq)
-		c.TableFull++
+		c.OutOfCapacity++
 		x.turnAway(m.seq, tableFull)
 		return nil
 	}
@@ -221,7 +221,7 @@
 	if q.IdempotencyKey != "" && !token(q.IdempotencyKey) {
 		return fmt.Errorf("replay: %.40q is no idempotency key", q.IdempotencyKey)
 	}
-	allow, err := number("allow", f["allow"], 1, int(s.limits.LongestAllow/time.Millisecond))
+	allow, err := number("allow", f["allow"], 1, int(s.limits.MaxRequestTimeout/time.Millisecond))
 	if err != nil {
 		return err
 	}
@@ -244,8 +244,8 @@
 		}
 		q.SizeKB = kb
 	}
-	if len(a.body) > s.limits.RequestBody {
-		return fmt.Errorf("body: %d bytes, %d at most", len(a.body), s.limits.RequestBody)
+	if len(a.body) > s.limits.MaxRequestBodyBytes {
+		return fmt.Errorf("body: %d bytes, %d at most", len(a.body), s.limits.MaxRequestBodyBytes)
 	}
 	return nil
 }
--- a/internal/downstream/session.go
+++ b/internal/downstream/session.go
@@ -23,8 +23,8 @@
 	closed                 // nothing reaches the client any more
 )
 
-// Session is one client connection.
-type Session struct {
+// Connection is one client connection.
+type Connection struct {
 	s       *Server
 	c       eventloop.Conn
 	id      uint64 // counted from 1, for the log
@@ -45,13 +45,13 @@
 }
 
 // busy tells whether an answer is owed, or not yet passed on whole: a close would lose it.
-func (x *Session) busy() bool { return len(x.open) > 0 || x.c.OutboundBuffered() > 0 }
+func (x *Connection) busy() bool { return len(x.open) > 0 || x.c.OutboundBuffered() > 0 }
 
 // midway tells that a part of a message has come, and not all of it.
-func (x *Session) midway() bool { return x.want != 0 || len(x.head) > 0 }
+func (x *Connection) midway() bool { return x.want != 0 || len(x.head) > 0 }
 
 // move takes the session on to a later phase, for a reason; it is the one place where the phase changes.
-func (x *Session) move(to phase, why flightrecorder.Reason) {
+func (x *Connection) move(to phase, why flightrecorder.Reason) {
 	if to <= x.phase {
 		return
 	}
@@ -61,19 +61,19 @@
 	x.got.Release()
 	x.begun, x.want, x.head = 0, 0, nil
 	if from == lingering {
-		s.lingers = slices.DeleteFunc(s.lingers, func(o *Session) bool { return o == x })
+		s.lingers = slices.DeleteFunc(s.lingers, func(o *Connection) bool { return o == x })
 	} else if to >= lingering {
 		s.conns.Remove(x.handle)
 	}
 	switch to {
 	case failing:
-		s.Counters.Failing++
+		s.Counters.Draining++
 		s.agenda.Cancel(&x.idle) // what is open ends by its own time
 		x.settle()
 	case lingering:
 		s.Counters.Lingering++
 		s.lingers = append(s.lingers, x)
-		s.agenda.Schedule(&x.idle, s.now()+s.limits.ClientLinger, x.ebb)
+		s.agenda.Schedule(&x.idle, s.now()+s.limits.LingerTimeout, x.ebb)
 		if x.c.CloseWrite() != nil {
 			x.shut(halfCloseFailed)
 		}
@@ -89,16 +89,16 @@
 }
 
 // record keeps a change of phase.
-func (x *Session) record(to phase, why flightrecorder.Reason) {
-	e := flightrecorder.Event{At: x.s.now(), Kind: flightrecorder.ConnEnding, Conn: x.id, Reason: why, Count: len(x.open)}
+func (x *Connection) record(to phase, why flightrecorder.Reason) {
+	e := flightrecorder.Event{At: x.s.now(), Kind: flightrecorder.ConnClosing, Conn: x.id, Reason: why, Count: len(x.open)}
 	if to == closed {
 		e.Kind = flightrecorder.ConnClosed
 	}
-	x.s.Flight.Record(e)
+	x.s.FlightRecorder.Record(e)
 }
 
 // finish takes nothing more from the connection, and ends it once what is owed has gone out: a close would lose that.
-func (x *Session) finish(why flightrecorder.Reason) {
+func (x *Connection) finish(why flightrecorder.Reason) {
 	if x.busy() {
 		x.move(failing, why)
 		return
@@ -107,61 +107,61 @@
 }
 
 // settle ends a failing connection that owes nothing any more.
-func (x *Session) settle() {
+func (x *Connection) settle() {
 	switch {
 	case x.phase != failing || len(x.open) > 0:
-	case x.c.OutboundBuffered() > 0 && x.s.now()-x.lastUse >= x.s.limits.ClientIdle:
+	case x.c.OutboundBuffered() > 0 && x.s.now()-x.lastUse >= x.s.limits.ClientIdleTimeout:
 		x.shut(answerUnread)
 	case x.c.OutboundBuffered() > 0: // nothing tells when it has gone out
-		x.s.agenda.Schedule(&x.idle, x.s.now()+x.s.limits.FlushCheck, x.settle)
+		x.s.agenda.Schedule(&x.idle, x.s.now()+x.s.limits.FlushCheckInterval, x.settle)
 	default:
 		x.move(lingering, nothingOwed)
 	}
 }
 
 // shut closes the connection and frees its place at once. What the client has not read may be lost with it.
-func (x *Session) shut(why flightrecorder.Reason) {
+func (x *Connection) shut(why flightrecorder.Reason) {
 	x.move(closed, why)
 	x.c.Close()
 }
 
 // ebb ends a linger, unless the client is still taking what was left for it: it can't know of our end yet, and a message
 // that it sends behind our close would reset the connection and take the rest along.
-func (x *Session) ebb() {
-	if x.c.Unacknowledged() > 0 && x.s.now()-x.lastUse < x.s.limits.ClientIdle {
-		x.s.agenda.Schedule(&x.idle, x.s.now()+x.s.limits.ClientLinger, x.ebb)
+func (x *Connection) ebb() {
+	if x.c.Unacknowledged() > 0 && x.s.now()-x.lastUse < x.s.limits.ClientIdleTimeout {
+		x.s.agenda.Schedule(&x.idle, x.s.now()+x.s.limits.LingerTimeout, x.ebb)
 		return
 	}
 	x.cut(lingerOver)
 }
 
 // cut ends a linger at once.
-func (x *Session) cut(why flightrecorder.Reason) {
-	x.s.Counters.LingersCut++
+func (x *Connection) cut(why flightrecorder.Reason) {
+	x.s.Counters.LingersAborted++
 	x.shut(why)
 }
 
 // watch closes the connection when it owes a message for too long, or has been idle for too long. The time
 // for a message counts from where it began, not from its last byte: who sends one byte now and then is stuck.
-func (x *Session) watch() {
+func (x *Connection) watch() {
 	l := x.s.limits
-	due := x.lastUse + l.ClientIdle
+	due := x.lastUse + l.ClientIdleTimeout
 	if len(x.open) > 0 {
-		due = x.s.now() + l.ClientIdle
+		due = x.s.now() + l.ClientIdleTimeout
 	}
 	switch {
 	case x.midway(): // not idle: its client writes on
-		due = x.begun + l.ClientMessage
+		due = x.begun + l.MessageTimeout
 	case x.begun != 0:
-		due = min(due, x.begun+l.ClientMessage)
+		due = min(due, x.begun+l.MessageTimeout)
 	}
 	x.s.agenda.Schedule(&x.idle, due, func() {
 		why := mute
 		switch now := x.s.now(); {
-		case x.begun != 0 && now-x.begun >= l.ClientMessage:
-			x.s.Counters.Mute++
-		case len(x.open) == 0 && !x.midway() && now-x.lastUse >= l.ClientIdle:
-			x.s.Counters.Idle++
+		case x.begun != 0 && now-x.begun >= l.MessageTimeout:
+			x.s.Counters.MessageTimeouts++
+		case len(x.open) == 0 && !x.midway() && now-x.lastUse >= l.ClientIdleTimeout:
+			x.s.Counters.IdleTimeouts++
 			why = rested
 			if x.busy() { // it has not read its last answer in all that time
 				x.shut(answerUnread)
@@ -176,4 +176,4 @@
 }
 
 // Closed ends all that the connection had open: no answer can reach the client.
-func (x *Session) Closed() { x.move(closed, byClient) }
+func (x *Connection) Closed() { x.move(closed, byClient) }
--- a/internal/eventloop/accept.go
+++ b/internal/eventloop/accept.go
@@ -20,20 +20,20 @@
 // listen opens the listener, or takes over the inherited one.
 func (l *Loop) listen(address string) error {
 	open := func() (*listener.Listener, error) { return listener.Open(address) }
-	if l.Inherited != 0 {
-		open = func() (*listener.Listener, error) { return listener.Inherit(l.Inherited, address) }
+	if l.InheritedFD != 0 {
+		open = func() (*listener.Listener, error) { return listener.Inherit(l.InheritedFD, address) }
 	}
 	listener, err := open()
 	if err != nil {
 		return err
 	}
-	listener.Failed = l.AcceptFailed
+	listener.AcceptFailed = l.AcceptFailed
 	l.listener = listener
 	return nil
 }
 
-// Accepting says whether connections are accepted; else they wait in the system's queue. It may be called from Boot on.
-func (l *Loop) Accepting(on bool) {
+// SetAccepting says whether connections are accepted; else they wait in the system's queue. It may be called from Boot on.
+func (l *Loop) SetAccepting(on bool) {
 	if on {
 		l.listener.Resume()
 		return
