--- a/routing/actions.go
+++ b/routing/actions.go
@@ -2,16 +2,17 @@
 
 import "time"
 
-// Action is what the caller has to do: one of Forward, Fetch, Cancel, Reject, Fail, SetTimer, Probe,
-// CloseIdleConnections, SendPeerMessage, Subscribe, PollEndpoints and Log.
+// Action is an output of Router.Handle that the caller has to carry out: one of Forward, Fetch,
+// Cancel, Reject, Fail, SetTimer, Probe, CloseIdleConnections, SendPeerMessage, Subscribe, PollEndpoints and
+// Log.
 type Action any
 
-// Forward sends an attempt straight to a host that needs no source, such as the origin.
+// Forward sends an attempt to a host that needs no source, such as the origin.
 type Forward struct {
 	ID      uint32
 	Host    Host
 	Timeout time.Duration // 0: until the request's deadline
-	// IdempotencyWindowEnd is the time after which the attempt must not be written any more; 0: none.
+	// IdempotencyWindowEnd is the time after which the attempt must no longer be written; 0: no bound.
 	IdempotencyWindowEnd Time
 }
 
@@ -20,62 +21,62 @@
 
 // Options of a Fetch.
 const (
-	CoalesceFill         FetchFlags = 1 << iota // a miss may wait for a fill that is under way
-	OnlyIfCached                                // the source gives only what it has cached (RFC 9111)
+	CoalesceFill         FetchFlags = 1 << iota // a miss may wait for a fill that is in progress
+	OnlyIfCached                                // the source answers from its cache only (RFC 9111)
 	ParentNoStore                               // the parent does not store the object
-	StaleWhileRevalidate                        // serve an ageing copy and renew it behind (RFC 5861)
+	StaleWhileRevalidate                        // serve a stale copy, revalidate it in the background (RFC 5861)
 )
 
-// Fetch sends an attempt to a cache and says where it fills a miss from.
+// Fetch sends an attempt to a cache and names the source from which the cache fills a miss.
 type Fetch struct {
 	ID     uint32
 	Host   Host
-	Source Host // Host itself: it is asked for a cached copy only
-	// RetentionRank is how valuable the object is to the cache: 0 to 2, the uses of it that the director has
-	// seen.
+	Source Host // same as Host: the cache answers with a cached copy or a miss, without a fill
+	// RetentionRank is a hint to the cache how valuable the object is, from 0 to 2: the number of recent
+	// requests for the object at this director, at most 2.
 	RetentionRank uint8
 	Flags         FetchFlags
 	Timeout       time.Duration // 0: until the request's deadline
-	MaxAge        time.Duration // oldest copy that will do; 0: the class's freshness lifetime
-	// IdempotencyWindowEnd is the time after which the attempt must not be written any more; 0: none.
+	MaxAge        time.Duration // maximum age of an acceptable copy; 0: the class's freshness lifetime
+	// IdempotencyWindowEnd is the time after which the attempt must no longer be written; 0: no bound.
 	IdempotencyWindowEnd Time
 }
 
-// Cancel cancels an attempt. Its Outcome still comes.
+// Cancel cancels an attempt. The caller still has to deliver the Outcome of the attempt.
 type Cancel struct {
 	ID      uint32
 	Attempt int
 }
 
-// Reject ends a request that has had no effect, so that the client may safely retry it.
+// Reject ends a request with a rejection, after which the client may safely retry the request.
 type Reject struct {
 	ID         uint32
-	RetryAfter time.Duration // 0: not told
+	RetryAfter time.Duration // time after which the client should retry; 0: not specified
 	Reason     Reason
 }
 
-// Fail ends a request with no promise about its effect.
+// Fail ends a request with a failure, which leaves open whether the request has been executed.
 type Fail struct {
 	ID     uint32
 	Reason Reason
 }
 
-// SetTimer asks for a TimerFired with the token.
+// SetTimer requests a TimerFired event with the same token at the given time.
 type SetTimer struct {
 	Token uint64
 	At    Time
 }
 
-// Probe asks for a health check of a host. The Router does not emit it at present.
+// Probe requests a health check of a host. The Router currently does not emit this action.
 type Probe struct{ Host Host }
 
-// CloseIdleConnections closes idle connections to a host. The Router does not emit it at present.
+// CloseIdleConnections closes the idle connections to a host. The Router currently does not emit this action.
 type CloseIdleConnections struct{ Host Host }
 
-// AllPeers as the receiver of a SendPeerMessage means all other directors.
+// AllPeers is the value of SendPeerMessage.To that addresses all other directors.
 const AllPeers = ^uint32(0)
 
-// SendPeerMessage sends a message to another director.
+// SendPeerMessage sends a message to the director with the ID To, or to all other directors (AllPeers).
 type SendPeerMessage struct {
 	To   uint32
 	Data []byte
@@ -84,8 +85,9 @@
 // Subscribe starts or ends the subscription to the endpoint list.
 type Subscribe struct{ Enabled bool }
 
-// PollEndpoints asks discovery for the full endpoint list once. The Router does not emit it at present.
+// PollEndpoints requests the full endpoint list from discovery once. The Router currently does not emit this
+// action.
 type PollEndpoints struct{}
 
-// Log is a message for the people on call.
+// Log writes a message to the director's log.
 type Log struct{ Message string }
--- a/routing/ejection.go
+++ b/routing/ejection.go
@@ -6,15 +6,15 @@
 	"shaleyard/internal/overload"
 )
 
-// Outlier ejection: servers that fail get no work until a single request, the half-open probe, finds them
-// alive.
+// Outlier ejection: a server that has failed receives no requests until a single request, the half-open probe,
+// is answered.
 
-// mayProbe tells that the next request may probe an ejected server.
+// mayProbe reports whether a server is ejected and the next request may be its half-open probe.
 func (r *Router) mayProbe(server *serverState) bool {
 	return server.ejected && r.now >= server.probeAfter && !server.probing
 }
 
-// probedServer is the ejected server that a half-open probe is about.
+// probedServer returns the ejected server that a half-open probe tests: its target or its source.
 func probedServer(attempt *attemptState) *serverState {
 	if attempt.target.ejected || attempt.source == nil {
 		return attempt.target
@@ -22,8 +22,8 @@
 	return attempt.source
 }
 
-// eject takes a server out until a half-open probe finds it alive. The time to the next probe doubles while
-// probes fail. The origin is never ejected, as nothing stands in for it.
+// eject ejects a server until a half-open probe is answered. The time to the next probe doubles with each
+// failed probe. The origin is never ejected, because no other server can replace it.
 func (r *Router) eject(server *serverState, cause string) {
 	if server.tier == originTier {
 		return
@@ -43,7 +43,7 @@
 	r.cancelRetriable(server)
 }
 
-// cancelRetriable cancels what waits for a server and may be sent elsewhere.
+// cancelRetriable cancels the attempts in flight at a server whose requests may be retried at another server.
 func (r *Router) cancelRetriable(server *serverState) {
 	for _, attempt := range slices.Concat(server.asTarget.inFlight, server.asSource.inFlight) {
 		request := r.requests[attempt.requestID]
@@ -56,8 +56,8 @@
 	}
 }
 
-// readmit takes an ejected server back. Servers that were lost together often come back together, so that the
-// others of its tier may be probed at once.
+// readmit ends the ejection of a server. Servers that failed together often recover together, so the other
+// ejected servers of its tier may be probed at once.
 func (r *Router) readmit(server *serverState) {
 	r.logf("readmit server %x after %v", uint64(server.Host), r.now-server.ejectedAt)
 	server.ejected = false
--- a/routing/ending.go
+++ b/routing/ending.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// How requests end: each with the answer of a server, or through endRequest.
+// The end of requests that no server has answered.
 
-// endRequest answers a request with a rejection, or with a failure where an attempt may have executed and the
-// client must not simply repeat it.
+// endRequest answers a request without a server: with a rejection if the client may safely repeat the request,
+// otherwise with a failure.
 func (r *Router) endRequest(request *requestState, reason Reason) {
 	if r.mayReject(request) {
 		r.emit(Reject{ID: request.ID, RetryAfter: r.retryAfter(), Reason: reason})
@@ -18,8 +18,8 @@
 	r.forgetRequest(request)
 }
 
-// mayReject tells whether the client may safely repeat the request: nothing has executed, or a repeat does no
-// harm wherever it arrives.
+// mayReject reports whether the client may safely repeat the request: either no attempt can have executed, or
+// a repeat is harmless at any server.
 func (r *Router) mayReject(request *requestState) bool {
 	class := &r.settings.Classes[request.Class]
 	switch {
@@ -32,8 +32,9 @@
 	return !slices.ContainsFunc(request.attempts, mayHaveExecuted)
 }
 
-// retryAfter is for how long a rejected client should stay away: as long as requests are postponed here, or
-// until a lost site is probed again; with jitter, and within what the site allows. 0: the client is not told.
+// retryAfter returns the time after which the client of a rejected request should retry, or 0 if the site does
+// not allow such a hint. The time is minPostponement or, while the director's own site is lost and if it is
+// longer, the time to the next probe of the site. Random jitter is added, up to SiteLimits.MaxRetryAfter.
 func (r *Router) retryAfter() time.Duration {
 	limits := &r.settings.SiteLimits
 	if !limits.RetryAfterAllowed {
@@ -45,7 +46,8 @@
 	return wait + time.Duration(r.rng.Int64N(int64(jitter)+1))
 }
 
-// forgetRequest drops a request that is over, and cancels what is in flight for it.
+// forgetRequest removes a request that has ended, and cancels its attempts in flight unless its answer is being
+// streamed.
 func (r *Router) forgetRequest(request *requestState) {
 	delete(r.requests, request.ID)
 	if request.streaming {
--- a/routing/endpoint.go
+++ b/routing/endpoint.go
@@ -2,23 +2,23 @@
 
 import "time"
 
-// Time is a reading of the caller's monotonic clock. Its zero means "long ago" or "not set".
+// Time is a reading of the caller's monotonic clock. Zero means "long ago" or "not set".
 type Time = time.Duration
 
-// Host is the address of a server: four bytes of IPv4 address and a port, in the low 48 bits.
+// Host is the address of a server in the low 48 bits: an IPv4 address (32 bits) and a port (16 bits).
 type Host uint64
 
-// State is the state of an endpoint in discovery.
+// State is the state of an endpoint as discovery reports it.
 type State uint8
 
-// States of an endpoint. Only a Ready one gets new attempts.
+// States of an endpoint. Only Ready endpoints receive new attempts.
 const (
 	Draining State = iota
 	Gone
 	Ready
 )
 
-// String is the state's name.
+// String returns the name of the state in lower case, or "unknown".
 func (s State) String() string {
 	switch s {
 	case Draining:
@@ -31,24 +31,24 @@
 	return "unknown"
 }
 
-// Endpoint is a server as discovery lists it.
+// Endpoint is an entry of the endpoint list: one server.
 type Endpoint struct {
 	Host    Host
 	Zone    int // index of Settings.Zones
 	Kind    int // index of Settings.Kinds
 	State   State
-	Started Time    // when its present incarnation started; 0: long ago
-	Weight  float64 // its capacity in simultaneous transfers, where Settings.WeightMode says so
-	Cell    int
+	Started Time    // start of its current incarnation; 0: long ago
+	Weight  float64 // capacity in simultaneous transfers, depending on Settings.WeightMode
+	Cell    int     // deduplication cell, see DedupScopeCell
 }
 
-// UpdateKind tells how the entries of an EndpointUpdate are to be taken.
+// UpdateKind is the meaning of the entries of an EndpointUpdate.
 type UpdateKind uint8
 
 // Kinds of updates.
 const (
-	UpdateDelta  UpdateKind = iota // only the changed entries
+	UpdateDelta  UpdateKind = iota // only the entries that have changed
 	UpdateFull                     // the whole list
-	UpdateCached                   // the whole list as last known; it may be stale
-	UpdateFailed                   // a call failed or the subscription broke; no entries
+	UpdateCached                   // the whole list as last known, possibly stale
+	UpdateFailed                   // no entries: a call failed or the subscription broke
 )
--- a/routing/endpoints.go
+++ b/routing/endpoints.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// The endpoint list. Draining and gone servers are dropped at once, as targets and as sources.
+// The endpoint list. Draining and gone servers receive no new attempts from the update on, neither as targets
+// nor as sources.
 
 func (r *Router) handleEndpointUpdate(update EndpointUpdate) {
 	if update.Kind == UpdateFailed {
@@ -30,7 +31,7 @@
 	r.emit(SetTimer{Token: resubscribeTimer, At: r.now + delay})
 }
 
-// updateEndpoint takes one entry of the list.
+// updateEndpoint adds or updates the server of one entry of the endpoint list.
 func (r *Router) updateEndpoint(endpoint Endpoint) {
 	server := r.servers[endpoint.Host]
 	switch {
@@ -57,7 +58,7 @@
 	}
 }
 
-// resetIncarnation forgets the health and the holdings of a server that has started anew.
+// resetIncarnation resets the health of a server that has restarted and invalidates its location hints.
 func (r *Router) resetIncarnation(server *serverState) {
 	server.ejected = false
 	server.ejectionBackoff = 0
@@ -66,9 +67,10 @@
 	server.invalidatedAt = r.now
 }
 
-// startWarmingUp begins the slow start of a server. All directors hear of it at once, and a director that has
-// just started does not know yet how long a transfer takes; so each begins with a random part of one transfer
-// already spent.
+// startWarmingUp begins the slow start of a server. All directors learn of the server at the same time, so each
+// begins with a random part of one transfer already spent, which spreads their first attempts. A director that
+// has just started does not yet know how long a transfer takes, so the transfer counts as at least
+// longestObjective.
 func (r *Router) startWarmingUp(server *serverState, started Time) {
 	server.warmingUpSince = started
 	longestTransfer := max(r.largestMeanWork(), r.longestObjective)
@@ -76,7 +78,7 @@
 	server.slowStartBucket.Spend(initial - server.slowStartBucket.Spent(r.now, 0))
 }
 
-// assignTier sets what follows from a server's entry and the settings.
+// assignTier sets the tier of a server and the parameters that depend on the tier and on its entry.
 func (r *Router) assignTier(server *serverState) {
 	tiers, guarantees := &r.settings.Tiers, &r.settings.Guarantees
 	mode := r.settings.WeightMode
@@ -98,8 +100,8 @@
 	}
 }
 
-// regroupServers sorts all servers by address, drops those that are gone, and groups those that are ready by
-// tier.
+// regroupServers sorts all servers by address, removes those that are gone, and rebuilds localCaches and
+// upstreams from those that are ready.
 func (r *Router) regroupServers() {
 	slices.SortFunc(r.orderedServers, func(a, b *serverState) int { return cmp.Compare(a.Host, b.Host) })
 	r.orderedServers = slices.DeleteFunc(r.orderedServers, r.dropIfGone)
@@ -116,8 +118,8 @@
 	}
 }
 
-// dropIfGone forgets a server that is not listed any more, once nothing is in flight to it, and tells whether
-// it did.
+// dropIfGone removes a server that is no longer listed and has no attempts in flight, and reports whether it
+// removed the server.
 func (r *Router) dropIfGone(server *serverState) bool {
 	inFlight := len(server.asTarget.inFlight) + len(server.asSource.inFlight)
 	if server.listed || inFlight > 0 {
@@ -128,7 +130,7 @@
 	return true
 }
 
-// sameTier returns the ready servers of a server's tier: the local caches, or the parents.
+// sameTier returns the ready servers of the tier of a server: the local caches, the parents or the origins.
 func (r *Router) sameTier(server *serverState) []*serverState {
 	if server.tier == edgeTier {
 		return r.localCaches
@@ -138,10 +140,10 @@
 	})
 }
 
-// isUsable tells that a server is ready and not ejected; nil is not.
+// isUsable reports whether a server is known, ready and not ejected. It returns false for nil.
 func (r *Router) isUsable(server *serverState) bool {
 	return server != nil && server.takesAttempts() && !server.ejected && r.servers[server.Host] == server
 }
 
-// takesAttempts tells that a server is listed as ready.
+// takesAttempts reports whether the endpoint list contains the server as ready.
 func (s *serverState) takesAttempts() bool { return s.listed && s.State == Ready }
--- a/routing/events.go
+++ b/routing/events.go
@@ -2,38 +2,40 @@
 
 import "time"
 
-// Event is what Router.Handle takes: one of EndpointUpdate, Request, ShortenDeadline, StreamStarted, Outcome,
+// Event is an input of Router.Handle: one of EndpointUpdate, Request, ShortenDeadline, StreamStarted, Outcome,
 // RequestClosed, TimerFired, ProbeResult, PeerMessage and Purge. The Router ignores values of other types.
 type Event any
 
-// EndpointUpdate brings a change of the endpoint list.
+// EndpointUpdate reports the endpoint list, a change of it, or a failure to obtain it, depending on Kind.
 type EndpointUpdate struct {
 	Kind      UpdateKind
-	Version   uint64
+	Version   uint64 // of the endpoint list; the Router does not use it
 	Endpoints []Endpoint
 }
 
-// Request is a client's request. The router owes it one final answer.
+// Request is a client's request, which must be answered exactly once.
 type Request struct {
 	ID          uint32
-	Class       int // index of Settings.Classes; out of range counts as the nearest
+	Class       int // index of Settings.Classes; an index out of range is replaced by the nearest valid one
 	Tenant      int
 	Object      uint64
-	Part        int     // of the object
-	Group       int     // of objects that are purged together
-	Deadline    Time    // by which the client must have an answer
-	SizeKB      float64 // of the answer; 0: not known
-	ClientRetry bool    // the client has sent it before
-	Write       bool    // its answer is never stored
+	Part        int     // number of the part of the object
+	Group       int     // index of a group of objects that are purged together
+	Deadline    Time    // time by which the client must have an answer
+	SizeKB      float64 // size of the answer; 0: not known
+	ClientRetry bool    // the client has sent the request before
+	Write       bool    // the answer must not be stored
 }
 
-// ShortenDeadline moves the deadline of a request forward. A later one is ignored.
+// ShortenDeadline moves the deadline of a request to an earlier time. A deadline later than the present one is
+// ignored.
 type ShortenDeadline struct {
 	ID       uint32
 	Deadline Time
 }
 
-// StreamStarted tells that a streamed answer has begun. The request is not attempted again after that.
+// StreamStarted reports that a streamed answer to the client has begun. The Router makes no further attempt
+// for the request.
 type StreamStarted struct {
 	ID      uint32
 	Attempt int
@@ -41,26 +43,27 @@
 	Elapsed time.Duration
 }
 
-// Outcome is the end of an attempt. Each attempt has exactly one.
+// Outcome reports the end of an attempt. Each attempt has exactly one Outcome.
 type Outcome struct {
-	ID          uint32 // of the request
+	ID          uint32 // ID of the request
 	Attempt     int    // number of the attempt, from 0
 	Host        Host
 	Result      Result
 	Elapsed     time.Duration // since the attempt was sent
-	RequestDone bool          // the request has its answer
+	RequestDone bool          // the request has been answered
 	FillStatus  FillStatus
-	SourceWait  time.Duration // how long the cache waited for the first byte of its source
-	LoadReport  []float32     // as Settings.LoadReport says
+	SourceWait  time.Duration // how long the cache waited for the first byte from its source
+	LoadReport  []float32     // in the order of Settings.LoadReport.Fields; the Router does not use it
 }
 
-// RequestClosed tells that a request is over without a decision of the router.
+// RequestClosed reports that the caller has closed a request, for example because the client has left. The
+// Router forgets the request.
 type RequestClosed struct{ ID uint32 }
 
-// TimerFired tells that a timer of an earlier SetTimer is due.
+// TimerFired reports that the timer of an earlier SetTimer with this token is due.
 type TimerFired struct{ Token uint64 }
 
-// ProbeResult is the result of a Probe. The Router ignores it at present.
+// ProbeResult reports the result of a Probe. The Router currently ignores this event.
 type ProbeResult struct {
 	Host       Host
 	Result     Result
@@ -68,13 +71,13 @@
 	LoadReport []float32
 }
 
-// PeerMessage is a message of another director.
+// PeerMessage is a message received from the director with the ID From.
 type PeerMessage struct {
 	From uint32
 	Data []byte
 }
 
-// Purge tells that an object, or with Object 0 a whole group, was purged Age ago.
+// Purge reports that an object, or a whole group of objects if Object is 0, was purged Age ago.
 type Purge struct {
 	Age    time.Duration
 	Group  int
--- a/routing/failure.go
+++ b/routing/failure.go
@@ -2,12 +2,12 @@
 
 import "shaleyard/internal/overload"
 
-// What a failed attempt means for the retry of its request.
+// The effect of a failed attempt on the retry of its request.
 
-// applyFailure notes what a failed attempt rules out for its request, and tells whether the request must wait
-// before it is retried. A server that rejects for want of capacity still has none in a moment, and going
-// elsewhere at once would double an overload. The price is that a request sometimes waits though another
-// server had capacity.
+// applyFailure records which servers a failed attempt rules out for its request, and reports whether the request
+// must wait before its retry. After a rejection for lack of capacity the request waits: the server will still
+// lack capacity a moment later, and an immediate retry at another server would double an overload. The
+// trade-off is that a request sometimes waits although another server has capacity.
 func (r *Router) applyFailure(request *requestState, attempt *attemptState, outcome Outcome) (wait bool) {
 	r.raiseSourceTier(request, attempt, outcome)
 	switch outcome.Result {
@@ -16,21 +16,22 @@
 	case LocalResourcesExhausted:
 		return true // no other server can be reached either
 	case Miss:
-		return noteMiss(request, attempt, outcome)
+		return applyMiss(request, attempt, outcome)
 	}
 	return rejectedForCapacity(outcome)
 }
 
-// rejectedForCapacity tells that a cache rejected an attempt, and did not say that its source was the reason.
+// rejectedForCapacity reports whether a cache rejected an attempt without naming its source as the reason.
 func rejectedForCapacity(outcome Outcome) bool {
 	return outcome.Result == Rejected &&
 		(outcome.FillStatus == FillStatusUnknown || outcome.FillStatus == FillStatusNoFillSlot)
 }
 
-// raiseSourceTier moves the request past a source that has missed, rejected the fill or let it time out.
+// raiseSourceTier rules out the tier of a source that has missed, rejected the fill or let it time out: after a
+// sibling, the request is filled from a parent or the origin; after a parent, from the origin.
 func (r *Router) raiseSourceTier(request *requestState, attempt *attemptState, outcome Outcome) {
 	source := attempt.source
-	if source == nil || !r.mayBlameSource(outcome) {
+	if source == nil || !r.sourceMayBeCause(outcome) {
 		return
 	}
 	if source.tier == edgeTier {
@@ -43,8 +44,8 @@
 	}
 }
 
-// mayBlameSource tells that the source of a failed attempt may have been the reason.
-func (r *Router) mayBlameSource(outcome Outcome) bool {
+// sourceMayBeCause reports whether the source of a failed attempt may have caused the failure.
+func (r *Router) sourceMayBeCause(outcome Outcome) bool {
 	switch outcome.Result {
 	case Miss, TimedOut:
 		return true
@@ -52,22 +53,22 @@
 		if !rejectedForCapacity(outcome) {
 			return true
 		}
-		// Without a status it stays open who rejected, where not all answers carry one.
+		// If not all answers carry a fill status, a rejection without one may come from the cache or the source.
 		return outcome.FillStatus == FillStatusUnknown &&
 			r.settings.Tiers.FillStatusReported != FillStatusReportedAll
 	}
 	return false
 }
 
-// noteMiss takes the answer that a cache has no copy, and tells whether the request must wait for another's
-// fill.
-func noteMiss(request *requestState, attempt *attemptState, outcome Outcome) (wait bool) {
-	fillUnderWay := outcome.FillStatus == FillStatusCoalesced
-	if attempt.source == nil && fillUnderWay {
+// applyMiss records that a cache has no copy, and reports whether the request must wait before its retry: either
+// another request's fill is in progress, or all sources are at their limits.
+func applyMiss(request *requestState, attempt *attemptState, outcome Outcome) (wait bool) {
+	fillInProgress := outcome.FillStatus == FillStatusCoalesced
+	if attempt.source == nil && fillInProgress {
 		request.triedOnlyIfCached = true
 	}
-	if !fillUnderWay {
-		request.onlyIfCachedCount = overload.MaxProbes // it may be filled at once
+	if !fillInProgress {
+		request.onlyIfCachedCount = overload.MaxProbes // the next attempt may fill without another probe
 	}
 	return attempt.source == nil && request.triedOnlyIfCached && !attempt.halfOpenProbe && !request.shielded
 }
--- a/routing/health.go
+++ b/routing/health.go
@@ -2,12 +2,12 @@
 
 import "shaleyard/internal/overload"
 
-// What the end of an attempt tells of the health of its servers.
+// The health of servers, derived from the end of attempts.
 
-// recordHealth takes an outcome as evidence on the health of its target and its source.
+// recordHealth updates the health of the target and the source of an attempt from its outcome.
 func (r *Router) recordHealth(attempt *attemptState, outcome Outcome) {
 	r.recordTargetHealth(attempt, outcome)
-	// Apart from half-open probes, a reset says nothing: a server that is down refuses the next connection.
+	// A reset of any other attempt is no evidence of a failure: a server that is down refuses the next connection.
 	if attempt.halfOpenProbe && (outcome.Result == TimedOut || outcome.Result == Reset) {
 		r.eject(probedServer(attempt), "half-open probe failed")
 	}
@@ -52,15 +52,16 @@
 	}
 }
 
-// recordSourceUnreachable ejects a source that failed quickly, which is down. One that failed late may be
-// overloaded, and to eject it would overload the others in a cascade; so that takes several failures in a
-// row.
+// recordSourceUnreachable ejects a source that failed within fastFailureThreshold, because the source is down.
+// A source that failed later may be overloaded, and its ejection would overload other sources in a cascade.
+// Such a source is ejected only after slowFailureLimit failures in a row, and only if another server of its site is
+// healthy.
 func (r *Router) recordSourceUnreachable(attempt *attemptState, outcome Outcome) {
 	source := attempt.source
 	failures := source.failedFills.Add(r.now)
-	isDown := outcome.SourceWait < quickFailure
+	isDown := outcome.SourceWait < fastFailureThreshold
 	source.siteMember.RecordSourceFailure(r.now, attempt.sentAt, isDown)
-	if source.ejected || isDown || (failures >= slowFailures && source.siteMember.HasHealthyPeer(r.now)) {
+	if source.ejected || isDown || (failures >= slowFailureLimit && source.siteMember.HasHealthyPeer(r.now)) {
 		r.eject(source, "unreachable as a source")
 	}
 }
--- a/routing/hedging.go
+++ b/routing/hedging.go
@@ -2,11 +2,11 @@
 
 import "math"
 
-// Hedging: an attempt whose answer seems lost is sent to its cache once more.
+// Hedging: a second attempt at the same cache where the answer to the first one seems lost.
 
-// hedge asks the cache of a lost attempt once more, for a cached copy only. Hedges are paid from tokens, of
-// which each request brings a little and each hedge that wins brings more than it cost: so losses pay for
-// their hedges, and under overload hedging ends.
+// hedge sends another attempt to the cache of an attempt whose answer seems lost, for a cached copy only. Each
+// hedge costs one token. Each request adds hedgeTokensPerRequest, and each hedge that gets the answer adds
+// hedgeTokensPerWin. Hedging therefore continues while hedges succeed, and stops under overload.
 func (r *Router) hedge(attempt *attemptState) {
 	request := r.requests[attempt.requestID]
 	if request == nil || !r.mayHedge(request, attempt) {
@@ -35,8 +35,8 @@
 	return r.seemsLost(attempt) && hasRoom
 }
 
-// seemsLost tells that an attempt is overdue beyond what its size and the speed of its cache explain, while
-// an answer to a later attempt has come the same way in time.
+// seemsLost reports whether the answer to an attempt has probably been lost: it is overdue by more than its size
+// and the speed of its cache explain, while a later attempt in the same role was answered in time.
 func (r *Router) seemsLost(attempt *attemptState) bool {
 	_, load := attributedTo(attempt)
 	expected := attempt.declaredWork
--- a/routing/idempotency.go
+++ b/routing/idempotency.go
@@ -1,11 +1,13 @@
 package routing
 
-// maySend tells whether the idempotency of the request's class allows another attempt at target (nil: at any
-// server). It sets idempotencyWindowEnd to the time by which that attempt must have been written.
+// maySend reports whether the idempotency of the request's class allows another attempt at target, or at any
+// server if target is nil. It sets the request's idempotencyWindowEnd to the time by which the attempt must have
+// been written, or to 0 if there is no such bound.
 //
-// An attempt that provably never executed binds nothing. After one that may have executed, only read-like
-// requests may be repeated freely; a keyed one may be within the window of the first such attempt, where its
-// repeat is recognised.
+// An earlier attempt that cannot have executed is no restriction. After an attempt that may have executed, a
+// read-like request may be repeated at any time, and a non-idempotent one must not be repeated. A keyed request
+// may be repeated within the deduplication window of the first such attempt, at servers that recognise the
+// repeat.
 func (r *Router) maySend(request *requestState, target *serverState) bool {
 	class := &r.settings.Classes[request.Class]
 	request.idempotencyWindowEnd = 0
@@ -23,19 +25,20 @@
 		if r.now >= windowEnd || (target != nil && !class.shareDedup(earlier.target, target)) {
 			return false
 		}
-		if request.idempotencyWindowEnd == 0 { // the first to be sent ends first
+		if request.idempotencyWindowEnd == 0 { // the window of the earliest attempt ends first
 			request.idempotencyWindowEnd = windowEnd
 		}
 	}
 	return true
 }
 
-// windowEnd is the end of the deduplication window of an attempt, less a margin for the delay of the network.
+// windowEnd returns the end of the deduplication window of an attempt sent at sentAt, minus a margin for network
+// delay: windowSafetyMargin, but at most a quarter of the window.
 func (c *Class) windowEnd(sentAt Time) Time {
 	return sentAt + c.DedupWindow - min(windowSafetyMargin, c.DedupWindow/4)
 }
 
-// shareDedup tells whether one server recognises a repeat of a keyed request that another has executed.
+// shareDedup reports whether server b recognises a repeat of a keyed request that server a has executed.
 func (c *Class) shareDedup(a, b *serverState) bool {
 	switch c.DedupScope {
 	case DedupScopeZone:
--- a/routing/latency.go
+++ b/routing/latency.go
@@ -5,11 +5,11 @@
 	"slices"
 )
 
-// How fast caches answer, compared with what their answers should take.
+// The ratio of the actual latency of caches to the expected latency.
 
-// sampleLatencyRatio takes the time that an attempt has taken so far as a sample for its cache. Attempts are
-// sampled at their end, and in flight each time that this time has doubled, as the answers of a slow cache
-// come too late to learn from.
+// sampleLatencyRatio adds the time that an attempt has taken so far as a latency sample of its cache. Attempts
+// are sampled when they end and, as the answers of a slow cache arrive too late to learn from, also in flight,
+// each time that this time has doubled.
 func (r *Router) sampleLatencyRatio(attempt *attemptState) {
 	target := attempt.target
 	if target.tier != edgeTier || attempt.halfOpenProbe {
@@ -21,12 +21,14 @@
 	target.logLatencyRatio += (logRatio - target.logLatencyRatio) * latencyRatioSampleWeight
 }
 
-// isSlow tells that a cache takes far longer than the others of the zone; fills from it would, too.
+// isSlow reports whether a cache answers far more slowly than the fastest third of the local caches. Fills from a
+// slow cache would be slow as well.
 func (r *Router) isSlow(server *serverState) bool {
 	return server.logLatencyRatio > r.baselineLogLatencyRatio+latencyRatioTolerance
 }
 
-// decayLatencyRatios lets what is known of slow caches fade, and sets the baseline of the faster third.
+// decayLatencyRatios moves the latency ratios of the local caches towards the neutral ratio, and sets the
+// baseline to the ratio at the upper end of their fastest third.
 func (r *Router) decayLatencyRatios() {
 	ratios := make([]float64, 1, len(r.localCaches)+1)
 	for _, cache := range r.localCaches {
--- a/routing/limits.go
+++ b/routing/limits.go
@@ -4,13 +4,13 @@
 
 // Concurrency limits: how much work may be in flight at a server.
 
-// transferWork is what a request counts on budgets and limits, in seconds of transfer time: the mean of its
-// class, or what its declared size takes, where that is more.
+// transferWork returns the work that a request counts towards budgets and limits, in seconds of transfer time:
+// the mean of its class or the transfer time of its declared size, whichever is larger.
 func (r *Router) transferWork(request *requestState) float64 {
 	return max(r.classes[request.Class].work.Value, request.declaredWork)
 }
 
-// largestMeanWork is the mean transfer time of the class with the largest objects, in seconds.
+// largestMeanWork returns the mean transfer time of the class with the largest objects, in seconds.
 func (r *Router) largestMeanWork() float64 {
 	largest := math.Inf(-1)
 	for i := range r.classes {
@@ -19,14 +19,14 @@
 	return largest
 }
 
-// atLimit tells that a server's concurrency limit in a role leaves no room for more work. It may draw a
-// random number: under a limit of less than one request, requests pass by chance.
+// atLimit reports whether a server's concurrency limit in a role leaves no room for additional work. It may draw
+// a random number: a limit that is smaller than one request admits requests at random.
 func (r *Router) atLimit(load *roleLoad, work float64) bool {
 	return load.concurrencyLimit.Full(r.now, load.inFlightWork, work, r.rng.Float64)
 }
 
-// linkSaturated tells that, with the request, a cache has more work in flight than a fraction of what its
-// link can send within the latency objective.
+// linkSaturated reports whether the work in flight at a cache, with the request added, exceeds a fraction of the
+// work that the cache's link can transfer within the latency objective.
 func (r *Router) linkSaturated(request *requestState, cache *serverState, fraction float64) bool {
 	if !cache.weightIsCapacity {
 		return false
@@ -37,10 +37,10 @@
 	return cache.totalInFlightWork+work > capacity
 }
 
-// adjustLimit lowers the concurrency limit of the server and role that made an attempt late or rejected it,
-// and raises it for an answer in time. All answers that are late in one overload lower it together, to a part
-// of the load beside which they would have been in time. The price is that objects which are large for their
-// class look late.
+// adjustLimit lowers the concurrency limit of the server and role that made an attempt late or rejected it, and
+// raises the limit after a timely answer. All late answers of one overload together lower the limit no further
+// than to a fraction of the load at which they would have been timely. The trade-off is that objects which are
+// large for their class look late.
 func (r *Router) adjustLimit(attempt *attemptState, outcome Outcome) {
 	if attempt.halfOpenProbe {
 		return
@@ -55,7 +55,7 @@
 		load.lastTimelySentAt = max(load.lastTimelySentAt, attempt.sentAt)
 	}
 	if outcome.Result == TimedOut && r.seemsLost(attempt) {
-		return // a lost answer is no overload, and must not end in rejected hits
+		return // a lost answer is no sign of overload, and a lower limit would reject hits
 	}
 	if timely {
 		load.concurrencyLimit.Increase(r.now, load.inFlightWork, attempt.work)
@@ -64,20 +64,22 @@
 	r.lowerLimit(server, load, attempt, outcome)
 }
 
+// lowerLimit lowers the concurrency limit of a server in a role after an attempt that was late, rejected or timed
+// out.
 func (r *Router) lowerLimit(server *serverState, load *roleLoad, attempt *attemptState, outcome Outcome) {
-	present := load.inFlightWork + attempt.work
-	highest := max(initialLimitTransfers*attempt.work/server.sharingDirectors, maxLimitLoadFactor*present)
+	current := load.inFlightWork + attempt.work
+	ceiling := max(initialLimitTransfers*attempt.work/server.sharingDirectors, maxLimitLoadFactor*current)
 	elapsed := max(outcome.Elapsed, attempt.latencyObjective)
-	fitting := limitFitFraction * max(attempt.inFlightWorkAtSend, present) *
+	timelyWork := limitFitFraction * max(attempt.inFlightWorkAtSend, current) *
 		attempt.latencyObjective.Seconds() / elapsed.Seconds()
-	lowest := minLimitTransfers * r.largestMeanWork() / server.sharingDirectors
-	load.concurrencyLimit.Decrease(r.now, highest, fitting, lowest)
+	floor := minLimitTransfers * r.largestMeanWork() / server.sharingDirectors
+	load.concurrencyLimit.Decrease(r.now, ceiling, timelyWork, floor)
 }
 
-// attributeOutcome is the server, and its role, whose limit an outcome adjusts. It also notes whether a hit
-// of the target was late.
+// attributeOutcome returns the server and the role whose concurrency limit an outcome adjusts. It also records
+// whether the latest hit at the target was late or failed.
 func (r *Router) attributeOutcome(attempt *attemptState, outcome Outcome) (*serverState, *roleLoad) {
-	server, load := answering(attempt, outcome)
+	server, load := respondingServer(attempt, outcome)
 	target := attempt.target
 	isOK := outcome.Result == OK
 	late := outcome.Elapsed > attempt.latencyObjective
@@ -86,30 +88,31 @@
 	case load == &target.asTarget && (outcome.FillStatus == FillStatusHit || !isOK):
 		target.asTarget.lastHitLate.Record(r.now, late || !isOK)
 	case target.tier == edgeTier && isOK && lateWithoutSource && target.asTarget.lastHitLate.Holds(r.now):
-		return target, &target.asTarget // its hits are late, too, and the source did not keep it waiting
+		return target, &target.asTarget // the target delays hits as well, and the source did not delay it
 	}
 	return server, load
 }
 
-// answering is the server, and its role, from which the answer came or should have come.
-func answering(attempt *attemptState, outcome Outcome) (*serverState, *roleLoad) {
+// respondingServer returns the server and the role that gave the answer to an attempt or, after a timeout, should
+// have given it.
+func respondingServer(attempt *attemptState, outcome Outcome) (*serverState, *roleLoad) {
 	target, source := attempt.target, attempt.source
 	timedOut := outcome.Result == TimedOut
-	targetIsSilent := target.lastAnswerAsTarget <= attempt.sentAt
+	targetUnresponsive := target.lastAnswerAsTarget <= attempt.sentAt
 	switch {
 	case target.tier != edgeTier:
 		return attributedTo(attempt)
-	case outcome.FillStatus == FillStatusHit, timedOut && targetIsSilent:
+	case outcome.FillStatus == FillStatusHit, timedOut && targetUnresponsive:
 		return target, &target.asTarget
-	case timedOut && source != nil: // the cache answers others, so its source hangs
+	case timedOut && source != nil: // the cache answers other attempts, so its source does not respond
 		return source, &source.asSource
 	}
 	return attributedTo(attempt)
 }
 
-// attributedTo is the server, and its role, on which an attempt counts while it is in flight: for a likely
-// fill the source, for a hit the cache; parents and the origin count as sources, also as targets. So fills
-// that hang do not keep hits from a cache.
+// attributedTo returns the server and the role whose work in flight includes an attempt: the source of a likely
+// fill, or the cache of a likely hit. Attempts sent directly to a parent or the origin count in its role as
+// source. Fills that hang therefore do not keep hits away from a cache.
 func attributedTo(attempt *attemptState) (*serverState, *roleLoad) {
 	switch {
 	case attempt.target.tier != edgeTier:
--- a/routing/locations.go
+++ b/routing/locations.go
@@ -2,10 +2,10 @@
 
 import "cmp"
 
-// Content location: which caches likely hold a copy of an object. The table has two generations; an entry
-// that is used moves to the current one, and the older one is dropped with each rotation.
+// Content location: which caches likely hold a copy of an object. The location table has two generations: an
+// entry that is used moves to the current generation, and each rotation drops the previous generation.
 
-// recordUse counts a use of an object and returns its entry of the location table.
+// recordUse counts a request for a part of an object and returns its entry in the location table.
 func (r *Router) recordUse(key objectKey) *contentLocation {
 	location := cmp.Or(r.currentLocations[key], r.previousLocations[key])
 	if location == nil {
@@ -25,7 +25,7 @@
 	clear(r.currentLocations)
 }
 
-// recordLocation notes that a cache has answered a request, so that it likely holds a copy.
+// recordLocation records that a cache has answered a request and therefore likely holds a copy of the object.
 func (r *Router) recordLocation(request *requestState, target *serverState) {
 	if target.tier != edgeTier || request.uncacheable {
 		return
@@ -37,7 +37,7 @@
 	hints[0] = locationHint{target, r.now}
 }
 
-// dropHints forgets that a cache holds a copy.
+// dropHints removes the hints that a server holds a copy.
 func (l *contentLocation) dropHints(server *serverState) {
 	for i, hint := range l.hints {
 		if hint.server == server {
@@ -46,8 +46,8 @@
 	}
 }
 
-// hintedSource is a cache other than target that likely holds a copy that will do, and is fast enough to fill
-// from; nil: there is none.
+// hintedSource returns a cache other than target that likely holds a valid copy and is not slow, or nil if there
+// is none.
 func (r *Router) hintedSource(request *requestState, target *serverState) *serverState {
 	for _, hint := range request.location.hints {
 		if hint.server == target || !r.isUsable(hint.server) || r.now-hint.answeredAt > siblingHintLifetime {
@@ -60,7 +60,8 @@
 	return nil
 }
 
-// isLikelyFill tells that the location table does not know the cache for holding a copy that will do.
+// isLikelyFill reports whether the location table has no valid hint that the cache holds a copy, so that the cache
+// will probably have to fill.
 func (r *Router) isLikelyFill(request *requestState, cache *serverState) bool {
 	for _, hint := range request.location.hints {
 		if hint.server == cache && r.isValid(request, hint) {
@@ -70,7 +71,8 @@
 	return true
 }
 
-// isValid tells that a hint is not outdated by its age, by a purge, or by a restart of the cache.
+// isValid reports whether a hint is still valid: not too old, and later than any purge of the object and any
+// restart of the cache.
 func (r *Router) isValid(request *requestState, hint locationHint) bool {
 	if r.now-hint.answeredAt > hintLifetime || hint.answeredAt < hint.server.invalidatedAt {
 		return false
--- a/routing/reason.go
+++ b/routing/reason.go
@@ -1,21 +1,22 @@
 package routing
 
-// Reason is why the router ended a request without the answer of a server.
+// Reason is the reason why the Router ended a request without an answer from a server.
 type Reason uint8
 
-// Reasons to end a request. The zero Reason means that there is none.
+// Reasons to end a request. The zero value means that there is no reason to end it.
 const (
 	ReasonNone                 Reason = iota
 	ReasonDeadlineExceeded            // the request's deadline has passed
-	ReasonAttemptsExhausted           // SiteLimits.MaxAttempts were made
-	ReasonMayHaveExecuted             // an earlier attempt may have executed, and must not be repeated
-	ReasonSiteLost                    // the director's own site is lost
-	ReasonNoServerInTime              // no server could take it within half its latency objective
-	ReasonRetryBudgetExhausted        // too many retries fail
+	ReasonAttemptsExhausted           // the request has had SiteLimits.MaxAttempts attempts
+	ReasonMayHaveExecuted             // an earlier attempt may have executed, so the request must not be repeated
+	ReasonSiteLost                    // the director's own site is lost, or the director is cut off from all servers
+	ReasonNoServerInTime              // no server accepted it within half its latency objective
+	ReasonRetryBudgetExhausted        // the retry budget has no retry left
 	ReasonOriginShielded              // only the origin can serve it, and the origin is overloaded
 )
 
-// reasonTexts are for logs and tests; the flight recorder has names of its own.
+// reasonTexts holds the texts of Reason.String, for logs and tests. The flight recorder has its own names for
+// reasons.
 var reasonTexts = [...]string{
 	ReasonNone:                 "",
 	ReasonDeadlineExceeded:     "deadline exceeded",
@@ -27,7 +28,7 @@
 	ReasonOriginShielded:       "origin shielded",
 }
 
-// String is the reason as text; empty for ReasonNone.
+// String returns the reason as text; it is empty for ReasonNone.
 func (r Reason) String() string {
 	if int(r) < len(reasonTexts) {
 		return reasonTexts[r]
--- a/routing/result.go
+++ b/routing/result.go
@@ -1,21 +1,21 @@
 package routing
 
-// Result is how an attempt ended.
+// Result is the way in which an attempt ended.
 type Result uint8
 
 // Results of an attempt.
 const (
 	OK       Result = iota
 	Errored         // the server answered with an error
-	Rejected        // the server rejected it unseen, or its source rejected the fill or could not be reached
+	Rejected        // not executed: the server rejected it, or its source rejected the fill or was unreachable
 	TimedOut
 	ConnectFailed
-	Reset                   // the connection broke under it
-	Cancelled               // the router cancelled it
-	Abandoned               // given up by the caller before it was written
-	Miss                    // asked for a cached copy only, and there was none
-	LocalResourcesExhausted // this host had no descriptor, buffer or memory for a connection
-	Unreachable             // this host had no route or port towards the server
+	Reset                   // the connection broke while the attempt was in flight
+	Cancelled               // cancelled by a Cancel of the Router
+	Abandoned               // given up by the caller before the attempt was written
+	Miss                    // the attempt allowed only a cached copy, and there was none
+	LocalResourcesExhausted // the director's host had no descriptor, buffer or memory for a connection
+	Unreachable             // the director's host had no route to the server or no local port
 )
 
 var resultNames = [...]string{
@@ -35,7 +35,7 @@
 // ResultCount is the number of results.
 const ResultCount = len(resultNames)
 
-// String is the result's name.
+// String returns the name of the result, or "unknown".
 func (r Result) String() string {
 	if int(r) < len(resultNames) {
 		return resultNames[r]
@@ -43,7 +43,7 @@
 	return "unknown"
 }
 
-// mayHaveExecuted tells whether a server may have executed an attempt that ended so.
+// mayHaveExecuted reports whether a server may have executed an attempt that ended with this result.
 func (r Result) mayHaveExecuted() bool {
 	switch r {
 	case Rejected, ConnectFailed, Abandoned, Miss, LocalResourcesExhausted, Unreachable:
@@ -52,31 +52,31 @@
 	return true
 }
 
-// suggestsOverload tells that an attempt failed in a way in which attempts fail under overload, so that a
-// retry adds to it.
+// suggestsOverload reports whether the result is one that overloaded servers cause, so that a retry could add
+// to an overload.
 func (r Result) suggestsOverload() bool {
 	return r == Rejected || r == ConnectFailed || r == TimedOut
 }
 
-// FillStatus tells how an answer came about, where the site reports it.
+// FillStatus is how a cache obtained its answer, where the site reports it.
 type FillStatus uint8
 
 // Fill statuses.
 const (
 	FillStatusUnknown           FillStatus = iota // not reported
 	FillStatusHit                                 // served from the cache
-	FillStatusFilled                              // filled from its source, which had a copy
-	FillStatusFilledByOrigin                      // filled by the origin, if need be through a parent
-	FillStatusCoalesced                           // waited for a fill that was under way, or was told of one
-	FillStatusStale                               // served stale
+	FillStatusFilled                              // filled from the source, which had a copy
+	FillStatusFilledByOrigin                      // filled from the origin, directly or through a parent
+	FillStatusCoalesced                           // waited for a fill in progress, or reported that one is in progress
+	FillStatusStale                               // served a stale copy
 	FillStatusSourceRejected                      // the source rejected the fill
 	FillStatusSourceUnreachable                   // the source could not be reached
 	FillStatusSourceMiss                          // the source has no copy and may not fill one
-	FillStatusNoFillSlot                          // the cache has no capacity for a further fill
-	FillStatusOriginFailed                        // the origin failed behind the source
+	FillStatusNoFillSlot                          // the cache has no capacity for another fill
+	FillStatusOriginFailed                        // the source was reached, but the origin behind it failed
 )
 
-// sourceAnswered tells that an answer with this status proves that the source of the fill has answered.
+// sourceAnswered reports whether the status proves that the source of the fill has answered the cache.
 func (s FillStatus) sourceAnswered() bool {
 	switch s {
 	case FillStatusFilled, FillStatusFilledByOrigin, FillStatusCoalesced,
--- a/routing/settings.go
+++ b/routing/settings.go
@@ -2,157 +2,161 @@
 
 import "time"
 
-// Values of Class.Idempotency. Any other word counts as IdempotencyNone.
+// Values of Class.Idempotency. Any other value is treated as IdempotencyNone.
 const (
 	IdempotencyReadLike = "read_like"       // may be repeated at any time
 	IdempotencyKeyed    = "idempotency_key" // may be repeated within DedupWindow, inside DedupScope
 	IdempotencyNone     = "non_idempotent"  // may be repeated only if no attempt can have executed
 )
 
-// Values of Class.DedupScope: which servers recognise a repeat of a keyed request.
+// Values of Class.DedupScope: the servers that recognise a repeat of a keyed request.
 const (
 	DedupScopeAll  = "all"
-	DedupScopeZone = "zone"
-	DedupScopeCell = "cell"
+	DedupScopeZone = "zone" // those of the same zone
+	DedupScopeCell = "cell" // those with the same Endpoint.Cell
 )
 
-// Values of TierSettings.SiblingFills: which caches may be the source of a fill. Any other word counts as
-// SiblingFillsOff.
+// Values of TierSettings.SiblingFills: the caches that may be the source of a fill. Any other value is treated
+// as SiblingFillsOff.
 const (
 	SiblingFillsOff      = "off"
-	SiblingFillsLocation = "location" // those of the director's own zone
-	SiblingFillsAny      = "any"      // those of other zones, too
+	SiblingFillsLocation = "location" // caches of the director's own zone
+	SiblingFillsAny      = "any"      // also caches of other zones
 )
 
-// Values of TierSettings.FillStatusReported: which answers carry a FillStatus.
+// Values of TierSettings.FillStatusReported: the answers that carry a FillStatus.
 const (
 	FillStatusReportedAll = "all"
 	FillStatusReportedHit = "hit"
 	FillStatusReportedOff = "off"
 )
 
-// Values of Settings.WeightMode: whether Endpoint.Weight is a server's capacity. Any other word counts as
-// WeightModeOff.
+// Values of Settings.WeightMode. Endpoint.Weight is a server's capacity with WeightModeNominal and
+// WeightModeRough only. Any other value is treated as WeightModeOff.
 const (
 	WeightModeOff     = "off"
 	WeightModeNominal = "nominal"
 	WeightModeRough   = "rough"
 )
 
-// DiscoverySubscribe is the value of Settings.DiscoveryMode with which the Router has to subscribe to the
-// endpoint list; with any other, updates come by themselves.
+// DiscoverySubscribe is the value of Settings.DiscoveryMode with which the Router subscribes to the endpoint
+// list. With any other value, updates arrive without a subscription.
 const DiscoverySubscribe = "subscribe"
 
-// Class describes a class of requests.
+// Class holds the properties of a class of requests.
 type Class struct {
 	Name string `json:"name"`
-	// LatencyObjective is the time within which an answer is worth PriorityWeight in full.
+	// LatencyObjective is the latency up to which an answer is worth the full PriorityWeight.
 	LatencyObjective time.Duration `json:"aim"`
-	// LatencyObjectivePerSize is added to the objective for each second of transfer time, in seconds.
+	// LatencyObjectivePerSize is the number of seconds by which the objective grows for each second of
+	// transfer time.
 	LatencyObjectivePerSize float64 `json:"aimStretch"`
 	// Timeout is how long a client waits for an answer.
 	Timeout time.Duration `json:"deadline"`
-	// PriorityWeight is what an answer within the objective is worth, compared with other classes.
+	// PriorityWeight is the value of an answer within the objective, relative to other classes.
 	PriorityWeight float64 `json:"worth"`
-	// LatePriorityWeight is what an answer after the objective is worth.
+	// LatePriorityWeight is the value of an answer after the objective.
 	LatePriorityWeight float64 `json:"lateWorth"`
 	// Idempotency is one of the Idempotency constants.
 	Idempotency string `json:"effect"`
 	// DedupScope is one of the DedupScope constants.
 	DedupScope string `json:"group"`
-	// DedupWindow is how long after a keyed request its repeats are recognised.
+	// DedupWindow is the time after a keyed request within which servers recognise its repeats.
 	DedupWindow time.Duration `json:"dedupWindow"`
-	// Streaming tells that answers are streamed.
+	// Streaming reports whether answers are streamed.
 	Streaming bool `json:"streaming"`
 }
 
-// SiteLimits are what the site allows a director to do.
+// SiteLimits holds the limits and permissions that the site sets for a director.
 type SiteLimits struct {
 	CancelAllowed bool          `json:"cancel"`
-	MaxAttempts   int           `json:"maxAttempts"` // for one request, hedges included; at least 1
+	MaxAttempts   int           `json:"maxAttempts"` // attempts for one request, hedges included; at least 1
 	MaxRetryAfter time.Duration `json:"maxRetryAfter"`
-	// MaxOpenRequests bounds the requests that a director may have open; 0: no bound.
+	// MaxOpenRequests is the maximum number of open requests of a director; 0: no bound.
 	MaxOpenRequests     int  `json:"openCap"`
 	PeerMessagesAllowed bool `json:"peerMessages"`
 	ProbesAllowed       bool `json:"probes"`
-	RetryAfterAllowed   bool `json:"retryAfter"` // a rejection may tell the client when to come back
+	RetryAfterAllowed   bool `json:"retryAfter"` // rejections may carry a time to retry after
 	HedgingAllowed      bool `json:"secondCopies"`
 }
 
-// TierSettings are facts about caches, parents and the origin. Lists by class or by zone are ordered like
-// Settings.Classes and Settings.Zones; they may be left out.
+// TierSettings holds the properties of caches, parents and the origin. Lists by class or by zone have the order
+// of Settings.Classes or Settings.Zones; they may be empty.
 type TierSettings struct {
-	// BypassAllowed tells that requests may go to a parent or to the origin without a cache.
+	// BypassAllowed permits sending requests directly to a parent or to the origin.
 	BypassAllowed bool `json:"bypassAllowed"`
-	// FreshnessLifetime is, by class, how long a copy is fresh (RFC 9111, section 4.2); 0: unbounded.
+	// FreshnessLifetime is the time for which a copy is fresh (RFC 9111, section 4.2), by class; 0: unbounded.
 	FreshnessLifetime []time.Duration `json:"classFresh"`
-	// StaleWindow is, by class, how long after that a copy may still be served.
+	// StaleWindow is the time after its FreshnessLifetime for which a copy may still be served, by class.
 	StaleWindow []time.Duration `json:"staleFor"`
-	// StaleValue is, by class, the part of its weight that a stale answer is worth.
+	// StaleValue is the fraction of PriorityWeight that a stale answer is worth, by class.
 	StaleValue []float64 `json:"staleEarns"`
-	// Uncacheable tells, by class, that answers are never stored.
+	// Uncacheable reports whether answers must not be stored, by class.
 	Uncacheable []bool `json:"passOn"`
-	// TransferKBPerSecond is the rate of one transfer; 0: not known.
+	// TransferKBPerSecond is the rate of one transfer in kB/s; 0: not known.
 	TransferKBPerSecond float64 `json:"flowKbPerS"`
-	// InboundLinkKBPerSecond is, by zone, the capacity of its inbound link; 0: not known.
+	// InboundLinkKBPerSecond is the capacity of the inbound link in kB/s, by zone; 0: not known.
 	InboundLinkKBPerSecond []float64 `json:"feedKbPerS"`
-	// TransitCost is the cost of traffic between zones.
+	// TransitCost is the relative cost of traffic between zones.
 	TransitCost float64 `json:"transitPrice"`
-	// CoalescesFills tells that a cache lets a miss wait for a fill of the same object that is under way.
+	// CoalescesFills reports whether caches coalesce fills: a miss waits for a fill of the same object that is
+	// in progress.
 	CoalescesFills bool `json:"mergesFills"`
-	// OriginOverloadMultiple and OriginTolerance describe how much load the origin bears. No decision uses
-	// them.
+	// OriginOverloadMultiple and OriginTolerance describe the load that the origin can handle. The Router does
+	// not use them.
 	OriginOverloadMultiple float64       `json:"rootFallMultiple"`
 	OriginTolerance        time.Duration `json:"originBears"`
-	// OriginKind is the Endpoint.Kind of the origin.
+	// OriginKind is the Endpoint.Kind of origins.
 	OriginKind int `json:"masterKind"`
-	// ParentKind is the Endpoint.Kind of parents; -1: there are none.
+	// ParentKind is the Endpoint.Kind of parents; -1: the site has no parents.
 	ParentKind int `json:"secondTierKind"`
-	// ParentSlowStartFraction, ParentSlowStartDuration and ParentOverloadMultiple are for parents what the
-	// fields SlowStartFraction, SlowStartDuration and OverloadMultiple of Guarantees are for edge caches.
+	// ParentSlowStartFraction, ParentSlowStartDuration and ParentOverloadMultiple replace SlowStartFraction,
+	// SlowStartDuration and OverloadMultiple of Guarantees for parents.
 	ParentSlowStartFraction float64       `json:"parentColdFrom"`
 	ParentSlowStartDuration time.Duration `json:"parentRamp"`
 	ParentOverloadMultiple  float64       `json:"parentFallMultiple"`
-	// PurgePropagation is how long a purge takes to reach every cache.
+	// PurgePropagation is the time that a purge takes to reach every cache.
 	PurgePropagation time.Duration `json:"purgeTakes"`
-	// PurgeSlack is how long after its notification a director may still accept older copies.
+	// PurgeSlack is the time after the notification of a purge for which a director may still accept copies
+	// that are older than the purge.
 	PurgeSlack time.Duration `json:"purgeSlack"`
 	// SiblingFills is one of the SiblingFills constants.
 	SiblingFills string `json:"lateral"`
 	// FillStatusReported is one of the FillStatusReported constants.
 	FillStatusReported string `json:"notesGiven"`
-	// DirectorsByZone is the number of directors that share the servers of a zone.
+	// DirectorsByZone is the number of directors that share the servers of a zone, by zone.
 	DirectorsByZone []int `json:"seatsByZone"`
-	// HubByZone is the zone of the hub whose parents the caches of a zone fill from.
+	// HubByZone is the index of the hub whose parents the caches of a zone fill from, by zone.
 	HubByZone []int `json:"hubByZone"`
 }
 
-// Guarantees are the bounds that the site's rules set.
+// Guarantees holds the time and load bounds that the site's rules set.
 type Guarantees struct {
-	// PollWithin is the time within which the endpoint list must be asked for again after a failure.
+	// PollWithin is the time within which the endpoint list must be requested again after a failure.
 	PollWithin time.Duration `json:"askWithin"`
-	// SlowStartDuration is how long a cache that has just started warms up.
+	// SlowStartDuration is the time that an edge cache needs to warm up after its start.
 	SlowStartDuration time.Duration `json:"cold"`
-	// SlowStartFraction is the part of its capacity that such a cache has at its start.
+	// SlowStartFraction is the fraction of its capacity that an edge cache has at its start.
 	SlowStartFraction float64 `json:"coldFrom"`
-	// DrainGrace is how long a draining server still answers.
+	// DrainGrace is the time for which a draining server still answers.
 	DrainGrace time.Duration `json:"drainGrace"`
-	// OverloadWindow is the span over which a load of OverloadMultiple makes a cache that warms up break
-	// down.
+	// OverloadWindow is the time after which a load of OverloadMultiple makes a server that is warming up
+	// break down.
 	OverloadWindow time.Duration `json:"fall"`
-	// AnswerGrace is how long after its deadline a request may still be answered.
+	// AnswerGrace is the time after its deadline for which a request may still be answered.
 	AnswerGrace time.Duration `json:"graceToAnswer"`
-	// OverloadMultiple is the multiple of its present capacity at which a cache that warms up breaks down.
+	// OverloadMultiple is the multiple of its present capacity at which an edge cache that is warming up
+	// breaks down.
 	OverloadMultiple float64 `json:"tipMultiple"`
 }
 
-// LoadReportSettings tell which load figures servers report, and with what.
+// LoadReportSettings describes which load figures servers report, and how.
 type LoadReportSettings struct {
 	Fields []string `json:"fields"`
-	Via    string   `json:"via"` // inline, on_probe or off
+	Via    string   `json:"via"` // how the figures are reported: inline, on_probe or off
 }
 
-// Settings configure a Router. Durations are nanoseconds in JSON.
+// Settings holds the configuration of a Router. In JSON, durations are integers in nanoseconds.
 type Settings struct {
 	Directors     int                `json:"balancers"` // number of directors of the site
 	Classes       []Class            `json:"services"`
@@ -160,11 +164,11 @@
 	Tiers         TierSettings       `json:"familyInfo"`
 	Guarantees    Guarantees         `json:"guarantees"`
 	Kinds         []string           `json:"kinds"` // names of the kinds of servers, by Endpoint.Kind
-	ID            uint32             `json:"me"`    // this director, among its peers
+	ID            uint32             `json:"me"`    // ID of this director, unique among its peers
 	Quantum       time.Duration      `json:"quantum"`
 	DiscoveryMode string             `json:"registryMode"` // automatic or DiscoverySubscribe
 	LoadReport    LoadReportSettings `json:"report"`
 	WeightMode    string             `json:"weights"` // one of the WeightMode constants, or live
-	Zone          int                `json:"zone"`    // this director's own, an index of Zones
-	Zones         []string           `json:"dcs"`
+	Zone          int                `json:"zone"`    // zone of this director, an index of Zones
+	Zones         []string           `json:"dcs"` // names of the zones
 }
--- a/routing/tuning.go
+++ b/routing/tuning.go
@@ -2,68 +2,68 @@
 
 import "time"
 
-// The tuned values. Everything else is derived from the settings or observed.
+// Tuning constants. All other parameters come from the settings or from observation.
 
 // Object location and purges.
 const (
-	siblingHintLifetime = 5 * time.Second  // an older hint does not make a cache the source of a fill
-	hintLifetime        = 15 * time.Second // of a table generation: about the life of an unused copy
-	maxTableEntries     = 1 << 14          // of a table generation, and of purges: bounds memory
-	purgeMargin         = time.Second      // for which a purge is remembered after it has reached all caches
-	maxRetentionRank    = 2                // seen once, an object must not displace what is asked for again
+	siblingHintLifetime = 5 * time.Second  // maximum age of a hint that makes a cache the source of a fill
+	hintLifetime        = 15 * time.Second // of a hint or table generation: about that of an unused copy
+	maxTableEntries     = 1 << 14          // entries in a table generation, and purges: bounds memory
+	purgeMargin         = time.Second      // for which a purge is kept after it has reached all caches
+	maxRetentionRank    = 2                // an object requested once must not displace objects requested again
 )
 
 // Timers and retries.
 const (
-	tickInterval             = 50 * time.Millisecond // of checks: well under any latency objective
-	minPostponement          = 50 * time.Millisecond // before a request that no server takes is tried again
-	maxPostponementDoublings = 5
-	windowSafetyMargin       = 50 * time.Millisecond // of an idempotency window, left for network delay
-	logInterval              = time.Second
-	sweepInterval            = time.Second
+	tickInterval             = 50 * time.Millisecond // between two checks: well below any latency objective
+	minPostponement          = 50 * time.Millisecond // wait before the next try of a request that no server accepts
+	maxPostponementDoublings = 5                     // of minPostponement
+	windowSafetyMargin       = 50 * time.Millisecond // part of an idempotency window reserved for network delay
+	logInterval              = time.Second           // minimum time between two log messages
+	sweepInterval            = time.Second           // between two expiries of stored state
 )
 
 // Outlier ejection.
 const (
-	quickFailure    = 200 * time.Millisecond // a source that fails faster is down; slower: may be overloaded
-	slowFailures    = 3                      // slow failures in a row after which a source is ejected
-	initialEjection = 500 * time.Millisecond // doubles up to maxEjection while half-open probes fail
-	maxEjection     = 4 * time.Second        // bounds how late a recovery is noticed
+	fastFailureThreshold = 200 * time.Millisecond // a source that fails faster is down, else perhaps overloaded
+	slowFailureLimit     = 3                      // failures in a row that eject a slowly failing source
+	initialEjection      = 500 * time.Millisecond // doubles up to maxEjection while half-open probes fail
+	maxEjection          = 4 * time.Second        // bounds the delay until a recovery is noticed
 )
 
-// Hedging: a lost read is sent to its cache again.
+// Hedging: a read-like attempt whose answer is likely lost is sent to the same cache again.
 const (
-	hedgeObjectiveFraction = 0.15 // part of the objective after which an attempt is overdue
-	hedgeLatencyFactor     = 1.5  // and times its expected latency, on top
-	hedgeTokensPerRequest  = 0.02 // hedges must not double an overload
-	hedgeTokensPerWin      = 2.0  // for each hedge that brought the answer: the next may be lost, too
+	hedgeObjectiveFraction = 0.15 // an attempt is overdue after this fraction of its latency objective
+	hedgeLatencyFactor     = 1.5  // plus this multiple of its expected latency
+	hedgeTokensPerRequest  = 0.02 // few, so that hedges do not double an overload
+	hedgeTokensPerWin      = 2.0  // for a hedge that got the answer: pays for the hedge and for another one
 	maxHedgeTokens         = 8.0
 	maxHedgesPerRequest    = 2
 )
 
 // Concurrency limits.
 const (
-	initialLimitTransfers = 24.0 // transfers of all directors from which a limit first comes down
-	maxLimitLoadFactor    = 2.0  // or this times the load, where that is more
-	minLimitTransfers     = 2.0  // mean transfers of the largest class left to all directors together
-	limitFitFraction      = 0.3  // part of the load beside which all were in time that a limit leaves
-	hitLimitHeadroom      = 3.0  // times its limit by which hits may exceed a cache's limit
-	spilloverLoadFraction = 0.6  // part of its limit up to which a cache takes objects of other caches
+	initialLimitTransfers = 24.0 // highest starting point of a decrease, in transfers of all directors
+	maxLimitLoadFactor    = 2.0  // or this multiple of the present load, if that is more
+	minLimitTransfers     = 2.0  // lowest limit, in mean transfers of the largest class, of all directors
+	limitFitFraction      = 0.3  // a decreased limit allows this fraction of the load at which answers are timely
+	hitLimitHeadroom      = 3.0  // multiple of a cache's limit by which likely hits may exceed it
+	spilloverLoadFraction = 0.6  // fraction of its limits up to which a cache accepts spillover from other caches
 )
 
 // Slow start.
 const (
-	slowStartBudgetFraction  = 0.5 // part of the budget that is used: a margin for chance
-	unknownCapacityTransfers = 0.5 // assumed capacity of a server of unknown size, for all directors
-	recentWorkTimeConstant   = 4 * time.Second
+	slowStartBudgetFraction  = 0.5 // fraction of the budget that is used: a margin for random peaks
+	unknownCapacityTransfers = 0.5 // minimum capacity assumed where it is not known, for all directors
+	recentWorkTimeConstant   = 4 * time.Second // of the exponential decay of recent work
 )
 
 // Transfer time and latency.
 const (
-	initialWorkFraction      = 0.25    // part of the objective that a transfer is first assumed to take
-	latencyRatioSampleWeight = 1.0 / 6 // of a new sample: some seconds of traffic
-	latencyRatioDecay        = 0.9     // part of a ratio left after a second: an avoided cache is tried again
-	latencyRatioTolerance    = 0.7     // log ratio over that of the faster third that is taken for chance
-	latencyRatioPenalty      = 2.0     // power by which the ratio lowers a weight
-	minLatencySample         = 1e-3    // seconds
+	initialWorkFraction      = 0.25    // fraction of the objective that a transfer is assumed to take at first
+	latencyRatioSampleWeight = 1.0 / 6 // of a new sample: the mean covers some seconds of traffic
+	latencyRatioDecay        = 0.9     // factor for each sweep, so that an avoided cache is tried again
+	latencyRatioTolerance    = 0.7     // excess over the baseline log ratio that counts as random variation
+	latencyRatioPenalty      = 2.0     // exponent with which the excess ratio lowers a weight
+	minLatencySample         = 1e-3    // seconds: lower bound of a latency sample
 )
