--- a/routing/actions.go
+++ b/routing/actions.go
@@ -2,9 +2,8 @@
 
 import "time"
 
-// Action is an output of Router.Handle that the caller has to carry out: one of Forward, Fetch,
-// Cancel, Reject, Fail, SetTimer, Probe, CloseIdleConnections, SendPeerMessage, Subscribe, PollEndpoints and
-// Log.
+// Action is an output of Router.Handle that the caller has to carry out: one of Forward, Fetch, Cancel,
+// Reject, Fail, SetTimer, Probe, CloseIdleConnections, SendPeerMessage, Subscribe, PollEndpoints and Log.
 type Action any
 
 // Forward sends an attempt to a host that needs no source, such as the origin.
@@ -24,7 +23,7 @@
 	CoalesceFill         FetchFlags = 1 << iota // a miss may wait for a fill that is in progress
 	OnlyIfCached                                // the source answers from its cache only (RFC 9111)
 	ParentNoStore                               // the parent does not store the object
-	StaleWhileRevalidate                        // serve a stale copy, revalidate it in the background (RFC 5861)
+	StaleWhileRevalidate                        // serve a stale copy and revalidate it meanwhile (RFC 5861)
 )
 
 // Fetch sends an attempt to a cache and names the source from which the cache fills a miss.
--- a/routing/doc.go
+++ b/routing/doc.go
@@ -45,7 +45,7 @@
 //   - route.go, rank.go: the choice of target and source
 //   - send.go, idempotency.go: the conditions for every attempt
 //   - outcome.go, failure.go, health.go, ejection.go, latency.go: the evaluation of ended attempts
-//   - limits.go, slowstart.go: overload protection; hedging.go: second attempts for lost answers
+//   - limits.go, slowstart.go: overload protection; hedging.go: repeated attempts for lost answers
 //   - locations.go, purge.go: which cache holds which object
 //   - endpoints.go: the endpoint list; peers.go, peermessage.go: location queries to directors of other zones
 //   - upkeep.go: periodic checks and expiry of state
--- a/routing/ejection.go
+++ b/routing/ejection.go
@@ -6,8 +6,8 @@
 	"shaleyard/internal/overload"
 )
 
-// Outlier ejection: a server that has failed receives no requests until a single request, the half-open probe,
-// is answered.
+// Outlier ejection: a server that has failed receives no requests until a single request, the half-open
+// probe, is answered.
 
 // mayProbe reports whether a server is ejected and the next request may be its half-open probe.
 func (r *Router) mayProbe(server *serverState) bool {
--- a/routing/ending.go
+++ b/routing/ending.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// The end of requests that no server has answered.
+// The end of requests. A request ends with the answer of a server, or through endRequest.
 
-// endRequest answers a request without a server: with a rejection if the client may safely repeat the request,
-// otherwise with a failure.
+// endRequest answers a request without a server: with a rejection if the client may safely repeat the
+// request, otherwise with a failure.
 func (r *Router) endRequest(request *requestState, reason Reason) {
 	if r.mayReject(request) {
 		r.emit(Reject{ID: request.ID, RetryAfter: r.retryAfter(), Reason: reason})
@@ -32,9 +32,9 @@
 	return !slices.ContainsFunc(request.attempts, mayHaveExecuted)
 }
 
-// retryAfter returns the time after which the client of a rejected request should retry, or 0 if the site does
-// not allow such a hint. The time is minPostponement or, while the director's own site is lost and if it is
-// longer, the time to the next probe of the site. Random jitter is added, up to SiteLimits.MaxRetryAfter.
+// retryAfter returns the time after which the client of a rejected request should retry, or 0 if the site
+// does not allow such a hint. The time is minPostponement or, while the director's own site is lost and if it
+// is longer, the time to the next probe of the site. Random jitter is added, up to SiteLimits.MaxRetryAfter.
 func (r *Router) retryAfter() time.Duration {
 	limits := &r.settings.SiteLimits
 	if !limits.RetryAfterAllowed {
@@ -46,8 +46,8 @@
 	return wait + time.Duration(r.rng.Int64N(int64(jitter)+1))
 }
 
-// forgetRequest removes a request that has ended, and cancels its attempts in flight unless its answer is being
-// streamed.
+// forgetRequest removes a request that has ended, and cancels its attempts in flight unless its answer is
+// being streamed.
 func (r *Router) forgetRequest(request *requestState) {
 	delete(r.requests, request.ID)
 	if request.streaming {
--- a/routing/events.go
+++ b/routing/events.go
@@ -2,8 +2,9 @@
 
 import "time"
 
-// Event is an input of Router.Handle: one of EndpointUpdate, Request, ShortenDeadline, StreamStarted, Outcome,
-// RequestClosed, TimerFired, ProbeResult, PeerMessage and Purge. The Router ignores values of other types.
+// Event is an input of Router.Handle: one of EndpointUpdate, Request, ShortenDeadline, StreamStarted,
+// Outcome, RequestClosed, TimerFired, ProbeResult, PeerMessage and Purge. The Router ignores values of other
+// types.
 type Event any
 
 // EndpointUpdate reports the endpoint list, a change of it, or a failure to obtain it, depending on Kind.
@@ -27,8 +28,8 @@
 	Write       bool    // the answer must not be stored
 }
 
-// ShortenDeadline moves the deadline of a request to an earlier time. A deadline later than the present one is
-// ignored.
+// ShortenDeadline moves the deadline of a request to an earlier time. A deadline later than the present one
+// is ignored.
 type ShortenDeadline struct {
 	ID       uint32
 	Deadline Time
--- a/routing/failure.go
+++ b/routing/failure.go
@@ -4,10 +4,10 @@
 
 // The effect of a failed attempt on the retry of its request.
 
-// applyFailure records which servers a failed attempt rules out for its request, and reports whether the request
-// must wait before its retry. After a rejection for lack of capacity the request waits: the server will still
-// lack capacity a moment later, and an immediate retry at another server would double an overload. The
-// trade-off is that a request sometimes waits although another server has capacity.
+// applyFailure records which servers a failed attempt rules out for its request, and reports whether the
+// request must wait before its retry. After a rejection for lack of capacity the request waits: the server
+// will still lack capacity a moment later, and an immediate retry at another server would double an overload.
+// The trade-off is that a request sometimes waits although another server has capacity.
 func (r *Router) applyFailure(request *requestState, attempt *attemptState, outcome Outcome) (wait bool) {
 	r.raiseSourceTier(request, attempt, outcome)
 	switch outcome.Result {
@@ -27,8 +27,8 @@
 		(outcome.FillStatus == FillStatusUnknown || outcome.FillStatus == FillStatusNoFillSlot)
 }
 
-// raiseSourceTier rules out the tier of a source that has missed, rejected the fill or let it time out: after a
-// sibling, the request is filled from a parent or the origin; after a parent, from the origin.
+// raiseSourceTier rules out the tier of a source that has missed, rejected the fill or let it time out: after
+// a sibling, the request is filled from a parent or the origin; after a parent, from the origin.
 func (r *Router) raiseSourceTier(request *requestState, attempt *attemptState, outcome Outcome) {
 	source := attempt.source
 	if source == nil || !r.sourceMayBeCause(outcome) {
@@ -53,15 +53,16 @@
 		if !rejectedForCapacity(outcome) {
 			return true
 		}
-		// If not all answers carry a fill status, a rejection without one may come from the cache or the source.
+		// If not all answers carry a fill status, a rejection without one may come from the cache or the
+		// source.
 		return outcome.FillStatus == FillStatusUnknown &&
 			r.settings.Tiers.FillStatusReported != FillStatusReportedAll
 	}
 	return false
 }
 
-// applyMiss records that a cache has no copy, and reports whether the request must wait before its retry: either
-// another request's fill is in progress, or all sources are at their limits.
+// applyMiss records that a cache has no copy, and reports whether the request must wait before its retry:
+// either another request's fill is in progress, or all sources are at their limits.
 func applyMiss(request *requestState, attempt *attemptState, outcome Outcome) (wait bool) {
 	fillInProgress := outcome.FillStatus == FillStatusCoalesced
 	if attempt.source == nil && fillInProgress {
--- a/routing/hedging.go
+++ b/routing/hedging.go
@@ -2,11 +2,12 @@
 
 import "math"
 
-// Hedging: a second attempt at the same cache where the answer to the first one seems lost.
+// Hedging: another attempt at the same cache where the answer to an attempt seems lost.
 
-// hedge sends another attempt to the cache of an attempt whose answer seems lost, for a cached copy only. Each
-// hedge costs one token. Each request adds hedgeTokensPerRequest, and each hedge that gets the answer adds
-// hedgeTokensPerWin. Hedging therefore continues while hedges succeed, and stops under overload.
+// hedge sends another attempt to the cache of an attempt whose answer seems lost, for a cached copy only.
+// Each hedge costs one token. Each request adds hedgeTokensPerRequest, and each hedge that gets the answer
+// adds hedgeTokensPerWin, which is more than its cost. Hedging therefore continues while hedges succeed, and
+// stops under overload.
 func (r *Router) hedge(attempt *attemptState) {
 	request := r.requests[attempt.requestID]
 	if request == nil || !r.mayHedge(request, attempt) {
@@ -35,8 +36,8 @@
 	return r.seemsLost(attempt) && hasRoom
 }
 
-// seemsLost reports whether the answer to an attempt has probably been lost: it is overdue by more than its size
-// and the speed of its cache explain, while a later attempt in the same role was answered in time.
+// seemsLost reports whether the answer to an attempt has probably been lost: it is overdue by more than its
+// size and the speed of its cache explain, while a later attempt in the same role was answered in time.
 func (r *Router) seemsLost(attempt *attemptState) bool {
 	_, load := attributedTo(attempt)
 	expected := attempt.declaredWork
--- a/routing/latency.go
+++ b/routing/latency.go
@@ -7,9 +7,9 @@
 
 // The ratio of the actual latency of caches to the expected latency.
 
-// sampleLatencyRatio adds the time that an attempt has taken so far as a latency sample of its cache. Attempts
-// are sampled when they end and, as the answers of a slow cache arrive too late to learn from, also in flight,
-// each time that this time has doubled.
+// sampleLatencyRatio adds the time that an attempt has taken so far as a latency sample of its cache.
+// Attempts are sampled when they end and, as the answers of a slow cache arrive too late to learn from, also
+// in flight, each time that this time has doubled.
 func (r *Router) sampleLatencyRatio(attempt *attemptState) {
 	target := attempt.target
 	if target.tier != edgeTier || attempt.halfOpenProbe {
@@ -21,14 +21,14 @@
 	target.logLatencyRatio += (logRatio - target.logLatencyRatio) * latencyRatioSampleWeight
 }
 
-// isSlow reports whether a cache answers far more slowly than the fastest third of the local caches. Fills from a
-// slow cache would be slow as well.
+// isSlow reports whether a cache answers far more slowly than the fastest third of the local caches. Fills
+// from a slow cache would be slow as well.
 func (r *Router) isSlow(server *serverState) bool {
 	return server.logLatencyRatio > r.baselineLogLatencyRatio+latencyRatioTolerance
 }
 
-// decayLatencyRatios moves the latency ratios of the local caches towards the neutral ratio, and sets the
-// baseline to the ratio at the upper end of their fastest third.
+// decayLatencyRatios decays the log latency ratios of the local caches towards 0, so that an avoided cache is
+// tried again, and sets the baseline to the ratio at the upper end of their fastest third.
 func (r *Router) decayLatencyRatios() {
 	ratios := make([]float64, 1, len(r.localCaches)+1)
 	for _, cache := range r.localCaches {
--- a/routing/limits.go
+++ b/routing/limits.go
@@ -4,8 +4,8 @@
 
 // Concurrency limits: how much work may be in flight at a server.
 
-// transferWork returns the work that a request counts towards budgets and limits, in seconds of transfer time:
-// the mean of its class or the transfer time of its declared size, whichever is larger.
+// transferWork returns the work that a request counts towards budgets and limits, in seconds of transfer
+// time: the mean of its class or the transfer time of its declared size, whichever is larger.
 func (r *Router) transferWork(request *requestState) float64 {
 	return max(r.classes[request.Class].work.Value, request.declaredWork)
 }
@@ -19,14 +19,14 @@
 	return largest
 }
 
-// atLimit reports whether a server's concurrency limit in a role leaves no room for additional work. It may draw
-// a random number: a limit that is smaller than one request admits requests at random.
+// atLimit reports whether a server's concurrency limit in a role leaves no room for additional work. It may
+// draw a random number: a limit that is smaller than one request admits requests at random.
 func (r *Router) atLimit(load *roleLoad, work float64) bool {
 	return load.concurrencyLimit.Full(r.now, load.inFlightWork, work, r.rng.Float64)
 }
 
-// linkSaturated reports whether the work in flight at a cache, with the request added, exceeds a fraction of the
-// work that the cache's link can transfer within the latency objective.
+// linkSaturated reports whether the work in flight at a cache, with the request added, exceeds a fraction of
+// the work that the cache's link can transfer within the latency objective.
 func (r *Router) linkSaturated(request *requestState, cache *serverState, fraction float64) bool {
 	if !cache.weightIsCapacity {
 		return false
@@ -37,10 +37,10 @@
 	return cache.totalInFlightWork+work > capacity
 }
 
-// adjustLimit lowers the concurrency limit of the server and role that made an attempt late or rejected it, and
-// raises the limit after a timely answer. All late answers of one overload together lower the limit no further
-// than to a fraction of the load at which they would have been timely. The trade-off is that objects which are
-// large for their class look late.
+// adjustLimit lowers the concurrency limit of the server and role that made an attempt late or rejected it,
+// and raises the limit after a timely answer. All late answers of one overload together lower the limit no
+// further than to a fraction of the load at which they would have been timely. The trade-off is that objects
+// which are large for their class look late.
 func (r *Router) adjustLimit(attempt *attemptState, outcome Outcome) {
 	if attempt.halfOpenProbe {
 		return
@@ -64,8 +64,8 @@
 	r.lowerLimit(server, load, attempt, outcome)
 }
 
-// lowerLimit lowers the concurrency limit of a server in a role after an attempt that was late, rejected or timed
-// out.
+// lowerLimit lowers the concurrency limit of a server in a role after an attempt that was late, rejected or
+// timed out.
 func (r *Router) lowerLimit(server *serverState, load *roleLoad, attempt *attemptState, outcome Outcome) {
 	current := load.inFlightWork + attempt.work
 	ceiling := max(initialLimitTransfers*attempt.work/server.sharingDirectors, maxLimitLoadFactor*current)
@@ -76,8 +76,8 @@
 	load.concurrencyLimit.Decrease(r.now, ceiling, timelyWork, floor)
 }
 
-// attributeOutcome returns the server and the role whose concurrency limit an outcome adjusts. It also records
-// whether the latest hit at the target was late or failed.
+// attributeOutcome returns the server and the role whose concurrency limit an outcome adjusts. It also
+// records whether the latest hit at the target was late or failed.
 func (r *Router) attributeOutcome(attempt *attemptState, outcome Outcome) (*serverState, *roleLoad) {
 	server, load := respondingServer(attempt, outcome)
 	target := attempt.target
@@ -88,13 +88,13 @@
 	case load == &target.asTarget && (outcome.FillStatus == FillStatusHit || !isOK):
 		target.asTarget.lastHitLate.Record(r.now, late || !isOK)
 	case target.tier == edgeTier && isOK && lateWithoutSource && target.asTarget.lastHitLate.Holds(r.now):
-		return target, &target.asTarget // the target delays hits as well, and the source did not delay it
+		return target, &target.asTarget // its hits are late as well, and the wait for its source is not the cause
 	}
 	return server, load
 }
 
-// respondingServer returns the server and the role that gave the answer to an attempt or, after a timeout, should
-// have given it.
+// respondingServer returns the server and the role that gave the answer to an attempt or, after a timeout,
+// should have given it.
 func respondingServer(attempt *attemptState, outcome Outcome) (*serverState, *roleLoad) {
 	target, source := attempt.target, attempt.source
 	timedOut := outcome.Result == TimedOut
@@ -110,9 +110,9 @@
 	return attributedTo(attempt)
 }
 
-// attributedTo returns the server and the role whose work in flight includes an attempt: the source of a likely
-// fill, or the cache of a likely hit. Attempts sent directly to a parent or the origin count in its role as
-// source. Fills that hang therefore do not keep hits away from a cache.
+// attributedTo returns the server and the role whose work in flight includes an attempt: the source of a
+// likely fill, or the cache of a likely hit. Attempts sent directly to a parent or the origin count in its
+// role as source. Fills that hang therefore do not keep hits away from a cache.
 func attributedTo(attempt *attemptState) (*serverState, *roleLoad) {
 	switch {
 	case attempt.target.tier != edgeTier:
--- a/routing/locations.go
+++ b/routing/locations.go
@@ -46,8 +46,8 @@
 	}
 }
 
-// hintedSource returns a cache other than target that likely holds a valid copy and is not slow, or nil if there
-// is none.
+// hintedSource returns a cache other than target that likely holds a valid copy and is not slow, or nil if
+// there is none.
 func (r *Router) hintedSource(request *requestState, target *serverState) *serverState {
 	for _, hint := range request.location.hints {
 		if hint.server == target || !r.isUsable(hint.server) || r.now-hint.answeredAt > siblingHintLifetime {
@@ -60,8 +60,8 @@
 	return nil
 }
 
-// isLikelyFill reports whether the location table has no valid hint that the cache holds a copy, so that the cache
-// will probably have to fill.
+// isLikelyFill reports whether the location table has no valid hint that the cache holds a copy, so that the
+// cache will probably have to fill.
 func (r *Router) isLikelyFill(request *requestState, cache *serverState) bool {
 	for _, hint := range request.location.hints {
 		if hint.server == cache && r.isValid(request, hint) {
--- a/routing/outcome.go
+++ b/routing/outcome.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// What the end of an attempt means for its request, and for what is known of classes and servers.
+// The end of an attempt: the update of class and server statistics, and the next step of the request.
 
 func (r *Router) handleOutcome(outcome Outcome) {
 	key := attemptKey(outcome.ID, outcome.Attempt)
@@ -14,7 +14,7 @@
 		return
 	}
 	delete(r.attempts, key)
-	removeFromFlight(attempt)
+	untrackAttempt(attempt)
 	attempt.mayHaveExecuted = outcome.Result.mayHaveExecuted()
 
 	request := r.requests[outcome.ID]
@@ -29,8 +29,8 @@
 	r.continueRequest(request, attempt, outcome)
 }
 
-// removeFromFlight takes an attempt off the books of its servers.
-func removeFromFlight(attempt *attemptState) {
+// untrackAttempt removes an attempt that has ended from the attempts and the work in flight of its servers.
+func untrackAttempt(attempt *attemptState) {
 	isAttempt := func(other *attemptState) bool { return other == attempt }
 	target, source := attempt.target, attempt.source
 	target.asTarget.inFlight = slices.DeleteFunc(target.asTarget.inFlight, isAttempt)
@@ -43,7 +43,8 @@
 	load.inFlightWork -= attempt.work
 }
 
-// continueRequest ends the request, retries it, or lets it wait for a retry.
+// continueRequest ends the request, retries it at once or postpones its retry after an attempt has ended. It
+// does nothing while other attempts of the request are in flight, unless the request has been answered.
 func (r *Router) continueRequest(request *requestState, attempt *attemptState, outcome Outcome) {
 	if outcome.RequestDone {
 		r.forgetRequest(request)
@@ -61,7 +62,8 @@
 		return
 	}
 	mustWait := r.applyFailure(request, attempt, outcome)
-	// A retry may overtake the cancellation of the attempt before it, so that two would be in flight at once.
+	// A retry may reach a server before the cancellation of the previous attempt does; then two attempts
+	// would be in flight at once, which is not allowed without hedging.
 	mayOvertake := attempt.mayHaveExecuted && outcome.Result != Errored &&
 		!r.settings.SiteLimits.HedgingAllowed
 	if mustWait || mayOvertake {
@@ -71,15 +73,15 @@
 	r.advance(request)
 }
 
-// recordOutcome updates what is known of servers, classes and content locations. The request is nil if it is
-// over.
+// recordOutcome updates the statistics of servers and classes, the origin shield, the retry budget and the
+// content locations. The request is nil if it has already ended.
 func (r *Router) recordOutcome(attempt *attemptState, request *requestState, outcome Outcome) {
 	if attempt.halfOpenProbe {
 		probedServer(attempt).probing = false
 	}
 	switch outcome.Result {
 	case Cancelled, Abandoned, LocalResourcesExhausted, Unreachable:
-		return // it says nothing of the servers
+		return // no evidence about the servers
 	}
 	r.retryBudget.RecordAttempt(r.now, outcome.Result == OK, outcome.Result.suggestsOverload())
 	r.recordOriginAnswer(attempt, outcome)
@@ -99,7 +101,7 @@
 	}
 }
 
-// recordOriginAnswer tells the origin shield of an answer that the origin has given through a source.
+// recordOriginAnswer updates the origin shield if a fill has got an answer or a failure from the origin.
 func (r *Router) recordOriginAnswer(attempt *attemptState, outcome Outcome) {
 	if attempt.source == nil || attempt.source.tier == edgeTier {
 		return
@@ -108,13 +110,14 @@
 	if !failed && outcome.FillStatus != FillStatusFilledByOrigin {
 		return
 	}
-	// It is late by the origin if it would have been in time without the wait for it.
+	// The origin made the answer late if the answer would have been timely without the wait for the source.
 	late := outcome.Elapsed > attempt.latencyObjective &&
 		outcome.Elapsed-outcome.SourceWait <= attempt.latencyObjective
 	r.originShield.RecordAnswer(r.now, attempt.sentAt, late || failed)
 }
 
-// refundSource gives back to the slow-start budget of a source what a hit has not used of it.
+// refundSource returns the work of an attempt to the slow-start budget of its source if the attempt was a
+// hit, which has not used the source. It returns only the part that the budget has not regained since.
 func (r *Router) refundSource(attempt *attemptState, outcome Outcome) {
 	source := attempt.source
 	if outcome.FillStatus != FillStatusHit || source == nil || source.warmingUpSince == 0 {
@@ -124,7 +127,8 @@
 	source.slowStartBucket.Spend(-max(0, attempt.work-refilled))
 }
 
-// recordClassStats learns from an answer how long objects of the class take.
+// recordClassStats updates the mean transfer time and latency of a class, and the mean wait for fills by the
+// origin, from an answer.
 func (r *Router) recordClassStats(attempt *attemptState, request *requestState, outcome Outcome) {
 	stats := &r.classes[attempt.class]
 	stats.latency.Observe(outcome.Elapsed.Seconds())
@@ -139,8 +143,8 @@
 	}
 }
 
-// recordRecentWork adds to the work that the target has lately done for this director, which decays
-// exponentially.
+// recordRecentWork adds an attempt to the recent work of its target for this director, an exponentially
+// decaying sum.
 func (r *Router) recordRecentWork(attempt *attemptState) {
 	target := attempt.target
 	decay := math.Exp(-float64(r.now-target.recentWorkAt) / float64(recentWorkTimeConstant))
--- a/routing/peermessage.go
+++ b/routing/peermessage.go
@@ -4,8 +4,8 @@
 
 // Kinds of location messages.
 const (
-	locationQuery = 1 // who holds this part of an object?
-	locationReply = 2 // the holder; 0: nobody in this zone
+	locationQuery = 1 // asks which cache holds a part of an object
+	locationReply = 2 // names the cache; holder 0: none in the sender's zone
 )
 
 const (
@@ -13,14 +13,14 @@
 	locationMessageLen     = 24
 )
 
-// locationMessage is what directors of different zones tell each other of the location of an object. On the
-// wire, in big-endian order: version and kind (a byte each), zone (2 bytes), part (4), object (8), holder
-// (8).
+// locationMessage is a query or a reply about the location of a part of an object, exchanged by directors of
+// different zones. The encoding is big-endian: version (1 byte), kind (1), zone (2), part (4), object (8),
+// holder (8).
 type locationMessage struct {
 	kind   byte
-	zone   int // of the sender
+	zone   int // zone of the sender
 	key    objectKey
-	holder Host // 0 in queries
+	holder Host // cache that holds a copy; 0 in queries
 }
 
 func (m locationMessage) encode() []byte {
@@ -30,7 +30,8 @@
 	return binary.BigEndian.AppendUint64(data, uint64(m.holder))
 }
 
-// decodeLocationMessage returns false for what is no message of the known version.
+// decodeLocationMessage decodes a message. It returns false if the length, the version or the kind is
+// invalid.
 func decodeLocationMessage(data []byte) (message locationMessage, ok bool) {
 	if len(data) != locationMessageLen || data[0] != locationMessageVersion {
 		return message, false
--- a/routing/peers.go
+++ b/routing/peers.go
@@ -2,11 +2,11 @@
 
 import "slices"
 
-// Questions to directors of other zones, where the settings allow them.
+// Location queries to directors of other zones, where the settings allow them.
 
-// askPeers asks the first director of each other zone who holds the object, and tells whether it did. It does
-// so once for a request, when no parent is usable. The request then waits for the class's latency objective
-// at the longest.
+// askPeers asks all other directors which cache holds the object, and reports whether it did. The first
+// director of each other zone replies. A request causes at most one query, and only while no parent is
+// usable. The request then waits for a reply for at most the latency objective of its class.
 func (r *Router) askPeers(request *requestState) bool {
 	if request.askedPeers || request.uncacheable || !r.settings.SiteLimits.PeerMessagesAllowed ||
 		r.settings.Tiers.SiblingFills != SiblingFillsAny {
@@ -30,21 +30,23 @@
 	return true
 }
 
+// awaitsPeers reports whether a request of awaitingPeers is still open and waiting.
 func (r *Router) awaitsPeers(request *requestState) bool {
 	return request.waiting && r.requests[request.ID] == request
 }
 
 func (s *requestState) key() objectKey { return objectKey{s.Object, s.Part} }
 
-// handlePeerMessage takes a question or an answer of a director of another zone. What can't be decoded is
-// ignored. A message of the own zone only shows whether this director is its first, which answers for the
-// zone.
+// handlePeerMessage handles a location query or reply from a director of another zone. It ignores data that
+// cannot be decoded and messages from the director itself. A message from the director's own zone is used
+// only to find out whether the sender has a lower ID: the first director of a zone, the one with the lowest
+// ID, replies for the zone.
 func (r *Router) handlePeerMessage(event PeerMessage) {
 	message, ok := decodeLocationMessage(event.Data)
 	switch {
 	case !ok || event.From == r.settings.ID:
 	case message.zone == r.settings.Zone:
-		r.lowerPeerSeen = r.lowerPeerSeen || event.From < r.settings.ID
+		r.lowerIDPeerSeen = r.lowerIDPeerSeen || event.From < r.settings.ID
 	case message.kind == locationQuery:
 		r.answerLocationQuery(event.From, message)
 	case message.kind == locationReply:
@@ -53,21 +55,22 @@
 }
 
 func (r *Router) answerLocationQuery(from uint32, query locationMessage) {
-	if r.lowerPeerSeen {
+	if r.lowerIDPeerSeen {
 		return
 	}
-	asked := &requestState{
-		Request:  Request{Object: query.key.object, Group: -1}, // no group: a peer's question names none
+	lookup := &requestState{
+		Request:  Request{Object: query.key.object, Group: -1}, // -1: a query names no group
 		location: r.recordUse(query.key),
 	}
 	reply := locationMessage{kind: locationReply, zone: r.settings.Zone, key: query.key, holder: query.holder}
-	if holder := r.hintedSource(asked, nil); holder != nil {
+	if holder := r.hintedSource(lookup, nil); holder != nil {
 		reply.holder = holder.Host
 	}
 	r.emit(SendPeerMessage{To: from, Data: reply.encode()})
 }
 
-// handleLocationReply takes up all requests that wait for the object.
+// handleLocationReply resumes all requests that wait for a reply about the object, with the named cache as
+// their source. A reply that names no cache is ignored.
 func (r *Router) handleLocationReply(reply locationMessage) {
 	if reply.holder == 0 {
 		return
--- a/routing/purge.go
+++ b/routing/purge.go
@@ -2,26 +2,27 @@
 
 import "maps"
 
-// Purges: no copy from before one may be served.
+// Purges: copies that are older than a purge of their object must not be served.
 
-// handlePurge notes a purge. Hints for what it concerns are void from now on.
+// handlePurge records a purge, which invalidates the earlier location hints for the purged objects.
 func (r *Router) handlePurge(purge Purge) {
 	key := purgeKey{object: purge.Object}
 	if purge.Object == 0 {
 		key.group = groupKey(purge.Group)
 	}
 	if len(r.purges) >= maxTableEntries {
-		key = purgeKey{} // more than are kept one by one: all older copies count as purged
+		key = purgeKey{} // too many to keep one by one: everything counts as purged
 		clear(r.purges)
 	}
 	purgedAt := max(r.now-purge.Age, r.purges[key].purgedAt)
 	r.purges[key] = purgeRecord{purgedAt: purgedAt, notifiedAt: r.now}
 }
 
-// groupKey counts groups from 1, as 0 in a purgeKey stands for none.
+// groupKey returns the value of purgeKey.group for a group index: the index plus 1, because 0 stands for no
+// group.
 func groupKey(group int) int { return group + 1 }
 
-// latestPurge is the latest purge that concerns the request's object.
+// latestPurge returns the latest purge that covers the request's object; purged is false if there is none.
 func (r *Router) latestPurge(request *requestState) (latest purgeRecord, purged bool) {
 	keys := [...]purgeKey{{object: request.Object}, {group: groupKey(request.Group)}, {}}
 	for _, key := range keys {
@@ -33,7 +34,8 @@
 	return latest, purged
 }
 
-// expirePurges forgets purges that have reached all caches, and are older than all hints.
+// expirePurges removes purges that have reached all caches and are older than siblingHintLifetime, so that no
+// hint from before the purge can make a cache the source of a fill.
 func (r *Router) expirePurges() {
 	lifetime := max(r.settings.Tiers.PurgePropagation, siblingHintLifetime) + purgeMargin
 	maps.DeleteFunc(r.purges, func(_ purgeKey, record purgeRecord) bool {
--- a/routing/rank.go
+++ b/routing/rank.go
@@ -7,12 +7,12 @@
 	"slices"
 )
 
-// The order in which servers are asked for an object.
+// The order in which servers are tried for an object.
 
 // rank orders a group of servers by weighted rendezvous hashing of the object (highest random weight; Thaler
-// and Ravishankar, "Using name-based mappings to increase hit rates", 1998). An object so stays with its
-// server while others come and go. In a group of upstreams, parents that get a share of the objects come
-// first, then other parents, then the origin.
+// and Ravishankar, "Using name-based mappings to increase hit rates", 1998), which keeps an object at its
+// server when other servers are added or removed. In a group of upstreams, parents whose hub has a share of
+// the objects come first, then the other parents, then the origin.
 func (r *Router) rank(group []*serverState, object uint64) {
 	for _, server := range group {
 		score := rendezvousScore(object, server.Host, r.effectiveWeight(server))
@@ -29,8 +29,9 @@
 	})
 }
 
-// rendezvousScore is -weight/ln(u) for a u in (0, 1) that is a hash of object and host: each host of a group
-// then has the highest score for a part of the objects that is proportional to its weight.
+// rendezvousScore returns -weight/ln(u), where u is a hash of object and host in the interval (0, 1). With
+// this score, the fraction of the objects for which a host has the highest score is proportional to its
+// weight.
 func rendezvousScore(object uint64, host Host, weight float64) float64 {
 	var hash rand.PCG
 	hash.Seed(object, uint64(host))
@@ -38,21 +39,23 @@
 	return -weight / math.Log(uniform)
 }
 
-// parentScore weighs a parent's score with the share of the objects that its hub gets.
+// parentScore returns a parent's score multiplied by the share of the objects that its hub receives. A parent
+// whose hub has no share ranks after all others, except that an ejected parent of the own hub ranks first
+// when its half-open probe is due.
 func (r *Router) parentScore(parent *serverState, score float64) float64 {
 	if share := r.sites.WeightFactor(parent.Zone); share > 0 {
 		return score * share
 	}
 	ownHub := r.settings.Tiers.HubByZone[r.settings.Zone]
 	if parent.Zone == ownHub && r.mayProbe(parent) {
-		return math.Inf(1) // our hub is lost: the next request is the half-open probe
+		return math.Inf(1) // the own hub is lost: the next request is the half-open probe
 	}
-	return -1 / score // negative, in the same order
+	return -1 / score // negative, and increasing with score
 }
 
-// effectiveWeight is what a server can take now, compared with others of its tier. A cache that answers more
-// slowly than the faster third of its zone loses weight by degrees. What slows all of them down, such as a
-// slow origin or a full link, moves nothing.
+// effectiveWeight returns the present weight of a server relative to other servers of its tier. The weight of
+// a cache decreases with the excess of its latency over that of the fastest third of the local caches. A
+// cause that slows all caches down, such as a slow origin or a full link, therefore moves no objects.
 func (r *Router) effectiveWeight(server *serverState) float64 {
 	weight := r.slowStartShare(server)
 	if server.weightIsCapacity {
--- a/routing/reason.go
+++ b/routing/reason.go
@@ -8,10 +8,10 @@
 	ReasonNone                 Reason = iota
 	ReasonDeadlineExceeded            // the request's deadline has passed
 	ReasonAttemptsExhausted           // the request has had SiteLimits.MaxAttempts attempts
-	ReasonMayHaveExecuted             // an earlier attempt may have executed, so the request must not be repeated
-	ReasonSiteLost                    // the director's own site is lost, or the director is cut off from all servers
+	ReasonMayHaveExecuted             // an earlier attempt may have executed, and must not be repeated
+	ReasonSiteLost                    // the own site is lost, or the director is cut off from all servers
 	ReasonNoServerInTime              // no server accepted it within half its latency objective
-	ReasonRetryBudgetExhausted        // the retry budget has no retry left
+	ReasonRetryBudgetExhausted        // too many attempts fail: the retry budget is empty
 	ReasonOriginShielded              // only the origin can serve it, and the origin is overloaded
 )
 
--- a/routing/request.go
+++ b/routing/request.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// The life of a request: it arrives, and is sent, postponed or ended until it has its answer.
+// Requests from their arrival to their end: sending attempts, postponing and ending requests.
 
 func (r *Router) handleRequest(event Request) {
 	event.Class = min(max(event.Class, 0), len(r.settings.Classes)-1)
@@ -39,8 +39,9 @@
 	}
 }
 
-// handleRequestTimer takes up a request that was postponed, or that no peer has answered. What failed before
-// may work by now, so most of what its attempts have ruled out is forgotten.
+// handleRequestTimer resumes a request that was postponed, or whose location query had no reply in time.
+// Servers that failed before may work again, so earlier targets and parents are allowed again and shielding
+// is decided anew. Siblings stay ruled out as sources after one of them has missed.
 func (r *Router) handleRequestTimer(id uint32) {
 	request := r.requests[id]
 	if request == nil || !request.waiting {
@@ -54,7 +55,8 @@
 	r.advance(request)
 }
 
-// advance sends the request's next attempt, postpones the request, or ends it.
+// advance sends the request's next attempt, postpones the request, or ends it if an attempt is useless or not
+// allowed.
 func (r *Router) advance(request *requestState) {
 	if len(request.attempts) >= r.settings.SiteLimits.MaxAttempts {
 		r.endRequest(request, ReasonAttemptsExhausted)
@@ -74,7 +76,8 @@
 	r.postpone(request)
 }
 
-// reasonToEnd tells why it is useless to postpone a request that no server takes now; ReasonNone: it is not.
+// reasonToEnd returns the reason why postponing a request that no server accepts now would be useless, or
+// ReasonNone if the request may be postponed.
 func (r *Router) reasonToEnd(request *requestState) Reason {
 	switch {
 	case r.sites.OwnBranchUnavailable():
@@ -89,9 +92,10 @@
 	return ReasonNone
 }
 
-// postpone lets a request wait. The time doubles with each postponement, and has jitter so that requests that
-// were postponed together spread. It does not reach past the time at which the request would be ended: that
-// answer is owed at once.
+// postpone schedules the next try of a request. The wait doubles with each postponement, and its jitter
+// spreads requests that were postponed together. The wait ends at the latest half the latency
+// objective after the request's arrival, or after minPostponement if that is later: the request is then
+// ended, and a longer wait would only delay the rejection.
 func (r *Router) postpone(request *requestState) {
 	wait := minPostponement << min(request.postponements, maxPostponementDoublings)
 	wait += time.Duration(r.rng.Int64N(int64(wait)))
@@ -102,11 +106,13 @@
 	r.setRequestTimer(request, r.now+wait)
 }
 
+// setRequestTimer sets the timer of a request to a time, or to its deadline if that is earlier.
 func (r *Router) setRequestTimer(request *requestState, at Time) {
 	r.emit(SetTimer{Token: requestTimer | uint64(request.ID), At: min(at, request.Deadline)})
 }
 
-// latencyObjective is that of the request's class, without its part by size.
+// latencyObjective returns the latency objective of the request's class, without the part that depends on
+// size.
 func (r *Router) latencyObjective(request *requestState) time.Duration {
 	return r.settings.Classes[request.Class].LatencyObjective
 }
--- a/routing/result.go
+++ b/routing/result.go
@@ -7,7 +7,7 @@
 const (
 	OK       Result = iota
 	Errored         // the server answered with an error
-	Rejected        // not executed: the server rejected it, or its source rejected the fill or was unreachable
+	Rejected        // the server did not execute it, or its source rejected the fill or was unreachable
 	TimedOut
 	ConnectFailed
 	Reset                   // the connection broke while the attempt was in flight
@@ -67,7 +67,7 @@
 	FillStatusHit                                 // served from the cache
 	FillStatusFilled                              // filled from the source, which had a copy
 	FillStatusFilledByOrigin                      // filled from the origin, directly or through a parent
-	FillStatusCoalesced                           // waited for a fill in progress, or reported that one is in progress
+	FillStatusCoalesced                           // waited for, or reported, a fill in progress
 	FillStatusStale                               // served a stale copy
 	FillStatusSourceRejected                      // the source rejected the fill
 	FillStatusSourceUnreachable                   // the source could not be reached
--- a/routing/route.go
+++ b/routing/route.go
@@ -2,11 +2,11 @@
 
 import "slices"
 
-// Which server a request goes to, and where a miss is filled from.
+// The choice of the target of an attempt, and of the source that a miss is filled from.
 
-// route looks for a target and a source for the request's next attempt, and tells whether an attempt was
-// sent. Caches are tried in the order of their rank for the object. Past one at its limit, the object spills
-// over to the next cache that is not slow and has room, at the price of one more fill.
+// route looks for a target and a source for the request's next attempt, and reports whether an attempt was
+// sent. Caches are tried in the order of their rank for the object. If a cache is full, the request spills
+// over to the next cache that is not slow and has room, at the cost of an additional fill there.
 func (r *Router) route(request *requestState) bool {
 	r.rank(r.localCaches, request.Object)
 	r.rank(r.upstreams, request.Object)
@@ -42,8 +42,8 @@
 	return r.bypass(request, highestBypassTier)
 }
 
-// isRuledOut tells that a cache is no target of the request: an attempt has failed there, or the request
-// gains nothing from a cache.
+// isRuledOut reports whether a cache must not be the target of the request: an attempt has failed there, or
+// the request is uncacheable and the cache is ejected or can be bypassed.
 func (r *Router) isRuledOut(request *requestState, cache *serverState) bool {
 	if slices.Contains(request.avoidTargets, cache) {
 		return true
@@ -51,9 +51,9 @@
 	return request.uncacheable && (cache.ejected || r.settings.Tiers.BypassAllowed)
 }
 
-// isFull tells that a cache should not get the request: its link is saturated while another cache has room,
-// or it is at its concurrency limit. A likely hit may exceed the limit by some headroom, as it costs less
-// than a fill elsewhere.
+// isFull reports whether a cache has no room for the request: its link is saturated while another cache has
+// room, or it is at its concurrency limit. A likely hit may exceed the limit by hitLimitHeadroom times the
+// limit, because it costs less than a fill at another cache.
 func (r *Router) isFull(request *requestState, cache *serverState, anyHasRoom bool) bool {
 	if anyHasRoom && r.linkSaturated(request, cache, 1) {
 		return true
@@ -69,12 +69,14 @@
 	return r.atLimit(&cache.asTarget, work-headroom)
 }
 
-// hasRoomForSpillover tells that a cache could take objects that rank another cache first.
+// hasRoomForSpillover reports whether a cache could accept requests that spill over from a cache of higher
+// rank: it is neither ejected nor slow, and its link has room.
 func (r *Router) hasRoomForSpillover(request *requestState, cache *serverState) bool {
 	return !cache.ejected && !r.isSlow(cache) && !r.linkSaturated(request, cache, spilloverLoadFraction)
 }
 
-// takesSpillover is hasRoomForSpillover by the concurrency limit as well.
+// takesSpillover reports whether a cache accepts requests that spill over from a cache of higher rank: it has
+// room by hasRoomForSpillover, and its load is at most spilloverLoadFraction of its concurrency limit.
 func (r *Router) takesSpillover(request *requestState, cache *serverState) bool {
 	if !r.hasRoomForSpillover(request, cache) {
 		return false
@@ -83,8 +85,9 @@
 	return load.inFlightWork <= spilloverLoadFraction*load.concurrencyLimit.Value(r.now)
 }
 
-// fetchThrough sends the request to a cache, with the first source that may be used: a sibling, a parent, the
-// origin. Where all sources are at their limits, the cache is asked once for a cached copy only.
+// fetchThrough sends the request to a cache with the first permitted source: a sibling, a parent or the
+// origin. If all sources are at their limits, it sends the request once for a cached copy only. It reports
+// whether an attempt was sent or the request waits for a reply from peers.
 func (r *Router) fetchThrough(request *requestState, cache *serverState) bool {
 	if source := r.siblingSource(request, cache); source != nil && r.send(request, cache, source) {
 		return true
@@ -106,8 +109,9 @@
 	return sourceAtLimit && r.fetchOnlyIfCached(request, cache)
 }
 
-// decideShielding draws once whether the request's fill may reach the origin. When the origin is overloaded,
-// or a lost site's objects move to other hubs, only a part of the fills may.
+// decideShielding decides at random, once until the request is postponed and resumed, whether the request is
+// shielded: a shielded request must not cause a fill from the origin. While the origin is overloaded, or the
+// objects of a lost site move to other hubs, a fraction of the requests is shielded; otherwise none is.
 func (r *Router) decideShielding(request *requestState) {
 	if request.shieldDecided {
 		return
@@ -118,8 +122,9 @@
 	request.shielded = draw >= admitted
 }
 
-// shouldProbeBeforeFill tells that the cache is asked for a cached copy first, as others may be filling the
-// same object and it does not coalesce fills. The budget must leave room for the fill that follows a miss.
+// shouldProbeBeforeFill reports whether the cache is first asked for a cached copy only, because it does not
+// coalesce fills and another request's fill of the same object may be in progress. The slow-start budget of
+// the cache must leave room for the fill that follows a miss.
 func (r *Router) shouldProbeBeforeFill(request *requestState, cache *serverState) bool {
 	tiers := &r.settings.Tiers
 	if request.shielded || tiers.CoalescesFills || tiers.FillStatusReported != FillStatusReportedAll {
@@ -132,8 +137,9 @@
 		r.fitsSlowStart(cache, 2*r.transferWork(request))
 }
 
-// fillFromUpstream sends the request with the first parent, or the origin, that may be its source. If none
-// is, atLimit tells whether that was for its limit or for the origin shield.
+// fillFromUpstream sends the request to a cache with the first parent, or the origin, that may be its source.
+// If limitFills is set, it skips upstreams at their concurrency limit and, for a shielded request, the
+// origin. It reports whether an attempt was sent, and whether an upstream was skipped for these reasons.
 func (r *Router) fillFromUpstream(
 	request *requestState, cache *serverState, limitFills bool,
 ) (sent, atLimit bool) {
@@ -154,24 +160,25 @@
 	return false, atLimit
 }
 
-// fetchOnlyIfCached asks a cache for what it has cached, once for a request. Where the origin is shielded
-// that is of use only if a stale copy may be served.
+// fetchOnlyIfCached sends the request to a cache for a cached copy only, and reports whether it did. It does
+// so at most once for a request. It does not if a miss has shown that no fill is in progress or if the
+// request is shielded, unless a stale copy may be served instead of a fill from the shielded origin.
 func (r *Router) fetchOnlyIfCached(request *requestState, cache *serverState) bool {
 	if request.triedOnlyIfCached {
 		return false
 	}
 	mayServeStale := r.settings.Tiers.StaleWindow[request.Class] > 0
-	staleWillDo := request.shielded && request.minSourceTier == originTier && mayServeStale
-	if !staleWillDo && (request.onlyIfCachedCount > 0 || request.shielded) {
+	staleSuffices := request.shielded && request.minSourceTier == originTier && mayServeStale
+	if !staleSuffices && (request.onlyIfCachedCount > 0 || request.shielded) {
 		return false
 	}
 	request.triedOnlyIfCached = true
 	return r.send(request, cache, nil)
 }
 
-// bypass sends the request straight to a parent or to the origin, where site and limits allow it: where no
-// cache may be asked, or, up to parentTier only, where the caches are full. The price is that no cache keeps
-// the answer.
+// bypass sends the request directly to a parent or to the origin if the settings and the limits allow it, and
+// reports whether it did. highestTier is originTier if no cache may be asked, and parentTier if caches are
+// full. The trade-off is that no cache stores the answer.
 func (r *Router) bypass(request *requestState, highestTier tier) bool {
 	if !r.settings.Tiers.BypassAllowed || (request.shielded && !request.uncacheable) {
 		return false
@@ -190,7 +197,8 @@
 	return false
 }
 
-// bypassToParent sends the request to a parent that fills from the origin, which ranks last of the upstreams.
+// bypassToParent sends the request to a parent that fills a miss from the origin, and reports whether it did.
+// The origin is the last of the ranked upstreams.
 func (r *Router) bypassToParent(request *requestState, parent *serverState) bool {
 	origin := r.upstreams[len(r.upstreams)-1]
 	if origin.tier != originTier || !r.maySourceFrom(request, parent) {
@@ -202,8 +210,8 @@
 	return r.send(request, parent, origin)
 }
 
-// bypassToOrigin sends the request to the origin. What only the origin can answer is not held back by its
-// limit.
+// bypassToOrigin sends the request to the origin, and reports whether it did. The concurrency limit of the
+// origin does not apply to uncacheable requests, which no other server can answer.
 func (r *Router) bypassToOrigin(request *requestState, origin *serverState) bool {
 	if !request.uncacheable && r.atLimit(&origin.asSource, r.transferWork(request)) {
 		return false
@@ -211,8 +219,8 @@
 	return r.send(request, origin, nil)
 }
 
-// maySourceFrom tells whether a parent may be the request's source. A miss or rejection there has moved the
-// request up to the origin.
+// maySourceFrom reports whether a parent may be the request's source. After a miss or a rejection at a
+// parent, only the origin may be the source.
 func (r *Router) maySourceFrom(request *requestState, parent *serverState) bool {
 	if request.minSourceTier > parentTier || request.uncacheable {
 		return false
@@ -220,8 +228,8 @@
 	return !parent.ejected || r.mayProbe(parent)
 }
 
-// siblingSource is another cache that likely holds a copy: one that a peer has named, or one of the location
-// table. nil: there is none.
+// siblingSource returns another cache that likely holds a copy, either the cache that a peer has named or one
+// from the location table, or nil if there is none.
 func (r *Router) siblingSource(request *requestState, target *serverState) *serverState {
 	mode := r.settings.Tiers.SiblingFills
 	if request.minSourceTier > edgeTier || request.uncacheable ||
--- a/routing/router.go
+++ b/routing/router.go
@@ -9,7 +9,8 @@
 	"shaleyard/internal/sitehealth"
 )
 
-// New returns a router for the settings. The error for settings with which it cannot work is a *SettingError.
+// New returns a Router for the settings. The seed initialises its random number generator. If a setting is
+// invalid, the error is a *SettingError.
 func New(settings Settings, seed uint64) (*Router, error) {
 	if err := settings.validate(); err != nil {
 		return nil, err
@@ -42,13 +43,14 @@
 	return router, nil
 }
 
-// SetSiteOptions sets what is done when whole sites are lost. It must be called before the first event.
+// SetSiteOptions sets the options for the failover of lost sites. It must be called before the first event.
 func (r *Router) SetSiteOptions(options sitehealth.Options) { r.sites.Options = options }
 
-// SiteCounters counts what was seen of whole sites.
+// SiteCounters returns the numbers of observed state changes of sites.
 func (r *Router) SiteCounters() sitehealth.Counters { return r.sites.Counters }
 
-// Handle takes one event and returns the actions that answer it. The slice is valid until the next call.
+// Handle processes an event that happened at now and returns the actions that the caller has to carry out.
+// The slice is valid until the next call of Handle.
 func (r *Router) Handle(now Time, event Event) []Action {
 	r.now = now
 	r.actions = r.actions[:0]
@@ -99,7 +101,7 @@
 
 func (r *Router) emit(action Action) { r.actions = append(r.actions, action) }
 
-// logf emits at most one message in logInterval: enough to follow what happens, too little to flood the log.
+// logf emits a log message, at most one in logInterval so that messages do not flood the log.
 func (r *Router) logf(format string, args ...any) {
 	if r.now < r.nextLogAt {
 		return
@@ -108,7 +110,9 @@
 	r.emit(Log{Message: fmt.Sprintf(format, args...)})
 }
 
-// logSiteChange logs every change of a site's state with its evidence; these are rare.
+// logSiteChange logs a state change of a site with its evidence. It has no rate limit because these changes
+// are rare.
 func (r *Router) logSiteChange(change sitehealth.StateChange) { r.emit(Log{Message: change.String()}) }
 
+// seconds converts a number of seconds to a duration.
 func seconds(count float64) time.Duration { return time.Duration(count * float64(time.Second)) }
--- a/routing/send.go
+++ b/routing/send.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// Every attempt leaves through send: the rules that bind all of them are checked here.
+// The sending of attempts, and the rules that every attempt must satisfy.
 
-// send sends an attempt of the request to target, with a source for a miss (nil: none), and tells whether it
-// may.
+// send sends an attempt of the request to target, which fills a miss from source, and reports whether it did:
+// the attempt must be allowed and both servers must have capacity. With a nil source, target does not fill.
 func (r *Router) send(request *requestState, target, source *serverState) bool {
 	if !r.mayAttempt(request, target) || !r.hasCapacityFor(request, target, source) {
 		return false
@@ -17,12 +17,13 @@
 	target.slowStartBucket.Spend(r.transferWork(request))
 	maxAge := r.maxAge(request)
 	attempt := r.newAttempt(request, target, source)
-	r.register(request, attempt)
+	r.trackAttempt(request, attempt)
 	r.emitAttempt(request, attempt, maxAge)
 	return true
 }
 
-// mayAttempt tells whether the request may be attempted at target at all.
+// mayAttempt reports whether the state of the request, its idempotency and the limits of the site allow
+// another attempt at target.
 func (r *Router) mayAttempt(request *requestState, target *serverState) bool {
 	limits := &r.settings.SiteLimits
 	if len(request.attempts) >= limits.MaxAttempts || r.now >= request.Deadline || request.streaming {
@@ -34,11 +35,12 @@
 	return request.inFlight == 0 || limits.HedgingAllowed
 }
 
-// hasCapacityFor tells whether target and source may get new work, and have it in their slow-start budgets.
+// hasCapacityFor reports whether target and source are ready and their slow-start budgets have room for the
+// request. A nil source has no capacity to check.
 func (r *Router) hasCapacityFor(request *requestState, target, source *serverState) bool {
 	work := r.transferWork(request)
-	claim := r.sites.AdmissionCost(request.location.uses, request.uncacheable)
-	if !target.takesAttempts() || !r.fitsSlowStart(target, work*claim) {
+	cost := r.sites.AdmissionCost(request.location.uses, request.uncacheable)
+	if !target.takesAttempts() || !r.fitsSlowStart(target, work*cost) {
 		return false
 	}
 	if source == nil {
@@ -47,8 +49,9 @@
 	return source.takesAttempts() && r.fitsSlowStart(source, work)
 }
 
-// maxAge is the oldest copy that will do: the class's freshness lifetime (0), plus its stale window where the
-// origin is shielded, as a stale answer is worth more than a rejection; but nothing from before a purge.
+// maxAge returns the maximum age of a copy that may answer the request; 0 stands for the freshness lifetime
+// of its class. Where the origin shield rules out a fill, the stale window is added, because a stale answer
+// is worth more than a rejection. A copy must never be older than the latest purge of its object.
 func (r *Router) maxAge(request *requestState) time.Duration {
 	tiers := &r.settings.Tiers
 	lifetime := tiers.FreshnessLifetime[request.Class]
@@ -84,8 +87,9 @@
 	}
 }
 
-// register enters an attempt in the books of its request and its servers.
-func (r *Router) register(request *requestState, attempt *attemptState) {
+// trackAttempt adds an attempt to its request and to the attempts, the work in flight and the slow-start
+// budget of its servers.
+func (r *Router) trackAttempt(request *requestState, attempt *attemptState) {
 	request.attempts = append(request.attempts, attempt)
 	request.inFlight++
 	request.waiting = false
@@ -106,10 +110,10 @@
 	}
 }
 
-// attemptKey identifies an attempt among those of all requests.
+// attemptKey returns the key of an attempt in Router.attempts.
 func attemptKey(requestID uint32, number int) uint64 { return uint64(requestID)<<16 | uint64(number) }
 
-// emitAttempt emits a Fetch; or for the origin, which has no source, a Forward.
+// emitAttempt emits a Forward if the target of an attempt is the origin, and a Fetch otherwise.
 func (r *Router) emitAttempt(request *requestState, attempt *attemptState, maxAge time.Duration) {
 	timeout := time.Duration(0)
 	if attempt.halfOpenProbe {
@@ -149,7 +153,8 @@
 	if source == nil {
 		return flags
 	}
-	// A sibling must not fill in turn, nor a parent under half-open probe, nor one before a shielded origin.
+	// Some sources must not fill a miss themselves: siblings, a parent under half-open probe, and parents
+	// while the request is shielded from the origin.
 	if source.tier == edgeTier || source.ejected || (request.shielded && source.tier == parentTier) {
 		flags |= OnlyIfCached
 	}
--- a/routing/settings.go
+++ b/routing/settings.go
@@ -16,8 +16,8 @@
 	DedupScopeCell = "cell" // those with the same Endpoint.Cell
 )
 
-// Values of TierSettings.SiblingFills: the caches that may be the source of a fill. Any other value is treated
-// as SiblingFillsOff.
+// Values of TierSettings.SiblingFills: the caches that may be the source of a fill. Any other value is
+// treated as SiblingFillsOff.
 const (
 	SiblingFillsOff      = "off"
 	SiblingFillsLocation = "location" // caches of the director's own zone
@@ -80,12 +80,13 @@
 	HedgingAllowed      bool `json:"secondCopies"`
 }
 
-// TierSettings holds the properties of caches, parents and the origin. Lists by class or by zone have the order
-// of Settings.Classes or Settings.Zones; they may be empty.
+// TierSettings holds the properties of caches, parents and the origin. Lists by class or by zone have the
+// order of Settings.Classes or Settings.Zones; they may be empty.
 type TierSettings struct {
 	// BypassAllowed permits sending requests directly to a parent or to the origin.
 	BypassAllowed bool `json:"bypassAllowed"`
-	// FreshnessLifetime is the time for which a copy is fresh (RFC 9111, section 4.2), by class; 0: unbounded.
+	// FreshnessLifetime is the time for which a copy is fresh (RFC 9111, section 4.2), by class; 0:
+	// unbounded.
 	FreshnessLifetime []time.Duration `json:"classFresh"`
 	// StaleWindow is the time after its FreshnessLifetime for which a copy may still be served, by class.
 	StaleWindow []time.Duration `json:"staleFor"`
@@ -93,17 +94,17 @@
 	StaleValue []float64 `json:"staleEarns"`
 	// Uncacheable reports whether answers must not be stored, by class.
 	Uncacheable []bool `json:"passOn"`
-	// TransferKBPerSecond is the rate of one transfer in kB/s; 0: not known.
+	// TransferKBPerSecond is the rate of one transfer in KB/s; 0: not known.
 	TransferKBPerSecond float64 `json:"flowKbPerS"`
-	// InboundLinkKBPerSecond is the capacity of the inbound link in kB/s, by zone; 0: not known.
+	// InboundLinkKBPerSecond is the capacity of the inbound link in KB/s, by zone; 0: not known.
 	InboundLinkKBPerSecond []float64 `json:"feedKbPerS"`
 	// TransitCost is the relative cost of traffic between zones.
 	TransitCost float64 `json:"transitPrice"`
-	// CoalescesFills reports whether caches coalesce fills: a miss waits for a fill of the same object that is
-	// in progress.
+	// CoalescesFills reports whether caches coalesce fills: a miss waits for a fill of the same object that
+	// is in progress.
 	CoalescesFills bool `json:"mergesFills"`
-	// OriginOverloadMultiple and OriginTolerance describe the load that the origin can handle. The Router does
-	// not use them.
+	// OriginOverloadMultiple and OriginTolerance describe the load that the origin can handle. The Router
+	// does not use them.
 	OriginOverloadMultiple float64       `json:"rootFallMultiple"`
 	OriginTolerance        time.Duration `json:"originBears"`
 	// OriginKind is the Endpoint.Kind of origins.
@@ -126,7 +127,7 @@
 	FillStatusReported string `json:"notesGiven"`
 	// DirectorsByZone is the number of directors that share the servers of a zone, by zone.
 	DirectorsByZone []int `json:"seatsByZone"`
-	// HubByZone is the index of the hub whose parents the caches of a zone fill from, by zone.
+	// HubByZone is the zone of the hub whose parents the caches of a zone fill from, by zone.
 	HubByZone []int `json:"hubByZone"`
 }
 
--- a/routing/slowstart.go
+++ b/routing/slowstart.go
@@ -2,10 +2,11 @@
 
 import "math"
 
-// Slow start: the budget of servers that have started lately.
+// Slow start: a budget that limits the work of servers that have recently started.
 
-// slowStartShare is the part of its capacity that a server can give now. It grows linearly from
-// slowStartFraction to 1 while the server warms up.
+// slowStartShare returns the fraction of its capacity that a server has now. It grows linearly from the
+// server's slowStartFraction to 1 while the server warms up. Once the time for warming up is over,
+// slowStartShare marks the server as warm.
 func (r *Router) slowStartShare(server *serverState) float64 {
 	age := r.now - server.warmingUpSince
 	if server.warmingUpSince == 0 || server.tier == originTier || age > server.slowStartDuration {
@@ -17,8 +18,9 @@
 	return min(1, start+(1-start)*progress)
 }
 
-// slowStartRate is the work that a server which warms up may get from this director, in seconds of transfer
-// time for each second: the director's part of what the server bears.
+// slowStartRate returns the rate of work that this director may send to a server that is warming up, in
+// seconds of transfer time per second: the director's share of the load that the server can handle, reduced
+// by slowStartBudgetFraction.
 func (r *Router) slowStartRate(server *serverState) float64 {
 	capacity := r.meanRecentWork(server)
 	if server.weightIsCapacity {
@@ -27,8 +29,9 @@
 	return slowStartBudgetFraction * server.overloadMultiple * r.slowStartShare(server) * capacity
 }
 
-// fitsSlowStart tells whether the slow-start budget of a server, as target or as source, has room for more
-// work. A server that is warm, the origin and no server at all (nil) have no such budget.
+// fitsSlowStart reports whether the slow-start budget of a server, as target or as source, has room for
+// additional work. Warm servers and the origin have no such budget, so it returns true for them, and also for
+// nil.
 func (r *Router) fitsSlowStart(server *serverState, work float64) bool {
 	if server == nil || server.warmingUpSince == 0 || server.tier == originTier {
 		return true
@@ -39,8 +42,9 @@
 	return spent == 0 || spent+work <= burst
 }
 
-// meanRecentWork is a low estimate of the capacity that a server has for this director: what the warm servers
-// of its tier have lately done for it, on average, in simultaneous transfers.
+// meanRecentWork returns a low estimate of the capacity that a server has for this director, in simultaneous
+// transfers: the mean of the recent work of the warm servers of its tier for this director, and at least this
+// director's part of unknownCapacityTransfers.
 func (r *Router) meanRecentWork(server *serverState) float64 {
 	sum, count := 0.0, 0.0
 	for _, other := range r.sameTier(server) {
--- a/routing/state.go
+++ b/routing/state.go
@@ -8,55 +8,55 @@
 	"shaleyard/internal/sitehealth"
 )
 
-// Types of what a router remembers. Nothing is computed or decided in this file.
+// The state of a Router. This file has no functions.
 
-// Router decides for one director. It is not safe for concurrent use.
+// Router makes the routing decisions of one director. It is not safe for concurrent use.
 type Router struct {
 	settings Settings
 	rng      *rand.Rand
-	now      Time     // of the event that is handled
-	actions  []Action // that answer it
-	started  bool
+	now      Time     // time of the event being handled
+	actions  []Action // actions for the event being handled
+	started  bool     // the first event has been handled
 
 	servers        map[Host]*serverState
-	orderedServers []*serverState // all servers by address: loops must not follow the order of the map
-	localCaches    []*serverState // the ready caches of the own zone
+	orderedServers []*serverState // all servers by address, for loops: the order of a map is random
+	localCaches    []*serverState // the ready caches of the director's own zone
 	upstreams      []*serverState // the ready parents and the origin
 
-	requests      map[uint32]*requestState
-	attempts      map[uint64]*attemptState // by attemptKey
-	awaitingPeers []*requestState          // that wait for an answer of directors of other zones
-	lowerPeerSeen bool                     // a director of this zone with a lower number has been heard of
+	requests        map[uint32]*requestState // by request ID
+	attempts        map[uint64]*attemptState // in flight, by attemptKey
+	awaitingPeers   []*requestState          // requests with a location query; some may have ended
+	lowerIDPeerSeen bool                     // a director of this zone with a lower ID has sent a message
 
-	// Content location: two generations, so that unused entries age out.
+	// Content location, in two generations so that unused entries expire.
 	currentLocations  map[objectKey]*contentLocation
 	previousLocations map[objectKey]*contentLocation
 	rotatedAt         Time
 	purges            map[purgeKey]purgeRecord
 
 	classes                 []classStats
-	longestObjective        float64       // seconds: what a transfer may take while none was seen
-	baselineLogLatencyRatio float64       // of the fastest third of the local caches
-	originFillWait          overload.Mean // seconds that fills by the origin wait for their first byte
+	longestObjective        float64       // longest of all classes, seconds; slow start assumes transfers of this length
+	baselineLogLatencyRatio float64       // logLatencyRatio at the end of the fastest third of local caches
+	originFillWait          overload.Mean // wait of fills by the origin for the first byte, seconds
 
 	originShield    *overload.OriginShield
 	retryBudget     overload.RetryBudget
 	probeBeforeFill overload.ProbeBeforeFill
-	hedgeTokens     float64
+	hedgeTokens     float64 // one is spent for each hedge
 	sites           *sitehealth.Monitor // health of whole sites
 
-	sweptAt   Time
-	nextLogAt Time
+	sweptAt   Time // last sweep
+	nextLogAt Time // earliest time of the next log message of logf
 }
 
 // Tokens of timers.
 const (
 	tickTimer = iota
 	resubscribeTimer
-	requestTimer = 1 << 32 // with the request's ID in the lower half
+	requestTimer = 1 << 32 // with the request ID in the low 32 bits
 )
 
-// tier is a server's place between clients and origin.
+// tier is the position of a server between clients and origin.
 type tier uint8
 
 const (
@@ -65,122 +65,125 @@
 	originTier
 )
 
-// serverState is what the router knows of one server.
+// serverState holds what the Router knows about one server.
 type serverState struct {
 	Endpoint
 	tier             tier
-	weightIsCapacity bool // Weight is its capacity in transfers
-	listed           bool // in the endpoint list and not gone
-	sharingDirectors float64
+	weightIsCapacity bool // Weight is the capacity of the server in simultaneous transfers
+	listed           bool // the endpoint list contains it, not as Gone
+	sharingDirectors float64 // number of directors that share the server
 	siteMember       *sitehealth.Member
-	rankScore        float64 // for the object of the current request: best highest
+	rankScore        float64 // for the object of the current request; the highest score is tried first
 
 	asTarget, asSource roleLoad
-	totalInFlightWork  float64 // of all attempts to it as target, fills included
+	totalInFlightWork  float64 // of all attempts with this server as target, fills included
 	lastAnswerAsTarget Time
 	lastAnswerAsSource Time
-	invalidatedAt      Time    // what the location table says of it from before is void
-	logLatencyRatio    float64 // natural log of actual over expected latency, a running mean
-	recentWork         float64 // done for this director, decaying; right at recentWorkAt
+	invalidatedAt      Time    // earlier location hints to this server are invalid
+	logLatencyRatio    float64 // running mean of the natural log of actual latency over expected latency
+	recentWork         float64 // decaying sum of the work done for this director, as of recentWorkAt
 	recentWorkAt       Time
-	failedFills        overload.FailureStreak // since it last answered as source
+	failedFills        overload.FailureStreak // as source, since its last answer as source
 
 	// Outlier ejection with a half-open probe, as in a circuit breaker.
 	ejected         bool
 	ejectedAt       Time
-	probeAfter      Time // no half-open probe before
-	probing         bool // one is in flight
+	probeAfter      Time // earliest time of the next half-open probe
+	probing         bool // a half-open probe is in flight
 	ejectionBackoff time.Duration
 
 	// Slow start.
-	warmingUpSince    Time // start of its incarnation; 0: warm
+	warmingUpSince    Time // start of the incarnation that is warming up; 0: the server is warm
 	slowStartDuration time.Duration
-	slowStartFraction float64              // part of its capacity at the start
-	overloadMultiple  float64              // of its present capacity, at which it breaks down
-	slowStartBucket   overload.TokenBucket // token bucket, in seconds of transfer time
+	slowStartFraction float64              // fraction of its capacity that the server has at its start
+	overloadMultiple  float64              // multiple of its present capacity at which the server breaks down
+	slowStartBucket   overload.TokenBucket // in seconds of transfer time
 }
 
 // roleLoad is the load of a server in one of its two roles, as target or as source.
 type roleLoad struct {
 	inFlight []*attemptState
-	// seconds of transfer time: hits for a target, likely fills for a source
+	// inFlightWork is the work of the attempts that attributedTo assigns to this role, in seconds of transfer
+	// time: likely hits for a target, likely fills for a source.
 	inFlightWork     float64
 	concurrencyLimit overload.ConcurrencyLimit  // of inFlightWork
-	lastHitLate      overload.RecentObservation // whether its latest hit was late, or failed
-	lastTimelySentAt Time                       // when the latest attempt was sent that was answered in time
+	lastHitLate      overload.RecentObservation // whether the latest hit was late or failed
+	lastTimelySentAt Time                       // latest sentAt of the attempts that were answered in time
 }
 
-// attemptState is one attempt of a request.
+// attemptState holds the state of one attempt of a request.
 type attemptState struct {
 	requestID          uint32
 	number, class      int
 	target             *serverState
-	source             *serverState // nil: none
+	source             *serverState // server that a miss is filled from; nil: none
 	sentAt             Time
-	work               float64       // seconds of transfer time, as budgets and limits count it
-	declaredWork       float64       // the same by the size that the client declared, if any
-	inFlightWorkAtSend float64       // of its role, this attempt included
-	expectedLatency    time.Duration // typical time to an answer
-	latencyObjective   time.Duration // time to an answer that counts as timely
-	nextSampleAfter    time.Duration // time in flight at which it is next sampled; 0: never was
-	halfOpenProbe      bool          // asks an ejected target or source for a cached copy only
-	likelyFill         bool
-	inFlight           bool
-	mayHaveExecuted    bool // not proven never to have executed
-	cancelRequested    bool
+	work               float64       // seconds of transfer time that count towards budgets and limits
+	declaredWork       float64       // transfer time of the size declared by the client; else work
+	inFlightWorkAtSend float64       // inFlightWork of the role after this attempt was added
+	expectedLatency    time.Duration // typical latency of an attempt with this work
+	latencyObjective   time.Duration // maximum latency of a timely answer
+	nextSampleAfter    time.Duration // time in flight until the next latency sample; 0: not sampled yet
+	halfOpenProbe      bool          // the target or the source was ejected when the attempt was sent
+	likelyFill         bool          // the target probably fills from the source
+	inFlight           bool          // its Outcome has not been received
+	mayHaveExecuted    bool          // false if it is certain that no server has executed the attempt
+	cancelRequested    bool          // a Cancel has been emitted
 }
 
-// requestState is a request that is owed an answer.
+// requestState holds the state of a request that has not been answered.
 type requestState struct {
 	Request
 	receivedAt    Time
 	uncacheable   bool
-	declaredWork  float64 // seconds of transfer time; 0: the size is not known
+	declaredWork  float64 // seconds of transfer time for the declared size; 0: the size is not known
 	location      *contentLocation
 	attempts      []*attemptState
 	inFlight      int // attempts without an outcome
 	hedges        int
-	streaming     bool // its answer has begun: no further attempts
-	waiting       bool // postponed, or waiting for peers
+	streaming     bool // the answer to the client has begun: no further attempts
+	waiting       bool // postponed, or waiting for a reply from peers
 	postponements int
 
-	minSourceTier     tier // lowest tier that may be its source: a miss or rejection moves it up
-	avoidTargets      []*serverState
-	triedOnlyIfCached bool // the last resort where all sources are at their limits
-	onlyIfCachedCount int  // probes before a fill; overload.MaxProbes: enough
-	shieldDecided     bool // whether the origin shield applies has been drawn
-	shielded          bool // it does: no fill from the origin
-	askedPeers        bool
-	remoteSource      Host // the cache of another zone that a peer named; 0: none
+	minSourceTier     tier           // lowest tier that may be the source; a miss or rejection raises it
+	avoidTargets      []*serverState // targets at which an attempt has failed
+	triedOnlyIfCached bool           // a cached copy was the last resort, or a cache reported a fill in progress
+	onlyIfCachedCount int            // overload.MaxProbes after a miss without a fill in progress, else 0
+	shieldDecided     bool           // shielded has been decided
+	shielded          bool           // no fill from the origin
+	askedPeers        bool           // a location query has been sent
+	remoteSource      Host           // cache of another zone, named by a peer; 0: none
 
-	idempotencyWindowEnd Time // by when its next attempt must have been written; 0: no bound
+	idempotencyWindowEnd Time // time by which the next attempt must have been written; 0: no bound
 }
 
-// objectKey names a part of an object.
+// objectKey identifies a part of an object.
 type objectKey struct {
 	object uint64
 	part   int
 }
 
-// contentLocation is what the location table says of one part of an object.
+// contentLocation is the entry of the location table for one part of an object.
 type contentLocation struct {
 	hints [2]locationHint // latest first
-	uses  int
+	uses  int // number of requests for the part
 }
 
-// locationHint tells that a cache answered with the object, so that it likely holds a copy.
+// locationHint records that a cache has answered a request for an object and so likely holds a copy.
 type locationHint struct {
 	server     *serverState
 	answeredAt Time
 }
 
-// purgeKey names an object, or a group counted from 1. Its zero names everything.
+// purgeKey identifies what a purge covers: an object, or a group by its index plus 1. The zero value covers
+// all objects.
 type purgeKey struct {
 	object uint64
 	group  int
 }
 
+// purgeRecord holds the time of a purge and the time at which the director was notified of it.
 type purgeRecord struct{ purgedAt, notifiedAt Time }
 
-// classStats are running means of a class, in seconds: transfer time, and time to an answer.
+// classStats holds the running means of the transfer time and of the latency of a class, in seconds.
 type classStats struct{ work, latency overload.Mean }
--- a/routing/tuning.go
+++ b/routing/tuning.go
@@ -16,16 +16,16 @@
 // Timers and retries.
 const (
 	tickInterval             = 50 * time.Millisecond // between two checks: well below any latency objective
-	minPostponement          = 50 * time.Millisecond // wait before the next try of a request that no server accepts
+	minPostponement          = 50 * time.Millisecond // until a request that no server accepts is tried again
 	maxPostponementDoublings = 5                     // of minPostponement
-	windowSafetyMargin       = 50 * time.Millisecond // part of an idempotency window reserved for network delay
-	logInterval              = time.Second           // minimum time between two log messages
+	windowSafetyMargin       = 50 * time.Millisecond // part of an idempotency window kept for network delay
+	logInterval              = time.Second           // minimum time between two messages of logf
 	sweepInterval            = time.Second           // between two expiries of stored state
 )
 
 // Outlier ejection.
 const (
-	fastFailureThreshold = 200 * time.Millisecond // a source that fails faster is down, else perhaps overloaded
+	fastFailureThreshold = 200 * time.Millisecond // a faster failure: down; a slower one: perhaps overloaded
 	slowFailureLimit     = 3                      // failures in a row that eject a slowly failing source
 	initialEjection      = 500 * time.Millisecond // doubles up to maxEjection while half-open probes fail
 	maxEjection          = 4 * time.Second        // bounds the delay until a recovery is noticed
@@ -46,9 +46,9 @@
 	initialLimitTransfers = 24.0 // highest starting point of a decrease, in transfers of all directors
 	maxLimitLoadFactor    = 2.0  // or this multiple of the present load, if that is more
 	minLimitTransfers     = 2.0  // lowest limit, in mean transfers of the largest class, of all directors
-	limitFitFraction      = 0.3  // a decreased limit allows this fraction of the load at which answers are timely
+	limitFitFraction      = 0.3  // fraction of the load with timely answers that a decreased limit leaves
 	hitLimitHeadroom      = 3.0  // multiple of a cache's limit by which likely hits may exceed it
-	spilloverLoadFraction = 0.6  // fraction of its limits up to which a cache accepts spillover from other caches
+	spilloverLoadFraction = 0.6  // fraction of its limits up to which a cache accepts spillover
 )
 
 // Slow start.
@@ -62,7 +62,7 @@
 const (
 	initialWorkFraction      = 0.25    // fraction of the objective that a transfer is assumed to take at first
 	latencyRatioSampleWeight = 1.0 / 6 // of a new sample: the mean covers some seconds of traffic
-	latencyRatioDecay        = 0.9     // factor for each sweep, so that an avoided cache is tried again
+	latencyRatioDecay        = 0.9     // factor of a ratio in each sweep: an avoided cache is tried again
 	latencyRatioTolerance    = 0.7     // excess over the baseline log ratio that counts as random variation
 	latencyRatioPenalty      = 2.0     // exponent with which the excess ratio lowers a weight
 	minLatencySample         = 1e-3    // seconds: lower bound of a latency sample
--- a/routing/upkeep.go
+++ b/routing/upkeep.go
@@ -1,8 +1,9 @@
 package routing
 
-// What happens by time alone.
+// Periodic checks and the expiry of stored state.
 
-// handleTick checks all attempts in flight and the health of sites, every tickInterval.
+// handleTick runs every tickInterval. It updates the health of sites and checks the attempts in flight at the
+// local caches.
 func (r *Router) handleTick() {
 	r.emit(SetTimer{Token: tickTimer, At: r.now + tickInterval})
 	r.sites.Tick(r.now, r.originShield.AdmitFraction(r.now), r.logSiteChange)
@@ -17,8 +18,8 @@
 	r.sweep()
 }
 
-// checkInFlight takes an attempt that is in flight for long as evidence on its servers, and hedges it if it
-// seems lost.
+// checkInFlight evaluates an attempt in flight: an attempt that takes long counts as a latency sample and as
+// evidence about its site and the origin, and an attempt whose answer seems lost is hedged.
 func (r *Router) checkInFlight(attempt *attemptState) {
 	cache := attempt.target
 	elapsed := r.now - attempt.sentAt
@@ -34,8 +35,8 @@
 	r.hedge(attempt)
 }
 
-// waitsForOrigin tells that a fill must be waiting for the origin: its cache and its source answer other
-// attempts, and the cache is not slow.
+// waitsForOrigin reports whether an attempt is a likely fill that must be waiting for the origin: its cache
+// and its source have answered other attempts since it was sent, and the cache is not slow.
 func (r *Router) waitsForOrigin(attempt *attemptState) bool {
 	if !attempt.likelyFill || r.isSlow(attempt.target) {
 		return false
@@ -45,7 +46,7 @@
 	return sourceAnswers && cacheAnswers
 }
 
-// sweep ages what is remembered, every sweepInterval.
+// sweep decays and expires stored state, every sweepInterval.
 func (r *Router) sweep() {
 	if r.now-r.sweptAt < sweepInterval {
 		return
--- a/routing/validate.go
+++ b/routing/validate.go
@@ -2,21 +2,22 @@
 
 import "fmt"
 
-// SettingError is the error of New for a setting with which a Router cannot work.
+// SettingError is the error that New returns for an invalid setting.
 type SettingError struct {
-	Key     string // as in JSON, with its path
-	Problem string
+	Key     string // path of the setting in JSON
+	Problem string // what is wrong with the value
 }
 
-// Error is the key and what is wrong with it.
+// Error returns the key and the problem.
 func (e *SettingError) Error() string { return e.Key + ": " + e.Problem }
 
 func settingError(key, format string, args ...any) error {
 	return &SettingError{Key: key, Problem: fmt.Sprintf(format, args...)}
 }
 
-// validate returns a SettingError for the first setting that cannot work. What is not checked here may hold
-// anything: an unknown word counts as the most careful one, and an index out of range as none.
+// validate returns a *SettingError for the first invalid setting, or nil. Settings that it does not check may
+// have any value: an unknown word is treated as the most conservative one, and an index out of range as no
+// index.
 func (s *Settings) validate() error {
 	for _, check := range []func() error{
 		s.checkRequired,
@@ -39,9 +40,9 @@
 	case len(s.Classes) == 0:
 		return settingError("services", "no classes")
 	case s.Zone < 0 || s.Zone >= max(zones, 1):
-		return settingError("zone", "%d is not among %d dcs", s.Zone, zones)
+		return settingError("zone", "index %d is out of range, dcs has %d entries", s.Zone, zones)
 	case s.SiteLimits.MaxAttempts < 1:
-		return settingError("ceilings.maxAttempts", "%d", s.SiteLimits.MaxAttempts)
+		return settingError("ceilings.maxAttempts", "%d, must be at least 1", s.SiteLimits.MaxAttempts)
 	}
 	return nil
 }
@@ -60,41 +61,41 @@
 
 func classKey(index int, key string) string { return fmt.Sprintf("services[%d].%s", index, key) }
 
-// number is a setting that must not be negative.
-type number struct {
+// numericSetting is the JSON key and the value of a setting that must not be negative.
+type numericSetting struct {
 	key   string
 	value float64
 }
 
 func (s *Settings) checkNotNegative() error {
 	limits, guarantees, tiers := &s.SiteLimits, &s.Guarantees, &s.Tiers
-	err := checkNumbers(
-		number{"quantum", float64(s.Quantum)},
-		number{"ceilings.maxRetryAfter", float64(limits.MaxRetryAfter)},
-		number{"ceilings.openCap", float64(limits.MaxOpenRequests)},
-		number{"guarantees.askWithin", float64(guarantees.PollWithin)},
-		number{"guarantees.cold", float64(guarantees.SlowStartDuration)},
-		number{"guarantees.coldFrom", guarantees.SlowStartFraction},
-		number{"guarantees.drainGrace", float64(guarantees.DrainGrace)},
-		number{"guarantees.fall", float64(guarantees.OverloadWindow)},
-		number{"guarantees.graceToAnswer", float64(guarantees.AnswerGrace)},
-		number{"guarantees.tipMultiple", guarantees.OverloadMultiple},
-		number{"familyInfo.originBears", float64(tiers.OriginTolerance)},
-		number{"familyInfo.parentColdFrom", tiers.ParentSlowStartFraction},
-		number{"familyInfo.parentFallMultiple", tiers.ParentOverloadMultiple},
-		number{"familyInfo.parentRamp", float64(tiers.ParentSlowStartDuration)},
-		number{"familyInfo.purgeSlack", float64(tiers.PurgeSlack)},
-		number{"familyInfo.purgeTakes", float64(tiers.PurgePropagation)},
+	err := rejectNegative(
+		numericSetting{"quantum", float64(s.Quantum)},
+		numericSetting{"ceilings.maxRetryAfter", float64(limits.MaxRetryAfter)},
+		numericSetting{"ceilings.openCap", float64(limits.MaxOpenRequests)},
+		numericSetting{"guarantees.askWithin", float64(guarantees.PollWithin)},
+		numericSetting{"guarantees.cold", float64(guarantees.SlowStartDuration)},
+		numericSetting{"guarantees.coldFrom", guarantees.SlowStartFraction},
+		numericSetting{"guarantees.drainGrace", float64(guarantees.DrainGrace)},
+		numericSetting{"guarantees.fall", float64(guarantees.OverloadWindow)},
+		numericSetting{"guarantees.graceToAnswer", float64(guarantees.AnswerGrace)},
+		numericSetting{"guarantees.tipMultiple", guarantees.OverloadMultiple},
+		numericSetting{"familyInfo.originBears", float64(tiers.OriginTolerance)},
+		numericSetting{"familyInfo.parentColdFrom", tiers.ParentSlowStartFraction},
+		numericSetting{"familyInfo.parentFallMultiple", tiers.ParentOverloadMultiple},
+		numericSetting{"familyInfo.parentRamp", float64(tiers.ParentSlowStartDuration)},
+		numericSetting{"familyInfo.purgeSlack", float64(tiers.PurgeSlack)},
+		numericSetting{"familyInfo.purgeTakes", float64(tiers.PurgePropagation)},
 	)
 	if err != nil {
 		return err
 	}
 	for i, class := range s.Classes {
-		err := checkNumbers(
-			number{classKey(i, "dedupWindow"), float64(class.DedupWindow)},
-			number{classKey(i, "aimStretch"), class.LatencyObjectivePerSize},
-			number{classKey(i, "worth"), class.PriorityWeight},
-			number{classKey(i, "lateWorth"), class.LatePriorityWeight},
+		err := rejectNegative(
+			numericSetting{classKey(i, "dedupWindow"), float64(class.DedupWindow)},
+			numericSetting{classKey(i, "aimStretch"), class.LatencyObjectivePerSize},
+			numericSetting{classKey(i, "worth"), class.PriorityWeight},
+			numericSetting{classKey(i, "lateWorth"), class.LatePriorityWeight},
 		)
 		if err != nil {
 			return err
@@ -103,10 +104,11 @@
 	return nil
 }
 
-func checkNumbers(numbers ...number) error {
-	for _, number := range numbers {
-		if number.value < 0 {
-			return settingError(number.key, "negative")
+// rejectNegative returns a *SettingError for the first of the settings that is negative, or nil.
+func rejectNegative(settings ...numericSetting) error {
+	for _, setting := range settings {
+		if setting.value < 0 {
+			return settingError(setting.key, "negative")
 		}
 	}
 	return nil
@@ -119,12 +121,13 @@
 	hub, zones := s.Tiers.HubByZone[s.Zone], len(s.Zones)
 	if hub < 0 || hub >= max(zones, 1) {
 		key := fmt.Sprintf("familyInfo.hubByZone[%d]", s.Zone)
-		return settingError(key, "our hub %d is not among %d dcs", hub, zones)
+		return settingError(key, "index %d is out of range, dcs has %d entries", hub, zones)
 	}
 	return nil
 }
 
-// checkListLengths checks that lists by class or by zone have an entry for each, or are left out.
+// checkListLengths returns an error for the first list by class or by zone that is neither empty nor
+// complete.
 func (s *Settings) checkListLengths() error {
 	tiers, classes, zones := &s.Tiers, len(s.Classes), len(s.Zones)
 	for _, list := range []struct {
@@ -159,7 +162,7 @@
 	return nil
 }
 
-// applyDefaults gives lists that were left out their full length, with zeros.
+// applyDefaults fills empty lists by class or by zone with zero values.
 func (s *Settings) applyDefaults() {
 	tiers, classes, zones := &s.Tiers, len(s.Classes), max(len(s.Zones), 1)
 	tiers.FreshnessLifetime = padded(tiers.FreshnessLifetime, classes)
@@ -169,6 +172,7 @@
 	tiers.HubByZone = padded(tiers.HubByZone, zones)
 }
 
+// padded returns the list, extended to a length with zero values.
 func padded[T any](list []T, length int) []T {
 	return append(list, make([]T, length-len(list))...)
 }
