--- a/routing/rank.go
+++ b/routing/rank.go
@@ -40,15 +40,15 @@
 }
 
 // parentScore returns a parent's score multiplied by the share of the objects that its hub receives. A parent
-// whose hub has no share ranks after all others, except that an ejected parent of the own hub ranks first
-// when its half-open probe is due.
+// whose hub has no share ranks after all others, except that an ejected parent of the director's hub ranks
+// first when its half-open probe is due.
 func (r *Router) parentScore(parent *serverState, score float64) float64 {
 	if share := r.sites.WeightFactor(parent.Zone); share > 0 {
 		return score * share
 	}
 	ownHub := r.settings.Tiers.HubByZone[r.settings.Zone]
 	if parent.Zone == ownHub && r.mayProbe(parent) {
-		return math.Inf(1) // the own hub is lost: the next request is the half-open probe
+		return math.Inf(1) // the director's hub is lost: the next request is the half-open probe
 	}
 	return -1 / score // negative, and increasing with score
 }
--- a/routing/reason.go
+++ b/routing/reason.go
@@ -9,7 +9,7 @@
 	ReasonDeadlineExceeded            // the request's deadline has passed
 	ReasonAttemptsExhausted           // the request has had SiteLimits.MaxAttempts attempts
 	ReasonMayHaveExecuted             // an earlier attempt may have executed, and must not be repeated
-	ReasonSiteLost                    // the own site is lost, or the director is cut off from all servers
+	ReasonSiteLost                    // the director's site is lost, or the director is cut off
 	ReasonNoServerInTime              // no server accepted it within half its latency objective
 	ReasonRetryBudgetExhausted        // too many attempts fail: the retry budget is empty
 	ReasonOriginShielded              // only the origin can serve it, and the origin is overloaded
--- a/routing/state.go
+++ b/routing/state.go
@@ -35,7 +35,7 @@
 	purges            map[purgeKey]purgeRecord
 
 	classes                 []classStats
-	longestObjective        float64       // longest of all classes, seconds; slow start assumes transfers of this length
+	longestObjective        float64       // of all classes, seconds; slow start assumes transfers as long
 	baselineLogLatencyRatio float64       // logLatencyRatio at the end of the fastest third of local caches
 	originFillWait          overload.Mean // wait of fills by the origin for the first byte, seconds
 
@@ -106,7 +106,7 @@
 	// inFlightWork is the work of the attempts that attributedTo assigns to this role, in seconds of transfer
 	// time: likely hits for a target, likely fills for a source.
 	inFlightWork     float64
-	concurrencyLimit overload.ConcurrencyLimit  // of inFlightWork
+	concurrencyLimit overload.ConcurrencyLimit  // limit of inFlightWork
 	lastHitLate      overload.RecentObservation // whether the latest hit was late or failed
 	lastTimelySentAt Time                       // latest sentAt of the attempts that were answered in time
 }
