--- a/routing/settings.go
+++ b/routing/settings.go
@@ -171,5 +171,5 @@
 	LoadReport    LoadReportSettings `json:"report"`
 	WeightMode    string             `json:"weights"` // one of the WeightMode constants, or live
 	Zone          int                `json:"zone"`    // zone of this director, an index of Zones
-	Zones         []string           `json:"dcs"` // names of the zones
+	Zones         []string           `json:"dcs"`     // names of the zones
 }
--- a/routing/state.go
+++ b/routing/state.go
@@ -42,7 +42,7 @@
 	originShield    *overload.OriginShield
 	retryBudget     overload.RetryBudget
 	probeBeforeFill overload.ProbeBeforeFill
-	hedgeTokens     float64 // one is spent for each hedge
+	hedgeTokens     float64             // one is spent for each hedge
 	sites           *sitehealth.Monitor // health of whole sites
 
 	sweptAt   Time // last sweep
@@ -69,8 +69,8 @@
 type serverState struct {
 	Endpoint
 	tier             tier
-	weightIsCapacity bool // Weight is the capacity of the server in simultaneous transfers
-	listed           bool // the endpoint list contains it, not as Gone
+	weightIsCapacity bool    // Weight is the capacity of the server in simultaneous transfers
+	listed           bool    // the endpoint list contains it, not as Gone
 	sharingDirectors float64 // number of directors that share the server
 	siteMember       *sitehealth.Member
 	rankScore        float64 // for the object of the current request; the highest score is tried first
@@ -166,7 +166,7 @@
 // contentLocation is the entry of the location table for one part of an object.
 type contentLocation struct {
 	hints [2]locationHint // latest first
-	uses  int // number of requests for the part
+	uses  int             // number of requests for the part
 }
 
 // locationHint records that a cache has answered a request for an object and so likely holds a copy.
--- a/routing/tuning.go
+++ b/routing/tuning.go
@@ -53,8 +53,8 @@
 
 // Slow start.
 const (
-	slowStartBudgetFraction  = 0.5 // fraction of the budget that is used: a margin for random peaks
-	unknownCapacityTransfers = 0.5 // minimum capacity assumed where it is not known, for all directors
+	slowStartBudgetFraction  = 0.5             // fraction of the budget that is used: a margin for random peaks
+	unknownCapacityTransfers = 0.5             // minimum capacity assumed where it is not known, for all directors
 	recentWorkTimeConstant   = 4 * time.Second // of the exponential decay of recent work
 )
 
