--- a/routing/route.go
+++ b/routing/route.go
@@ -160,9 +160,9 @@
 	return false, atLimit
 }
 
-// fetchOnlyIfCached sends the request to a cache for a cached copy only, and reports whether it did. It does
-// so at most once for a request. It does not if a miss has shown that no fill is in progress or if the
-// request is shielded, unless a stale copy may be served instead of a fill from the shielded origin.
+// fetchOnlyIfCached sends the request to a cache for a cached copy only, at most once for a request, and
+// reports whether it did. It sends nothing if a miss has shown that no fill is in progress or if the request
+// is shielded, unless a stale copy may be served instead of a fill from the shielded origin.
 func (r *Router) fetchOnlyIfCached(request *requestState, cache *serverState) bool {
 	if request.triedOnlyIfCached {
 		return false
@@ -219,8 +219,9 @@
 	return r.send(request, origin, nil)
 }
 
-// maySourceFrom reports whether a parent may be the request's source. After a miss or a rejection at a
-// parent, only the origin may be the source.
+// maySourceFrom reports whether a parent may be the request's source. Only the origin may be the source of an
+// uncacheable request, and of any request after a miss or a rejection at a parent. An ejected parent may only
+// be the source of its half-open probe.
 func (r *Router) maySourceFrom(request *requestState, parent *serverState) bool {
 	if request.minSourceTier > parentTier || request.uncacheable {
 		return false
--- a/routing/send.go
+++ b/routing/send.go
@@ -23,7 +23,7 @@
 }
 
 // mayAttempt reports whether the state of the request, its idempotency and the limits of the site allow
-// another attempt at target.
+// an attempt at target.
 func (r *Router) mayAttempt(request *requestState, target *serverState) bool {
 	limits := &r.settings.SiteLimits
 	if len(request.attempts) >= limits.MaxAttempts || r.now >= request.Deadline || request.streaming {
