--- a/routing/bench_test.go
+++ b/routing/bench_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// BenchmarkHandle compares a request and its answer with few and with many endpoints: the cost must not grow with
-// those of other zones.
+// BenchmarkHandle measures the handling of one request and its outcome with 12 and with 250 endpoints. The cost must
+// not grow with the number of endpoints in other zones.
 func BenchmarkHandle(b *testing.B) {
 	for _, endpoints := range []int{12, 250} {
 		b.Run(fmt.Sprint(endpoints), func(b *testing.B) {
--- a/routing/ejection_test.go
+++ b/routing/ejection_test.go
@@ -5,26 +5,26 @@
 	"time"
 )
 
-// A saturated link ends many transfers late and at once. Its caches are busy, not silent: no cache is ejected for
-// being late. Found in the first incidents.
+// A saturated link makes many transfers end late and at the same time. The caches behind it are busy but still respond,
+// so late answers must not eject a cache.
 func TestLateAnswersDoNotEject(t *testing.T) {
 	env := newSimpleEnv(t, nil)
 	env.answer = always(OK, FillStatusHit, 400*ms)
 	for id := uint32(1); id <= 400; id++ {
 		env.submitRead(id, uint64(id), classBig)
-		if id%40 == 0 { // forty at once, all answered 700 ms later, nothing in between
+		if id%40 == 0 { // 40 requests at once; from the second batch on, all are answered after 700 ms
 			env.answer = always(OK, FillStatusFilled, 700*ms)
 			env.run(800 * ms)
 		}
 	}
 	env.run(time.Second)
 	for _, line := range actionsOf[Log](env.actions) {
-		t.Errorf("log: %s", line.Message)
+		t.Errorf("got log message %q, want none", line.Message)
 	}
 	env.assertNoViolation()
 }
 
-// An ejected parent is probed as a source, too, and readmitted when it is back.
+// A parent that was ejected as a source must be probed as a source and readmitted once it answers again.
 func TestEjectedParentIsProbedAndReadmitted(t *testing.T) {
 	env := newSimpleEnv(t, func(settings *Settings) { settings.Tiers.BypassAllowed = false })
 	down := true
@@ -49,18 +49,19 @@
 	}
 	submit(100)
 	if !env.router.servers[hostParent].ejected {
-		t.Fatal("an unreachable parent was not ejected")
+		t.Fatal("unreachable parent was not ejected")
 	}
 	down = false
 	submit(500)
 	if env.router.servers[hostParent].ejected {
-		t.Error("a parent that is back was not readmitted")
+		t.Error("parent that answers again was not readmitted")
 	}
 	env.assertNoViolation()
 }
 
-// An overloaded parent lets fills time out. To eject it would overload the next one, and so on; so a failure ejects at
-// once only if it comes quickly, and else at the third in a row. Found in an incident of the whole site.
+// An overloaded parent lets fills time out. Ejecting the parent moves its load to the next parent, and the overload can
+// spread from parent to parent through the whole site. A failure therefore ejects a source at once only if it comes
+// within quickFailure; slower failures eject the source only at the third in a row.
 func TestSlowFailuresDoNotEjectAtOnce(t *testing.T) {
 	for _, tc := range []struct {
 		name     string
@@ -81,14 +82,16 @@
 					Outcome{Result: Rejected, FillStatus: FillStatusSourceUnreachable, SourceWait: tc.wait})
 			}
 			if parent.ejected != tc.want {
-				t.Errorf("%d failures after %v: ejected %v", tc.failures, tc.wait, parent.ejected)
+				t.Errorf("after %d failures with a source wait of %v: ejected = %v, want %v",
+					tc.failures, tc.wait, parent.ejected, tc.want)
 			}
 		})
 	}
 }
 
-// A reset connection says little: an answer may arrive damaged, and idle connections are reset under requests. To eject
-// for it, or for several in a row, overloads the other caches. A cache that is down refuses the next connection.
+// A reset connection is weak evidence about a server: the answer may have arrived damaged, or an idle connection may
+// have been reset just as a request used it. Ejecting a cache for one reset, or for several in a row, would overload
+// the other caches. A cache that is down refuses the next connection, and that refusal ejects it.
 func TestResetsDoNotEject(t *testing.T) {
 	env := newSimpleEnv(t, nil)
 	cache := env.router.servers[hostEdge]
@@ -96,16 +99,16 @@
 		env.router.recordHealth(&attemptState{target: cache}, Outcome{Result: Reset})
 	}
 	if cache.ejected {
-		t.Error("ejected for resets")
+		t.Error("cache was ejected for resets")
 	}
 	env.router.recordHealth(&attemptState{target: cache}, Outcome{Result: ConnectFailed})
 	if !cache.ejected {
-		t.Error("not ejected for a connect that failed")
+		t.Error("cache was not ejected for a failed connect")
 	}
 	backoff := cache.ejectionBackoff
 	env.now, env.router.now = cache.probeAfter, cache.probeAfter
 	env.router.recordHealth(&attemptState{target: cache, halfOpenProbe: true}, Outcome{Result: Reset})
 	if cache.ejectionBackoff <= backoff {
-		t.Error("a probe that was reset does not lengthen the ejection")
+		t.Error("a reset half-open probe did not lengthen the ejection")
 	}
 }
--- a/routing/ending_test.go
+++ b/routing/ending_test.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// A rejection without a Retry-After brings the client back at once, into the same overload. Where all of the site is
-// lost, nothing is gained before the next probe there.
-func TestRefusalTellsWhenToComeBack(t *testing.T) {
+// A client that is rejected without a Retry-After retries at once, into the same overload. When the director's whole
+// site is lost, no retry can succeed before the next probe of the site, so Retry-After must reach to that probe.
+func TestRejectCarriesRetryAfter(t *testing.T) {
 	for name, tc := range map[string]struct {
 		siteLost        bool
 		allowed         bool
@@ -15,7 +15,7 @@
 		atLeast, atMost time.Duration
 	}{
 		"allowed":     {false, true, 500 * ms, 50 * ms, 100 * ms},
-		"cut short":   {false, true, 20 * ms, 15 * ms, 20 * ms},
+		"limited":     {false, true, 20 * ms, 15 * ms, 20 * ms},
 		"not allowed": {false, false, 500 * ms, 0, 0},
 		"site lost":   {true, true, 5 * time.Second, 250 * ms, 500 * ms},
 	} {
@@ -26,12 +26,12 @@
 			})
 			env.answer = always(Rejected, FillStatusUnknown, 5*ms)
 			if tc.siteLost {
-				env.updateEndpoints(UpdateFull) // no server is left
+				env.updateEndpoints(UpdateFull) // an empty list: no server is left
 				env.run(100 * ms)
 			}
 			request := env.submitRead(1, 7, classBig)
 			if tc.siteLost && !request.ended {
-				t.Error("postponed, though it can only fail")
+				t.Error("request was postponed although the site is lost")
 			}
 			env.run(4 * time.Second)
 			got := -1 * ms
@@ -39,14 +39,15 @@
 				got = reject.RetryAfter
 			}
 			if got < tc.atLeast || got > tc.atMost {
-				t.Errorf("Retry-After %v, want %v to %v", got, tc.atLeast, tc.atMost)
+				t.Errorf("got Retry-After %v, want %v to %v", got, tc.atLeast, tc.atMost)
 			}
 		})
 	}
 }
 
-// A request that is bound to be rejected must not be postponed further: its answer is owed at once.
-func TestGivenUpIsAnsweredAtOnce(t *testing.T) {
+// A request that finds no server is rejected once half its latency objective has passed. A postponement must not end
+// more than minPostponement after that time, so that the rejection is not delayed further.
+func TestPostponementDoesNotDelayRejection(t *testing.T) {
 	for seed := range uint64(20) {
 		env := newTestEnv(t, testSettings(), seed)
 		env.updateEndpoints(UpdateCached, testEndpoints(4)...)
@@ -55,7 +56,7 @@
 		limit := env.settings.Classes[classBig].LatencyObjective/2 + minPostponement
 		env.run(limit)
 		if !request.ended {
-			t.Fatalf("seed %d: still not ended %v after it came", seed, limit)
+			t.Fatalf("seed %d: request has not ended %v after its arrival", seed, limit)
 		}
 	}
 }
--- a/routing/endpoints_test.go
+++ b/routing/endpoints_test.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-func TestDrainBoundsTargetAndSource(t *testing.T) {
+// Draining servers must get no new attempts, neither as targets nor as sources.
+func TestDrainingServersGetNoAttempts(t *testing.T) {
 	env := newSimpleEnv(t, nil)
 	for id := uint32(1); id <= 40; id++ {
 		env.submitRead(id, uint64(id), classBig)
@@ -20,7 +21,8 @@
 	env.assertNoViolation()
 }
 
-// Where discovery must be subscribed to, a router does so at its start, and again after a failure.
+// With DiscoverySubscribe, the router subscribes to the endpoint list at its start, and again within half of
+// Guarantees.PollWithin after a failure.
 func TestSubscribesAgainAfterFailure(t *testing.T) {
 	env := newSimpleEnv(t, func(settings *Settings) { settings.DiscoveryMode = DiscoverySubscribe })
 	subscriptions := func() (count int) {
@@ -32,11 +34,11 @@
 		return count
 	}
 	if got := subscriptions(); got != 1 {
-		t.Fatalf("%d subscriptions at the start", got)
+		t.Fatalf("got %d subscriptions at the start, want 1", got)
 	}
 	env.handle(EndpointUpdate{Kind: UpdateFailed})
 	env.run(env.settings.Guarantees.PollWithin / 2)
 	if got := subscriptions(); got != 2 {
-		t.Errorf("%d subscriptions after a failure, want 2", got)
+		t.Errorf("got %d subscriptions after a failure, want 2", got)
 	}
 }
--- a/routing/env_test.go
+++ b/routing/env_test.go
@@ -27,7 +27,8 @@
 	kindOrigin = 2
 )
 
-// testSettings is a small invented site: a hub, two zones with caches, an origin, and all kinds of idempotency.
+// testSettings returns the settings of a small fictional site: a hub, two zones with caches, an origin, and a class for
+// each kind of idempotency.
 func testSettings() Settings {
 	return Settings{
 		Directors: 2, Quantum: 2 * ms, DiscoveryMode: "automatic", WeightMode: WeightModeNominal, Zone: 1,
@@ -80,11 +81,12 @@
 
 const (
 	hostOrigin = Host(900)
-	hostParent = Host(500) // and 501
-	hostEdge   = Host(100) // and following
+	hostParent = Host(500) // the first parent; the second is 501
+	hostEdge   = Host(100) // the first cache of the own zone; the others have the numbers that follow
 )
 
-// testEndpoints are the origin, two parents, a number of caches of the own zone, and one of another zone.
+// testEndpoints returns the origin, two parents, the given number of caches of the own zone, and one cache of another
+// zone.
 func testEndpoints(edges int) []Endpoint {
 	list := []Endpoint{
 		{Host: hostOrigin, Kind: kindOrigin, State: Ready, Weight: 20},
@@ -97,26 +99,30 @@
 	return append(list, Endpoint{Host: 700, Zone: 2, State: Ready, Weight: 6})
 }
 
-// answerFunc is how a server answers an attempt of a request, and how long that takes.
+// answerFunc returns the result and the fill status with which an attempt of a request ends, and the time until then.
+// The attempt is given by its number, from 0.
 type answerFunc func(env *testEnv, request *openRequest, attempt int) (Result, FillStatus, time.Duration)
 
-// always answers every attempt alike.
+// always returns an answerFunc that ends every attempt in the same way.
 func always(result Result, status FillStatus, after time.Duration) answerFunc {
 	return func(*testEnv, *openRequest, int) (Result, FillStatus, time.Duration) { return result, status, after }
 }
 
+// sentAttempt is an attempt that the router has sent.
 type sentAttempt struct {
 	host, source              Host
 	sentAt                    Time
 	inFlight, mayHaveExecuted bool
 }
 
+// openRequest is a request that was submitted to the router, with its attempts.
 type openRequest struct {
 	Request
 	attempts []sentAttempt
 	ended    bool
 }
 
+// scheduledEvent is an event that is to be delivered to the router at a given time.
 type scheduledEvent struct {
 	at       Time
 	event    Event
@@ -127,8 +133,8 @@
 	return s.at < other.at || (s.at == other.at && s.sequence < other.sequence)
 }
 
-// testEnv stands in for everything around a router: clients, servers and a clock. It checks that the router keeps the
-// site's rules, as far as one director can see them.
+// testEnv simulates the clients, the servers and the clock around one router. It checks that the router keeps the
+// site's rules, as far as one director can observe them.
 type testEnv struct {
 	t                *testing.T
 	settings         Settings
@@ -144,7 +150,7 @@
 	fetches          []Fetch
 	actions          []Action
 	nextSequence     int
-	violation        string // of the rules: the first
+	violation        string // first breach of the site's rules; empty: none
 }
 
 func newTestEnv(t *testing.T, settings Settings, seed uint64) *testEnv {
@@ -166,7 +172,8 @@
 	}
 }
 
-// newSimpleEnv is testSettings with four caches, changed if change is not nil.
+// newSimpleEnv returns an environment with testSettings and four local caches. A change that is not nil modifies the
+// settings first.
 func newSimpleEnv(t *testing.T, change func(*Settings)) *testEnv {
 	t.Helper()
 	settings := testSettings()
@@ -192,7 +199,7 @@
 	}
 	for _, endpoint := range list {
 		if endpoint.Started != e.endpoints[endpoint.Host].Started {
-			delete(e.slowStartCharges, endpoint.Host) // a new incarnation has a budget of its own
+			delete(e.slowStartCharges, endpoint.Host) // a new incarnation has a new budget
 		}
 		e.endpoints[endpoint.Host] = endpoint
 	}
@@ -220,7 +227,7 @@
 	return open
 }
 
-// submitRead submits a request with the timeout of its class.
+// submitRead submits a request for an object, with the timeout of its class as the deadline.
 func (e *testEnv) submitRead(id uint32, object uint64, class int) *openRequest {
 	return e.submit(Request{ID: id, Class: class, Object: object, Group: int(object % 8),
 		Deadline: e.now + e.settings.Classes[class].Timeout})
@@ -231,7 +238,8 @@
 	e.handle(purge)
 }
 
-// runUntil lets time pass, delivering what is due in order.
+// runUntil advances the clock to a time and delivers all events that are due by then, in order of time. It records a
+// violation for a request that has no final answer AnswerGrace after its deadline.
 func (e *testEnv) runUntil(until Time) {
 	for {
 		scheduled, ok := e.takeDue(until)
@@ -248,15 +256,15 @@
 	e.now = max(e.now, until)
 	for _, request := range e.requests {
 		if !request.ended && e.now > request.Deadline+e.settings.Guarantees.AnswerGrace {
-			e.violatef("request %d lost", request.ID)
+			e.violatef("request %d was not answered by its deadline", request.ID)
 		}
 	}
 }
 
-// run lets a span of time pass.
+// run advances the clock by a span and delivers all events that are due by then.
 func (e *testEnv) run(span time.Duration) { e.runUntil(e.now + span) }
 
-// takeDue removes and returns the first event that is due.
+// takeDue removes and returns the earliest pending event that is due by a time; ok is false if there is none.
 func (e *testEnv) takeDue(until Time) (first scheduledEvent, ok bool) {
 	index := -1
 	for i, scheduled := range e.pending {
@@ -272,6 +280,7 @@
 	return first, true
 }
 
+// deliverOutcome completes the outcome of an attempt and passes it to the router, unless the attempt has already ended.
 func (e *testEnv) deliverOutcome(outcome Outcome) {
 	request := e.requests[outcome.ID]
 	attempt := &request.attempts[outcome.Attempt]
@@ -289,7 +298,7 @@
 	e.handle(outcome)
 }
 
-// handle gives an event to the router, checks the actions and carries them out.
+// handle passes an event to the router, and checks and carries out the actions that the router returns.
 func (e *testEnv) handle(event Event) {
 	actions := slices.Clone(e.router.Handle(e.now, event))
 	e.actions = append(e.actions, actions...)
@@ -313,7 +322,7 @@
 	}
 }
 
-// attempt checks one attempt against the rules, and schedules its outcome.
+// attempt checks one attempt against the site's rules and schedules its outcome.
 func (e *testEnv) attempt(id uint32, host, source Host, timeout, maxAge time.Duration) {
 	request := e.requests[id]
 	e.checkAttempt(request, host, source)
@@ -339,7 +348,7 @@
 	e.schedule(max(after, ms), Outcome{ID: id, Attempt: number, Host: host, Result: result, FillStatus: status})
 }
 
-// actionsOf returns the actions of one type.
+// actionsOf returns those of the actions that have type T.
 func actionsOf[T Action](actions []Action) []T {
 	var found []T
 	for _, action := range actions {
@@ -350,7 +359,8 @@
 	return found
 }
 
-// violatef notes a breach of the rules. Tests end with assertNoViolation.
+// violatef records a breach of the site's rules, if it is the first. Tests call assertNoViolation at their end to fail
+// on it.
 func (e *testEnv) violatef(format string, args ...any) {
 	if e.violation == "" {
 		e.violation = fmt.Sprintf(format, args...)
@@ -364,13 +374,14 @@
 	}
 }
 
-// setLoad sets a server's concurrency limit in a role, and the work that is in flight.
+// setLoad sets the concurrency limit and the work in flight of a server in a role, both in seconds of transfer time.
 func (e *testEnv) setLoad(load *roleLoad, limit, inFlightWork float64) {
 	load.concurrencyLimit = overload.NewConcurrencyLimit(e.router.now, limit)
 	load.inFlightWork = inFlightWork
 }
 
-// limit is the present concurrency limit of a server in a role, and whether it has one.
+// limit returns the current concurrency limit of a server in a role, in seconds of transfer time, and whether there is
+// one.
 func (e *testEnv) limit(load *roleLoad) (limit float64, limited bool) {
 	limit = load.concurrencyLimit.Value(e.router.now)
 	return limit, !math.IsInf(limit, 1)
--- a/routing/example_test.go
+++ b/routing/example_test.go
@@ -7,8 +7,9 @@
 	"shaleyard/routing"
 )
 
-// A director hands events to its router and carries out the actions. Here a request misses at a sibling and is filled
-// by a parent; then the object is purged and its cache drains.
+// A director passes events to its router and carries out the actions that the router returns. In this example a cache
+// fills an object from a parent, and a second cache tries to fill the object from the first one. The first one has no
+// copy any more, so the retry names a parent as the source. Then the object is purged, and the second cache drains.
 func Example() {
 	const (
 		cacheA = routing.Host(1)
@@ -31,7 +32,7 @@
 		}
 		now += 10 * time.Millisecond
 	}
-	list := func(kind routing.UpdateKind, endpoints ...routing.Endpoint) {
+	updateEndpoints := func(kind routing.UpdateKind, endpoints ...routing.Endpoint) {
 		handle(routing.EndpointUpdate{Kind: kind, Endpoints: endpoints})
 	}
 	submit := func(id uint32) {
@@ -42,20 +43,20 @@
 			RequestDone: result == routing.OK, Elapsed: 10 * time.Millisecond})
 	}
 
-	list(routing.UpdateCached,
+	updateEndpoints(routing.UpdateCached,
 		routing.Endpoint{Host: parent, Kind: 1, State: routing.Ready},
 		routing.Endpoint{Host: origin, Kind: 2, State: routing.Ready},
 		routing.Endpoint{Host: cacheA, Zone: 1, State: routing.Ready})
 	submit(1)
 	answer(1, 0, routing.OK, routing.FillStatusFilled) // cache A now holds the object
-	list(routing.UpdateDelta, routing.Endpoint{Host: cacheB, Zone: 1, State: routing.Ready})
+	updateEndpoints(routing.UpdateDelta, routing.Endpoint{Host: cacheB, Zone: 1, State: routing.Ready})
 	submit(2)
-	answer(2, 0, routing.Miss, routing.FillStatusSourceMiss) // the sibling has dropped it: up a tier
+	answer(2, 0, routing.Miss, routing.FillStatusSourceMiss) // cache A has no copy any more: the retry names a parent
 	answer(2, 1, routing.OK, routing.FillStatusFilled)
 	handle(routing.Purge{Object: 49, Group: 3, Age: 100 * time.Millisecond})
 	submit(3)
 	answer(3, 0, routing.OK, routing.FillStatusFilled)
-	list(routing.UpdateDelta, routing.Endpoint{Host: cacheB, Zone: 1, State: routing.Draining})
+	updateEndpoints(routing.UpdateDelta, routing.Endpoint{Host: cacheB, Zone: 1, State: routing.Draining})
 	submit(4)
 	// Output:
 	// request 1: cache A, filled from parent, age limit 0s
--- a/routing/fill_test.go
+++ b/routing/fill_test.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// Where no source may be asked for a fill, hits must still be served: the cache is asked for a cached copy only. Found
-// on days with a slow origin.
-func TestSourcesAtTheirLimitsLeaveCachedCopies(t *testing.T) {
+// When every source is at its concurrency limit, as with a slow origin, a miss cannot be filled, but hits must still be
+// served. The router must therefore ask the cache for a cached copy only.
+func TestSourcesAtLimitStillAllowCachedCopies(t *testing.T) {
 	env := newSimpleEnv(t, nil)
 	for _, upstream := range env.router.upstreams {
 		env.setLoad(&upstream.asSource, 1e-9, 0)
@@ -20,19 +20,20 @@
 	}
 	env.submitRead(1, 42, classBig)
 	if fetch := env.fetches[0]; fetch.Source != fetch.Host {
-		t.Errorf("a fill beyond the limit: %+v", fetch)
+		t.Errorf("got a fill beyond the limit of its source: %+v", fetch)
 	}
 	missing := env.submitRead(2, 43, classBig)
 	env.run(5 * ms)
 	if len(env.fetches) != 2 || missing.ended {
-		t.Errorf("%d attempts, ended %v: a fill beyond the limit must wait", len(env.fetches), missing.ended)
+		t.Errorf("got %d fetches and ended = %v, want 2 fetches and a postponed request",
+			len(env.fetches), missing.ended)
 	}
 	env.assertNoViolation()
 }
 
-// With the few fills of each director queued at the origin, all were late for seconds. So a long wait there keeps most
-// fills from it, at once and through all parents. What parents have cached still comes, and what must not be cached
-// goes to the origin as ever.
+// When hundreds of directors have a few fills each queued at the origin, all these fills are late by seconds. One late
+// answer of the origin must therefore keep most fills away from the origin at once, whichever parent they go through.
+// Copies that parents have cached are still served, and uncacheable requests still reach the origin.
 func TestOverloadedOriginIsShielded(t *testing.T) {
 	env := newSimpleEnv(t, func(settings *Settings) { settings.Directors = 300 })
 	env.answer = always(OK, FillStatusFilledByOrigin, 100*ms)
@@ -46,12 +47,12 @@
 			onlyIfCached++
 		}
 		if env.endpoints[fetch.Source].Kind != kindParent {
-			t.Fatalf("a fill past the parents: %+v", fetch)
+			t.Fatalf("got a fill that does not go through a parent: %+v", fetch)
 		}
 	}
 	fills := len(env.fetches)
-	if fills != 200 || onlyIfCached < 110 || onlyIfCached > 170 { // seven in ten
-		t.Errorf("%d of %d fills ask parents only for what they have cached", onlyIfCached, fills)
+	if fills != 200 || onlyIfCached < 110 || onlyIfCached > 170 { // the shield lets 3 in 10 through
+		t.Errorf("got %d fills and %d of them with OnlyIfCached, want 200 and 110 to 170", fills, onlyIfCached)
 	}
 
 	env.run(200 * ms)
@@ -59,36 +60,36 @@
 	env.answer = always(Miss, FillStatusSourceMiss, 10*ms)
 	rejected, stale := 0, 0
 	for id := uint32(301); id <= 500; id++ {
-		class := int(id) % 2 // copies of the second class may be served stale
+		class := int(id) % 2 // classBig or classSmall; only classSmall has a stale window
 		request := env.submitRead(id, uint64(id), class)
 		env.run(25 * ms)
 		if !request.ended {
 			continue
 		}
 		last := env.lastFetch(id)
-		if last.Source == last.Host && last.MaxAge == 18*time.Second {
+		if last.Source == last.Host && last.MaxAge == 18*time.Second { // freshness lifetime plus stale window
 			stale++
 		} else if class == classSmall {
-			t.Errorf("%d: rejected without a request for a stale copy: %+v", id, last)
+			t.Errorf("request %d was rejected without a request for a stale copy; last fetch %+v", id, last)
 		}
-		if len(request.attempts) == 1+class { // one at the parent, and no wait
+		if len(request.attempts) == 1+class { // one at the parent, one more for a stale copy, no postponement
 			rejected++
 		}
 	}
 	if rejected < 100 || rejected > 180 || stale < 50 || stale > 90 {
-		t.Errorf("of 200 that only the origin has, %d were rejected at once, %d after a request for a stale copy",
-			rejected, stale)
+		t.Errorf("200 requests that only the origin can fill: got %d rejected at once, want 100 to 180; "+
+			"got %d after a request for a stale copy, want 50 to 90", rejected, stale)
 	}
 
 	before := len(env.actions)
 	env.submit(Request{ID: 999, Class: classUnsafe, Object: 7, Deadline: env.now + time.Second})
 	if _, ok := env.actions[before].(Forward); !ok {
-		t.Errorf("a write was kept from the origin: %+v", env.actions[before])
+		t.Errorf("got %+v for an uncacheable request, want a Forward to the origin", env.actions[before])
 	}
 	env.assertNoViolation()
 }
 
-// lastFetch is the last attempt of a request.
+// lastFetch returns the last Fetch of a request, or the zero Fetch if there is none.
 func (e *testEnv) lastFetch(id uint32) (last Fetch) {
 	for _, fetch := range e.fetches {
 		if fetch.ID == id {
@@ -98,24 +99,24 @@
 	return last
 }
 
-// Where caches don't coalesce fills, each request that misses during a fill begins another. A cache that warms up is
-// asked for a cached copy first. If a fill is under way, the request waits for that; if none is, it brings a source at
-// once.
+// Where caches do not coalesce fills, each request that misses during a fill starts another fill of the same object.
+// The router therefore asks a cache that warms up for a cached copy first. If a fill is under way, the request waits
+// for it; if none is, the next attempt names a source at once.
 func TestProbeBeforeFill(t *testing.T) {
 	coalescing := func(settings *Settings) { settings.Tiers.CoalescesFills = true }
-	silent := func(settings *Settings) { settings.Tiers.FillStatusReported = FillStatusReportedOff }
+	notReported := func(settings *Settings) { settings.Tiers.FillStatusReported = FillStatusReportedOff }
 	for _, tc := range []struct {
 		name          string
 		change        func(*Settings)
 		warmingUp     bool
-		busy          bool // a fill of another request is under way in the cache
-		probes, fills int  // probes: at least, as the slow-start budget has them wait, too
+		fillUnderWay  bool // in the cache, for another request
+		probes, fills int  // probes: 0 or a minimum, as waits for the slow-start budget add probes
 	}{
-		{"none under way", nil, true, false, 1, 1},
-		{"one under way", nil, true, true, 2, 0},
+		{"no fill under way", nil, true, false, 1, 1},
+		{"fill under way", nil, true, true, 2, 0},
 		{"warm cache", nil, false, false, 0, 1},
 		{"caches coalesce fills", coalescing, true, false, 0, 1},
-		{"caches report no fill status", silent, true, false, 0, 1},
+		{"caches report no fill status", notReported, true, false, 0, 1},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			env := newSimpleEnv(t, func(settings *Settings) {
@@ -124,7 +125,7 @@
 					tc.change(settings)
 				}
 			})
-			env.submitRead(1, 41, classBig) // the first request begins the director's own first seconds
+			env.submitRead(1, 41, classBig) // the first request starts the director's own probe period of 2 s
 			env.run(10 * time.Second)
 			if tc.warmingUp {
 				env.restartCaches()
@@ -133,9 +134,9 @@
 			env.answer = func(env *testEnv, request *openRequest, attempt int) (Result, FillStatus, time.Duration) {
 				isProbe := request.attempts[attempt].source == request.attempts[attempt].host
 				switch {
-				case isProbe && tc.busy && env.now >= fillDone:
+				case isProbe && tc.fillUnderWay && env.now >= fillDone:
 					return OK, FillStatusHit, ms
-				case isProbe && tc.busy:
+				case isProbe && tc.fillUnderWay:
 					return Miss, FillStatusCoalesced, ms
 				case isProbe:
 					return Miss, FillStatusUnknown, ms
@@ -154,7 +155,7 @@
 			}
 			tooMany := tc.probes == 0 && probes > 0
 			if probes < tc.probes || tooMany || fills != tc.fills || !request.ended {
-				t.Errorf("%d probes and %d fills, want %d at least and %d; ended: %v",
+				t.Errorf("got %d probes and %d fills, want at least %d (none if 0) and %d; ended = %v",
 					probes, fills, tc.probes, tc.fills, request.ended)
 			}
 			env.assertNoViolation()
@@ -162,7 +163,7 @@
 	}
 }
 
-// restartCaches starts all caches anew, now.
+// restartCaches gives all caches a new incarnation that starts now, so that they warm up.
 func (e *testEnv) restartCaches() {
 	list := testEndpoints(4)
 	for i := range list {
--- a/routing/hedging_test.go
+++ b/routing/hedging_test.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// An attempt whose answer is lost is hedged at the same cache, for a cached copy only: no sooner than its size
-// explains, not more often than maxHedgesPerRequest, nor if it must not execute twice, nor under overload, nor where
-// nothing that was sent later has been answered. Found on a day on which four of six caches lost a third of all
-// requests for 10 s.
+// When caches lose requests, for example four of six caches a third of all requests for 10 s, an attempt whose answer
+// seems lost must be sent to its cache again, for a cached copy only. There must be no hedge before the attempt takes
+// longer than its size explains, beyond maxHedgesPerRequest, for a request that must not execute twice, under overload,
+// without hedge tokens, or while no later attempt has been answered.
 func TestLostAnswerIsHedged(t *testing.T) {
 	unchanged := func(*testEnv, *requestState) {}
 	for _, tc := range []struct {
@@ -19,7 +19,7 @@
 		want   int
 	}{
 		{"lost", unchanged, classBig, maxHedgesPerRequest},
-		{"nothing answered since", func(_ *testEnv, request *requestState) {
+		{"no later attempt answered", func(_ *testEnv, request *requestState) {
 			attributedLoad(request).lastTimelySentAt = 0
 		}, classBig, 0},
 		{"overload", func(env *testEnv, request *requestState) {
@@ -39,7 +39,7 @@
 			router.actions = router.actions[:0]
 			router.hedge(first)
 			if len(router.actions) > 0 {
-				t.Errorf("hedged when not overdue: %v", router.actions)
+				t.Errorf("got a hedge before the attempt was overdue: %v", router.actions)
 			}
 			for range maxHedgesPerRequest + 2 {
 				router.now += 10 * time.Second
@@ -47,19 +47,19 @@
 				if last.number > 0 {
 					last.target.asTarget.lastTimelySentAt = last.sentAt + 1
 				}
-				for range 2 { // a tick checks all that is in flight
+				for range 2 { // a tick checks every attempt in flight
 					for _, attempt := range request.attempts {
 						router.hedge(attempt)
 					}
 				}
 			}
 			if got := len(router.actions); got != tc.want {
-				t.Errorf("%d hedges, want %d: %v", got, tc.want, router.actions)
+				t.Errorf("got %d hedges, want %d: %v", got, tc.want, router.actions)
 			}
 			for _, action := range router.actions {
 				fetch, ok := action.(Fetch)
 				if !ok || fetch.Source != fetch.Host || fetch.Host != first.target.Host {
-					t.Errorf("hedged as %v, want the same cache for a cached copy", action)
+					t.Errorf("got hedge %v, want a Fetch from the same cache for a cached copy only", action)
 				}
 			}
 		})
@@ -74,7 +74,8 @@
 	})
 }
 
-// loseAnswer submits request 1, and has a later attempt be answered in time the same way.
+// loseAnswer submits request 1, and records that an attempt which was sent later was answered in time by the same
+// server in the same role, so that the answer to request 1 seems lost.
 func (e *testEnv) loseAnswer(class int) *requestState {
 	e.submitRead(1, 42, class)
 	request := e.router.requests[1]
@@ -83,18 +84,18 @@
 	return request
 }
 
-// attributedLoad is the load on which a request's first attempt counts.
+// attributedLoad returns the load of the server and role on which a request's first attempt counts.
 func attributedLoad(request *requestState) *roleLoad {
 	_, load := attributedTo(request.attempts[0])
 	return load
 }
 
-// A hedge that brings the answer earns more tokens than it cost, so that losses pay for their own hedges; one that
-// comes after the first answer earns nothing, so that an overload ends them.
+// A hedge that brings the answer earns more tokens than it cost, so that hedging goes on while answers are lost. A
+// hedge that is answered after the original attempt earns nothing, so that hedging ends under overload.
 func TestHedgesThatWinEarnTokens(t *testing.T) {
 	for _, tc := range []struct {
 		name  string
-		first int // attempt that is answered first
+		first int // number of the attempt that is answered first
 		want  float64
 	}{
 		{"original wins", 0, maxHedgeTokens - 2},
@@ -113,16 +114,17 @@
 			router.handleOutcome(Outcome{ID: 1, Attempt: tc.first, Result: OK, RequestDone: true})
 			router.handleOutcome(Outcome{ID: 1, Attempt: 1 - tc.first, Result: OK, RequestDone: true})
 			if router.hedgeTokens != tc.want {
-				t.Errorf("the answer came with attempt %d: %v tokens left, want %v",
+				t.Errorf("attempt %d was answered first: got %v tokens, want %v",
 					tc.first, router.hedgeTokens, tc.want)
 			}
 		})
 	}
 }
 
-// A lost answer is no overload, and lowers no limit; an answer that is late with all the others does. Found on a day
-// with losses: limits came down until hits were rejected beside a cache that had room.
-func TestLostAnswerLowersNoLimit(t *testing.T) {
+// A lost answer is one that is missing while a later attempt was answered in time. It is no sign of overload and must
+// not lower a concurrency limit; otherwise losses lower the limits until hits are rejected although a cache has room. A
+// timeout without a later timely answer must lower a limit.
+func TestLostAnswerDoesNotLowerLimit(t *testing.T) {
 	for name, lost := range map[string]bool{"lost": true, "late": false} {
 		t.Run(name, func(t *testing.T) {
 			env := newSimpleEnv(t, nil)
@@ -142,7 +144,7 @@
 				}
 			}
 			if (lowered > 0) == lost {
-				t.Errorf("lost: %v, and %d limits came down", lost, lowered)
+				t.Errorf("lost = %v: got %d lowered limits, want lowered limits only if it is false", lost, lowered)
 			}
 		})
 	}
--- a/routing/latency_test.go
+++ b/routing/latency_test.go
@@ -5,12 +5,13 @@
 	"time"
 )
 
-// A cache that has fallen silent is avoided for its latency alone, and used again once it answers.
-func TestSilentCacheIsAvoided(t *testing.T) {
+// A cache that stops answering must lose its requests because of its latency alone, and get requests again once it
+// answers.
+func TestUnresponsiveCacheIsAvoided(t *testing.T) {
 	env := newSimpleEnv(t, nil)
-	silent := Host(0)
+	unresponsive := Host(0)
 	env.answer = func(_ *testEnv, request *openRequest, attempt int) (Result, FillStatus, time.Duration) {
-		if request.attempts[attempt].host == silent {
+		if request.attempts[attempt].host == unresponsive {
 			return OK, FillStatusHit, time.Hour
 		}
 		return OK, FillStatusHit, 40 * ms
@@ -34,27 +35,27 @@
 		return sent
 	}
 	submit(200)
-	silent = hostEdge
+	unresponsive = hostEdge
 	submit(150)
-	if sent := countTo(silent, 100); sent > 5 {
-		t.Errorf("a silent cache still got %d of 100 requests", sent)
+	if sent := countTo(unresponsive, 100); sent > 5 {
+		t.Errorf("unresponsive cache got %d of 100 requests, want at most 5", sent)
 	}
-	silent = 0
+	unresponsive = 0
 	submit(600)
 	if sent := countTo(hostEdge, 100); sent < 10 {
-		t.Errorf("a cache that answers again got only %d of 100 requests", sent)
+		t.Errorf("cache that answers again got %d of 100 requests, want at least 10", sent)
 	}
 	env.assertNoViolation()
 }
 
-// A cache that is slower than its neighbours loses objects by degrees.
-func TestSlowCacheLosesObjectsByDegrees(t *testing.T) {
+// The slower a cache is compared with the other caches of its zone, the fewer objects it must get.
+func TestSlowCacheLosesObjectsGradually(t *testing.T) {
 	for _, tc := range []struct {
 		name            string
-		slower          int // times
-		atLeast, atMost int // of 400 requests, of which a quarter is its share
+		slowdown        int // factor on the latency of the other caches
+		atLeast, atMost int // of 400 requests; an even share is 100
 	}{
-		{"as fast", 1, 50, 160},
+		{"same latency", 1, 50, 160},
 		{"4 times slower", 4, 1, 60},
 		{"20 times slower", 20, 0, 30},
 	} {
@@ -62,7 +63,7 @@
 			env := newSimpleEnv(t, nil)
 			env.answer = func(_ *testEnv, request *openRequest, attempt int) (Result, FillStatus, time.Duration) {
 				if request.attempts[attempt].host == hostEdge {
-					return OK, FillStatusHit, time.Duration(40*tc.slower) * ms
+					return OK, FillStatusHit, time.Duration(40*tc.slowdown) * ms
 				}
 				return OK, FillStatusHit, 40 * ms
 			}
@@ -76,15 +77,16 @@
 				env.run(20 * ms)
 			}
 			if sent < tc.atLeast || sent > tc.atMost {
-				t.Errorf("%d of 400 requests, want %d to %d", sent, tc.atLeast, tc.atMost)
+				t.Errorf("cache got %d of 400 requests, want %d to %d", sent, tc.atLeast, tc.atMost)
 			}
 			env.assertNoViolation()
 		})
 	}
 }
 
-// What slows all caches down, such as a slow origin, moves no object for long.
-func TestSharedSlownessMovesNothing(t *testing.T) {
+// A slowdown of all caches, for example by a slow origin, must not move objects between caches for long: 6 s after it
+// begins, every object must be at its earlier cache.
+func TestUniformSlownessMovesNoObjects(t *testing.T) {
 	env := newSimpleEnv(t, nil)
 	latency := 40 * ms
 	env.answer = func(*testEnv, *openRequest, int) (Result, FillStatus, time.Duration) {
--- a/routing/limits_test.go
+++ b/routing/limits_test.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// When all answers come late, the excess must wait and be rejected early. Found in the first incidents.
+// When all answers are late, concurrency limits must come down, so that the excess requests are postponed and rejected
+// early instead of being sent.
 func TestLateAnswersLowerLimits(t *testing.T) {
 	env := newSimpleEnv(t, nil)
 	env.answer = always(OK, FillStatusHit, 1900*ms)
@@ -18,78 +19,81 @@
 			mostInFlight = max(mostInFlight, len(env.router.attempts))
 		}
 	}
-	if mostInFlight > 200 { // without limits, 1.9 s of 250 requests a second are in flight
-		t.Errorf("%d attempts in flight though all answers are late", mostInFlight)
+	if mostInFlight > 200 { // without limits: 250 requests/s for 1.9 s, or 475
+		t.Errorf("got %d attempts in flight while all answers are late, want at most 200", mostInFlight)
 	}
 	if len(actionsOf[Reject](env.actions)) == 0 {
-		t.Error("nothing was rejected")
+		t.Error("got no rejection")
 	}
 	env.assertNoViolation()
 }
 
-// Fills that hang count on their source, and don't keep hits from the cache. Found on a day with a slow origin.
+// Fills that hang, for example because of a slow origin, must count on the limit of their source and must not keep hits
+// from the cache.
 func TestHangingFillsDoNotBlockHits(t *testing.T) {
 	env := newSimpleEnv(t, func(settings *Settings) { settings.Tiers.BypassAllowed = false })
 	env.submitRead(1, 42, classBig)
-	env.run(100 * ms) // a holder of 42 is known
+	env.run(100 * ms) // the location table now has a holder of object 42
 	cache := env.router.servers[env.fetches[0].Host]
 	env.answer = always(OK, FillStatusFilled, 3*time.Second)
 	for id := uint32(10); id < 30; id++ {
 		env.submitRead(id, uint64(id), classBig)
 	}
 	if cache.asTarget.inFlightWork > 1e-9 {
-		t.Errorf("%.1f s of fills count on the cache", cache.asTarget.inFlightWork)
+		t.Errorf("got %.1f s of work in flight at the cache, want 0", cache.asTarget.inFlightWork)
 	}
 	env.setLoad(&cache.asTarget, 4, 4)
 	before := len(env.fetches)
 	env.submitRead(2, 42, classBig)
 	if len(env.fetches) != before+1 || env.fetches[before].Host != cache.Host {
-		t.Errorf("a hit was held back: %+v", env.fetches[before:])
+		t.Errorf("got fetches %+v, want one likely hit at the cache", env.fetches[before:])
 	}
 	before = len(env.fetches)
 	for id := uint32(130); id < 160; id++ {
 		env.submitRead(id, uint64(id), classBig)
 		last := env.fetches[len(env.fetches)-1]
 		if len(env.fetches) > before && last.Host == cache.Host {
-			t.Fatalf("a fill went to a cache at its limit: %+v", last)
+			t.Fatalf("got a fill through a cache at its limit: %+v", last)
 		}
 	}
 }
 
-// A time-out lowers the limit of the server that is silent. Found with an origin that stopped for seconds: fills that
-// were taken for hits timed out, and healthy caches then rejected hits.
-func TestTimeoutLowersTheLimitOfTheSilentServer(t *testing.T) {
-	for name, answers := range map[string]bool{"cache answers": true, "cache is silent": false} {
+// A timeout must lower the limit of the server that does not respond: the source if the cache answers other attempts,
+// else the cache. When the origin stops for seconds, fills that were taken for hits time out. If these timeouts lowered
+// the limits of healthy caches, hits would be rejected.
+func TestTimeoutLowersLimitOfUnresponsiveServer(t *testing.T) {
+	for name, cacheResponds := range map[string]bool{"cache responds": true, "cache does not respond": false} {
 		t.Run(name, func(t *testing.T) {
 			env := newSimpleEnv(t, nil)
 			cache, source := env.router.servers[hostEdge], env.router.servers[hostParent]
-			if answers {
+			if cacheResponds {
 				cache.lastAnswerAsTarget = 20
 			}
 			attempt := &attemptState{target: cache, source: source, sentAt: 10, work: 0.1}
 			env.router.adjustLimit(attempt, Outcome{Result: TimedOut})
-			if _, limited := env.limit(&cache.asTarget); limited == answers {
-				t.Errorf("cache is limited: %v", limited)
+			if _, limited := env.limit(&cache.asTarget); limited == cacheResponds {
+				t.Errorf("cache limited = %v, want %v", limited, !cacheResponds)
 			}
-			if _, limited := env.limit(&source.asSource); limited != answers {
-				t.Errorf("source is limited: %v", limited)
+			if _, limited := env.limit(&source.asSource); limited != cacheResponds {
+				t.Errorf("source limited = %v, want %v", limited, cacheResponds)
 			}
 		})
 	}
 }
 
-// A late fill is due to its cache where hits are late, too, and the source did not keep it waiting. Found with a
-// saturated cache: the limits of all its sources came down until nothing was filled at all.
+// A late fill must lower the limit of the cache if the cache's hits are late, too, and the source did not keep the fill
+// waiting; else it must lower the limit of the source. If the late fills of a saturated cache lowered the limits of its
+// sources, these limits would come down until nothing is filled at all.
 func TestLateFillLowersTheLimitOfItsCause(t *testing.T) {
 	for _, tc := range []struct {
 		name         string
 		hitLatency   time.Duration // of the cache's latest hit
-		sourceWait   time.Duration // of the fill's 10 s
+		sourceWait   time.Duration // part of the 10 s that the fill takes
 		cacheLimited bool
 	}{
 		{"saturated cache", 10 * time.Second, 10 * ms, true},
 		{"slow source", 10 * time.Second, 9990 * ms, false},
-		{"narrow source", 10 * ms, 10 * ms, false},
+		{"source with little bandwidth", 10 * ms, 10 * ms, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			env := newSimpleEnv(t, nil)
@@ -108,18 +112,19 @@
 				Elapsed: 10 * time.Second, SourceWait: tc.sourceWait})
 			after, _ := env.limit(&cache.asTarget)
 			if lowered := after < before; lowered != tc.cacheLimited {
-				t.Errorf("cache's limit lowered: %v, want %v", lowered, tc.cacheLimited)
+				t.Errorf("cache limit lowered = %v, want %v", lowered, tc.cacheLimited)
 			}
 			if _, limited := env.limit(&source.asSource); limited == tc.cacheLimited {
-				t.Errorf("source limited: %v, want %v", limited, !tc.cacheLimited)
+				t.Errorf("source limited = %v, want %v", limited, !tc.cacheLimited)
 			}
 		})
 	}
 }
 
-// All late answers of one overload lower a limit together, to a part of the load beside which they would have been in
-// time; one that is still late at that load lowers it further. Before, each took a fifth off: a healthy cache got 14
-// requests a second instead of 70 until its limit had grown again.
+// All late answers of one overload together must lower a limit only once, to the part limitFitFraction of the load at
+// which they would have been in time. An answer that is late at a smaller load lowers the limit further. If each late
+// answer lowered the limit by a fifth, a healthy cache would get 14 requests/s instead of 70 until its limit has grown
+// again.
 func TestOneOverloadLowersALimitOnce(t *testing.T) {
 	env := newSimpleEnv(t, nil)
 	cache := env.router.servers[hostEdge]
@@ -133,13 +138,14 @@
 		}
 		limit, _ := env.limit(&cache.asTarget)
 		if want := limitFitFraction * load / 4; math.Abs(limit-want) > 1e-9 {
-			t.Errorf("after an overload of %v: limit %v, want %v", load, limit, want)
+			t.Errorf("after an overload of %v: got limit %v, want %v", load, limit, want)
 		}
 	}
 }
 
-// What only the origin can do goes through, though its limit is reached by fills. Found on days with writes.
-func TestLimitsDoNotBindWhatOnlyTheOriginCanDo(t *testing.T) {
+// Requests that only the origin can serve, such as writes, must reach the origin even if fills have brought the origin
+// to its concurrency limit.
+func TestUncacheableRequestsIgnoreOriginLimit(t *testing.T) {
 	env := newSimpleEnv(t, nil)
 	origin := env.router.servers[hostOrigin]
 	env.setLoad(&origin.asSource, 0.1, 5)
@@ -150,5 +156,5 @@
 			return
 		}
 	}
-	t.Errorf("held back: %v", env.actions[before:])
+	t.Errorf("got actions %v, want a Forward to the origin", env.actions[before:])
 }
--- a/routing/locations_test.go
+++ b/routing/locations_test.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// negligibleWeight moves the rank of a cache behind the others; it stays in use.
+// negligibleWeight is a weight with which a cache ranks behind the other caches for nearly all objects. The cache stays
+// in use.
 const negligibleWeight = 0.0001
 
 func TestLocationHintExpires(t *testing.T) {
@@ -16,21 +17,21 @@
 	env.setWeight(holder, negligibleWeight)
 	env.submitRead(2, 42, classBig)
 	if fetch := env.fetches[1]; fetch.Source == holder {
-		t.Errorf("a hint older than %v was still believed: %+v", siblingHintLifetime, fetch)
+		t.Errorf("got a hint older than %v as source: %+v", siblingHintLifetime, fetch)
 	}
 }
 
-func TestPurgeBoundsAge(t *testing.T) {
+func TestPurgeLimitsMaxAge(t *testing.T) {
 	for _, tc := range []struct {
 		name  string
 		purge Purge
 		class int
 		wait  time.Duration
-		want  time.Duration // 0: the class's own age
+		want  time.Duration // MaxAge; 0: the class's freshness lifetime
 	}{
 		{"object", Purge{Age: 300 * ms, Object: 42}, classBig, 0, 300 * ms},
 		{"whole group", Purge{Age: 300 * ms, Group: 2}, classBig, time.Second, 1300 * ms},
-		{"never wider than fresh", Purge{Age: 7900 * ms, Object: 42}, classSmall, 500 * ms, 8 * time.Second},
+		{"at most the freshness lifetime", Purge{Age: 7900 * ms, Object: 42}, classSmall, 500 * ms, 8 * time.Second},
 		{"at least 1 ns", Purge{Object: 42}, classBig, 0, 1},
 		{"other group", Purge{Age: 300 * ms, Group: 3}, classBig, 0, 0},
 	} {
@@ -40,7 +41,7 @@
 			env.run(tc.wait)
 			env.submitRead(1, 42, tc.class)
 			if got := env.fetches[0].MaxAge; got != tc.want {
-				t.Errorf("age %v, want %v", got, tc.want)
+				t.Errorf("got MaxAge %v, want %v", got, tc.want)
 			}
 			env.assertNoViolation()
 		})
@@ -56,12 +57,13 @@
 	env.setWeight(holder, negligibleWeight)
 	env.submitRead(2, 42, classBig)
 	if fetch := env.fetches[1]; fetch.Source == holder {
-		t.Errorf("a cache with a purged copy was named as source: %+v", fetch)
+		t.Errorf("got a cache with a purged copy as source: %+v", fetch)
 	}
 }
 
-// A purged hint does not make a request a likely hit. Found after purges of whole groups: fills passed for hits.
-func TestPurgedHolderIsALikelyFill(t *testing.T) {
+// A location hint from before a purge must not make a request a likely hit. Otherwise fills count as hits after the
+// purge of a whole group.
+func TestPurgedHintIsNotALikelyHit(t *testing.T) {
 	env := newSimpleEnv(t, nil)
 	submitted := env.submitRead(1, 42, classBig)
 	env.run(100 * ms)
@@ -69,10 +71,10 @@
 	key := objectKey{submitted.Object, submitted.Part}
 	request := &requestState{Request: submitted.Request, location: env.router.recordUse(key)}
 	if env.router.isLikelyFill(request, target) {
-		t.Error("a holder is not known as one")
+		t.Error("request is a likely fill at a cache that holds the object, want a likely hit")
 	}
 	env.purge(Purge{Group: submitted.Group, Age: ms})
 	if !env.router.isLikelyFill(request, target) {
-		t.Error("a purged holder counts as one")
+		t.Error("request is a likely hit at a cache whose copy was purged, want a likely fill")
 	}
 }
--- a/routing/peers_test.go
+++ b/routing/peers_test.go
@@ -13,9 +13,10 @@
 	})
 }
 
-// Directors of other zones are asked only when no parent is usable, peer messages are allowed and caches of other zones
-// may be sources.
-func TestPeersAreAskedForRemoteHolders(t *testing.T) {
+// The router asks directors of other zones for a holder of an object only when no parent is usable, peer messages are
+// allowed, and caches of other zones may be sources. It fills from the holder that a reply names, and from the origin
+// if no reply arrives. It answers the queries of other zones.
+func TestPeersAreQueriedForRemoteHolders(t *testing.T) {
 	const remoteCache = Host(700)
 	key := objectKey{43, 0}
 	env := newPeersEnv(t)
@@ -32,32 +33,32 @@
 		query = message.Data
 	}
 	if len(query) == 0 || len(query) > 256 || len(env.fetches) != 1 {
-		t.Fatalf("actions %v", env.actions)
+		t.Fatalf("got actions %v, want one query of at most 256 bytes and no attempt", env.actions)
 	}
 	for i := range query {
-		env.handle(PeerMessage{From: 1, Data: query[:i]}) // a message cut short is ignored
+		env.handle(PeerMessage{From: 1, Data: query[:i]}) // truncated messages are ignored
 	}
 	reply := locationMessage{kind: locationReply, zone: 2, key: key, holder: remoteCache}
 	env.handle(PeerMessage{From: 1, Data: reply.encode()})
 	if fetch := env.fetches[1]; fetch.Source != remoteCache || fetch.Flags&OnlyIfCached == 0 {
-		t.Errorf("not filled from the remote cache: %+v", fetch)
+		t.Errorf("got %+v, want a fill from the remote cache with OnlyIfCached", fetch)
 	}
-	env.submitRead(3, 44, classBig) // nobody answers: after the latency objective, the origin
+	env.submitRead(3, 44, classBig) // no reply: filled from the origin after the latency objective
 	env.run(600 * ms)
 	if fetch := env.fetches[2]; fetch.Source != hostOrigin {
-		t.Errorf("not filled from the origin: %+v", fetch)
+		t.Errorf("got %+v, want a fill from the origin", fetch)
 	}
 
 	answering := newPeersEnv(t)
 	answering.submitRead(1, 43, classBig)
 	answering.run(100 * ms)
 	answering.actions = nil
-	question := locationMessage{kind: locationQuery, zone: 2, key: key}
-	answering.handle(PeerMessage{From: 1, Data: question.encode()})
-	answer := locationMessage{kind: locationReply, zone: 1, key: key, holder: answering.fetches[0].Host}
-	want := SendPeerMessage{To: 1, Data: answer.encode()}
+	remoteQuery := locationMessage{kind: locationQuery, zone: 2, key: key}
+	answering.handle(PeerMessage{From: 1, Data: remoteQuery.encode()})
+	wantReply := locationMessage{kind: locationReply, zone: 1, key: key, holder: answering.fetches[0].Host}
+	want := SendPeerMessage{To: 1, Data: wantReply.encode()}
 	if !reflect.DeepEqual(answering.actions, []Action{want}) {
-		t.Errorf("answered %v, want %v", answering.actions, want)
+		t.Errorf("got actions %v, want %v", answering.actions, want)
 	}
 	env.assertNoViolation()
 }
--- a/routing/property_test.go
+++ b/routing/property_test.go
@@ -8,41 +8,44 @@
 	"time"
 )
 
-// TestRulesHold plays seeded legal sequences of events under varied settings, and checks that the site's rules hold.
+// TestRulesHold runs random sequences of valid events, one for each seed, under varied settings, and checks that the
+// router keeps the site's rules.
 func TestRulesHold(t *testing.T) {
 	for seed := range uint64(60) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			env := runRandomSequence(t, seed)
 			env.assertNoViolation()
 			if len(env.fetches) < 200 {
-				t.Fatalf("only %d attempts", len(env.fetches))
+				t.Fatalf("got %d fetches, want at least 200", len(env.fetches))
 			}
 		})
 	}
 }
 
+// The same settings, seed and events must always give the same actions.
 func TestSameEventsSameActions(t *testing.T) {
 	for seed := range uint64(4) {
 		first, second := runRandomSequence(t, seed), runRandomSequence(t, seed)
 		if !reflect.DeepEqual(first.actions, second.actions) {
-			t.Fatalf("seed %d: two runs differ", seed)
+			t.Fatalf("seed %d: two runs of the same events gave different actions", seed)
 		}
 	}
 }
 
-// oneOf draws an element of a list.
+// oneOf returns a random element of a list.
 func oneOf[T any](rng *rand.Rand, list ...T) T { return list[rng.IntN(len(list))] }
 
-// runRandomSequence plays a minute of random requests, answers, purges, drains and restarts.
+// runRandomSequence runs a router through 3000 random requests in about a minute of simulated time, mixed with purges,
+// endpoint changes, restarts and discovery failures, and returns the environment.
 func runRandomSequence(t *testing.T, seed uint64) *testEnv {
 	t.Helper()
 	env := newTestEnv(t, variedSettings(seed), seed)
 	rng, list := env.rng, testEndpoints(4)
 	env.updateEndpoints(UpdateCached, list...)
-	silent := Host(0)
+	unresponsive := Host(0)
 	env.answer = func(_ *testEnv, request *openRequest, number int) (Result, FillStatus, time.Duration) {
 		attempt := request.attempts[number]
-		if attempt.host == silent || attempt.source == silent {
+		if attempt.host == unresponsive || attempt.source == unresponsive {
 			return OK, FillStatusFilled, time.Hour
 		}
 		return randomAnswer(rng)
@@ -69,9 +72,9 @@
 			endpoint.State = Ready
 			env.updateEndpoints(UpdateDelta, endpoint)
 		case draw == 10:
-			silent = list[rng.IntN(7)].Host
+			unresponsive = list[rng.IntN(7)].Host
 		case draw == 11:
-			silent = 0
+			unresponsive = 0
 		case draw == 12:
 			env.updateEndpoints(UpdateFull, list...)
 		case draw == 13:
@@ -85,6 +88,7 @@
 	return env
 }
 
+// variedSettings returns testSettings with those options changed that the seed selects.
 func variedSettings(seed uint64) Settings {
 	settings := testSettings()
 	settings.SiteLimits.HedgingAllowed = seed%2 == 0
@@ -100,7 +104,8 @@
 	return settings
 }
 
-// randomAnswer is mostly a hit, sometimes a fill, a miss, a rejection or a failure, and sometimes late.
+// randomAnswer returns how an attempt ends and after what time: mostly with a hit, sometimes with a fill, a miss, a
+// rejection or a failure, and sometimes with a late hit.
 func randomAnswer(rng *rand.Rand) (Result, FillStatus, time.Duration) {
 	after := time.Duration(rng.ExpFloat64()*60) * ms
 	switch draw := rng.IntN(20); {
--- a/routing/retry_test.go
+++ b/routing/retry_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// A request that a cache rejects for want of capacity must wait, and come back to the same cache. Found in the first
-// incidents: such requests went on at once to the next cache, which doubled fills and load under overload.
+// A request that a cache rejects for lack of capacity must wait and then go to the same cache again. If such requests
+// went to the next cache at once, fills and load would double under overload.
 func TestRejectionForCapacityPostponesTheRequest(t *testing.T) {
 	env := newSimpleEnv(t, nil)
 	env.answer = func(_ *testEnv, _ *openRequest, attempt int) (Result, FillStatus, time.Duration) {
@@ -19,18 +19,19 @@
 	env.submitRead(1, 42, classBig)
 	env.run(20 * ms)
 	if len(env.fetches) != 1 {
-		t.Fatalf("sent again at once: %+v", env.fetches)
+		t.Fatalf("got fetches %+v, want no retry within 20 ms", env.fetches)
 	}
 	env.run(time.Second)
 	if len(env.fetches) != 2 || env.fetches[1].Host != env.fetches[0].Host {
-		t.Errorf("sent %+v", env.fetches)
+		t.Errorf("got fetches %+v, want two to the same cache", env.fetches)
 	}
 	env.assertNoViolation()
 }
 
-// An attempt that is cancelled stays in flight until its cache hears of that, and a retry over another connection may
-// arrive before. Where hedging is not allowed it waits for a moment; where it is, and after an answer, it is sent at
-// once. Found in an incident of a site without hedging.
+// A cancelled attempt stays in flight until the cancellation reaches its cache, and a retry over another connection may
+// arrive there first. Two attempts would then be in flight at once, which breaks the rules of a site without hedging.
+// On such a site the retry must therefore wait, unless the attempt was answered or provably never executed. Where
+// hedging is allowed the retry is sent at once. After LocalResourcesExhausted a retry always waits.
 func TestRetryDoesNotOvertakeTheCancellation(t *testing.T) {
 	for _, tc := range []struct {
 		hedging bool
@@ -58,22 +59,23 @@
 			env.now += 20 * ms
 			got := isSent(Outcome{ID: 900, Host: target.Host, Result: tc.result, Elapsed: 20 * ms})
 			if got != tc.atOnce {
-				t.Errorf("retried at once: %v, want %v", got, tc.atOnce)
+				t.Errorf("retried at once = %v, want %v", got, tc.atOnce)
 			}
 			if tc.atOnce {
 				return
 			}
 			env.now += 2 * minPostponement
 			if !isSent(TimerFired{Token: requestTimer | 900}) {
-				t.Error("no retry")
+				t.Error("no retry after the postponement")
 			}
 		})
 	}
 }
 
-// Retries have a budget: under overload it ends, and requests are rejected at once. Writes that provably never executed
-// are retried all the same. Seen before: 2.4 attempts for each request as long as caches rejected.
-func TestFurtherAttemptsHaveABudget(t *testing.T) {
+// Without a retry budget, caches that reject requests get 2.4 attempts for each request as long as they reject. Under
+// overload the budget must run out, so that requests are rejected at once. Writes that provably never executed may
+// overdraw the budget and must still be retried.
+func TestRetriesAreLimitedByBudget(t *testing.T) {
 	env := newSimpleEnv(t, nil)
 	env.answer = func(_ *testEnv, request *openRequest, _ int) (Result, FillStatus, time.Duration) {
 		return Rejected, rejectionStatus(request), 5 * ms
@@ -87,21 +89,22 @@
 	for id := uint32(31); id <= 60; id++ {
 		attempts += len(env.requests[id].attempts)
 		if !env.requests[id].ended {
-			t.Errorf("request %d not ended", id)
+			t.Errorf("request %d has not ended", id)
 		}
 	}
 	if attempts > 45 {
-		t.Errorf("%d attempts for 30 requests while all are rejected", attempts)
+		t.Errorf("got %d attempts for 30 requests while all are rejected, want at most 45", attempts)
 	}
 	write := env.submitRead(100, 100, classUnsafe)
 	env.run(2 * time.Second)
 	if len(write.attempts) < 3 {
-		t.Errorf("a write that never executed got %d attempts", len(write.attempts))
+		t.Errorf("got %d attempts for a write that never executed, want at least 3", len(write.attempts))
 	}
 	env.assertNoViolation()
 }
 
-// rejectionStatus is what a cache reports with a rejection: fills find no slot.
+// rejectionStatus returns the fill status that a cache reports with a rejection: that it has no fill slot, or for a
+// write no status.
 func rejectionStatus(request *openRequest) FillStatus {
 	if request.Class == classUnsafe {
 		return FillStatusUnknown
--- a/routing/route_test.go
+++ b/routing/route_test.go
@@ -13,24 +13,24 @@
 	first := env.fetches[0]
 	target, source := env.endpoints[first.Host], env.endpoints[first.Source]
 	if target.Kind != kindEdge || source.Kind != kindParent || first.Flags&OnlyIfCached != 0 {
-		t.Fatalf("first attempt %+v", first)
+		t.Fatalf("got first fetch %+v, want a cache that fills from a parent", first)
 	}
 	env.run(time.Second)
 	env.submitRead(2, 42, classBig)
 	if second := env.fetches[1]; second.Host != first.Host || second.Source != first.Source {
-		t.Errorf("same object went to %+v, before to %+v", second, first)
+		t.Errorf("got fetch %+v for the same object, want the cache and the source of %+v", second, first)
 	}
 	env.assertNoViolation()
 }
 
-// A cache that gets an object for the first time fills it from another cache of the zone that holds it. If that one
-// lacks it, the retry fills from a parent.
+// A cache that gets an object for the first time must fill it from another cache of the zone that likely holds a copy.
+// If that cache has no copy, the retry must fill from a parent.
 func TestSiblingIsAskedBeforeParent(t *testing.T) {
 	env := newSimpleEnv(t, nil)
 	env.submitRead(1, 42, classBig)
 	holder := env.fetches[0].Host
 	env.run(100 * ms)
-	env.setWeight(holder, negligibleWeight) // the object moves on, and the holder stays in use
+	env.setWeight(holder, negligibleWeight) // another cache ranks first now; the holder stays in use
 	env.answer = func(_ *testEnv, _ *openRequest, attempt int) (Result, FillStatus, time.Duration) {
 		if attempt == 0 {
 			return Miss, FillStatusSourceMiss, 10 * ms
@@ -40,24 +40,24 @@
 	env.submitRead(2, 42, classBig)
 	env.run(100 * ms)
 	if len(env.fetches) != 3 {
-		t.Fatalf("sent %+v", env.fetches)
+		t.Fatalf("got fetches %+v, want 3", env.fetches)
 	}
 	fromSibling, fromParent := env.fetches[1], env.fetches[2]
 	if fromSibling.Source != holder || fromSibling.Flags&OnlyIfCached == 0 {
-		t.Errorf("no sibling fill from %d: %+v", holder, fromSibling)
+		t.Errorf("want a fill from sibling %d with OnlyIfCached, got %+v", holder, fromSibling)
 	}
 	if env.endpoints[fromParent.Source].Kind != kindParent || fromParent.Host != fromSibling.Host {
-		t.Errorf("the miss did not move up a tier: %+v", fromParent)
+		t.Errorf("got %+v after the miss, want a fill of the same cache from a parent", fromParent)
 	}
 	env.assertNoViolation()
 }
 
-// Zones with one cache, no parent or no cache at all are legal.
+// Zones with a single cache, without a parent or without any server are valid, and their requests must be answered.
 func TestZonesWithFewServers(t *testing.T) {
 	for name, list := range map[string][]Endpoint{
 		"one cache, no parent": {testEndpoints(1)[0], testEndpoints(1)[3]},
 		"only the origin":      testEndpoints(0)[:1],
-		"nothing":              nil,
+		"no server":            nil,
 	} {
 		t.Run(name, func(t *testing.T) {
 			env := newTestEnv(t, testSettings(), 1)
@@ -68,19 +68,19 @@
 			env.run(6 * time.Second)
 			env.assertNoViolation()
 			if len(list) > 0 && !env.requests[1].ended {
-				t.Error("not ended")
+				t.Error("request 1 has not ended")
 			}
 		})
 	}
 }
 
-// Limits are kept at the source of fills: past a parent at its limit, the next one is the source.
+// A parent at its concurrency limit must not be the source of another fill; the next parent must be the source instead.
 func TestParentAtItsLimitIsSkipped(t *testing.T) {
 	env := newSimpleEnv(t, nil)
 	env.submitRead(1, 42, classBig)
 	first := env.fetches[0]
 	env.setLoad(&env.router.servers[first.Source].asSource, 1, 1)
-	env.purge(Purge{Object: 42}) // so that it is a likely fill again
+	env.purge(Purge{Object: 42}) // the next request for the object is a likely fill again
 	env.submitRead(2, 42, classBig)
 	second := env.fetches[1]
 	isParent := env.endpoints[second.Source].Kind == kindParent
@@ -90,8 +90,9 @@
 	env.assertNoViolation()
 }
 
-// Where all caches are at their limits or ejected, requests go straight to parents and the origin, if the site allows
-// it. Found with slow caches, for which requests waited though links and parents had capacity.
+// When all local caches are at their concurrency limits or ejected, requests must go to a parent or to the origin
+// directly, if the site allows bypassing. Otherwise requests wait for slow caches although links and parents have
+// capacity.
 func TestFullCacheIsBypassed(t *testing.T) {
 	for _, allowed := range []bool{true, false} {
 		t.Run(fmt.Sprintf("allowed %v", allowed), func(t *testing.T) {
@@ -102,7 +103,7 @@
 			env.submitRead(1, 42, classBig)
 			bypassed := len(env.fetches) == 1 && env.endpoints[env.fetches[0].Host].Kind == kindParent
 			if bypassed != allowed {
-				t.Errorf("all at their limits: sent %+v", env.fetches)
+				t.Errorf("all caches at their limits: got fetches %+v, want a bypass = %v", env.fetches, allowed)
 			}
 			for _, cache := range env.router.localCaches {
 				cache.ejected, cache.probeAfter = true, env.now+time.Hour
@@ -110,18 +111,19 @@
 			before := len(env.fetches)
 			env.submitRead(2, 43, classBig)
 			if sent := len(env.fetches) > before; sent != allowed {
-				t.Errorf("all ejected: sent %+v", env.fetches[before:])
+				t.Errorf("all caches ejected: got fetches %+v, want a bypass = %v", env.fetches[before:], allowed)
 			}
 			env.assertNoViolation()
 		})
 	}
 }
 
-// Past a cache at its limit the next in rank takes the object, but only with capacity to spare. Found with a cache that
-// had become eight times slower: its objects were rejected beside a cache at a third of its link.
+// When the cache that ranks first is at its concurrency limit, the next cache must take the object, but only if it is
+// loaded to at most spilloverLoadFraction of its own limit. Without spillover, the objects of a cache that has become
+// eight times slower are rejected although the next cache uses only a third of its link.
 func TestSpilloverNeedsCapacity(t *testing.T) {
 	for _, tc := range []struct {
-		load float64 // of the next cache, against a limit of 8
+		load float64 // work in flight at the next cache, whose limit is 8 s
 		want bool
 	}{
 		{0, true},
@@ -146,14 +148,14 @@
 				}
 			}
 			if (len(sent) > 0) != tc.want {
-				t.Errorf("sent %v, want %v", sent, tc.want)
+				t.Errorf("got fetches %v, want spillover = %v", sent, tc.want)
 			}
 		})
 	}
 }
 
-// A cache that has become slow still serves hits, but is no source for other caches; a parent is. Found with a slow
-// sibling: its fills timed out, or took fifteen times as long as their size explains.
+// A cache that has become slow may serve hits but must not be the source of another cache's fill. Fills from a slow
+// sibling time out, or take fifteen times as long as their size explains.
 func TestSlowSiblingIsNoSource(t *testing.T) {
 	for _, slow := range []bool{false, true} {
 		t.Run(fmt.Sprintf("slow %v", slow), func(t *testing.T) {
@@ -167,25 +169,25 @@
 				sibling.logLatencyRatio = router.baselineLogLatencyRatio + latencyRatioTolerance + 0.1
 			}
 			if got := router.siblingSource(request, target); (got == nil) != slow {
-				t.Errorf("the sibling is %v", got)
+				t.Errorf("got source %v from a sibling with slow = %v", got, slow)
 			}
 		})
 	}
 }
 
-// Where the cache that ranks first has more work in flight than its link can send in time, the next one takes the
-// object, unless that one is slow or hardly better off.
+// When the cache that ranks first has more work in flight than its link can send within the latency objective, the next
+// cache must take the object, unless the next cache is slow or has little capacity to spare itself.
 func TestSaturatedCacheSpillsOver(t *testing.T) {
 	for _, tc := range []struct {
 		name        string
-		first, next float64 // work in flight, over what the link can send in time
+		first, next float64 // work in flight, as a multiple of what the link can send in time
 		nextSlow    bool
-		want        int // rank of the cache that is asked
+		want        int // rank of the cache that gets the request, from 0
 	}{
-		{"room at the first", 0.9, 0, false, 0},
+		{"first has room", 0.9, 0, false, 0},
 		{"first saturated", 1.1, 0.3, false, 1},
 		{"both saturated", 1.2, 1.1, false, 0},
-		{"next hardly better off", 1.1, 0.7, false, 0},
+		{"next above the spillover fraction", 1.1, 0.7, false, 0},
 		{"next slow", 1.1, 0, true, 0},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
@@ -205,18 +207,18 @@
 			env.submitRead(1, 42, classSmall)
 			for _, fetch := range actionsOf[Fetch](env.actions[before:]) {
 				if fetch.Host != caches[tc.want].Host {
-					t.Errorf("%x was asked, want %x", fetch.Host, caches[tc.want].Host)
+					t.Errorf("sent to %x, want %x", fetch.Host, caches[tc.want].Host)
 				}
 			}
 			if len(env.actions) == before {
-				t.Error("none was asked")
+				t.Error("got no action for the request")
 			}
 		})
 	}
 }
 
-// saturate gives a cache so much work in flight that, with one more small request, it is this multiple of what its link
-// can send in time.
+// saturate sets the work in flight at a cache so that, with one more request of classSmall, it is the given multiple of
+// what the cache's link can send within the latency objective.
 func (e *testEnv) saturate(cache *serverState, multiple float64) {
 	class := &e.settings.Classes[classSmall]
 	work := e.router.transferWork(&requestState{Request: Request{Class: classSmall}})
--- a/routing/router_test.go
+++ b/routing/router_test.go
@@ -5,6 +5,8 @@
 	"time"
 )
 
+// Events of unknown types, invalid peer messages, events about unknown requests and an empty endpoint list must not
+// cause any action.
 func TestUnknownEventsAreIgnored(t *testing.T) {
 	env := newSimpleEnv(t, nil)
 	for _, event := range []Event{
@@ -19,11 +21,12 @@
 		EndpointUpdate{Kind: UpdateFull},
 	} {
 		if got := env.router.Handle(env.now, event); len(got) != 0 {
-			t.Errorf("%T: actions %v", event, got)
+			t.Errorf("event %T: got actions %v, want none", event, got)
 		}
 	}
 }
 
+// The tables of the router must stay bounded however many objects, purges and servers it has seen.
 func TestMemoryIsBounded(t *testing.T) {
 	env := newSimpleEnv(t, nil)
 	router := env.router
@@ -36,19 +39,19 @@
 	}
 	env.run(5 * time.Second)
 	for i := range 1000 {
-		passing := Endpoint{Host: Host(10000 + i), Zone: 1, State: Ready, Weight: 1}
-		env.updateEndpoints(UpdateFull, append(testEndpoints(4), passing)...)
+		shortLived := Endpoint{Host: Host(10000 + i), Zone: 1, State: Ready, Weight: 1}
+		env.updateEndpoints(UpdateFull, append(testEndpoints(4), shortLived)...)
 	}
 	if entries := len(router.currentLocations) + len(router.previousLocations); entries > 2*maxTableEntries {
-		t.Errorf("%d table entries", entries)
+		t.Errorf("got %d location table entries, want at most %d", entries, 2*maxTableEntries)
 	}
 	if purges := len(router.purges); purges > maxTableEntries {
-		t.Errorf("%d purges", purges)
+		t.Errorf("got %d purges, want at most %d", purges, maxTableEntries)
 	}
 	if servers := len(router.servers); servers > 20 {
-		t.Errorf("%d servers kept", servers)
+		t.Errorf("got %d servers, want at most 20", servers)
 	}
 	if len(router.requests) != 0 || len(router.attempts) != 0 {
-		t.Errorf("%d requests and %d attempts left over", len(router.requests), len(router.attempts))
+		t.Errorf("got %d requests and %d attempts, want none", len(router.requests), len(router.attempts))
 	}
 }
--- a/routing/rules_test.go
+++ b/routing/rules_test.go
@@ -2,19 +2,22 @@
 
 import "time"
 
-// Checks of the site's rules, as far as one director can see them.
+// This file checks that a router keeps the site's rules, as far as one director can observe them.
 
+// notifiedPurge is a purge with the time at which the router was notified of it.
 type notifiedPurge struct {
 	Purge
 	at Time
 }
 
+// workCharge is work, in seconds of transfer time, that was charged to the slow-start budget of a server at a time.
 type workCharge struct {
 	at   Time
 	work float64
 }
 
-// checkFinal checks a final answer: there is one, and what may have executed is not rejected as if it had not.
+// checkFinal checks a final answer of the router, a Reject or a Fail: a request gets only one, and no Reject if an
+// attempt may have executed and its repeat could do harm.
 func (e *testEnv) checkFinal(id uint32, rejected bool) {
 	request := e.requests[id]
 	if request.ended {
@@ -22,16 +25,17 @@
 	}
 	request.ended = true
 	class := e.settings.Classes[request.Class]
-	bound := class.Idempotency == IdempotencyNone ||
+	repeatMayHarm := class.Idempotency == IdempotencyNone ||
 		(class.Idempotency == IdempotencyKeyed && class.DedupScope != DedupScopeAll)
 	for _, attempt := range request.attempts {
-		if rejected && attempt.mayHaveExecuted && bound {
-			e.violatef("request %d rejected though it may have executed", id)
+		if rejected && attempt.mayHaveExecuted && repeatMayHarm {
+			e.violatef("request %d was rejected although it may have executed", id)
 		}
 	}
 }
 
-// checkAttempt checks that the request may be attempted, and that its servers may get new work.
+// checkAttempt checks that a request may be attempted again, and that the target and the source of the attempt are
+// ready.
 func (e *testEnv) checkAttempt(request *openRequest, host, source Host) {
 	if request.ended {
 		e.violatef("attempt for ended request %d", request.ID)
@@ -49,7 +53,7 @@
 	}
 }
 
-// checkRepeat checks that an attempt may follow an earlier one.
+// checkRepeat checks that an attempt at a host may follow an earlier attempt of the same request.
 func (e *testEnv) checkRepeat(request *openRequest, earlier sentAttempt, host Host) {
 	if earlier.inFlight && !e.settings.SiteLimits.HedgingAllowed {
 		e.violatef("request %d: two attempts in flight", request.ID)
@@ -58,37 +62,39 @@
 		return
 	}
 	class := e.settings.Classes[request.Class]
-	before, now := e.endpoints[earlier.host], e.endpoints[host]
+	earlierTarget, target := e.endpoints[earlier.host], e.endpoints[host]
 	switch class.Idempotency {
 	case IdempotencyNone:
 		e.violatef("request %d: non-idempotent request sent again", request.ID)
 	case IdempotencyKeyed:
-		otherZone := class.DedupScope == DedupScopeZone && before.Zone != now.Zone
-		otherCell := class.DedupScope == DedupScopeCell && before.Cell != now.Cell
+		otherZone := class.DedupScope == DedupScopeZone && earlierTarget.Zone != target.Zone
+		otherCell := class.DedupScope == DedupScopeCell && earlierTarget.Cell != target.Cell
 		if e.now >= earlier.sentAt+class.DedupWindow || otherZone || otherCell {
 			e.violatef("request %d: keyed request sent again outside its scope or window", request.ID)
 		}
 	}
 }
 
-// checkMaxAge checks that no copy from before a purge is accepted.
+// checkMaxAge checks that an attempt accepts no copy from before a purge. The check applies from PurgeSlack after the
+// notification of the purge until PurgePropagation after the purge.
 func (e *testEnv) checkMaxAge(request *openRequest, host Host, maxAge time.Duration) {
 	tiers := e.settings.Tiers
 	if e.endpoints[host].Kind == tiers.OriginKind {
 		return
 	}
 	for _, purge := range e.purges {
-		concerns := purge.Object == request.Object || (purge.Object == 0 && purge.Group == request.Group)
+		matches := purge.Object == request.Object || (purge.Object == 0 && purge.Group == request.Group)
 		purgedAt := purge.at - purge.Age
-		binds := e.now > purge.at+tiers.PurgeSlack && e.now < purgedAt+tiers.PurgePropagation
-		if concerns && binds && (maxAge <= 0 || maxAge > max(1, e.now-purgedAt)) {
-			e.violatef("request %d: age %v admits a copy from before a purge %v ago",
+		inForce := e.now > purge.at+tiers.PurgeSlack && e.now < purgedAt+tiers.PurgePropagation
+		if matches && inForce && (maxAge <= 0 || maxAge > max(1, e.now-purgedAt)) {
+			e.violatef("request %d: MaxAge %v allows a copy from before a purge %v ago",
 				request.ID, maxAge, e.now-purgedAt)
 		}
 	}
 }
 
-// chargeSlowStart books an attempt on the slow-start budget of a server, and checks this director's part of it.
+// chargeSlowStart charges 0.05 s of work for an attempt to the slow-start budget of a server that warms up, and checks
+// that the charges within the overload window do not exceed this director's part of the budget.
 func (e *testEnv) chargeSlowStart(host Host) {
 	endpoint, tiers, guarantees := e.endpoints[host], e.settings.Tiers, e.settings.Guarantees
 	if endpoint.Started == 0 || endpoint.Kind == tiers.OriginKind {
@@ -115,6 +121,7 @@
 	capacity := endpoint.Weight / float64(directors)
 	allowed := multiple * max(fraction, share) * capacity * guarantees.OverloadWindow.Seconds()
 	if sum > allowed {
-		e.violatef("warming up host %d: %.2f s of work in its window, %.2f allowed", host, sum, allowed)
+		e.violatef("host %d is warming up: %.2f s of work within the overload window, %.2f s allowed",
+			host, sum, allowed)
 	}
 }
--- a/routing/send_test.go
+++ b/routing/send_test.go
@@ -8,12 +8,14 @@
 	"shaleyard/internal/overload"
 )
 
-func TestEffects(t *testing.T) {
+// A request that must not be repeated freely must get a final answer when its attempts fail, and no repeat that the
+// idempotency of its class forbids.
+func TestRepeatsFollowIdempotency(t *testing.T) {
 	for _, tc := range []struct {
 		class  int
 		result Result
 	}{
-		{classKeyed, Reset}, // the only host of the zone is the origin: it may be asked again in its zone
+		{classKeyed, Reset}, // sent to the origin, where a repeat stays within the zone of its DedupScope
 		{classUnsafe, Reset},
 		{classUnsafe, Errored},
 	} {
@@ -23,15 +25,16 @@
 			request := env.submitRead(1, 42, tc.class)
 			env.run(3 * time.Second)
 			if !request.ended {
-				t.Error("not ended")
+				t.Error("request has not ended")
 			}
 			env.assertNoViolation()
 		})
 	}
 }
 
-// Each rule that binds all attempts is broken in turn: send refuses. Without any of its checks this test fails.
-func TestSendKeepsTheRules(t *testing.T) {
+// send must refuse an attempt that breaks any of the rules for all attempts. Each case breaks one rule, so that this
+// test fails if any check is missing from send.
+func TestSendEnforcesRules(t *testing.T) {
 	for name, breakRule := range map[string]func(env *testEnv, request *requestState, target, source *serverState){
 		"target draining": func(_ *testEnv, _ *requestState, target, _ *serverState) { target.State = Draining },
 		"source draining": func(_ *testEnv, _ *requestState, _, source *serverState) { source.State = Draining },
@@ -68,11 +71,11 @@
 			target, source := env.router.servers[hostEdge], env.router.servers[hostParent]
 			breakRule(env, request, target, source)
 			if env.router.send(request, target, source) {
-				t.Error("an attempt was sent")
+				t.Error("an attempt that breaks a rule was sent")
 			}
 		})
 	}
-	t.Run("nothing", func(t *testing.T) {
+	t.Run("no rule broken", func(t *testing.T) {
 		env, request := newSendEnv(t)
 		if !env.router.send(request, env.router.servers[hostEdge], env.router.servers[hostParent]) {
 			t.Error("a permitted attempt was not sent")
@@ -80,7 +83,7 @@
 	})
 }
 
-// newSendEnv has a request that was never attempted.
+// newSendEnv returns an environment and a request that is registered with its router and has no attempts.
 func newSendEnv(t *testing.T) (*testEnv, *requestState) {
 	t.Helper()
 	env := newSimpleEnv(t, nil)
@@ -93,10 +96,10 @@
 	return env, request
 }
 
-// A repeat of a keyed request must have been written, with a margin for network delay, before the window of the first
-// attempt that may have executed ends. The window counts from that attempt, not from a later one, and not from one that
-// provably never executed.
-func TestRepeatIsBoundToTheFirstWindow(t *testing.T) {
+// A repeat of a keyed request must be written before the deduplication window of the first attempt that may have
+// executed ends, less a margin for network delay. Neither a later attempt nor one that provably never executed starts
+// the window.
+func TestRepeatMustFitFirstDedupWindow(t *testing.T) {
 	env := newSimpleEnv(t, nil)
 	router := env.router
 	edge, origin := router.servers[hostEdge], router.servers[hostOrigin]
@@ -112,27 +115,27 @@
 	}
 	router.requests[1], router.now, router.actions = request, env.now, nil
 	if !router.send(request, edge, origin) {
-		t.Fatal("a repeat inside its window was not sent")
+		t.Fatal("a repeat within the window was not sent")
 	}
 	var windowEnd Time
 	for _, fetch := range actionsOf[Fetch](router.actions) {
 		windowEnd = fetch.IdempotencyWindowEnd
 	}
 	if want := env.now + 650*ms; windowEnd != want {
-		t.Errorf("to be written within %v, want %v", windowEnd-env.now, want-env.now)
+		t.Errorf("got an idempotency window that ends in %v, want %v", windowEnd-env.now, want-env.now)
 	}
 	router.now = windowEnd
 	if router.maySend(request, edge) {
-		t.Error("a repeat may be sent without the margin")
+		t.Error("maySend = true at the end of the window, want false")
 	}
 	request.Class, request.attempts = classBig, nil
 	router.maySend(request, edge)
 	if request.idempotencyWindowEnd != 0 {
-		t.Error("a read is bound to a window")
+		t.Error("a read-like request has an idempotency window")
 	}
 }
 
-// exhaustedBucket is a token bucket of which much more has been spent than it holds.
+// exhaustedBucket returns a token bucket with 1000 s of work spent, far more than any slow-start budget.
 func exhaustedBucket(now Time) (bucket overload.TokenBucket) {
 	bucket.Spent(now, 0)
 	bucket.Spend(1e3)
--- a/routing/sites_test.go
+++ b/routing/sites_test.go
@@ -7,7 +7,8 @@
 	"shaleyard/internal/sitehealth"
 )
 
-// newThreeHubEnv has hubs of two parents each in zones 0, 2 and 3, of which zone 0 is the own hub.
+// newThreeHubEnv returns an environment with three hubs of two parents each, in zones 0, 2 and 3. Zone 0 is the own
+// hub.
 func newThreeHubEnv(t *testing.T) *testEnv {
 	t.Helper()
 	settings := testSettings()
@@ -25,8 +26,8 @@
 	return env
 }
 
-// fillsByZone submits requests for different objects, one every 20 ms, and counts their fills by the zone of the
-// parent.
+// fillsByZone submits count requests for different objects, one every 20 ms, with IDs from first, and returns the
+// number of fills from parents by the zone of the parent.
 func (e *testEnv) fillsByZone(first, count int) map[int]int {
 	before, byZone := len(e.fetches), map[int]int{}
 	for i := range count {
@@ -42,9 +43,9 @@
 	return byZone
 }
 
-// A lost hub's fills are shared as the failover plan says. Half-open probes go to the lost hub first, and it has its
-// fills back once it answers.
-func TestLostHubIsReplacedByPlan(t *testing.T) {
+// When the own hub is lost, its fills must go to the other hubs in the shares of the failover plan. Half-open probes
+// must still go to the lost hub, and all fills must go to it again once it answers.
+func TestLostHubFillsFollowFailoverPlan(t *testing.T) {
 	env := newThreeHubEnv(t)
 	env.router.SetSiteOptions(sitehealth.Options{Plan: func([]int, []float64) sitehealth.FailoverShares {
 		return sitehealth.FailoverShares{HubShares: []float64{0, 0, 0.75, 0.25}}
@@ -58,44 +59,45 @@
 		return OK, FillStatusFilled, 10 * ms
 	}
 	if fills := env.fillsByZone(1, 100); fills[0] != 100 {
-		t.Errorf("all is well, and fills come from %v", fills)
+		t.Errorf("before the loss: got fills by zone %v, want 100 from zone 0", fills)
 	}
 	down = true
-	env.fillsByZone(200, 20) // it is noticed
+	env.fillsByZone(200, 20) // the router detects the loss
 	fills := env.fillsByZone(400, 400)
 	if probes := fills[0]; probes == 0 || probes > 20 {
-		t.Errorf("%d probes of a hub that is lost for 8 s", probes)
+		t.Errorf("got %d probes of the hub while it was lost for 8 s, want 1 to 20", probes)
 	}
 	if share := float64(fills[2]) / float64(fills[2]+fills[3]); share < 0.67 || share > 0.83 {
-		t.Errorf("fills come from %v, three quarters of them were planned from the second hub", fills)
+		t.Errorf("got fills by zone %v, want three quarters of those from zones 2 and 3 from zone 2", fills)
 	}
 	down = false
 	env.run(4 * time.Second)
 	env.fillsByZone(900, 10)
 	if fills := env.fillsByZone(1000, 100); fills[0] != 100 {
-		t.Errorf("the hub is back, and fills come from %v", fills)
+		t.Errorf("after the recovery: got fills by zone %v, want 100 from zone 0", fills)
 	}
 	env.assertNoViolation()
 }
 
-// Caches that are silent are probed one request at a time, and what could only time out is rejected at once; a write
-// that was sent is not. When they answer again, all are used soon.
-func TestSilentZoneIsOnlyProbed(t *testing.T) {
+// When all caches of the own zone stop responding, they must be probed with one request at a time, and all other
+// requests must be rejected at once, as they could only time out. A write that was sent must not be sent again. When
+// the caches respond again, requests must be accepted again within 7 s.
+func TestUnresponsiveZoneIsOnlyProbed(t *testing.T) {
 	env := newThreeHubEnv(t)
-	silent := false
+	unresponsive := false
 	env.answer = func(*testEnv, *openRequest, int) (Result, FillStatus, time.Duration) {
-		if silent {
+		if unresponsive {
 			return OK, FillStatusHit, time.Hour // times out
 		}
 		return OK, FillStatusHit, 10 * ms
 	}
 	read := func(id, index int) *openRequest { return env.submitRead(uint32(id), uint64(1000+index%20), classBig) }
-	for i := range 60 { // the caches are known as holders
+	for i := range 60 { // the location table learns which caches hold the objects
 		read(1+i, i)
 		env.run(20 * ms)
 	}
 
-	silent = true
+	unresponsive = true
 	write := env.submitRead(100, 5000, classUnsafe)
 	for i := range 60 {
 		read(200+i, i)
@@ -109,14 +111,14 @@
 		env.run(20 * ms)
 	}
 	if probes := len(env.fetches) - before; probes > 12 || rejected < 88 {
-		t.Errorf("of 100 requests in 2 s to a zone that is silent, %d were rejected at once and %d sent",
-			rejected, probes)
+		t.Errorf("100 requests in 2 s to an unresponsive zone: got %d rejected at once, want at least 88; "+
+			"got %d probes, want at most 12", rejected, probes)
 	}
 	if len(write.attempts) != 1 {
-		t.Errorf("the write was sent %d times", len(write.attempts))
+		t.Errorf("the write was sent %d times, want once", len(write.attempts))
 	}
 
-	silent = false
+	unresponsive = false
 	env.run(5 * time.Second)
 	for i := range 40 {
 		read(500+i, i)
@@ -124,7 +126,7 @@
 	}
 	for i := range 40 {
 		if request := read(600+i, i); request.ended {
-			t.Fatalf("request %d is rejected 2 s after all of them answer again", i)
+			t.Fatalf("request %d was rejected at least 7 s after the caches began to respond again", i)
 		}
 		env.run(20 * ms)
 	}
--- a/routing/slowstart_test.go
+++ b/routing/slowstart_test.go
@@ -7,15 +7,15 @@
 	"time"
 )
 
-// Directors that restart know a cache that warms up from their list, and nothing of what they sent it before, nor of
-// how long an object takes. All of them together must not begin their shares of its budget anew: what reaches the cache
-// within the overload window stays within the budget of N calls and chance, where N is far smaller than the number of
-// directors.
-func TestRestartedRoutersDoNotBeginTheirSharesAgain(t *testing.T) {
+// Directors that restart learn from the endpoint list that a cache warms up, but know neither what they sent to it
+// before nor how long a transfer takes. If each of them began with its full share of the cache's slow-start budget
+// again, the cache would be overloaded. The attempts that reach the cache within any overload window must not exceed
+// its budget of N attempts by more than chance explains (2*sqrt(N) + 2). N is far smaller than the number of directors.
+func TestRestartedRoutersStayWithinSlowStartBudget(t *testing.T) {
 	for _, directors := range []int{30, 300} {
 		for seed := range uint64(5) {
 			t.Run(fmt.Sprintf("%d directors, seed %d", directors, seed), func(t *testing.T) {
-				const sizeKB, weight = 500.0, 20.0 // an object takes 0.5 s, about as long as the objective
+				const sizeKB, weight = 500.0, 20.0 // a transfer takes 0.5 s, about as long as the objective
 				settings := testSettings()
 				settings.Directors = directors
 				settings.Tiers.DirectorsByZone = []int{0, directors, 0}
@@ -32,17 +32,17 @@
 					}
 				}
 				routers := newRouters(t, settings, seed, directors, now, list)
-				var calls []Time
+				var sendTimes []Time
 				for round := range 60 {
 					for range callsInRound(routers, now, round, sizeKB) {
-						calls = append(calls, now)
+						sendTimes = append(sendTimes, now)
 					}
 					now += guarantees.OverloadWindow / 10
 				}
 				worst := 0.0
-				for i, at := range calls {
+				for i, at := range sendTimes {
 					inWindow := 0
-					for _, other := range calls[i:] {
+					for _, other := range sendTimes[i:] {
 						if other < at+guarantees.OverloadWindow {
 							inWindow++
 						}
@@ -53,18 +53,20 @@
 					allowed := budget / (sizeKB / settings.Tiers.TransferKBPerSecond)
 					worst = max(worst, float64(inWindow)/(allowed+2*math.Sqrt(allowed)+2))
 				}
-				t.Logf("%d calls, %.2f of what may come by chance", len(calls), worst)
-				if worst > 1 || len(calls) < 10 {
-					t.Errorf("%d calls, %.2f times what may come by chance in a window", len(calls), worst)
+				t.Logf("%d attempts, at most %.2f of the allowed number in a window", len(sendTimes), worst)
+				if worst > 1 || len(sendTimes) < 10 {
+					t.Errorf("got %d attempts and %.2f of the allowed number in a window, want at least 10 and at most 1",
+						len(sendTimes), worst)
 				}
 			})
 		}
 	}
 }
 
-// All directors hear of a start at once. If each sent its first large request to the cache in the same second, it would
-// break down; so the sum over all of them must stay in the budget. Found in an incident of the whole site.
-func TestManyRoutersSpareAColdCache(t *testing.T) {
+// All directors learn of the start of a cache at the same time. If each director sent its first large request to the
+// cache in the same second, the cache would break down. The work that all directors together send to the cache within
+// the overload window must therefore stay within its slow-start budget.
+func TestManyRoutersStayWithinSlowStartBudget(t *testing.T) {
 	const directors, caches = 40, 4
 	for seed := range uint64(5) {
 		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) {
@@ -92,16 +94,16 @@
 			allowed := guarantees.OverloadMultiple * guarantees.SlowStartFraction * weight *
 				guarantees.OverloadWindow.Seconds()
 			if sum > allowed {
-				t.Errorf("%.1f s of work reach the cache in its window, %.1f allowed", sum, allowed)
+				t.Errorf("got %.1f s of work at the cache in the overload window, want at most %.1f s", sum, allowed)
 			}
 			if sum == 0 {
-				t.Error("nothing was sent")
+				t.Error("no attempt was sent to the cache")
 			}
 		})
 	}
 }
 
-// newRouters are the routers of a number of directors that know the same endpoints.
+// newRouters returns the routers of count directors that have received the same endpoint list.
 func newRouters(t *testing.T, settings Settings, seed uint64, count int, now Time, list []Endpoint) []*Router {
 	t.Helper()
 	routers := make([]*Router, count)
@@ -116,7 +118,8 @@
 	return routers
 }
 
-// callsInRound submits a request for another object to each router, and counts those that go to hostEdge.
+// callsInRound submits one request to each router, each for a different object, and returns the number of requests that
+// are sent to hostEdge.
 func callsInRound(routers []*Router, now Time, round int, sizeKB float64) (calls int) {
 	for i, router := range routers {
 		id := uint32(round*len(routers) + i + 1)
--- a/routing/validate_test.go
+++ b/routing/validate_test.go
@@ -13,7 +13,7 @@
 	"shaleyard/internal/sitehealth"
 )
 
-func TestNewNamesTheField(t *testing.T) {
+func TestNewErrorNamesSettingKey(t *testing.T) {
 	for key, change := range map[string]func(*Settings){
 		"services":             func(s *Settings) { s.Classes = nil },
 		"zone":                 func(s *Settings) { s.Zone = 3 },
@@ -29,62 +29,64 @@
 			change(&settings)
 			_, err := New(settings, 1)
 			if err == nil || !strings.Contains(err.Error(), key) {
-				t.Errorf("error %v", err)
+				t.Errorf("got error %v, want one that contains %q", err, key)
 			}
 			var settingErr *SettingError
 			if !errors.As(err, &settingErr) || !strings.Contains(settingErr.Key, key) {
-				t.Errorf("%v is not a SettingError with the key", err)
+				t.Errorf("got error %v, want a SettingError whose Key contains %q", err, key)
 			}
 		})
 	}
 	settings := testSettings()
 	settings.Tiers = TierSettings{ParentKind: -1, OriginKind: 2}
 	if _, err := New(settings, 1); err != nil {
-		t.Errorf("optional lists left out: %v", err)
+		t.Errorf("New failed with the optional lists left out: %v", err)
 	}
 }
 
-// Settings of other deployments may leave anything out, and may hold anything. What cannot work is an error that names
-// the key, before anything listens; a router with other settings plays, and never panics.
-func TestOddSettingsAreNamedOrPlay(t *testing.T) {
-	plain := testSettings()
-	plain.SiteLimits.RetryAfterAllowed, plain.SiteLimits.MaxRetryAfter = true, 500*ms
-	text, err := json.Marshal(plain)
+// Settings of other deployments may leave out any value and may hold any value. Settings that cannot work must lead to
+// an error that names the key, before the director listens. A router with any other settings must handle events without
+// a panic.
+func TestArbitrarySettingsAreRejectedOrUsable(t *testing.T) {
+	settings := testSettings()
+	settings.SiteLimits.RetryAfterAllowed, settings.SiteLimits.MaxRetryAfter = true, 500*ms
+	text, err := json.Marshal(settings)
 	if err != nil {
 		t.Fatal(err)
 	}
 	count := 0
 	walkLeaves("", decodeJSON(t, text), nil, func(path string, value any, _ func(any)) {
-		odd := []any{nil, "odd", -1, 0, true}
+		replacements := []any{nil, "odd", -1, 0, true}
 		if _, ok := value.(float64); ok {
-			odd = append(odd, 1e18, -1e18, 0.5)
+			replacements = append(replacements, 1e18, -1e18, 0.5)
 		}
-		for _, replacement := range odd {
+		for _, replacement := range replacements {
 			count++
 			tryOddSetting(t, text, path, replacement)
 		}
 	})
 	if count < 500 {
-		t.Errorf("only %d changes were tried", count)
+		t.Errorf("tried %d replacements, want at least 500", count)
 	}
 }
 
-// tryOddSetting replaces the value at a path of the settings.
+// tryOddSetting replaces the value at a path of the settings, given as JSON. It checks that a router with the new
+// settings handles events without a panic, or that the error names the key.
 func tryOddSetting(t *testing.T, text []byte, path string, value any) {
 	t.Helper()
 	defer func() {
 		if panicked := recover(); panicked != nil {
-			t.Errorf("%s = %v: %v", path, value, panicked)
+			t.Errorf("%s = %v: panic: %v", path, value, panicked)
 		}
 	}()
-	odd, err := json.Marshal(value)
+	replacement, err := json.Marshal(value)
 	if err != nil {
 		t.Fatal(err)
 	}
 	document := decodeJSON(t, text)
 	walkLeaves("", document, nil, func(leafPath string, _ any, set func(any)) {
 		if leafPath == path {
-			set(json.RawMessage(odd))
+			set(json.RawMessage(replacement))
 		}
 	})
 	changed, err := json.Marshal(document)
@@ -93,11 +95,12 @@
 	}
 	err = playWith(changed)
 	if err != nil && !strings.Contains(err.Error(), keyOf(path)) {
-		t.Errorf("%s = %v: the error does not name the key: %v", path, value, err)
+		t.Errorf("%s = %v: got error %v, want one that names the key", path, value, err)
 	}
 }
 
-// playWith exercises a router with settings as JSON, or returns why it cannot.
+// playWith decodes settings from JSON and exercises a router with them. It returns the error of decoding the settings
+// or of creating the router.
 func playWith(text []byte) error {
 	var settings Settings
 	if err := json.Unmarshal(text, &settings); err != nil {
@@ -112,7 +115,7 @@
 	return nil
 }
 
-// keyOf is the key of a path that an error must name. Indices are part of it for classes only.
+// keyOf returns the last key of a path, without an index: the key that the error for a value at this path must contain.
 func keyOf(path string) string {
 	if i := strings.IndexByte(path, '['); i >= 0 && !strings.HasPrefix(path, "services") {
 		path = path[:i]
@@ -120,6 +123,7 @@
 	return path[strings.LastIndexByte(path, '.')+1:]
 }
 
+// decodeJSON decodes a JSON document into maps, slices and plain values, and fails the test if it is invalid.
 func decodeJSON(t *testing.T, text []byte) (document any) {
 	t.Helper()
 	if err := json.Unmarshal(text, &document); err != nil {
@@ -128,7 +132,9 @@
 	return document
 }
 
-// walkLeaves calls visit for each value of a document that holds no others, with its path and a way to replace it.
+// walkLeaves calls visit for each value of a decoded JSON document that is neither an object nor an array. The
+// arguments of visit are the path of the value, the value, and a function that replaces it. Objects are visited in the
+// order of their keys.
 func walkLeaves(path string, value any, set func(any), visit func(path string, value any, set func(any))) {
 	switch node := value.(type) {
 	case map[string]any:
@@ -144,16 +150,17 @@
 	}
 }
 
-// exerciser answers the actions of a router at once, with results of all kinds.
+// exerciser passes events to a router and answers each attempt at once, with varying results.
 type exerciser struct {
 	router   *Router
 	now      Time
-	timers   int
-	attempts map[uint32]int // sent, by request
+	timers   int            // timers set; from 5000 on they no longer fire, which bounds the recursion
+	attempts map[uint32]int // number of attempts sent, by request ID
 }
 
-// exerciseRouter plays a few seconds with a router: a list with a cache that warms up and a drain, requests of all
-// classes, answers and failures of all kinds, a purge, rejections.
+// exerciseRouter passes 4 s of events to a router: an endpoint list with servers that warm up, requests of all classes,
+// outcomes with all results from OK to Miss and with all fill statuses, a purge, a cache that drains, and a discovery
+// failure.
 func exerciseRouter(router *Router, classes int) {
 	e := &exerciser{router: router, now: 1000 * time.Second, attempts: map[uint32]int{}}
 	list := testEndpoints(3)
@@ -161,7 +168,7 @@
 	list = append(list, Endpoint{Host: 150, Zone: 1, State: Ready, Weight: 6, Started: e.now - time.Second})
 	e.handle(EndpointUpdate{Kind: UpdateFull, Version: 1, Endpoints: list})
 	for i := range uint32(200) {
-		class := int(i) % (classes + 1) // one of them is out of range
+		class := int(i) % (classes + 1) // the last one is out of range
 		e.handle(
 			Request{ID: i + 1, Class: class, Object: uint64(i % 50), Deadline: e.now + time.Second, SizeKB: float64(i)},
 		)
@@ -179,6 +186,7 @@
 	}
 }
 
+// handle passes an event to the router, and fires the timers and ends the attempts that the router's actions ask for.
 func (e *exerciser) handle(event Event) {
 	for _, action := range slices.Clone(e.router.Handle(e.now, event)) {
 		switch action := action.(type) {
@@ -195,6 +203,8 @@
 	}
 }
 
+// endAttempt ends the request's next attempt with a result and a fill status that depend on the request and the
+// attempt.
 func (e *exerciser) endAttempt(id uint32, host Host) {
 	number := e.attempts[id]
 	e.attempts[id]++
