--- a/routing/ending_test.go
+++ b/routing/ending_test.go
@@ -15,7 +15,7 @@
 		atLeast, atMost time.Duration
 	}{
 		"allowed":     {false, true, 500 * ms, 50 * ms, 100 * ms},
-		"limited":     {false, true, 20 * ms, 15 * ms, 20 * ms},
+		"limited by MaxRetryAfter":     {false, true, 20 * ms, 15 * ms, 20 * ms},
 		"not allowed": {false, false, 500 * ms, 0, 0},
 		"site lost":   {true, true, 5 * time.Second, 250 * ms, 500 * ms},
 	} {
--- a/routing/env_test.go
+++ b/routing/env_test.go
@@ -99,8 +99,8 @@
 	return append(list, Endpoint{Host: 700, Zone: 2, State: Ready, Weight: 6})
 }
 
-// answerFunc returns the result and the fill status with which an attempt of a request ends, and the time until then.
-// The attempt is given by its number, from 0.
+// answerFunc simulates the servers: it returns the result and the fill status with which an attempt of a request ends,
+// and the time that the attempt takes. The attempt is given by its number, from 0.
 type answerFunc func(env *testEnv, request *openRequest, attempt int) (Result, FillStatus, time.Duration)
 
 // always returns an answerFunc that ends every attempt in the same way.
@@ -359,8 +359,8 @@
 	return found
 }
 
-// violatef records a breach of the site's rules, if it is the first. Tests call assertNoViolation at their end to fail
-// on it.
+// violatef records the first breach of the site's rules and ignores later ones. Tests end with assertNoViolation, which
+// fails on a recorded breach.
 func (e *testEnv) violatef(format string, args ...any) {
 	if e.violation == "" {
 		e.violation = fmt.Sprintf(format, args...)
--- a/routing/fill_test.go
+++ b/routing/fill_test.go
@@ -51,7 +51,7 @@
 		}
 	}
 	fills := len(env.fetches)
-	if fills != 200 || onlyIfCached < 110 || onlyIfCached > 170 { // the shield lets 3 in 10 through
+	if fills != 200 || onlyIfCached < 110 || onlyIfCached > 170 { // the origin shield admits 3 in 10 fills
 		t.Errorf("got %d fills and %d of them with OnlyIfCached, want 200 and 110 to 170", fills, onlyIfCached)
 	}
 
@@ -110,7 +110,7 @@
 		change        func(*Settings)
 		warmingUp     bool
 		fillUnderWay  bool // in the cache, for another request
-		probes, fills int  // probes: 0 or a minimum, as waits for the slow-start budget add probes
+		probes, fills int  // probes is a minimum (0: none), as waiting for the slow-start budget adds probes
 	}{
 		{"no fill under way", nil, true, false, 1, 1},
 		{"fill under way", nil, true, true, 2, 0},
@@ -125,7 +125,7 @@
 					tc.change(settings)
 				}
 			})
-			env.submitRead(1, 41, classBig) // the first request starts the director's own probe period of 2 s
+			env.submitRead(1, 41, classBig) // starts the 2 s after a director's start in which it always probes
 			env.run(10 * time.Second)
 			if tc.warmingUp {
 				env.restartCaches()
@@ -163,7 +163,7 @@
 	}
 }
 
-// restartCaches gives all caches a new incarnation that starts now, so that they warm up.
+// restartCaches gives all edge caches a new incarnation that starts now, so that they warm up.
 func (e *testEnv) restartCaches() {
 	list := testEndpoints(4)
 	for i := range list {
--- a/routing/peers_test.go
+++ b/routing/peers_test.go
@@ -49,16 +49,16 @@
 		t.Errorf("got %+v, want a fill from the origin", fetch)
 	}
 
-	answering := newPeersEnv(t)
-	answering.submitRead(1, 43, classBig)
-	answering.run(100 * ms)
-	answering.actions = nil
+	replyingEnv := newPeersEnv(t)
+	replyingEnv.submitRead(1, 43, classBig)
+	replyingEnv.run(100 * ms)
+	replyingEnv.actions = nil
 	remoteQuery := locationMessage{kind: locationQuery, zone: 2, key: key}
-	answering.handle(PeerMessage{From: 1, Data: remoteQuery.encode()})
-	wantReply := locationMessage{kind: locationReply, zone: 1, key: key, holder: answering.fetches[0].Host}
+	replyingEnv.handle(PeerMessage{From: 1, Data: remoteQuery.encode()})
+	wantReply := locationMessage{kind: locationReply, zone: 1, key: key, holder: replyingEnv.fetches[0].Host}
 	want := SendPeerMessage{To: 1, Data: wantReply.encode()}
-	if !reflect.DeepEqual(answering.actions, []Action{want}) {
-		t.Errorf("got actions %v, want %v", answering.actions, want)
+	if !reflect.DeepEqual(replyingEnv.actions, []Action{want}) {
+		t.Errorf("got actions %v, want %v", replyingEnv.actions, want)
 	}
 	env.assertNoViolation()
 }
--- a/routing/send_test.go
+++ b/routing/send_test.go
@@ -15,7 +15,7 @@
 		class  int
 		result Result
 	}{
-		{classKeyed, Reset}, // sent to the origin, where a repeat stays within the zone of its DedupScope
+		{classKeyed, Reset}, // sent to the origin; a repeat must stay in the origin's zone
 		{classUnsafe, Reset},
 		{classUnsafe, Errored},
 	} {
@@ -39,7 +39,7 @@
 		"target draining": func(_ *testEnv, _ *requestState, target, _ *serverState) { target.State = Draining },
 		"source draining": func(_ *testEnv, _ *requestState, _, source *serverState) { source.State = Draining },
 		"source gone":     func(_ *testEnv, _ *requestState, _, source *serverState) { source.listed = false },
-		"hedge":           func(_ *testEnv, request *requestState, _, _ *serverState) { request.inFlight = 1 },
+		"second attempt in flight": func(_ *testEnv, request *requestState, _, _ *serverState) { request.inFlight = 1 },
 		"deadline":        func(env *testEnv, request *requestState, _, _ *serverState) { request.Deadline = env.now },
 		"streaming":       func(_ *testEnv, request *requestState, _, _ *serverState) { request.streaming = true },
 		"attempts exhausted": func(_ *testEnv, request *requestState, _, _ *serverState) {
--- a/routing/sites_test.go
+++ b/routing/sites_test.go
@@ -79,9 +79,9 @@
 	env.assertNoViolation()
 }
 
-// When all caches of the own zone stop responding, they must be probed with one request at a time, and all other
-// requests must be rejected at once, as they could only time out. A write that was sent must not be sent again. When
-// the caches respond again, requests must be accepted again within 7 s.
+// When all caches of the own zone stop responding, each of them must be probed with one request at a time, and all other
+// requests must be rejected at once, as they could only time out. A write that was sent must not be sent again. When the
+// caches respond again, all requests must be accepted again within 7 s.
 func TestUnresponsiveZoneIsOnlyProbed(t *testing.T) {
 	env := newThreeHubEnv(t)
 	unresponsive := false
