--- a/routing/ending_test.go
+++ b/routing/ending_test.go
@@ -14,10 +14,10 @@
 		maxRetryAfter   time.Duration
 		atLeast, atMost time.Duration
 	}{
-		"allowed":     {false, true, 500 * ms, 50 * ms, 100 * ms},
-		"limited by MaxRetryAfter":     {false, true, 20 * ms, 15 * ms, 20 * ms},
-		"not allowed": {false, false, 500 * ms, 0, 0},
-		"site lost":   {true, true, 5 * time.Second, 250 * ms, 500 * ms},
+		"allowed":                  {false, true, 500 * ms, 50 * ms, 100 * ms},
+		"limited by MaxRetryAfter": {false, true, 20 * ms, 15 * ms, 20 * ms},
+		"not allowed":              {false, false, 500 * ms, 0, 0},
+		"site lost":                {true, true, 5 * time.Second, 250 * ms, 500 * ms},
 	} {
 		t.Run(name, func(t *testing.T) {
 			env := newSimpleEnv(t, func(settings *Settings) {
--- a/routing/send_test.go
+++ b/routing/send_test.go
@@ -36,12 +36,12 @@
 // test fails if any check is missing from send.
 func TestSendEnforcesRules(t *testing.T) {
 	for name, breakRule := range map[string]func(env *testEnv, request *requestState, target, source *serverState){
-		"target draining": func(_ *testEnv, _ *requestState, target, _ *serverState) { target.State = Draining },
-		"source draining": func(_ *testEnv, _ *requestState, _, source *serverState) { source.State = Draining },
-		"source gone":     func(_ *testEnv, _ *requestState, _, source *serverState) { source.listed = false },
+		"target draining":          func(_ *testEnv, _ *requestState, target, _ *serverState) { target.State = Draining },
+		"source draining":          func(_ *testEnv, _ *requestState, _, source *serverState) { source.State = Draining },
+		"source gone":              func(_ *testEnv, _ *requestState, _, source *serverState) { source.listed = false },
 		"second attempt in flight": func(_ *testEnv, request *requestState, _, _ *serverState) { request.inFlight = 1 },
-		"deadline":        func(env *testEnv, request *requestState, _, _ *serverState) { request.Deadline = env.now },
-		"streaming":       func(_ *testEnv, request *requestState, _, _ *serverState) { request.streaming = true },
+		"deadline":                 func(env *testEnv, request *requestState, _, _ *serverState) { request.Deadline = env.now },
+		"streaming":                func(_ *testEnv, request *requestState, _, _ *serverState) { request.streaming = true },
 		"attempts exhausted": func(_ *testEnv, request *requestState, _, _ *serverState) {
 			request.attempts = make([]*attemptState, 5)
 		},
