--- a/routing/ejection_test.go
+++ b/routing/ejection_test.go
@@ -11,7 +11,7 @@
 	env := newSimpleEnv(t, nil)
 	env.answer = always(OK, FillStatusHit, 400*ms)
 	for id := uint32(1); id <= 400; id++ {
-		env.submitRead(id, uint64(id), classBig)
+		env.submitObject(id, uint64(id), classBig)
 		if id%40 == 0 { // 40 requests at once; from the second batch on, all are answered after 700 ms
 			env.answer = always(OK, FillStatusFilled, 700*ms)
 			env.run(800 * ms)
@@ -43,7 +43,7 @@
 	submit := func(count int) {
 		for range count {
 			id++
-			env.submitRead(id, uint64(id)*7919, classBig)
+			env.submitObject(id, uint64(id)*7919, classBig)
 			env.run(20 * ms)
 		}
 	}
--- a/routing/ending_test.go
+++ b/routing/ending_test.go
@@ -29,7 +29,7 @@
 				env.updateEndpoints(UpdateFull) // an empty list: no server is left
 				env.run(100 * ms)
 			}
-			request := env.submitRead(1, 7, classBig)
+			request := env.submitObject(1, 7, classBig)
 			if tc.siteLost && !request.ended {
 				t.Error("request was postponed although the site is lost")
 			}
@@ -52,7 +52,7 @@
 		env := newTestEnv(t, testSettings(), seed)
 		env.updateEndpoints(UpdateCached, testEndpoints(4)...)
 		env.updateEndpoints(UpdateFull)
-		request := env.submitRead(1, 7, classBig)
+		request := env.submitObject(1, 7, classBig)
 		limit := env.settings.Classes[classBig].LatencyObjective/2 + minPostponement
 		env.run(limit)
 		if !request.ended {
--- a/routing/endpoints_test.go
+++ b/routing/endpoints_test.go
@@ -9,13 +9,13 @@
 func TestDrainingServersGetNoAttempts(t *testing.T) {
 	env := newSimpleEnv(t, nil)
 	for id := uint32(1); id <= 40; id++ {
-		env.submitRead(id, uint64(id), classBig)
+		env.submitObject(id, uint64(id), classBig)
 	}
 	env.run(500 * ms)
 	env.setState(hostEdge, Draining)
 	env.setState(hostParent, Draining)
 	for id := uint32(101); id <= 140; id++ {
-		env.submitRead(id, uint64(id-100), classBig)
+		env.submitObject(id, uint64(id-100), classBig)
 	}
 	env.run(time.Second)
 	env.assertNoViolation()
--- a/routing/env_test.go
+++ b/routing/env_test.go
@@ -227,8 +227,8 @@
 	return open
 }
 
-// submitRead submits a request for an object, with the timeout of its class as the deadline.
-func (e *testEnv) submitRead(id uint32, object uint64, class int) *openRequest {
+// submitObject submits a request for an object, with the timeout of its class as the deadline.
+func (e *testEnv) submitObject(id uint32, object uint64, class int) *openRequest {
 	return e.submit(Request{ID: id, Class: class, Object: object, Group: int(object % 8),
 		Deadline: e.now + e.settings.Classes[class].Timeout})
 }
@@ -306,24 +306,24 @@
 		switch action := action.(type) {
 		case Fetch:
 			e.fetches = append(e.fetches, action)
-			e.attempt(action.ID, action.Host, action.Source, action.Timeout, action.MaxAge)
+			e.executeAttempt(action.ID, action.Host, action.Source, action.Timeout, action.MaxAge)
 		case Forward:
-			e.attempt(action.ID, action.Host, action.Host, action.Timeout, 0)
+			e.executeAttempt(action.ID, action.Host, action.Host, action.Timeout, 0)
 		case Cancel:
 			host := e.requests[action.ID].attempts[action.Attempt].host
 			e.schedule(2*ms, Outcome{ID: action.ID, Attempt: action.Attempt, Result: Cancelled, Host: host})
 		case Reject:
-			e.checkFinal(action.ID, true)
+			e.checkFinalAnswer(action.ID, true)
 		case Fail:
-			e.checkFinal(action.ID, false)
+			e.checkFinalAnswer(action.ID, false)
 		case SetTimer:
 			e.schedule(max(action.At-e.now, ms), TimerFired{action.Token})
 		}
 	}
 }
 
-// attempt checks one attempt against the site's rules and schedules its outcome.
-func (e *testEnv) attempt(id uint32, host, source Host, timeout, maxAge time.Duration) {
+// executeAttempt checks one attempt against the site's rules and schedules its outcome.
+func (e *testEnv) executeAttempt(id uint32, host, source Host, timeout, maxAge time.Duration) {
 	request := e.requests[id]
 	e.checkAttempt(request, host, source)
 	e.checkMaxAge(request, host, maxAge)
--- a/routing/fill_test.go
+++ b/routing/fill_test.go
@@ -18,11 +18,11 @@
 		}
 		return Miss, FillStatusCoalesced, ms
 	}
-	env.submitRead(1, 42, classBig)
+	env.submitObject(1, 42, classBig)
 	if fetch := env.fetches[0]; fetch.Source != fetch.Host {
 		t.Errorf("got a fill beyond the limit of its source: %+v", fetch)
 	}
-	missing := env.submitRead(2, 43, classBig)
+	missing := env.submitObject(2, 43, classBig)
 	env.run(5 * ms)
 	if len(env.fetches) != 2 || missing.ended {
 		t.Errorf("got %d fetches and ended = %v, want 2 fetches and a postponed request",
@@ -39,7 +39,7 @@
 	env.answer = always(OK, FillStatusFilledByOrigin, 100*ms)
 	env.router.originShield.RecordAnswer(env.now, env.now, true)
 	for id := uint32(2); id < 202; id++ {
-		env.submitRead(id, uint64(id), classSmall)
+		env.submitObject(id, uint64(id), classSmall)
 	}
 	onlyIfCached := 0
 	for _, fetch := range env.fetches {
@@ -61,7 +61,7 @@
 	rejected, stale := 0, 0
 	for id := uint32(301); id <= 500; id++ {
 		class := int(id) % 2 // classBig or classSmall; only classSmall has a stale window
-		request := env.submitRead(id, uint64(id), class)
+		request := env.submitObject(id, uint64(id), class)
 		env.run(25 * ms)
 		if !request.ended {
 			continue
@@ -125,7 +125,7 @@
 					tc.change(settings)
 				}
 			})
-			env.submitRead(1, 41, classBig) // starts the 2 s after a director's start in which it always probes
+			env.submitObject(1, 41, classBig) // starts the 2 s after a director's start in which it always probes
 			env.run(10 * time.Second)
 			if tc.warmingUp {
 				env.restartCaches()
@@ -143,7 +143,7 @@
 				}
 				return OK, FillStatusFilled, 40 * ms
 			}
-			request := env.submitRead(2, 42, classBig)
+			request := env.submitObject(2, 42, classBig)
 			env.run(300 * ms)
 			probes, fills := 0, 0
 			for _, fetch := range env.fetches[before:] {
--- a/routing/hedging_test.go
+++ b/routing/hedging_test.go
@@ -31,7 +31,7 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			env := newHedgingEnv(t)
-			request := env.loseAnswer(tc.class)
+			request := env.submitWithLostAnswer(tc.class)
 			router, first := env.router, request.attempts[0]
 			router.hedgeTokens = maxHedgeTokens
 			tc.change(env, request)
@@ -74,10 +74,10 @@
 	})
 }
 
-// loseAnswer submits request 1, and records that an attempt which was sent later was answered in time by the same
-// server in the same role, so that the answer to request 1 seems lost.
-func (e *testEnv) loseAnswer(class int) *requestState {
-	e.submitRead(1, 42, class)
+// submitWithLostAnswer submits request 1, and records that an attempt which was sent later was answered in time by the
+// same server in the same role, so that the answer to request 1 seems lost.
+func (e *testEnv) submitWithLostAnswer(class int) *requestState {
+	e.submitObject(1, 42, class)
 	request := e.router.requests[1]
 	request.Deadline = e.router.now + time.Minute
 	attributedLoad(request).lastTimelySentAt = request.attempts[0].sentAt + 1
@@ -103,7 +103,7 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			env := newHedgingEnv(t)
-			request := env.loseAnswer(classBig)
+			request := env.submitWithLostAnswer(classBig)
 			router := env.router
 			router.hedgeTokens = maxHedgeTokens - 1
 			router.now += 10 * time.Second
@@ -128,7 +128,7 @@
 	for name, lost := range map[string]bool{"lost": true, "late": false} {
 		t.Run(name, func(t *testing.T) {
 			env := newSimpleEnv(t, nil)
-			env.submitRead(1, 42, classBig)
+			env.submitObject(1, 42, classBig)
 			request := env.router.requests[1]
 			if lost {
 				attributedLoad(request).lastTimelySentAt = request.attempts[0].sentAt + 1
--- a/routing/latency_test.go
+++ b/routing/latency_test.go
@@ -20,7 +20,7 @@
 	submit := func(count int) {
 		for range count {
 			id++
-			env.submitRead(id, uint64(id%50), classSmall)
+			env.submitObject(id, uint64(id%50), classSmall)
 			env.run(20 * ms)
 		}
 	}
@@ -70,7 +70,7 @@
 			sent := 0
 			for id := uint32(1); id <= 800; id++ {
 				next := len(env.fetches)
-				env.submitRead(id, uint64(id%101), classSmall)
+				env.submitObject(id, uint64(id%101), classSmall)
 				if id > 400 && env.fetches[next].Host == hostEdge {
 					sent++
 				}
@@ -98,7 +98,7 @@
 			latency = 200 * ms
 		}
 		object, next := uint64(id%40), len(env.fetches)
-		env.submitRead(id, object, classSmall)
+		env.submitObject(id, object, classSmall)
 		host := env.fetches[next].Host
 		if before := hosts[object]; id > 700 && before != host {
 			t.Errorf("object %d moved from %d to %d", object, before, host)
--- a/routing/limits_test.go
+++ b/routing/limits_test.go
@@ -13,7 +13,7 @@
 	env.answer = always(OK, FillStatusHit, 1900*ms)
 	mostInFlight := 0
 	for id := uint32(1); id <= 3000; id++ {
-		env.submitRead(id, uint64(id%40), classSmall)
+		env.submitObject(id, uint64(id%40), classSmall)
 		env.run(4 * ms)
 		if id > 2000 {
 			mostInFlight = max(mostInFlight, len(env.router.attempts))
@@ -32,25 +32,25 @@
 // from the cache.
 func TestHangingFillsDoNotBlockHits(t *testing.T) {
 	env := newSimpleEnv(t, func(settings *Settings) { settings.Tiers.BypassAllowed = false })
-	env.submitRead(1, 42, classBig)
+	env.submitObject(1, 42, classBig)
 	env.run(100 * ms) // the location table now has a holder of object 42
 	cache := env.router.servers[env.fetches[0].Host]
 	env.answer = always(OK, FillStatusFilled, 3*time.Second)
 	for id := uint32(10); id < 30; id++ {
-		env.submitRead(id, uint64(id), classBig)
+		env.submitObject(id, uint64(id), classBig)
 	}
 	if cache.asTarget.inFlightWork > 1e-9 {
 		t.Errorf("got %.1f s of work in flight at the cache, want 0", cache.asTarget.inFlightWork)
 	}
 	env.setLoad(&cache.asTarget, 4, 4)
 	before := len(env.fetches)
-	env.submitRead(2, 42, classBig)
+	env.submitObject(2, 42, classBig)
 	if len(env.fetches) != before+1 || env.fetches[before].Host != cache.Host {
 		t.Errorf("got fetches %+v, want one likely hit at the cache", env.fetches[before:])
 	}
 	before = len(env.fetches)
 	for id := uint32(130); id < 160; id++ {
-		env.submitRead(id, uint64(id), classBig)
+		env.submitObject(id, uint64(id), classBig)
 		last := env.fetches[len(env.fetches)-1]
 		if len(env.fetches) > before && last.Host == cache.Host {
 			t.Fatalf("got a fill through a cache at its limit: %+v", last)
@@ -150,7 +150,7 @@
 	origin := env.router.servers[hostOrigin]
 	env.setLoad(&origin.asSource, 0.1, 5)
 	before := len(env.actions)
-	env.submitRead(1, 42, classKeyed)
+	env.submitObject(1, 42, classKeyed)
 	for _, forward := range actionsOf[Forward](env.actions[before:]) {
 		if forward.Host == hostOrigin {
 			return
--- a/routing/locations_test.go
+++ b/routing/locations_test.go
@@ -11,11 +11,11 @@
 
 func TestLocationHintExpires(t *testing.T) {
 	env := newSimpleEnv(t, nil)
-	env.submitRead(1, 42, classBig)
+	env.submitObject(1, 42, classBig)
 	holder := env.fetches[0].Host
 	env.run(siblingHintLifetime + 200*ms)
 	env.setWeight(holder, negligibleWeight)
-	env.submitRead(2, 42, classBig)
+	env.submitObject(2, 42, classBig)
 	if fetch := env.fetches[1]; fetch.Source == holder {
 		t.Errorf("got a hint older than %v as source: %+v", siblingHintLifetime, fetch)
 	}
@@ -39,7 +39,7 @@
 			env := newSimpleEnv(t, nil)
 			env.purge(tc.purge)
 			env.run(tc.wait)
-			env.submitRead(1, 42, tc.class)
+			env.submitObject(1, 42, tc.class)
 			if got := env.fetches[0].MaxAge; got != tc.want {
 				t.Errorf("got MaxAge %v, want %v", got, tc.want)
 			}
@@ -50,12 +50,12 @@
 
 func TestPurgedHolderIsNoSource(t *testing.T) {
 	env := newSimpleEnv(t, nil)
-	env.submitRead(1, 42, classBig)
+	env.submitObject(1, 42, classBig)
 	holder := env.fetches[0].Host
 	env.run(100 * ms)
 	env.purge(Purge{Object: 42, Age: 10 * ms})
 	env.setWeight(holder, negligibleWeight)
-	env.submitRead(2, 42, classBig)
+	env.submitObject(2, 42, classBig)
 	if fetch := env.fetches[1]; fetch.Source == holder {
 		t.Errorf("got a cache with a purged copy as source: %+v", fetch)
 	}
@@ -65,7 +65,7 @@
 // purge of a whole group.
 func TestPurgedHintIsNotALikelyHit(t *testing.T) {
 	env := newSimpleEnv(t, nil)
-	submitted := env.submitRead(1, 42, classBig)
+	submitted := env.submitObject(1, 42, classBig)
 	env.run(100 * ms)
 	target := env.router.servers[env.fetches[0].Host]
 	key := objectKey{submitted.Object, submitted.Part}
--- a/routing/peers_test.go
+++ b/routing/peers_test.go
@@ -20,14 +20,14 @@
 	const remoteCache = Host(700)
 	key := objectKey{43, 0}
 	env := newPeersEnv(t)
-	env.submitRead(1, 42, classBig)
+	env.submitObject(1, 42, classBig)
 	if len(env.fetches) != 1 {
 		t.Fatal("peers were asked though parents are usable")
 	}
 	env.setState(hostParent, Draining)
 	env.setState(hostParent+1, Draining)
 	env.actions = nil
-	env.submitRead(2, 43, classBig)
+	env.submitObject(2, 43, classBig)
 	var query []byte
 	for _, message := range actionsOf[SendPeerMessage](env.actions) {
 		query = message.Data
@@ -43,14 +43,14 @@
 	if fetch := env.fetches[1]; fetch.Source != remoteCache || fetch.Flags&OnlyIfCached == 0 {
 		t.Errorf("got %+v, want a fill from the remote cache with OnlyIfCached", fetch)
 	}
-	env.submitRead(3, 44, classBig) // no reply: filled from the origin after the latency objective
+	env.submitObject(3, 44, classBig) // no reply: filled from the origin after the latency objective
 	env.run(600 * ms)
 	if fetch := env.fetches[2]; fetch.Source != hostOrigin {
 		t.Errorf("got %+v, want a fill from the origin", fetch)
 	}
 
 	replyingEnv := newPeersEnv(t)
-	replyingEnv.submitRead(1, 43, classBig)
+	replyingEnv.submitObject(1, 43, classBig)
 	replyingEnv.run(100 * ms)
 	replyingEnv.actions = nil
 	remoteQuery := locationMessage{kind: locationQuery, zone: 2, key: key}
--- a/routing/retry_test.go
+++ b/routing/retry_test.go
@@ -16,7 +16,7 @@
 		}
 		return OK, FillStatusFilled, 10 * ms
 	}
-	env.submitRead(1, 42, classBig)
+	env.submitObject(1, 42, classBig)
 	env.run(20 * ms)
 	if len(env.fetches) != 1 {
 		t.Fatalf("got fetches %+v, want no retry within 20 ms", env.fetches)
@@ -81,7 +81,7 @@
 		return Rejected, rejectionStatus(request), 5 * ms
 	}
 	for id := uint32(1); id <= 60; id++ {
-		env.submitRead(id, uint64(id), classBig)
+		env.submitObject(id, uint64(id), classBig)
 		env.run(20 * ms)
 	}
 	env.run(10 * time.Second)
@@ -95,7 +95,7 @@
 	if attempts > 45 {
 		t.Errorf("got %d attempts for 30 requests while all are rejected, want at most 45", attempts)
 	}
-	write := env.submitRead(100, 100, classUnsafe)
+	write := env.submitObject(100, 100, classUnsafe)
 	env.run(2 * time.Second)
 	if len(write.attempts) < 3 {
 		t.Errorf("got %d attempts for a write that never executed, want at least 3", len(write.attempts))
--- a/routing/route_test.go
+++ b/routing/route_test.go
@@ -9,14 +9,14 @@
 
 func TestMissIsFilledFromAParentOfTheHub(t *testing.T) {
 	env := newSimpleEnv(t, nil)
-	env.submitRead(1, 42, classBig)
+	env.submitObject(1, 42, classBig)
 	first := env.fetches[0]
 	target, source := env.endpoints[first.Host], env.endpoints[first.Source]
 	if target.Kind != kindEdge || source.Kind != kindParent || first.Flags&OnlyIfCached != 0 {
 		t.Fatalf("got first fetch %+v, want a cache that fills from a parent", first)
 	}
 	env.run(time.Second)
-	env.submitRead(2, 42, classBig)
+	env.submitObject(2, 42, classBig)
 	if second := env.fetches[1]; second.Host != first.Host || second.Source != first.Source {
 		t.Errorf("got fetch %+v for the same object, want the cache and the source of %+v", second, first)
 	}
@@ -27,7 +27,7 @@
 // If that cache has no copy, the retry must fill from a parent.
 func TestSiblingIsAskedBeforeParent(t *testing.T) {
 	env := newSimpleEnv(t, nil)
-	env.submitRead(1, 42, classBig)
+	env.submitObject(1, 42, classBig)
 	holder := env.fetches[0].Host
 	env.run(100 * ms)
 	env.setWeight(holder, negligibleWeight) // another cache ranks first now; the holder stays in use
@@ -37,7 +37,7 @@
 		}
 		return OK, FillStatusFilled, 10 * ms
 	}
-	env.submitRead(2, 42, classBig)
+	env.submitObject(2, 42, classBig)
 	env.run(100 * ms)
 	if len(env.fetches) != 3 {
 		t.Fatalf("got fetches %+v, want 3", env.fetches)
@@ -63,7 +63,7 @@
 			env := newTestEnv(t, testSettings(), 1)
 			env.updateEndpoints(UpdateCached, list...)
 			for id := uint32(1); id < 40; id++ {
-				env.submitRead(id, uint64(id), int(id%2))
+				env.submitObject(id, uint64(id), int(id%2))
 			}
 			env.run(6 * time.Second)
 			env.assertNoViolation()
@@ -77,11 +77,11 @@
 // A parent at its concurrency limit must not be the source of another fill; the next parent must be the source instead.
 func TestParentAtItsLimitIsSkipped(t *testing.T) {
 	env := newSimpleEnv(t, nil)
-	env.submitRead(1, 42, classBig)
+	env.submitObject(1, 42, classBig)
 	first := env.fetches[0]
 	env.setLoad(&env.router.servers[first.Source].asSource, 1, 1)
 	env.purge(Purge{Object: 42}) // the next request for the object is a likely fill again
-	env.submitRead(2, 42, classBig)
+	env.submitObject(2, 42, classBig)
 	second := env.fetches[1]
 	isParent := env.endpoints[second.Source].Kind == kindParent
 	if second.Source == first.Source || !isParent || second.Host != first.Host {
@@ -100,7 +100,7 @@
 			for _, cache := range env.router.localCaches {
 				env.setLoad(&cache.asTarget, 1, 1)
 			}
-			env.submitRead(1, 42, classBig)
+			env.submitObject(1, 42, classBig)
 			bypassed := len(env.fetches) == 1 && env.endpoints[env.fetches[0].Host].Kind == kindParent
 			if bypassed != allowed {
 				t.Errorf("all caches at their limits: got fetches %+v, want a bypass = %v", env.fetches, allowed)
@@ -109,7 +109,7 @@
 				cache.ejected, cache.probeAfter = true, env.now+time.Hour
 			}
 			before := len(env.fetches)
-			env.submitRead(2, 43, classBig)
+			env.submitObject(2, 43, classBig)
 			if sent := len(env.fetches) > before; sent != allowed {
 				t.Errorf("all caches ejected: got fetches %+v, want a bypass = %v", env.fetches[before:], allowed)
 			}
@@ -140,7 +140,7 @@
 			}
 			next.asTarget.inFlightWork = tc.load
 			before := len(env.actions)
-			env.submitRead(1, 42, classSmall)
+			env.submitObject(1, 42, classSmall)
 			sent := actionsOf[Fetch](env.actions[before:])
 			for _, fetch := range sent {
 				if fetch.Host != next.Host {
@@ -196,15 +196,15 @@
 			router.rank(router.localCaches, 42)
 			caches := slices.Clone(router.localCaches)
 			for _, cache := range caches {
-				env.saturate(cache, 2)
+				env.setLinkLoad(cache, 2)
 			}
-			env.saturate(caches[0], tc.first)
-			env.saturate(caches[1], tc.next)
+			env.setLinkLoad(caches[0], tc.first)
+			env.setLinkLoad(caches[1], tc.next)
 			if tc.nextSlow {
 				caches[1].logLatencyRatio = router.baselineLogLatencyRatio + latencyRatioTolerance + 0.01
 			}
 			before := len(env.actions)
-			env.submitRead(1, 42, classSmall)
+			env.submitObject(1, 42, classSmall)
 			for _, fetch := range actionsOf[Fetch](env.actions[before:]) {
 				if fetch.Host != caches[tc.want].Host {
 					t.Errorf("sent to %x, want %x", fetch.Host, caches[tc.want].Host)
@@ -217,9 +217,9 @@
 	}
 }
 
-// saturate sets the work in flight at a cache so that, with one more request of classSmall, it is the given multiple of
-// what the cache's link can send within the latency objective.
-func (e *testEnv) saturate(cache *serverState, multiple float64) {
+// setLinkLoad sets the work in flight at a cache so that, with one more request of classSmall, it is the given multiple
+// of what the cache's link can send within the latency objective.
+func (e *testEnv) setLinkLoad(cache *serverState, multiple float64) {
 	class := &e.settings.Classes[classSmall]
 	work := e.router.transferWork(&requestState{Request: Request{Class: classSmall}})
 	cache.weightIsCapacity, cache.Weight, cache.logLatencyRatio = true, 10, 0
--- a/routing/router_test.go
+++ b/routing/router_test.go
@@ -32,7 +32,7 @@
 	router := env.router
 	for i := range 3 * maxTableEntries {
 		id := uint32(i + 1)
-		env.submitRead(id, uint64(i), classSmall)
+		env.submitObject(id, uint64(i), classSmall)
 		env.run(100 * time.Microsecond)
 		router.Handle(env.now, Purge{Object: uint64(i + 1)})
 		delete(env.requests, id-5000)
--- a/routing/rules_test.go
+++ b/routing/rules_test.go
@@ -16,9 +16,9 @@
 	work float64
 }
 
-// checkFinal checks a final answer of the router, which is a Reject or a Fail. A request gets only one final answer, and
-// it must not be a Reject if an attempt may have executed and repeating the request could do harm.
-func (e *testEnv) checkFinal(id uint32, rejected bool) {
+// checkFinalAnswer checks a final answer of the router, which is a Reject or a Fail. A request gets only one final
+// answer, and it must not be a Reject if an attempt may have executed and repeating the request could do harm.
+func (e *testEnv) checkFinalAnswer(id uint32, rejected bool) {
 	request := e.requests[id]
 	if request.ended {
 		e.violatef("request %d ended twice", id)
--- a/routing/send_test.go
+++ b/routing/send_test.go
@@ -22,7 +22,7 @@
 		t.Run(fmt.Sprintf("class %d, %v", tc.class, tc.result), func(t *testing.T) {
 			env := newSimpleEnv(t, nil)
 			env.answer = always(tc.result, FillStatusUnknown, 10*ms)
-			request := env.submitRead(1, 42, tc.class)
+			request := env.submitObject(1, 42, tc.class)
 			env.run(3 * time.Second)
 			if !request.ended {
 				t.Error("request has not ended")
@@ -36,12 +36,12 @@
 // test fails if any check is missing from send.
 func TestSendEnforcesRules(t *testing.T) {
 	for name, breakRule := range map[string]func(env *testEnv, request *requestState, target, source *serverState){
-		"target draining":          func(_ *testEnv, _ *requestState, target, _ *serverState) { target.State = Draining },
-		"source draining":          func(_ *testEnv, _ *requestState, _, source *serverState) { source.State = Draining },
-		"source gone":              func(_ *testEnv, _ *requestState, _, source *serverState) { source.listed = false },
-		"second attempt in flight": func(_ *testEnv, request *requestState, _, _ *serverState) { request.inFlight = 1 },
-		"deadline":                 func(env *testEnv, request *requestState, _, _ *serverState) { request.Deadline = env.now },
-		"streaming":                func(_ *testEnv, request *requestState, _, _ *serverState) { request.streaming = true },
+		"target draining": func(_ *testEnv, _ *requestState, target, _ *serverState) { target.State = Draining },
+		"source draining": func(_ *testEnv, _ *requestState, _, source *serverState) { source.State = Draining },
+		"source gone":     func(_ *testEnv, _ *requestState, _, source *serverState) { source.listed = false },
+		"hedge disabled":  func(_ *testEnv, request *requestState, _, _ *serverState) { request.inFlight = 1 },
+		"deadline":        func(env *testEnv, request *requestState, _, _ *serverState) { request.Deadline = env.now },
+		"streaming":       func(_ *testEnv, request *requestState, _, _ *serverState) { request.streaming = true },
 		"attempts exhausted": func(_ *testEnv, request *requestState, _, _ *serverState) {
 			request.attempts = make([]*attemptState, 5)
 		},
--- a/routing/sites_test.go
+++ b/routing/sites_test.go
@@ -31,7 +31,7 @@
 func (e *testEnv) fillsByZone(first, count int) map[int]int {
 	before, byZone := len(e.fetches), map[int]int{}
 	for i := range count {
-		e.submitRead(uint32(first+i), uint64(1000+first+i), classBig)
+		e.submitObject(uint32(first+i), uint64(1000+first+i), classBig)
 		e.run(20 * ms)
 	}
 	e.run(200 * ms)
@@ -79,9 +79,9 @@
 	env.assertNoViolation()
 }
 
-// When all caches of the own zone stop responding, each of them must be probed with one request at a time, and all other
-// requests must be rejected at once, as they could only time out. A write that was sent must not be sent again. When the
-// caches respond again, all requests must be accepted again within 7 s.
+// When all caches of the own zone stop responding, each of them must be probed with one request at a time, and all
+// other requests must be rejected at once, as they could only time out. A write that was sent must not be sent again.
+// When the caches respond again, all requests must be accepted again within 7 s.
 func TestUnresponsiveZoneIsOnlyProbed(t *testing.T) {
 	env := newThreeHubEnv(t)
 	unresponsive := false
@@ -91,14 +91,14 @@
 		}
 		return OK, FillStatusHit, 10 * ms
 	}
-	read := func(id, index int) *openRequest { return env.submitRead(uint32(id), uint64(1000+index%20), classBig) }
+	read := func(id, index int) *openRequest { return env.submitObject(uint32(id), uint64(1000+index%20), classBig) }
 	for i := range 60 { // the location table learns which caches hold the objects
 		read(1+i, i)
 		env.run(20 * ms)
 	}
 
 	unresponsive = true
-	write := env.submitRead(100, 5000, classUnsafe)
+	write := env.submitObject(100, 5000, classUnsafe)
 	for i := range 60 {
 		read(200+i, i)
 		env.run(50 * ms)
--- a/routing/slowstart_test.go
+++ b/routing/slowstart_test.go
@@ -34,12 +34,12 @@
 				routers := newRouters(t, settings, seed, directors, now, list)
 				var sendTimes []Time
 				for round := range 60 {
-					for range callsInRound(routers, now, round, sizeKB) {
+					for range submitRound(routers, now, round, sizeKB) {
 						sendTimes = append(sendTimes, now)
 					}
 					now += guarantees.OverloadWindow / 10
 				}
-				worst := 0.0
+				highestRatio := 0.0
 				for i, at := range sendTimes {
 					inWindow := 0
 					for _, other := range sendTimes[i:] {
@@ -51,12 +51,12 @@
 					share := guarantees.SlowStartFraction + (1-guarantees.SlowStartFraction)*progress
 					budget := guarantees.OverloadMultiple * share * weight * guarantees.OverloadWindow.Seconds()
 					allowed := budget / (sizeKB / settings.Tiers.TransferKBPerSecond)
-					worst = max(worst, float64(inWindow)/(allowed+2*math.Sqrt(allowed)+2))
+					highestRatio = max(highestRatio, float64(inWindow)/(allowed+2*math.Sqrt(allowed)+2))
 				}
-				t.Logf("%d attempts, at most %.2f of the allowed number in a window", len(sendTimes), worst)
-				if worst > 1 || len(sendTimes) < 10 {
-					t.Errorf("got %d attempts and %.2f of the allowed number in a window, want at least 10 and at most 1",
-						len(sendTimes), worst)
+				t.Logf("%d attempts, %.2f of the allowed number in the busiest window", len(sendTimes), highestRatio)
+				if highestRatio > 1 || len(sendTimes) < 10 {
+					t.Errorf("got %d attempts, %.2f of the allowed number in a window; want at least 10, at most 1",
+						len(sendTimes), highestRatio)
 				}
 			})
 		}
@@ -85,7 +85,7 @@
 			routers := newRouters(t, settings, seed, directors, now, list)
 			work, sum := routers[0].classes[classBig].work.Value, 0.0
 			for round := range 10 {
-				for range callsInRound(routers, now, round, 0) {
+				for range submitRound(routers, now, round, 0) {
 					sum += work
 				}
 				now += guarantees.OverloadWindow / 10
@@ -118,17 +118,17 @@
 	return routers
 }
 
-// callsInRound submits one request to each router, each for a different object, and returns the number of requests that
+// submitRound submits one request to each router, each for a different object, and returns the number of requests that
 // are sent to hostEdge.
-func callsInRound(routers []*Router, now Time, round int, sizeKB float64) (calls int) {
+func submitRound(routers []*Router, now Time, round int, sizeKB float64) (sent int) {
 	for i, router := range routers {
 		id := uint32(round*len(routers) + i + 1)
 		request := Request{ID: id, Object: uint64(id), Deadline: now + 4*time.Second, SizeKB: sizeKB}
 		for _, fetch := range actionsOf[Fetch](router.Handle(now, request)) {
 			if fetch.Host == hostEdge {
-				calls++
+				sent++
 			}
 		}
 	}
-	return calls
+	return sent
 }
--- a/routing/validate_test.go
+++ b/routing/validate_test.go
@@ -62,7 +62,7 @@
 		}
 		for _, replacement := range replacements {
 			count++
-			tryOddSetting(t, text, path, replacement)
+			checkReplacedSetting(t, text, path, replacement)
 		}
 	})
 	if count < 500 {
@@ -70,9 +70,9 @@
 	}
 }
 
-// tryOddSetting replaces the value at a path of the settings, given as JSON. It checks that a router with the new
-// settings handles events without a panic, or that the error names the key.
-func tryOddSetting(t *testing.T, text []byte, path string, value any) {
+// checkReplacedSetting replaces the value at a path of the settings, given as JSON. It checks that a router with the
+// new settings handles events without a panic, or that the error names the key.
+func checkReplacedSetting(t *testing.T, text []byte, path string, value any) {
 	t.Helper()
 	defer func() {
 		if panicked := recover(); panicked != nil {
@@ -93,15 +93,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	err = playWith(changed)
-	if err != nil && !strings.Contains(err.Error(), keyOf(path)) {
+	err = exerciseSettings(changed)
+	if err != nil && !strings.Contains(err.Error(), lastKey(path)) {
 		t.Errorf("%s = %v: got error %v, want one that names the key", path, value, err)
 	}
 }
 
-// playWith decodes settings from JSON and exercises a router with them. It returns the error of decoding the settings
-// or of creating the router.
-func playWith(text []byte) error {
+// exerciseSettings decodes settings from JSON and exercises a router with them. It returns the error of decoding the
+// settings or of creating the router.
+func exerciseSettings(text []byte) error {
 	var settings Settings
 	if err := json.Unmarshal(text, &settings); err != nil {
 		return err
@@ -115,8 +115,9 @@
 	return nil
 }
 
-// keyOf returns the last key of a path, without an index: the key that the error for a value at this path must contain.
-func keyOf(path string) string {
+// lastKey returns the last key of a path, without an index: the key that the error for a value at this path must
+// contain.
+func lastKey(path string) string {
 	if i := strings.IndexByte(path, '['); i >= 0 && !strings.HasPrefix(path, "services") {
 		path = path[:i]
 	}
