--- a/internal/overload/concurrency_limit.go
+++ b/internal/overload/concurrency_limit.go
@@ -6,25 +6,26 @@
 )
 
 const (
-	limitTimeConstant = 20 * time.Second // a limit grows e times in this time
-	limitStep         = 0.2              // part by which late work lowers a limit, or work in time raises it
+	limitTimeConstant = 20 * time.Second // a limit that is not adjusted grows by a factor of e in this time
+	limitStep         = 0.2              // fraction of a limit that late work removes, or of timely work that is added
 )
 
-// ConcurrencyLimit is an adaptive limit of the work that a director has in flight on one role of a server, in any unit
-// that adds up. As in AIMD, late work lowers it by a factor, and work done in time near the limit raises it by a step.
-// It also grows with time: one director among hundreds may have a result from a server only every ten seconds, and
-// what was late then says little of now. The zero value is no limit.
+// ConcurrencyLimit is an adaptive limit on the work that a director has in flight at a server in one of the server's
+// roles, in any additive unit. As in AIMD, late work lowers the limit by a factor, and work that was done in time near
+// the limit raises it by a step. The limit also grows with time: one director among hundreds may get a result from a
+// server only every ten seconds, and a late result of that age is weak evidence about the server's present load. The
+// zero value imposes no limit.
 type ConcurrencyLimit struct {
-	limit     float64 // as of updatedAt; 0: none
+	limit     float64 // as of updatedAt; 0: no limit
 	updatedAt Time
 }
 
-// NewConcurrencyLimit returns a limit that holds from now on.
+// NewConcurrencyLimit returns a concurrency limit with the given value at time now.
 func NewConcurrencyLimit(now Time, limit float64) ConcurrencyLimit {
 	return ConcurrencyLimit{limit: limit, updatedAt: now}
 }
 
-// Value is the limit now; +Inf without one.
+// Value returns the limit at time now, or +Inf if there is no limit.
 func (l *ConcurrencyLimit) Value(now Time) float64 {
 	if l.limit == 0 {
 		return math.Inf(1)
@@ -32,9 +33,10 @@
 	return l.limit / exponentialDecay(now-l.updatedAt, limitTimeConstant)
 }
 
-// Full reports whether the limit leaves no room for a piece of work beside what is in flight. Below a limit smaller
-// than one piece of work, pieces are let through at random, by a draw between 0 and 1: one piece from each of hundreds
-// of directors would be too many.
+// Full reports whether the limit leaves no room for a piece of work beside the work in flight. While the work in flight
+// is at most half the piece, a piece that exceeds the limit still passes at random, with the probability limit/work: if
+// one piece from each of hundreds of directors always passed, the server would get too many. The function draw returns
+// a random number between 0 and 1.
 func (l *ConcurrencyLimit) Full(now Time, inFlight, work float64, draw func() float64) bool {
 	limit := l.Value(now)
 	if inFlight+work <= limit {
@@ -43,16 +45,18 @@
 	return inFlight > work/2 || draw()*work > limit
 }
 
-// Decrease lowers the limit after work that was late or rejected: by a step from the limit, or from ceiling where that
-// is less; at least to fit, the work that would have been in time, where the step goes below it; and never below floor.
+// Decrease lowers the limit after work that was late or rejected. It reduces the limit, or ceiling if ceiling is lower,
+// by the fraction limitStep. The result is not reduced below fit, the work in flight that would have been done in time,
+// unless the limit was already below fit; and it is never below floor.
 func (l *ConcurrencyLimit) Decrease(now Time, ceiling, fit, floor float64) {
 	limit := l.Value(now)
 	l.limit = max(floor, min(limit, ceiling)*(1-limitStep), min(limit, fit))
 	l.updatedAt = now
 }
 
-// Increase raises the limit after work that was done in time beside what is still in flight, so that a low limit
-// recovers within seconds. Work far below the limit says nothing of it.
+// Increase raises the limit after a piece of work was done in time, so that a low limit recovers within seconds.
+// inFlight is the work that is still in flight. If the piece and the work in flight together are at most half the
+// limit, they are no evidence about the limit, which then stays unchanged.
 func (l *ConcurrencyLimit) Increase(now Time, inFlight, work float64) {
 	limit := l.Value(now)
 	if l.limit == 0 || inFlight+work <= limit/2 {
--- a/internal/overload/connect_limiter_test.go
+++ b/internal/overload/connect_limiter_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-// newLimiters returns the limiters of so many directors for one peer.
+// newLimiters returns one limiter for each of the directors, all for the same peer.
 func newLimiters(directors int) []ConnectLimiter {
 	limiters := make([]ConnectLimiter, directors)
 	for i := range limiters {
@@ -20,15 +20,16 @@
 // newLimiter returns a limiter with a fixed seed.
 func newLimiter() ConnectLimiter { return NewConnectLimiter(rand.New(rand.NewPCG(1, 1))) }
 
-// A peer that accepts no more connections than it has is not asked for one more by everybody at every request, nor by
-// all at once: after the first failures the fleet's probes are few and spread, and go on for ever.
-func TestProbesBeyondALimitAreFewAndSpread(t *testing.T) {
+// TestConnectProbesAreFewAndSpread guards against a fleet that dials a peer at every request, or from all directors at
+// once, although the peer accepts no further connections. After the first failures the probes of the fleet must be few
+// and spread over time, and must never stop.
+func TestConnectProbesAreFewAndSpread(t *testing.T) {
 	const directors, second = 200, int(time.Second / (100 * time.Millisecond))
 	limiters := newLimiters(directors)
 	probes := make([]int, 60*second) // in each 100 ms
 	for i := range probes {
 		now := time.Minute + time.Duration(i)*100*time.Millisecond
-		for d := range limiters { // each has two, would like a third at any moment, and never gets it
+		for d := range limiters { // each has two connections and always wants a third, which the peer never accepts
 			if limiters[d].Allow(now, 2, 0) {
 				probes[i]++
 				limiters[d].RecordFailure(now, 2)
@@ -42,29 +43,29 @@
 		return total
 	}
 	if first := sum(0, 1); first != directors {
-		t.Errorf("%d probes in the first second, want one each", first)
+		t.Errorf("%d probes in the first second, want one of each of %d directors", first, directors)
 	}
 	if late := sum(30, 60); late > 30*directors/8 || late < directors {
-		t.Errorf("%d probes in the last 30 s, want each director's every 16 s or so", late)
+		t.Errorf("%d probes in the last 30 s, want about one of each director every 16 s", late)
 	}
 	for i := 30 * second; i < len(probes); i++ {
 		if probes[i] > directors/10 {
-			t.Errorf("%d of %d directors probe in the same 100 ms", probes[i], directors)
+			t.Errorf("%d of %d directors probe in the same 100 ms, want at most a tenth", probes[i], directors)
 		}
 	}
 }
 
-// What a peer accepts is found again when it has capacity: one by one, and without a limit once known failures are of
-// an old incarnation.
-func TestCapacityIsFoundAgain(t *testing.T) {
+// TestConnectLimitRisesWithPeerCapacity guards against a limit that stays low after the peer has capacity again. Probes
+// must raise it by one connection at a time, and a reset for a restarted peer must remove it.
+func TestConnectLimitRisesWithPeerCapacity(t *testing.T) {
 	limiter := newLimiter()
 	now := time.Minute
 	if !limiter.Allow(now, 5, 0) {
-		t.Fatal("without a failure there is no limit")
+		t.Fatal("a dial was rejected before any dial had failed")
 	}
 	limiter.RecordFailure(now, 2)
 	if limiter.Allow(now, 2, 0) || !limiter.Allow(now, 1, 0) || !limiter.Allow(now, 0, 0) {
-		t.Error("want the established connections to be the limit")
+		t.Error("want the number of established connections as the limit")
 	}
 	established := 2
 	for end := now + time.Minute; now < end; now += 50 * time.Millisecond {
@@ -74,44 +75,46 @@
 		}
 	}
 	if established < 15 || established > 45 {
-		t.Errorf("%d connections after a minute with capacity, want one more in each 2 s or so", established)
+		t.Errorf("%d connections after a minute with capacity, want about one more every 2 s", established)
 	}
 	limiter.Reset(now)
 	if !limiter.Allow(now+time.Hour, 100, 0) {
-		t.Error("a new incarnation is limited by what the old one accepted")
+		t.Error("the limit of the old process still applies after a reset")
 	}
 }
 
-// A burst opens a few connections at a time, and one where the peer has only just started. A peer on which all dials
-// fail is down: that says nothing of its capacity.
-func TestConnectionsAreOpenedFewAtATime(t *testing.T) {
+// TestConcurrentDialsAreLimited guards against bursts of dials to one peer: at most maxConcurrentDials may be in
+// progress, and one while the peer warms up. Dials that fail while no connection is established must not set a limit,
+// because such a peer is down.
+func TestConcurrentDialsAreLimited(t *testing.T) {
 	limiter := newLimiter()
 	now := time.Minute
 	if !limiter.Allow(now, maxConcurrentDials, maxConcurrentDials-1) ||
 		limiter.Allow(now, maxConcurrentDials, maxConcurrentDials) {
-		t.Errorf("want %d at a time", maxConcurrentDials)
+		t.Errorf("want at most %d dials at a time", maxConcurrentDials)
 	}
 	limiter.RecordFailure(now, 0)
 	if limiter.Limit() != 0 || !limiter.Allow(now, 3, 0) {
-		t.Error("a peer that is down has no limit")
+		t.Error("a dial that failed without established connections has set a limit")
 	}
 	limiter.Reset(now)
 	if !limiter.Allow(now, 0, 0) || limiter.Allow(now, 1, 1) || !limiter.Allow(now, 1, 0) ||
 		!limiter.Allow(now+peerWarmUp, 2, 2) {
-		t.Error("want one at a time while the peer warms up, and no longer")
+		t.Error("want one dial at a time while the peer warms up, and more after that")
 	}
 }
 
-// Whatever a peer does, there is a connection to be had where none is held, and probes beyond a known limit are never
-// less than half the shortest interval apart.
-func TestConnsKeepTheirBounds(t *testing.T) {
+// TestConnectLimiterKeepsItsBounds guards against a limiter that blocks the first connection to a peer, or that probes
+// too often, after some sequence of dials: the first connection must always be allowed, and probes must be at least
+// half of initialProbeInterval apart.
+func TestConnectLimiterKeepsItsBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limiter := NewConnectLimiter(rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1)))
 		now, established, lastProbe := time.Minute, 0, Time(0)
 		for range rapid.IntRange(1, 200).Draw(t, "events") {
 			now += time.Duration(rapid.Int64Range(0, int64(time.Second)).Draw(t, "gap"))
 			if !limiter.Allow(now, 0, 0) {
-				t.Fatal("no first connection")
+				t.Fatal("the first connection was rejected")
 			}
 			limit := limiter.Limit()
 			if !limiter.Allow(now, established, 0) {
@@ -119,7 +122,7 @@
 			}
 			if limit > 0 && established >= limit {
 				if now-lastProbe < initialProbeInterval/2 && lastProbe != 0 {
-					t.Fatalf("probes beyond a limit %v apart", now-lastProbe)
+					t.Fatalf("probes are %v apart, want at least %v", now-lastProbe, initialProbeInterval/2)
 				}
 				lastProbe = now
 			}
--- a/internal/overload/idle_timeout_test.go
+++ b/internal/overload/idle_timeout_test.go
@@ -5,24 +5,26 @@
 	"time"
 )
 
-// What is learnt of idle times keeps within its bounds, ages, and is raised by idle connections that can be reused.
+// TestIdleTimeoutKeepsItsBounds guards against a timeout that stays too long while requests are lost on idle
+// connections, or too short afterwards: a lost request must shorten it, time and reuse near the timeout must raise it,
+// and it must keep its bounds.
 func TestIdleTimeoutKeepsItsBounds(t *testing.T) {
 	const minimum, maximum = 50 * time.Millisecond, 10 * time.Second
 	timeout, now := NewIdleTimeout(minimum, maximum), 1000*time.Second
 	wantValue := func(want time.Duration) {
 		t.Helper()
 		if got := timeout.Value(now).Round(time.Millisecond); got != want {
-			t.Fatalf("idle connections are used again for %v, want %v", got, want)
+			t.Fatalf("idle timeout: got %v, want %v", got, want)
 		}
 	}
 	wantValue(maximum)
 	timeout.RecordCloseRace(now, 400*time.Millisecond)
 	wantValue(300 * time.Millisecond)
-	timeout.RecordCloseRace(now, time.Second) // longer than the timeout: the connection was taken long ago
+	timeout.RecordCloseRace(now, time.Second) // longer than the timeout: the connection was picked before
 	wantValue(225 * time.Millisecond)
 	now += idleTimeConstant
 	wantValue(612 * time.Millisecond)
-	timeout.RecordReuse(now, 400*time.Millisecond) // says nothing: it was well within
+	timeout.RecordReuse(now, 400*time.Millisecond) // no evidence: well below the timeout
 	wantValue(612 * time.Millisecond)
 	timeout.RecordReuse(now, 500*time.Millisecond)
 	wantValue(621 * time.Millisecond)
--- a/internal/overload/origin_shield.go
+++ b/internal/overload/origin_shield.go
@@ -5,41 +5,42 @@
 	"time"
 )
 
-// Measured on the simulator's join, herd and split days (docs/cold-start.md).
+// These values are based on the simulator's join, herd and split days (docs/cold-start.md).
 const (
-	minAdmitFraction           = 0.05  // part of the fills that is always admitted, or nothing would be learnt
-	referenceRecoveryPerSecond = 0.05  // fraction regained in a second without answers, for a fleet of referenceFleet
-	increaseFactor             = 1.5   // by which an answer in time raises the fraction
-	referenceFleet             = 300.0 // directors; with fewer, each sees more of the origin and recovers faster
-	minDecreaseFactor          = 0.3   // factor by which a late answer lowers the fraction, for hundreds of directors
-	decreaseExponent           = 0.2   // power of the fleet's size by which a smaller fleet lowers it less
+	minAdmitFraction           = 0.05  // lower bound of the admitted fraction: without fills there are no answers
+	referenceRecoveryPerSecond = 0.05  // growth of the fraction by time alone, in a fleet of referenceFleet
+	increaseFactor             = 1.5   // factor by which an answer in time raises the fraction
+	referenceFleet             = 300.0 // directors; with fewer, each gets more answers and raises the fraction faster
+	minDecreaseFactor          = 0.3   // factor by which a late answer lowers the fraction in a fleet of hundreds
+	decreaseExponent           = 0.2   // exponent of the fleet's size: a smaller fleet lowers the fraction less
 )
 
-// OriginShield decides which fraction of the fills may go on to the origin, which all directors share and none of them
-// observes directly: it is behind parents that may or may not hold an object. Each director gets few answers of its
-// own, and when hundreds wait for the origin at once, an answer is late by seconds before any of them has learnt of it.
-// So a single answer that the origin has made late lowers the fraction at once, and answers in time raise it. If the
-// first answer to an attempt sent after a late one is in time, the late one was an outlier, and all fills are admitted
-// again. So the shield stays open where fewer than about a quarter of the answers are late: protecting an origin that
-// serves most requests in time is not worth rejections. Without answers the fraction recovers slowly with time.
+// OriginShield decides which fraction of the fills may go on to the origin. All directors share the origin, and none of
+// them observes it directly: parents, which may or may not hold an object, are in front of it. Each director gets few
+// answers of its own, and when hundreds of directors wait for the origin at once, answers are seconds late before the
+// first director notices. A single answer that the origin made late therefore lowers the fraction at once, and answers
+// in time raise it. If the first answer to an attempt sent after a late one is in time, the late answer was an outlier,
+// and all fills are admitted again. As a result, the shield stays open while fewer than about a quarter of the answers
+// are late: protecting an origin that serves most requests in time is not worth rejections. Without answers the
+// fraction recovers slowly with time.
 //
-// The decision is a fraction and not a concurrency limit: a director with one such fill in flight every other second
-// would never reach a limit.
+// The shield limits a fraction and not the concurrency, because a director with one such fill in flight every other
+// second would never reach a concurrency limit.
 type OriginShield struct {
-	decreaseFactor    float64 // part of the fraction that a late answer leaves
-	recoveryPerSecond float64 // fraction regained in a second without answers
+	decreaseFactor    float64 // factor that a late answer applies to the fraction
+	recoveryPerSecond float64 // growth of the fraction in a second without answers
 	admitFraction     float64 // as of updatedAt
 	updatedAt         Time
-	loweredAt         Time // last decrease: what was sent before it tells of the same queue
-	// confirmed: an attempt sent after the last decrease was late, too. One late answer may be an outlier, two are a
-	// queue.
+	loweredAt         Time // last decrease; attempts sent before it waited in the queue that caused it
+	// confirmed is set if the last decrease found the fraction already below 1. One late answer may be an outlier; a
+	// second one before the fraction has recovered indicates a queue.
 	confirmed    bool
-	worstLatency time.Duration // of the late answer behind the last decrease
+	worstLatency time.Duration // latency of the late answer that caused the last decrease
 }
 
-// NewOriginShield returns a shield that admits all fills, for one of a number of directors. In a smaller fleet each
-// director gets a larger part of the origin's answers: it learns of a queue earlier, so it lowers the fraction by less
-// and regains it faster.
+// NewOriginShield returns a shield that admits all fills, for one director of a fleet of the given size. In a smaller
+// fleet each director gets a larger part of the origin's answers and detects a queue earlier. Its shield therefore
+// lowers the fraction by less and raises it faster.
 func NewOriginShield(directors int) *OriginShield {
 	fleet := float64(max(directors, 1))
 	return &OriginShield{
@@ -50,15 +51,18 @@
 	}
 }
 
-// AdmitFraction is the fraction of the fills, between minAdmitFraction and 1, that may go on to the origin now.
+// AdmitFraction returns the fraction of the fills, between minAdmitFraction and 1, that may go on to the origin at time
+// now.
 func (s *OriginShield) AdmitFraction(now Time) float64 {
 	s.admitFraction = min(1, s.admitFraction+s.recoveryPerSecond*(now-s.updatedAt).Seconds())
 	s.updatedAt = now
 	return s.admitFraction
 }
 
-// RecordAnswer records the origin's answer to an attempt that was sent at a time. With late, the answer came, or is
-// still missing, after the time at which it would have been of use.
+// RecordAnswer records the origin's answer to an attempt that was sent at the given time. late is set if the origin
+// failed, or if the answer came, or is still missing, after the latency objective. If the attempt was sent before the
+// last decrease, its answer is ignored, unless it is late and has more than twice the latency of the answer that caused
+// the decrease.
 func (s *OriginShield) RecordAnswer(now, sent Time, late bool) {
 	fraction := s.AdmitFraction(now)
 	latency := now - sent
@@ -67,13 +71,13 @@
 		s.decrease(now, fraction, latency)
 		return
 	}
-	if sentBeforeDecrease { // It waited in the queue that the last decrease was for.
+	if sentBeforeDecrease { // the attempt waited in the queue that caused the last decrease
 		return
 	}
 	s.increase(fraction)
 }
 
-// decrease lowers the fraction for a late answer of a latency.
+// decrease lowers the fraction after a late answer with the given latency.
 func (s *OriginShield) decrease(now Time, fraction float64, latency time.Duration) {
 	s.confirmed = fraction < 1
 	s.admitFraction = max(minAdmitFraction, fraction*s.decreaseFactor)
@@ -81,8 +85,8 @@
 	s.worstLatency = latency
 }
 
-// increase raises the fraction for an answer in time: at once to all fills if no second late answer has confirmed the
-// first, else by a factor.
+// increase raises the fraction after an answer in time: to 1 if no second late answer has confirmed the first one,
+// otherwise by increaseFactor.
 func (s *OriginShield) increase(fraction float64) {
 	if !s.confirmed {
 		s.admitFraction = 1
--- a/internal/overload/retry_budget_test.go
+++ b/internal/overload/retry_budget_test.go
@@ -7,8 +7,9 @@
 	"pgregory.net/rapid"
 )
 
-// playRequests sends requests at a rate for some seconds, of whose attempts some are rejected and retried as the budget
-// allows. It returns the time after that, and the mean number of attempts for a request.
+// playRequests simulates requests at a constant rate, starting at time from. rejects reports which attempts are
+// rejected; those are retried as the budget allows. It returns the time of the last request and the mean number of
+// attempts per request.
 func playRequests(
 	budget *RetryBudget, from Time, perSecond, seconds float64, rejects func(attempt int) bool,
 ) (Time, float64) {
@@ -30,31 +31,36 @@
 	return now, float64(attempts) / float64(requests)
 }
 
-// In a fault that has all attempts rejected, six attempts for each request would keep it alive: the budget shrinks to a
-// trickle. When it is over, single failures are retried as ever.
-func TestRetriesDoNotKeepAnOverloadAlive(t *testing.T) {
+// TestRetriesDoNotProlongAnOverload guards against retries that prolong an overload. While all attempts are rejected,
+// six attempts for each request would keep the overload going, so the budget must allow few retries. Before and after
+// the overload, single failures must be retried.
+func TestRetriesDoNotProlongAnOverload(t *testing.T) {
 	oneInTen := func(attempt int) bool { return attempt%10 == 0 }
 	all := func(int) bool { return true }
 	for _, perSecond := range []float64{0.5, 5, 50} {
 		var budget RetryBudget
 		now, calm := playRequests(&budget, time.Minute, perSecond, 20, oneInTen)
 		if calm < 1.05 {
-			t.Errorf("%v a second: %v attempts for a request in calm, want each failure retried", perSecond, calm)
+			t.Errorf("%v requests per second: %v attempts per request before the overload, want at least 1.05",
+				perSecond, calm)
 		}
 		now, _ = playRequests(&budget, now, perSecond, 5, all)
 		now, overloaded := playRequests(&budget, now, perSecond, 20, all)
-		// What is refilled each second beside what requests deposit: all that there is in an overload.
+		// In an overload, retries come only from the least deposits and from the refill with time.
 		if most := 1 + retryMinDeposit + retryRefillPerSecond/perSecond + 0.2; overloaded > most {
-			t.Errorf("%v a second: %v attempts for a request in an overload, %v at most", perSecond, overloaded, most)
+			t.Errorf("%v requests per second: %v attempts per request in an overload, want at most %v",
+				perSecond, overloaded, most)
 		}
 		_, after := playRequests(&budget, now+5*time.Second, perSecond, 20, oneInTen)
 		if after < 1.05 {
-			t.Errorf("%v a second: %v attempts for a request after the overload", perSecond, after)
+			t.Errorf("%v requests per second: %v attempts per request after the overload, want at least 1.05",
+				perSecond, after)
 		}
 	}
 }
 
-// What was seen of rejections counts less with age, down to nothing.
+// TestRejectionRateDecays guards against old rejections that keep the budget small: the rejection rate must decay to
+// almost 0 with age.
 func TestRejectionRateDecays(t *testing.T) {
 	var budget RetryBudget
 	for range 100 {
@@ -62,16 +68,17 @@
 		budget.RecordAttempt(time.Minute, false, false)
 	}
 	if rate := budget.RejectionRate(time.Minute); rate < 0.9 {
-		t.Errorf("all rejected: %v", rate)
+		t.Errorf("rejection rate with all attempts rejected: got %v, want at least 0.9", rate)
 	}
 	const long = 5 * rejectionTimeConstant
 	if rate := budget.RejectionRate(time.Minute + long); rate > 0.01 {
-		t.Errorf("and still %v after %v", rate, long)
+		t.Errorf("rejection rate after %v: got %v, want at most 0.01", long, rate)
 	}
 }
 
-// Whatever comes, over any span no more retries are made than were saved up and deposited meanwhile.
-func TestRepeatsKeepTheirBudget(t *testing.T) {
+// TestRetriesKeepTheirBudget guards against a budget that grants retries which nothing has paid for, after some
+// sequence of events: retries must not exceed the initial balance, the largest overdraft and the deposits.
+func TestRetriesKeepTheirBudget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var budget RetryBudget
 		now, requests, retries := Time(0), 0, 0
@@ -83,25 +90,26 @@
 				requests++
 			case 1:
 				served := rapid.Bool().Draw(t, "served")
-				rejected := rapid.Bool().Draw(t, "away")
+				rejected := rapid.Bool().Draw(t, "rejected")
 				budget.RecordAttempt(now, served, rejected)
 			default:
-				if budget.TryWithdraw(now, rapid.Bool().Draw(t, "last")) {
+				if budget.TryWithdraw(now, rapid.Bool().Draw(t, "may overdraw")) {
 					retries++
 				}
 			}
 			if rate := budget.RejectionRate(now); rate < 0 || rate > 1 {
-				t.Fatalf("rejection rate %v", rate)
+				t.Fatalf("rejection rate %v, want between 0 and 1", rate)
 			}
 			most := 2*retryMaxBalance + retryMaxDeposit*float64(requests) + retryRefillPerSecond*now.Seconds()
 			if float64(retries) > most+1e-6 {
-				t.Fatalf("%d retries, %v at most", retries, most)
+				t.Fatalf("%d retries, want at most %v", retries, most)
 			}
 		}
 	})
 }
 
-// Repayments go on where other requests are rejected, but not without end.
+// TestRepaymentsOverdrawWithinBounds guards against repayments that get no retry once other requests have emptied the
+// budget, and against repayments that retry without bound.
 func TestRepaymentsOverdrawWithinBounds(t *testing.T) {
 	var budget RetryBudget
 	now := time.Minute
@@ -112,6 +120,6 @@
 		overdrawn++
 	}
 	if overdrawn != retryMaxBalance {
-		t.Errorf("%d retries beyond the budget, want %v", overdrawn, retryMaxBalance)
+		t.Errorf("retries beyond an empty budget: got %d, want %v", overdrawn, retryMaxBalance)
 	}
 }
--- a/internal/overload/statistics_test.go
+++ b/internal/overload/statistics_test.go
@@ -7,21 +7,22 @@
 	"pgregory.net/rapid"
 )
 
-// What was seen long ago is not known any more, whatever it was.
+// TestObservationsExpire guards against decisions that rest on outdated observations: an observation must expire after
+// observationLifetime, and failures further apart must not form a streak.
 func TestObservationsExpire(t *testing.T) {
 	var observation RecentObservation
 	if observation.Holds(time.Minute) {
-		t.Error("nothing was seen, and it holds")
+		t.Error("the condition holds without an observation")
 	}
 	observation.Record(time.Minute, true)
 	last := time.Minute + observationLifetime
 	if !observation.Holds(last) || observation.Holds(last+1) {
-		t.Errorf("want it to hold for %v", observationLifetime)
+		t.Errorf("want the condition to hold for %v and no longer", observationLifetime)
 	}
 	observation.Record(2*time.Minute, true)
 	observation.Record(2*time.Minute, false)
 	if observation.Holds(2 * time.Minute) {
-		t.Error("the last that was seen counts")
+		t.Error("the condition holds although the latest observation is that it does not")
 	}
 
 	var streak FailureStreak
@@ -38,13 +39,14 @@
 	} {
 		now += tc.after
 		if got := streak.Add(now); got != tc.want {
-			t.Errorf("failure %d, %v after the last: %d in a row, want %d", i+1, tc.after, got, tc.want)
+			t.Errorf("failure %d, %v after the last: got a streak of %d, want %d", i+1, tc.after, got, tc.want)
 		}
 	}
 }
 
-// A budget gives out over any span no more than its burst and what refilled, if it is asked before each spending.
-func TestBucketKeepsItsRate(t *testing.T) {
+// TestTokenBucketKeepsItsRate guards against a bucket that gives out more than its rate allows: if the caller checks
+// Spent before each Spend, the total must not exceed the burst and the refill.
+func TestTokenBucketKeepsItsRate(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var bucket TokenBucket
 		rate := rapid.Float64Range(0, 10).Draw(t, "rate")
@@ -58,27 +60,28 @@
 				given += amount
 			}
 			if most := burst + rate*now.Seconds(); given > most+1e-6 {
-				t.Fatalf("%v given within %v, %v at most", given, now, most)
+				t.Fatalf("%v taken within %v, want at most %v", given, now, most)
 			}
 		}
 	})
 }
 
-// An estimate that is twenty times too high has gone after a few samples, and one odd sample of many moves a mean
-// little.
-func TestMeanLearnsFromItsFirstSamples(t *testing.T) {
+// TestMeanFollowsItsFirstSamples guards against a mean that keeps a wrong initial estimate for long, or that follows
+// single outliers: an estimate 20 times too high must have little effect after 9 samples, and one outlier after many
+// samples must move the mean little.
+func TestMeanFollowsItsFirstSamples(t *testing.T) {
 	mean := NewMean(20)
 	for range 9 {
 		mean.Observe(1)
 	}
 	if mean.Value > 3 {
-		t.Errorf("after 9 samples of 1: %v", mean.Value)
+		t.Errorf("mean after 9 samples of 1: got %v, want at most 3", mean.Value)
 	}
 	for range 200 {
 		mean.Observe(1)
 	}
 	mean.Observe(33)
 	if mean.Value > 2.01 || mean.Value < 1.9 {
-		t.Errorf("one sample of 33 among many of 1: %v, want a thirty-second of the way", mean.Value)
+		t.Errorf("mean after one sample of 33 behind many of 1: got %v, want about 2", mean.Value)
 	}
 }
--- a/internal/sitehealth/member.go
+++ b/internal/sitehealth/member.go
@@ -5,26 +5,27 @@
 	"time"
 )
 
-// failureMaxAge is the age from which on a failure counts no more.
+// failureMaxAge is the age up to which a failure counts as evidence about a server.
 const failureMaxAge = 5 * time.Second
 
-// Member is a server of a site. All methods take a nil Member, and do nothing then.
+// Member is a server of a site. All exported methods accept a nil receiver: HasHealthyPeer then returns false, and the
+// others do nothing.
 type Member struct {
 	monitor *Monitor
 	zone    int
 	weight  float64
-	ready   bool // by the endpoint list
-	started Time // by the endpoint list; 0: long ago
+	ready   bool // as reported by the endpoint list
+	started Time // as reported by the endpoint list; 0: long ago
 
 	lastResponse Time
 	lastRefusal  Time // 0: none since lastResponse
 	lastTimeout  Time // 0: none since lastResponse
-	timeouts     int  // in a row
+	timeouts     int  // consecutive
 }
 
-// UpdateMember takes what the endpoint list says of a server: a new one, if member is nil. It returns the member, or
-// the one given where the zone is not known. The list is late, so that what it says of a server's start is news only if
-// that start was not known yet.
+// UpdateMember applies an entry of the endpoint list to a server and returns its member. A nil member adds a new
+// server. If the zone is unknown, UpdateMember changes nothing and returns the given member. The list lags behind the
+// servers, so a start time in the list counts as a new start only if it was not known yet.
 func (m *Monitor) UpdateMember(now Time, member *Member, zone int, weight float64, ready bool, started Time) *Member {
 	if zone < 0 || zone >= len(m.sites) {
 		return member
@@ -41,7 +42,7 @@
 	member.weight, member.ready, member.started = weight, ready, started
 	site.capacity = max(site.capacity, site.readyWeight())
 	if newStart && site.state.unavailable() && now >= site.since+site.holdoff {
-		// It counts as a sign of life of a lost site, but not as a response.
+		// A new start shows that a lost site is returning, but it is not a response of the server.
 		m.transition(now, zone, Recovering, "the list has a new server")
 	}
 	site.restarted = site.restarted || (newStart && (site.state.unavailable() || site.state == Recovering))
@@ -49,7 +50,7 @@
 	return member
 }
 
-// Remove takes away a server that the endpoint list no longer has.
+// Remove removes a server that the endpoint list no longer contains from its site.
 func (mem *Member) Remove() {
 	if mem == nil {
 		return
@@ -60,7 +61,7 @@
 	}
 }
 
-// RecordResponse notes that the server has answered, whatever the answer was.
+// RecordResponse records that the server has sent a response, whatever the response was.
 func (mem *Member) RecordResponse(now Time) {
 	if mem == nil {
 		return
@@ -79,7 +80,8 @@
 	}
 }
 
-// RecordRefusal notes that the server's machine says that nothing listens there, or that a cache was told so at once.
+// RecordRefusal records that a connection to the server failed, usually because its machine reports that nothing
+// listens there, or that a cache failed at once to reach the server as a source.
 func (mem *Member) RecordRefusal(now Time) {
 	if mem == nil {
 		return
@@ -88,8 +90,8 @@
 	mem.monitor.noteFailure(now)
 }
 
-// RecordSourceFailure notes that a cache could not reach the server as the source of a fill that was asked for at a
-// time: quickly, which is a refusal, or after a wait, which is a timeout.
+// RecordSourceFailure records that a cache could not reach the server as the source of a fill that was requested at
+// time sent. A failure that came quickly counts as a refusal, a failure after a wait as a timeout.
 func (mem *Member) RecordSourceFailure(now, sent Time, quickly bool) {
 	if quickly {
 		mem.RecordRefusal(now)
@@ -98,8 +100,9 @@
 	mem.RecordTimeout(now, sent)
 }
 
-// RecordTimeout notes that an attempt, sent at a time, got nothing out of the server though a response was due. If the
-// server has responded since, it was a response that got lost, and nothing is noted.
+// RecordTimeout records that an attempt, sent at time sent, got no response from the server although a response was
+// due. If the server has responded after that time, only the response to this attempt was lost, and nothing is
+// recorded.
 func (mem *Member) RecordTimeout(now, sent Time) {
 	if mem == nil || mem.lastResponse > sent {
 		return
@@ -109,8 +112,9 @@
 	mem.monitor.noteFailure(now)
 }
 
-// HasHealthyPeer reports whether another ready server of the same site has not failed lately: to eject this one leaves
-// a server in its place. A site all of whose servers fail is taken out as a whole, by its state.
+// HasHealthyPeer reports whether another ready server of the same site has not failed within failureMaxAge, so that the
+// site keeps a server if this one is ejected. A site whose servers all fail is taken out of use as a whole, by its
+// state.
 func (mem *Member) HasHealthyPeer(now Time) bool {
 	if mem == nil {
 		return false
--- a/internal/sitehealth/monitor.go
+++ b/internal/sitehealth/monitor.go
@@ -8,51 +8,52 @@
 )
 
 const (
-	probeInterval = 500 * time.Millisecond // between two probes of a server of our lost branch
+	probeInterval = 500 * time.Millisecond // time between two probes of a server while our branch is unavailable
 
-	popularUses   = 2   // uses of an object from which on it counts as popular
-	unpopularCost = 4.0 // multiple of its work that a request for any other object must find room for
+	popularUses   = 2   // uses at which an object counts as popular
+	unpopularCost = 4.0 // admission cost of a request for an object that is not popular
 
-	originSlowBelow   = 0.5 // share of the fills that go on to the origin, below which it is called slow
-	originHealthyFrom = 1.0 // share from which on it is called healthy again
+	originSlowBelow   = 0.5 // share of the fills that go on to the origin, below which it counts as slow
+	originHealthyFrom = 1.0 // share at which it counts as healthy again
 )
 
-// self is the zone that recordChange takes for the director itself.
+// self is the zone number that stands for the director itself in calls of recordChange.
 const self = -1
 
-// Config is the place of the director among the sites.
+// Config describes the sites and the position of the director among them.
 type Config struct {
-	ZoneNames []string // by zone
-	OwnZone   int      // the director's own branch
-	HubZone   int      // the hub that the branch is attached to
+	ZoneNames []string // names of the sites, by zone
+	OwnZone   int      // zone of the director's own branch
+	HubZone   int      // zone of the hub that the branch is attached to
 }
 
-// FailoverShares say how the load of lost sites is spread. An empty list leaves its part undecided: the remaining hubs
-// share evenly, and all fills are made.
+// FailoverShares holds how the load of lost sites is distributed. If HubShares is empty, the remaining hubs share the
+// load evenly; if FillShares is empty, all fills are made.
 type FailoverShares struct {
-	HubShares  []float64 // by zone: the share of our branch's fills that a hub takes over
-	FillShares []float64 // by class of requests: the share of the fills that is made
+	HubShares  []float64 // share of our branch's fills that each hub takes over, by zone
+	FillShares []float64 // share of the fills that are made, by class of requests
 }
 
-// PlanFunc gives the shares for a set of lost zones. The capacities are those of all zones with all of their servers
-// there.
+// PlanFunc returns the failover shares for a set of lost zones. capacities holds the capacity of each zone, by zone,
+// with all of the zone's servers present.
 type PlanFunc func(lostZones []int, capacities []float64) FailoverShares
 
-// Options are what an installation may set. The zero value follows no plan.
+// Options holds the settings that an installation may change. The zero value uses no plan.
 type Options struct {
-	// Plan, if set, decides how other hubs share the load of a lost one; otherwise they share evenly.
+	// Plan, if set, decides how the other hubs share the load of a lost hub. Otherwise they share it evenly.
 	Plan PlanFunc
-	// DiscoveryStale, if set, reports whether the list service is silent as well.
+	// DiscoveryStale, if set, reports whether the director receives no events from the discovery service either.
 	DiscoveryStale func() bool
-	// ShiftRate, if above 0, is the share of a site's traffic that moves within a second at most, away from it and
-	// back. Otherwise traffic of a lost hub moves at once, with the origin shield as its guard, and returns at
+	// ShiftRate, if positive, is the largest share of a hub's traffic that moves within a second, away from the hub or
+	// back to it. Otherwise the traffic of a lost hub moves at once, limited only by the origin shield, and returns at
 	// defaultRecoveryRate.
 	ShiftRate float64
-	// MinLostTime, if above 0, is how long another site stays lost at the least, in place of remoteHoldoff.
+	// MinLostTime, if positive, replaces remoteHoldoff as the shortest time for which a site other than our own branch
+	// stays lost.
 	MinLostTime time.Duration
 }
 
-// Monitor holds the states of all sites, as one director sees them. It is not safe for concurrent use.
+// Monitor tracks the states of all sites, as one director observes them. It is not safe for concurrent use.
 type Monitor struct {
 	Options // set before the first observation
 
@@ -60,12 +61,12 @@
 	sites         []site    // by zone
 	weightFactors []float64 // by zone
 	shares        FailoverShares
-	sharesCurrent bool // shares are the plan's for the planned values of the sites
+	sharesCurrent bool // shares is the result of the plan for plannedLost and plannedCapacity of the sites
 
-	lastResponse Time // from any server
-	firstFailure Time // since lastResponse; 0: none
+	lastResponse Time // latest response of any server
+	firstFailure Time // first failure since lastResponse; 0: none
 
-	isolated      bool // nobody answers this director
+	isolated      bool // no server responds to this director
 	isolatedSince Time
 	originState   State
 	changes       []StateChange // since the last call of Tick
@@ -73,7 +74,7 @@
 	Counters Counters
 }
 
-// New returns a monitor that takes all sites for healthy.
+// New returns a monitor in which all sites are healthy.
 func New(config Config) *Monitor {
 	zones := max(len(config.ZoneNames), config.OwnZone+1, config.HubZone+1)
 	m := &Monitor{config: config, sites: make([]site, zones), weightFactors: make([]float64, zones)}
@@ -81,8 +82,8 @@
 	return m
 }
 
-// Tick brings the states up to date and reports what has changed since its last call. It is meant to be called some
-// twenty times a second. originShare is the share of the fills that go on to the origin.
+// Tick updates the states of all sites and calls report for each change since the last call of Tick. It is meant to be
+// called about twenty times per second. originShare is the share of the fills that go on to the origin.
 func (m *Monitor) Tick(now Time, originShare float64, report func(StateChange)) {
 	m.evaluateOrigin(originShare)
 	m.detectIsolation(now)
@@ -98,6 +99,7 @@
 	m.changes = m.changes[:0]
 }
 
+// evaluateOrigin changes the state of the origin between Healthy and Slow.
 func (m *Monitor) evaluateOrigin(originShare float64) {
 	switch {
 	case m.originState == Healthy && originShare < originSlowBelow:
@@ -112,7 +114,7 @@
 	}
 }
 
-// recordChange keeps a change for the next Tick to report. The zone may be self.
+// recordChange stores a state change, which the next call of Tick reports. The zone may be self.
 func (m *Monitor) recordChange(zone int, from, to State, evidence string) {
 	name := ""
 	if zone != self {
@@ -134,15 +136,15 @@
 // Isolated reports whether the director itself is cut off from all servers.
 func (m *Monitor) Isolated() bool { return m.isolated }
 
-// OwnBranchUnavailable reports whether nothing can be done for the clients of our branch, because its caches are lost
-// or the director is isolated. Probes go on at all times: they find out when it is over.
+// OwnBranchUnavailable reports whether no request of our branch's clients can be served, because the caches of the
+// branch are lost or the director is isolated. Probes continue meanwhile, and their responses end that condition.
 func (m *Monitor) OwnBranchUnavailable() bool {
 	return m.isolated || m.sites[m.config.OwnZone].state.unavailable()
 }
 
-// AdmissionCost is the multiple of its work that a request must find room for in the slow-start budget of a cache of
-// our branch. While the branch recovers, requests for objects used once leave room for popular ones; uncacheable
-// requests, which run at the origin, are never held back for that.
+// AdmissionCost returns the multiple of a request's work for which the slow-start budget of a cache of our branch must
+// have room. While the branch recovers, requests for objects that are not popular have a cost above 1, so that the
+// budget has room for popular objects. Uncacheable requests, which run at the origin, always have a cost of 1.
 func (m *Monitor) AdmissionCost(uses int, uncacheable bool) float64 {
 	if uses < popularUses && !uncacheable && m.sites[m.config.OwnZone].state == Recovering {
 		return unpopularCost
@@ -150,8 +152,9 @@
 	return 1
 }
 
-// ProbeInterval bounds the time between two probes of a server of our branch while all of it is lost: what is learnt of
-// one server tells of all, so that a probe is worth its cost at any time.
+// ProbeInterval returns the upper bound of the time between two probes of a server. While our branch is unavailable,
+// the bound is short: the response of one server is evidence about all servers of the branch, so that frequent probes
+// are worth their cost. Otherwise the bound is the largest possible time.
 func (m *Monitor) ProbeInterval() time.Duration {
 	if m.OwnBranchUnavailable() {
 		return probeInterval
@@ -159,8 +162,9 @@
 	return math.MaxInt64
 }
 
-// NextProbeIn is how long a lost site will stay so at the least: until the next probe, or until a response counts as
-// its recovery. A rejected client may as well stay away for that long. 0: the site is not lost.
+// NextProbeIn returns the shortest time for which a lost site will remain lost: until the next probe, or until a
+// response starts its recovery. A rejected client has no reason to retry earlier. The result is 0 for a site that is
+// not lost.
 func (m *Monitor) NextProbeIn(now Time, zone int) time.Duration {
 	site := &m.sites[zone]
 	if !site.state.unavailable() {
@@ -169,7 +173,7 @@
 	return max(probeInterval/2, site.since+site.holdoff-now)
 }
 
-// initialHoldoff is the shortest time for which a site stays lost.
+// initialHoldoff returns the holdoff of a site after a loss that is not a relapse.
 func (m *Monitor) initialHoldoff(zone int) time.Duration {
 	if zone == m.config.OwnZone {
 		return ownHoldoff
--- a/internal/sitehealth/monitor_test.go
+++ b/internal/sitehealth/monitor_test.go
@@ -13,14 +13,15 @@
 
 const ms = time.Millisecond
 
-// fleet is a branch of five caches (zone 2) with its own hub of two parents (zone 0) and another hub of two (zone 1).
+// fleet is a branch of five caches (zone 2) with its own hub of two parents (zone 0) and another hub of two parents
+// (zone 1).
 type fleet struct {
 	t           *testing.T
 	monitor     *Monitor
 	now         Time
 	members     map[string]*Member
 	changes     []string
-	originShare float64 // part of the fills that go on to the origin
+	originShare float64 // share of the fills that go on to the origin
 }
 
 func newFleet(t *testing.T) *fleet {
@@ -44,7 +45,8 @@
 	f.members[name] = f.monitor.UpdateMember(f.now, f.members[name], zone, 10, up, started)
 }
 
-// play does steps: "c1 answers", "c1 refuses", "c1 silent", "200" (milliseconds pass), "c1 gone", "c1 starts".
+// play executes a script of steps, separated by commas. A step is an event of a server ("c1 answers", "c1 refuses", "c1
+// silent", "c1 gone", "c1 starts") or a number of milliseconds that pass ("200").
 func (f *fleet) play(script string) *fleet {
 	f.t.Helper()
 	for _, step := range strings.Split(script, ", ") {
@@ -71,7 +73,7 @@
 		case "starts":
 			f.join(who, zone, true, f.now)
 		default:
-			f.t.Fatalf("no step %q", step)
+			f.t.Fatalf("unknown step %q", step)
 		}
 	}
 	return f
@@ -86,7 +88,7 @@
 	return state
 }
 
-// stepsFor is a script in which the same happens to several servers.
+// stepsFor returns a script in which the same event happens to several servers.
 func stepsFor(what string, who ...string) string {
 	steps := make([]string, 0, len(who))
 	for _, server := range who {
@@ -95,7 +97,9 @@
 	return strings.Join(steps, ", ")
 }
 
-func TestStatesFollowTheEvidence(t *testing.T) {
+// TestSiteStateTransitions guards against a site that counts as lost because single servers fail, against a lost site
+// that is not detected, and against a recovery that starts or ends too early.
+func TestSiteStateTransitions(t *testing.T) {
 	caches := []string{"c0", "c1", "c2", "c3", "c4"}
 	const (
 		loss    = "c0 refuses, c1 refuses, c3 refuses"
@@ -107,43 +111,44 @@
 		zone   int
 		want   State
 	}{
-		{"nothing is known", "1000", 2, Healthy},
-		{"one cache of five is lost", "c0 refuses, 100, c1 answers, 100, c0 refuses, 100", 2, Degraded},
-		{"and again, with nobody else asked", "c0 refuses, 100, c0 refuses, 100, c0 refuses, 100", 2, Degraded},
-		{"two refuse, with an answer between", "c0 refuses, 100, c2 answers, c1 refuses, 100", 2, Degraded},
-		{"half of four refuse, none answers", "c4 gone, c0 refuses, c1 refuses, 100", 2, Degraded},
-		{"three refuse, none answers", "c0 refuses, 100, c1 refuses, 100, c2 refuses, 100", 2, Lost},
+		{"no observations", "1000", 2, Healthy},
+		{"one of five refuses, another answers", "c0 refuses, 100, c1 answers, 100, c0 refuses, 100", 2, Degraded},
+		{"one refuses, no attempts at others", "c0 refuses, 100, c0 refuses, 100, c0 refuses, 100", 2, Degraded},
+		{"two refuse, with an answer of a third between", "c0 refuses, 100, c2 answers, c1 refuses, 100", 2, Degraded},
+		{"two of four refuse, none answers", "c4 gone, c0 refuses, c1 refuses, 100", 2, Degraded},
+		{"three of five refuse, none answers", "c0 refuses, 100, c1 refuses, 100, c2 refuses, 100", 2, Lost},
 		{"two of five refuse, none answers", "c0 refuses, c1 refuses, 100", 2, Degraded},
-		{"one answer is lost", "c0 silent, c1 silent, c2 silent, 100", 2, Degraded},
-		{"all are silent", stepsFor("silent", append(caches, caches...)...) + ", 100", 2, Unreachable},
-		{"three are silent for long", strings.Repeat(stepsFor("silent", "c0", "c1", "c2")+", ", 3) + "100", 2,
+		{"three time out once each", "c0 silent, c1 silent, c2 silent, 100", 2, Degraded},
+		{"all time out twice", stepsFor("silent", append(caches, caches...)...) + ", 100", 2, Unreachable},
+		{"three time out three times each", strings.Repeat(stepsFor("silent", "c0", "c1", "c2")+", ", 3) + "100", 2,
 			Unreachable},
-		{"failures that are long past", "c0 refuses, 4900, c1 answers, 200, c1 refuses, 100", 2, Degraded},
-		{"the list has none left", stepsFor("gone", caches...) + ", 100", 2, Lost},
-		{"the list has one left", stepsFor("gone", caches[1:]...) + ", 100", 2, Healthy},
-		{"one left, and it refuses", stepsFor("gone", caches[1:]...) + ", c0 refuses, 100", 2, Lost},
-		{"a hub is lost", "w0 refuses, w1 refuses, 100", 0, Lost},
-		{"and the other is not", "w0 refuses, w1 refuses, 100", 1, Healthy},
-		{"one answers, before its time to", loss + ", 50, c2 answers, 50", 2, Lost},
-		{"an answer behind it", loss + ", 100, c2 answers, 500", 2, Recovering},
-		{"by the list, before anybody is asked", loss + ", 600, c2 starts, 50", 2, Recovering},
-		{"time alone heals nobody", loss + ", 600, c2 starts, 60000", 2, Recovering},
-		{"eight answers do", loss + ", 600, " + stepsFor("starts", caches...) +
+		{"an old failure, an answer, a new failure", "c0 refuses, 4900, c1 answers, 200, c1 refuses, 100", 2, Degraded},
+		{"the list has no ready cache left", stepsFor("gone", caches...) + ", 100", 2, Lost},
+		{"the list has one ready cache left", stepsFor("gone", caches[1:]...) + ", 100", 2, Healthy},
+		{"the only ready cache refuses", stepsFor("gone", caches[1:]...) + ", c0 refuses, 100", 2, Lost},
+		{"both parents of a hub refuse", "w0 refuses, w1 refuses, 100", 0, Lost},
+		{"both parents of the other hub refuse", "w0 refuses, w1 refuses, 100", 1, Healthy},
+		{"an answer within the holdoff", loss + ", 50, c2 answers, 50", 2, Lost},
+		{"an answer within the holdoff, which has ended since", loss + ", 100, c2 answers, 500", 2, Recovering},
+		{"the list has a new start, before any attempt", loss + ", 600, c2 starts, 50", 2, Recovering},
+		{"a minute without responses does not end a recovery", loss + ", 600, c2 starts, 60000", 2, Recovering},
+		{"eight answers end a recovery", loss + ", 600, " + stepsFor("starts", caches...) +
 			", 5000, " + stepsFor("answers", append(caches, caches...)...) + ", 100", 2, Healthy},
-		{"lost again on the way", relapse, 2, Relapsed},
-		{"and it waits longer", relapse + ", c2 answers, 50", 2, Relapsed},
-		{"but not for good", relapse + ", 1000, c2 answers, 50", 2, Recovering},
+		{"lost again while recovering", relapse, 2, Relapsed},
+		{"a relapsed site, before the doubled holdoff ends", relapse + ", c2 answers, 50", 2, Relapsed},
+		{"a relapsed site, after the doubled holdoff", relapse + ", 1000, c2 answers, 50", 2, Recovering},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			f := newFleet(t).play(test.script)
 			if got := f.state(test.zone); got != test.want {
-				t.Errorf("%v, want %v: %q", got, test.want, f.changes)
+				t.Errorf("state of zone %d: got %v, want %v (changes %q)", test.zone, got, test.want, f.changes)
 			}
 		})
 	}
 }
 
-// What is wanted more has the first claim on a branch that comes back, and repayments are never held back for it.
+// TestAdmissionCostWhileOurBranchRecovers guards against a recovering branch that spends its slow-start budget on
+// objects used once. Popular objects must have precedence, and repayments must never be delayed for them.
 func TestAdmissionCostWhileOurBranchRecovers(t *testing.T) {
 	f := newFleet(t)
 	costs := func() string {
@@ -151,29 +156,32 @@
 		return fmt.Sprint(unpopular, popular, f.monitor.AdmissionCost(1, true))
 	}
 	if got := costs(); got != "1 1 1" {
-		t.Errorf("well: %s", got)
+		t.Errorf("costs while the branch is healthy: got %s, want 1 1 1", got)
 	}
 	f.play("c0 refuses, c1 refuses, c3 refuses, 200, c2 answers, 50")
 	if got := costs(); f.state(2) != Recovering || got != "4 1 1" {
-		t.Errorf("%v: %s", f.state(2), got)
+		t.Errorf("got state %v and costs %s, want %v and 4 1 1", f.state(2), got, Recovering)
 	}
 }
 
-// An installation may have other sites stay lost for longer; our own branch returns as soon as it can.
-func TestMinLostTimeIsForOtherSites(t *testing.T) {
+// TestMinLostTimeAppliesToOtherSites guards against MinLostTime being ignored for another site, or applied to our own
+// branch, whose clients it would only reject for longer.
+func TestMinLostTimeAppliesToOtherSites(t *testing.T) {
 	f := newFleet(t)
 	f.monitor.MinLostTime = 3 * time.Second
 	f.play("w0 refuses, w1 refuses, c0 refuses, c1 refuses, c3 refuses, 2000, w0 answers, c0 answers, 50")
 	if f.state(0) != Lost || f.state(2) != Recovering {
-		t.Errorf("after 2 s of 3: the hub is %v, our branch %v", f.state(0), f.state(2))
+		t.Errorf("after 2 s of 3: got hub %v and own branch %v, want %v and %v",
+			f.state(0), f.state(2), Lost, Recovering)
 	}
 	f.play("1100")
 	if f.state(0) != Recovering {
-		t.Errorf("after 3 s: the hub is %v", f.state(0))
+		t.Errorf("after 3 s: got hub %v, want %v", f.state(0), Recovering)
 	}
 }
 
-// The origin is called slow once, however its part swings until all goes on to it again.
+// TestSlowOriginIsReportedOnce guards against a log line for each swing of the admitted fraction: the origin must be
+// reported as slow once, until all fills go on to it again.
 func TestSlowOriginIsReportedOnce(t *testing.T) {
 	f := newFleet(t)
 	for _, open := range []float64{0.9, 0.4, 0.6, 0.3, 0.95, 1, 0.7, 1} {
@@ -183,114 +191,125 @@
 	want := []string{"site origin: slow, was well: 0.40 of the fills go on to it",
 		"site origin: well, was slow: all fills go on to it"}
 	if !slices.Equal(f.changes, want) {
-		t.Errorf("%q", f.changes)
+		t.Errorf("got changes %q, want %q", f.changes, want)
 	}
 }
 
-// A director that hears nobody is cut off itself: it calls nobody lost, and takes up its work where it was.
+// TestIsolatedDirector guards against a director that is cut off itself but takes all sites for lost, and then ramps up
+// all of them after the interruption.
 func TestIsolatedDirector(t *testing.T) {
 	silence := stepsFor("silent", "c0", "c1", "c2", "w0", "w1", "e0", "e1")
 	f := newFleet(t).play("c0 answers, 100, c0 silent, w0 silent, 1000, " + silence + ", 100")
 	if !f.monitor.Isolated() || f.monitor.Counters.Isolations != 1 {
-		t.Fatalf("not known as cut off: %q", f.changes)
+		t.Fatalf("isolated %v with %d isolations, want true with 1 (changes %q)",
+			f.monitor.Isolated(), f.monitor.Counters.Isolations, f.changes)
 	}
 	f.play(silence + ", " + silence + ", 3000")
 	for zone := range 3 {
 		if f.state(zone).unavailable() {
-			t.Errorf("zone %d is %v: %q", zone, f.state(zone), f.changes)
+			t.Errorf("zone %d is %v in isolation, want it available (changes %q)", zone, f.state(zone), f.changes)
 		}
 	}
 	if !f.monitor.OwnBranchUnavailable() {
-		t.Error("it can do nothing for its clients, and does not say so")
+		t.Error("OwnBranchUnavailable is false for an isolated director")
 	}
 	f.play("c1 answers, 100")
 	if f.monitor.Isolated() || f.monitor.OwnBranchUnavailable() {
-		t.Errorf("still cut off: %q", f.changes)
+		t.Errorf("still isolated, or the own branch unavailable, after a response (changes %q)", f.changes)
 	}
 	if f.state(2) != Healthy || f.monitor.CapacityShare(f.now, 0) != 1 {
-		t.Errorf("not back as it was: %q", f.changes)
+		t.Errorf("after the isolation: got own branch %v and hub share %v, want %v and 1 (changes %q)",
+			f.state(2), f.monitor.CapacityShare(f.now, 0), Healthy, f.changes)
 	}
-	// One site silent, another refusing or answering: it is not us.
+	// One site times out while another one refuses or answers: the director is not isolated.
 	for _, sign := range []string{"e0 answers", "e0 refuses"} {
 		branchSilent := stepsFor("silent", "c0", "c1", "c2", "c3", "c4", "c0", "c1")
 		f := newFleet(t).play("w0 silent, c0 silent, 500, " + sign + ", " + branchSilent + ", 1200, " + sign + ", 100")
 		if f.monitor.Isolated() || f.state(2) != Unreachable {
-			t.Errorf("%s: alone %v, the branch %v", sign, f.monitor.Isolated(), f.state(2))
+			t.Errorf("%s: got isolated %v and own branch %v, want false and %v",
+				sign, f.monitor.Isolated(), f.state(2), Unreachable)
 		}
 	}
 }
 
-// What a lost hub leaves is shared by the plan, and goes back by and by, in parts that always make one.
+// TestWeightFactorsFollowThePlan guards against load that jumps or gets lost when a hub is lost or returns: the plan
+// distributes the load of a lost hub, the load returns to new servers gradually, and the shares of all hubs always add
+// up to 1.
 func TestWeightFactorsFollowThePlan(t *testing.T) {
 	f := newFleet(t)
 	consulted := 0
 	f.monitor.Plan = func(lost []int, carries []float64) FailoverShares {
 		consulted++
 		if !slices.Equal(lost, []int{0}) || !slices.Equal(carries, []float64{20, 20, 50}) {
-			t.Errorf("asked with %v lost of %v", lost, carries)
+			t.Errorf("plan called with lost zones %v and capacities %v, want [0] and [20 20 50]", lost, carries)
 		}
 		return FailoverShares{HubShares: []float64{0, 0.8, 0}, FillShares: []float64{1, 0.25}}
 	}
 	f.monitor.ShiftRate = 0.5
 	defer func() {
 		if consulted != 2 {
-			t.Errorf("the plan was asked %d times for two losses of the same site", consulted)
+			t.Errorf("the plan was called %d times for two losses of the same site, want 2", consulted)
 		}
 	}()
 	f.play("100")
 	if f.monitor.WeightFactor(0) != 1 || f.monitor.WeightFactor(1) != 0 || f.monitor.FillShare(f.now, 1) != 1 {
-		t.Errorf("well: factors %v, %v", f.monitor.WeightFactor(0), f.monitor.WeightFactor(1))
+		t.Errorf("healthy hub: got factors %v and %v and fill share %v, want 1, 0 and 1",
+			f.monitor.WeightFactor(0), f.monitor.WeightFactor(1), f.monitor.FillShare(f.now, 1))
 	}
 	f.play("w0 refuses, w1 refuses, 1000")
 	if f.monitor.WeightFactor(0) != 0 || f.monitor.WeightFactor(1) != 0.8 || f.monitor.FillShare(f.now, 1) != 0.25 {
-		t.Errorf("lost: factors %v, %v, fills %v", f.monitor.WeightFactor(0), f.monitor.WeightFactor(1),
-			f.monitor.FillShare(f.now, 1))
+		t.Errorf("lost hub: got factors %v and %v and fill share %v, want 0, 0.8 and 0.25",
+			f.monitor.WeightFactor(0), f.monitor.WeightFactor(1), f.monitor.FillShare(f.now, 1))
 	}
 	if part := f.monitor.FillShare(f.now, 0); part < 0.3 || part > 0.5 {
-		t.Errorf("a second after the loss at half a second's rate, %v of the fills have moved", part)
+		t.Errorf("fill share about 1 s after the loss at a rate of 0.5 per second: got %v, want 0.3 to 0.5", part)
 	}
-	// The hub is back as it was: it holds what it held, and has its objects back but for the part that is missing.
+	// The hub returns with its old servers, which still hold their objects: its share is that of the servers present.
 	f.play("w0 answers, 50")
 	if f.monitor.WeightFactor(0) != 0.5 {
-		t.Errorf("half of it is back and attracts %v", f.monitor.WeightFactor(0))
+		t.Errorf("factor with one of two parents back: got %v, want 0.5", f.monitor.WeightFactor(0))
 	}
 	f.play("w1 answers, 50")
 	if f.monitor.WeightFactor(0) != 1 {
-		t.Errorf("all of it is back and attracts %v", f.monitor.WeightFactor(0))
+		t.Errorf("factor with both parents back: got %v, want 1", f.monitor.WeightFactor(0))
 	}
-	// Lost again, it comes back with new servers, cold and empty: its load returns by and by.
+	// After a second loss the hub returns with new servers, which are cold and empty: its load returns gradually.
 	f.play(stepsFor("answers", "w0", "w1", "w0", "w1", "w0", "w1", "w0", "w1") + ", 100, w0 refuses, w1 refuses, 600")
 	f.play("w0 starts, w1 starts, 50")
 	before, most := f.monitor.WeightFactor(0), 0.5*0.05
 	if before <= 0 || before > initialRecoveryShare+most+1e-9 {
-		t.Errorf("comes back with %v of it", before)
+		t.Errorf("factor right after the restart: got %v, want more than 0 and at most %v",
+			before, initialRecoveryShare+most)
 	}
 	for range 60 {
 		f.play("w0 answers, w1 answers, 50")
 		own := f.monitor.WeightFactor(0)
 		if own < before || own-before > most+1e-9 {
-			t.Fatalf("went from %v to %v of it in 50 ms", before, own)
+			t.Fatalf("factor went from %v to %v in 50 ms, want a rise of at most %v", before, own, most)
 		}
 		if rest := f.monitor.WeightFactor(1); rest != 0 && (rest/0.8+own > 1+1e-9 || rest/0.8+own < 1-1e-9) {
-			t.Fatalf("parts %v and %v", own, rest)
+			t.Fatalf("shares of the two hubs are %v and %v, want a sum of 1", own, rest/0.8)
 		}
 		before = own
 	}
 	if f.state(0) != Healthy || f.monitor.WeightFactor(0) != 1 {
-		t.Errorf("%v with %v", f.state(0), f.monitor.WeightFactor(0))
+		t.Errorf("after the recovery: got state %v and factor %v, want %v and 1",
+			f.state(0), f.monitor.WeightFactor(0), Healthy)
 	}
 }
 
-// Whatever happens: factors stay in range, a lost site gets none, and a change is told once for each.
+// TestMonitorKeepsItsBounds guards against shares and factors that leave their range after some sequence of events: a
+// lost site must have no share, the time to the next probe must be bounded, and relapses and recoveries must not
+// outnumber the recoveries started.
 func TestMonitorKeepsItsBounds(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		f := newFleet(t)
 		names := slices.Sorted(maps.Keys(f.members))
 		for range rapid.IntRange(1, 200).Draw(rt, "steps") {
-			who := rapid.SampledFrom(names).Draw(rt, "who")
+			who := rapid.SampledFrom(names).Draw(rt, "server")
 			f.play(
 				who + " " + rapid.SampledFrom([]string{"answers", "refuses", "silent", "gone", "starts"}).
-					Draw(rt, "what"),
+					Draw(rt, "event"),
 			)
 			if rapid.Bool().Draw(rt, "time") {
 				f.play(fmt.Sprint(rapid.IntRange(1, 1500).Draw(rt, "ms")))
@@ -299,25 +318,27 @@
 				state, since := f.monitor.State(zone)
 				share := f.monitor.CapacityShare(f.now, zone)
 				if !(share >= 0 && share <= 1) || (state.unavailable() && share != 0) || since > f.now {
-					rt.Fatalf("zone %d is %v since %v and gets %v", zone, state, since, share)
+					rt.Fatalf("zone %d is %v since %v, with a capacity share of %v at %v",
+						zone, state, since, share, f.now)
 				}
 				if factor := f.monitor.WeightFactor(zone); !(factor >= 0 && factor <= 2) {
-					rt.Fatalf("zone %d has the factor %v", zone, factor)
+					rt.Fatalf("zone %d has the weight factor %v, want between 0 and 2", zone, factor)
 				}
 			}
 			wait := f.monitor.NextProbeIn(f.now, 2)
 			if wait < 0 || wait > maxHoldoff || (wait > 0) != f.state(2).unavailable() {
-				rt.Fatalf("%v: probe in %v", f.state(2), wait)
+				rt.Fatalf("own branch is %v, but NextProbeIn is %v", f.state(2), wait)
 			}
 		}
 		if c := f.monitor.Counters; c.Relapses > c.RecoveriesStarted || c.Recoveries > c.RecoveriesStarted {
-			rt.Fatalf("%+v", c)
+			rt.Fatalf("more relapses or recoveries than recoveries started: %+v", c)
 		}
 	})
 }
 
-// Ten minutes in which single caches go and come, one at a time, are no loss of a site.
-func TestSingleLossesAreNoSiteLoss(t *testing.T) {
+// TestSingleServerFailuresAreNoSiteLoss guards against a site that counts as lost while one cache at a time fails, for
+// many rounds in which the failing cache changes.
+func TestSingleServerFailuresAreNoSiteLoss(t *testing.T) {
 	f := newFleet(t)
 	for minute := range 10 {
 		for k := range 10 {
@@ -337,6 +358,6 @@
 		}
 	}
 	if c := f.monitor.Counters; c.Losses+c.Unreachable+c.Isolations != 0 {
-		t.Errorf("%+v", c)
+		t.Errorf("got counters %+v, want no losses and no isolations", c)
 	}
 }
--- a/internal/sitehealth/shares.go
+++ b/internal/sitehealth/shares.go
@@ -3,14 +3,14 @@
 import "cmp"
 
 const (
-	defaultRecoveryRate  = 0.25 // share of a hub's objects that returns to it within a second
-	initialRecoveryShare = 0.1  // share of its load that a recovering site gets at once
+	defaultRecoveryRate  = 0.25 // share of a hub's objects that returns to it per second
+	initialRecoveryShare = 0.1  // share of its load that a recovering site gets immediately
 )
 
-// updateWeightFactors works out how much of our branch's fills each hub attracts. Parents of the branch's own hub count
-// with their weight, those of other hubs not at all, but for the share that the own hub does not get: the plan says how
-// the others divide that. Objects are placed by a hash in which these weights count, so that a change moves only the
-// objects that have to move.
+// updateWeightFactors computes the weight factor of each zone, which determines the share of our branch's fills that
+// the parents of the zone attract. The factor of the own hub is the share of its load that the hub may get now. The
+// other hubs divide the rest, as the plan decides; while there is no rest, their factor is 0. Objects are placed by a
+// hash that depends on the weights, so that a change moves only the objects that have to move.
 func (m *Monitor) updateWeightFactors(now Time) {
 	hub := m.config.HubZone
 	ownShare := m.CapacityShare(now, hub)
@@ -33,7 +33,8 @@
 	}
 }
 
-// refreshShares asks the plan, but only if what it is asked with has changed: a plan takes far longer than a tick may.
+// refreshShares calls the plan if its arguments have changed since its last call. It does not call the plan at each
+// tick, because a plan takes far longer than a tick may take.
 func (m *Monitor) refreshShares() {
 	if m.Plan == nil {
 		return
@@ -41,7 +42,7 @@
 	current := m.sharesCurrent
 	for zone := range m.sites {
 		site := &m.sites[zone]
-		// Our hub counts as lost also while it recovers: the share that it does not get yet goes where all of it went.
+		// Our hub also counts as lost while it recovers: the share that it does not get yet goes to the same hubs.
 		lost := site.state.unavailable() || zone == m.config.HubZone
 		current = current && lost == site.plannedLost && site.capacity == site.plannedCapacity
 		site.plannedLost, site.plannedCapacity = lost, site.capacity
@@ -60,8 +61,8 @@
 	m.shares, m.sharesCurrent = m.Plan(lostZones, capacities), true
 }
 
-// WeightFactor is what the weights of a zone's parents are multiplied with for the objects of our branch; 0: they are
-// used after all others only.
+// WeightFactor returns the factor by which the weights of a zone's parents are multiplied for the objects of our
+// branch. Parents with the factor 0 are used only after all others.
 func (m *Monitor) WeightFactor(zone int) float64 {
 	if zone < 0 || zone >= len(m.weightFactors) {
 		return 0
@@ -69,8 +70,8 @@
 	return m.weightFactors[zone]
 }
 
-// FillShare is the share of a class's fills that may go on to the origin, by the plan and by the rate at which a lost
-// hub's objects move to other hubs, which hold none of them yet.
+// FillShare returns the share of a class's fills that may go on to the origin. The plan limits it, and while our hub is
+// lost also ShiftRate: the objects of the hub move to other hubs, which hold none of them yet and have to fill them.
 func (m *Monitor) FillShare(now Time, class int) float64 {
 	share := 1.0
 	if class < len(m.shares.FillShares) {
@@ -83,8 +84,9 @@
 	return share
 }
 
-// CapacityShare is the share of its usual load that a site may get now, from 0 to 1. A site that is back in part gets
-// the share of its servers that are ready and have not failed.
+// CapacityShare returns the share of its usual load, from 0 to 1, that a site may get now. A recovering site gets the
+// share of its servers that are ready and have not refused a connection lately, but at least initialRecoveryShare. If
+// some of its servers started anew, recoveryShare limits that share further.
 func (m *Monitor) CapacityShare(now Time, zone int) float64 {
 	if zone < 0 || zone >= len(m.sites) {
 		return 0
@@ -98,12 +100,13 @@
 	case site.restarted:
 		return min(m.recoveryShare(now, site), max(site.presentShare(now), initialRecoveryShare))
 	default:
-		// It still holds its objects: to spread them now would have other caches fetch them once more.
+		// The site still holds its objects. With a smaller share, other caches would have to fetch them again.
 		return max(site.presentShare(now), initialRecoveryShare)
 	}
 }
 
-// recoveryShare is the share of its load that a recovering hub may have by the time since it came back.
-func (m *Monitor) recoveryShare(now Time, hub *site) float64 {
-	return min(1, initialRecoveryShare+cmp.Or(m.ShiftRate, defaultRecoveryRate)*(now-hub.since).Seconds())
+// recoveryShare returns the share of its load that a recovering site may get, which grows with the time since its
+// recovery began.
+func (m *Monitor) recoveryShare(now Time, recovering *site) float64 {
+	return min(1, initialRecoveryShare+cmp.Or(m.ShiftRate, defaultRecoveryRate)*(now-recovering.since).Seconds())
 }
--- a/internal/sitehealth/site.go
+++ b/internal/sitehealth/site.go
@@ -3,40 +3,41 @@
 import "time"
 
 const (
-	firstTimeoutWeight = 0.5  // of a failed server that one timeout counts for: a response may have been lost
-	nextTimeoutWeight  = 0.25 // of a failed server that each further timeout in a row counts for
+	firstTimeoutWeight = 0.5  // failed servers that one timeout counts as: a single response may have been lost
+	nextTimeoutWeight  = 0.25 // failed servers that each further consecutive timeout adds
 )
 
-// site is what a monitor knows of all servers of one zone.
+// site holds what a monitor knows about the servers of one zone.
 type site struct {
 	members []*Member
 	state   State
-	since   Time // of the last transition
+	since   Time // time of the last transition
 
-	lastResponse Time          // of any of its servers
-	responses    int           // since the last transition
-	holdoff      time.Duration // after a loss, before a response counts as a recovery; doubled by each relapse
+	lastResponse Time          // latest response of any of its servers
+	responses    int           // number of responses since the last transition
+	holdoff      time.Duration // time after a loss before a response starts a recovery; doubled by a relapse
 
-	everReady bool    // it has had a ready server
-	restarted bool    // some recovering servers started anew: they are cold and empty, and get their load gradually
-	capacity  float64 // the largest weight of its ready servers so far
+	everReady bool    // the site has had a ready server
+	restarted bool    // servers started during the loss or recovery; they are cold, and their load returns gradually
+	capacity  float64 // largest total weight of its ready servers so far
 
-	plannedLost     bool // what the plan was last asked with
-	plannedCapacity float64
+	plannedLost     bool    // whether the site counted as lost in the last call of the plan
+	plannedCapacity float64 // capacity that was passed in the last call of the plan
 }
 
-// failures are what counts against a site.
+// failures sums up the failed servers of a site.
 type failures struct {
-	weight        float64 // of servers that have failed; a server that has timed out counts as a part of one
-	timeoutWeight float64 // of those, the weight of servers that have timed out
-	members       int
+	weight        float64 // number of failed servers; one that timed out counts as a fraction
+	timeoutWeight float64 // part of weight that comes from timeouts
+	members       int     // number of failed servers, each counted as one
 }
 
-// failuresAt sums up the servers that have failed since any server of the site responded last.
+// failuresAt returns the servers that have failed since the last response of any server of the site, and within
+// failureMaxAge before now.
 func (s *site) failuresAt(now Time) failures {
 	from := s.lastResponse
 	if s.state == Recovering {
-		from = max(from, s.since) // failures from before the recovery say nothing of it
+		from = max(from, s.since) // earlier failures are no evidence about the recovery
 	}
 	var sum failures
 	for _, member := range s.members {
@@ -56,7 +57,7 @@
 	return sum
 }
 
-// refusedSince reports whether a server has refused a connection after a time.
+// refusedSince reports whether a connection to any server of the site was refused after time from.
 func (s *site) refusedSince(from Time) bool {
 	for _, member := range s.members {
 		if member.lastRefusal > from {
@@ -66,7 +67,7 @@
 	return false
 }
 
-// readyMembers is the number of servers that the endpoint list has as ready.
+// readyMembers returns the number of servers that the endpoint list reports as ready.
 func (s *site) readyMembers() int {
 	count := 0
 	for _, member := range s.members {
@@ -77,7 +78,7 @@
 	return count
 }
 
-// readyWeight is the weight of the servers that the endpoint list has as ready.
+// readyWeight returns the total weight of the servers that the endpoint list reports as ready.
 func (s *site) readyWeight() float64 {
 	sum := 0.0
 	for _, member := range s.members {
@@ -88,7 +89,8 @@
 	return sum
 }
 
-// presentShare is the share of the site's servers, by weight, that are ready and have refused nothing lately.
+// presentShare returns the share of the site's servers, by weight, that are ready and have not refused a connection
+// within failureMaxAge. It returns 0 for a site without weight.
 func (s *site) presentShare(now Time) float64 {
 	present, all := 0.0, 0.0
 	for _, member := range s.members {
--- a/internal/sitehealth/transitions.go
+++ b/internal/sitehealth/transitions.go
@@ -6,33 +6,34 @@
 )
 
 const (
-	minFailedServers = 2.0  // servers that must have failed, with no response from any between, to call their site lost
-	failedShare      = 0.5  // and the share of the ready servers that they must exceed
-	failedMargin     = 0.25 // of a server, by which they must exceed it
+	minFailedServers = 2.0  // least failed servers of a lost site, with no response of its servers between
+	failedShare      = 0.5  // share of the ready servers that the failed servers must exceed
+	failedMargin     = 0.25 // number of servers by which they must exceed that share
 	roundingError    = 1e-9
 
-	minStateTime  = time.Second            // in Degraded, before the site may be called healthy again
-	remoteHoldoff = 500 * time.Millisecond // after a loss, before a response counts as a recovery
-	ownHoldoff    = 100 * time.Millisecond // the same of our own branch: waiting moves no load, and only rejects it
+	minStateTime  = time.Second            // shortest time in Degraded before the site may become healthy again
+	remoteHoldoff = 500 * time.Millisecond // time after a loss before a response starts a recovery
+	ownHoldoff    = 100 * time.Millisecond // the same for our own branch: waiting moves no load, just rejects requests
 	maxHoldoff    = 8 * time.Second
-	relapseMemory = 20 * time.Second // a site that was healthy for longer has its relapses forgotten
+	relapseMemory = 20 * time.Second // a site that was available for longer starts with its initial holdoff again
 
-	recoveryResponses = 8 // responses in a row that end a recovery: no clock alone ends it
+	recoveryResponses = 8 // responses that a recovery needs; time alone never ends a recovery
 
-	isolationDelay    = time.Second // without any response while servers of several sites were asked: it is us
-	isolationMinSites = 2
+	isolationDelay    = time.Second // time without responses, while several sites fail, that means isolation
+	isolationMinSites = 2           // sites that must be silent; a stale discovery service counts as one
 )
 
-// noteFailure notes the time of the first failure since any server responded.
+// noteFailure records the time of the first failure since the last response of any server.
 func (m *Monitor) noteFailure(now Time) {
 	if m.firstFailure == 0 {
 		m.firstFailure = now
 	}
 }
 
-// detectIsolation finds out whether the director itself is cut off: nobody has responded for a while, and servers of
-// several sites were asked in vain. No site is called lost then, however silent it is: a director that sees nothing
-// must not send all of its load elsewhere, nor ramp everything up again afterwards.
+// detectIsolation marks the director as isolated if the director itself is cut off: no server has responded for
+// isolationDelay, attempts at servers of several sites have timed out, and no connection was refused meanwhile. An
+// isolated director declares no site lost because of failed servers: without any responses it must not move all of its
+// load elsewhere, nor ramp up all sites afterwards.
 func (m *Monitor) detectIsolation(now Time) {
 	if m.isolated || m.firstFailure == 0 || now-max(m.firstFailure, m.lastResponse) < isolationDelay {
 		return
@@ -41,7 +42,7 @@
 	for zone := range m.sites {
 		site := &m.sites[zone]
 		if site.refusedSince(m.lastResponse) {
-			return // a machine refuses: we do get through
+			return // a refusal shows that the director reaches a machine
 		}
 		if found := site.failuresAt(now); found.timeoutWeight > 0 {
 			silentSites++
@@ -60,11 +61,11 @@
 		silentMembers, silentSites, now-m.firstFailure))
 }
 
-// endIsolation follows the first response of a server, in a zone, to an isolated director.
+// endIsolation ends the isolation of the director after the first response of a server, which is in the given zone.
 func (m *Monitor) endIsolation(now Time, zone int) {
 	m.isolated = false
 	m.recordChange(self, Lost, Healthy, fmt.Sprintf("%s answers after %v", m.zoneName(zone), now-m.isolatedSince))
-	// What was silent meanwhile was silent because of us.
+	// The timeouts were caused by the isolation and are no evidence about the servers.
 	for i := range m.sites {
 		for _, member := range m.sites[i].members {
 			member.clearTimeouts()
@@ -72,7 +73,7 @@
 	}
 }
 
-// evaluateSite moves a site to the state that the evidence calls for.
+// evaluateSite moves a site to the state that follows from the failures and responses of its servers.
 func (m *Monitor) evaluateSite(now Time, zone int) {
 	site := &m.sites[zone]
 	found := site.failuresAt(now)
@@ -86,7 +87,7 @@
 	case lost && !site.state.unavailable():
 		m.lose(now, zone, lostState(found, ready), evidence)
 	case lost:
-		// It is known as lost.
+		// The site is already in a lost state.
 	case site.state == Recovering && found.members == 0 && m.hasRecovered(now, site):
 		m.Counters.Recoveries++
 		m.transition(now, zone, Healthy, fmt.Sprintf("%d answers in %v", site.responses, now-site.since))
@@ -99,7 +100,7 @@
 	}
 }
 
-// isLost decides whether what counts against a site makes it a lost one, and says why.
+// isLost reports whether a site with the given failures and number of ready servers is lost, and returns the evidence.
 func (m *Monitor) isLost(found failures, ready int) (lost bool, evidence string) {
 	if ready == 0 {
 		return true, "the list has no server left"
@@ -112,7 +113,8 @@
 		found.timeoutWeight)
 }
 
-// lostState tells a site whose servers refuse, or are not listed, from one most of whose failed servers are silent.
+// lostState returns the state of a site that has become lost: Unreachable if most of its failed servers timed out, or
+// Lost if they refuse connections or no server is listed as ready.
 func lostState(found failures, ready int) State {
 	if ready > 0 && found.timeoutWeight > found.weight/2 {
 		return Unreachable
@@ -120,7 +122,8 @@
 	return Lost
 }
 
-// lose calls a site lost. One that was healthy for long starts with the shortest holdoff again.
+// lose moves a site to a lost state. A site that stayed in its previous state for longer than relapseMemory starts with
+// the initial holdoff again.
 func (m *Monitor) lose(now Time, zone int, state State, evidence string) {
 	site := &m.sites[zone]
 	if now-site.since > relapseMemory {
@@ -130,7 +133,8 @@
 	m.transition(now, zone, state, evidence)
 }
 
-// hasRecovered reports whether a recovering site has responded often enough, and has its whole load back.
+// hasRecovered reports whether a recovering site has sent recoveryResponses responses and, if servers of it started
+// anew, may get its whole load.
 func (m *Monitor) hasRecovered(now Time, recovering *site) bool {
 	if recovering.responses < recoveryResponses {
 		return false
@@ -138,7 +142,7 @@
 	return !recovering.restarted || m.recoveryShare(now, recovering) >= 1
 }
 
-// transition moves a site to a state and records the change.
+// transition moves a site to a state, records the change and counts it.
 func (m *Monitor) transition(now Time, zone int, to State, evidence string) {
 	site := &m.sites[zone]
 	m.recordChange(zone, site.state, to, evidence)
