--- a/internal/overload/connect_limiter.go
+++ b/internal/overload/connect_limiter.go
@@ -25,7 +25,7 @@
 	rng           *rand.Rand
 	limit         int           // connections that the peer accepts from this director; 0: not known
 	nextProbe     Time          // earliest time of the next dial beyond the limit
-	probeInterval time.Duration // mean time between probes; doubled by each failure
+	probeInterval time.Duration // mean time between probes; doubled by each further failure
 	peerStarted   Time          // start of the peer's current process; 0: long ago
 }
 
@@ -69,9 +69,9 @@
 	l.scheduleProbe(now)
 }
 
-// RecordFailure records a dial that failed, with the number of other connections that are established. That number
-// becomes the limit. If it is 0, the peer is down or unreachable, which is no evidence about its capacity, and the
-// failure is ignored.
+// RecordFailure records a dial that failed, or a connection that the peer closed at once, with the number of other
+// connections that are established. That number becomes the limit. If it is 0, the peer is down or unreachable, which
+// is no evidence about its capacity, and the failure is ignored.
 func (l *ConnectLimiter) RecordFailure(now Time, established int) {
 	if established == 0 {
 		return
--- a/internal/overload/idle_timeout.go
+++ b/internal/overload/idle_timeout.go
@@ -6,7 +6,7 @@
 )
 
 const (
-	idleTrustedFraction  = 0.75             // fraction of an idle time at which a request was lost that is still safe
+	idleTrustedFraction  = 0.75             // timeout after a lost request, as a fraction of its connection's idle time
 	idleIncreaseFraction = 1.0 / 64         // fraction by which a reuse near the timeout raises the timeout
 	idleTimeConstant     = 20 * time.Second // the timeout grows by a factor of e in this time
 )
@@ -42,9 +42,9 @@
 	t.updatedAt = now
 }
 
-// RecordReuse records an answer on a connection that had been idle for the given time. If that time was close to the
-// timeout, the timeout is raised a little. The steps are small so that few requests are at risk while the director
-// finds out that longer idle times are safe again.
+// RecordReuse records an answer on a connection that had been idle for the given time. If that time was above
+// idleTrustedFraction of the timeout, the timeout is raised a little. The steps are small so that few requests are at
+// risk while the director finds out that longer idle times are safe again.
 func (t *IdleTimeout) RecordReuse(now Time, idle time.Duration) {
 	timeout := t.Value(now)
 	if float64(idle) <= idleTrustedFraction*float64(timeout) {
--- a/internal/overload/idle_timeout_test.go
+++ b/internal/overload/idle_timeout_test.go
@@ -20,7 +20,7 @@
 	wantValue(maximum)
 	timeout.RecordCloseRace(now, 400*time.Millisecond)
 	wantValue(300 * time.Millisecond)
-	timeout.RecordCloseRace(now, time.Second) // longer than the timeout: the connection was picked before
+	timeout.RecordCloseRace(now, time.Second) // the connection was picked under an earlier, longer timeout
 	wantValue(225 * time.Millisecond)
 	now += idleTimeConstant
 	wantValue(612 * time.Millisecond)
--- a/internal/overload/origin_shield.go
+++ b/internal/overload/origin_shield.go
@@ -8,11 +8,11 @@
 // These values are based on the simulator's join, herd and split days (docs/cold-start.md).
 const (
 	minAdmitFraction           = 0.05  // lower bound of the admitted fraction: without fills there are no answers
-	referenceRecoveryPerSecond = 0.05  // growth of the fraction by time alone, in a fleet of referenceFleet
+	referenceRecoveryPerSecond = 0.05  // growth per second without answers, in a fleet of referenceFleet
 	increaseFactor             = 1.5   // factor by which an answer in time raises the fraction
 	referenceFleet             = 300.0 // directors; with fewer, each gets more answers and raises the fraction faster
-	minDecreaseFactor          = 0.3   // factor by which a late answer lowers the fraction in a fleet of hundreds
-	decreaseExponent           = 0.2   // exponent of the fleet's size: a smaller fleet lowers the fraction less
+	minDecreaseFactor          = 0.3   // lower bound of decreaseFactor, reached with hundreds of directors
+	decreaseExponent           = 0.2   // negated exponent of the fleet's size in decreaseFactor
 )
 
 // OriginShield decides which fraction of the fills may go on to the origin. All directors share the origin, and none of
@@ -31,7 +31,7 @@
 	recoveryPerSecond float64 // growth of the fraction in a second without answers
 	admitFraction     float64 // as of updatedAt
 	updatedAt         Time
-	loweredAt         Time // last decrease; attempts sent before it waited in the queue that caused it
+	loweredAt         Time // time of the last decrease; attempts sent before it waited in the queue that caused it
 	// confirmed is set if the last decrease found the fraction already below 1. One late answer may be an outlier; a
 	// second one before the fraction has recovered indicates a queue.
 	confirmed    bool
--- a/internal/sitehealth/transitions.go
+++ b/internal/sitehealth/transitions.go
@@ -6,16 +6,18 @@
 )
 
 const (
-	minFailedServers = 2.0  // least failed servers of a lost site, with no response of its servers between
-	failedShare      = 0.5  // share of the ready servers that the failed servers must exceed
-	failedMargin     = 0.25 // number of servers by which they must exceed that share
-	roundingError    = 1e-9
+	// A site is lost if at least minFailedServers of its servers, and at least failedShare of its ready servers plus
+	// failedMargin, have failed without a response of any server in between. It is also lost if all ready servers have.
+	minFailedServers = 2.0  // in servers
+	failedShare      = 0.5  // share of the ready servers
+	failedMargin     = 0.25 // in servers
+	roundingError    = 1e-9 // tolerance, in servers, of sums of fractions
 
 	minStateTime  = time.Second            // shortest time in Degraded before the site may become healthy again
 	remoteHoldoff = 500 * time.Millisecond // time after a loss before a response starts a recovery
 	ownHoldoff    = 100 * time.Millisecond // the same for our own branch: waiting moves no load, just rejects requests
-	maxHoldoff    = 8 * time.Second
-	relapseMemory = 20 * time.Second // a site that was available for longer starts with its initial holdoff again
+	maxHoldoff    = 8 * time.Second        // upper bound of the holdoff, which each relapse doubles
+	relapseMemory = 20 * time.Second       // a site that was available for longer starts with its initial holdoff again
 
 	recoveryResponses = 8 // responses that a recovery needs; time alone never ends a recovery
 
