--- a/internal/overload/origin_shield.go
+++ b/internal/overload/origin_shield.go
@@ -31,11 +31,11 @@
 	recoveryPerSecond float64 // growth of the fraction in a second without answers
 	admitFraction     float64 // as of updatedAt
 	updatedAt         Time
-	loweredAt         Time // time of the last decrease; attempts sent before it waited in the queue that caused it
+	decreasedAt       Time // time of the last decrease; attempts sent before it waited in the queue that caused it
 	// confirmed is set if the last decrease found the fraction already below 1. One late answer may be an outlier; a
 	// second one before the fraction has recovered indicates a queue.
-	confirmed    bool
-	worstLatency time.Duration // latency of the late answer that caused the last decrease
+	confirmed       bool
+	decreaseLatency time.Duration // latency of the late answer that caused the last decrease
 }
 
 // NewOriginShield returns a shield that admits all fills, for one director of a fleet of the given size. In a smaller
@@ -45,7 +45,7 @@
 	fleet := float64(max(directors, 1))
 	return &OriginShield{
 		admitFraction:     1,
-		loweredAt:         math.MinInt64,
+		decreasedAt:       math.MinInt64,
 		decreaseFactor:    max(minDecreaseFactor, 0.9*math.Pow(fleet, -decreaseExponent)),
 		recoveryPerSecond: referenceRecoveryPerSecond * math.Sqrt(max(1, referenceFleet/fleet)),
 	}
@@ -66,8 +66,8 @@
 func (s *OriginShield) RecordAnswer(now, sent Time, late bool) {
 	fraction := s.AdmitFraction(now)
 	latency := now - sent
-	sentBeforeDecrease := sent < s.loweredAt
-	if late && (!sentBeforeDecrease || latency > 2*s.worstLatency) {
+	sentBeforeDecrease := sent < s.decreasedAt
+	if late && (!sentBeforeDecrease || latency > 2*s.decreaseLatency) {
 		s.decrease(now, fraction, latency)
 		return
 	}
@@ -81,8 +81,8 @@
 func (s *OriginShield) decrease(now Time, fraction float64, latency time.Duration) {
 	s.confirmed = fraction < 1
 	s.admitFraction = max(minAdmitFraction, fraction*s.decreaseFactor)
-	s.loweredAt = now
-	s.worstLatency = latency
+	s.decreasedAt = now
+	s.decreaseLatency = latency
 }
 
 // increase raises the fraction after an answer in time: to 1 if no second late answer has confirmed the first one,
--- a/internal/overload/origin_shield_test.go
+++ b/internal/overload/origin_shield_test.go
@@ -137,8 +137,8 @@
 	simulatedTick      = 50 * time.Millisecond // interval at which the router checks for late answers
 )
 
-// ask sends at most one fill in a simulated step, from a random director whose shield admits it.
-func (s *originSimulation) ask(now Time) {
+// sendFill sends at most one fill in a simulated step, from a random director whose shield admits it.
+func (s *originSimulation) sendFill(now Time) {
 	rate := 0.06 // probability of a fill in a step: 60 fills per second
 	if now > 2*time.Second {
 		rate = 0.3
@@ -154,8 +154,8 @@
 	s.pending = append(s.pending, pendingFill{director: director, sent: now, answered: s.freeAt + simulatedRoundTrip})
 }
 
-// answer passes the answers that have arrived to the shields, and on a tick also the answers that are overdue.
-func (s *originSimulation) answer(now Time) {
+// recordAnswers passes the answers that have arrived to the shields, and on a tick also the answers that are overdue.
+func (s *originSimulation) recordAnswers(now Time) {
 	pending := s.pending[:0]
 	for _, fill := range s.pending {
 		shield := s.shields[fill.director]
@@ -190,8 +190,8 @@
 		simulation.shields[i] = NewOriginShield(directors)
 	}
 	for now := Time(0); now < simulatedTime; now += simulatedStep {
-		simulation.ask(now)
-		simulation.answer(now)
+		simulation.sendFill(now)
+		simulation.recordAnswers(now)
 	}
 	return float64(simulation.useful) / max(float64(simulation.total), 1), simulation.useful
 }
--- a/internal/overload/probe_before_fill.go
+++ b/internal/overload/probe_before_fill.go
@@ -7,8 +7,8 @@
 	// it names a source to fill from.
 	MaxProbes = 4
 
-	probeStartPeriod      = 2 * time.Second // time after its start in which a director does not know what caches hold
-	crowdedOriginFraction = 0.5             // the origin counts as overloaded below this admitted fraction of the fills
+	probeStartPeriod         = 2 * time.Second // time after a director's start in which cache contents are unknown
+	overloadedOriginFraction = 0.5             // admitted fraction below which the origin counts as overloaded
 )
 
 // ProbeBeforeFill decides whether a request asks a cache for a cached copy before it requests a fill. Such a probe
@@ -39,5 +39,5 @@
 	if probes >= MaxProbes {
 		return false
 	}
-	return warmingUp || admitFraction < crowdedOriginFraction || now-p.startedAt < probeStartPeriod
+	return warmingUp || admitFraction < overloadedOriginFraction || now-p.startedAt < probeStartPeriod
 }
--- a/internal/overload/retry_budget_test.go
+++ b/internal/overload/retry_budget_test.go
@@ -7,10 +7,10 @@
 	"pgregory.net/rapid"
 )
 
-// playRequests simulates requests at a constant rate, starting at time from. rejects reports which attempts are
+// simulateRequests simulates requests at a constant rate, starting at time from. rejects reports which attempts are
 // rejected; those are retried as the budget allows. It returns the time of the last request and the mean number of
 // attempts per request.
-func playRequests(
+func simulateRequests(
 	budget *RetryBudget, from Time, perSecond, seconds float64, rejects func(attempt int) bool,
 ) (Time, float64) {
 	const maxAttempts = 6
@@ -39,19 +39,19 @@
 	all := func(int) bool { return true }
 	for _, perSecond := range []float64{0.5, 5, 50} {
 		var budget RetryBudget
-		now, calm := playRequests(&budget, time.Minute, perSecond, 20, oneInTen)
-		if calm < 1.05 {
+		now, before := simulateRequests(&budget, time.Minute, perSecond, 20, oneInTen)
+		if before < 1.05 {
 			t.Errorf("%v requests per second: %v attempts per request before the overload, want at least 1.05",
-				perSecond, calm)
+				perSecond, before)
 		}
-		now, _ = playRequests(&budget, now, perSecond, 5, all)
-		now, overloaded := playRequests(&budget, now, perSecond, 20, all)
+		now, _ = simulateRequests(&budget, now, perSecond, 5, all)
+		now, overloaded := simulateRequests(&budget, now, perSecond, 20, all)
 		// In an overload, retries come only from the least deposits and from the refill with time.
 		if most := 1 + retryMinDeposit + retryRefillPerSecond/perSecond + 0.2; overloaded > most {
 			t.Errorf("%v requests per second: %v attempts per request in an overload, want at most %v",
 				perSecond, overloaded, most)
 		}
-		_, after := playRequests(&budget, now+5*time.Second, perSecond, 20, oneInTen)
+		_, after := simulateRequests(&budget, now+5*time.Second, perSecond, 20, oneInTen)
 		if after < 1.05 {
 			t.Errorf("%v requests per second: %v attempts per request after the overload, want at least 1.05",
 				perSecond, after)
--- a/internal/overload/statistics_test.go
+++ b/internal/overload/statistics_test.go
@@ -51,16 +51,16 @@
 		var bucket TokenBucket
 		rate := rapid.Float64Range(0, 10).Draw(t, "rate")
 		burst := rapid.Float64Range(0.1, 10).Draw(t, "burst")
-		now, given := Time(0), 0.0
+		now, taken := Time(0), 0.0
 		for range rapid.IntRange(1, 100).Draw(t, "events") {
 			now += time.Duration(rapid.Int64Range(0, int64(time.Second)).Draw(t, "gap"))
 			amount := rapid.Float64Range(0, 3).Draw(t, "n")
 			if bucket.Spent(now, rate)+amount <= burst {
 				bucket.Spend(amount)
-				given += amount
+				taken += amount
 			}
-			if most := burst + rate*now.Seconds(); given > most+1e-6 {
-				t.Fatalf("%v taken within %v, want at most %v", given, now, most)
+			if most := burst + rate*now.Seconds(); taken > most+1e-6 {
+				t.Fatalf("%v taken within %v, want at most %v", taken, now, most)
 			}
 		}
 	})
--- a/internal/sitehealth/member.go
+++ b/internal/sitehealth/member.go
@@ -87,7 +87,7 @@
 		return
 	}
 	mem.lastRefusal = now
-	mem.monitor.noteFailure(now)
+	mem.monitor.recordFailure(now)
 }
 
 // RecordSourceFailure records that a cache could not reach the server as the source of a fill that was requested at
@@ -109,7 +109,7 @@
 	}
 	mem.lastTimeout = now
 	mem.timeouts++
-	mem.monitor.noteFailure(now)
+	mem.monitor.recordFailure(now)
 }
 
 // HasHealthyPeer reports whether another ready server of the same site has not failed within failureMaxAge, so that the
--- a/internal/sitehealth/monitor.go
+++ b/internal/sitehealth/monitor.go
@@ -17,8 +17,8 @@
 	originHealthyFrom = 1.0 // share at which it counts as healthy again
 )
 
-// self is the zone number that stands for the director itself in calls of recordChange.
-const self = -1
+// selfZone is the zone number that stands for the director itself in calls of recordChange.
+const selfZone = -1
 
 // Config describes the sites and the position of the director among them.
 type Config struct {
@@ -114,10 +114,10 @@
 	}
 }
 
-// recordChange stores a state change, which the next call of Tick reports. The zone may be self.
+// recordChange stores a state change, which the next call of Tick reports. The zone may be selfZone.
 func (m *Monitor) recordChange(zone int, from, to State, evidence string) {
 	name := ""
-	if zone != self {
+	if zone != selfZone {
 		name = m.zoneName(zone)
 	}
 	m.changes = append(m.changes, StateChange{Site: name, From: from, To: to, Evidence: evidence})
@@ -176,7 +176,7 @@
 // initialHoldoff returns the holdoff of a site after a loss that is not a relapse.
 func (m *Monitor) initialHoldoff(zone int) time.Duration {
 	if zone == m.config.OwnZone {
-		return ownHoldoff
+		return ownBranchHoldoff
 	}
 	return cmp.Or(m.MinLostTime, remoteHoldoff)
 }
--- a/internal/sitehealth/monitor_test.go
+++ b/internal/sitehealth/monitor_test.go
@@ -35,26 +35,26 @@
 	}
 	for zone, count := range []int{2, 2, 5} {
 		for i := range count {
-			f.join(fmt.Sprintf("%c%d", "wec"[zone], i), zone, true, 0)
+			f.updateMember(fmt.Sprintf("%c%d", "wec"[zone], i), zone, true, 0)
 		}
 	}
 	return f
 }
 
-func (f *fleet) join(name string, zone int, up bool, started Time) {
-	f.members[name] = f.monitor.UpdateMember(f.now, f.members[name], zone, 10, up, started)
+func (f *fleet) updateMember(name string, zone int, ready bool, started Time) {
+	f.members[name] = f.monitor.UpdateMember(f.now, f.members[name], zone, 10, ready, started)
 }
 
-// play executes a script of steps, separated by commas. A step is an event of a server ("c1 answers", "c1 refuses", "c1
-// silent", "c1 gone", "c1 starts") or a number of milliseconds that pass ("200").
-func (f *fleet) play(script string) *fleet {
+// runScript executes a script of steps, separated by commas. A step is an event of a server ("c1 answers", "c1
+// refuses", "c1 silent", "c1 gone", "c1 starts") or a number of milliseconds that pass ("200").
+func (f *fleet) runScript(script string) *fleet {
 	f.t.Helper()
 	for _, step := range strings.Split(script, ", ") {
-		who, what, _ := strings.Cut(strings.TrimSpace(step), " ")
-		zone := strings.IndexByte("wec", who[0])
-		switch what {
+		server, event, _ := strings.Cut(strings.TrimSpace(step), " ")
+		zone := strings.IndexByte("wec", server[0])
+		switch event {
 		case "":
-			pause, err := time.ParseDuration(who + "ms")
+			pause, err := time.ParseDuration(server + "ms")
 			if err != nil {
 				f.t.Fatal(err)
 			}
@@ -63,15 +63,15 @@
 				f.tick()
 			}
 		case "answers":
-			f.members[who].RecordResponse(f.now)
+			f.members[server].RecordResponse(f.now)
 		case "refuses":
-			f.members[who].RecordRefusal(f.now)
+			f.members[server].RecordRefusal(f.now)
 		case "silent":
-			f.members[who].RecordTimeout(f.now, f.now-300*ms)
+			f.members[server].RecordTimeout(f.now, f.now-300*ms)
 		case "gone":
-			f.join(who, zone, false, 0)
+			f.updateMember(server, zone, false, 0)
 		case "starts":
-			f.join(who, zone, true, f.now)
+			f.updateMember(server, zone, true, f.now)
 		default:
 			f.t.Fatalf("unknown step %q", step)
 		}
@@ -89,10 +89,10 @@
 }
 
 // stepsFor returns a script in which the same event happens to several servers.
-func stepsFor(what string, who ...string) string {
-	steps := make([]string, 0, len(who))
-	for _, server := range who {
-		steps = append(steps, server+" "+what)
+func stepsFor(event string, servers ...string) string {
+	steps := make([]string, 0, len(servers))
+	for _, server := range servers {
+		steps = append(steps, server+" "+event)
 	}
 	return strings.Join(steps, ", ")
 }
@@ -139,7 +139,7 @@
 		{"a relapsed site, after the doubled holdoff", relapse + ", 1000, c2 answers, 50", 2, Recovering},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			f := newFleet(t).play(test.script)
+			f := newFleet(t).runScript(test.script)
 			if got := f.state(test.zone); got != test.want {
 				t.Errorf("state of zone %d: got %v, want %v (changes %q)", test.zone, got, test.want, f.changes)
 			}
@@ -158,7 +158,7 @@
 	if got := costs(); got != "1 1 1" {
 		t.Errorf("costs while the branch is healthy: got %s, want 1 1 1", got)
 	}
-	f.play("c0 refuses, c1 refuses, c3 refuses, 200, c2 answers, 50")
+	f.runScript("c0 refuses, c1 refuses, c3 refuses, 200, c2 answers, 50")
 	if got := costs(); f.state(2) != Recovering || got != "4 1 1" {
 		t.Errorf("got state %v and costs %s, want %v and 4 1 1", f.state(2), got, Recovering)
 	}
@@ -169,12 +169,12 @@
 func TestMinLostTimeAppliesToOtherSites(t *testing.T) {
 	f := newFleet(t)
 	f.monitor.MinLostTime = 3 * time.Second
-	f.play("w0 refuses, w1 refuses, c0 refuses, c1 refuses, c3 refuses, 2000, w0 answers, c0 answers, 50")
+	f.runScript("w0 refuses, w1 refuses, c0 refuses, c1 refuses, c3 refuses, 2000, w0 answers, c0 answers, 50")
 	if f.state(0) != Lost || f.state(2) != Recovering {
 		t.Errorf("after 2 s of 3: got hub %v and own branch %v, want %v and %v",
 			f.state(0), f.state(2), Lost, Recovering)
 	}
-	f.play("1100")
+	f.runScript("1100")
 	if f.state(0) != Recovering {
 		t.Errorf("after 3 s: got hub %v, want %v", f.state(0), Recovering)
 	}
@@ -184,9 +184,9 @@
 // reported as slow once, until all fills go on to it again.
 func TestSlowOriginIsReportedOnce(t *testing.T) {
 	f := newFleet(t)
-	for _, open := range []float64{0.9, 0.4, 0.6, 0.3, 0.95, 1, 0.7, 1} {
-		f.originShare = open
-		f.play("100")
+	for _, originShare := range []float64{0.9, 0.4, 0.6, 0.3, 0.95, 1, 0.7, 1} {
+		f.originShare = originShare
+		f.runScript("100")
 	}
 	want := []string{"site origin: slow, was well: 0.40 of the fills go on to it",
 		"site origin: well, was slow: all fills go on to it"}
@@ -199,12 +199,12 @@
 // all of them after the interruption.
 func TestIsolatedDirector(t *testing.T) {
 	silence := stepsFor("silent", "c0", "c1", "c2", "w0", "w1", "e0", "e1")
-	f := newFleet(t).play("c0 answers, 100, c0 silent, w0 silent, 1000, " + silence + ", 100")
+	f := newFleet(t).runScript("c0 answers, 100, c0 silent, w0 silent, 1000, " + silence + ", 100")
 	if !f.monitor.Isolated() || f.monitor.Counters.Isolations != 1 {
 		t.Fatalf("isolated %v with %d isolations, want true with 1 (changes %q)",
 			f.monitor.Isolated(), f.monitor.Counters.Isolations, f.changes)
 	}
-	f.play(silence + ", " + silence + ", 3000")
+	f.runScript(silence + ", " + silence + ", 3000")
 	for zone := range 3 {
 		if f.state(zone).unavailable() {
 			t.Errorf("zone %d is %v in isolation, want it available (changes %q)", zone, f.state(zone), f.changes)
@@ -213,7 +213,7 @@
 	if !f.monitor.OwnBranchUnavailable() {
 		t.Error("OwnBranchUnavailable is false for an isolated director")
 	}
-	f.play("c1 answers, 100")
+	f.runScript("c1 answers, 100")
 	if f.monitor.Isolated() || f.monitor.OwnBranchUnavailable() {
 		t.Errorf("still isolated, or the own branch unavailable, after a response (changes %q)", f.changes)
 	}
@@ -224,7 +224,8 @@
 	// One site times out while another one refuses or answers: the director is not isolated.
 	for _, sign := range []string{"e0 answers", "e0 refuses"} {
 		branchSilent := stepsFor("silent", "c0", "c1", "c2", "c3", "c4", "c0", "c1")
-		f := newFleet(t).play("w0 silent, c0 silent, 500, " + sign + ", " + branchSilent + ", 1200, " + sign + ", 100")
+		f := newFleet(t)
+		f.runScript("w0 silent, c0 silent, 500, " + sign + ", " + branchSilent + ", 1200, " + sign + ", 100")
 		if f.monitor.Isolated() || f.state(2) != Unreachable {
 			t.Errorf("%s: got isolated %v and own branch %v, want false and %v",
 				sign, f.monitor.Isolated(), f.state(2), Unreachable)
@@ -237,26 +238,26 @@
 // up to 1.
 func TestWeightFactorsFollowThePlan(t *testing.T) {
 	f := newFleet(t)
-	consulted := 0
-	f.monitor.Plan = func(lost []int, carries []float64) FailoverShares {
-		consulted++
-		if !slices.Equal(lost, []int{0}) || !slices.Equal(carries, []float64{20, 20, 50}) {
-			t.Errorf("plan called with lost zones %v and capacities %v, want [0] and [20 20 50]", lost, carries)
+	planCalls := 0
+	f.monitor.Plan = func(lost []int, capacities []float64) FailoverShares {
+		planCalls++
+		if !slices.Equal(lost, []int{0}) || !slices.Equal(capacities, []float64{20, 20, 50}) {
+			t.Errorf("plan called with lost zones %v and capacities %v, want [0] and [20 20 50]", lost, capacities)
 		}
 		return FailoverShares{HubShares: []float64{0, 0.8, 0}, FillShares: []float64{1, 0.25}}
 	}
 	f.monitor.ShiftRate = 0.5
 	defer func() {
-		if consulted != 2 {
-			t.Errorf("the plan was called %d times for two losses of the same site, want 2", consulted)
+		if planCalls != 2 {
+			t.Errorf("the plan was called %d times for two losses of the same site, want 2", planCalls)
 		}
 	}()
-	f.play("100")
+	f.runScript("100")
 	if f.monitor.WeightFactor(0) != 1 || f.monitor.WeightFactor(1) != 0 || f.monitor.FillShare(f.now, 1) != 1 {
 		t.Errorf("healthy hub: got factors %v and %v and fill share %v, want 1, 0 and 1",
 			f.monitor.WeightFactor(0), f.monitor.WeightFactor(1), f.monitor.FillShare(f.now, 1))
 	}
-	f.play("w0 refuses, w1 refuses, 1000")
+	f.runScript("w0 refuses, w1 refuses, 1000")
 	if f.monitor.WeightFactor(0) != 0 || f.monitor.WeightFactor(1) != 0.8 || f.monitor.FillShare(f.now, 1) != 0.25 {
 		t.Errorf("lost hub: got factors %v and %v and fill share %v, want 0, 0.8 and 0.25",
 			f.monitor.WeightFactor(0), f.monitor.WeightFactor(1), f.monitor.FillShare(f.now, 1))
@@ -265,27 +266,28 @@
 		t.Errorf("fill share about 1 s after the loss at a rate of 0.5 per second: got %v, want 0.3 to 0.5", part)
 	}
 	// The hub returns with its old servers, which still hold their objects: its share is that of the servers present.
-	f.play("w0 answers, 50")
+	f.runScript("w0 answers, 50")
 	if f.monitor.WeightFactor(0) != 0.5 {
 		t.Errorf("factor with one of two parents back: got %v, want 0.5", f.monitor.WeightFactor(0))
 	}
-	f.play("w1 answers, 50")
+	f.runScript("w1 answers, 50")
 	if f.monitor.WeightFactor(0) != 1 {
 		t.Errorf("factor with both parents back: got %v, want 1", f.monitor.WeightFactor(0))
 	}
 	// After a second loss the hub returns with new servers, which are cold and empty: its load returns gradually.
-	f.play(stepsFor("answers", "w0", "w1", "w0", "w1", "w0", "w1", "w0", "w1") + ", 100, w0 refuses, w1 refuses, 600")
-	f.play("w0 starts, w1 starts, 50")
-	before, most := f.monitor.WeightFactor(0), 0.5*0.05
-	if before <= 0 || before > initialRecoveryShare+most+1e-9 {
+	f.runScript(stepsFor("answers", "w0", "w1", "w0", "w1", "w0", "w1", "w0", "w1") +
+		", 100, w0 refuses, w1 refuses, 600")
+	f.runScript("w0 starts, w1 starts, 50")
+	before, maxRise := f.monitor.WeightFactor(0), 0.5*0.05
+	if before <= 0 || before > initialRecoveryShare+maxRise+1e-9 {
 		t.Errorf("factor right after the restart: got %v, want more than 0 and at most %v",
-			before, initialRecoveryShare+most)
+			before, initialRecoveryShare+maxRise)
 	}
 	for range 60 {
-		f.play("w0 answers, w1 answers, 50")
+		f.runScript("w0 answers, w1 answers, 50")
 		own := f.monitor.WeightFactor(0)
-		if own < before || own-before > most+1e-9 {
-			t.Fatalf("factor went from %v to %v in 50 ms, want a rise of at most %v", before, own, most)
+		if own < before || own-before > maxRise+1e-9 {
+			t.Fatalf("factor went from %v to %v in 50 ms, want a rise of at most %v", before, own, maxRise)
 		}
 		if rest := f.monitor.WeightFactor(1); rest != 0 && (rest/0.8+own > 1+1e-9 || rest/0.8+own < 1-1e-9) {
 			t.Fatalf("shares of the two hubs are %v and %v, want a sum of 1", own, rest/0.8)
@@ -306,13 +308,13 @@
 		f := newFleet(t)
 		names := slices.Sorted(maps.Keys(f.members))
 		for range rapid.IntRange(1, 200).Draw(rt, "steps") {
-			who := rapid.SampledFrom(names).Draw(rt, "server")
-			f.play(
-				who + " " + rapid.SampledFrom([]string{"answers", "refuses", "silent", "gone", "starts"}).
+			server := rapid.SampledFrom(names).Draw(rt, "server")
+			f.runScript(
+				server + " " + rapid.SampledFrom([]string{"answers", "refuses", "silent", "gone", "starts"}).
 					Draw(rt, "event"),
 			)
 			if rapid.Bool().Draw(rt, "time") {
-				f.play(fmt.Sprint(rapid.IntRange(1, 1500).Draw(rt, "ms")))
+				f.runScript(fmt.Sprint(rapid.IntRange(1, 1500).Draw(rt, "ms")))
 			}
 			for zone := range 3 {
 				state, since := f.monitor.State(zone)
@@ -342,16 +344,16 @@
 	f := newFleet(t)
 	for minute := range 10 {
 		for k := range 10 {
-			bad := (minute*7 + k) % 5
+			failing := (minute*7 + k) % 5
 			for range 12 {
 				for c := range 5 {
-					switch who := fmt.Sprintf("c%d", c); {
-					case c != bad:
-						f.play(who + " answers, 100")
+					switch server := fmt.Sprintf("c%d", c); {
+					case c != failing:
+						f.runScript(server + " answers, 100")
 					case k%2 == 0:
-						f.play(who + " refuses, 100")
+						f.runScript(server + " refuses, 100")
 					default:
-						f.play(who + " silent, 100")
+						f.runScript(server + " silent, 100")
 					}
 				}
 			}
--- a/internal/sitehealth/shares.go
+++ b/internal/sitehealth/shares.go
@@ -98,10 +98,10 @@
 	case site.state.unavailable():
 		return 0
 	case site.restarted:
-		return min(m.recoveryShare(now, site), max(site.presentShare(now), initialRecoveryShare))
+		return min(m.recoveryShare(now, site), max(site.availableShare(now), initialRecoveryShare))
 	default:
 		// The site still holds its objects. With a smaller share, other caches would have to fetch them again.
-		return max(site.presentShare(now), initialRecoveryShare)
+		return max(site.availableShare(now), initialRecoveryShare)
 	}
 }
 
--- a/internal/sitehealth/site.go
+++ b/internal/sitehealth/site.go
@@ -25,8 +25,8 @@
 	plannedCapacity float64 // capacity that was passed in the last call of the plan
 }
 
-// failures sums up the failed servers of a site.
-type failures struct {
+// failureSummary sums up the failed servers of a site.
+type failureSummary struct {
 	weight        float64 // number of failed servers; one that timed out counts as a fraction
 	timeoutWeight float64 // part of weight that comes from timeouts
 	members       int     // number of failed servers, each counted as one
@@ -34,12 +34,12 @@
 
 // failuresAt returns the servers that have failed since the last response of any server of the site, and within
 // failureMaxAge before now.
-func (s *site) failuresAt(now Time) failures {
+func (s *site) failuresAt(now Time) failureSummary {
 	from := s.lastResponse
 	if s.state == Recovering {
 		from = max(from, s.since) // earlier failures are no evidence about the recovery
 	}
-	var sum failures
+	var sum failureSummary
 	for _, member := range s.members {
 		refused := member.lastRefusal > from && now-member.lastRefusal <= failureMaxAge
 		timedOut := member.lastTimeout > from && now-member.lastTimeout <= failureMaxAge
@@ -89,18 +89,18 @@
 	return sum
 }
 
-// presentShare returns the share of the site's servers, by weight, that are ready and have not refused a connection
+// availableShare returns the share of the site's servers, by weight, that are ready and have not refused a connection
 // within failureMaxAge. It returns 0 for a site without weight.
-func (s *site) presentShare(now Time) float64 {
-	present, all := 0.0, 0.0
+func (s *site) availableShare(now Time) float64 {
+	available, total := 0.0, 0.0
 	for _, member := range s.members {
-		all += member.weight
+		total += member.weight
 		if member.ready && (member.lastRefusal == 0 || now-member.lastRefusal > failureMaxAge) {
-			present += member.weight
+			available += member.weight
 		}
 	}
-	if all == 0 {
+	if total == 0 {
 		return 0
 	}
-	return present / all
+	return available / total
 }
--- a/internal/sitehealth/transitions.go
+++ b/internal/sitehealth/transitions.go
@@ -6,18 +6,19 @@
 )
 
 const (
-	// A site is lost if at least minFailedServers of its servers, and at least failedShare of its ready servers plus
-	// failedMargin, have failed without a response of any server in between. It is also lost if all ready servers have.
-	minFailedServers = 2.0  // in servers
-	failedShare      = 0.5  // share of the ready servers
-	failedMargin     = 0.25 // in servers
-	roundingError    = 1e-9 // tolerance, in servers, of sums of fractions
+	// A site is lost if at least minFailedServers of its servers, and at least failedServersShare of its ready servers
+	// plus failedServersMargin, have failed without a response of any server in between. It is also lost if all ready
+	// servers have.
+	minFailedServers    = 2.0  // in servers
+	failedServersShare  = 0.5  // share of the ready servers
+	failedServersMargin = 0.25 // in servers
+	roundingTolerance   = 1e-9 // tolerance, in servers, of sums of fractions
 
-	minStateTime  = time.Second            // shortest time in Degraded before the site may become healthy again
-	remoteHoldoff = 500 * time.Millisecond // time after a loss before a response starts a recovery
-	ownHoldoff    = 100 * time.Millisecond // the same for our own branch: waiting moves no load, just rejects requests
-	maxHoldoff    = 8 * time.Second        // upper bound of the holdoff, which each relapse doubles
-	relapseMemory = 20 * time.Second       // a site that was available for longer starts with its initial holdoff again
+	minStateTime     = time.Second            // shortest time in Degraded before the site may become healthy again
+	remoteHoldoff    = 500 * time.Millisecond // time after a loss before a response starts a recovery
+	ownBranchHoldoff = 100 * time.Millisecond // for our own branch: waiting moves no load, just rejects requests
+	maxHoldoff       = 8 * time.Second        // upper bound of the holdoff, which each relapse doubles
+	relapseResetTime = 20 * time.Second       // available time after which a loss starts with the initial holdoff
 
 	recoveryResponses = 8 // responses that a recovery needs; time alone never ends a recovery
 
@@ -25,8 +26,8 @@
 	isolationMinSites = 2           // sites that must be silent; a stale discovery service counts as one
 )
 
-// noteFailure records the time of the first failure since the last response of any server.
-func (m *Monitor) noteFailure(now Time) {
+// recordFailure records the time of the first failure since the last response of any server.
+func (m *Monitor) recordFailure(now Time) {
 	if m.firstFailure == 0 {
 		m.firstFailure = now
 	}
@@ -46,9 +47,9 @@
 		if site.refusedSince(m.lastResponse) {
 			return // a refusal shows that the director reaches a machine
 		}
-		if found := site.failuresAt(now); found.timeoutWeight > 0 {
+		if failures := site.failuresAt(now); failures.timeoutWeight > 0 {
 			silentSites++
-			silentMembers += found.members
+			silentMembers += failures.members
 		}
 	}
 	if m.DiscoveryStale != nil && m.DiscoveryStale() {
@@ -59,14 +60,14 @@
 	}
 	m.isolated, m.isolatedSince = true, m.firstFailure
 	m.Counters.Isolations++
-	m.recordChange(self, Healthy, Lost, fmt.Sprintf("%d servers of %d sites silent for %v, nobody answers",
+	m.recordChange(selfZone, Healthy, Lost, fmt.Sprintf("%d servers of %d sites silent for %v, nobody answers",
 		silentMembers, silentSites, now-m.firstFailure))
 }
 
 // endIsolation ends the isolation of the director after the first response of a server, which is in the given zone.
 func (m *Monitor) endIsolation(now Time, zone int) {
 	m.isolated = false
-	m.recordChange(self, Lost, Healthy, fmt.Sprintf("%s answers after %v", m.zoneName(zone), now-m.isolatedSince))
+	m.recordChange(selfZone, Lost, Healthy, fmt.Sprintf("%s answers after %v", m.zoneName(zone), now-m.isolatedSince))
 	// The timeouts were caused by the isolation and are no evidence about the servers.
 	for i := range m.sites {
 		for _, member := range m.sites[i].members {
@@ -78,57 +79,57 @@
 // evaluateSite moves a site to the state that follows from the failures and responses of its servers.
 func (m *Monitor) evaluateSite(now Time, zone int) {
 	site := &m.sites[zone]
-	found := site.failuresAt(now)
+	failures := site.failuresAt(now)
 	ready := site.readyMembers()
-	lost, evidence := m.isLost(found, ready)
+	lost, evidence := m.isLost(failures, ready)
 	switch {
 	case lost && site.state == Recovering:
 		site.holdoff = min(maxHoldoff, 2*site.holdoff)
 		m.Counters.Relapses++
 		m.transition(now, zone, Relapsed, evidence)
 	case lost && !site.state.unavailable():
-		m.lose(now, zone, lostState(found, ready), evidence)
+		m.markLost(now, zone, lostState(failures, ready), evidence)
 	case lost:
 		// The site is already in a lost state.
-	case site.state == Recovering && found.members == 0 && m.hasRecovered(now, site):
+	case site.state == Recovering && failures.members == 0 && m.hasRecovered(now, site):
 		m.Counters.Recoveries++
 		m.transition(now, zone, Healthy, fmt.Sprintf("%d answers in %v", site.responses, now-site.since))
 	case site.state.unavailable() && site.lastResponse > site.since && now >= site.since+site.holdoff:
 		m.transition(now, zone, Recovering, "a server has answered")
-	case site.state == Healthy && found.members > 0:
-		m.transition(now, zone, Degraded, fmt.Sprintf("%d of %d servers failed", found.members, ready))
-	case site.state == Degraded && found.members == 0 && now-site.since >= minStateTime:
+	case site.state == Healthy && failures.members > 0:
+		m.transition(now, zone, Degraded, fmt.Sprintf("%d of %d servers failed", failures.members, ready))
+	case site.state == Degraded && failures.members == 0 && now-site.since >= minStateTime:
 		m.transition(now, zone, Healthy, "none fails")
 	}
 }
 
 // isLost reports whether a site with the given failures and number of ready servers is lost, and returns the evidence.
-func (m *Monitor) isLost(found failures, ready int) (lost bool, evidence string) {
+func (m *Monitor) isLost(failures failureSummary, ready int) (lost bool, evidence string) {
 	if ready == 0 {
 		return true, "the list has no server left"
 	}
-	needed := min(max(minFailedServers, failedShare*float64(ready)+failedMargin), float64(ready))
-	if m.isolated || found.weight < needed-roundingError {
+	needed := min(max(minFailedServers, failedServersShare*float64(ready)+failedServersMargin), float64(ready))
+	if m.isolated || failures.weight < needed-roundingTolerance {
 		return false, ""
 	}
-	return true, fmt.Sprintf("%d of %d servers failed, %.1f of them silent, none answers", found.members, ready,
-		found.timeoutWeight)
+	return true, fmt.Sprintf("%d of %d servers failed, %.1f of them silent, none answers", failures.members, ready,
+		failures.timeoutWeight)
 }
 
 // lostState returns the state of a site that has become lost: Unreachable if most of its failed servers timed out, or
 // Lost if they refuse connections or no server is listed as ready.
-func lostState(found failures, ready int) State {
-	if ready > 0 && found.timeoutWeight > found.weight/2 {
+func lostState(failures failureSummary, ready int) State {
+	if ready > 0 && failures.timeoutWeight > failures.weight/2 {
 		return Unreachable
 	}
 	return Lost
 }
 
-// lose moves a site to a lost state. A site that stayed in its previous state for longer than relapseMemory starts with
-// the initial holdoff again.
-func (m *Monitor) lose(now Time, zone int, state State, evidence string) {
+// markLost moves a site to a lost state. A site that stayed in its previous state for longer than relapseResetTime
+// starts with the initial holdoff again.
+func (m *Monitor) markLost(now Time, zone int, state State, evidence string) {
 	site := &m.sites[zone]
-	if now-site.since > relapseMemory {
+	if now-site.since > relapseResetTime {
 		site.holdoff = 0
 	}
 	site.holdoff = max(site.holdoff, m.initialHoldoff(zone))
