--- a/internal/overload/retry_budget.go
+++ b/internal/overload/retry_budget.go
@@ -34,8 +34,8 @@
 
 // TryWithdraw withdraws one retry from the budget and reports whether the budget had one. mayOverdraw is set for
 // requests that are rejected last, such as repayments; they may overdraw the budget by retryMaxBalance but no further.
-// Without that bound, six attempts for each repayment kept an origin on the testbed overloaded that could otherwise
-// have done all repayments.
+// Without that bound, six attempts for each repayment are enough to keep an origin of the testbed busy that could
+// otherwise do all repayments.
 func (b *RetryBudget) TryWithdraw(now Time, mayOverdraw bool) bool {
 	b.refill(now)
 	required := 1.0
@@ -52,7 +52,7 @@
 // RecordAttempt records the end of an attempt: served is set if it was served, rejected if it was rejected, unanswered
 // or late. An attempt that was neither (a miss or an invalid response) is evidence about one object and not about an
 // overload, and is ignored. If cheap misses counted as served, they would hide an overload: on the testbed, repayments
-// then spent the retries that other requests were refused.
+// then spend the retries that other requests do not get.
 func (b *RetryBudget) RecordAttempt(now Time, served, rejected bool) {
 	if !served && !rejected {
 		return
--- a/internal/overload/statistics.go
+++ b/internal/overload/statistics.go
@@ -16,7 +16,7 @@
 	holds      bool
 }
 
-// Record replaces the observation by one made at time now.
+// Record replaces the observation by one made at time now: whether the condition holds.
 func (o *RecentObservation) Record(now Time, holds bool) {
 	o.observedAt = now
 	o.holds = holds
--- a/internal/sitehealth/monitor_test.go
+++ b/internal/sitehealth/monitor_test.go
@@ -338,8 +338,8 @@
 	})
 }
 
-// TestSingleServerFailuresAreNoSiteLoss guards against a site that counts as lost while one cache at a time fails, for
-// many rounds in which the failing cache changes.
+// TestSingleServerFailuresAreNoSiteLoss guards against a site that counts as lost while one cache at a time fails: ten
+// simulated minutes consist of a hundred rounds, each with another failing cache than the round before.
 func TestSingleServerFailuresAreNoSiteLoss(t *testing.T) {
 	f := newFleet(t)
 	for minute := range 10 {
