--- a/internal/sitehealth/transitions.go
+++ b/internal/sitehealth/transitions.go
@@ -6,33 +6,37 @@
 )
 
 const (
-	minFailedServers = 2.0  // servers that must have failed, with no response from any between, to call their site lost
-	failedShare      = 0.5  // and the share of the ready servers that they must exceed
-	failedMargin     = 0.25 // of a server, by which they must exceed it
-	roundingError    = 1e-9
+	// A site is lost if at least minFailedServers of its servers, and at least failedServersShare of its ready servers
+	// plus failedServersMargin, have failed without a response of any server in between. It is also lost if all ready
+	// servers have.
+	minFailedServers    = 2.0  // in servers
+	failedServersShare  = 0.5  // share of the ready servers
+	failedServersMargin = 0.25 // in servers
+	roundingTolerance   = 1e-9 // tolerance, in servers, of sums of fractions
 
-	minStateTime  = time.Second            // in Degraded, before the site may be called healthy again
-	remoteHoldoff = 500 * time.Millisecond // after a loss, before a response counts as a recovery
-	ownHoldoff    = 100 * time.Millisecond // the same of our own branch: waiting moves no load, and only rejects it
-	maxHoldoff    = 8 * time.Second
-	relapseMemory = 20 * time.Second // a site that was healthy for longer has its relapses forgotten
+	minStateTime     = time.Second            // shortest time in Degraded before the site may become healthy again
+	remoteHoldoff    = 500 * time.Millisecond // time after a loss before a response starts a recovery
+	ownBranchHoldoff = 100 * time.Millisecond // for our own branch: waiting moves no load, just rejects requests
+	maxHoldoff       = 8 * time.Second        // upper bound of the holdoff, which each relapse doubles
+	relapseResetTime = 20 * time.Second       // available time after which a loss starts with the initial holdoff
 
-	recoveryResponses = 8 // responses in a row that end a recovery: no clock alone ends it
+	recoveryResponses = 8 // responses that a recovery needs; time alone never ends a recovery
 
-	isolationDelay    = time.Second // without any response while servers of several sites were asked: it is us
-	isolationMinSites = 2
+	isolationDelay    = time.Second // time without responses, while several sites fail, that means isolation
+	isolationMinSites = 2           // sites that must be silent; a stale discovery service counts as one
 )
 
-// noteFailure notes the time of the first failure since any server responded.
-func (m *Monitor) noteFailure(now Time) {
+// recordFailure records the time of the first failure since the last response of any server.
+func (m *Monitor) recordFailure(now Time) {
 	if m.firstFailure == 0 {
 		m.firstFailure = now
 	}
 }
 
-// detectIsolation finds out whether the director itself is cut off: nobody has responded for a while, and servers of
-// several sites were asked in vain. No site is called lost then, however silent it is: a director that sees nothing
-// must not send all of its load elsewhere, nor ramp everything up again afterwards.
+// detectIsolation marks the director as isolated if the director itself is cut off: no server has responded for
+// isolationDelay, attempts at servers of several sites have timed out, and no connection was refused meanwhile. An
+// isolated director declares no site lost because of failed servers: without any responses it must not move all of its
+// load elsewhere, nor ramp up all sites afterwards.
 func (m *Monitor) detectIsolation(now Time) {
 	if m.isolated || m.firstFailure == 0 || now-max(m.firstFailure, m.lastResponse) < isolationDelay {
 		return
@@ -41,11 +45,11 @@
 	for zone := range m.sites {
 		site := &m.sites[zone]
 		if site.refusedSince(m.lastResponse) {
-			return // a machine refuses: we do get through
+			return // a refusal shows that the director reaches a machine
 		}
-		if found := site.failuresAt(now); found.timeoutWeight > 0 {
+		if failures := site.failuresAt(now); failures.timeoutWeight > 0 {
 			silentSites++
-			silentMembers += found.members
+			silentMembers += failures.members
 		}
 	}
 	if m.DiscoveryStale != nil && m.DiscoveryStale() {
@@ -56,15 +60,15 @@
 	}
 	m.isolated, m.isolatedSince = true, m.firstFailure
 	m.Counters.Isolations++
-	m.recordChange(self, Healthy, Lost, fmt.Sprintf("%d servers of %d sites silent for %v, nobody answers",
+	m.recordChange(selfZone, Healthy, Lost, fmt.Sprintf("%d servers of %d sites silent for %v, nobody answers",
 		silentMembers, silentSites, now-m.firstFailure))
 }
 
-// endIsolation follows the first response of a server, in a zone, to an isolated director.
+// endIsolation ends the isolation of the director after the first response of a server, which is in the given zone.
 func (m *Monitor) endIsolation(now Time, zone int) {
 	m.isolated = false
-	m.recordChange(self, Lost, Healthy, fmt.Sprintf("%s answers after %v", m.zoneName(zone), now-m.isolatedSince))
-	// What was silent meanwhile was silent because of us.
+	m.recordChange(selfZone, Lost, Healthy, fmt.Sprintf("%s answers after %v", m.zoneName(zone), now-m.isolatedSince))
+	// The timeouts were caused by the isolation and are no evidence about the servers.
 	for i := range m.sites {
 		for _, member := range m.sites[i].members {
 			member.clearTimeouts()
@@ -72,65 +76,68 @@
 	}
 }
 
-// evaluateSite moves a site to the state that the evidence calls for.
+// evaluateSite moves a site to the state that follows from the failures and responses of its servers.
 func (m *Monitor) evaluateSite(now Time, zone int) {
 	site := &m.sites[zone]
-	found := site.failuresAt(now)
+	failures := site.failuresAt(now)
 	ready := site.readyMembers()
-	lost, evidence := m.isLost(found, ready)
+	lost, evidence := m.isLost(failures, ready)
 	switch {
 	case lost && site.state == Recovering:
 		site.holdoff = min(maxHoldoff, 2*site.holdoff)
 		m.Counters.Relapses++
 		m.transition(now, zone, Relapsed, evidence)
 	case lost && !site.state.unavailable():
-		m.lose(now, zone, lostState(found, ready), evidence)
+		m.markLost(now, zone, lostState(failures, ready), evidence)
 	case lost:
-		// It is known as lost.
-	case site.state == Recovering && found.members == 0 && m.hasRecovered(now, site):
+		// The site is already in a lost state.
+	case site.state == Recovering && failures.members == 0 && m.hasRecovered(now, site):
 		m.Counters.Recoveries++
 		m.transition(now, zone, Healthy, fmt.Sprintf("%d answers in %v", site.responses, now-site.since))
 	case site.state.unavailable() && site.lastResponse > site.since && now >= site.since+site.holdoff:
 		m.transition(now, zone, Recovering, "a server has answered")
-	case site.state == Healthy && found.members > 0:
-		m.transition(now, zone, Degraded, fmt.Sprintf("%d of %d servers failed", found.members, ready))
-	case site.state == Degraded && found.members == 0 && now-site.since >= minStateTime:
+	case site.state == Healthy && failures.members > 0:
+		m.transition(now, zone, Degraded, fmt.Sprintf("%d of %d servers failed", failures.members, ready))
+	case site.state == Degraded && failures.members == 0 && now-site.since >= minStateTime:
 		m.transition(now, zone, Healthy, "none fails")
 	}
 }
 
-// isLost decides whether what counts against a site makes it a lost one, and says why.
-func (m *Monitor) isLost(found failures, ready int) (lost bool, evidence string) {
+// isLost reports whether a site with the given failures and number of ready servers is lost, and returns the evidence.
+func (m *Monitor) isLost(failures failureSummary, ready int) (lost bool, evidence string) {
 	if ready == 0 {
 		return true, "the list has no server left"
 	}
-	needed := min(max(minFailedServers, failedShare*float64(ready)+failedMargin), float64(ready))
-	if m.isolated || found.weight < needed-roundingError {
+	needed := min(max(minFailedServers, failedServersShare*float64(ready)+failedServersMargin), float64(ready))
+	if m.isolated || failures.weight < needed-roundingTolerance {
 		return false, ""
 	}
-	return true, fmt.Sprintf("%d of %d servers failed, %.1f of them silent, none answers", found.members, ready,
-		found.timeoutWeight)
+	return true, fmt.Sprintf("%d of %d servers failed, %.1f of them silent, none answers", failures.members, ready,
+		failures.timeoutWeight)
 }
 
-// lostState tells a site whose servers refuse, or are not listed, from one most of whose failed servers are silent.
-func lostState(found failures, ready int) State {
-	if ready > 0 && found.timeoutWeight > found.weight/2 {
+// lostState returns the state of a site that has become lost: Unreachable if most of its failed servers timed out, or
+// Lost if they refuse connections or no server is listed as ready.
+func lostState(failures failureSummary, ready int) State {
+	if ready > 0 && failures.timeoutWeight > failures.weight/2 {
 		return Unreachable
 	}
 	return Lost
 }
 
-// lose calls a site lost. One that was healthy for long starts with the shortest holdoff again.
-func (m *Monitor) lose(now Time, zone int, state State, evidence string) {
+// markLost moves a site to a lost state. A site that stayed in its previous state for longer than relapseResetTime
+// starts with the initial holdoff again.
+func (m *Monitor) markLost(now Time, zone int, state State, evidence string) {
 	site := &m.sites[zone]
-	if now-site.since > relapseMemory {
+	if now-site.since > relapseResetTime {
 		site.holdoff = 0
 	}
 	site.holdoff = max(site.holdoff, m.initialHoldoff(zone))
 	m.transition(now, zone, state, evidence)
 }
 
-// hasRecovered reports whether a recovering site has responded often enough, and has its whole load back.
+// hasRecovered reports whether a recovering site has sent recoveryResponses responses and, if servers of it started
+// anew, may get its whole load.
 func (m *Monitor) hasRecovered(now Time, recovering *site) bool {
 	if recovering.responses < recoveryResponses {
 		return false
@@ -138,7 +145,7 @@
 	return !recovering.restarted || m.recoveryShare(now, recovering) >= 1
 }
 
-// transition moves a site to a state and records the change.
+// transition moves a site to a state, records the change and counts it.
 func (m *Monitor) transition(now Time, zone int, to State, evidence string) {
 	site := &m.sites[zone]
 	m.recordChange(zone, site.state, to, evidence)
