--- a/internal/director/api.go
+++ b/internal/director/api.go
@@ -9,84 +9,86 @@
 	"shaleyard/routing"
 )
 
-// Outcome says how a request ended for its client.
+// Outcome is how a request ended, as its client sees it.
 type Outcome uint8
 
 // Outcomes of a request.
 const (
 	Served   Outcome = iota
-	Rejected         // it had no effect, and can be sent again
+	Rejected         // it had no effect, and the client can safely send it again
 	Failed           // it may have had an effect
 )
 
 // Request is a request as the client side submits it. Ref, Service, Object, Part, IfNoneMatch and IdempotencyKey are
 // passed on to the server unchanged.
 type Request struct {
-	ConnID         uint64 // of the client's connection, for the flight recorder
+	ConnID         uint64 // identifies the client's connection in the flight recorder
 	Ref            string // the client's reference
 	Service        string
 	Object         string
 	Part           string
 	IfNoneMatch    string        // entity tag of the client's copy; "": none
 	IdempotencyKey string        // the same for all attempts of one request; "": none
-	Class          int           // index of the service in the settings
-	ObjectKey      uint64        // of Object, for the router
+	Class          int           // index of the service in routing.Settings.Classes
+	ObjectKey      uint64        // Object as a number
 	PartNumber     int           // Part as a number
-	Group          int           // of the object, by which it can be purged
-	SizeKB         float64       // of the expected response; 0: not known
-	Timeout        time.Duration // for which the client waits
-	Body           buffer.Chain  // owned by the director from Submit on
+	Group          int           // purge group of the object
+	SizeKB         float64       // expected size of the response; 0: unknown
+	Timeout        time.Duration // how long the client waits for the response
+	Body           buffer.Chain  // owned by the director once Submit has accepted the request
 }
 
-// Response is the one response to a request.
+// Response is the response to a request. Each request gets at most one.
 type Response struct {
 	Outcome     Outcome
-	NotModified bool          // the client's copy is current, and no body is sent
-	RetryAfter  time.Duration // of a rejection, how long the client should wait; 0: no advice
-	Body        *buffer.Chain // valid during the call only; nil: none
+	NotModified bool          // the client's copy is current, so no body is sent
+	RetryAfter  time.Duration // how long the client should wait after a rejection; 0: no advice
+	Body        *buffer.Chain // valid only during the call of Reply; nil: no body
 	Reason      flightrecorder.Reason
 }
 
-// Replier takes the response to a request that was submitted under a token. Reply is called once, or never if the
-// request is cancelled.
+// Replier receives the responses to requests. Reply is called once for each request that Submit accepts, with the token
+// that Submit was given, or never if the request is cancelled.
 type Replier interface {
 	Reply(token uint64, response Response)
 }
 
-// UpstreamRequest is a request as an attempt sends it to a server.
+// UpstreamRequest is a client's request with the parameters of one attempt to send it to a server.
 type UpstreamRequest struct {
 	Request *Request
-	// Timeout is how long the client still waits.
+	// Timeout is the time left until the attempt's deadline.
 	Timeout time.Duration
-	// Source is the name of the server that a miss is filled from; "": a miss is not filled.
+	// Source is the name of the server that the cache fills a miss from; "": the cache does not fill a miss.
 	Source string
-	// RetentionRank says how much the cache should want to keep the object; 0: it is not told.
+	// RetentionRank is how valuable it is for the cache to retain the object; 0: the cache gets no rank.
 	RetentionRank uint8
 	FetchFlags    routing.FetchFlags
-	// MaxAge is the oldest copy that may be served; 0: the class's freshness lifetime.
+	// MaxAge is the maximum age of a cached copy that may be served; 0: the class's freshness lifetime.
 	MaxAge time.Duration
-	// NonIdempotent says that the request must not run twice.
+	// NonIdempotent is true if the request must not be executed twice.
 	NonIdempotent bool
-	// IdempotencyWindowEnd is when it must not be written any more, as it would be a repeat outside its window; 0:
-	// never.
+	// IdempotencyWindowEnd is the time from which the attempt must not be written any more: it would repeat an earlier
+	// attempt outside the window in which servers recognize a repeat. 0: no limit.
 	IdempotencyWindowEnd routing.Time
 }
 
-// Upstream sends attempts to caches, parents and the origin. Each Send is followed by one call of
-// Director.AttemptEnded, maybe before Send returns, unless the attempt is cancelled before.
+// Upstream sends attempts to caches, parents and the origin. It calls Director.AttemptEnded once for each attempt,
+// possibly before Send returns, unless the attempt is cancelled first.
 type Upstream interface {
 	// Send starts an attempt at a host.
 	Send(attempt handle.Handle, host routing.Host, request UpstreamRequest)
-	// Cancel ends an attempt, and tells whether any of it may have been written.
+	// Cancel ends an attempt, and reports whether any part of it may have been written.
 	Cancel(attempt handle.Handle) (written bool)
-	// CancelIfUnwritten ends an attempt of which nothing has been written; false: some may have been, and it goes on.
+	// CancelIfUnwritten ends an attempt of which nothing has been written and returns true. If any part of the attempt
+	// may have been written, the attempt continues and CancelIfUnwritten returns false.
 	CancelIfUnwritten(attempt handle.Handle) bool
-	// SuspendWrites keeps attempts that have not been written from being written, until ResumeWrites.
+	// SuspendWrites holds back attempts that have not been written, until ResumeWrites is called.
 	SuspendWrites()
+	// ResumeWrites writes the attempts that were held back since SuspendWrites.
 	ResumeWrites()
 	// UpdateEndpoint adds an endpoint, or applies its new address or incarnation.
 	UpdateEndpoint(host routing.Host, name, address string, startedAt routing.Time)
-	// RemoveEndpoint removes an endpoint. Attempts that are in flight there go on until they end.
+	// RemoveEndpoint removes an endpoint. Attempts in flight to the endpoint continue.
 	RemoveEndpoint(host routing.Host)
 }
 
@@ -94,24 +96,24 @@
 type AttemptResult struct {
 	Result      routing.Result
 	FillStatus  routing.FillStatus
-	SourceWait  time.Duration // for which the server waited for its source; 0: not told
-	LoadReport  []float32     // in the order of the settings' fields; nil: none
+	SourceWait  time.Duration // how long the server waited for its source; 0: not reported
+	LoadReport  []float32     // load figures in the order of routing.LoadReportSettings.Fields; nil: none
 	NotModified bool          // the client's copy is current
 	Body        buffer.Chain  // owned by the director from AttemptEnded on
 }
 
-// Endpoint is an entry of the endpoint list, as service discovery reports it.
+// Endpoint is an entry of the endpoint list that service discovery reports.
 type Endpoint struct {
 	Name             string
 	Address          string
-	StartedUnixMilli int64 // Started by the list service's clock, in Unix milliseconds; 0: not told
-	routing.Endpoint       // its Host is set by the director
+	StartedUnixMilli int64 // Started in Unix milliseconds of the list service's clock; 0: not reported
+	routing.Endpoint       // its Host is set by Director.UpdateEndpoints
 }
 
-// Purge is a purge of an object, or of a whole group where ObjectKey is 0.
+// Purge is the purge of one object, or of a whole group if ObjectKey is 0.
 type Purge struct {
 	ObjectKey      uint64
 	Group          int
-	RemoteIssuedAt routing.Time // by the list service's clock
-	IssuedAt       routing.Time // by our clock
+	RemoteIssuedAt routing.Time // time of the purge by the list service's clock
+	IssuedAt       routing.Time // time of the purge by this process's clock
 }
--- a/internal/director/attempts.go
+++ b/internal/director/attempts.go
@@ -9,20 +9,22 @@
 	"shaleyard/routing"
 )
 
-// activeAttempt is one try of a request at a server, from when it is sent until its result is known.
+// activeAttempt is one attempt to get a request answered by a server. It exists from its sending until its result is
+// known.
 type activeAttempt struct {
 	handle        handle.Handle
 	requestHandle handle.Handle
 	number        int // within its request, from 0
 	host          routing.Host
-	source        routing.Host // where a miss is filled from; 0: not filled
+	source        routing.Host // server that a miss is filled from; 0: a miss is not filled
 	sentAt        routing.Time
-	deadline      routing.Time // when it is cancelled
+	deadline      routing.Time // time at which the attempt is cancelled
 	deadlineTimer timer.Timer
 }
 
-// sendAttempt starts an attempt, for which it completes the upstream request. An attempt of a request that has ended,
-// or that has no time left, is abandoned instead.
+// sendAttempt sends the request with this ID to a host. The caller sets the fields of upstreamRequest that come from
+// the router's action; sendAttempt sets the others. If the request is finished or has no time left, or if the table of
+// attempts is full, sendAttempt reports the attempt to the router as abandoned instead.
 func (d *Director) sendAttempt(id uint32, host, source routing.Host, timeout time.Duration,
 	upstreamRequest UpstreamRequest) {
 	request, ok := d.requests.Get(handle.Handle(id))
@@ -50,7 +52,8 @@
 	d.upstream.Send(attempt.handle, host, upstreamRequest)
 }
 
-// newAttempt returns the request's next attempt. Its deadline is the request's, or earlier by its own timeout; 0: none.
+// newAttempt returns the next attempt of a request. The attempt's deadline is the deadline of the request, or the end
+// of the timeout if that is earlier. A timeout of 0 means that the attempt has no timeout of its own.
 func (d *Director) newAttempt(request *openRequest, host, source routing.Host, timeout time.Duration) *activeAttempt {
 	attempt := &activeAttempt{
 		requestHandle: request.handle,
@@ -67,7 +70,8 @@
 	return attempt
 }
 
-// addAttempt gives an attempt its handle; false if it must not be sent, or if the table of attempts is full.
+// addAttempt adds an attempt to the table of attempts and sets its handle. It returns false if the request is finished,
+// if the attempt's deadline has passed, or if the table is full.
 func (d *Director) addAttempt(request *openRequest, attempt *activeAttempt) bool {
 	if request.finished || attempt.deadline <= attempt.sentAt {
 		return false
@@ -77,19 +81,19 @@
 	return ok
 }
 
-// idempotent tells whether an attempt that may have run can be repeated at all. An idempotency that is not known counts
-// as none, as it does in the router.
+// idempotent reports whether requests of a class with this idempotency can be sent again after an attempt that may have
+// been executed. An unknown value counts as non-idempotent, as it does in the router.
 func idempotent(idempotency string) bool {
 	return idempotency == "read_like" || idempotency == "idempotency_key"
 }
 
-// setAttemptDeadline has an attempt cancelled at its deadline.
+// setAttemptDeadline schedules the timer that cancels an attempt at its deadline.
 func (d *Director) setAttemptDeadline(attempt *activeAttempt, request *openRequest) {
 	d.timers.Schedule(&attempt.deadlineTimer, attempt.deadline, func() { d.timeOut(attempt, request) })
 }
 
-// timeOut ends an attempt at its deadline. One of which nothing was written counts as a failure to connect: it never
-// ran.
+// timeOut ends an attempt at its deadline. The result is ConnectFailed if nothing of the attempt was written, since the
+// server can't have executed it, and TimedOut otherwise.
 func (d *Director) timeOut(attempt *activeAttempt, request *openRequest) {
 	d.Counters.AttemptsTimedOut++
 	result := routing.TimedOut
@@ -99,7 +103,8 @@
 	d.endAttempt(attempt, request, AttemptResult{Result: result})
 }
 
-// cancelAttempt cancels an attempt of a request, if it is in flight. One of which nothing was written never ran.
+// cancelAttempt cancels the attempt with this number of a request, if the attempt is in flight. The result is Abandoned
+// if nothing of the attempt was written, since the server can't have executed it, and Cancelled otherwise.
 func (d *Director) cancelAttempt(request *openRequest, number int) {
 	attemptHandle, ok := request.inFlight[number]
 	if !ok {
@@ -117,8 +122,9 @@
 	d.endAttempt(attempt, request, AttemptResult{Result: result})
 }
 
-// cancelOvertaken cancels the attempts that a discovery event has overtaken, if nothing of them has been written: they
-// may wait for a connection for longer than the rules allow after such an event. The router decides anew.
+// cancelOvertaken cancels the attempts that a discovery event affects, as far as nothing of them has been written. Such
+// an attempt may be waiting for a connection, and would be written later than the site's rules allow after the event.
+// The router makes a new decision for each request concerned.
 func (d *Director) cancelOvertaken(overtaken func(*activeAttempt, *openRequest) bool) {
 	var handles []handle.Handle
 	d.attempts.All(func(attemptHandle handle.Handle, attempt *activeAttempt) bool {
@@ -132,7 +138,8 @@
 	}
 }
 
-// cancelIfUnwritten cancels an attempt of which nothing has been written: it never ran. Any other goes on.
+// cancelIfUnwritten cancels an attempt if nothing of it has been written, so that the server can't have executed it. An
+// attempt of which any part may have been written continues.
 func (d *Director) cancelIfUnwritten(attemptHandle handle.Handle) {
 	attempt, ok := d.attempts.Get(attemptHandle)
 	if !ok || !d.upstream.CancelIfUnwritten(attemptHandle) {
@@ -143,8 +150,8 @@
 	d.endAttempt(attempt, request, AttemptResult{Result: routing.Abandoned})
 }
 
-// AttemptEnded takes the result of an attempt from the upstream side. The result of one that has ended before is
-// dropped.
+// AttemptEnded handles the result of an attempt, which the upstream side reports. The result is dropped if the attempt
+// has already ended, for example at its deadline.
 func (d *Director) AttemptEnded(attemptHandle handle.Handle, result AttemptResult) {
 	attempt, ok := d.attempts.Get(attemptHandle)
 	if !ok {
@@ -156,7 +163,8 @@
 	d.endAttempt(attempt, request, result)
 }
 
-// endAttempt ends an attempt. The request's first good result goes to the client at once, and ends the request.
+// endAttempt removes an attempt and reports its result to the router. The first successful result of a request is sent
+// to the client immediately, and finishes the request.
 func (d *Director) endAttempt(attempt *activeAttempt, request *openRequest, result AttemptResult) {
 	d.timers.Cancel(&attempt.deadlineTimer)
 	d.attempts.Remove(attempt.handle)
@@ -177,7 +185,8 @@
 	d.postAttemptEnd(request, attempt, result)
 }
 
-// postAttemptEnd tells the router how an attempt ended. A good result ends its request, whose slot is then released.
+// postAttemptEnd reports the result of an attempt to the router. A successful result is the last event of its request,
+// so the request's slot is released once the router has handled the event.
 func (d *Director) postAttemptEnd(request *openRequest, attempt *activeAttempt, result AttemptResult) {
 	outcome := routing.Outcome{
 		ID:          uint32(request.handle),
@@ -197,7 +206,7 @@
 	d.postEvent(outcome)
 }
 
-// recordAttempt records what happens to an attempt.
+// recordAttempt adds an event of an attempt to the flight recorder.
 func (d *Director) recordAttempt(kind flightrecorder.Kind, attempt *activeAttempt, reason flightrecorder.Reason) {
 	d.flightRecorder.Record(flightrecorder.Event{
 		At:      d.now(),
--- a/internal/director/counters.go
+++ b/internal/director/counters.go
@@ -6,50 +6,54 @@
 	"shaleyard/routing"
 )
 
-// Counters count requests, attempts and discovery events since the start. They are logged under the names of their
-// fields.
+// Counters holds the numbers of requests, attempts and discovery events since the start of the process. They are logged
+// under the names of the fields.
 type Counters struct {
-	// RequestsAccepted counts the requests that Submit took, however they ended.
+	// RequestsAccepted counts the requests that Submit accepted, however they ended.
 	RequestsAccepted uint64
-	// RequestsServed, RequestsRejected and RequestsFailed count responses by their outcome, RequestsCancelled the
-	// requests whose clients no longer waited.
+	// RequestsServed, RequestsRejected and RequestsFailed count responses by their outcome. RequestsCancelled counts
+	// the requests that ended without a response because their clients no longer waited.
 	RequestsServed, RequestsRejected, RequestsFailed, RequestsCancelled uint64
-	// RequestsOverdue counts the failed requests that the deadline guard ended.
+	// RequestsOverdue counts the requests that the deadline guard failed.
 	RequestsOverdue uint64
-	// RejectedNotAccepting counts the requests that were rejected as the process was starting or draining.
+	// RejectedNotAccepting counts the requests that were rejected because the process was starting, draining or
+	// stopping.
 	RejectedNotAccepting uint64
-	// RejectedByAdmission counts the requests that were rejected as too many were in flight after a start or a pause.
+	// RejectedByAdmission counts the requests that admission control rejected because too many others were in flight
+	// after a start or a long pause.
 	RejectedByAdmission uint64
 
-	// AttemptsSent and AttemptsEnded count the attempts given to the upstream side, and those of them that have ended.
+	// AttemptsSent counts the attempts passed to the upstream side. AttemptsEnded counts those of them that have ended.
 	AttemptsSent, AttemptsEnded uint64
-	// AttemptsCancelled counts the attempts that the router, or the end of their request, cancelled.
+	// AttemptsCancelled counts the attempts that were cancelled by the router or at the end of their request.
 	AttemptsCancelled uint64
-	// AttemptsCancelledUnwritten counts the attempts that were cancelled with nothing written, as a discovery event or
-	// the end of their client had overtaken them.
+	// AttemptsCancelledUnwritten counts the attempts that were cancelled before anything of them was written, because
+	// of a discovery event or because the client cancelled the request.
 	AttemptsCancelledUnwritten uint64
 	// AttemptsTimedOut counts the attempts that ended at their deadline.
 	AttemptsTimedOut uint64
-	// AttemptsAbandoned counts the attempts that were not sent, as their request had ended or had no time left.
+	// AttemptsAbandoned counts the attempts that were not sent because their request was finished or had no time left,
+	// or because the table of attempts was full.
 	AttemptsAbandoned uint64
-	// AttemptsEndedLate counts the results that came after the attempt had ended.
+	// AttemptsEndedLate counts the results that arrived after their attempt had ended, for example at its deadline.
 	AttemptsEndedLate uint64
-	// Results and FillStatuses count the attempts that have ended, by how they ended and how a miss was filled.
+	// Results and FillStatuses count the ended attempts by their result and by how a miss was filled.
 	Results      ResultCounters
 	FillStatuses FillStatusCounters
 
-	// EndpointEvents and EndpointEntries count the events of the endpoint list, and the entries in them.
+	// EndpointEvents counts the updates of the endpoint list. EndpointEntries counts the entries in these updates.
 	EndpointEvents, EndpointEntries uint64
 	// PurgeEvents counts purges.
 	PurgeEvents uint64
-	// UnknownActions counts actions of the router that name no request, or that this deployment has no use for.
+	// UnknownActions counts the attempts that the router ordered for a request that is not open, and the actions of
+	// types that this deployment does not support.
 	UnknownActions uint64
 }
 
-// ResultCounters count attempts by result.
+// ResultCounters holds the number of attempts by result.
 type ResultCounters [routing.ResultCount]uint64
 
-// resultReport is the form in which ResultCounters are logged.
+// resultReport is the JSON form in which ResultCounters is logged.
 type resultReport struct {
 	OK                      uint64 `json:"ok"`
 	Errored                 uint64 `json:"errored"`
@@ -64,7 +68,7 @@
 	Unreachable             uint64 `json:"unreachable"`
 }
 
-// MarshalJSON implements json.Marshaler: an object with a key for each result.
+// MarshalJSON implements json.Marshaler. It returns an object with one key for each result.
 func (c ResultCounters) MarshalJSON() ([]byte, error) {
 	return json.Marshal(resultReport{
 		OK:                      c[routing.OK],
@@ -81,10 +85,10 @@
 	})
 }
 
-// FillStatusCounters count attempts by how a miss was filled.
+// FillStatusCounters holds the number of attempts by fill status.
 type FillStatusCounters [routing.FillStatusOriginFailed + 1]uint64
 
-// fillStatusReport is the form in which FillStatusCounters are logged.
+// fillStatusReport is the JSON form in which FillStatusCounters is logged.
 type fillStatusReport struct {
 	Unknown           uint64 `json:"unknown"`
 	Hit               uint64 `json:"hit"`
@@ -99,7 +103,7 @@
 	OriginFailed      uint64 `json:"origin_failed"`
 }
 
-// MarshalJSON implements json.Marshaler: an object with a key for each status.
+// MarshalJSON implements json.Marshaler. It returns an object with one key for each fill status.
 func (c FillStatusCounters) MarshalJSON() ([]byte, error) {
 	return json.Marshal(fillStatusReport{
 		Unknown:           c[routing.FillStatusUnknown],
--- a/internal/director/counters_test.go
+++ b/internal/director/counters_test.go
@@ -7,7 +7,8 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// Each result and each fill status must be logged under a key of its own, so that one that is added later is not lost.
+// Each result and each fill status must be logged under its own key. A result or status that is added to package
+// routing without a key would be missing from the log.
 func TestCountersAreLoggedByName(t *testing.T) {
 	var results ResultCounters
 	for i := range results {
--- a/internal/director/director.go
+++ b/internal/director/director.go
@@ -1,12 +1,13 @@
-// Package director drives the decisions of package routing for one process. It turns what the client side, the
-// upstream side and service discovery report into events of a routing.Router, and carries out the actions that the
-// router answers with. It knows no protocol and no socket: requests come in through Submit, and each gets one response
-// through its Replier, so that any number of protocols can share the same decisions.
+// Package director runs a routing.Router for one process. It converts the input from the client side, the upstream side
+// and service discovery into events for the router, and performs the actions that the router returns. It does not
+// depend on any protocol or socket: requests come in through Submit, and each gets one response through its Replier.
+// Any number of protocols can therefore share the decisions of one router.
 //
-// A request and each of its attempts is known by a generational handle, so that a result that comes late finds nothing.
-// Every request has a deadline, which the router enforces; a guard timer enforces it if the router should fail to.
+// Requests and attempts are identified by generational handles, so that a late result for a removed attempt can't be
+// taken for the result of another. Every request has a deadline, which the router enforces. If the router fails to
+// enforce it, a guard timer ends the request.
 //
-// Everything here runs on the event loop; nothing is safe for concurrent use.
+// All code of this package runs on the event loop. Nothing is safe for concurrent use.
 package director
 
 import (
@@ -23,28 +24,31 @@
 	"shaleyard/routing"
 )
 
-// Config is what a Director is made of. Settings and Limits are kept, not copied.
+// Config holds the settings and dependencies of a Director. The Director refers to Settings and Limits and does not
+// copy them.
 type Config struct {
 	Settings *routing.Settings
-	Seed     uint64 // of the router's random draws
+	Seed     uint64 // seed of the router's random numbers
 	Limits   *config.Limits
 	Timers   *timer.Queue
 	Now      func() routing.Time
 	Log      *zap.Logger
 
-	// RejectUntil, where set, tells whether requests are rejected for now, and until when clients should stay away.
+	// RejectUntil, if set, reports whether requests are currently rejected, and the time until which rejected clients
+	// should wait before a retry.
 	RejectUntil func() (until routing.Time, closed bool)
-	// CheckForPause, where set, is called as a request comes in. It calls Suspend if the process has just stood still.
+	// CheckForPause, if set, is called for each incoming request. It calls Suspend if the process was paused just
+	// before.
 	CheckForPause func()
-	// FlightRecorder keeps what happens to requests and attempts; nil: nothing is kept.
+	// FlightRecorder records the events of requests and attempts; nil: no events are recorded.
 	FlightRecorder *flightrecorder.Recorder
-	// Admission, where set, limits the requests in flight after a start or a long pause.
+	// Admission, if set, limits the requests in flight after a start or a long pause.
 	Admission *overload.Admission
 }
 
-// Director drives one router.
+// Director passes events to one routing.Router and performs the actions that the router returns.
 type Director struct {
-	// Counters count requests, attempts and discovery events since the start.
+	// Counters holds the numbers of requests, attempts and discovery events since the start of the process.
 	Counters Counters
 
 	router         *routing.Router
@@ -54,27 +58,29 @@
 	timers         *timer.Queue
 	now            func() routing.Time
 	log            *zap.Logger
-	rejectUntil    func() (until routing.Time, closed bool) // nil: requests are never rejected so
-	checkForPause  func()                                   // nil: no pause is noticed as a request comes in
+	rejectUntil    func() (until routing.Time, closed bool) // nil: the process always accepts requests
+	checkForPause  func()                                   // nil: no check for a pause
 	flightRecorder *flightrecorder.Recorder
-	admission      *overload.Admission // nil: all are admitted
+	admission      *overload.Admission // nil: all requests are admitted
 
 	requests     *handle.Table[*openRequest]
 	attempts     *handle.Table[*activeAttempt]
-	incarnations map[routing.Host]incarnation // of the endpoints that are listed
+	incarnations map[routing.Host]incarnation // of the endpoints in the endpoint list
 
-	// shutdownDeadline is when every request must have been answered, as the process ends soon after; 0: it goes on.
+	// shutdownDeadline is the time by which every request must be answered, because the process ends soon after it; 0:
+	// no shutdown is in progress.
 	shutdownDeadline routing.Time
 
 	pendingEvents []queuedEvent
-	dispatching   bool // the router's actions are being carried out
-	suspended     bool // the router is given discovery events only
-	// pauseDuration is how long what is read now may have waited unread while the process stood still.
+	dispatching   bool // the router's actions are being performed
+	suspended     bool // the router gets discovery events only
+	// pauseDuration is the longest time that a request read now may have waited unread while the process was paused; 0:
+	// no pause is being handled.
 	pauseDuration time.Duration
 }
 
-// New returns a director, which needs SetUpstream before its first event. It fails if the router does not accept the
-// settings.
+// New returns a Director. SetUpstream must be called before its first event. New returns the error of routing.New if
+// the settings are invalid.
 func New(cfg Config) (*Director, error) {
 	router, err := routing.New(*cfg.Settings, cfg.Seed)
 	if err != nil {
@@ -97,16 +103,16 @@
 	}, nil
 }
 
-// SetUpstream sets where attempts are sent. It must be called before the first event. It is not in Config because the
-// upstream side needs the Director when it is made: it reports the ends of attempts to it.
+// SetUpstream sets the Upstream that sends the attempts. It must be called before the first event. The Upstream is not
+// part of Config because it is created with a reference to the Director, to which it reports the ends of attempts.
 func (d *Director) SetUpstream(upstream Upstream) { d.upstream = upstream }
 
-// SetSiteOptions sets what the router does when whole sites are lost. It must be called before the first event.
+// SetSiteOptions sets how the router handles the loss of whole sites. It must be called before the first event.
 func (d *Director) SetSiteOptions(options sitehealth.Options) { d.router.SetSiteOptions(options) }
 
-// SiteCounters returns the counters of the health of whole sites.
+// SiteCounters returns the counters of site health.
 func (d *Director) SiteCounters() sitehealth.Counters { return d.router.SiteCounters() }
 
-// OpenRequests returns the number of requests that hold a slot: those not answered yet, and those of which the router
-// has not seen the end.
+// OpenRequests returns the number of requests that occupy a slot: those that have not been answered, and those whose
+// end the router has not handled yet.
 func (d *Director) OpenRequests() int { return d.requests.Len() }
