--- a/internal/director/api.go
+++ b/internal/director/api.go
@@ -23,7 +23,7 @@
 // passed on to the server unchanged.
 type Request struct {
 	ConnID         uint64 // identifies the client's connection in the flight recorder
-	Ref            string // the client's reference
+	Ref            string // the client's identifier of the request
 	Service        string
 	Object         string
 	Part           string
@@ -60,7 +60,7 @@
 	Timeout time.Duration
 	// Source is the name of the server that the cache fills a miss from; "": the cache does not fill a miss.
 	Source string
-	// RetentionRank is how valuable it is for the cache to retain the object; 0: the cache gets no rank.
+	// RetentionRank is how valuable it is for the cache to retain the object; 0: no rank is sent to the cache.
 	RetentionRank uint8
 	FetchFlags    routing.FetchFlags
 	// MaxAge is the maximum age of a cached copy that may be served; 0: the class's freshness lifetime.
@@ -96,7 +96,7 @@
 type AttemptResult struct {
 	Result      routing.Result
 	FillStatus  routing.FillStatus
-	SourceWait  time.Duration // how long the server waited for its source; 0: not reported
+	SourceWait  time.Duration // how long the server waited for the first byte from its source; 0: not reported
 	LoadReport  []float32     // load figures in the order of routing.LoadReportSettings.Fields; nil: none
 	NotModified bool          // the client's copy is current
 	Body        buffer.Chain  // owned by the director from AttemptEnded on
--- a/internal/director/attempts.go
+++ b/internal/director/attempts.go
@@ -24,7 +24,8 @@
 
 // sendAttempt sends the request with this ID to a host. The caller sets the fields of upstreamRequest that come from
 // the router's action; sendAttempt sets the others. If the request is finished or has no time left, or if the table of
-// attempts is full, sendAttempt reports the attempt to the router as abandoned instead.
+// attempts is full, sendAttempt reports the attempt to the router as abandoned instead. An ID without an open request
+// is only counted.
 func (d *Director) sendAttempt(id uint32, host, source routing.Host, timeout time.Duration,
 	upstreamRequest UpstreamRequest) {
 	request, ok := d.requests.Get(handle.Handle(id))
@@ -122,9 +123,9 @@
 	d.endAttempt(attempt, request, AttemptResult{Result: result})
 }
 
-// cancelOvertaken cancels the attempts that a discovery event affects, as far as nothing of them has been written. Such
-// an attempt may be waiting for a connection, and would be written later than the site's rules allow after the event.
-// The router makes a new decision for each request concerned.
+// cancelOvertaken cancels each attempt that a discovery event affects and of which nothing has been written. Such an
+// attempt may be waiting for a connection, and could otherwise be written later than the site's rules allow after the
+// event. The router makes a new decision for the attempt's request.
 func (d *Director) cancelOvertaken(overtaken func(*activeAttempt, *openRequest) bool) {
 	var handles []handle.Handle
 	d.attempts.All(func(attemptHandle handle.Handle, attempt *activeAttempt) bool {
--- a/internal/director/director.go
+++ b/internal/director/director.go
@@ -24,8 +24,8 @@
 	"shaleyard/routing"
 )
 
-// Config holds the settings and dependencies of a Director. The Director refers to Settings and Limits and does not
-// copy them.
+// Config holds the settings and dependencies of a Director. The Director keeps references to Settings and Limits, not
+// copies.
 type Config struct {
 	Settings *routing.Settings
 	Seed     uint64 // seed of the router's random numbers
--- a/internal/director/discovery.go
+++ b/internal/director/discovery.go
@@ -8,29 +8,31 @@
 	"shaleyard/routing"
 )
 
-// maxLoggedEntries is the number of endpoints of one event that are logged.
+// maxLoggedEntries is the maximum number of endpoints that are logged for one update of the endpoint list.
 const maxLoggedEntries = 8
 
-// incarnation tells one process under an endpoint's name from another that was started later.
+// incarnation identifies the process that runs under an endpoint's name. A process that is started later under the same
+// name is another incarnation.
 type incarnation struct {
 	name      string
 	startedAt routing.Time
 }
 
-// endpointChanges are the endpoints that an event of the endpoint list concerns.
+// endpointChanges holds the endpoints that an update of the endpoint list contains or changes.
 type endpointChanges struct {
-	full    bool // an endpoint that is not listed has been removed
-	listed  map[routing.Host]bool
-	changed map[routing.Host]bool // draining, removed, or restarted
+	full    bool // the update is a full list: an endpoint that it does not contain has been removed
+	listed  map[routing.Host]bool // contained in the update
+	changed map[routing.Host]bool // draining, removed, restarted or new
 }
 
-// overtakes tells whether the event makes it wrong to start something at a host that was chosen before.
+// overtakes reports whether the update invalidates an earlier decision to send an attempt to the host or to fill from
+// the host.
 func (c endpointChanges) overtakes(host routing.Host) bool {
 	return c.changed[host] || c.full && !c.listed[host]
 }
 
-// UpdateEndpoints applies an event of the endpoint list. A full list replaces the one known before: endpoints that are
-// not in it have been removed.
+// UpdateEndpoints applies an update of the endpoint list. A full list replaces the previous list: endpoints that the
+// full list does not contain are removed.
 func (d *Director) UpdateEndpoints(full bool, version uint64, list []Endpoint) {
 	d.Counters.EndpointEvents++
 	update := routing.EndpointUpdate{Kind: routing.UpdateDelta, Version: version}
@@ -40,7 +42,7 @@
 	changes := endpointChanges{full: full, listed: map[routing.Host]bool{}, changed: map[routing.Host]bool{}}
 	for i, endpoint := range list {
 		d.Counters.EndpointEntries++
-		if !full && i < maxLoggedEntries { // the events of a release are of interest, not the list at the start
+		if !full && i < maxLoggedEntries { // incremental updates show a rollout; full lists aren't logged
 			d.logEndpoint(endpoint)
 		}
 		endpoint.Host = hostForName(endpoint.Name)
@@ -55,7 +57,8 @@
 	d.removeEndpoints(update, changes)
 }
 
-// updateIncarnation applies the entry of one endpoint, and tells whether it is draining, removed or restarted.
+// updateIncarnation applies one entry of an update. It reports whether the endpoint is draining, removed, restarted or
+// new.
 func (d *Director) updateIncarnation(endpoint Endpoint) (changed bool) {
 	known := d.incarnations[endpoint.Host]
 	current := incarnation{name: endpoint.Name, startedAt: endpoint.Started}
@@ -69,8 +72,8 @@
 	return changed
 }
 
-// removeEndpoints removes the endpoints that an event reports as gone, or that a full list lacks. It comes behind the
-// router, which may still cancel attempts there.
+// removeEndpoints removes the endpoints that an update reports as gone, and those that a full list does not contain. It
+// is called after the router has handled the update, because the router may still cancel attempts at these endpoints.
 func (d *Director) removeEndpoints(update routing.EndpointUpdate, changes endpointChanges) {
 	for _, endpoint := range update.Endpoints {
 		if endpoint.State == routing.Gone {
@@ -103,9 +106,10 @@
 	})
 }
 
-// hostForName returns the router's address of an endpoint: the 64-bit FNV-1a hash of its name, folded to 48 bits. It
-// depends on the name alone. So all directors rank the same, a process that restarts under its name stays the same
-// server, and a new one at an old address is another.
+// hostForName returns the identifier of an endpoint in the router: the 64-bit FNV-1a hash of the endpoint's name,
+// folded to 48 bits. The identifier depends on the name alone. All directors therefore rank servers in the same way, a
+// process that restarts under the same name remains the same server, and a process with a new name at a known address
+// is another server.
 func hostForName(name string) routing.Host {
 	hash := fnv.New64a()
 	hash.Write([]byte(name))
--- a/internal/director/discovery_test.go
+++ b/internal/director/discovery_test.go
@@ -7,10 +7,10 @@
 	"shaleyard/routing"
 )
 
-// A connection may come up later than the rules allow after a discovery event. So an event that overtakes an attempt
-// cancels it while nothing of it has been written, and the router decides anew. An attempt that has been written goes
-// on.
-func TestDiscoveryEventCancelsOvertakenAttempts(t *testing.T) {
+// A discovery event must cancel the attempts that it affects and of which nothing has been written, so that the router
+// makes a new decision. Otherwise, an attempt that waits for its connection could be written later than the site's
+// rules allow after the event. An attempt that has been written continues.
+func TestDiscoveryEventCancelsAffectedAttempts(t *testing.T) {
 	update := func(endpoint Endpoint) func(*harness) {
 		return func(h *harness) { h.director.UpdateEndpoints(false, 2, []Endpoint{endpoint}) }
 	}
@@ -18,7 +18,7 @@
 		name      string
 		event     func(*harness)
 		overtakes bool
-		unusable  bool // c1 must get no further attempt
+		unusable  bool // c1 must not get another attempt
 	}{
 		{
 			name:      "target drains",
@@ -58,18 +58,18 @@
 			t.Run(name, func(t *testing.T) {
 				h := newHarnessWithWaitingAttempt(t, unwritten)
 				if h.sentAttempts[0].request.Source != "o" {
-					t.Fatalf("filled from %q, want o", h.sentAttempts[0].request.Source)
+					t.Fatalf("source of the first attempt = %q, want \"o\"", h.sentAttempts[0].request.Source)
 				}
 				first := h.sentAttempts[0].handle
 				test.event(h)
 				_, inFlight := h.director.attempts.Get(first)
 				cancelled := test.overtakes && unwritten
 				if inFlight == cancelled {
-					t.Errorf("first attempt in flight %v, want %v", inFlight, !cancelled)
+					t.Errorf("first attempt in flight = %v, want %v", inFlight, !cancelled)
 				}
 				for _, sent := range h.sentAttempts[1:] {
 					if test.unusable && sent.host == hostForName("c1") {
-						t.Error("sent there again")
+						t.Error("another attempt was sent to c1, which is unusable")
 					}
 				}
 			})
@@ -77,23 +77,24 @@
 	}
 }
 
-// A purge that overtakes a waiting attempt makes the next one ask for a younger copy.
+// A purge cancels an attempt that waits for its connection. The attempt that replaces it must not accept a copy from
+// before the purge.
 func TestPurgeReplacesWaitingAttempt(t *testing.T) {
 	h := newHarnessWithWaitingAttempt(t, true)
 	h.director.Purge(Purge{ObjectKey: objectKey, IssuedAt: h.now - time.Millisecond})
 	if len(h.sentAttempts) != 2 || h.sentAttempts[0].request.MaxAge != 0 ||
 		h.sentAttempts[1].request.MaxAge != time.Millisecond {
-		t.Fatalf("sent %v, want a second attempt that asks for a copy no older than 1ms", h.sentAttempts)
+		t.Fatalf("sent %v, want a second attempt with a MaxAge of 1ms", h.sentAttempts)
 	}
 }
 
-// The host depends on the name alone, the same in every director: a new cache at an old address must be another server
-// to the router, and all directors must pick the same cache for an object.
+// The host must depend on the endpoint's name alone, and in the same way in every director. The router must treat a new
+// cache at the address of an earlier one as another server, and all directors must select the same cache for an object.
 func TestHostDependsOnNameAlone(t *testing.T) {
 	if got := hostForName("s-1"); got != 0xda195c3f3e58 { // FNV-1a of the name, folded to 48 bits
-		t.Errorf("host %x", got)
+		t.Errorf("hostForName(\"s-1\") = %x, want da195c3f3e58", got)
 	}
 	if hostForName("s-1") == hostForName("s-2") {
-		t.Error("two names, one host")
+		t.Error("hostForName returns the same host for s-1 and s-2")
 	}
 }
--- a/internal/director/dispatch.go
+++ b/internal/director/dispatch.go
@@ -7,20 +7,23 @@
 	"shaleyard/routing"
 )
 
-// queuedEvent is an event for the router, and the request to release once the router has seen it; nil: none.
+// queuedEvent is an event that waits for the router, with the request whose slot is released once the router has
+// handled the event; nil: no request is released.
 type queuedEvent struct {
 	event   routing.Event
 	release *openRequest
 }
 
-// postEvent gives the router an event, or queues it while the router is suspended or its actions are being carried out.
+// postEvent passes an event to the router. While the router is suspended or its actions are being performed, the event
+// is queued instead.
 //
-// An action can cause the next event before it returns (an attempt that fails at once, a client connection that fails
-// as its response is written), and the router's list of actions is valid only until its next event. So an event that
-// comes meanwhile waits for the actions that are left.
+// Performing an action can cause another event before the action returns, for example if an attempt fails immediately,
+// or if a client's connection fails while the response is written. The router's list of actions is valid only until the
+// router handles the next event, so the next event has to wait until all actions of the list have been performed.
 func (d *Director) postEvent(event routing.Event) { d.enqueue(queuedEvent{event: event}) }
 
-// postLastEvent is postEvent for the last event of a request, whose slot is released behind it.
+// postLastEvent posts the last event of a request. The request's slot is released once the router has handled the
+// event.
 func (d *Director) postLastEvent(event routing.Event, request *openRequest) {
 	d.enqueue(queuedEvent{event: event, release: request})
 }
@@ -32,7 +35,7 @@
 	}
 }
 
-// postDiscoveryEvent gives the router what service discovery reports, also while the other events are suspended.
+// postDiscoveryEvent passes an event of service discovery to the router, even while other events are suspended.
 func (d *Director) postDiscoveryEvent(event routing.Event) {
 	if d.dispatching || !d.suspended {
 		d.postEvent(event)
@@ -41,7 +44,7 @@
 	d.handleEvent(event)
 }
 
-// dispatchEvents gives the router all events in the queue, and those that the actions add to it.
+// dispatchEvents passes all queued events to the router, including those that are queued while actions are performed.
 func (d *Director) dispatchEvents() {
 	d.dispatching = true
 	for i := 0; i < len(d.pendingEvents); i++ {
@@ -62,18 +65,18 @@
 	}
 }
 
-// Suspend keeps all events but those of service discovery from the router, until Resume. After a pause of the process,
-// what the router knows of the servers is old, and the discovery events that would correct it are still to be read.
-// Responses go to their clients all the same. A request that is read meanwhile may have waited for the whole pause, so
-// its deadline is that much earlier.
+// Suspend holds back all events except those of service discovery from the router, until Resume is called. It is called
+// after a pause of the process: the router's view of the servers is then outdated, and the discovery events that would
+// correct it have not been read yet. Responses are still sent to clients. A request that is read before Resume may have
+// waited unread for the whole pause, so its deadline is earlier by the duration of the pause.
 func (d *Director) Suspend(pause time.Duration) {
 	d.suspended = true
 	d.pauseDuration = max(d.pauseDuration, pause)
 	d.upstream.SuspendWrites()
 }
 
-// Resume gives the router the events that were queued since Suspend. After a long pause, requests are admitted as after
-// a start from now on.
+// Resume passes the events that were queued since Suspend to the router. After a long pause, admission control restarts
+// as after a start of the process.
 func (d *Director) Resume(longPause bool) {
 	d.suspended = false
 	d.pauseDuration = 0
@@ -86,8 +89,8 @@
 	d.upstream.ResumeWrites()
 }
 
-// performAction carries out an action of the router. Probes, messages to other directors and calls of discovery are
-// counted and dropped: this deployment has none of them.
+// performAction performs an action of the router. Actions of other types, such as probes, messages to other directors
+// and calls of service discovery, are only counted, because this deployment does not support them.
 func (d *Director) performAction(action routing.Action) {
 	switch action := action.(type) {
 	case routing.Fetch:
@@ -109,7 +112,8 @@
 	}
 }
 
-// fetch sends an attempt to a server that may fill a miss from the source.
+// fetch sends an attempt to a cache, which may fill a miss from the action's source. If the source is the cache itself,
+// the cache does not fill a miss.
 func (d *Director) fetch(action routing.Fetch) {
 	source := action.Source
 	if source == action.Host {
@@ -123,14 +127,14 @@
 	})
 }
 
-// forward sends an attempt to a server that fills nothing.
+// forward sends an attempt to a server that needs no source, such as the origin.
 func (d *Director) forward(action routing.Forward) {
 	d.sendAttempt(action.ID, action.Host, 0, action.Timeout, UpstreamRequest{
 		IdempotencyWindowEnd: action.IdempotencyWindowEnd,
 	})
 }
 
-// cancelByNumber cancels an attempt, if its request is still there.
+// cancelByNumber cancels the attempt that the action names, if its request is still open.
 func (d *Director) cancelByNumber(action routing.Cancel) {
 	if request, ok := d.requests.Get(handle.Handle(action.ID)); ok {
 		d.cancelAttempt(request, action.Attempt)
@@ -149,14 +153,16 @@
 	d.respondByID(action.ID, Response{Outcome: Failed, Reason: reasonOfRouter(action.Reason)})
 }
 
-// respondByID gives a request the response that the router has decided on.
+// respondByID sends the response that the router has decided on to the client of a request. It does nothing if the
+// request is finished.
 func (d *Director) respondByID(id uint32, response Response) {
 	request, ok := d.requests.Get(handle.Handle(id))
 	if !ok || request.finished {
 		return
 	}
 	d.respond(request, response)
-	// The router may still cancel attempts of the request in this round, so its slot is released behind it.
+	// The remaining actions of the current event may cancel attempts of the request, so its slot is released after
+	// them.
 	d.postLastEvent(routing.RequestClosed{ID: id}, request)
 }
 
--- a/internal/director/dispatch_test.go
+++ b/internal/director/dispatch_test.go
@@ -8,8 +8,8 @@
 	"shaleyard/routing"
 )
 
-// An attempt can fail before Send returns. The router's next event must then wait for its last actions, as their list
-// is valid only until that event.
+// An attempt can fail before Send returns. The event for its end must wait until all actions of the current list have
+// been performed, because the router's list of actions is valid only until the router handles the next event.
 func TestAttemptEndWithinSendIsQueued(t *testing.T) {
 	h := newHarness(t)
 	h.onSend = func(attempt handle.Handle) {
@@ -19,19 +19,19 @@
 	h.advance(5 * time.Second)
 	h.wantResponses("rejected")
 	if len(h.sentAttempts) < 1 || len(h.sentAttempts) > 3 {
-		t.Errorf("%d attempts, want 1 to 3", len(h.sentAttempts))
+		t.Errorf("sent %d attempts, want 1 to 3", len(h.sentAttempts))
 	}
 }
 
-// Found by the testbed: a process that was stopped for 5 s sent its waiting requests to a cache that had drained
-// meanwhile. While the director is suspended, the router is given discovery events only; requests that came in are
-// routed by them.
+// A cache can be drained while the process is stopped (in the testbed: for 5 s). After such a pause, the process must
+// not send its waiting requests to this cache. So the router must get discovery events only while the director is
+// suspended, and requests must be routed after Resume, according to these events.
 func TestSuspendedRequestsFollowDiscoveryEvents(t *testing.T) {
 	h := newHarness(t)
 	h.director.Suspend(100 * time.Millisecond)
 	h.submit(readClass)
 	if len(h.sentAttempts) != 0 {
-		t.Fatalf("sent to %v while suspended", h.sentAttempts)
+		t.Fatalf("sent %v while suspended, want no attempt", h.sentAttempts)
 	}
 	h.director.UpdateEndpoints(false, 2, []Endpoint{
 		cacheEndpoint("c1", routing.Draining, 0),
@@ -39,15 +39,16 @@
 	})
 	h.director.Resume(true)
 	if len(h.sentAttempts) != 1 || h.sentAttempts[0].host != hostForName("c2") {
-		t.Fatalf("sent %v, want one to the cache that is ready", h.sentAttempts)
+		t.Fatalf("sent %v, want one attempt to c2, which is ready", h.sentAttempts)
 	}
 	result := AttemptResult{Result: routing.OK, FillStatus: routing.FillStatusHit}
 	h.director.AttemptEnded(h.sentAttempts[0].handle, result)
 	h.wantResponses("served")
 }
 
-// A client cancels its request while the director is suspended and the attempt waits for a connection: the attempt is
-// cancelled at once, not when the director resumes.
+// If a client cancels its request while the director is suspended, an attempt of the request that waits for a
+// connection must be cancelled immediately, not after Resume. Otherwise, it could be written for a client that no
+// longer waits.
 func TestCancelTakesEffectWhileSuspended(t *testing.T) {
 	h := newHarness(t)
 	var cancelled []handle.Handle
@@ -58,21 +59,22 @@
 	request := h.submit(readClass)
 	h.director.Suspend(100 * time.Millisecond)
 	if !h.writesSuspended {
-		t.Error("upstream writes are not suspended")
+		t.Error("upstream writes are not suspended after Suspend")
 	}
 	h.director.Cancel(request)
 	if len(cancelled) != 1 || cancelled[0] != h.sentAttempts[0].handle {
-		t.Errorf("cancelled %v, want the attempt that waits", cancelled)
+		t.Errorf("cancelled attempts %v, want only %v", cancelled, h.sentAttempts[0].handle)
 	}
 	h.director.Resume(false)
 	if h.writesSuspended {
-		t.Error("upstream writes are still suspended")
+		t.Error("upstream writes are still suspended after Resume")
 	}
 	h.wantResponses()
 }
 
-// A request that is read after a pause, or in the course of one that is noticed only as it is read, may have waited for
-// all of the pause: its cache is told what its client has left at least. If that is nothing, it is rejected at once.
+// A request that is read after a pause may have waited unread for the whole pause, even if the pause is detected only
+// when the request is read. The timeout passed to the cache must be shorter by the pause: it must not exceed the time
+// that the client still waits. If no time is left, the request must be rejected immediately.
 func TestPauseShortensTimeoutOfUnreadRequests(t *testing.T) {
 	paused := time.Duration(0)
 	var h *harness
@@ -90,17 +92,17 @@
 	paused = 0
 	h.director.Resume(false)
 	if got := h.sentAttempts[1].request.Timeout; got != fullTimeout-300*time.Millisecond {
-		t.Errorf("%v passed on, want %v", got, fullTimeout-300*time.Millisecond)
+		t.Errorf("timeout after a pause of 300ms = %v, want %v", got, fullTimeout-300*time.Millisecond)
 	}
 	paused = fullTimeout
 	h.submit(readClass)
 	if n := h.director.Counters.RequestsRejected; n != 1 {
-		t.Errorf("%d rejected, want the one that has nothing left", n)
+		t.Errorf("RequestsRejected = %d, want 1 for the request with no time left", n)
 	}
 	paused = 0
 	h.director.Resume(false)
 	h.submit(readClass)
 	if got := h.sentAttempts[2].request.Timeout; got != fullTimeout {
-		t.Errorf("%v passed on after the pause, want %v", got, fullTimeout)
+		t.Errorf("timeout after Resume = %v, want %v", got, fullTimeout)
 	}
 }
--- a/internal/director/harness_test.go
+++ b/internal/director/harness_test.go
@@ -16,15 +16,15 @@
 
 // Classes of requests in the harness's settings.
 const (
-	readClass    = 0 // can be repeated
-	paymentClass = 1 // must not run twice
+	readClass    = 0 // read-like: can be sent again
+	paymentClass = 1 // non-idempotent: must not be executed twice
 )
 
-// objectKey is the object that all requests of a harness ask for.
+// objectKey identifies the object that all requests of a harness ask for.
 const objectKey = 7
 
-// harness is a director with a scripted upstream side and client side, which it plays itself, and a clock that the test
-// moves.
+// harness holds a Director under test. It implements the Director's Upstream and Replier, records what they receive,
+// and provides a clock that the test advances.
 type harness struct {
 	t        *testing.T
 	director *Director
@@ -47,7 +47,8 @@
 	request UpstreamRequest
 }
 
-// newHarness returns a harness with the cache c1 in our zone and the origin o. Each configure may set what is optional.
+// newHarness returns a harness whose endpoint list holds the cache c1 in the director's zone and the origin o. Each
+// configure function may change the director's Config.
 func newHarness(t *testing.T, configure ...func(*Config)) *harness {
 	t.Helper()
 	h := &harness{t: t, now: 1000 * time.Second, pool: buffer.NewPool(64, 8), cancelReportsWritten: true}
@@ -94,25 +95,25 @@
 	return h
 }
 
-// newHarnessWithWaitingAttempt returns a harness in which a read filled from the origin waits for its connection to c1,
-// or has been written.
+// newHarnessWithWaitingAttempt returns a harness with one attempt in flight, for a read that c1 fills from the origin.
+// If unwritten is true, the attempt still waits for its connection; otherwise, it has been written.
 func newHarnessWithWaitingAttempt(t *testing.T, unwritten bool) *harness {
 	t.Helper()
 	h := newHarness(t)
 	h.unwritten = func(handle.Handle) bool { return unwritten }
 	h.submit(readClass)
 	if len(h.sentAttempts) != 1 || h.sentAttempts[0].host != hostForName("c1") {
-		t.Fatalf("sent %v, want one to c1", h.sentAttempts)
+		t.Fatalf("sent %v, want one attempt to c1", h.sentAttempts)
 	}
 	return h
 }
 
-// cacheEndpoint is a cache in our zone.
+// cacheEndpoint returns the entry of a cache in the director's zone.
 func cacheEndpoint(name string, state routing.State, startedAt routing.Time) Endpoint {
 	return Endpoint{Name: name, Endpoint: routing.Endpoint{Zone: 1, State: state, Weight: 4, Started: startedAt}}
 }
 
-// originEndpoint is the origin, in the hub.
+// originEndpoint returns the entry of the origin, which is in the hub's zone.
 func originEndpoint(state routing.State) Endpoint {
 	return Endpoint{Name: "o", Endpoint: routing.Endpoint{Zone: 0, Kind: 2, State: state, Weight: 4}}
 }
@@ -159,18 +160,18 @@
 	h.responses = append(h.responses, text)
 }
 
-// submit submits a request that must be taken.
+// submit submits a request and fails the test if the director does not accept it.
 func (h *harness) submit(class int) handle.Handle {
 	h.t.Helper()
 	request := Request{Ref: "r", Class: class, ObjectKey: objectKey, Timeout: 4 * time.Second, Body: h.pool.NewChain()}
 	requestHandle, ok := h.director.Submit(request, h, 1)
 	if !ok {
-		h.t.Fatal("not taken")
+		h.t.Fatal("Submit did not accept the request")
 	}
 	return requestHandle
 }
 
-// body returns a chain of buffers that holds the text.
+// body returns a chain of buffers with the text as its content.
 func (h *harness) body(text string) buffer.Chain {
 	h.t.Helper()
 	chain := h.pool.NewChain()
@@ -180,7 +181,7 @@
 	return chain
 }
 
-// advance moves the clock in small steps and runs what is due.
+// advance moves the clock forward in steps of 5 ms and runs the timers that are due after each step.
 func (h *harness) advance(duration time.Duration) {
 	for end := h.now + duration; h.now < end; {
 		h.now += 5 * time.Millisecond
@@ -188,19 +189,19 @@
 	}
 }
 
-// wantResponses checks all responses so far, and that nothing is left of their requests.
+// wantResponses checks all responses that were sent so far, and that no open request, no attempt and no buffer is left.
 func (h *harness) wantResponses(responses ...string) {
 	h.t.Helper()
 	if diff := cmp.Diff(responses, h.responses); diff != "" {
-		h.t.Error(diff)
+		h.t.Errorf("responses (-want +got):\n%s", diff)
 	}
 	if n := h.director.OpenRequests(); n != 0 {
-		h.t.Errorf("%d requests left", n)
+		h.t.Errorf("%d open requests left, want 0", n)
 	}
 	if n := h.director.attempts.Len(); n != 0 {
-		h.t.Errorf("%d attempts left", n)
+		h.t.Errorf("%d attempts left, want 0", n)
 	}
 	if n := h.pool.InUse(); n != 0 {
-		h.t.Errorf("%d buffers left", n)
+		h.t.Errorf("%d buffers in use, want 0", n)
 	}
 }
--- a/internal/director/reasons.go
+++ b/internal/director/reasons.go
@@ -5,9 +5,11 @@
 	"shaleyard/routing"
 )
 
-// This file maps the router's reasons and results to the flight recorder's: the router must not depend on it.
+// This file maps the reasons and results of package routing to the reasons of package flightrecorder. The mapping is
+// here because package routing must not depend on package flightrecorder.
 
-// reasonsOfRouter are the reasons for which the router ends a request without a response of a server.
+// reasonsOfRouter maps the reasons for which the router ends a request without a server's response to the reasons of
+// the flight recorder.
 var reasonsOfRouter = [...]flightrecorder.Reason{
 	routing.ReasonDeadlineExceeded:     flightrecorder.ReasonDeadlineExceeded,
 	routing.ReasonAttemptsExhausted:    flightrecorder.ReasonAttemptsExhausted,
@@ -18,7 +20,7 @@
 	routing.ReasonOriginShielded:       flightrecorder.ReasonOriginShielded,
 }
 
-// reasonsOfResults are the reasons that stand for the results of attempts.
+// reasonsOfResults maps the results of attempts to the reasons of the flight recorder.
 var reasonsOfResults = [routing.ResultCount]flightrecorder.Reason{
 	routing.OK:                      flightrecorder.ReasonOK,
 	routing.Errored:                 flightrecorder.ReasonErrored,
@@ -33,7 +35,7 @@
 	routing.Unreachable:             flightrecorder.ReasonUnreachable,
 }
 
-// reasonOfRouter returns the recorded reason for one of the router's; ReasonUnknown if it is not listed.
+// reasonOfRouter returns the flight recorder's reason for a reason of the router, or ReasonUnknown if there is none.
 func reasonOfRouter(reason routing.Reason) flightrecorder.Reason {
 	if int(reason) >= len(reasonsOfRouter) || reasonsOfRouter[reason] == flightrecorder.ReasonNone {
 		return flightrecorder.ReasonUnknown
@@ -41,7 +43,7 @@
 	return reasonsOfRouter[reason]
 }
 
-// reasonOfResult returns the recorded reason for an attempt's result; ReasonUnknown if it is not listed.
+// reasonOfResult returns the flight recorder's reason for the result of an attempt, or ReasonUnknown if there is none.
 func reasonOfResult(result routing.Result) flightrecorder.Reason {
 	if int(result) >= len(reasonsOfResults) || reasonsOfResults[result] == flightrecorder.ReasonNone {
 		return flightrecorder.ReasonUnknown
--- a/internal/director/reasons_test.go
+++ b/internal/director/reasons_test.go
@@ -6,7 +6,8 @@
 	"shaleyard/routing"
 )
 
-func TestReasonOfRouter(t *testing.T) {
+// The flight recorder must name each reason of the router, and record an unknown reason as such.
+func TestReasonFromRouter(t *testing.T) {
 	for _, test := range []struct {
 		reason routing.Reason
 		want   string
@@ -23,18 +24,18 @@
 	} {
 		t.Run(test.want, func(t *testing.T) {
 			if got := reasonOfRouter(test.reason).String(); got != test.want {
-				t.Errorf("named %q", got)
+				t.Errorf("got %q, want %q", got, test.want)
 			}
 		})
 	}
 }
 
-// The end of an attempt is recorded under the name of its result.
-func TestReasonOfResult(t *testing.T) {
+// The flight recorder must record the end of an attempt under the name of the attempt's result.
+func TestReasonFromResult(t *testing.T) {
 	for result := range routing.Result(routing.ResultCount + 1) {
 		t.Run(result.String(), func(t *testing.T) {
 			if got := reasonOfResult(result).String(); got != result.String() {
-				t.Errorf("named %q", got)
+				t.Errorf("got %q, want %q", got, result)
 			}
 		})
 	}
--- a/internal/director/requests.go
+++ b/internal/director/requests.go
@@ -11,24 +11,25 @@
 	"shaleyard/routing"
 )
 
-// openRequest is a request that was submitted. It keeps its slot in Director.requests until the router has seen its
-// end.
+// openRequest is a request that Submit has accepted. It occupies a slot in Director.requests until the router has
+// handled the request's end.
 type openRequest struct {
 	Request
 	handle        handle.Handle
 	replier       Replier
-	token         uint64 // the replier's name for it
+	token         uint64 // identifies the request to the replier
 	acceptedAt    routing.Time
-	deadline      routing.Time // when it must have been answered
+	deadline      routing.Time // time by which the request must be answered
 	deadlineGuard timer.Timer
-	admitted      bool // Admission is told how it ends
+	admitted      bool // passed admission control, which is notified of its outcome
 	finished      bool // answered or cancelled
 	nextAttempt   int  // number of its next attempt
-	inFlight      map[int]handle.Handle
+	inFlight      map[int]handle.Handle // attempts in flight by their numbers
 }
 
-// Submit takes a request, whose response goes to the replier under the token, perhaps before Submit returns. It returns
-// false if the table of open requests is full: then nothing was taken, and the caller rejects the request.
+// Submit accepts a request and returns the request's handle. The replier receives the response with the token, possibly
+// before Submit returns. If the table of open requests is full, Submit returns false: the caller then still owns the
+// request's body and has to reject the request.
 func (d *Director) Submit(incoming Request, replier Replier, token uint64) (handle.Handle, bool) {
 	request := &openRequest{Request: incoming, replier: replier, token: token, inFlight: map[int]handle.Handle{}}
 	requestHandle, ok := d.requests.Add(request)
@@ -58,8 +59,10 @@
 	return requestHandle, true
 }
 
-// deadlineFor returns the deadline of a request that is read now. Its client has waited for it since a time that is not
-// known: at worst for the whole of a pause of the process.
+// deadlineFor returns the deadline of a request that is read now and whose client waits for the given timeout. How long
+// the request has waited unread is not known. In the worst case it has waited since the start of a pause of the
+// process, so the duration of the pause is subtracted from the timeout. During a shutdown, the deadline is at most the
+// shutdown deadline. It is never before now.
 func (d *Director) deadlineFor(now routing.Time, timeout time.Duration) routing.Time {
 	deadline := now + max(0, timeout-d.pauseDuration)
 	if d.shutdownDeadline != 0 {
@@ -68,7 +71,7 @@
 	return deadline
 }
 
-// routingRequest returns the request as the router is told of it.
+// routingRequest returns the event that passes a request to the router.
 func (d *Director) routingRequest(request *openRequest) routing.Request {
 	uncacheable := d.settings.Tiers.Uncacheable
 	return routing.Request{
@@ -83,8 +86,8 @@
 	}
 }
 
-// admit tells whether a request is given to the router. If not, it says why, and for how long the client should stay
-// away.
+// admit reports whether a request is passed to the router. If not, it also returns the reason for the rejection and how
+// long the client should wait before a retry.
 func (d *Director) admit(now routing.Time, request *openRequest) (
 	reason flightrecorder.Reason, wait time.Duration, ok bool,
 ) {
@@ -104,7 +107,9 @@
 	return flightrecorder.ReasonNone, 0, true
 }
 
-// admitByPace asks Admission. Requests that must not run twice always pass: they are the last to be shed.
+// admitByPace reports whether admission control admits a request; if not, it also returns how long the client should
+// wait before a retry. Requests that must not be executed twice are always admitted, because they are the last to be
+// shed.
 func (d *Director) admitByPace(now routing.Time, request *openRequest) (wait time.Duration, ok bool) {
 	if d.admission == nil || !idempotent(d.settings.Classes[request.Class].Idempotency) {
 		return 0, true
@@ -113,7 +118,8 @@
 	return d.admission.Admit(now, others)
 }
 
-// retryAfter returns the Retry-After advice for a wait, within what the site allows; 0: no advice.
+// retryAfter returns the time after which a rejected client is advised to retry: the given wait, limited to the site's
+// MaxRetryAfter. It returns 0, which means no advice, if the site does not allow such advice.
 func (d *Director) retryAfter(wait time.Duration) time.Duration {
 	site := &d.settings.SiteLimits
 	if !site.RetryAfterAllowed {
@@ -122,8 +128,9 @@
 	return max(0, min(wait, site.MaxRetryAfter))
 }
 
-// Cancel ends a request whose client no longer waits: no response is owed. Its attempts that have not been written are
-// cancelled at once, also while the router is suspended: nothing must be started for a client that has gone.
+// Cancel ends a request whose client no longer waits for a response; no response is sent. Attempts of the request that
+// have not been written are cancelled immediately, even while the router is suspended, because no work must be started
+// for a client that no longer waits.
 func (d *Director) Cancel(requestHandle handle.Handle) {
 	request, ok := d.requests.Get(requestHandle)
 	if !ok || request.finished {
@@ -137,7 +144,8 @@
 	d.postLastEvent(routing.RequestClosed{ID: uint32(requestHandle)}, request)
 }
 
-// ShortenDeadline brings the deadline of a request forward. A later deadline than it has changes nothing.
+// ShortenDeadline moves the deadline of a request and of its attempts forward. It does nothing if the request's current
+// deadline is not later than the new one.
 func (d *Director) ShortenDeadline(requestHandle handle.Handle, deadline routing.Time) {
 	request, ok := d.requests.Get(requestHandle)
 	if !ok || request.finished || request.deadline <= deadline {
@@ -154,8 +162,8 @@
 	d.postEvent(routing.ShortenDeadline{ID: uint32(requestHandle), Deadline: deadline})
 }
 
-// SetShutdownDeadline brings the deadlines of all requests forward, those in flight and those that are still to come,
-// as the process ends soon after. Without it, a client that waits for a hanging cache would be left without a response.
+// SetShutdownDeadline limits the deadlines of all open and future requests, because the process ends soon after the
+// shutdown deadline. Without this limit, a client whose request is at a hanging cache would get no response.
 func (d *Director) SetShutdownDeadline(deadline routing.Time) {
 	d.shutdownDeadline = deadline
 	var open []handle.Handle
@@ -168,8 +176,9 @@
 	}
 }
 
-// armDeadlineGuard has a request fail shortly after its deadline. The router ends every request by its deadline; the
-// guard keeps a fault there from leaving a client without a response.
+// armDeadlineGuard schedules a timer that fails a request Limits.OverdueGracePeriod after its deadline. The router is
+// expected to end every request by its deadline. If a fault keeps the router from doing this, the timer ensures that
+// the client still gets a response.
 func (d *Director) armDeadlineGuard(request *openRequest) {
 	overdueAt := request.deadline + d.limits.OverdueGracePeriod
 	d.timers.Schedule(&request.deadlineGuard, overdueAt, func() { d.failOverdue(request) })
@@ -182,7 +191,7 @@
 	d.postLastEvent(routing.RequestClosed{ID: uint32(request.handle)}, request)
 }
 
-// respond finishes a request and gives its client the one response.
+// respond finishes a request and sends the response to its client.
 func (d *Director) respond(request *openRequest, response Response) {
 	d.countOutcome(response.Outcome)
 	if d.admission != nil && request.admitted {
@@ -216,8 +225,9 @@
 	d.timers.Cancel(&request.deadlineGuard)
 }
 
-// releaseRequest frees the slot of a request of which the router has seen the end. By then the router has cancelled all
-// attempts that the site lets it cancel; the others are cancelled here.
+// releaseRequest frees the slot and the body of a request after the router has handled the request's end. The router
+// has cancelled the request's attempts by then, but only if the site allows cancellation; releaseRequest cancels the
+// attempts that are still in flight.
 func (d *Director) releaseRequest(request *openRequest) {
 	for number := range request.inFlight {
 		d.cancelAttempt(request, number)
--- a/internal/director/requests_test.go
+++ b/internal/director/requests_test.go
@@ -11,7 +11,9 @@
 	"shaleyard/routing"
 )
 
-func TestFirstGoodResultIsPassedOnOnce(t *testing.T) {
+// The first successful result of a request must be sent to the client once. A second result of the same attempt must be
+// dropped.
+func TestFirstSuccessIsSentToClientOnce(t *testing.T) {
 	h := newHarness(t)
 	h.submit(readClass)
 	attempt := h.sentAttempts[0].handle
@@ -23,9 +25,9 @@
 	h.wantResponses("served bytes")
 }
 
-// A payment that was written and not answered may have run: failed, not rejected. One that still waits for its
-// connection never ran.
-func TestDeadlineTellsWrittenFromUnwritten(t *testing.T) {
+// A payment that was written and not answered by its deadline may have been executed, so the client must get a failure,
+// not a rejection. A payment that still waits for its connection was not executed, so it is rejected.
+func TestTimedOutPaymentOutcomeDependsOnWrite(t *testing.T) {
 	for _, test := range []struct {
 		name    string
 		written bool
@@ -41,39 +43,42 @@
 			h.advance(5 * time.Second)
 			h.wantResponses(test.want)
 			if len(h.sentAttempts) != 1 {
-				t.Errorf("sent %d times, want once", len(h.sentAttempts))
+				t.Errorf("sent %d attempts, want 1", len(h.sentAttempts))
 			}
 		})
 	}
 }
 
+// A client can cancel the same request twice. The attempt in flight must be cancelled exactly once, and no response
+// must be sent.
 func TestCancelCancelsAttempts(t *testing.T) {
 	h := newHarness(t)
 	request := h.submit(readClass)
 	h.director.Cancel(request)
 	h.director.Cancel(request)
 	if diff := cmp.Diff([]handle.Handle{h.sentAttempts[0].handle}, h.cancelled); diff != "" {
-		t.Error(diff)
+		t.Errorf("cancelled attempts (-want +got):\n%s", diff)
 	}
 	h.advance(5 * time.Second)
 	h.wantResponses()
 }
 
-// The table of open requests is bounded: a request beyond it is not taken, so that the caller can reject it.
-func TestFullRequestTableTakesNothing(t *testing.T) {
+// The table of open requests has a limited capacity. Submit must refuse a request that exceeds it, so that the caller
+// can reject the request.
+func TestFullRequestTableRefusesRequest(t *testing.T) {
 	h := newHarness(t)
 	for range 8 {
 		h.submit(readClass)
 	}
 	request := Request{Class: readClass, ObjectKey: objectKey, Timeout: time.Second}
 	if _, ok := h.director.Submit(request, h, 1); ok {
-		t.Error("a ninth request was taken")
+		t.Error("Submit accepted a ninth request, want 8 at most")
 	}
 }
 
-// During shutdown everything is answered by a deadline: requests that wait for hanging caches, and those that still
-// come in.
-func TestShutdownDeadlineAnswersEverything(t *testing.T) {
+// During a shutdown, every request must be answered by the shutdown deadline: requests that wait for hanging caches,
+// and requests that are submitted during the shutdown.
+func TestAllRequestsAreAnsweredByShutdownDeadline(t *testing.T) {
 	h := newHarness(t)
 	h.director.UpdateEndpoints(false, 2, []Endpoint{cacheEndpoint("c2", routing.Ready, 0)})
 	h.submit(readClass)
@@ -83,18 +88,18 @@
 	h.submit(readClass)
 	h.advance(990 * time.Millisecond)
 	if len(h.responses) != 0 {
-		t.Fatalf("answered early: %v", h.responses)
+		t.Fatalf("responses before the shutdown deadline: %v, want none", h.responses)
 	}
 	h.advance(20 * time.Millisecond)
 	counters := &h.director.Counters
 	if counters.RequestsOverdue != 0 || counters.AttemptsAbandoned != 0 {
-		t.Errorf("%d requests ended by the deadline guard, %d attempts decided too late; want the router to end them",
+		t.Errorf("RequestsOverdue = %d, AttemptsAbandoned = %d, want 0: the router must end the requests in time",
 			counters.RequestsOverdue, counters.AttemptsAbandoned)
 	}
-	h.wantResponses("rejected", "failed", "rejected") // the payment may have run
+	h.wantResponses("rejected", "failed", "rejected") // the payment may have been executed
 }
 
-// A director that does not accept requests rejects them at once.
+// While RejectUntil reports that the process does not accept requests, the director must reject them immediately.
 func TestRejectUntilRejectsAtOnce(t *testing.T) {
 	closed := true
 	var h *harness
@@ -103,19 +108,21 @@
 	})
 	h.submit(paymentClass)
 	if len(h.sentAttempts) != 0 || h.director.Counters.RejectedNotAccepting != 1 {
-		t.Errorf("sent %v, %d rejected as not accepting", h.sentAttempts, h.director.Counters.RejectedNotAccepting)
+		t.Errorf("sent %v, RejectedNotAccepting = %d, want no attempt and 1",
+			h.sentAttempts, h.director.Counters.RejectedNotAccepting)
 	}
 	h.wantResponses("rejected")
 	closed = false
 	h.submit(readClass)
 	if len(h.sentAttempts) != 1 {
-		t.Error("not sent once requests are accepted")
+		t.Errorf("sent %d attempts after requests are accepted again, want 1", len(h.sentAttempts))
 	}
 }
 
-// After a start, requests are admitted as responses come: those beyond that are rejected at once and never sent. A
-// payment is admitted all the same, and so are twice as many requests once responses have come.
-func TestRequestsBeyondAdmissionAreRejectedAtOnce(t *testing.T) {
+// After a start, admission control limits the requests in flight. Requests beyond the limit must be rejected
+// immediately and never be sent, except payments, which are always admitted. The limit must double once all requests in
+// flight have been served.
+func TestAdmissionControlRejectsExcessRequests(t *testing.T) {
 	h := newHarness(t, func(cfg *Config) { cfg.Admission = overload.NewAdmission(1) })
 	h.director.limits.MaxOpenRequests = 100
 	h.director.requests = handle.NewTable[*openRequest](100)
@@ -127,25 +134,27 @@
 	admitted := h.director.OpenRequests()
 	rejected := len(h.responses)
 	if admitted == 0 || admitted > 20 || rejected != 40-admitted || len(h.sentAttempts) > admitted {
-		t.Fatalf("%d in flight, %d responses, %d attempts of 40 requests", admitted, rejected, len(h.sentAttempts))
+		t.Fatalf("admitted %d, rejected %d, sent %d of 40 requests; want 1 to 20 admitted, all others rejected",
+			admitted, rejected, len(h.sentAttempts))
 	}
 	if h.director.Counters.RejectedByAdmission != uint64(40-admitted) {
-		t.Errorf("%d counted", h.director.Counters.RejectedByAdmission)
+		t.Errorf("RejectedByAdmission = %d, want %d", h.director.Counters.RejectedByAdmission, 40-admitted)
 	}
 	h.submit(paymentClass)
 	if h.director.OpenRequests() != admitted+1 {
-		t.Error("a payment was rejected")
+		t.Errorf("%d open requests after a payment, want %d", h.director.OpenRequests(), admitted+1)
 	}
 	for _, sent := range h.sentAttempts {
 		h.director.AttemptEnded(sent.handle, AttemptResult{Result: routing.OK, FillStatus: routing.FillStatusHit})
 	}
 	if h.director.OpenRequests() != 0 {
-		t.Fatalf("%d still in flight", h.director.OpenRequests())
+		t.Fatalf("%d open requests after all attempts were served, want 0", h.director.OpenRequests())
 	}
 	for range 2 * admitted {
 		h.submit(readClass)
 	}
 	if h.director.OpenRequests() < 2*admitted-1 {
-		t.Errorf("%d in flight after %d responses, want twice as many", h.director.OpenRequests(), admitted)
+		t.Errorf("%d requests admitted after %d responses, want at least %d",
+			h.director.OpenRequests(), admitted, 2*admitted-1)
 	}
 }
--- a/internal/handle/table.go
+++ b/internal/handle/table.go
@@ -1,13 +1,13 @@
-// Package handle holds tables whose entries are referred to by generational handles. Unlike a pointer, a handle fits in
-// 32 bits, can be passed to other parts and come back late, and finds nothing once its entry has been removed, even if
-// the entry's slot is in use again.
+// Package handle provides tables whose entries are identified by generational handles. Unlike a pointer, a handle fits
+// in 32 bits, and other components can keep a handle after its entry has been removed: a lookup of the handle then
+// fails, even if the entry's slot has been reused.
 //
-// Nothing here is safe for concurrent use.
+// Nothing in this package is safe for concurrent use.
 package handle
 
-// Handle refers to an entry of a Table: the low bits are the index of its slot, the others the slot's generation at the
-// time the entry was added. No handle is 0. A handle could find another entry only after its slot has been used again
-// for every other generation, 2^18-1 in all.
+// Handle identifies an entry of a Table. The low 14 bits are the index of the entry's slot, and the high 18 bits are
+// the slot's generation when the entry was added. No handle is 0. A slot has 2^18-1 generations: the handle of a
+// removed entry can find another entry only after the slot has been reused for all of them.
 type Handle uint32
 
 const (
@@ -16,13 +16,13 @@
 	generationMask = 1<<(32-slotBits) - 1
 )
 
-// MaxEntries is the largest number of entries that a Table can hold.
+// MaxEntries is the maximum number of entries that a Table can hold.
 const MaxEntries = 1 << slotBits
 
-// Table is a set of entries, each under a handle of its own.
+// Table is a set of entries, each identified by its own handle.
 type Table[T any] struct {
 	slots     []tableSlot[T]
-	freeSlots []uint32 // indices of the slots that are not in use; the last one is used next
+	freeSlots []uint32 // indices of the slots that are not in use; the last one is reused first
 	capacity  int
 	count     int
 }
@@ -33,7 +33,7 @@
 	value      T
 }
 
-// NewTable returns an empty table for at most capacity entries, and never for more than MaxEntries.
+// NewTable returns an empty table that can hold up to capacity entries, at most MaxEntries.
 func NewTable[T any](capacity int) *Table[T] {
 	return &Table[T]{capacity: min(capacity, MaxEntries)}
 }
@@ -41,7 +41,7 @@
 // Len returns the number of entries.
 func (t *Table[T]) Len() int { return t.count }
 
-// Add adds an entry and returns its handle; false if the table is full.
+// Add adds an entry and returns its handle, or false if the table is full.
 func (t *Table[T]) Add(value T) (Handle, bool) {
 	if t.count >= t.capacity {
 		return 0, false
@@ -50,7 +50,7 @@
 	slot := &t.slots[index]
 	slot.generation = (slot.generation + 1) & generationMask
 	if slot.generation == 0 {
-		slot.generation = 1 // so that no handle is ever 0
+		slot.generation = 1 // generation 0 is not used, so that no handle is 0
 	}
 	slot.used = true
 	slot.value = value
@@ -58,7 +58,8 @@
 	return newHandle(index, slot.generation), true
 }
 
-// takeSlot returns the index of a slot that is not in use: one that was freed, else a new one.
+// takeSlot returns the index of a slot that is not in use. It reuses a freed slot if there is one, and appends a slot
+// otherwise.
 func (t *Table[T]) takeSlot() uint32 {
 	if free := len(t.freeSlots); free > 0 {
 		index := t.freeSlots[free-1]
@@ -69,7 +70,7 @@
 	return uint32(len(t.slots) - 1)
 }
 
-// Get returns the entry; false if the handle does not refer to one, or no longer.
+// Get returns the entry that the handle identifies, or false if there is none or the entry has been removed.
 func (t *Table[T]) Get(handle Handle) (value T, ok bool) {
 	if slot := t.find(handle); slot != nil {
 		return slot.value, true
@@ -77,7 +78,7 @@
 	return value, false
 }
 
-// Remove removes the entry, if the handle still refers to one.
+// Remove removes the entry that the handle identifies. It does nothing if there is none or the entry has been removed.
 func (t *Table[T]) Remove(handle Handle) {
 	slot := t.find(handle)
 	if slot == nil {
@@ -90,8 +91,8 @@
 	t.count--
 }
 
-// All calls yield for each entry, in the order of slots, until yield returns false; a for loop can range over it. The
-// entries may be removed meanwhile.
+// All is an iterator, for a range statement, over the handles and entries of the table in the order of their slots.
+// Entries may be removed during the iteration.
 func (t *Table[T]) All(yield func(Handle, T) bool) {
 	for i := range t.slots {
 		slot := &t.slots[i]
@@ -101,7 +102,7 @@
 	}
 }
 
-// find returns the slot of the entry; nil if the handle does not refer to one.
+// find returns the slot of the entry that the handle identifies, or nil if there is none or the entry has been removed.
 func (t *Table[T]) find(handle Handle) *tableSlot[T] {
 	index := handle.index()
 	if int(index) >= len(t.slots) {
--- a/internal/lifecycle/lifecycle.go
+++ b/internal/lifecycle/lifecycle.go
@@ -1,6 +1,6 @@
-// Package lifecycle is the state machine of a process's life, from its start over operators' drains to a graceful
-// shutdown. It does no I/O and reads no clock: callers report events with their time, ask for the Policy that holds
-// then (whether the process is ready, accepts requests and connections, and keeps idle ones), and carry it out.
+// Package lifecycle is the state machine of a process: its start, the drains that operators request, and its graceful
+// shutdown. It does no I/O and reads no clock. Callers report events with their time, query the Policy for a time
+// (whether the process is ready, accepts requests and connections, and keeps idle connections), and apply it.
 package lifecycle
 
 import (
@@ -10,24 +10,24 @@
 	"shaleyard/routing"
 )
 
-// State is a state in the life of a process.
+// State is a state of a process.
 type State uint8
 
-// The states, in the order of a process's life. A process may go back and forth between Starting, Ready, Draining and
-// Drained; from Stopping on it only goes forward.
+// States of a process, in their usual order. A process can change back and forth between Starting, Ready, Draining and
+// Drained. From Stopping on, it never returns to an earlier state.
 const (
-	Starting State = iota // the endpoint list has not been received
-	Ready                 // the load balancer may send clients here
-	Draining              // operators have asked for a drain: clients are moved away
+	Starting State = iota // waiting for the endpoint list
+	Ready                 // the load balancer may send clients to this process
+	Draining              // operators have requested a drain: clients are moved to other processes
 	Drained               // no client is left; the process runs on until it is stopped or the drain is cancelled
-	Stopping              // a stop was requested: requests are still accepted, as the load balancer hears of it late
-	Closing               // no request is accepted; a connection ends once nothing is owed on it
-	Ended                 // nothing is left, or the deadline has passed
+	Stopping              // a stop was requested; requests are still accepted, as the load balancer is not yet aware of it
+	Closing               // no request is accepted; a connection is closed once all its requests are answered
+	Ended                 // no request and no connection is left, or the stop deadline has passed
 )
 
 var stateNames = [...]string{"starting", "ready", "draining", "drained", "stopping", "closing", "ended"}
 
-// String is the name of the state, as logs and the operators' address give it.
+// String returns the name of the state that logs and the operators' HTTP interface show.
 func (s State) String() string {
 	if int(s) < len(stateNames) {
 		return stateNames[s]
@@ -35,24 +35,24 @@
 	return fmt.Sprintf("state %d", uint8(s))
 }
 
-// Cause is why a state was left for another.
+// Cause is the reason for a change of state.
 type Cause uint8
 
-// The causes of transitions.
+// Causes of transitions.
 const (
-	CauseDiscoveryReady  Cause = iota // the endpoint list was received, or waited for long enough
-	CauseDrainRequested               // operators asked for a drain
+	CauseDiscoveryReady  Cause = iota // the endpoint list was received, or has been waited for long enough
+	CauseDrainRequested               // operators requested a drain
 	CauseDrainCancelled               // operators cancelled the drain
 	CauseStopRequested                // a stop was requested
-	CauseTimeElapsed                  // a period or a deadline is over
+	CauseTimeElapsed                  // a period or a deadline has elapsed
 	CauseNothingInFlight              // no request and no connection is left
-	CauseClientsArrived               // clients came after the process had been drained
+	CauseClientsArrived               // requests or connections arrived at a drained process
 )
 
 var causeNames = [...]string{"discovery ready", "drain requested", "drain cancelled", "stop requested", "time elapsed",
 	"nothing in flight", "clients arrived"}
 
-// String is the name of the cause, as logs give it.
+// String returns the name of the cause that logs show.
 func (c Cause) String() string {
 	if int(c) < len(causeNames) {
 		return causeNames[c]
@@ -67,44 +67,45 @@
 	At       routing.Time
 }
 
-// Timeouts are the periods of drains and stops, each counted from the request for it.
+// Timeouts holds the periods of drains and stops. Each is counted from the request for the drain or the stop.
 type Timeouts struct {
-	// DrainNoticePeriod is the time that the load balancer takes to hear of a drain. A client whose connection ended
-	// before would come back.
+	// DrainNoticePeriod is the time after which the load balancer is aware of a drain. A client that is disconnected
+	// earlier would be sent to this process again.
 	DrainNoticePeriod routing.Time
-	// DrainGracePeriod is the time for which requests are accepted on connections that are open.
+	// DrainGracePeriod is the time for which requests are accepted on open connections during a drain.
 	DrainGracePeriod routing.Time
-	// DrainDeadline is the time by which a connection is closed on which the client goes on sending, or reads nothing.
+	// DrainDeadline is the time by which connections are closed whose clients keep sending requests or read no
+	// responses.
 	DrainDeadline routing.Time
-	// StopGracePeriod is the time for which requests are accepted after a stop was requested.
+	// StopGracePeriod is the time for which requests are accepted after the request for a stop.
 	StopGracePeriod routing.Time
-	// StopDeadline is the time by which a stop ends, whatever is left.
+	// StopDeadline is the time by which a stop ends, even if requests or connections are left.
 	StopDeadline routing.Time
 }
 
-// Machine is the state of one process. It is safe for concurrent use.
+// Machine is the state machine of one process. It is safe for concurrent use.
 type Machine struct {
 	timeouts       Timeouts
-	sharedListener bool             // other processes may accept on the listener, too
-	onTransition   func(Transition) // nil: none
+	sharedListener bool             // other processes may accept connections on the same listener
+	onTransition   func(Transition) // nil: transitions are not reported
 
 	mu             sync.Mutex
 	state          State
-	discoveryReady bool         // DiscoveryReady was called
-	requestedAt    routing.Time // when the drain or the stop was requested
+	discoveryReady bool         // DiscoveryReady has been called
+	requestedAt    routing.Time // time of the request for the current drain or stop
 }
 
-// Option sets what is optional of a Machine.
+// Option is an optional setting of a Machine.
 type Option func(*Machine)
 
-// WithOnTransition has a function called on each transition, in order, with the Machine locked: it must not call the
-// Machine.
+// WithOnTransition returns an Option that has the Machine call a function on each transition, in order. The Machine is
+// locked during the call, so the function must not call the Machine's methods.
 func WithOnTransition(onTransition func(Transition)) Option {
 	return func(m *Machine) { m.onTransition = onTransition }
 }
 
-// New returns the machine of a process that is starting. With sharedListener its listening socket was inherited, so
-// that other processes may accept on it.
+// New returns a Machine in the state Starting. If sharedListener is true, the process has inherited its listening
+// socket, so other processes may accept connections on the same socket.
 func New(timeouts Timeouts, sharedListener bool, options ...Option) *Machine {
 	m := &Machine{timeouts: timeouts, sharedListener: sharedListener}
 	for _, set := range options {
@@ -113,14 +114,14 @@
 	return m
 }
 
-// State is the present state.
+// State returns the current state.
 func (m *Machine) State() State {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.state
 }
 
-// transition is the one place that changes the state. The caller holds the lock.
+// transition changes the state and reports the change. All changes of state are made here. The caller holds the lock.
 func (m *Machine) transition(to State, cause Cause, now routing.Time) {
 	from := m.state
 	if from == to {
@@ -132,7 +133,7 @@
 	}
 }
 
-// DiscoveryReady reports that the endpoint list was received, or has been waited for long enough.
+// DiscoveryReady notifies the Machine that the endpoint list was received, or has been waited for long enough.
 func (m *Machine) DiscoveryReady(now routing.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -142,7 +143,8 @@
 	}
 }
 
-// Drain requests a drain. A further request changes nothing: the periods count from the first one.
+// Drain requests a drain. It does nothing if the process is already draining, drained or stopping, so the periods of a
+// drain are counted from the first request.
 func (m *Machine) Drain(now routing.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -152,7 +154,7 @@
 	}
 }
 
-// CancelDrain ends a drain. It returns false if the process is stopping, and can't come back.
+// CancelDrain cancels a drain, if there is one. It returns false if a stop was requested, which can't be cancelled.
 func (m *Machine) CancelDrain(now routing.Time) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -169,7 +171,7 @@
 	return true
 }
 
-// Stop requests a graceful shutdown. It returns false if that was requested before.
+// Stop requests a graceful shutdown. It returns false if a shutdown has already been requested.
 func (m *Machine) Stop(now routing.Time) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -181,8 +183,8 @@
 	return true
 }
 
-// Advance takes the transitions that are due at a time, and returns the state after them: one at most in each call.
-// inFlight is the number of requests and connections that the process holds for clients.
+// Advance performs the next transition if it is due at the time now, and returns the resulting state. Each call
+// performs at most one transition. inFlight is the number of clients' requests and connections that the process holds.
 func (m *Machine) Advance(now routing.Time, inFlight int) State {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -206,8 +208,9 @@
 	return m.state
 }
 
-// advanceClosing ends the process at the deadline, or once nothing is in flight and all that clients had sent within
-// the grace period was read. The caller holds the lock.
+// advanceClosing ends the process at the stop deadline, or once nothing is in flight. The latter happens strictly after
+// the grace period, so that everything that clients sent within the grace period has been read. The caller holds the
+// lock.
 func (m *Machine) advanceClosing(now, elapsed routing.Time, inFlight int) {
 	switch {
 	case elapsed >= m.timeouts.StopDeadline:
@@ -217,32 +220,34 @@
 	}
 }
 
-// Policy is what a process does in its state at a time.
+// Policy is the behavior of a process in a given state at a given time.
 type Policy struct {
-	Ready               bool // the load balancer may send clients here
+	Ready               bool // the load balancer may send clients to this process
 	AcceptRequests      bool // requests are accepted; otherwise they are rejected
-	KeepIdleConnections bool // connections on which nothing is owed are kept
-	AcceptConnections   bool // connections are accepted
-	ShortenDeadline     *DeadlineLimit
+	KeepIdleConnections bool // connections without open requests are kept open
+	AcceptConnections   bool // new connections are accepted
+	ShortenDeadline     *DeadlineLimit // limits the deadlines of requests; nil: no limit
 }
 
-// DeadlineLimit sets a deadline for all requests on connections on which a message has come since a time.
+// DeadlineLimit limits the deadlines of all requests to Deadline, on those connections that have received a message
+// since ActiveSince.
 type DeadlineLimit struct{ ActiveSince, Deadline routing.Time }
 
-// Policy is what the present state asks for at a time.
+// Policy returns the policy of the current state at the time now.
 func (m *Machine) Policy(now routing.Time) Policy {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	switch m.state {
 	case Starting:
-		// Connections on a shared listener are left to the other processes until this one is ready.
+		// Until this process is ready, connections on a shared listener are left to the other processes.
 		return Policy{AcceptRequests: true, KeepIdleConnections: true, AcceptConnections: !m.sharedListener}
 	case Ready:
 		return Policy{Ready: true, AcceptRequests: true, KeepIdleConnections: true, AcceptConnections: true}
 	case Draining, Drained:
 		return m.drainPolicy(now - m.requestedAt)
 	case Stopping:
-		// On a shared listener another process accepts the connections that come, and idle clients are sent there.
+		// On a shared listener, another process accepts new connections. Idle connections are closed, so that their
+		// clients connect to the other process.
 		return Policy{
 			AcceptRequests:      true,
 			KeepIdleConnections: !m.sharedListener,
@@ -254,7 +259,7 @@
 	return Policy{}
 }
 
-// drainPolicy is the policy so long after a drain was requested. The caller holds the lock.
+// drainPolicy returns the policy of a drain that was requested the elapsed time ago. The caller holds the lock.
 func (m *Machine) drainPolicy(elapsed routing.Time) Policy {
 	withinNotice := elapsed < m.timeouts.DrainNoticePeriod
 	policy := Policy{
--- a/internal/lifecycle/lifecycle_test.go
+++ b/internal/lifecycle/lifecycle_test.go
@@ -16,19 +16,20 @@
 	StopDeadline:      3650 * time.Millisecond,
 }
 
-// event is something that can happen to a process.
+// event is a named call of a method of the Machine.
 type event struct {
 	name  string
 	apply func(machine *Machine, now routing.Time)
 }
 
-// advance lets time pass with so many requests and connections in flight.
+// advance returns an event that advances the Machine with the given number of requests and connections in flight.
 func advance(inFlight int) func(machine *Machine, now routing.Time) {
 	return func(machine *Machine, now routing.Time) { machine.Advance(now, inFlight) }
 }
 
-// Every order of events, up to six of them with any of three times between, keeps what must hold in each state.
-func TestEveryOrderOfEvents(t *testing.T) {
+// Invalid combinations of state and policy can depend on the order of events. All sequences of up to six events, with
+// each of three intervals between the events, must satisfy the invariants of checkPolicy.
+func TestPolicyInvariantsForAllEventSequences(t *testing.T) {
 	events := []event{
 		{"discovery ready", (*Machine).DiscoveryReady},
 		{"drain", (*Machine).Drain},
@@ -46,7 +47,7 @@
 	}
 }
 
-// explore replays a sequence of events, and all sequences that begin with it and are longer by depth at most.
+// explore replays a sequence of events, and all sequences that extend it by up to depth further events.
 func explore(t *testing.T, events []event, shared bool, step time.Duration, sequence []event, depth int) {
 	t.Helper()
 	replay(t, shared, step, sequence)
@@ -58,7 +59,7 @@
 	}
 }
 
-// model is what has been requested of a process, without the states.
+// model records the requests made to a process, from which checkPolicy derives the expected policy. It has no states.
 type model struct {
 	discoveryReady, draining, stopping bool
 	requestedAt                        routing.Time
@@ -81,14 +82,14 @@
 	}
 }
 
-// replay applies a sequence of events to a new machine and checks the policy after each.
+// replay applies a sequence of events to a new Machine, and checks each transition and the policy after each event.
 func replay(t *testing.T, shared bool, step time.Duration, sequence []event) {
 	t.Helper()
 	last, now := Starting, routing.Time(0)
 	var history string
 	checkTransition := func(change Transition) {
 		if change.From != last || change.To == change.From || (change.From >= Stopping && change.To < change.From) {
-			t.Fatalf("%s: %v to %v after %v", history, change.From, change.To, last)
+			t.Fatalf("%s: transition from %v to %v in state %v", history, change.From, change.To, last)
 		}
 		last = change.To
 	}
@@ -102,34 +103,35 @@
 	}
 }
 
-// checkPolicy compares the policy with what has been requested of the process.
+// checkPolicy fails the test if the machine's state or policy contradicts the requests made to the process.
 func checkPolicy(t *testing.T, history string, machine *Machine, requested model, now routing.Time, shared bool) {
 	t.Helper()
 	policy, state, elapsed := machine.Policy(now), machine.State(), now-requested.requestedAt
 	drainOnly := requested.draining && !requested.stopping
 	switch {
 	case policy.Ready != (requested.discoveryReady && !requested.draining && !requested.stopping):
-		t.Fatalf("%s: ready %v in state %v", history, policy.Ready, state)
+		t.Fatalf("%s: Ready = %v in state %v, want %v", history, policy.Ready, state, !policy.Ready)
 	case policy.Ready && (!policy.AcceptRequests || !policy.KeepIdleConnections || !policy.AcceptConnections):
-		t.Fatalf("%s: ready, but %+v", history, policy)
+		t.Fatalf("%s: policy %+v, want a ready process to accept requests and connections and keep idle ones",
+			history, policy)
 	case requested.stopping != (state >= Stopping):
-		t.Fatalf("%s: state %v", history, state)
+		t.Fatalf("%s: state %v, want a stopping state: %v", history, state, requested.stopping)
 	case drainOnly && elapsed >= testTimeouts.DrainNoticePeriod && policy.KeepIdleConnections:
-		t.Fatalf("%s: idle connections are kept", history)
+		t.Fatalf("%s: idle connections are kept after the notice period of a drain", history)
 	case drainOnly && elapsed >= testTimeouts.DrainGracePeriod && policy.AcceptRequests:
-		t.Fatalf("%s: requests are accepted", history)
+		t.Fatalf("%s: requests are accepted after the grace period of a drain", history)
 	case !shared && state != Ended && !policy.AcceptConnections:
-		t.Fatalf("%s: nobody accepts connections on a listener that no other process shares", history)
+		t.Fatalf("%s: no process accepts connections on a listener that is not shared", history)
 	case shared && !requested.discoveryReady && policy.AcceptConnections:
-		t.Fatalf("%s: accepts connections on a shared listener without the endpoint list", history)
+		t.Fatalf("%s: connections on a shared listener are accepted before discovery is ready", history)
 	case shared && requested.stopping && policy.AcceptConnections:
-		t.Fatalf("%s: takes connections on a shared listener from the process that stays", history)
+		t.Fatalf("%s: connections on a shared listener are accepted by a stopping process", history)
 	case state == Ended && elapsed < testTimeouts.StopGracePeriod:
-		t.Fatalf("%s: ended while requests may come", history)
+		t.Fatalf("%s: ended within the grace period of a stop, when clients may still send requests", history)
 	}
 }
 
-// A stop with nothing in flight ends after the grace period, any other at its deadline.
+// A stop must end after the grace period if nothing is in flight, and at the stop deadline otherwise.
 func TestStopEnds(t *testing.T) {
 	for _, test := range []struct {
 		name     string
--- a/internal/timer/heap.go
+++ b/internal/timer/heap.go
@@ -1,6 +1,7 @@
 package timer
 
-// timerHeap implements heap.Interface. It tells each timer its index, so that the timer can be removed from the middle.
+// timerHeap implements heap.Interface. It records each timer's index in the timer, so that a timer can be removed from
+// any position.
 type timerHeap []*Timer
 
 // Len implements sort.Interface.
@@ -33,7 +34,7 @@
 	timers := *h
 	last := len(timers) - 1
 	timer := timers[last]
-	timers[last] = nil // the slice's spare capacity must not keep the timer alive
+	timers[last] = nil // the slice's unused capacity must not retain the timer
 	*h = timers[:last]
 	timer.heapIndex = 0
 	return timer
--- a/internal/timer/queue.go
+++ b/internal/timer/queue.go
@@ -1,8 +1,8 @@
-// Package timer holds the timers of an event loop: a binary heap of callbacks ordered by their deadlines. One queue
-// serves all parts that run on the loop, so that the loop has a single next deadline to wait for.
+// Package timer implements the timers of an event loop as a binary heap of callbacks ordered by deadline. All
+// components that run on the loop share one queue, so that the loop waits for a single next deadline.
 //
-// Times are readings of the caller's monotonic clock, given as the duration since its origin. Nothing here is safe for
-// concurrent use.
+// Times are readings of the caller's monotonic clock, given as the duration since the clock's origin. Nothing in this
+// package is safe for concurrent use.
 package timer
 
 import (
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// Timer is one deadline in a Queue, with the callback that runs when it has come. The zero value is a timer that is not
-// scheduled. A Timer must not be copied while it is scheduled.
+// Timer is a callback with the deadline at which a Queue runs it. The zero value is a timer that is not scheduled. A
+// Timer must not be copied while it is scheduled.
 type Timer struct {
 	deadline  time.Duration
 	sequence  uint64 // number of the Schedule call, which orders timers with the same deadline
@@ -19,18 +19,19 @@
 	callback  func()
 }
 
-// Pending tells whether the timer is scheduled in a queue.
+// Pending reports whether the timer is scheduled in a queue.
 func (t *Timer) Pending() bool { return t.heapIndex > 0 }
 
-// Queue is a set of timers ordered by deadline; timers with the same deadline run in the order in which they were
-// scheduled. Its zero value is an empty queue.
+// Queue is a set of timers ordered by deadline. Timers with the same deadline run in the order in which they were
+// scheduled. The zero value is an empty queue.
 type Queue struct {
 	heap         timerHeap
 	lastSequence uint64
 }
 
-// Schedule has the callback run once, by RunDue, when the deadline has come. A timer that is already scheduled in this
-// queue is moved: it loses its former deadline, callback, and place among equal deadlines.
+// Schedule schedules a timer: RunDue runs the callback once, at or after the deadline. If the timer is already
+// scheduled in this queue, the new deadline and callback replace the previous ones, and the timer runs after all others
+// that are already scheduled for the new deadline.
 func (q *Queue) Schedule(timer *Timer, deadline time.Duration, callback func()) {
 	q.Cancel(timer)
 	q.lastSequence++
@@ -40,19 +41,19 @@
 	heap.Push(&q.heap, timer)
 }
 
-// ScheduleFunc schedules the callback on a new timer, which can be neither moved nor cancelled.
+// ScheduleFunc schedules the callback on a new timer, which can be neither rescheduled nor cancelled.
 func (q *Queue) ScheduleFunc(deadline time.Duration, callback func()) {
 	q.Schedule(&Timer{}, deadline, callback)
 }
 
-// Cancel removes the timer from the queue. A timer that is not scheduled stays so.
+// Cancel removes the timer from the queue. It does nothing if the timer is not scheduled.
 func (q *Queue) Cancel(timer *Timer) {
 	if timer.Pending() {
 		heap.Remove(&q.heap, timer.heapIndex-1)
 	}
 }
 
-// NextDeadline returns the earliest deadline; false if the queue is empty.
+// NextDeadline returns the earliest deadline, or false if the queue is empty.
 func (q *Queue) NextDeadline() (time.Duration, bool) {
 	if len(q.heap) == 0 {
 		return 0, false
@@ -61,8 +62,8 @@
 }
 
 // RunDue removes the timers whose deadlines are not after now, and runs their callbacks in order. It stops at the first
-// timer that one of these callbacks has scheduled, which waits for the next RunDue: a timer that reschedules itself for
-// the same moment can't keep the event loop from its other work.
+// timer that was scheduled during this call of RunDue, and leaves that timer to the next call. Otherwise, a timer that
+// reschedules itself for the same time would block the event loop.
 func (q *Queue) RunDue(now time.Duration) {
 	last := q.lastSequence
 	for len(q.heap) > 0 {
