--- a/internal/director/api.go
+++ b/internal/director/api.go
@@ -15,7 +15,7 @@
 // Outcomes of a request.
 const (
 	Served   Outcome = iota
-	Rejected         // it had no effect, and the client can safely send it again
+	Rejected         // it had no effect or a repeat does no harm: the client can send it again
 	Failed           // it may have had an effect
 )
 
@@ -28,7 +28,7 @@
 	Object         string
 	Part           string
 	IfNoneMatch    string        // entity tag of the client's copy; "": none
-	IdempotencyKey string        // the same for all attempts of one request; "": none
+	IdempotencyKey string        // the same for all attempts of the request; "": none
 	Class          int           // index of the service in routing.Settings.Classes
 	ObjectKey      uint64        // Object as a number
 	PartNumber     int           // Part as a number
@@ -86,7 +86,7 @@
 	SuspendWrites()
 	// ResumeWrites writes the attempts that were held back since SuspendWrites.
 	ResumeWrites()
-	// UpdateEndpoint adds an endpoint, or applies its new address or incarnation.
+	// UpdateEndpoint adds an endpoint, or applies the new address or start time of a known one.
 	UpdateEndpoint(host routing.Host, name, address string, startedAt routing.Time)
 	// RemoveEndpoint removes an endpoint. Attempts in flight to the endpoint continue.
 	RemoveEndpoint(host routing.Host)
--- a/internal/director/counters.go
+++ b/internal/director/counters.go
@@ -43,7 +43,7 @@
 
 	// EndpointEvents counts the updates of the endpoint list. EndpointEntries counts the entries in these updates.
 	EndpointEvents, EndpointEntries uint64
-	// PurgeEvents counts purges.
+	// PurgeEvents counts the purges that service discovery reported.
 	PurgeEvents uint64
 	// UnknownActions counts the attempts that the router ordered for a request that is not open, and the actions of
 	// types that this deployment does not support.
--- a/internal/director/requests.go
+++ b/internal/director/requests.go
@@ -212,7 +212,7 @@
 	}
 }
 
-// finishRequest marks a request as answered or cancelled.
+// finishRequest marks a request as answered or cancelled, records its end and stops its deadline guard.
 func (d *Director) finishRequest(request *openRequest, reason flightrecorder.Reason) {
 	d.flightRecorder.Record(flightrecorder.Event{
 		At:      d.now(),
--- a/internal/lifecycle/lifecycle.go
+++ b/internal/lifecycle/lifecycle.go
@@ -20,7 +20,7 @@
 	Ready                 // the load balancer may send clients to this process
 	Draining              // operators have requested a drain: clients are moved to other processes
 	Drained               // no client is left; the process runs on until it is stopped or the drain is cancelled
-	Stopping              // a stop was requested; requests are still accepted, as the load balancer is not yet aware of it
+	Stopping              // a stop was requested; requests are accepted, as the load balancer learns of it late
 	Closing               // no request is accepted; a connection is closed once all its requests are answered
 	Ended                 // no request and no connection is left, or the stop deadline has passed
 )
