--- a/internal/director/discovery.go
+++ b/internal/director/discovery.go
@@ -20,7 +20,7 @@
 
 // endpointChanges holds the endpoints that an update of the endpoint list contains or changes.
 type endpointChanges struct {
-	full    bool // the update is a full list: an endpoint that it does not contain has been removed
+	full    bool                  // the update is a full list: an endpoint that it does not contain has been removed
 	listed  map[routing.Host]bool // contained in the update
 	changed map[routing.Host]bool // draining, removed, restarted or new
 }
--- a/internal/director/requests.go
+++ b/internal/director/requests.go
@@ -21,9 +21,9 @@
 	acceptedAt    routing.Time
 	deadline      routing.Time // time by which the request must be answered
 	deadlineGuard timer.Timer
-	admitted      bool // passed admission control, which is notified of its outcome
-	finished      bool // answered or cancelled
-	nextAttempt   int  // number of its next attempt
+	admitted      bool                  // passed admission control, which is notified of its outcome
+	finished      bool                  // answered or cancelled
+	nextAttempt   int                   // number of its next attempt
 	inFlight      map[int]handle.Handle // attempts in flight by their numbers
 }
 
--- a/internal/lifecycle/lifecycle.go
+++ b/internal/lifecycle/lifecycle.go
@@ -222,10 +222,10 @@
 
 // Policy is the behavior of a process in a given state at a given time.
 type Policy struct {
-	Ready               bool // the load balancer may send clients to this process
-	AcceptRequests      bool // requests are accepted; otherwise they are rejected
-	KeepIdleConnections bool // connections without open requests are kept open
-	AcceptConnections   bool // new connections are accepted
+	Ready               bool           // the load balancer may send clients to this process
+	AcceptRequests      bool           // requests are accepted; otherwise they are rejected
+	KeepIdleConnections bool           // connections without open requests are kept open
+	AcceptConnections   bool           // new connections are accepted
 	ShortenDeadline     *DeadlineLimit // limits the deadlines of requests; nil: no limit
 }
 
