--- a/internal/director/attempts.go
+++ b/internal/director/attempts.go
@@ -123,13 +123,13 @@
 	d.endAttempt(attempt, request, AttemptResult{Result: result})
 }
 
-// cancelOvertaken cancels each attempt that a discovery event affects and of which nothing has been written. Such an
+// cancelAffected cancels each attempt that a discovery event affects and of which nothing has been written. Such an
 // attempt may be waiting for a connection, and could otherwise be written later than the site's rules allow after the
 // event. The router makes a new decision for the attempt's request.
-func (d *Director) cancelOvertaken(overtaken func(*activeAttempt, *openRequest) bool) {
+func (d *Director) cancelAffected(affected func(*activeAttempt, *openRequest) bool) {
 	var handles []handle.Handle
 	d.attempts.All(func(attemptHandle handle.Handle, attempt *activeAttempt) bool {
-		if request, ok := d.requests.Get(attempt.requestHandle); ok && overtaken(attempt, request) {
+		if request, ok := d.requests.Get(attempt.requestHandle); ok && affected(attempt, request) {
 			handles = append(handles, attemptHandle)
 		}
 		return true
@@ -171,7 +171,7 @@
 	d.attempts.Remove(attempt.handle)
 	delete(request.inFlight, attempt.number)
 	d.Counters.AttemptsEnded++
-	d.recordAttempt(flightrecorder.AttemptEnded, attempt, reasonOfResult(result.Result))
+	d.recordAttempt(flightrecorder.AttemptEnded, attempt, reasonFromResult(result.Result))
 	d.Counters.Results[result.Result]++
 	d.Counters.FillStatuses[result.FillStatus]++
 	if result.Result == routing.OK && !request.finished {
--- a/internal/director/director.go
+++ b/internal/director/director.go
@@ -36,7 +36,7 @@
 
 	// RejectUntil, if set, reports whether requests are currently rejected, and the time until which rejected clients
 	// should wait before a retry.
-	RejectUntil func() (until routing.Time, closed bool)
+	RejectUntil func() (until routing.Time, reject bool)
 	// CheckForPause, if set, is called for each incoming request. It calls Suspend if the process was paused just
 	// before.
 	CheckForPause func()
@@ -58,7 +58,7 @@
 	timers         *timer.Queue
 	now            func() routing.Time
 	log            *zap.Logger
-	rejectUntil    func() (until routing.Time, closed bool) // nil: the process always accepts requests
+	rejectUntil    func() (until routing.Time, reject bool) // nil: the process always accepts requests
 	checkForPause  func()                                   // nil: no check for a pause
 	flightRecorder *flightrecorder.Recorder
 	admission      *overload.Admission // nil: all requests are admitted
--- a/internal/director/discovery.go
+++ b/internal/director/discovery.go
@@ -25,9 +25,9 @@
 	changed map[routing.Host]bool // draining, removed, restarted or new
 }
 
-// overtakes reports whether the update invalidates an earlier decision to send an attempt to the host or to fill from
-// the host.
-func (c endpointChanges) overtakes(host routing.Host) bool {
+// affects reports whether the update invalidates an earlier decision to send an attempt to the host or to fill from the
+// host.
+func (c endpointChanges) affects(host routing.Host) bool {
 	return c.changed[host] || c.full && !c.listed[host]
 }
 
@@ -51,8 +51,8 @@
 		changes.changed[endpoint.Host] = d.updateIncarnation(endpoint)
 	}
 	d.postDiscoveryEvent(update)
-	d.cancelOvertaken(func(attempt *activeAttempt, _ *openRequest) bool {
-		return changes.overtakes(attempt.host) || attempt.source != 0 && changes.overtakes(attempt.source)
+	d.cancelAffected(func(attempt *activeAttempt, _ *openRequest) bool {
+		return changes.affects(attempt.host) || attempt.source != 0 && changes.affects(attempt.source)
 	})
 	d.removeEndpoints(update, changes)
 }
@@ -101,7 +101,7 @@
 	d.Counters.PurgeEvents++
 	age := max(0, d.now()-purge.IssuedAt)
 	d.postDiscoveryEvent(routing.Purge{Age: age, Group: purge.Group, Object: purge.ObjectKey})
-	d.cancelOvertaken(func(_ *activeAttempt, request *openRequest) bool {
+	d.cancelAffected(func(_ *activeAttempt, request *openRequest) bool {
 		return request.ObjectKey == purge.ObjectKey || purge.ObjectKey == 0 && request.Group == purge.Group
 	})
 }
--- a/internal/director/discovery_test.go
+++ b/internal/director/discovery_test.go
@@ -15,36 +15,36 @@
 		return func(h *harness) { h.director.UpdateEndpoints(false, 2, []Endpoint{endpoint}) }
 	}
 	for _, test := range []struct {
-		name      string
-		event     func(*harness)
-		overtakes bool
-		unusable  bool // c1 must not get another attempt
+		name           string
+		event          func(*harness)
+		affectsAttempt bool
+		unusable       bool // c1 must not get another attempt
 	}{
 		{
-			name:      "target drains",
-			event:     update(cacheEndpoint("c1", routing.Draining, 0)),
-			overtakes: true,
-			unusable:  true,
+			name:           "target drains",
+			event:          update(cacheEndpoint("c1", routing.Draining, 0)),
+			affectsAttempt: true,
+			unusable:       true,
 		},
 		{
-			name:      "target has gone",
-			event:     update(cacheEndpoint("c1", routing.Gone, 0)),
-			overtakes: true,
-			unusable:  true,
+			name:           "target has gone",
+			event:          update(cacheEndpoint("c1", routing.Gone, 0)),
+			affectsAttempt: true,
+			unusable:       true,
 		},
 		{name: "target has restarted", event: func(h *harness) {
 			h.director.UpdateEndpoints(false, 2, []Endpoint{cacheEndpoint("c1", routing.Ready, h.now)})
-		}, overtakes: true},
+		}, affectsAttempt: true},
 		{name: "target is not in a full list", event: func(h *harness) {
 			h.director.UpdateEndpoints(true, 2, []Endpoint{cacheEndpoint("c2", routing.Ready, 0)})
-		}, overtakes: true},
-		{name: "source drains", event: update(originEndpoint(routing.Draining)), overtakes: true},
+		}, affectsAttempt: true},
+		{name: "source drains", event: update(originEndpoint(routing.Draining)), affectsAttempt: true},
 		{name: "object is purged", event: func(h *harness) {
 			h.director.Purge(Purge{ObjectKey: objectKey, IssuedAt: h.now})
-		}, overtakes: true},
+		}, affectsAttempt: true},
 		{name: "group is purged", event: func(h *harness) {
 			h.director.Purge(Purge{IssuedAt: h.now})
-		}, overtakes: true},
+		}, affectsAttempt: true},
 		{name: "another object is purged", event: func(h *harness) {
 			h.director.Purge(Purge{ObjectKey: objectKey + 1, IssuedAt: h.now})
 		}},
@@ -63,7 +63,7 @@
 				first := h.sentAttempts[0].handle
 				test.event(h)
 				_, inFlight := h.director.attempts.Get(first)
-				cancelled := test.overtakes && unwritten
+				cancelled := test.affectsAttempt && unwritten
 				if inFlight == cancelled {
 					t.Errorf("first attempt in flight = %v, want %v", inFlight, !cancelled)
 				}
--- a/internal/director/dispatch.go
+++ b/internal/director/dispatch.go
@@ -145,12 +145,12 @@
 	d.respondByID(action.ID, Response{
 		Outcome:    Rejected,
 		RetryAfter: action.RetryAfter,
-		Reason:     reasonOfRouter(action.Reason),
+		Reason:     reasonFromRouter(action.Reason),
 	})
 }
 
 func (d *Director) fail(action routing.Fail) {
-	d.respondByID(action.ID, Response{Outcome: Failed, Reason: reasonOfRouter(action.Reason)})
+	d.respondByID(action.ID, Response{Outcome: Failed, Reason: reasonFromRouter(action.Reason)})
 }
 
 // respondByID sends the response that the router has decided on to the client of a request. It does nothing if the
--- a/internal/director/dispatch_test.go
+++ b/internal/director/dispatch_test.go
@@ -76,30 +76,30 @@
 // when the request is read. The timeout passed to the cache must be shorter by the pause: it must not exceed the time
 // that the client still waits. If no time is left, the request must be rejected immediately.
 func TestPauseShortensTimeoutOfUnreadRequests(t *testing.T) {
-	paused := time.Duration(0)
+	pause := time.Duration(0)
 	var h *harness
 	h = newHarness(t, func(cfg *Config) {
 		cfg.CheckForPause = func() {
-			if paused > 0 {
-				h.director.Suspend(paused)
+			if pause > 0 {
+				h.director.Suspend(pause)
 			}
 		}
 	})
 	h.submit(readClass)
 	fullTimeout := h.sentAttempts[0].request.Timeout
-	paused = 300 * time.Millisecond
+	pause = 300 * time.Millisecond
 	h.submit(readClass)
-	paused = 0
+	pause = 0
 	h.director.Resume(false)
 	if got := h.sentAttempts[1].request.Timeout; got != fullTimeout-300*time.Millisecond {
 		t.Errorf("timeout after a pause of 300ms = %v, want %v", got, fullTimeout-300*time.Millisecond)
 	}
-	paused = fullTimeout
+	pause = fullTimeout
 	h.submit(readClass)
 	if n := h.director.Counters.RequestsRejected; n != 1 {
 		t.Errorf("RequestsRejected = %d, want 1 for the request with no time left", n)
 	}
-	paused = 0
+	pause = 0
 	h.director.Resume(false)
 	h.submit(readClass)
 	if got := h.sentAttempts[2].request.Timeout; got != fullTimeout {
--- a/internal/director/reasons.go
+++ b/internal/director/reasons.go
@@ -8,9 +8,9 @@
 // This file maps the reasons and results of package routing to the reasons of package flightrecorder. The mapping is
 // here because package routing must not depend on package flightrecorder.
 
-// reasonsOfRouter maps the reasons for which the router ends a request without a server's response to the reasons of
+// reasonsFromRouter maps the reasons for which the router ends a request without a server's response to the reasons of
 // the flight recorder.
-var reasonsOfRouter = [...]flightrecorder.Reason{
+var reasonsFromRouter = [...]flightrecorder.Reason{
 	routing.ReasonDeadlineExceeded:     flightrecorder.ReasonDeadlineExceeded,
 	routing.ReasonAttemptsExhausted:    flightrecorder.ReasonAttemptsExhausted,
 	routing.ReasonMayHaveExecuted:      flightrecorder.ReasonMayHaveExecuted,
@@ -20,8 +20,8 @@
 	routing.ReasonOriginShielded:       flightrecorder.ReasonOriginShielded,
 }
 
-// reasonsOfResults maps the results of attempts to the reasons of the flight recorder.
-var reasonsOfResults = [routing.ResultCount]flightrecorder.Reason{
+// reasonsFromResults maps the results of attempts to the reasons of the flight recorder.
+var reasonsFromResults = [routing.ResultCount]flightrecorder.Reason{
 	routing.OK:                      flightrecorder.ReasonOK,
 	routing.Errored:                 flightrecorder.ReasonErrored,
 	routing.Rejected:                flightrecorder.ReasonRejected,
@@ -35,18 +35,19 @@
 	routing.Unreachable:             flightrecorder.ReasonUnreachable,
 }
 
-// reasonOfRouter returns the flight recorder's reason for a reason of the router, or ReasonUnknown if there is none.
-func reasonOfRouter(reason routing.Reason) flightrecorder.Reason {
-	if int(reason) >= len(reasonsOfRouter) || reasonsOfRouter[reason] == flightrecorder.ReasonNone {
+// reasonFromRouter returns the flight recorder's reason for a reason of the router, or ReasonUnknown if there is none.
+func reasonFromRouter(reason routing.Reason) flightrecorder.Reason {
+	if int(reason) >= len(reasonsFromRouter) || reasonsFromRouter[reason] == flightrecorder.ReasonNone {
 		return flightrecorder.ReasonUnknown
 	}
-	return reasonsOfRouter[reason]
+	return reasonsFromRouter[reason]
 }
 
-// reasonOfResult returns the flight recorder's reason for the result of an attempt, or ReasonUnknown if there is none.
-func reasonOfResult(result routing.Result) flightrecorder.Reason {
-	if int(result) >= len(reasonsOfResults) || reasonsOfResults[result] == flightrecorder.ReasonNone {
+// reasonFromResult returns the flight recorder's reason for the result of an attempt, or ReasonUnknown if there is
+// none.
+func reasonFromResult(result routing.Result) flightrecorder.Reason {
+	if int(result) >= len(reasonsFromResults) || reasonsFromResults[result] == flightrecorder.ReasonNone {
 		return flightrecorder.ReasonUnknown
 	}
-	return reasonsOfResults[result]
+	return reasonsFromResults[result]
 }
--- a/internal/director/reasons_test.go
+++ b/internal/director/reasons_test.go
@@ -23,7 +23,7 @@
 		{routing.ReasonOriginShielded + 1, "unknown"},
 	} {
 		t.Run(test.want, func(t *testing.T) {
-			if got := reasonOfRouter(test.reason).String(); got != test.want {
+			if got := reasonFromRouter(test.reason).String(); got != test.want {
 				t.Errorf("got %q, want %q", got, test.want)
 			}
 		})
@@ -34,7 +34,7 @@
 func TestReasonFromResult(t *testing.T) {
 	for result := range routing.Result(routing.ResultCount + 1) {
 		t.Run(result.String(), func(t *testing.T) {
-			if got := reasonOfResult(result).String(); got != result.String() {
+			if got := reasonFromResult(result).String(); got != result.String() {
 				t.Errorf("got %q, want %q", got, result)
 			}
 		})
--- a/internal/director/requests.go
+++ b/internal/director/requests.go
@@ -92,12 +92,12 @@
 	reason flightrecorder.Reason, wait time.Duration, ok bool,
 ) {
 	if d.rejectUntil != nil {
-		if until, closed := d.rejectUntil(); closed {
+		if until, reject := d.rejectUntil(); reject {
 			d.Counters.RejectedNotAccepting++
 			return flightrecorder.ReasonNotAccepting, until - now, false
 		}
 	}
-	if wait, ok := d.admitByPace(now, request); !ok {
+	if wait, ok := d.checkAdmission(now, request); !ok {
 		d.Counters.RejectedByAdmission++
 		return flightrecorder.ReasonNotAdmitted, wait, false
 	}
@@ -107,15 +107,15 @@
 	return flightrecorder.ReasonNone, 0, true
 }
 
-// admitByPace reports whether admission control admits a request; if not, it also returns how long the client should
+// checkAdmission reports whether admission control admits a request; if not, it also returns how long the client should
 // wait before a retry. Requests that must not be executed twice are always admitted, because they are the last to be
 // shed.
-func (d *Director) admitByPace(now routing.Time, request *openRequest) (wait time.Duration, ok bool) {
+func (d *Director) checkAdmission(now routing.Time, request *openRequest) (wait time.Duration, ok bool) {
 	if d.admission == nil || !idempotent(d.settings.Classes[request.Class].Idempotency) {
 		return 0, true
 	}
-	others := d.requests.Len() - 1
-	return d.admission.Admit(now, others)
+	otherRequests := d.requests.Len() - 1
+	return d.admission.Admit(now, otherRequests)
 }
 
 // retryAfter returns the time after which a rejected client is advised to retry: the given wait, limited to the site's
--- a/internal/director/requests_test.go
+++ b/internal/director/requests_test.go
@@ -101,10 +101,10 @@
 
 // While RejectUntil reports that the process does not accept requests, the director must reject them immediately.
 func TestRejectUntilRejectsAtOnce(t *testing.T) {
-	closed := true
+	reject := true
 	var h *harness
 	h = newHarness(t, func(cfg *Config) {
-		cfg.RejectUntil = func() (routing.Time, bool) { return h.now + time.Second, closed }
+		cfg.RejectUntil = func() (routing.Time, bool) { return h.now + time.Second, reject }
 	})
 	h.submit(paymentClass)
 	if len(h.sentAttempts) != 0 || h.director.Counters.RejectedNotAccepting != 1 {
@@ -112,7 +112,7 @@
 			h.sentAttempts, h.director.Counters.RejectedNotAccepting)
 	}
 	h.wantResponses("rejected")
-	closed = false
+	reject = false
 	h.submit(readClass)
 	if len(h.sentAttempts) != 1 {
 		t.Errorf("sent %d attempts after requests are accepted again, want 1", len(h.sentAttempts))
--- a/internal/handle/table.go
+++ b/internal/handle/table.go
@@ -46,7 +46,7 @@
 	if t.count >= t.capacity {
 		return 0, false
 	}
-	index := t.takeSlot()
+	index := t.allocateSlot()
 	slot := &t.slots[index]
 	slot.generation = (slot.generation + 1) & generationMask
 	if slot.generation == 0 {
@@ -58,9 +58,9 @@
 	return newHandle(index, slot.generation), true
 }
 
-// takeSlot returns the index of a slot that is not in use. It reuses a freed slot if there is one, and appends a slot
-// otherwise.
-func (t *Table[T]) takeSlot() uint32 {
+// allocateSlot returns the index of a slot that is not in use. It reuses a freed slot if there is one, and appends a
+// slot otherwise.
+func (t *Table[T]) allocateSlot() uint32 {
 	if free := len(t.freeSlots); free > 0 {
 		index := t.freeSlots[free-1]
 		t.freeSlots = t.freeSlots[:free-1]
--- a/internal/lifecycle/lifecycle.go
+++ b/internal/lifecycle/lifecycle.go
@@ -261,11 +261,11 @@
 
 // drainPolicy returns the policy of a drain that was requested the elapsed time ago. The caller holds the lock.
 func (m *Machine) drainPolicy(elapsed routing.Time) Policy {
-	withinNotice := elapsed < m.timeouts.DrainNoticePeriod
+	withinNoticePeriod := elapsed < m.timeouts.DrainNoticePeriod
 	policy := Policy{
 		AcceptRequests:      elapsed < m.timeouts.DrainGracePeriod,
-		KeepIdleConnections: withinNotice,
-		AcceptConnections:   !m.sharedListener || withinNotice && m.discoveryReady,
+		KeepIdleConnections: withinNoticePeriod,
+		AcceptConnections:   !m.sharedListener || withinNoticePeriod && m.discoveryReady,
 	}
 	if !policy.AcceptRequests {
 		policy.ShortenDeadline = &DeadlineLimit{
