--- a/internal/director/reasons.go
+++ b/internal/director/reasons.go
@@ -5,10 +5,12 @@
 	"shaleyard/routing"
 )
 
-// This file maps the router's reasons and results to the flight recorder's: the router must not depend on it.
+// This file maps the reasons and results of package routing to the reasons of package flightrecorder. The mapping is
+// here because package routing must not depend on package flightrecorder.
 
-// reasonsOfRouter are the reasons for which the router ends a request without a response of a server.
-var reasonsOfRouter = [...]flightrecorder.Reason{
+// reasonsFromRouter maps the reasons for which the router ends a request without a server's response to the reasons of
+// the flight recorder.
+var reasonsFromRouter = [...]flightrecorder.Reason{
 	routing.ReasonDeadlineExceeded:     flightrecorder.ReasonDeadlineExceeded,
 	routing.ReasonAttemptsExhausted:    flightrecorder.ReasonAttemptsExhausted,
 	routing.ReasonMayHaveExecuted:      flightrecorder.ReasonMayHaveExecuted,
@@ -18,8 +20,8 @@
 	routing.ReasonOriginShielded:       flightrecorder.ReasonOriginShielded,
 }
 
-// reasonsOfResults are the reasons that stand for the results of attempts.
-var reasonsOfResults = [routing.ResultCount]flightrecorder.Reason{
+// reasonsFromResults maps the results of attempts to the reasons of the flight recorder.
+var reasonsFromResults = [routing.ResultCount]flightrecorder.Reason{
 	routing.OK:                      flightrecorder.ReasonOK,
 	routing.Errored:                 flightrecorder.ReasonErrored,
 	routing.Rejected:                flightrecorder.ReasonRejected,
@@ -33,18 +35,19 @@
 	routing.Unreachable:             flightrecorder.ReasonUnreachable,
 }
 
-// reasonOfRouter returns the recorded reason for one of the router's; ReasonUnknown if it is not listed.
-func reasonOfRouter(reason routing.Reason) flightrecorder.Reason {
-	if int(reason) >= len(reasonsOfRouter) || reasonsOfRouter[reason] == flightrecorder.ReasonNone {
+// reasonFromRouter returns the flight recorder's reason for a reason of the router, or ReasonUnknown if there is none.
+func reasonFromRouter(reason routing.Reason) flightrecorder.Reason {
+	if int(reason) >= len(reasonsFromRouter) || reasonsFromRouter[reason] == flightrecorder.ReasonNone {
 		return flightrecorder.ReasonUnknown
 	}
-	return reasonsOfRouter[reason]
+	return reasonsFromRouter[reason]
 }
 
-// reasonOfResult returns the recorded reason for an attempt's result; ReasonUnknown if it is not listed.
-func reasonOfResult(result routing.Result) flightrecorder.Reason {
-	if int(result) >= len(reasonsOfResults) || reasonsOfResults[result] == flightrecorder.ReasonNone {
+// reasonFromResult returns the flight recorder's reason for the result of an attempt, or ReasonUnknown if there is
+// none.
+func reasonFromResult(result routing.Result) flightrecorder.Reason {
+	if int(result) >= len(reasonsFromResults) || reasonsFromResults[result] == flightrecorder.ReasonNone {
 		return flightrecorder.ReasonUnknown
 	}
-	return reasonsOfResults[result]
+	return reasonsFromResults[result]
 }
--- a/internal/director/reasons_test.go
+++ b/internal/director/reasons_test.go
@@ -6,7 +6,8 @@
 	"shaleyard/routing"
 )
 
-func TestReasonOfRouter(t *testing.T) {
+// The flight recorder must name each reason of the router, and record an unknown reason as such.
+func TestReasonFromRouter(t *testing.T) {
 	for _, test := range []struct {
 		reason routing.Reason
 		want   string
@@ -22,19 +23,19 @@
 		{routing.ReasonOriginShielded + 1, "unknown"},
 	} {
 		t.Run(test.want, func(t *testing.T) {
-			if got := reasonOfRouter(test.reason).String(); got != test.want {
-				t.Errorf("named %q", got)
+			if got := reasonFromRouter(test.reason).String(); got != test.want {
+				t.Errorf("got %q, want %q", got, test.want)
 			}
 		})
 	}
 }
 
-// The end of an attempt is recorded under the name of its result.
-func TestReasonOfResult(t *testing.T) {
+// The flight recorder must record the end of an attempt under the name of the attempt's result.
+func TestReasonFromResult(t *testing.T) {
 	for result := range routing.Result(routing.ResultCount + 1) {
 		t.Run(result.String(), func(t *testing.T) {
-			if got := reasonOfResult(result).String(); got != result.String() {
-				t.Errorf("named %q", got)
+			if got := reasonFromResult(result).String(); got != result.String() {
+				t.Errorf("got %q, want %q", got, result)
 			}
 		})
 	}
