--- a/internal/failover/bruteforce_test.go
+++ b/internal/failover/bruteforce_test.go
@@ -2,29 +2,30 @@
 
 import "math"
 
-// fromOrigin stands for a hub where none is left: caches fill from the origin.
+// fromOrigin takes the place of a hub's index when no hub is available and caches fill from the origin.
 const fromOrigin = -1
 
-// bruteForce tries every way to send whole transfers to hubs or to reject them, and keeps the cheapest.
+// bruteForce searches all assignments of whole transfers to hubs or to rejection for the one of least cost.
 type bruteForce struct {
 	planner   *Planner
 	available []float64
 	streams   []wholeStream
 	hubs      []int
 
-	// What is left along the way that is tried now.
+	// Capacities, in transfers, that the current partial assignment leaves free.
 	hubRoom     map[int]float64
 	ingressRoom map[int]float64 // by branch
 	originRoom  float64
 
-	cost    float64 // of the cheapest way
-	rejects bool    // it rejects something
+	cost    float64 // of the cheapest assignment found
+	rejects bool    // the cheapest assignment rejects some work
 }
 
-// wholeStream is what a branch is asked for in a class, in whole transfers.
+// unitDemand is the fill demand of a class at a branch, in whole transfers.
 type wholeStream struct{ branch, class, units int }
 
-// bruteForceCost is the least cost over all ways, and whether the cheapest one rejects anything.
+// bruteForceCost returns the least cost of all assignments at the usual load, and whether the cheapest assignment
+// rejects any work.
 func bruteForceCost(p *Planner, available []float64) (cost float64, rejects bool) {
 	b := &bruteForce{planner: p, available: available, hubRoom: map[int]float64{}, ingressRoom: map[int]float64{}}
 	b.addSites()
@@ -37,6 +38,7 @@
 	return b.cost, b.rejects
 }
 
+// addSites adds the capacities of hubs and inbound links, and the demands of branches.
 func (b *bruteForce) addSites() {
 	topology := b.planner.topology
 	for i, site := range topology.Sites {
@@ -57,6 +59,7 @@
 	}
 }
 
+// addOriginLimit sets the origin's capacity. If no hub has capacity, it adds fromOrigin to the hubs.
 func (b *bruteForce) limitOrigin() {
 	topology, left := b.planner.topology, 0.0
 	for _, hub := range b.hubs {
@@ -75,7 +78,8 @@
 	}
 }
 
-// try sends the units that are left of a stream to the hubs from one on, and then the streams behind it.
+// search tries all assignments of the remaining units of a demand to the hubs from hubIndex on, and of the demands
+// after it. cost and rejected are those of the current partial assignment.
 func (b *bruteForce) try(stream, hubIndex, left int, cost float64, rejected int) {
 	if cost >= b.cost {
 		return
@@ -85,7 +89,7 @@
 		return
 	}
 	s := b.streams[stream]
-	if hubIndex == len(b.hubs) { // the rest of it is rejected
+	if hubIndex == len(b.hubs) { // the remaining units are rejected
 		next := 0
 		if stream+1 < len(b.streams) {
 			next = b.streams[stream+1].units
@@ -106,12 +110,14 @@
 	}
 }
 
+// reserve subtracts the amount from all capacities that it uses. A negative amount releases it.
 func (b *bruteForce) take(branch, hub int, amount float64) {
 	b.hubRoom[hub] -= amount
 	b.ingressRoom[branch] -= amount
 	b.originRoom -= amount
 }
 
+// fits reports whether all capacities and the overrides allow the amount to go from the hub to the branch.
 func (b *bruteForce) fits(branch, hub int, amount float64) bool {
 	if b.hubRoom[hub] < amount || b.ingressRoom[branch] < amount || b.originRoom < amount {
 		return false
@@ -120,7 +126,8 @@
 	return hub == fromOrigin || hub == home || !b.planner.isForbidden(hub, b.available)
 }
 
-// unitCost is worked out apart from Planner.routeCost.
+// unitCost returns the cost of a unit on a route. It doesn't call Planner.routeCost, so that the test checks that
+// method.
 func (b *bruteForce) unitCost(branch, hub int) float64 {
 	p, topology := b.planner, b.planner.topology
 	home := topology.Sites[branch].HomeHub
@@ -129,7 +136,7 @@
 		return topology.TransitCost * p.meanValueDensity() * float64(len(b.hubs)-1)
 	case home == hub || home < 0:
 		return 0
-	case b.hubRoom[home] > 0 || topology.Sites[home].Capacity*b.available[home] > 0: // its own hub is there
+	case b.hubRoom[home] > 0 || topology.Sites[home].Capacity*b.available[home] > 0: // its own hub is available
 		return 0.5*p.minValueDensity() + p.meanValueDensity()*topology.TransitCost*float64(
 			topology.ringDistance(home, hub),
 		)
--- a/internal/failover/fillflow.go
+++ b/internal/failover/fillflow.go
@@ -5,70 +5,71 @@
 	"math"
 )
 
-// fillNetwork is the flow network of all branches' fills, at a load and with some sites lost. It has a single kind of
-// flow: a unit is a transfer, which takes one unit of its branch's inbound link, one of a hub's links, and, for the
-// part that parents lack, some of what the origin can give.
+// fillNetwork is the flow network of all branches' fills, for one load and one set of lost sites. It has a single
+// commodity, whose unit is a transfer. A transfer uses one unit of its branch's inbound link and one unit of a hub's
+// links, and fills that miss the parents also use origin capacity.
 //
 //	source - class of a branch - inbound link - hub - origin - sink
 //
-// Whatever a class can't send that way goes from it to the sink directly, at the cost of its rejection. Hubs and
-// branches are added in the order of the sites, so that all directors build the same network.
+// Work of a class that doesn't fit on these paths is rejected: it takes an arc from the class to the sink, whose cost
+// is that of the rejection. Hubs and branches are added in the order of the sites, so that all directors build the same
+// network.
 type fillNetwork struct {
 	planner   *Planner
 	topology  *Topology
 	available []float64 // by site: 0 or 1
-	load      float64   // as a multiple of the usual one
+	load      float64   // multiple of the usual load
 
 	network      flowNetwork
 	source, sink int
-	origin       int   // node of what reaches the origin's limit
-	hubs         []int // sites that are hubs
-	hubNodes     []int // by site; 0: none yet
-	hubRoom      []float64
-	noHubLeft    bool // caches fill from the origin directly, all of it
+	origin       int       // node whose arc to the sink has the origin's limit
+	hubs         []int     // indices of the sites that are hubs
+	hubNodes     []int     // by site; 0: no node added yet
+	hubRoom      []float64 // by site: capacity of a hub that no pin has reserved, in transfers
+	noHubLeft    bool      // no hub has capacity, so caches fill from the origin directly
 
-	transitCost    float64 // of a unit for each step round the ring
-	congestionCost float64 // of a unit for each step that a hub is fuller, or a class more rejected
-	pinReward      float64 // of a unit that goes where it is pinned
+	transitCost    float64 // of a unit per step along the ring
+	congestionCost float64 // of a unit per step of a hub's takeover or of a class's rejection (congestionSteps)
+	pinReward      float64 // subtracted from the cost of each unit on a pinned route
 
 	classFlows  []classFlow
 	routes      []route
 	pinOverload *pinError
 }
 
-// classFlow is what a branch is asked for in a class.
+// classFlow identifies the fills of a class at a branch and the arcs by which they are rejected.
 type classFlow struct {
 	branch, class int
-	rejections    [congestionSteps]int // arcs to the sink
+	rejections    [congestionSteps]int // indices of the arcs to the sink, cheapest first
 }
 
-// route is an arc by which a branch's fills reach a hub.
+// route is an arc by which fills of a branch reach a hub.
 type route struct{ branch, hub, arc int }
 
-// pinnedWork is the part of a branch's fills that a pin sends to a hub.
+// pinnedWork is the part of a branch's fills that a pin sends to a hub, in transfers.
 type pinnedWork struct {
 	hub  int
 	work float64
 }
 
-// pinError says why a pin can't hold.
+// pinError identifies a pin that exceeds the capacity of its hub.
 type pinError struct {
-	pin    int // index in the overrides
-	reason string
+	pin    int    // index in Overrides.Pins
+	reason string // for OverrideError.Reason
 }
 
-// flowResult is what a solved network comes to.
+// flowResult holds the decisions that follow from a solved fillNetwork.
 type flowResult struct {
-	fillFlow    [][]float64 // by branch and hub, as indices of sites; in transfers
-	servedShare [][]float64 // by branch and class, of what is asked for
-	cost        float64     // value of a second of what is rejected, and the cost of transit
-	rejects     bool        // something has to be rejected
-	pinOverload *pinError   // the first pin that can't hold; nil: none
+	fillFlow    [][]float64 // by site indices of the branch and the hub, in transfers
+	servedShare [][]float64 // by branch and class: fraction of the requested work that is served
+	cost        float64     // value rejected per second, plus the costs of routes and steps, less pin rewards
+	rejects     bool        // some work is rejected
+	pinOverload *pinError   // the first pin that exceeds the capacity of its hub; nil: none
 }
 
-// solveFlow sends the fills of all branches to hubs, at a load given as a multiple of the usual one, so that the value
-// that has to be rejected is least, and fills go no further than they must. The hubs' links, the branches' inbound
-// links and what the origin can give behind the parents bound it.
+// solveFlow assigns the fills of all branches to hubs at a load, given as a multiple of the usual load. The assignment
+// minimizes the value of the rejected work plus the costs of the routes, within the capacities of the hubs, the
+// branches' inbound links and the origin.
 func (p *Planner) solveFlow(available []float64, load float64) *flowResult {
 	f := p.newFillNetwork(available, load)
 	for branch, site := range f.topology.Sites {
@@ -86,6 +87,7 @@
 	return f.result(cost)
 }
 
+// newFillNetwork returns a network that has the source, the sink and the origin, but no branches and arcs yet.
 func (p *Planner) newFillNetwork(available []float64, load float64) *fillNetwork {
 	topology := p.topology
 	f := &fillNetwork{
@@ -99,7 +101,7 @@
 		transitCost:    topology.TransitCost * p.meanValueDensity(),
 		congestionCost: p.congestionCost * p.minValueDensity(),
 	}
-	// More than any way that a pin has a unit take instead of the cheapest one may cost.
+	// The reward exceeds the cost of any route that is not pinned, so that pinned routes are filled first.
 	f.pinReward = homeHubLeaveCost*p.minValueDensity() + f.transitCost*float64(len(topology.Sites)) +
 		f.congestionCost*congestionSteps
 	f.source, f.sink = f.network.addNode(), f.network.addNode()
@@ -115,7 +117,8 @@
 	return f
 }
 
-// originLimit is how much may be sent towards the origin: parents hold a share of it.
+// originLimit returns the largest flow of fills that the origin can support, in transfers. It exceeds the origin's free
+// capacity where parents serve a fraction of the fills themselves.
 func (f *fillNetwork) originLimit() float64 {
 	topology := f.topology
 	if topology.OriginCapacity <= 0 {
@@ -128,7 +131,7 @@
 	return limit / max(1-topology.ParentHitRatio, epsilon)
 }
 
-// addBranch adds a branch with its classes, and its ways to all hubs.
+// addBranch adds a branch: its classes, its inbound link and its routes to the hubs.
 func (f *fillNetwork) addBranch(branch int) {
 	lost := f.available[branch] == 0
 	asked := 0.0
@@ -148,14 +151,14 @@
 	f.addHubRoutes(branch, linkEnd, asked, unpinnedShare, pinned)
 	for _, pin := range pinned {
 		if pin.work > 0 {
-			// An arc past the hub's node: this much goes there, whatever way is shorter.
+			// The arc bypasses the hub's node: applyPins has already subtracted this work from the hub's capacity.
 			f.addRoute(branch, pin.hub, linkEnd, f.origin, pin.work, -f.pinReward)
 		}
 	}
 }
 
-// applyPins reserves room at hubs for what pins send there from a branch. It returns that, and the share of the
-// branch's fills that is left.
+// applyPins reserves capacity at hubs for the fills that pins send there from a branch. It returns these fills and the
+// fraction of the branch's fills that no pin applies to. It sets pinOverload if a hub lacks the capacity.
 func (f *fillNetwork) applyPins(branch int, asked float64) (pinned []pinnedWork, unpinnedShare float64) {
 	topology := f.topology
 	unpinnedShare = 1.0
@@ -178,6 +181,7 @@
 	return pinned, unpinnedShare
 }
 
+// ingressLimit returns the capacity of a branch's inbound link in transfers, +Inf if it is unknown.
 func (f *fillNetwork) ingressLimit(branch int) float64 {
 	if limit := f.topology.Sites[branch].IngressCapacity; limit > 0 {
 		return limit
@@ -185,7 +189,7 @@
 	return math.Inf(1)
 }
 
-// addClass adds the fills of a class: they go to the branch's inbound link, or are rejected.
+// addClass adds the fills of a class at a branch, with arcs to the branch's inbound link and arcs that reject them.
 func (f *fillNetwork) addClass(branch, class, link int) {
 	work := f.topology.fillDemand(branch, class, f.available[branch] == 0) * f.load
 	if work <= 0 {
@@ -195,7 +199,7 @@
 	f.network.addArc(f.source, node, work, 0)
 	flow := classFlow{branch: branch, class: class}
 	for step := range flow.rejections {
-		// A little dearer the more of it is rejected, so that branches share what has to be.
+		// The cost rises with the rejected part of the class, so that branches share the rejections.
 		cost := f.planner.rejectionCost(class) + f.congestionCost*float64(step)
 		flow.rejections[step] = f.network.addArc(node, f.sink, work/congestionSteps, cost)
 	}
@@ -203,7 +207,8 @@
 	f.network.addArc(node, link, work, 0)
 }
 
-// addHubRoutes adds a branch's ways to its own hub and to those that may take over.
+// addHubRoutes adds a branch's routes to its own hub and to the hubs that may take over its fills. Hubs that the branch
+// is pinned to get no other route.
 func (f *fillNetwork) addHubRoutes(branch, linkEnd int, asked, unpinnedShare float64, pinned []pinnedWork) {
 	home := f.topology.Sites[branch].HomeHub
 	takeover := f.takeoverCapacity(home)
@@ -215,7 +220,7 @@
 			continue
 		}
 		if unpinnedShare < epsilon || isPinnedTo(pinned, hub) {
-			continue // all of the fills are pinned, or those that go to this hub
+			continue // all fills of the branch are pinned, or its fills to this hub are
 		}
 		unpinned := max(0, unpinnedShare) * asked
 		if hub == home || takeover <= 0 {
@@ -226,7 +231,7 @@
 	}
 }
 
-// takeoverCapacity is the capacity of all hubs that may take over from a hub.
+// takeoverCapacity returns the total capacity of the hubs that may take over fills from the home hub, in transfers.
 func (f *fillNetwork) takeoverCapacity(home int) float64 {
 	sum := 0.0
 	for _, hub := range f.hubs {
@@ -237,8 +242,9 @@
 	return sum
 }
 
-// addTakeover adds a way to a hub that takes over for the branch's own, in steps that share the fills out by capacity:
-// the more of its share a hub has, the dearer the rest is.
+// addTakeover adds the routes to a hub that takes over fills from the branch's own hub. The cost rises with each step
+// that the hub takes over, so that hubs at the same distance share the fills in proportion to their capacities. The
+// last step is large enough for all fills.
 func (f *fillNetwork) addTakeover(branch, hub, linkEnd int, unpinned, takeover float64) {
 	step := unpinned * f.topology.Sites[hub].Capacity * f.available[hub] / takeover / (congestionSteps / 2)
 	for i := range congestionSteps {
@@ -251,11 +257,13 @@
 	}
 }
 
+// addRoute adds an arc and records that its flow goes from the branch to the hub.
 func (f *fillNetwork) addRoute(branch, hub, from, to int, capacity, cost float64) {
 	index := f.network.addArc(from, to, capacity, cost)
 	f.routes = append(f.routes, route{branch: branch, hub: hub, arc: index})
 }
 
+// isPinnedTo reports whether a pin sends fills to the hub.
 func isPinnedTo(pinned []pinnedWork, hub int) bool {
 	for _, pin := range pinned {
 		if pin.hub == hub {
@@ -265,7 +273,7 @@
 	return false
 }
 
-// result reads the solved network.
+// result returns the decisions that follow from the flows of the solved network, which has the given cost.
 func (f *fillNetwork) result(cost float64) *flowResult {
 	sites, classes := len(f.topology.Sites), len(f.topology.Classes)
 	result := &flowResult{
@@ -297,7 +305,8 @@
 	return result
 }
 
-// readRejections reads how much of a class is served. What caches hold is served whatever becomes of the fills.
+// setServedShare sets the served fraction of a class at a branch, and rejects if a part of the class is rejected. Cache
+// hits are served even if all fills are rejected.
 func (f *fillNetwork) readRejections(flow classFlow, result *flowResult) {
 	work := f.topology.fillDemand(flow.branch, flow.class, f.available[flow.branch] == 0) * f.load
 	rejected := 0.0
@@ -311,8 +320,8 @@
 	result.servedShare[flow.branch][flow.class] = 1 - min(rejected, work)/max(all, epsilon)
 }
 
-// limitUncacheable has uncacheable requests, which come before fills, rejected where they alone are too many for the
-// origin.
+// limitUncacheable rejects a part of the uncacheable requests if they exceed the origin's capacity. The origin serves
+// them before fills, so only these requests count.
 func (f *fillNetwork) limitUncacheable(result *flowResult) {
 	topology := f.topology
 	work := topology.uncacheableDemand() * f.load
@@ -329,7 +338,7 @@
 	result.rejects = true
 }
 
-// intoHub is what all branches send to a hub, in transfers.
+// hubInflow returns the fills that all branches send to a hub, in transfers.
 func (r *flowResult) intoHub(hub int) float64 {
 	sum := 0.0
 	for branch := range r.fillFlow {
--- a/internal/failover/flownetwork.go
+++ b/internal/failover/flownetwork.go
@@ -2,7 +2,8 @@
 
 import "math"
 
-// epsilon is what counts as nothing: capacities are transfers, of which there are hundreds at the most.
+// epsilon is the amount up to which flows, capacities, shares and differences of costs count as zero. Capacities of
+// real sites are at most some hundreds of transfers.
 const epsilon = 1e-9
 
 const (
@@ -11,15 +12,16 @@
 	noArc      = -1
 )
 
-// flowNetwork is a graph through which as much as possible is sent from its first node to its second, at the least
-// cost. Nodes and arcs are tried in the order in which they were added, so that all who build the same network get the
-// same result. Networks here have some tens of arcs, so plain successive shortest paths with Bellman-Ford will do
-// (Ahuja, Magnanti, Orlin: Network Flows, section 9.7).
+// flowNetwork is a minimum-cost maximum-flow problem. Its first node is the source and its second node the sink. Arcs
+// are examined in the order in which they were added, so that equal networks have equal results on all directors.
+// Networks have some tens of arcs, for which successive shortest paths with Bellman-Ford are fast enough (Ahuja,
+// Magnanti, Orlin: Network Flows, section 9.7).
 type flowNetwork struct {
 	nodes int
-	arcs  []arc // each followed by its reverse
+	arcs  []arc // each is followed by its reverse arc
 }
 
+// arc is a directed arc of the residual network: residual is its remaining capacity, cost the cost of a unit.
 type arc struct {
 	from, to       int
 	residual, cost float64
@@ -31,7 +33,7 @@
 	return n.nodes - 1
 }
 
-// addArc adds an arc and returns its index, for flowOn.
+// addArc adds an arc and its reverse arc, and returns the index of the arc, which flowOn takes.
 func (n *flowNetwork) addArc(from, to int, capacity, cost float64) int {
 	forward := arc{from: from, to: to, residual: capacity, cost: cost}
 	backward := arc{from: to, to: from, residual: 0, cost: -cost}
@@ -39,13 +41,13 @@
 	return len(n.arcs) - 2
 }
 
-// flowOn is what runs over an arc once the network is solved.
+// flowOn returns the flow on an arc after minCostMaxFlow.
 func (n *flowNetwork) flowOn(index int) float64 { return n.arcs[reverse(index)].residual }
 
-// reverse is the index of the arc in the other direction.
+// reverse returns the index of the reverse arc.
 func reverse(index int) int { return index ^ 1 }
 
-// minCostMaxFlow sends all that goes from source to sink and returns what that costs.
+// minCostMaxFlow sends the maximum flow from source to sink at the minimum cost, and returns that cost.
 func (n *flowNetwork) minCostMaxFlow() float64 {
 	cost := 0.0
 	distances, arcInto := make([]float64, n.nodes), make([]int, n.nodes)
@@ -58,7 +60,8 @@
 	}
 }
 
-// shortestPaths fills in, for each node, its distance from the source and the arc by which it is reached.
+// shortestPaths sets, for each node, its distance from the source (+Inf: unreachable) and the last arc of the shortest
+// path to it (noArc: none).
 func (n *flowNetwork) shortestPaths(distances []float64, arcInto []int) {
 	for node := range distances {
 		distances[node], arcInto[node] = math.Inf(1), noArc
@@ -76,7 +79,7 @@
 	}
 }
 
-// augment sends as much as fits along the path to the sink, and returns how much that is.
+// augment sends the largest possible flow along the path to the sink, and returns its amount.
 func (n *flowNetwork) augment(arcInto []int) float64 {
 	amount := math.Inf(1)
 	for node := sinkNode; node != sourceNode; node = n.arcs[arcInto[node]].from {
--- a/internal/failover/local.go
+++ b/internal/failover/local.go
@@ -7,24 +7,26 @@
 	"shaleyard/routing"
 )
 
-// plentyCapacity is that of sites whose servers are not known yet, in transfers.
+// placeholderCapacity is the capacity, in transfers, assumed for each site while its servers are unknown.
 const plentyCapacity = 1e6
 
-// LocalPlanner turns plans into the shares that one director's health monitor asks for. It makes a planner for the
-// capacities of the sites, and a new one when those have changed. It is not safe for concurrent use.
+// LocalPlanner computes the failover shares of one director's branch, for its sitehealth.Monitor. It keeps a Planner
+// for the current capacities of the sites and replaces it when they change. It is not safe for concurrent use.
 type LocalPlanner struct {
 	settings    *routing.Settings
 	overrides   Overrides
 	reportError func(error)
 
-	capacities []float64 // by zone: those that planner is for
+	capacities []float64 // by zone: the capacities that planner was made for
 	planner    *Planner
-	err        error // why there is no planner for them
+	err        error // why no planner could be made for capacities; nil: planner is valid
 }
 
-// NewLocalPlanner checks what can be checked of the overrides before any server is known; the error is an
-// *OverrideError. The capacities of sites are known later. A pin that can't hold then is reported to reportError, once
-// for each such state of the fleet, and there are no shares: the director goes on as without a plan.
+// NewLocalPlanner returns a planner for the director's settings. It validates the overrides as far as that is possible
+// before the capacities of the sites are known; the error is an *OverrideError if an override is invalid.
+//
+// Whether pins fit the capacities is known later, at a call of Shares. If one doesn't fit, reportError is called once
+// for each change of the capacities, and Shares returns no shares: the director works as without a plan.
 func NewLocalPlanner(settings *routing.Settings, overrides Overrides, reportError func(error)) (*LocalPlanner, error) {
 	l := &LocalPlanner{settings: settings, overrides: overrides, reportError: reportError}
 	plenty := make([]float64, len(settings.Zones))
@@ -39,10 +41,10 @@
 	return l, err
 }
 
-// representatives are endpoints that each stand for all servers of a zone.
+// zoneEndpoints returns an endpoint for each zone, which has the capacity of all servers of the zone.
 func (l *LocalPlanner) representatives(capacities []float64) []routing.Endpoint {
 	tiers := &l.settings.Tiers
-	cacheKind := 0 // the first kind that is neither a parent nor the origin
+	cacheKind := 0 // lowest Endpoint.Kind that is neither the parents' nor the origin's
 	for cacheKind == tiers.OriginKind || cacheKind == tiers.ParentKind {
 		cacheKind++
 	}
@@ -57,7 +59,8 @@
 	return endpoints
 }
 
-// Shares is a sitehealth.PlanFunc.
+// Shares is a sitehealth.PlanFunc. It returns the shares of the director's own branch while the given zones are lost.
+// They are empty if no planner can be made for the capacities, or if the director's zone is a hub or unknown.
 func (l *LocalPlanner) Shares(lostZones []int, capacities []float64) sitehealth.FailoverShares {
 	if !slices.Equal(capacities, l.capacities) {
 		l.replan(capacities)
@@ -66,14 +69,14 @@
 	if l.err != nil || ownZone >= len(l.settings.Zones) {
 		return sitehealth.FailoverShares{}
 	}
-	if l.planner.topology.Sites[ownZone].Hub { // sites are in the order of the zones
+	if l.planner.topology.Sites[ownZone].Hub { // the index of a site is its zone
 		return sitehealth.FailoverShares{}
 	}
 	var lost []string
 	for _, zone := range lostZones {
 		lost = append(lost, l.settings.Zones[zone])
 	}
-	// The flow at the usual load alone: what else a printed plan tells takes hundreds of them.
+	// This solves the flow at the usual load only. A whole Plan would need hundreds of solutions, for other loads.
 	available := l.planner.availability(lost)
 	result := l.planner.solveFlow(available, 1)
 	shares := sitehealth.FailoverShares{HubShares: hubShares(result.fillFlow[ownZone])}
@@ -83,7 +86,7 @@
 	return shares
 }
 
-// replan makes a planner for new capacities, or keeps the error.
+// replan sets planner for new capacities. If that fails, it sets err and reports the error.
 func (l *LocalPlanner) replan(capacities []float64) {
 	l.capacities = slices.Clone(capacities)
 	topology, err := NewTopology(l.settings, l.representatives(capacities), l.overrides)
@@ -96,7 +99,8 @@
 	}
 }
 
-// hubShares are the shares of a branch's fills by hub. Without any fills they are all 0.
+// hubShares returns, by zone, the fraction of a branch's fills that go to each hub. All are 0 if the branch has no
+// fills.
 func hubShares(fillFlow []float64) []float64 {
 	sum := 0.0
 	for _, flow := range fillFlow {
@@ -109,7 +113,7 @@
 	return shares
 }
 
-// fillShares are the shares of our branch's fills that the plan makes, by class.
+// fillShares returns, by class, the fraction of the fills of the director's own branch that the plan doesn't reject.
 func (l *LocalPlanner) fillShares(available []float64, result *flowResult) []float64 {
 	topology, branch := l.planner.topology, l.settings.Zone
 	shares := make([]float64, 0, len(topology.Classes))
--- a/internal/failover/local_test.go
+++ b/internal/failover/local_test.go
@@ -8,7 +8,7 @@
 	"shaleyard/routing"
 )
 
-// testSettings are those of a director of branch edge-1, with three hubs.
+// testSettings returns the settings of a director of branch edge-1 at a site with three hubs.
 func testSettings() *routing.Settings {
 	return &routing.Settings{
 		Zones: []string{"west", "middle", "east", "edge-1", "edge-2"},
@@ -28,6 +28,7 @@
 	}
 }
 
+// newTestLocalPlanner returns a LocalPlanner for testSettings, or fails the test.
 func newTestLocalPlanner(t *testing.T, overrides Overrides, reportError func(error)) *LocalPlanner {
 	t.Helper()
 	l, err := NewLocalPlanner(testSettings(), overrides, reportError)
@@ -37,63 +38,66 @@
 	return l
 }
 
-func TestSharesAreThePlanForOurBranch(t *testing.T) {
+// Guards against shares that ignore the capacities or the loss of hubs, or limit fills without LimitFills.
+func TestSharesFollowPlanOfOwnBranch(t *testing.T) {
 	l := newTestLocalPlanner(t, Overrides{}, nil)
 	capacities := []float64{10, 10, 10, 40, 40}
 	got := l.Shares([]int{0}, capacities)
 	hubs := got.HubShares
 	if hubs[0] != 0 || hubs[3] != 0 || math.Abs(hubs[2]-0.5) > 0.01 || math.Abs(hubs[1]+hubs[2]-1) > 1e-9 {
-		t.Errorf("hubs of the same capacity share what the western one leaves by %v", hubs)
+		t.Errorf("got hub shares %v with west lost, want 0.5 each for middle and east, of equal capacity", hubs)
 	}
-	// The middle hub has edge-2 to serve, and now little room beside that: the eastern one takes most.
+	// The middle hub serves edge-2 and has little free capacity, so the eastern hub takes most of the fills.
 	hubs = l.Shares([]int{0}, []float64{10, 6, 6, 40, 40}).HubShares
 	if hubs[2] < 0.7 || math.Abs(hubs[1]+hubs[2]-1) > 1e-9 {
-		t.Errorf("shares %v", hubs)
+		t.Errorf("got hub shares %v with west lost, want at least 0.7 for east and the rest for middle", hubs)
 	}
 	if got.FillShares != nil {
-		t.Errorf("fills are limited to %v, though nobody asked for that", got.FillShares)
+		t.Errorf("got fill shares %v without LimitFills, want none", got.FillShares)
 	}
 	if hubs := l.Shares([]int{0, 2}, capacities).HubShares; hubs[1] != 1 {
-		t.Errorf("only the middle is left: %v", hubs)
+		t.Errorf("got hub shares %v with west and east lost, want 1 for middle", hubs)
 	}
 	if hubs := l.Shares([]int{0, 1, 2}, capacities).HubShares; hubs[0]+hubs[1]+hubs[2] != 0 {
-		t.Errorf("no hub is left: %v", hubs)
+		t.Errorf("got hub shares %v with all hubs lost, want 0 for each", hubs)
 	}
 }
 
-func TestFillLimitsRejectTheLeastValue(t *testing.T) {
+// Guards against fill limits that reject classes of high value or non-idempotent requests before those of low value.
+func TestFillLimitsRejectLowestValueFirst(t *testing.T) {
 	l := newTestLocalPlanner(t, Overrides{LimitFills: true}, nil)
 	fills := l.Shares(
 		[]int{0, 2},
 		[]float64{10, 10, 10, 60, 60},
-	).FillShares // 10 for 14.4 that both branches' caches lack
+	).FillShares // a capacity of 10 for 14.4 cache misses of both branches
 	if len(fills) != 3 || fills[0] != 1 || fills[1] > 0.7 || fills[1] <= 0 || fills[2] != 1 {
-		t.Errorf("fills %v: pages go first, media not yet, repayments last", fills)
+		t.Errorf("got fill shares %v, want 1 for media and pay, and above 0 to 0.7 for pages", fills)
 	}
 	if fills := l.Shares([]int{0}, []float64{10, 10, 10, 10, 10}).FillShares; fills[0] != 1 || fills[1] != 1 {
-		t.Errorf("there is room for all: %v", fills)
+		t.Errorf("got fill shares %v with enough capacity for all fills, want 1 for media and pages", fills)
 	}
 }
 
-// What can be known at the start is an error then. What depends on the fleet is reported once for each state of it, and
-// the director goes on without shares.
-func TestPlanThatCantBeMadeIsReported(t *testing.T) {
+// An override that is invalid in any fleet must be an error of NewLocalPlanner. A pin that exceeds its hub's present
+// capacity must be reported once for each change of the capacities, leave the director without shares, and apply as
+// soon as the capacity suffices.
+func TestInfeasiblePlanIsReported(t *testing.T) {
 	_, err := NewLocalPlanner(testSettings(), Overrides{Forbids: []Forbid{{"moon", "east"}}}, nil)
 	if err == nil || !strings.HasPrefix(err.Error(), "plan.forbid[0].lost") {
-		t.Errorf("error %v", err)
+		t.Errorf("got error %v, want one that starts with plan.forbid[0].lost", err)
 	}
 	reports := 0
 	l := newTestLocalPlanner(t, Overrides{Pins: []Pin{{"west", "edge-1", "east", 1}}}, func(error) { reports++ })
 	small, large := []float64{10, 10, 1, 100, 100}, []float64{10, 10, 30, 100, 100}
 	for range 3 {
 		if got := l.Shares([]int{0}, small); got.HubShares != nil {
-			t.Errorf("shares %v by a pin that can't hold", got)
+			t.Errorf("got shares %v with a pin above its hub's capacity, want none", got)
 		}
 	}
 	if reports != 1 {
-		t.Errorf("reported %d times", reports)
+		t.Errorf("got %d reports, want 1", reports)
 	}
 	if got := l.Shares([]int{0}, large); len(got.HubShares) != 5 || got.HubShares[2] != 1 || reports != 1 {
-		t.Errorf("it can hold now: %v", got)
+		t.Errorf("got shares %v, %d reports with capacity for the pin, want 1 for east, 1 report", got, reports)
 	}
 }
--- a/internal/failover/overrides.go
+++ b/internal/failover/overrides.go
@@ -7,25 +7,25 @@
 	"strings"
 )
 
-// Overrides are the table plan of the operators' file: what the settings don't tell, and what operators want otherwise
-// than it would be worked out. The zero value overrides nothing.
+// Overrides holds the table "plan" of the operators' file: values that the settings don't contain, and decisions of
+// operators that replace computed ones. The zero value overrides nothing.
 type Overrides struct {
-	UsualLoad      float64            `toml:"usual_load"`  // share of the capacity of a branch's caches
-	CacheHitRatio  float64            `toml:"hits"`        // share of the work that caches hold
-	ParentHitRatio float64            `toml:"parent_hits"` // share of the fills that parents hold
-	OriginCapacity float64            `toml:"origin"`      // transfers at once; 0: half more than usual
-	SiteCapacities map[string]float64 `toml:"carries"`     // transfers by site, in place of its servers' weights
-	ClassShares    map[string]float64 `toml:"shares"`      // of the work by class; empty: all the same
-	ServiceTimeMS  map[string]float64 `toml:"work_ms"`     // sending time of a mean object by class
-	RejectionOrder []string           `toml:"order"`       // classes as they are rejected; empty: by value
-	ShiftRatePerS  float64            `toml:"move_per_s"`  // share of a site's traffic that may move in a second
-	MinLostMS      float64            `toml:"stay_ms"`     // for which a site stays lost at the least
-	LimitFills     bool               `toml:"follow"`      // directors keep fills to the plan's shares
+	UsualLoad      float64            `toml:"usual_load"`  // fraction of the capacity of a branch's caches
+	CacheHitRatio  float64            `toml:"hits"`        // fraction of the work that caches serve without a fill
+	ParentHitRatio float64            `toml:"parent_hits"` // fraction of the fills that parents serve themselves
+	OriginCapacity float64            `toml:"origin"`      // concurrent transfers; 0: 1.5 times the usual demand
+	SiteCapacities map[string]float64 `toml:"carries"`     // transfers by site; replaces its servers' weights
+	ClassShares    map[string]float64 `toml:"shares"`      // fraction of the work by class; empty: equal shares
+	ServiceTimeMS  map[string]float64 `toml:"work_ms"`     // by class: time to send an object of mean size
+	RejectionOrder []string           `toml:"order"`       // classes, first rejected first; empty: by value
+	ShiftRatePerS  float64            `toml:"move_per_s"`  // largest fraction of a site's traffic moved per second
+	MinLostMS      float64            `toml:"stay_ms"`     // shortest time for which a site counts as lost
+	LimitFills     bool               `toml:"follow"`      // directors limit fills to the plan's shares
 	Pins           []Pin              `toml:"pin"`
 	Forbids        []Forbid           `toml:"forbid"`
 }
 
-// Pin has a hub take a fixed share of a branch's fills while a site is lost.
+// Pin assigns a fixed fraction of a branch's fills to a hub while a site is lost.
 type Pin struct {
 	Lost  string  `toml:"lost"`
 	From  string  `toml:"from"` // the branch
@@ -33,30 +33,32 @@
 	Share float64 `toml:"share"`
 }
 
-// Forbid keeps a hub from taking anything over while a site is lost.
+// Forbid excludes a hub from taking over fills of other hubs' branches while a site is lost.
 type Forbid struct {
 	Lost string `toml:"lost"`
 	To   string `toml:"to"` // the hub
 }
 
-// OverrideError names the key of the operators' file that can't hold, and the reason.
+// OverrideError reports a key of the operators' file whose value is invalid or can't be satisfied, and the reason.
 type OverrideError struct{ Key, Reason string }
 
-// Error is the key and the reason.
+// Error returns the key and the reason.
 func (e *OverrideError) Error() string { return e.Key + ": " + e.Reason }
 
+// overrideErrorf returns an *OverrideError with a formatted reason.
 func overrideErrorf(key, format string, args ...any) error {
 	return &OverrideError{Key: key, Reason: fmt.Sprintf(format, args...)}
 }
 
-// pinKey and forbidKey are the keys of a field of the i-th pin or forbid in the operators' file.
+// pinKey and forbidKey return the key, in the operators' file, of a field of the pin or forbid with index i.
 func pinKey(i int, field string) string    { return fmt.Sprintf("plan.pin[%d].%s", i, field) }
 func forbidKey(i int, field string) string { return fmt.Sprintf("plan.forbid[%d].%s", i, field) }
 
-// ValidateRanges finds the first key whose value no installation can use. The error is an *OverrideError.
+// ValidateRanges checks all values against the ranges that hold in any installation. It returns an *OverrideError for
+// the first key whose value is out of range.
 func (o *Overrides) ValidateRanges() error {
 	const (
-		maxUsualLoad = 4       // times the capacity of the caches
+		maxUsualLoad = 4       // multiple of the capacity of the caches
 		maxTransfers = 1e9     // of a site or the origin
 		maxMS        = 600_000 // ten minutes
 	)
@@ -93,7 +95,8 @@
 	return o.validatePinShares()
 }
 
-// validatePinShares finds shares out of range, and pins of a branch that exceed all of its fills.
+// validatePinShares returns an *OverrideError for the first pin whose share is not in (0, 1], or with which the shares
+// of a branch's pins for one lost site sum to more than 1.
 func (o *Overrides) validatePinShares() error {
 	type source struct{ lost, from string }
 	sums := map[source]float64{}
@@ -111,8 +114,9 @@
 	return nil
 }
 
-// validate holds the overrides against a topology: sites and classes that it does not have, a pin to a site that is
-// lost itself, sites that would have to take each other's load. Whether pins have room is found with the plan.
+// validate checks the overrides against a topology. It returns an *OverrideError for values out of range, unknown sites
+// and classes, pins that contradict the topology or a forbid, and loops of pins. It doesn't check whether hubs have the
+// capacity for their pins, which NewPlanner does.
 func (o *Overrides) validate(topology *Topology) error {
 	if err := o.ValidateRanges(); err != nil {
 		return err
@@ -141,6 +145,7 @@
 	return o.checkPinLoops(topology)
 }
 
+// validatePin checks the sites of the pin with index i against the topology and against the forbids.
 func (o *Overrides) validatePin(topology *Topology, i int, pin Pin) error {
 	if topology.siteIndex(pin.Lost) < 0 {
 		return overrideErrorf(pinKey(i, "lost"), "%q is no site of the settings", pin.Lost)
@@ -174,7 +179,7 @@
 	return nil
 }
 
-// checkHub makes sure that the value of a key names a hub.
+// checkHub returns an *OverrideError for the key unless name is the name of a hub.
 func checkHub(topology *Topology, key, name string) error {
 	i := topology.siteIndex(name)
 	if i < 0 {
@@ -190,8 +195,8 @@
 	return nil
 }
 
-// checkPinLoops finds hubs that are pinned to take all of each other's load: with both lost, the pins would send it
-// round.
+// checkPinLoops returns an *OverrideError if pins that take all of a branch's fills form a loop of hubs: with all hubs
+// of the loop lost, each pin would name a lost hub as its replacement.
 func (o *Overrides) checkPinLoops(topology *Topology) error {
 	search := loopSearch{pins: o.Pins, takers: map[string]map[string]int{}}
 	for i, pin := range o.Pins {
@@ -211,23 +216,24 @@
 	return nil
 }
 
-// isWhole reports whether the pin takes all of a branch's fills.
+// takesAllFills reports whether the pin assigns all fills of the branch.
 func (p Pin) isWhole() bool { return p.Share > 1-epsilon }
 
-// loopSearch is a depth-first search for loops among pins that take all of a site's load.
+// loopSearch is a depth-first search for loops among pins that take all of a branch's fills.
 type loopSearch struct {
 	pins   []Pin
-	takers map[string]map[string]int // lost site to taker, and the last pin that says so
+	takers map[string]map[string]int // lost site to the hub that takes over to the index of the last such pin
 }
 
-// visit follows the pins from a site that was reached by a path of others.
+// visit follows the pins that apply while the site is lost. path holds the sites that lead to this one. visit returns
+// an *OverrideError if a site occurs twice on a path.
 func (s *loopSearch) visit(site string, path []string) error {
 	if start := slices.Index(path, site); start >= 0 {
 		pin := s.takers[path[len(path)-1]][site]
 		loop := append(slices.Clone(path[start:]), site)
 		return overrideErrorf(pinKey(pin, "to"), "sites take each other's load in a loop: %s", strings.Join(loop, ", "))
 	}
-	// In the order of the file, so that the same key is named each time.
+	// Pins are followed in the order of the file, so that the error names the same key on each run.
 	for i, pin := range s.pins {
 		if pin.Lost != site || !pin.isWhole() || s.takers[site][pin.To] != i {
 			continue
--- a/internal/failover/overrides_test.go
+++ b/internal/failover/overrides_test.go
@@ -7,13 +7,13 @@
 	"testing"
 )
 
-// An override that can't hold is an error that names its key.
-func TestOverridesThatCantHoldAreNamed(t *testing.T) {
+// Guards against an invalid override that is accepted, or reported under the wrong key of the operators' file.
+func TestInvalidOverridesNameTheirKey(t *testing.T) {
 	topology := testTopology([]int{4, 4}, []float64{10, 10, 2}, []int{0, 1})
 	topology.CacheHitRatio = 0.5
 	pins := func(list ...Pin) Overrides { return Overrides{Pins: list} }
 	for _, test := range []struct {
-		want      string // begin of the error
+		want      string // prefix of the error's text
 		overrides Overrides
 	}{
 		{`plan.pin[0].share: 1.5`, pins(Pin{"hub-a", "branch-1", "hub-b", 1.5})},
@@ -47,13 +47,14 @@
 			_, err := NewPlanner(topology, test.overrides)
 			var named *OverrideError
 			if !errors.As(err, &named) || !strings.HasPrefix(err.Error(), test.want) {
-				t.Errorf("want %q, got %v", test.want, err)
+				t.Errorf("got error %v, want an OverrideError that starts with %q", err, test.want)
 			}
 		})
 	}
 }
 
-func TestPinsAndForbidsAreKept(t *testing.T) {
+// Guards against plans that don't apply valid pins and forbids.
+func TestPinsAndForbidsAreApplied(t *testing.T) {
 	topology := testTopology([]int{4, 4}, []float64{10, 10, 2}, []int{0, 1})
 	topology.CacheHitRatio = 0.5
 	p := newTestPlanner(t, topology, Overrides{
@@ -62,10 +63,10 @@
 	})
 	pinned := planFor(t, p, "hub-a").Branches[0].FillShares
 	if math.Abs(pinned["hub-c"]-0.25) > 1e-9 {
-		t.Errorf("a quarter is pinned to hub-c: %v", pinned)
+		t.Errorf("got fill shares %v with hub-a lost, want 0.25 for hub-c, as pinned", pinned)
 	}
 	forbidden := planFor(t, p, "hub-b").Branches[1].FillShares
 	if forbidden["hub-a"] != 0 || forbidden["hub-c"] != 1 {
-		t.Errorf("hub-a is forbidden: %v", forbidden)
+		t.Errorf("got fill shares %v with hub-b lost, want 1 for hub-c, as hub-a is forbidden", forbidden)
 	}
 }
--- a/internal/failover/plan.go
+++ b/internal/failover/plan.go
@@ -9,45 +9,46 @@
 	"time"
 )
 
-// Who answers the clients of a branch (BranchPlan.ServedBy).
+// Values of BranchPlan.ServedBy: the servers that answer the clients of a branch.
 const (
 	servedByCaches  = "caches"
 	servedByParents = "parents"
 	servedByNobody  = "nobody"
 )
 
-// Plan says what is done while some sites are lost.
+// Plan holds the routing decisions for one set of lost sites: where load and fills go, and what is rejected.
 type Plan struct {
 	Lost       []string         `json:"lost"`
 	Branches   []BranchPlan     `json:"branches"`
-	Rejections []ClassRejection `json:"refused"` // in the order in which they begin
-	// RejectionStart is the load, as a multiple of the usual one, from which on requests have to be rejected; 0: some
-	// have to be at any load.
+	Rejections []ClassRejection `json:"refused"` // ordered by FromLoad, lowest first
+	// RejectionStart is the load, as a multiple of the usual load, above which some requests are rejected. It is 0 if
+	// some requests are rejected at any load, and also if NeverRejects is set.
 	RejectionStart float64 `json:"refusing_starts_at_load"`
-	// NeverRejects is set where no load within reason brings rejections.
+	// NeverRejects reports that nothing is rejected at maxLoadSearched times the usual load.
 	NeverRejects bool `json:"refusing_never_starts"`
-	// RecoveryTime is how long the load takes to return to the sites once they are back, cold and empty.
+	// RecoveryTime is the time from the restart of the lost sites, with empty caches, until slow start lets them take
+	// their usual load again. It is that of the slowest site.
 	RecoveryTime time.Duration `json:"return_ns"`
-	Unmet        []string      `json:"cannot"`       // demands that can't be met, as sentences
-	ValueServed  float64       `json:"worth_served"` // share of the value asked for at the usual load
+	Unmet        []string      `json:"cannot"`       // one sentence for each demand that can't be met
+	ValueServed  float64       `json:"worth_served"` // fraction of the requested value that is served at the usual load
 }
 
-// BranchPlan is where a branch's load and fills go.
+// BranchPlan holds, for one branch, who answers its clients and which hubs its fills go to.
 type BranchPlan struct {
 	Name         string             `json:"name"`
-	ServedBy     string             `json:"load"`   // who answers its clients: caches, parents, nobody
-	FillShares   map[string]float64 `json:"fills"`  // by hub, of the fills that are served
-	ServedShares map[string]float64 `json:"served"` // by class, at the usual load
+	ServedBy     string             `json:"load"`   // one of the servedBy constants
+	FillShares   map[string]float64 `json:"fills"`  // by hub name: fraction of the branch's served fills
+	ServedShares map[string]float64 `json:"served"` // by class name: fraction served at the usual load
 }
 
-// ClassRejection tells from which load on requests of a class are rejected, and at which branches.
+// ClassRejection holds the lowest load at which requests of a class are rejected, and the branches that reject them.
 type ClassRejection struct {
 	Class    string   `json:"class"`
-	FromLoad float64  `json:"from_load"` // as a multiple of the usual one; 0: at any
+	FromLoad float64  `json:"from_load"` // multiple of the usual load; 0: rejected at any load
 	Branches []string `json:"branches"`
 }
 
-// buildPlan works the plan out. The names are known sites.
+// buildPlan computes the plan for the given lost sites, whose names must be names of sites of the topology.
 func (p *Planner) buildPlan(lost []string) *Plan {
 	topology, available := p.topology, p.availability(lost)
 	usual := p.solveFlow(available, 1)
@@ -65,6 +66,7 @@
 	return plan
 }
 
+// branchPlan returns the plan of one branch. usualFlow is the solved flow at the usual load.
 func (p *Planner) branchPlan(branch int, available []float64, usual *flowResult) BranchPlan {
 	topology := p.topology
 	plan := BranchPlan{
@@ -94,8 +96,8 @@
 	return plan
 }
 
-// unmetDemands says which demands can't be met: first those that hang on the sites alone, then what is rejected at the
-// usual load.
+// unmetDemands returns a sentence for each demand that can't be met: first for branches that lack caches, a substitute
+// for lost caches, or hubs, then for each class of which a branch rejects a part at the usual load.
 func (p *Planner) unmetDemands(available []float64, usual *flowResult) []string {
 	var list []string
 	topology, hubsLeft := p.topology, p.hubsLeft(available)
@@ -125,7 +127,7 @@
 	return list
 }
 
-// hubsLeft is the number of hubs that can take anything.
+// usableHubCount returns the number of hubs that are not lost and have capacity.
 func (p *Planner) hubsLeft(available []float64) int {
 	count := 0
 	for i, site := range p.topology.Sites {
@@ -136,11 +138,12 @@
 	return count
 }
 
-// Print writes the plan as a table. An error of the writer, which is the standard output of a command, is not reported.
+// Print writes the plan as a table to w, which is a command's standard output. It ignores write errors.
 func (p *Plan) Print(w io.Writer) {
 	_, _ = io.WriteString(w, p.table())
 }
 
+// table returns the text that Print writes.
 func (p *Plan) table() string {
 	var text strings.Builder
 	title := "nothing lost"
@@ -180,7 +183,7 @@
 	return text.String()
 }
 
-// formatShares writes shares as percentages, in the order of their names.
+// formatShares returns the shares as percentages, sorted by name, or "-" if there are none.
 func formatShares(shares map[string]float64) string {
 	list := make([]string, 0, len(shares))
 	for _, name := range slices.Sorted(maps.Keys(shares)) {
--- a/internal/failover/planner.go
+++ b/internal/failover/planner.go
@@ -9,29 +9,36 @@
 )
 
 const (
-	congestionSteps       = 10   // in which a hub's takeover is priced, half of them for its share by capacity
-	defaultCongestionCost = 0.02 // of a unit's value, for each step: two or three are worth a step round the ring
-	homeHubLeaveCost      = 0.5  // of a unit's value, for fills that leave a hub that is there
+	// congestionSteps is the number of steps of increasing cost in which a hub takes over fills or a class is rejected.
+	// Half of the steps of a takeover make up the hub's share by capacity.
+	congestionSteps = 10
+	// defaultCongestionCost is the additional cost of each step, as a fraction of the least value of a unit. Two or
+	// three steps cost as much as one step along the ring.
+	defaultCongestionCost = 0.02
+	// homeHubLeaveCost is the cost, as a fraction of the least value of a unit, of fills that go to another hub
+	// although the branch's own hub is available.
+	homeHubLeaveCost = 0.5
 
-	coldBudgetUse   = 0.5 // share of a slow-start budget that is used: the router's own margin for chance
-	maxLoadSearched = 16  // multiple of the usual load up to which the begin of rejections is looked for
-	loadResolution  = 1e-3
-	minLoad         = 1e-6 // stands for no load at all, which would divide by zero
+	coldBudgetUse   = 0.5  // fraction of a slow-start budget that the router uses; the rest is a margin for random load
+	maxLoadSearched = 16   // upper end of the search for the start of rejections, as a multiple of the usual load
+	loadResolution  = 1e-3 // of that search, as a multiple of the usual load
+	minLoad         = 1e-6 // multiple of the usual load in place of 0, which would lead to divisions by zero
 
-	noticeableShare = 0.005 // of a class, that counts as rejected
+	noticeableShare = 0.005 // rejected fraction of a class above which a plan reports the rejection
 )
 
-// Planner makes plans for one topology and the operators' overrides. It keeps the plans that it has made, and is not
-// safe for concurrent use.
+// Planner computes and caches the plans for one topology and the operators' overrides. It is not safe for concurrent
+// use.
 type Planner struct {
 	topology  *Topology
 	overrides Overrides
-	plans     map[string]*Plan // by lost sites
+	plans     map[string]*Plan // by the sorted names of the lost sites
 
-	congestionCost float64 // of what a hub takes over, for each step of its share that it has already
+	congestionCost float64 // defaultCongestionCost, or 0 in tests that need no tie-breaking
 }
 
-// NewPlanner checks the overrides against the topology. The error is an *OverrideError.
+// NewPlanner returns a planner for the topology. The error is an *OverrideError if the overrides don't fit the
+// topology, or if the hub of a pin lacks the capacity for the pinned share at the usual load.
 func NewPlanner(topology *Topology, overrides Overrides) (*Planner, error) {
 	p := &Planner{
 		topology:       topology,
@@ -51,7 +58,8 @@
 	return p, nil
 }
 
-// Plan is the plan for a set of lost sites. A name that is no site's is an error.
+// Plan returns the plan for a set of lost sites, given in any order. It returns an error for a name that is not a
+// site's.
 func (p *Planner) Plan(lost ...string) (*Plan, error) {
 	lost = slices.Compact(slices.Sorted(slices.Values(lost)))
 	for _, name := range lost {
@@ -68,8 +76,8 @@
 	return plan, nil
 }
 
-// AllPlans are the plans that operators read in advance: with nothing lost, with each site, and with each pair of
-// sites.
+// AllPlans returns the plans that operators read in advance: with no site lost, with each single site lost, and with
+// each pair of sites lost.
 func (p *Planner) AllPlans() []*Plan {
 	sets := [][]string{nil}
 	for i, first := range p.topology.Sites {
@@ -83,14 +91,15 @@
 	for _, lost := range sets {
 		plan, err := p.Plan(lost...)
 		if err != nil {
-			panic(err) // the names are the topology's own
+			panic(err) // can't happen: the names come from the topology
 		}
 		plans = append(plans, plan)
 	}
 	return plans
 }
 
-// availability is the share of each site's capacity that is left while some are lost: 0 or 1.
+// availability returns, by site index, the fraction of the site's capacity that is available: 0 for the lost sites, 1
+// for all others.
 func (p *Planner) availability(lost []string) []float64 {
 	available := make([]float64, len(p.topology.Sites))
 	for i, site := range p.topology.Sites {
@@ -101,8 +110,9 @@
 	return available
 }
 
-// rejectionCost is what it costs to reject a unit of work of a class. Non-idempotent requests are rejected last, and
-// the operators' order goes before priority weights; within each, the weights still count.
+// rejectionCost returns the cost of rejecting a unit of work of a class; classes of lower cost are rejected first.
+// Classes outside of the operators' rejection order come first, by value density, then the classes of that order, in
+// its sequence. Non-idempotent classes follow last and are ordered among themselves in the same way.
 func (p *Planner) rejectionCost(class int) float64 {
 	highest := 0.0
 	for _, c := range p.topology.Classes {
@@ -119,7 +129,8 @@
 	return cost
 }
 
-// routeCost is what a unit costs that a branch fetches from a hub: the way round the ring, and leaving its own hub.
+// routeCost returns the cost of a unit that a branch fetches from a hub: the transit cost along the ring from the
+// branch's own hub, plus homeHubLeaveCost if its own hub is available. Fetching from its own hub costs nothing.
 func (p *Planner) routeCost(branch, hub int, available []float64) float64 {
 	home := p.topology.Sites[branch].HomeHub
 	if home < 0 || home == hub {
@@ -133,16 +144,16 @@
 	return p.minValueDensity()*leaveCost + p.meanValueDensity()*p.topology.TransitCost*distance
 }
 
-// isForbidden reports whether a hub may take nothing over while these sites are lost. What is its own it goes on
-// serving.
+// isForbidden reports whether an override forbids a hub to take over fills while the unavailable sites are lost. It
+// does not apply to the branches that are attached to the hub.
 func (p *Planner) isForbidden(hub int, available []float64) bool {
 	return slices.ContainsFunc(p.overrides.Forbids, func(f Forbid) bool {
 		return f.To == p.topology.Sites[hub].Name && available[p.topology.siteIndex(f.Lost)] == 0
 	})
 }
 
-// minValueDensity is that of the class of least value: costs that only settle where fills go must stay below it, or it
-// would be cheaper to reject them.
+// minValueDensity returns the lowest value density of all classes. Costs that only determine which hub serves a fill
+// must stay below it; otherwise rejecting the fill would be cheaper.
 func (p *Planner) minValueDensity() float64 {
 	least := math.Inf(1)
 	for _, class := range p.topology.Classes {
@@ -151,7 +162,7 @@
 	return least
 }
 
-// meanValueDensity is that of a mean second of sending.
+// meanValueDensity returns the mean value density of the classes, weighted by their load shares.
 func (p *Planner) meanValueDensity() float64 {
 	sum := 0.0
 	for _, class := range p.topology.Classes {
@@ -160,7 +171,7 @@
 	return sum
 }
 
-// valueServed is the share of all value that is served.
+// valueServed returns the fraction of the value of all requests that is served, from 0 to 1.
 func (p *Planner) valueServed(result *flowResult) float64 {
 	served, all := 0.0, 0.0
 	for branch, site := range p.topology.Sites {
@@ -179,8 +190,9 @@
 	return served / all
 }
 
-// rejectionStart finds by bisection the load at which rejections begin, as a multiple of the usual one. never is set
-// where no load up to maxLoadSearched brings any.
+// rejectionStart returns the load at which rejections begin, as a multiple of the usual load, found by bisection to
+// within loadResolution. It returns 0 if there are rejections at any load, and 0 and true if there are none at
+// maxLoadSearched.
 func (p *Planner) rejectionStart(available []float64) (load float64, never bool) {
 	low, high := 0.0, float64(maxLoadSearched)
 	if !p.solveFlow(available, high).rejects {
@@ -200,11 +212,12 @@
 	return low, false
 }
 
-// classRejections finds for each class the load from which on some of it is rejected, and the branches that do so.
+// classRejections returns, for each class that is rejected at some load up to maxLoad, the lowest such load and the
+// branches that reject the class at that load. The list is ordered by load.
 func (p *Planner) classRejections(available []float64) []ClassRejection {
 	const (
-		stepsPerLoad = 20
-		maxLoad      = 4 // times the usual one
+		stepsPerLoad = 20 // loads tried per multiple of the usual load
+		maxLoad      = 4  // multiple of the usual load
 	)
 	var list []ClassRejection
 	for class, c := range p.topology.Classes {
@@ -220,7 +233,8 @@
 	return list
 }
 
-// rejectingBranches are the names of the branches that reject some of a class at a load.
+// rejectingBranches returns the names of the branches that reject more than rejectedShareThreshold of a class at a
+// load, given as a multiple of the usual load.
 func (p *Planner) rejectingBranches(available []float64, class int, load float64) []string {
 	var names []string
 	result := p.solveFlow(available, max(load, minLoad))
@@ -232,8 +246,8 @@
 	return names
 }
 
-// recoveryTime is how long the usual load takes to return to a site that starts empty and cold: until its slow-start
-// budget, as far as directors use it, allows for all of it.
+// recoveryTime returns the time from the start of a site with empty caches until it takes its usual load again: until
+// the part of the slow-start budget that directors use is as large as that load.
 func (p *Planner) recoveryTime(site Site) time.Duration {
 	topology := p.topology
 	start, multiple := topology.CacheSlowStartFraction, topology.CacheOverloadMultiple
@@ -247,14 +261,14 @@
 	if multiple <= 0 || duration <= 0 {
 		return 0
 	}
-	needed := min(1, load/(coldBudgetUse*multiple)) // share of its capacity at which the budget allows for all
+	needed := min(1, load/(coldBudgetUse*multiple)) // fraction of full capacity at which the budget covers the load
 	if needed <= start {
 		return 0
 	}
 	return time.Duration(float64(duration) * (needed - start) / max(1-start, epsilon))
 }
 
-// hubLoad is what a hub is sent at the usual load with nothing lost, as a share of its capacity.
+// hubLoad returns a hub's load at the usual load with no site lost, as a fraction of the hub's capacity.
 func (p *Planner) hubLoad(hub Site) float64 {
 	if hub.Capacity <= 0 {
 		return 0
--- a/internal/failover/planner_test.go
+++ b/internal/failover/planner_test.go
@@ -10,8 +10,9 @@
 	"pgregory.net/rapid"
 )
 
-// testTopology is a topology of branches, given by the numbers of their caches, and hubs, given by their capacities.
-// One transfer is asked for by each cache and class.
+// testTopology returns a topology with a hub for each capacity in hubs and a branch for each number of caches in
+// caches. homes holds the index of each branch's own hub. At the usual load each cache gets a demand of one transfer
+// per class.
 func testTopology(caches []int, hubs []float64, homes []int) *Topology {
 	topology := &Topology{
 		BypassAllowed: true,
@@ -44,7 +45,7 @@
 	return topology
 }
 
-// newTestPlanner makes a planner or ends the test.
+// newTestPlanner returns a planner, or fails the test.
 func newTestPlanner(t testing.TB, topology *Topology, overrides Overrides) *Planner {
 	t.Helper()
 	p, err := NewPlanner(topology, overrides)
@@ -54,7 +55,7 @@
 	return p
 }
 
-// planFor makes a plan or ends the test.
+// planFor returns the plan for the lost sites, or fails the test.
 func planFor(t testing.TB, p *Planner, lost ...string) *Plan {
 	t.Helper()
 	plan, err := p.Plan(lost...)
@@ -64,16 +65,17 @@
 	return plan
 }
 
-// lossCase is a topology with some sites lost.
+// lossCase describes a topology and the sites that are lost.
 type lossCase struct {
-	caches          []int
-	hubs            []float64
-	homes           []int
-	ingress, origin float64 // capacities; 0: unlimited
-	lost            []int   // indices of sites
+	caches          []int     // by branch: number of caches
+	hubs            []float64 // capacities
+	homes           []int     // by branch: index of its own hub
+	ingress, origin float64   // capacities; 0: unlimited
+	lost            []int     // indices of sites
 }
 
-// check holds the plan of the case against all ways, and reports whether it rejects anything.
+// check compares the solved flow of the case with the best assignment found by brute force, and reports whether the
+// flow rejects any work.
 func (c lossCase) check(t *testing.T) (rejects bool) {
 	t.Helper()
 	topology := testTopology(c.caches, c.hubs, c.homes)
@@ -84,7 +86,7 @@
 		}
 	}
 	p := newTestPlanner(t, topology, Overrides{})
-	p.congestionCost = 0 // it only settles ties, and whole transfers can't be shared as evenly as parts of them
+	p.congestionCost = 0 // it only breaks ties, and whole transfers can't be split evenly
 	available := p.availability(nil)
 	for _, i := range c.lost {
 		available[i] = 0
@@ -92,15 +94,16 @@
 	got := p.solveFlow(available, 1)
 	wantCost, mustReject := bruteForceCost(p, available)
 	if math.Abs(got.cost-wantCost) > 1e-6 {
-		t.Fatalf("%+v: costs %v, the best of all ways %v", c, got.cost, wantCost)
+		t.Fatalf("%+v: got cost %v, want %v, the least of all assignments", c, got.cost, wantCost)
 	}
 	if mustReject != got.rejects {
-		t.Fatalf("%+v: rejects %v, must %v (cost %v)", c, got.rejects, mustReject, wantCost)
+		t.Fatalf("%+v: got rejects %v, want %v (cost %v)", c, got.rejects, mustReject, wantCost)
 	}
 	return got.rejects
 }
 
-// lossCases are all cases with some hubs.
+// lossCases returns cases with the given hubs: up to 5 caches in 1 or 2 branches, with no site, each single site, or
+// two consecutive sites lost. Cases with at most one lost site also occur with limited ingress and origin capacities.
 func lossCases(hubs []float64) []lossCase {
 	var cases []lossCase
 	for count := 0; count <= 5; count++ {
@@ -126,9 +129,10 @@
 	return cases
 }
 
-// Every case of up to 5 caches, 2 branches and 3 hubs, with every site lost that may be: the plan costs what the best
-// of all ways costs, and refuses exactly where all ways must.
-func TestPlanIsAsGoodAsTheBestOfAllWays(t *testing.T) {
+// Guards against flows that reject work or take long routes without need. The cases have up to 5 caches in 2 branches
+// and up to 3 hubs, so that brute force can try all assignments: the solved flow must have the least cost, and reject
+// work exactly if the cheapest assignment does.
+func TestPlanMatchesBruteForce(t *testing.T) {
 	cases, rejecting := 0, 0
 	var addHubs func(left int, hubs []float64)
 	addHubs = func(left int, hubs []float64) {
@@ -149,13 +153,14 @@
 	}
 	addHubs(3, nil)
 	if cases < 10_000 || rejecting < cases/10 || rejecting > cases*9/10 {
-		t.Errorf("%d cases, of which %d reject: they show little", cases, rejecting)
+		t.Errorf("got %d cases of which %d reject, want 10000 or more of which 10%% to 90%% reject", cases, rejecting)
 	}
 }
 
-// Whatever is lost: shares add up, nobody takes more than it carries, no way leads to a lost hub, and more load never
-// serves a larger part of it.
-func TestPlanKeepsItsBounds(t *testing.T) {
+// Guards against infeasible plans of random topologies with random lost sites. Fill shares must sum to 1, no hub may
+// get more than its available capacity (none if it is lost), the served fraction must not rise with the load, and the
+// order of the lost sites' names must not matter.
+func TestRandomPlansAreFeasible(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		topology := drawTopology(t)
 		p, err := NewPlanner(topology, Overrides{})
@@ -172,7 +177,7 @@
 		result := p.solveFlow(available, 1)
 		for i, site := range topology.Sites {
 			if site.Hub && result.intoHub(i) > site.Capacity*available[i]+1e-6 {
-				t.Errorf("%s gets %v of %v (available %v)", site.Name, result.intoHub(i), site.Capacity, available[i])
+				t.Errorf("%s: got inflow %v, want at most %v", site.Name, result.intoHub(i), site.Capacity*available[i])
 			}
 		}
 		plan, err := p.Plan(lost...)
@@ -186,20 +191,21 @@
 		for _, load := range []float64{0.5, 1, 2, 4} {
 			now := p.valueServed(p.solveFlow(available, load))
 			if now > before+1e-6 {
-				t.Errorf("at %v times the load %v of it is served, at less %v", load, now, before)
+				t.Errorf("got %v of the value served at load %v, want at most %v as at lower load", now, load, before)
 			}
 			before = now
 		}
-		// The same again, in whatever order the names come.
+		// Another planner must return the same plan for the names in reverse order.
 		twin, _ := NewPlanner(topology, Overrides{})
 		slices.Reverse(lost)
 		again, _ := twin.Plan(lost...)
 		if again.ValueServed != plan.ValueServed || again.RejectionStart != plan.RejectionStart {
-			t.Errorf("two planners differ: %v, %v", plan, again)
+			t.Errorf("got plan %v for the names in reverse order, want %v", again, plan)
 		}
 	})
 }
 
+// drawTopology returns a random topology of up to 4 hubs and 4 branches.
 func drawTopology(t *rapid.T) *Topology {
 	hubs := rapid.SliceOfN(rapid.Float64Range(0, 40), 1, 4).Draw(t, "hubs")
 	caches := rapid.SliceOfN(rapid.IntRange(0, 12), 1, 4).Draw(t, "caches")
@@ -213,31 +219,34 @@
 	return topology
 }
 
-// checkShares makes sure that a branch's shares are shares, and those of its fills sum to 1.
+// checkShares fails the test unless the branch's served shares are within 0 and 1 and its fill shares, if any, sum to
+// 1.
 func checkShares(t *rapid.T, branch BranchPlan) {
 	sum := 0.0
 	for _, share := range branch.FillShares {
 		sum += share
 	}
 	if len(branch.FillShares) > 0 && math.Abs(sum-1) > 1e-6 {
-		t.Errorf("%s: the shares %v make %v", branch.Name, branch.FillShares, sum)
+		t.Errorf("%s: got fill shares %v with sum %v, want 1", branch.Name, branch.FillShares, sum)
 	}
 	for class, share := range branch.ServedShares {
 		if !(share >= -1e-9 && share <= 1+1e-9) {
-			t.Errorf("%s: %v of %s is served", branch.Name, share, class)
+			t.Errorf("%s: got served share %v of %s, want 0 to 1", branch.Name, share, class)
 		}
 	}
 }
 
-// Hubs that are as near as each other share what a lost one leaves, and none is filled while another is idle.
-func TestNeighboursShareALostHub(t *testing.T) {
+// Guards against one hub taking over all fills of a lost hub while another one, at the same ring distance, is idle.
+func TestEquidistantHubsShareFillsOfLostHub(t *testing.T) {
 	p := newTestPlanner(t, testTopology([]int{4, 0, 0}, []float64{8, 8, 8}, []int{0, 1, 2}), Overrides{})
 	shares := planFor(t, p, "hub-a").Branches[0].FillShares
 	if math.Abs(shares["hub-b"]-0.5) > 0.11 || math.Abs(shares["hub-c"]-0.5) > 0.11 || shares["hub-a"] != 0 {
-		t.Errorf("%v", shares)
+		t.Errorf("got fill shares %v with hub-a lost, want about 0.5 each for hub-b and hub-c", shares)
 	}
 }
 
+// Guards against rejections that begin with the wrong class: the order is that of value density or of the operators,
+// and non-idempotent requests are last in both.
 func TestOrderOfRejections(t *testing.T) {
 	topology := testTopology([]int{10, 10}, []float64{20, 10}, []int{0, 1})
 	topology.CacheHitRatio = 0
@@ -251,7 +260,7 @@
 	}{
 		{"by value", Overrides{}, []string{"media", "pages", "repayment"}},
 		{
-			"as the operators say", Overrides{RejectionOrder: []string{"pages", "media"}},
+			"by operators' order", Overrides{RejectionOrder: []string{"pages", "media"}},
 			[]string{"pages", "media", "repayment"},
 		},
 	} {
@@ -265,13 +274,14 @@
 				t.Errorf("got %v, want %v", got, test.want)
 			}
 			if plan.NeverRejects || plan.RejectionStart <= 0 || plan.RejectionStart >= 1 {
-				t.Errorf("rejections start at %v", plan.RejectionStart)
+				t.Errorf("got rejection start %v (never: %v), want in (0, 1)", plan.RejectionStart, plan.NeverRejects)
 			}
 		})
 	}
 }
 
-// Where no one may take a branch's clients, the plan says so.
+// Guards against plans that don't list unmet demands: clients of a lost branch that no other server may answer, and
+// fills without any hub. An unknown site must be an error.
 func TestUnmetDemandsAreNamed(t *testing.T) {
 	topology := testTopology([]int{3, 3}, []float64{4, 4}, []int{0, 1})
 	topology.BypassAllowed, topology.CacheHitRatio = false, 0.5
@@ -279,28 +289,29 @@
 	plan := planFor(t, p, "branch-1")
 	if len(plan.Unmet) != 1 || !strings.Contains(plan.Unmet[0], "branch-1: nobody may take") ||
 		plan.RejectionStart != 0 {
-		t.Errorf("%+v", plan)
+		t.Errorf("got plan %+v, want one unmet demand, of branch-1, and rejections from load 0", plan)
 	}
 	lost, other := plan.Branches[0], plan.Branches[1]
 	if lost.ServedBy != servedByNobody || lost.ServedShares["media"] != 0 || other.ServedShares["media"] != 1 {
-		t.Errorf("%+v", plan)
+		t.Errorf("got plan %+v, want branch-1 served by nobody and branch-2 fully served", plan)
 	}
 	plan = planFor(t, p, "hub-a", "hub-b")
 	if len(plan.Unmet) < 2 || !strings.Contains(plan.Unmet[0], "no hub is left") {
-		t.Errorf("%+v", plan)
+		t.Errorf("got plan %+v, want at least 2 unmet demands, of which the first names the lack of hubs", plan)
 	}
 	if _, err := p.Plan("moon"); err == nil {
-		t.Error("an unknown site can't be lost")
+		t.Error("got no error for an unknown site, want one")
 	}
 }
 
-// A cache starts with a quarter of its capacity, and half of its budget, twice that, is used: all load is back at 0.6 /
-// 1.
-func TestRecoveryTimeFollowsTheSlowStart(t *testing.T) {
+// Guards against a recovery time that ignores the slow-start budget. Caches start at 0.25 of their capacity and reach
+// all of it after 10 s. The budget is twice the present capacity, and half of it is used, so a load of 0.6 of the
+// capacity is back when 0.6 of the capacity is available.
+func TestRecoveryTimeFollowsSlowStart(t *testing.T) {
 	topology := testTopology([]int{3, 3}, []float64{4, 4}, []int{0, 1})
 	topology.BypassAllowed, topology.CacheHitRatio, topology.UsualLoad = false, 0.5, 0.6
 	plan := planFor(t, newTestPlanner(t, topology, Overrides{}), "branch-1")
 	if math.Abs(plan.RecoveryTime.Seconds()-10*(0.6-0.25)/0.75) > 1e-6 {
-		t.Errorf("recovers within %v", plan.RecoveryTime)
+		t.Errorf("got recovery time %v, want 4.667s", plan.RecoveryTime)
 	}
 }
--- a/internal/failover/topology.go
+++ b/internal/failover/topology.go
@@ -1,9 +1,10 @@
-// Package failover works out in advance who takes over the load and the fills of a lost site, in what shares, and which
-// requests are rejected, in which order. A site is a branch with its caches, or a hub with its parents.
+// Package failover computes failover plans. A plan states, for a set of lost sites, which sites take over their load
+// and fills, in which shares, and which requests are rejected, in which order. A site is a branch with its caches, or a
+// hub with its parents.
 //
-// A plan follows from the settings, the endpoint list and the operators' overrides alone, so that hundreds of directors
-// that can't talk to each other come to the same one. The package does no I/O, reads no clock and draws no random
-// numbers.
+// A plan depends only on the settings, the endpoint list and the operators' overrides, so that hundreds of directors
+// that can't communicate with each other compute the same plan. The package does no I/O, reads no clock and draws no
+// random numbers.
 package failover
 
 import (
@@ -17,66 +18,68 @@
 	"shaleyard/routing"
 )
 
-// Values that hold where neither the settings nor the operators give one.
+// Defaults for values that neither the settings nor the operators' overrides contain.
 const (
-	defaultLoad           = 0.6 // of the capacity of a branch's caches
+	defaultLoad           = 0.6 // fraction of the capacity of a branch's caches
 	defaultCacheHitRatio  = 0.7
 	defaultParentHitRatio = 0.6
 	defaultServiceTime    = 100 * time.Millisecond
 	originHeadroom        = 1.5 // capacity of an origin of unknown size, as a multiple of its demand at the usual load
 
-	// nonIdempotent is the value of a class's effect for requests that must not run twice (protocol page).
+	// nonIdempotent is the routing.Class.Idempotency of requests that must not run twice (protocol page).
 	nonIdempotent = "non_idempotent"
 
-	shareTolerance = 0.01 // by which the classes' shares may miss a sum of 1
+	shareTolerance = 0.01 // largest deviation of the sum of the classes' shares from 1
 )
 
-// Site is a branch or a hub. Capacities are in transfers: responses that can be sent at once, each at its full rate.
+// Site is a branch or a hub. Its capacities are in transfers: the number of responses that can be sent concurrently,
+// each at its full rate.
 type Site struct {
 	Name            string
 	Hub             bool
-	Capacity        float64 // of the links of all of its servers together
-	IngressCapacity float64 // of a branch: of its inbound link; 0: not known, and taken for sufficient
-	HomeHub         int     // of a branch: index in Topology.Sites of the hub it is attached to; -1: none
-	RingPosition    int     // of a hub: its place in the ring of hubs; -1: none
+	Capacity        float64 // sum over the links of all its servers
+	IngressCapacity float64 // of a branch's inbound link; 0: unknown, treated as unlimited
+	HomeHub         int     // of a branch: index in Topology.Sites of the hub that it is attached to; -1: none
+	RingPosition    int     // of a hub: its position in the ring of hubs; -1: none
 }
 
 // Class is a class of requests.
 type Class struct {
 	Name           string
-	LoadShare      float64       // of the work that is asked for; the shares of all classes sum to 1
-	ServiceTime    time.Duration // to send a mean object at full rate
-	PriorityWeight float64       // of one request
-	NonIdempotent  bool          // must not run twice: rejected last
-	Uncacheable    bool          // runs at the origin, and uses next to nothing of the links
+	LoadShare      float64       // fraction of all requested work; the shares of all classes sum to 1
+	ServiceTime    time.Duration // to send an object of mean size at full rate
+	PriorityWeight float64       // value of one request
+	NonIdempotent  bool          // must not run twice, and is rejected last
+	Uncacheable    bool          // runs at the origin, and uses almost no link capacity
 }
 
-// valueDensity is the priority weight for a second of sending: what is lost with each unit of the scarce resource
-// saved.
+// valueDensity returns the priority weight per second of sending: the value that is lost for each unit of link time
+// that a rejection saves.
 func (c Class) valueDensity() float64 { return c.PriorityWeight / c.ServiceTime.Seconds() }
 
-// Topology is what a plan is made for. Its sites are in the order of the zones in the settings.
+// Topology holds the sites, classes, loads and capacities that plans are computed from. Its sites are in the order of
+// the zones in the settings.
 type Topology struct {
 	Sites         []Site
 	Classes       []Class
-	BypassAllowed bool // parents and the origin take clients' requests too
+	BypassAllowed bool // parents and the origin also answer clients' requests
 
-	UsualLoad      float64 // as a share of the capacity of a branch's caches
-	CacheHitRatio  float64 // share of the work that caches hold
-	ParentHitRatio float64 // share of the fills that parents hold
-	OriginCapacity float64 // transfers that the origin can give at once; 0: unlimited
-	TransitCost    float64 // of a byte for each step round the ring, as a share of the value of a mean byte
+	UsualLoad      float64 // fraction of the capacity of a branch's caches
+	CacheHitRatio  float64 // fraction of the work that caches serve without a fill
+	ParentHitRatio float64 // fraction of the fills that parents serve without the origin
+	OriginCapacity float64 // concurrent transfers of the origin; 0: unlimited
+	TransitCost    float64 // of a byte per step along the ring, as a fraction of the value of a mean byte
 
-	CacheSlowStartDuration  time.Duration // after which a cache is warm
-	CacheSlowStartFraction  float64       // share of its capacity that it starts with
-	CacheOverloadMultiple   float64       // multiple of its present capacity at which it falls over
+	CacheSlowStartDuration  time.Duration // time from a cache's start until it has its full capacity
+	CacheSlowStartFraction  float64       // fraction of its full capacity that a cache has at its start
+	CacheOverloadMultiple   float64       // load, as a multiple of its present capacity, at which a cache fails
 	ParentSlowStartDuration time.Duration
 	ParentSlowStartFraction float64
 	ParentOverloadMultiple  float64
 }
 
-// NewTopology derives the topology from a director's settings and the endpoints that it knows. Endpoints that are
-// draining or gone add no capacity. The error is an *OverrideError where an override can't hold.
+// NewTopology derives the topology from a director's settings, the endpoints that the director knows, and the
+// overrides. Only endpoints in state Ready add capacity. The error is an *OverrideError if an override is invalid.
 func NewTopology(settings *routing.Settings, endpoints []routing.Endpoint, overrides Overrides) (*Topology, error) {
 	tiers, guarantees := &settings.Tiers, &settings.Guarantees
 	topology := &Topology{
@@ -111,7 +114,7 @@
 	return topology, topology.validate()
 }
 
-// addSites adds a site for each zone. A zone is a hub if it has parents, or neither directors nor any endpoint.
+// addSites adds a site for each zone. A zone is a hub if it has parents, or if it has neither directors nor endpoints.
 func (t *Topology) addSites(settings *routing.Settings, endpoints []routing.Endpoint) {
 	tiers, zones := &settings.Tiers, len(settings.Zones)
 	capacities, hasParents, hasEndpoints := make([]float64, zones), make([]bool, zones), make([]bool, zones)
@@ -137,8 +140,8 @@
 	}
 }
 
-// placeOnRing attaches branches to their hubs. The settings give places: hubs are the first zones, in the order of the
-// ring (protocol page).
+// placeOnRing sets the ring positions of hubs and attaches branches to their hubs. In the settings, hubs are the first
+// zones, in the order of the ring (protocol page), so a hub's zone is its position.
 func (t *Topology) placeOnRing(hubByZone []int) {
 	for zone := range t.Sites {
 		if zone >= len(hubByZone) {
@@ -154,6 +157,7 @@
 	}
 }
 
+// addClasses adds the classes of the settings, with the shares and service times of the overrides or the defaults.
 func (t *Topology) addClasses(settings *routing.Settings, overrides Overrides) {
 	for i, described := range settings.Classes {
 		class := Class{
@@ -174,7 +178,7 @@
 	}
 }
 
-// checkNames finds overrides for sites and classes that the settings do not have.
+// checkNames returns an *OverrideError for the first override that names a site or class that the settings lack.
 func (t *Topology) checkNames(overrides Overrides) error {
 	for _, table := range []struct {
 		key     string
@@ -195,7 +199,8 @@
 	return nil
 }
 
-// defaultOriginCapacity is that of an origin of unknown size: its demand at the usual load, with some headroom.
+// defaultOriginCapacity returns the capacity assumed for an origin of unknown size, in transfers: originHeadroom times
+// its demand at the usual load with no site lost.
 func (t *Topology) defaultOriginCapacity() float64 {
 	capacity := originHeadroom * t.uncacheableDemand()
 	for branch, site := range t.Sites {
@@ -208,15 +213,17 @@
 	return capacity
 }
 
+// classIndex returns the index of the class in Classes, or -1 if there is none of that name.
 func (t *Topology) classIndex(name string) int {
 	return slices.IndexFunc(t.Classes, func(class Class) bool { return class.Name == name })
 }
 
+// siteIndex returns the index of the site in Sites, or -1 if there is none of that name.
 func (t *Topology) siteIndex(name string) int {
 	return slices.IndexFunc(t.Sites, func(s Site) bool { return s.Name == name })
 }
 
-// validate finds values for which no plan can be made.
+// validate returns an error for the first value for which no plan can be computed.
 func (t *Topology) validate() error {
 	sum := 0.0
 	for _, class := range t.Classes {
@@ -239,7 +246,7 @@
 	return nil
 }
 
-// ringDistance is the number of steps round the ring between two hubs.
+// ringDistance returns the number of steps along the ring between two hubs, by the shorter way.
 func (t *Topology) ringDistance(a, b int) int {
 	hubs := 0
 	for _, s := range t.Sites {
@@ -254,19 +261,21 @@
 	return min(distance, max(hubs-distance, 0))
 }
 
-// demand is the work that a branch is asked for at the usual load, in transfers. It goes with the capacity that the
-// branch was built with: the clients of a lost branch are still there.
+// demand returns the work that the clients of a branch request at the usual load, in transfers. It is proportional to
+// the branch's full capacity even while the branch is lost, because the clients of a lost branch go on sending
+// requests.
 func (t *Topology) demand(branch int) float64 {
 	return t.UsualLoad * t.Sites[branch].Capacity
 }
 
-// classDemand is the part of a branch's demand that is of a class.
+// classDemand returns the part of a branch's demand that belongs to a class, in transfers.
 func (t *Topology) classDemand(branch, class int) float64 {
 	return t.demand(branch) * t.Classes[class].LoadShare
 }
 
-// fillDemand is the part of a class's work at a branch that comes from hubs: what its caches lack, or all of it where
-// the caches are lost and parents may be asked in their place.
+// fillDemand returns the part of a class's demand at a branch that hubs have to serve, in transfers. This is the demand
+// that misses the caches; if the branch is lost, it is all of the demand where BypassAllowed is set, and 0 otherwise.
+// Uncacheable classes have no fills.
 func (t *Topology) fillDemand(branch, class int, lost bool) float64 {
 	switch {
 	case t.Classes[class].Uncacheable:
@@ -279,7 +288,7 @@
 	return t.classDemand(branch, class) * (1 - t.CacheHitRatio)
 }
 
-// uncacheableDemand is the work of all branches that runs at the origin alone.
+// uncacheableDemand returns the demand of all branches for uncacheable classes, in transfers. The origin serves it.
 func (t *Topology) uncacheableDemand() float64 {
 	sum := 0.0
 	for branch, site := range t.Sites {
