--- a/internal/failover/fillflow.go
+++ b/internal/failover/fillflow.go
@@ -22,14 +22,14 @@
 
 	network      flowNetwork
 	source, sink int
-	origin       int       // node whose arc to the sink has the origin's limit
+	origin       int       // node whose arc to the sink has the capacity originLimit
 	hubs         []int     // indices of the sites that are hubs
 	hubNodes     []int     // by site; 0: no node added yet
 	hubRoom      []float64 // by site: capacity of a hub that no pin has reserved, in transfers
 	noHubLeft    bool      // no hub has capacity, so caches fill from the origin directly
 
-	transitCost    float64 // of a unit per step along the ring
-	congestionCost float64 // of a unit per step of a hub's takeover or of a class's rejection (congestionSteps)
+	transitCost    float64 // cost of a unit per step along the ring
+	congestionCost float64 // additional cost of a unit for each of the congestionSteps of a takeover or a rejection
 	pinReward      float64 // subtracted from the cost of each unit on a pinned route
 
 	classFlows  []classFlow
@@ -87,7 +87,8 @@
 	return f.result(cost)
 }
 
-// newFillNetwork returns a network that has the source, the sink and the origin, but no branches and arcs yet.
+// newFillNetwork returns a network that has the nodes of source, sink and origin and the capacities of the hubs, but no
+// branches and no arcs yet.
 func (p *Planner) newFillNetwork(available []float64, load float64) *fillNetwork {
 	topology := p.topology
 	f := &fillNetwork{
@@ -305,8 +306,8 @@
 	return result
 }
 
-// setServedShare sets the served fraction of a class at a branch, and rejects if a part of the class is rejected. Cache
-// hits are served even if all fills are rejected.
+// setServedShare sets the served fraction of a class at a branch, and sets result.rejects if a part of the class is
+// rejected. Cache hits are served even if all fills are rejected.
 func (f *fillNetwork) readRejections(flow classFlow, result *flowResult) {
 	work := f.topology.fillDemand(flow.branch, flow.class, f.available[flow.branch] == 0) * f.load
 	rejected := 0.0
--- a/internal/failover/overrides.go
+++ b/internal/failover/overrides.go
@@ -10,7 +10,7 @@
 // Overrides holds the table "plan" of the operators' file: values that the settings don't contain, and decisions of
 // operators that replace computed ones. The zero value overrides nothing.
 type Overrides struct {
-	UsualLoad      float64            `toml:"usual_load"`  // fraction of the capacity of a branch's caches
+	UsualLoad      float64            `toml:"usual_load"`  // load, as a fraction of the capacity of a branch's caches
 	CacheHitRatio  float64            `toml:"hits"`        // fraction of the work that caches serve without a fill
 	ParentHitRatio float64            `toml:"parent_hits"` // fraction of the fills that parents serve themselves
 	OriginCapacity float64            `toml:"origin"`      // concurrent transfers; 0: 1.5 times the usual demand
@@ -33,7 +33,7 @@
 	Share float64 `toml:"share"`
 }
 
-// Forbid excludes a hub from taking over fills of other hubs' branches while a site is lost.
+// Forbid excludes a hub from taking over fills of branches of other hubs while a site is lost.
 type Forbid struct {
 	Lost string `toml:"lost"`
 	To   string `toml:"to"` // the hub
@@ -222,7 +222,7 @@
 // loopSearch is a depth-first search for loops among pins that take all of a branch's fills.
 type loopSearch struct {
 	pins   []Pin
-	takers map[string]map[string]int // lost site to the hub that takes over to the index of the last such pin
+	takers map[string]map[string]int // by lost site and hub that takes over: index of the last such pin
 }
 
 // visit follows the pins that apply while the site is lost. path holds the sites that lead to this one. visit returns
--- a/internal/failover/plan.go
+++ b/internal/failover/plan.go
@@ -24,7 +24,7 @@
 	// RejectionStart is the load, as a multiple of the usual load, above which some requests are rejected. It is 0 if
 	// some requests are rejected at any load, and also if NeverRejects is set.
 	RejectionStart float64 `json:"refusing_starts_at_load"`
-	// NeverRejects reports that nothing is rejected at maxLoadSearched times the usual load.
+	// NeverRejects is set if nothing is rejected even at maxLoadSearched times the usual load.
 	NeverRejects bool `json:"refusing_never_starts"`
 	// RecoveryTime is the time from the restart of the lost sites, with empty caches, until slow start lets them take
 	// their usual load again. It is that of the slowest site.
@@ -41,7 +41,8 @@
 	ServedShares map[string]float64 `json:"served"` // by class name: fraction served at the usual load
 }
 
-// ClassRejection holds the lowest load at which requests of a class are rejected, and the branches that reject them.
+// ClassRejection holds the lowest load at which requests of a class are rejected, and the branches that reject them at
+// that load.
 type ClassRejection struct {
 	Class    string   `json:"class"`
 	FromLoad float64  `json:"from_load"` // multiple of the usual load; 0: rejected at any load
@@ -96,8 +97,9 @@
 	return plan
 }
 
-// unmetDemands returns a sentence for each demand that can't be met: first for branches that lack caches, a substitute
-// for lost caches, or hubs, then for each class of which a branch rejects a part at the usual load.
+// unmetDemands returns a sentence for each demand that can't be met. First come the branches whose clients nobody may
+// answer, that have no caches, or whose fills no hub can serve; then the classes of which a branch rejects a part at
+// the usual load.
 func (p *Planner) unmetDemands(available []float64, usual *flowResult) []string {
 	var list []string
 	topology, hubsLeft := p.topology, p.hubsLeft(available)
--- a/internal/failover/planner.go
+++ b/internal/failover/planner.go
@@ -22,7 +22,7 @@
 	coldBudgetUse   = 0.5  // fraction of a slow-start budget that the router uses; the rest is a margin for random load
 	maxLoadSearched = 16   // upper end of the search for the start of rejections, as a multiple of the usual load
 	loadResolution  = 1e-3 // of that search, as a multiple of the usual load
-	minLoad         = 1e-6 // multiple of the usual load in place of 0, which would lead to divisions by zero
+	minLoad         = 1e-6 // multiple of the usual load that replaces 0, where there are no fills to reject
 
 	noticeableShare = 0.005 // rejected fraction of a class above which a plan reports the rejection
 )
@@ -34,7 +34,7 @@
 	overrides Overrides
 	plans     map[string]*Plan // by the sorted names of the lost sites
 
-	congestionCost float64 // defaultCongestionCost, or 0 in tests that need no tie-breaking
+	congestionCost float64 // defaultCongestionCost, except in tests without tie-breaking
 }
 
 // NewPlanner returns a planner for the topology. The error is an *OverrideError if the overrides don't fit the
@@ -130,7 +130,8 @@
 }
 
 // routeCost returns the cost of a unit that a branch fetches from a hub: the transit cost along the ring from the
-// branch's own hub, plus homeHubLeaveCost if its own hub is available. Fetching from its own hub costs nothing.
+// branch's own hub, plus homeHubLeaveCost if its own hub is available. The cost is 0 for the branch's own hub, and for
+// a branch that has none.
 func (p *Planner) routeCost(branch, hub int, available []float64) float64 {
 	home := p.topology.Sites[branch].HomeHub
 	if home < 0 || home == hub {
@@ -144,8 +145,8 @@
 	return p.minValueDensity()*leaveCost + p.meanValueDensity()*p.topology.TransitCost*distance
 }
 
-// isForbidden reports whether an override forbids a hub to take over fills while the unavailable sites are lost. It
-// does not apply to the branches that are attached to the hub.
+// isForbidden reports whether an override forbids a hub to take over fills while the unavailable sites are lost.
+// Callers exempt the fills of branches that are attached to the hub.
 func (p *Planner) isForbidden(hub int, available []float64) bool {
 	return slices.ContainsFunc(p.overrides.Forbids, func(f Forbid) bool {
 		return f.To == p.topology.Sites[hub].Name && available[p.topology.siteIndex(f.Lost)] == 0
@@ -212,12 +213,12 @@
 	return low, false
 }
 
-// classRejections returns, for each class that is rejected at some load up to maxLoad, the lowest such load and the
+// classRejections returns, for each class that is rejected at one of the tried loads, the lowest such load and the
 // branches that reject the class at that load. The list is ordered by load.
 func (p *Planner) classRejections(available []float64) []ClassRejection {
 	const (
 		stepsPerLoad = 20 // loads tried per multiple of the usual load
-		maxLoad      = 4  // multiple of the usual load
+		maxLoad      = 4  // highest load tried, as a multiple of the usual load
 	)
 	var list []ClassRejection
 	for class, c := range p.topology.Classes {
@@ -268,7 +269,7 @@
 	return time.Duration(float64(duration) * (needed - start) / max(1-start, epsilon))
 }
 
-// hubLoad returns a hub's load at the usual load with no site lost, as a fraction of the hub's capacity.
+// hubLoad returns the fills that a hub serves at the usual load with no site lost, as a fraction of the hub's capacity.
 func (p *Planner) hubLoad(hub Site) float64 {
 	if hub.Capacity <= 0 {
 		return 0
--- a/internal/failover/planner_test.go
+++ b/internal/failover/planner_test.go
@@ -195,7 +195,7 @@
 			}
 			before = now
 		}
-		// Another planner must return the same plan for the names in reverse order.
+		// Another planner must compute the same values for the names in reverse order.
 		twin, _ := NewPlanner(topology, Overrides{})
 		slices.Reverse(lost)
 		again, _ := twin.Plan(lost...)
--- a/internal/failover/topology.go
+++ b/internal/failover/topology.go
@@ -21,9 +21,9 @@
 // Defaults for values that neither the settings nor the operators' overrides contain.
 const (
 	defaultLoad           = 0.6 // fraction of the capacity of a branch's caches
-	defaultCacheHitRatio  = 0.7
-	defaultParentHitRatio = 0.6
-	defaultServiceTime    = 100 * time.Millisecond
+	defaultCacheHitRatio  = 0.7 // see Topology.CacheHitRatio
+	defaultParentHitRatio = 0.6 // see Topology.ParentHitRatio
+	defaultServiceTime    = 100 * time.Millisecond // see Class.ServiceTime
 	originHeadroom        = 1.5 // capacity of an origin of unknown size, as a multiple of its demand at the usual load
 
 	// nonIdempotent is the routing.Class.Idempotency of requests that must not run twice (protocol page).
@@ -37,7 +37,7 @@
 type Site struct {
 	Name            string
 	Hub             bool
-	Capacity        float64 // sum over the links of all its servers
+	Capacity        float64 // total of the links of all its servers
 	IngressCapacity float64 // of a branch's inbound link; 0: unknown, treated as unlimited
 	HomeHub         int     // of a branch: index in Topology.Sites of the hub that it is attached to; -1: none
 	RingPosition    int     // of a hub: its position in the ring of hubs; -1: none
@@ -47,7 +47,7 @@
 type Class struct {
 	Name           string
 	LoadShare      float64       // fraction of all requested work; the shares of all classes sum to 1
-	ServiceTime    time.Duration // to send an object of mean size at full rate
+	ServiceTime    time.Duration // time to send an object of mean size at full rate
 	PriorityWeight float64       // value of one request
 	NonIdempotent  bool          // must not run twice, and is rejected last
 	Uncacheable    bool          // runs at the origin, and uses almost no link capacity
@@ -68,18 +68,20 @@
 	CacheHitRatio  float64 // fraction of the work that caches serve without a fill
 	ParentHitRatio float64 // fraction of the fills that parents serve without the origin
 	OriginCapacity float64 // concurrent transfers of the origin; 0: unlimited
-	TransitCost    float64 // of a byte per step along the ring, as a fraction of the value of a mean byte
+	TransitCost    float64 // cost of a byte per step along the ring, as a fraction of the value of a mean byte
 
 	CacheSlowStartDuration  time.Duration // time from a cache's start until it has its full capacity
 	CacheSlowStartFraction  float64       // fraction of its full capacity that a cache has at its start
 	CacheOverloadMultiple   float64       // load, as a multiple of its present capacity, at which a cache fails
+	// The same values for parents.
 	ParentSlowStartDuration time.Duration
 	ParentSlowStartFraction float64
 	ParentOverloadMultiple  float64
 }
 
 // NewTopology derives the topology from a director's settings, the endpoints that the director knows, and the
-// overrides. Only endpoints in state Ready add capacity. The error is an *OverrideError if an override is invalid.
+// overrides. Only endpoints in state Ready add capacity. The error is an *OverrideError if an override is invalid, and
+// a plain error if a site or class has invalid values.
 func NewTopology(settings *routing.Settings, endpoints []routing.Endpoint, overrides Overrides) (*Topology, error) {
 	tiers, guarantees := &settings.Tiers, &settings.Guarantees
 	topology := &Topology{
@@ -223,7 +225,7 @@
 	return slices.IndexFunc(t.Sites, func(s Site) bool { return s.Name == name })
 }
 
-// validate returns an error for the first value for which no plan can be computed.
+// validate returns an error for the first class or site with values for which no plan can be computed.
 func (t *Topology) validate() error {
 	sum := 0.0
 	for _, class := range t.Classes {
