--- a/internal/failover/bruteforce_test.go
+++ b/internal/failover/bruteforce_test.go
@@ -9,32 +9,32 @@
 type bruteForce struct {
 	planner   *Planner
 	available []float64
-	streams   []wholeStream
+	demands   []unitDemand
 	hubs      []int
 
 	// Capacities, in transfers, that the current partial assignment leaves free.
-	hubRoom     map[int]float64
-	ingressRoom map[int]float64 // by branch
-	originRoom  float64
+	hubLeft     map[int]float64
+	ingressLeft map[int]float64 // by branch
+	originLeft  float64
 
 	cost    float64 // of the cheapest assignment found
 	rejects bool    // the cheapest assignment rejects some work
 }
 
 // unitDemand is the fill demand of a class at a branch, in whole transfers.
-type wholeStream struct{ branch, class, units int }
+type unitDemand struct{ branch, class, units int }
 
 // bruteForceCost returns the least cost of all assignments at the usual load, and whether the cheapest assignment
 // rejects any work.
 func bruteForceCost(p *Planner, available []float64) (cost float64, rejects bool) {
-	b := &bruteForce{planner: p, available: available, hubRoom: map[int]float64{}, ingressRoom: map[int]float64{}}
+	b := &bruteForce{planner: p, available: available, hubLeft: map[int]float64{}, ingressLeft: map[int]float64{}}
 	b.addSites()
-	b.limitOrigin()
-	if len(b.streams) == 0 {
+	b.addOriginLimit()
+	if len(b.demands) == 0 {
 		return 0, false
 	}
 	b.cost = math.Inf(1)
-	b.try(0, 0, b.streams[0].units, 0, 0)
+	b.search(0, 0, b.demands[0].units, 0, 0)
 	return b.cost, b.rejects
 }
 
@@ -44,82 +44,82 @@
 	for i, site := range topology.Sites {
 		if site.Hub {
 			b.hubs = append(b.hubs, i)
-			b.hubRoom[i] = site.Capacity * b.available[i]
+			b.hubLeft[i] = site.Capacity * b.available[i]
 			continue
 		}
-		b.ingressRoom[i] = site.IngressCapacity
+		b.ingressLeft[i] = site.IngressCapacity
 		if site.IngressCapacity == 0 {
-			b.ingressRoom[i] = math.Inf(1)
+			b.ingressLeft[i] = math.Inf(1)
 		}
 		for class := range topology.Classes {
 			if work := topology.fillDemand(i, class, b.available[i] == 0); work > 0 {
-				b.streams = append(b.streams, wholeStream{branch: i, class: class, units: int(work + 0.5)})
+				b.demands = append(b.demands, unitDemand{branch: i, class: class, units: int(work + 0.5)})
 			}
 		}
 	}
 }
 
 // addOriginLimit sets the origin's capacity. If no hub has capacity, it adds fromOrigin to the hubs.
-func (b *bruteForce) limitOrigin() {
-	topology, left := b.planner.topology, 0.0
+func (b *bruteForce) addOriginLimit() {
+	topology, hubCapacity := b.planner.topology, 0.0
 	for _, hub := range b.hubs {
-		left += b.hubRoom[hub]
+		hubCapacity += b.hubLeft[hub]
 	}
-	b.originRoom = math.Inf(1)
+	b.originLeft = math.Inf(1)
 	switch {
-	case topology.OriginCapacity > 0 && left > 0:
-		b.originRoom = topology.OriginCapacity / (1 - topology.ParentHitRatio)
+	case topology.OriginCapacity > 0 && hubCapacity > 0:
+		b.originLeft = topology.OriginCapacity / (1 - topology.ParentHitRatio)
 	case topology.OriginCapacity > 0:
-		b.originRoom = topology.OriginCapacity
+		b.originLeft = topology.OriginCapacity
 	}
-	if left == 0 {
+	if hubCapacity == 0 {
 		b.hubs = append(b.hubs, fromOrigin)
-		b.hubRoom[fromOrigin] = math.Inf(1)
+		b.hubLeft[fromOrigin] = math.Inf(1)
 	}
 }
 
 // search tries all assignments of the remaining units of a demand to the hubs from hubIndex on, and of the demands
 // after it. cost and rejected are those of the current partial assignment.
-func (b *bruteForce) try(stream, hubIndex, left int, cost float64, rejected int) {
+func (b *bruteForce) search(demandIndex, hubIndex, left int, cost float64, rejected int) {
 	if cost >= b.cost {
 		return
 	}
-	if stream == len(b.streams) {
+	if demandIndex == len(b.demands) {
 		b.cost, b.rejects = cost, rejected > 0
 		return
 	}
-	s := b.streams[stream]
+	demand := b.demands[demandIndex]
 	if hubIndex == len(b.hubs) { // the remaining units are rejected
 		next := 0
-		if stream+1 < len(b.streams) {
-			next = b.streams[stream+1].units
+		if demandIndex+1 < len(b.demands) {
+			next = b.demands[demandIndex+1].units
 		}
-		b.try(stream+1, 0, next, cost+float64(left)*b.planner.rejectionCost(s.class), rejected+left)
+		b.search(demandIndex+1, 0, next, cost+float64(left)*b.planner.rejectionCost(demand.class), rejected+left)
 		return
 	}
 	hub := b.hubs[hubIndex]
-	unitCost := b.unitCost(s.branch, hub)
+	unitCost := b.unitCost(demand.branch, hub)
 	for units := 0; units <= left; units++ {
 		amount := float64(units)
-		if units > 0 && !b.fits(s.branch, hub, amount) {
+		if units > 0 && !b.fits(demand.branch, hub, amount) {
 			break
 		}
-		b.take(s.branch, hub, amount)
-		b.try(stream, hubIndex+1, left-units, cost+amount*unitCost, rejected)
-		b.take(s.branch, hub, -amount)
+		b.reserve(demand.branch, hub, amount)
+		b.search(demandIndex, hubIndex+1, left-units, cost+amount*unitCost, rejected)
+		b.reserve(demand.branch, hub, -amount)
 	}
 }
 
 // reserve subtracts the amount from all capacities that it uses. A negative amount releases it.
-func (b *bruteForce) take(branch, hub int, amount float64) {
-	b.hubRoom[hub] -= amount
-	b.ingressRoom[branch] -= amount
-	b.originRoom -= amount
+func (b *bruteForce) reserve(branch, hub int, amount float64) {
+	b.hubLeft[hub] -= amount
+	b.ingressLeft[branch] -= amount
+	b.originLeft -= amount
 }
 
 // fits reports whether all capacities and the overrides allow the amount to go from the hub to the branch.
 func (b *bruteForce) fits(branch, hub int, amount float64) bool {
-	if b.hubRoom[hub] < amount || b.ingressRoom[branch] < amount || b.originRoom < amount {
+	if b.hubLeft[hub] < amount || b.ingressLeft[branch] < amount || b.originLeft < amount {
 		return false
 	}
 	home := b.planner.topology.Sites[branch].HomeHub
@@ -136,7 +136,7 @@
 		return topology.TransitCost * p.meanValueDensity() * float64(len(b.hubs)-1)
 	case home == hub || home < 0:
 		return 0
-	case b.hubRoom[home] > 0 || topology.Sites[home].Capacity*b.available[home] > 0: // its own hub is available
+	case b.hubLeft[home] > 0 || topology.Sites[home].Capacity*b.available[home] > 0: // its own hub is available
 		return 0.5*p.minValueDensity() + p.meanValueDensity()*topology.TransitCost*float64(
 			topology.ringDistance(home, hub),
 		)
--- a/internal/failover/fillflow.go
+++ b/internal/failover/fillflow.go
@@ -20,13 +20,13 @@
 	available []float64 // by site: 0 or 1
 	load      float64   // multiple of the usual load
 
-	network      flowNetwork
-	source, sink int
-	origin       int       // node whose arc to the sink has the capacity originLimit
-	hubs         []int     // indices of the sites that are hubs
-	hubNodes     []int     // by site; 0: no node added yet
-	hubRoom      []float64 // by site: capacity of a hub that no pin has reserved, in transfers
-	noHubLeft    bool      // no hub has capacity, so caches fill from the origin directly
+	network         flowNetwork
+	source, sink    int
+	origin          int       // node whose arc to the sink has the capacity originLimit
+	hubs            []int     // indices of the sites that are hubs
+	hubNodes        []int     // by site; 0: no node added yet
+	hubCapacityLeft []float64 // by site: capacity of a hub that no pin has reserved, in transfers
+	noUsableHub     bool      // no hub has capacity, so caches fill from the origin directly
 
 	transitCost    float64 // cost of a unit per step along the ring
 	congestionCost float64 // additional cost of a unit for each of the congestionSteps of a takeover or a rejection
@@ -40,7 +40,7 @@
 // classFlow identifies the fills of a class at a branch and the arcs by which they are rejected.
 type classFlow struct {
 	branch, class int
-	rejections    [congestionSteps]int // indices of the arcs to the sink, cheapest first
+	rejectionArcs [congestionSteps]int // indices of the arcs to the sink, cheapest first
 }
 
 // route is an arc by which fills of a branch reach a hub.
@@ -79,7 +79,7 @@
 	}
 	for _, hub := range f.hubs {
 		if f.hubNodes[hub] != 0 {
-			f.network.addArc(f.hubNodes[hub], f.origin, f.hubRoom[hub], 0)
+			f.network.addArc(f.hubNodes[hub], f.origin, f.hubCapacityLeft[hub], 0)
 		}
 	}
 	f.network.addArc(f.origin, f.sink, f.originLimit(), 0)
@@ -92,15 +92,15 @@
 func (p *Planner) newFillNetwork(available []float64, load float64) *fillNetwork {
 	topology := p.topology
 	f := &fillNetwork{
-		planner:        p,
-		topology:       topology,
-		available:      available,
-		load:           load,
-		hubNodes:       make([]int, len(topology.Sites)),
-		hubRoom:        make([]float64, len(topology.Sites)),
-		noHubLeft:      true,
-		transitCost:    topology.TransitCost * p.meanValueDensity(),
-		congestionCost: p.congestionCost * p.minValueDensity(),
+		planner:         p,
+		topology:        topology,
+		available:       available,
+		load:            load,
+		hubNodes:        make([]int, len(topology.Sites)),
+		hubCapacityLeft: make([]float64, len(topology.Sites)),
+		noUsableHub:     true,
+		transitCost:     topology.TransitCost * p.meanValueDensity(),
+		congestionCost:  p.congestionCost * p.minValueDensity(),
 	}
 	// The reward exceeds the cost of any route that is not pinned, so that pinned routes are filled first.
 	f.pinReward = homeHubLeaveCost*p.minValueDensity() + f.transitCost*float64(len(topology.Sites)) +
@@ -112,8 +112,8 @@
 			continue
 		}
 		f.hubs = append(f.hubs, i)
-		f.hubRoom[i] = site.Capacity * available[i]
-		f.noHubLeft = f.noHubLeft && f.hubRoom[i] == 0
+		f.hubCapacityLeft[i] = site.Capacity * available[i]
+		f.noUsableHub = f.noUsableHub && f.hubCapacityLeft[i] == 0
 	}
 	return f
 }
@@ -126,7 +126,7 @@
 		return math.Inf(1)
 	}
 	limit := max(0, topology.OriginCapacity-topology.uncacheableDemand()*f.load)
-	if f.noHubLeft {
+	if f.noUsableHub {
 		return limit
 	}
 	return limit / max(1-topology.ParentHitRatio, epsilon)
@@ -135,21 +135,21 @@
 // addBranch adds a branch: its classes, its inbound link and its routes to the hubs.
 func (f *fillNetwork) addBranch(branch int) {
 	lost := f.available[branch] == 0
-	asked := 0.0
+	demand := 0.0
 	for class := range f.topology.Classes {
-		asked += f.topology.fillDemand(branch, class, lost) * f.load
+		demand += f.topology.fillDemand(branch, class, lost) * f.load
 	}
-	pinned, unpinnedShare := f.applyPins(branch, asked)
+	pinned, unpinnedShare := f.applyPins(branch, demand)
 
-	link, linkEnd := f.network.addNode(), f.network.addNode()
-	f.network.addArc(link, linkEnd, f.ingressLimit(branch), 0)
+	linkStart, linkEnd := f.network.addNode(), f.network.addNode()
+	f.network.addArc(linkStart, linkEnd, f.ingressLimit(branch), 0)
 	for class := range f.topology.Classes {
-		f.addClass(branch, class, link)
+		f.addClass(branch, class, linkStart)
 	}
-	if f.noHubLeft {
+	if f.noUsableHub {
 		f.network.addArc(linkEnd, f.origin, math.Inf(1), f.transitCost*float64(len(f.hubs)))
 	}
-	f.addHubRoutes(branch, linkEnd, asked, unpinnedShare, pinned)
+	f.addHubRoutes(branch, linkEnd, demand, unpinnedShare, pinned)
 	for _, pin := range pinned {
 		if pin.work > 0 {
 			// The arc bypasses the hub's node: applyPins has already subtracted this work from the hub's capacity.
@@ -160,7 +160,7 @@
 
 // applyPins reserves capacity at hubs for the fills that pins send there from a branch. It returns these fills and the
 // fraction of the branch's fills that no pin applies to. It sets pinOverload if a hub lacks the capacity.
-func (f *fillNetwork) applyPins(branch int, asked float64) (pinned []pinnedWork, unpinnedShare float64) {
+func (f *fillNetwork) applyPins(branch int, demand float64) (pinned []pinnedWork, unpinnedShare float64) {
 	topology := f.topology
 	unpinnedShare = 1.0
 	for i, pin := range f.planner.overrides.Pins {
@@ -168,14 +168,14 @@
 		if pin.From != topology.Sites[branch].Name || f.available[lost] != 0 || f.available[hub] == 0 {
 			continue
 		}
-		work := pin.Share * asked
-		if work > f.hubRoom[hub]+epsilon && f.pinOverload == nil {
+		work := pin.Share * demand
+		if work > f.hubCapacityLeft[hub]+epsilon && f.pinOverload == nil {
 			reason := fmt.Sprintf("%s has room for %.1f transfers while %s is lost, and the share is %.1f",
-				pin.To, f.hubRoom[hub], pin.Lost, work)
+				pin.To, f.hubCapacityLeft[hub], pin.Lost, work)
 			f.pinOverload = &pinError{pin: i, reason: reason}
 		}
-		work = min(work, f.hubRoom[hub])
-		f.hubRoom[hub] -= work
+		work = min(work, f.hubCapacityLeft[hub])
+		f.hubCapacityLeft[hub] -= work
 		unpinnedShare -= pin.Share
 		pinned = append(pinned, pinnedWork{hub: hub, work: work})
 	}
@@ -191,7 +191,7 @@
 }
 
 // addClass adds the fills of a class at a branch, with arcs to the branch's inbound link and arcs that reject them.
-func (f *fillNetwork) addClass(branch, class, link int) {
+func (f *fillNetwork) addClass(branch, class, linkStart int) {
 	work := f.topology.fillDemand(branch, class, f.available[branch] == 0) * f.load
 	if work <= 0 {
 		return
@@ -199,18 +199,18 @@
 	node := f.network.addNode()
 	f.network.addArc(f.source, node, work, 0)
 	flow := classFlow{branch: branch, class: class}
-	for step := range flow.rejections {
+	for step := range flow.rejectionArcs {
 		// The cost rises with the rejected part of the class, so that branches share the rejections.
 		cost := f.planner.rejectionCost(class) + f.congestionCost*float64(step)
-		flow.rejections[step] = f.network.addArc(node, f.sink, work/congestionSteps, cost)
+		flow.rejectionArcs[step] = f.network.addArc(node, f.sink, work/congestionSteps, cost)
 	}
 	f.classFlows = append(f.classFlows, flow)
-	f.network.addArc(node, link, work, 0)
+	f.network.addArc(node, linkStart, work, 0)
 }
 
 // addHubRoutes adds a branch's routes to its own hub and to the hubs that may take over its fills. Hubs that the branch
 // is pinned to get no other route.
-func (f *fillNetwork) addHubRoutes(branch, linkEnd int, asked, unpinnedShare float64, pinned []pinnedWork) {
+func (f *fillNetwork) addHubRoutes(branch, linkEnd int, demand, unpinnedShare float64, pinned []pinnedWork) {
 	home := f.topology.Sites[branch].HomeHub
 	takeover := f.takeoverCapacity(home)
 	for _, hub := range f.hubs {
@@ -223,7 +223,7 @@
 		if unpinnedShare < epsilon || isPinnedTo(pinned, hub) {
 			continue // all fills of the branch are pinned, or its fills to this hub are
 		}
-		unpinned := max(0, unpinnedShare) * asked
+		unpinned := max(0, unpinnedShare) * demand
 		if hub == home || takeover <= 0 {
 			f.addRoute(branch, hub, linkEnd, f.hubNodes[hub], unpinned, f.planner.routeCost(branch, hub, f.available))
 			continue
@@ -295,7 +295,7 @@
 		result.fillFlow[route.branch][route.hub] += f.network.flowOn(route.arc)
 	}
 	for _, flow := range f.classFlows {
-		f.readRejections(flow, result)
+		f.setServedShare(flow, result)
 	}
 	f.limitUncacheable(result)
 	for branch, site := range f.topology.Sites {
@@ -308,17 +308,17 @@
 
 // setServedShare sets the served fraction of a class at a branch, and sets result.rejects if a part of the class is
 // rejected. Cache hits are served even if all fills are rejected.
-func (f *fillNetwork) readRejections(flow classFlow, result *flowResult) {
+func (f *fillNetwork) setServedShare(flow classFlow, result *flowResult) {
 	work := f.topology.fillDemand(flow.branch, flow.class, f.available[flow.branch] == 0) * f.load
 	rejected := 0.0
-	for _, index := range flow.rejections {
+	for _, index := range flow.rejectionArcs {
 		rejected += f.network.flowOn(index)
 	}
 	if rejected > epsilon*congestionSteps {
 		result.rejects = true
 	}
-	all := f.topology.classDemand(flow.branch, flow.class) * f.load
-	result.servedShare[flow.branch][flow.class] = 1 - min(rejected, work)/max(all, epsilon)
+	demand := f.topology.classDemand(flow.branch, flow.class) * f.load
+	result.servedShare[flow.branch][flow.class] = 1 - min(rejected, work)/max(demand, epsilon)
 }
 
 // limitUncacheable rejects a part of the uncacheable requests if they exceed the origin's capacity. The origin serves
@@ -340,7 +340,7 @@
 }
 
 // hubInflow returns the fills that all branches send to a hub, in transfers.
-func (r *flowResult) intoHub(hub int) float64 {
+func (r *flowResult) hubInflow(hub int) float64 {
 	sum := 0.0
 	for branch := range r.fillFlow {
 		sum += r.fillFlow[branch][hub]
--- a/internal/failover/local.go
+++ b/internal/failover/local.go
@@ -8,7 +8,7 @@
 )
 
 // placeholderCapacity is the capacity, in transfers, assumed for each site while its servers are unknown.
-const plentyCapacity = 1e6
+const placeholderCapacity = 1e6
 
 // LocalPlanner computes the failover shares of one director's branch, for its sitehealth.Monitor. It keeps a Planner
 // for the current capacities of the sites and replaces it when they change. It is not safe for concurrent use.
@@ -29,11 +29,11 @@
 // for each change of the capacities, and Shares returns no shares: the director works as without a plan.
 func NewLocalPlanner(settings *routing.Settings, overrides Overrides, reportError func(error)) (*LocalPlanner, error) {
 	l := &LocalPlanner{settings: settings, overrides: overrides, reportError: reportError}
-	plenty := make([]float64, len(settings.Zones))
-	for zone := range plenty {
-		plenty[zone] = plentyCapacity
+	placeholders := make([]float64, len(settings.Zones))
+	for zone := range placeholders {
+		placeholders[zone] = placeholderCapacity
 	}
-	topology, err := NewTopology(settings, l.representatives(plenty), overrides)
+	topology, err := NewTopology(settings, l.zoneEndpoints(placeholders), overrides)
 	if err != nil {
 		return nil, err
 	}
@@ -42,7 +42,7 @@
 }
 
 // zoneEndpoints returns an endpoint for each zone, which has the capacity of all servers of the zone.
-func (l *LocalPlanner) representatives(capacities []float64) []routing.Endpoint {
+func (l *LocalPlanner) zoneEndpoints(capacities []float64) []routing.Endpoint {
 	tiers := &l.settings.Tiers
 	cacheKind := 0 // lowest Endpoint.Kind that is neither the parents' nor the origin's
 	for cacheKind == tiers.OriginKind || cacheKind == tiers.ParentKind {
@@ -89,7 +89,7 @@
 // replan sets planner for new capacities. If that fails, it sets err and reports the error.
 func (l *LocalPlanner) replan(capacities []float64) {
 	l.capacities = slices.Clone(capacities)
-	topology, err := NewTopology(l.settings, l.representatives(capacities), l.overrides)
+	topology, err := NewTopology(l.settings, l.zoneEndpoints(capacities), l.overrides)
 	if err == nil {
 		l.planner, err = NewPlanner(topology, l.overrides)
 	}
--- a/internal/failover/overrides.go
+++ b/internal/failover/overrides.go
@@ -98,13 +98,13 @@
 // validatePinShares returns an *OverrideError for the first pin whose share is not in (0, 1], or with which the shares
 // of a branch's pins for one lost site sum to more than 1.
 func (o *Overrides) validatePinShares() error {
-	type source struct{ lost, from string }
-	sums := map[source]float64{}
+	type pinSource struct{ lost, from string }
+	sums := map[pinSource]float64{}
 	for i, pin := range o.Pins {
 		if !(pin.Share > 0 && pin.Share <= 1) {
 			return overrideErrorf(pinKey(i, "share"), "%v is not above 0 and at most 1", pin.Share)
 		}
-		key := source{lost: pin.Lost, from: pin.From}
+		key := pinSource{lost: pin.Lost, from: pin.From}
 		sums[key] += pin.Share
 		if sums[key] > 1+epsilon {
 			return overrideErrorf(pinKey(i, "share"), "the pins of %s while %s is lost make %.3f, more than 1",
@@ -198,15 +198,15 @@
 // checkPinLoops returns an *OverrideError if pins that take all of a branch's fills form a loop of hubs: with all hubs
 // of the loop lost, each pin would name a lost hub as its replacement.
 func (o *Overrides) checkPinLoops(topology *Topology) error {
-	search := loopSearch{pins: o.Pins, takers: map[string]map[string]int{}}
+	search := loopSearch{pins: o.Pins, receivers: map[string]map[string]int{}}
 	for i, pin := range o.Pins {
-		if !pin.isWhole() {
+		if !pin.takesAllFills() {
 			continue
 		}
-		if search.takers[pin.Lost] == nil {
-			search.takers[pin.Lost] = map[string]int{}
+		if search.receivers[pin.Lost] == nil {
+			search.receivers[pin.Lost] = map[string]int{}
 		}
-		search.takers[pin.Lost][pin.To] = i
+		search.receivers[pin.Lost][pin.To] = i
 	}
 	for _, site := range topology.Sites {
 		if err := search.visit(site.Name, nil); err != nil {
@@ -217,25 +217,25 @@
 }
 
 // takesAllFills reports whether the pin assigns all fills of the branch.
-func (p Pin) isWhole() bool { return p.Share > 1-epsilon }
+func (p Pin) takesAllFills() bool { return p.Share > 1-epsilon }
 
 // loopSearch is a depth-first search for loops among pins that take all of a branch's fills.
 type loopSearch struct {
-	pins   []Pin
-	takers map[string]map[string]int // by lost site and hub that takes over: index of the last such pin
+	pins      []Pin
+	receivers map[string]map[string]int // by lost site and hub that takes over: index of the last such pin
 }
 
 // visit follows the pins that apply while the site is lost. path holds the sites that lead to this one. visit returns
 // an *OverrideError if a site occurs twice on a path.
 func (s *loopSearch) visit(site string, path []string) error {
 	if start := slices.Index(path, site); start >= 0 {
-		pin := s.takers[path[len(path)-1]][site]
+		pin := s.receivers[path[len(path)-1]][site]
 		loop := append(slices.Clone(path[start:]), site)
 		return overrideErrorf(pinKey(pin, "to"), "sites take each other's load in a loop: %s", strings.Join(loop, ", "))
 	}
 	// Pins are followed in the order of the file, so that the error names the same key on each run.
 	for i, pin := range s.pins {
-		if pin.Lost != site || !pin.isWhole() || s.takers[site][pin.To] != i {
+		if pin.Lost != site || !pin.takesAllFills() || s.receivers[site][pin.To] != i {
 			continue
 		}
 		if err := s.visit(pin.To, append(slices.Clone(path), site)); err != nil {
--- a/internal/failover/plan.go
+++ b/internal/failover/plan.go
@@ -52,11 +52,11 @@
 // buildPlan computes the plan for the given lost sites, whose names must be names of sites of the topology.
 func (p *Planner) buildPlan(lost []string) *Plan {
 	topology, available := p.topology, p.availability(lost)
-	usual := p.solveFlow(available, 1)
-	plan := &Plan{Lost: lost, ValueServed: p.valueServed(usual), Unmet: p.unmetDemands(available, usual)}
+	usualFlow := p.solveFlow(available, 1)
+	plan := &Plan{Lost: lost, ValueServed: p.valueServed(usualFlow), Unmet: p.unmetDemands(available, usualFlow)}
 	for branch, site := range topology.Sites {
 		if !site.Hub {
-			plan.Branches = append(plan.Branches, p.branchPlan(branch, available, usual))
+			plan.Branches = append(plan.Branches, p.branchPlan(branch, available, usualFlow))
 		}
 	}
 	plan.RejectionStart, plan.NeverRejects = p.rejectionStart(available)
@@ -68,7 +68,7 @@
 }
 
 // branchPlan returns the plan of one branch. usualFlow is the solved flow at the usual load.
-func (p *Planner) branchPlan(branch int, available []float64, usual *flowResult) BranchPlan {
+func (p *Planner) branchPlan(branch int, available []float64, usualFlow *flowResult) BranchPlan {
 	topology := p.topology
 	plan := BranchPlan{
 		Name:         topology.Sites[branch].Name,
@@ -83,16 +83,16 @@
 		plan.ServedBy = servedByNobody
 	}
 	sum := 0.0
-	for _, flow := range usual.fillFlow[branch] {
+	for _, flow := range usualFlow.fillFlow[branch] {
 		sum += flow
 	}
-	for hub, flow := range usual.fillFlow[branch] {
+	for hub, flow := range usualFlow.fillFlow[branch] {
 		if flow > epsilon {
 			plan.FillShares[topology.Sites[hub].Name] = flow / sum
 		}
 	}
 	for class, c := range topology.Classes {
-		plan.ServedShares[c.Name] = usual.servedShare[branch][class]
+		plan.ServedShares[c.Name] = usualFlow.servedShare[branch][class]
 	}
 	return plan
 }
@@ -100,9 +100,9 @@
 // unmetDemands returns a sentence for each demand that can't be met. First come the branches whose clients nobody may
 // answer, that have no caches, or whose fills no hub can serve; then the classes of which a branch rejects a part at
 // the usual load.
-func (p *Planner) unmetDemands(available []float64, usual *flowResult) []string {
+func (p *Planner) unmetDemands(available []float64, usualFlow *flowResult) []string {
 	var list []string
-	topology, hubsLeft := p.topology, p.hubsLeft(available)
+	topology, usableHubs := p.topology, p.usableHubCount(available)
 	for branch, site := range topology.Sites {
 		switch {
 		case site.Hub:
@@ -111,7 +111,7 @@
 				"a fault, parents take none): all of them are refused at once")
 		case site.Capacity == 0 && available[branch] > 0:
 			list = append(list, site.Name+": it has no caches")
-		case hubsLeft == 0 && topology.demand(branch)*(1-topology.CacheHitRatio) > 0:
+		case usableHubs == 0 && topology.demand(branch)*(1-topology.CacheHitRatio) > 0:
 			list = append(list, site.Name+
 				": no hub is left, and what its caches lack comes from the origin as far as that can give it")
 		}
@@ -121,7 +121,7 @@
 			continue
 		}
 		for class, c := range topology.Classes {
-			if rejected := 1 - usual.servedShare[branch][class]; rejected > noticeableShare {
+			if rejected := 1 - usualFlow.servedShare[branch][class]; rejected > rejectedShareThreshold {
 				list = append(list, fmt.Sprintf("%s: %.0f %% of %s at the usual load", site.Name, 100*rejected, c.Name))
 			}
 		}
@@ -130,7 +130,7 @@
 }
 
 // usableHubCount returns the number of hubs that are not lost and have capacity.
-func (p *Planner) hubsLeft(available []float64) int {
+func (p *Planner) usableHubCount(available []float64) int {
 	count := 0
 	for i, site := range p.topology.Sites {
 		if site.Hub && available[i] > 0 && site.Capacity > 0 {
--- a/internal/failover/planner.go
+++ b/internal/failover/planner.go
@@ -19,12 +19,16 @@
 	// although the branch's own hub is available.
 	homeHubLeaveCost = 0.5
 
-	coldBudgetUse   = 0.5  // fraction of a slow-start budget that the router uses; the rest is a margin for random load
-	maxLoadSearched = 16   // upper end of the search for the start of rejections, as a multiple of the usual load
-	loadResolution  = 1e-3 // of that search, as a multiple of the usual load
+	// slowStartBudgetFraction is the part of a slow-start budget that the router uses. The rest is a margin for random
+	// variation of the load.
+	slowStartBudgetFraction = 0.5
+
+	// maxLoadSearched is the upper end of the search for the start of rejections, as a multiple of the usual load.
+	maxLoadSearched = 16
+	loadResolution  = 1e-3 // resolution of that search, as a multiple of the usual load
 	minLoad         = 1e-6 // multiple of the usual load that replaces 0, where there are no fills to reject
 
-	noticeableShare = 0.005 // rejected fraction of a class above which a plan reports the rejection
+	rejectedShareThreshold = 0.005 // rejected fraction of a class above which a plan reports the rejection
 )
 
 // Planner computes and caches the plans for one topology and the operators' overrides. It is not safe for concurrent
@@ -240,7 +244,7 @@
 	var names []string
 	result := p.solveFlow(available, max(load, minLoad))
 	for branch, site := range p.topology.Sites {
-		if !site.Hub && p.topology.demand(branch) > 0 && result.servedShare[branch][class] < 1-noticeableShare {
+		if !site.Hub && p.topology.demand(branch) > 0 && result.servedShare[branch][class] < 1-rejectedShareThreshold {
 			names = append(names, site.Name)
 		}
 	}
@@ -262,7 +266,8 @@
 	if multiple <= 0 || duration <= 0 {
 		return 0
 	}
-	needed := min(1, load/(coldBudgetUse*multiple)) // fraction of full capacity at which the budget covers the load
+	// needed is the fraction of full capacity at which the budget covers the load.
+	needed := min(1, load/(slowStartBudgetFraction*multiple))
 	if needed <= start {
 		return 0
 	}
@@ -274,5 +279,5 @@
 	if hub.Capacity <= 0 {
 		return 0
 	}
-	return p.solveFlow(p.availability(nil), 1).intoHub(p.topology.siteIndex(hub.Name)) / hub.Capacity
+	return p.solveFlow(p.availability(nil), 1).hubInflow(p.topology.siteIndex(hub.Name)) / hub.Capacity
 }
--- a/internal/failover/planner_test.go
+++ b/internal/failover/planner_test.go
@@ -11,9 +11,9 @@
 )
 
 // testTopology returns a topology with a hub for each capacity in hubs and a branch for each number of caches in
-// caches. homes holds the index of each branch's own hub. At the usual load each cache gets a demand of one transfer
+// caches. homeHubs holds the index of each branch's own hub. At the usual load each cache gets a demand of one transfer
 // per class.
-func testTopology(caches []int, hubs []float64, homes []int) *Topology {
+func testTopology(caches []int, hubs []float64, homeHubs []int) *Topology {
 	topology := &Topology{
 		BypassAllowed: true,
 		UsualLoad:     1,
@@ -40,7 +40,7 @@
 	}
 	for i, count := range caches {
 		name := "branch-" + string(rune('1'+i))
-		topology.Sites = append(topology.Sites, Site{Name: name, Capacity: float64(2 * count), HomeHub: homes[i]})
+		topology.Sites = append(topology.Sites, Site{Name: name, Capacity: float64(2 * count), HomeHub: homeHubs[i]})
 	}
 	return topology
 }
@@ -69,7 +69,7 @@
 type lossCase struct {
 	caches          []int     // by branch: number of caches
 	hubs            []float64 // capacities
-	homes           []int     // by branch: index of its own hub
+	homeHubs        []int     // by branch: index of its own hub
 	ingress, origin float64   // capacities; 0: unlimited
 	lost            []int     // indices of sites
 }
@@ -78,7 +78,7 @@
 // flow rejects any work.
 func (c lossCase) check(t *testing.T) (rejects bool) {
 	t.Helper()
-	topology := testTopology(c.caches, c.hubs, c.homes)
+	topology := testTopology(c.caches, c.hubs, c.homeHubs)
 	topology.OriginCapacity, topology.ParentHitRatio = c.origin, 0.5
 	for i := range topology.Sites {
 		if !topology.Sites[i].Hub {
@@ -108,19 +108,19 @@
 	var cases []lossCase
 	for count := 0; count <= 5; count++ {
 		for _, caches := range [][]int{{count, 0}, {count, 5 - count}, {count, (5 - count) / 2}, {count}} {
-			homes := []int{0, len(hubs) - 1}
+			homeHubs := []int{0, len(hubs) - 1}
 			sites := len(hubs) + len(caches)
 			for lost := -1; lost < sites; lost++ {
-				var one []int
+				var lostSites []int
 				if lost >= 0 {
-					one = []int{lost}
+					lostSites = []int{lost}
 				}
-				cases = append(cases, lossCase{caches: caches, hubs: hubs, homes: homes, lost: one},
-					lossCase{caches: caches, hubs: hubs, homes: homes, ingress: 3, origin: 2, lost: one})
+				cases = append(cases, lossCase{caches: caches, hubs: hubs, homeHubs: homeHubs, lost: lostSites},
+					lossCase{caches: caches, hubs: hubs, homeHubs: homeHubs, ingress: 3, origin: 2, lost: lostSites})
 				if lost >= 0 && lost+1 < sites {
 					cases = append(
 						cases,
-						lossCase{caches: caches, hubs: hubs, homes: homes, lost: []int{lost, lost + 1}},
+						lossCase{caches: caches, hubs: hubs, homeHubs: homeHubs, lost: []int{lost, lost + 1}},
 					)
 				}
 			}
@@ -176,8 +176,8 @@
 		available := p.availability(lost)
 		result := p.solveFlow(available, 1)
 		for i, site := range topology.Sites {
-			if site.Hub && result.intoHub(i) > site.Capacity*available[i]+1e-6 {
-				t.Errorf("%s: got inflow %v, want at most %v", site.Name, result.intoHub(i), site.Capacity*available[i])
+			if site.Hub && result.hubInflow(i) > site.Capacity*available[i]+1e-6 {
+				t.Errorf("%s: inflow %v, want at most %v", site.Name, result.hubInflow(i), site.Capacity*available[i])
 			}
 		}
 		plan, err := p.Plan(lost...)
@@ -187,20 +187,20 @@
 		for _, branch := range plan.Branches {
 			checkShares(t, branch)
 		}
-		before := 1.0 + 1e-6
+		previous := 1.0 + 1e-6
 		for _, load := range []float64{0.5, 1, 2, 4} {
-			now := p.valueServed(p.solveFlow(available, load))
-			if now > before+1e-6 {
-				t.Errorf("got %v of the value served at load %v, want at most %v as at lower load", now, load, before)
+			served := p.valueServed(p.solveFlow(available, load))
+			if served > previous+1e-6 {
+				t.Errorf("got %v of the value served at load %v, want at most %v (lower load)", served, load, previous)
 			}
-			before = now
+			previous = served
 		}
 		// Another planner must compute the same values for the names in reverse order.
-		twin, _ := NewPlanner(topology, Overrides{})
+		other, _ := NewPlanner(topology, Overrides{})
 		slices.Reverse(lost)
-		again, _ := twin.Plan(lost...)
-		if again.ValueServed != plan.ValueServed || again.RejectionStart != plan.RejectionStart {
-			t.Errorf("got plan %v for the names in reverse order, want %v", again, plan)
+		otherPlan, _ := other.Plan(lost...)
+		if otherPlan.ValueServed != plan.ValueServed || otherPlan.RejectionStart != plan.RejectionStart {
+			t.Errorf("got plan %v for the names in reverse order, want %v", otherPlan, plan)
 		}
 	})
 }
@@ -209,8 +209,8 @@
 func drawTopology(t *rapid.T) *Topology {
 	hubs := rapid.SliceOfN(rapid.Float64Range(0, 40), 1, 4).Draw(t, "hubs")
 	caches := rapid.SliceOfN(rapid.IntRange(0, 12), 1, 4).Draw(t, "caches")
-	homes := rapid.SliceOfN(rapid.IntRange(0, len(hubs)-1), len(caches), len(caches)).Draw(t, "homes")
-	topology := testTopology(caches, hubs, homes)
+	homeHubs := rapid.SliceOfN(rapid.IntRange(0, len(hubs)-1), len(caches), len(caches)).Draw(t, "homes")
+	topology := testTopology(caches, hubs, homeHubs)
 	topology.UsualLoad = rapid.Float64Range(0.1, 2).Draw(t, "load")
 	topology.CacheHitRatio = rapid.Float64Range(0, 1).Draw(t, "hits")
 	topology.ParentHitRatio = rapid.Float64Range(0, 0.99).Draw(t, "parent hits")
--- a/internal/failover/topology.go
+++ b/internal/failover/topology.go
@@ -20,11 +20,12 @@
 
 // Defaults for values that neither the settings nor the operators' overrides contain.
 const (
-	defaultLoad           = 0.6 // fraction of the capacity of a branch's caches
-	defaultCacheHitRatio  = 0.7 // see Topology.CacheHitRatio
-	defaultParentHitRatio = 0.6 // see Topology.ParentHitRatio
+	defaultLoad           = 0.6                    // fraction of the capacity of a branch's caches
+	defaultCacheHitRatio  = 0.7                    // see Topology.CacheHitRatio
+	defaultParentHitRatio = 0.6                    // see Topology.ParentHitRatio
 	defaultServiceTime    = 100 * time.Millisecond // see Class.ServiceTime
-	originHeadroom        = 1.5 // capacity of an origin of unknown size, as a multiple of its demand at the usual load
+	// originHeadroom is the capacity of an origin of unknown size, as a multiple of its demand at the usual load.
+	originHeadroom = 1.5
 
 	// nonIdempotent is the routing.Class.Idempotency of requests that must not run twice (protocol page).
 	nonIdempotent = "non_idempotent"
@@ -70,9 +71,9 @@
 	OriginCapacity float64 // concurrent transfers of the origin; 0: unlimited
 	TransitCost    float64 // cost of a byte per step along the ring, as a fraction of the value of a mean byte
 
-	CacheSlowStartDuration  time.Duration // time from a cache's start until it has its full capacity
-	CacheSlowStartFraction  float64       // fraction of its full capacity that a cache has at its start
-	CacheOverloadMultiple   float64       // load, as a multiple of its present capacity, at which a cache fails
+	CacheSlowStartDuration time.Duration // time from a cache's start until it has its full capacity
+	CacheSlowStartFraction float64       // fraction of its full capacity that a cache has at its start
+	CacheOverloadMultiple  float64       // load, as a multiple of its present capacity, at which a cache fails
 	// The same values for parents.
 	ParentSlowStartDuration time.Duration
 	ParentSlowStartFraction float64
@@ -161,13 +162,13 @@
 
 // addClasses adds the classes of the settings, with the shares and service times of the overrides or the defaults.
 func (t *Topology) addClasses(settings *routing.Settings, overrides Overrides) {
-	for i, described := range settings.Classes {
+	for i, settingsClass := range settings.Classes {
 		class := Class{
-			Name:           described.Name,
+			Name:           settingsClass.Name,
 			LoadShare:      1 / float64(len(settings.Classes)),
 			ServiceTime:    defaultServiceTime,
-			PriorityWeight: described.PriorityWeight,
-			NonIdempotent:  described.Idempotency == nonIdempotent,
+			PriorityWeight: settingsClass.PriorityWeight,
+			NonIdempotent:  settingsClass.Idempotency == nonIdempotent,
 			Uncacheable:    i < len(settings.Tiers.Uncacheable) && settings.Tiers.Uncacheable[i],
 		}
 		if ms := overrides.ServiceTimeMS[class.Name]; ms > 0 {
