--- a/internal/failover/flownetwork.go
+++ b/internal/failover/flownetwork.go
@@ -7,9 +7,9 @@
 const epsilon = 1e-9
 
 const (
-	sourceNode = 0
-	sinkNode   = 1
-	noArc      = -1
+	sourceNode = 0  // node that is added first
+	sinkNode   = 1  // node that is added second
+	noArc      = -1 // index that stands for no arc
 )
 
 // flowNetwork is a minimum-cost maximum-flow problem. Its first node is the source and its second node the sink. Arcs
--- a/internal/failover/overrides.go
+++ b/internal/failover/overrides.go
@@ -225,8 +225,8 @@
 	receivers map[string]map[string]int // by lost site and hub that takes over: index of the last such pin
 }
 
-// visit follows the pins that apply while the site is lost. path holds the sites that lead to this one. visit returns
-// an *OverrideError if a site occurs twice on a path.
+// visit follows the pins that apply while a site is lost. path holds the sites that were followed to reach it. visit
+// returns an *OverrideError if a site occurs twice on a path.
 func (s *loopSearch) visit(site string, path []string) error {
 	if start := slices.Index(path, site); start >= 0 {
 		pin := s.receivers[path[len(path)-1]][site]
--- a/internal/failover/plan.go
+++ b/internal/failover/plan.go
@@ -18,7 +18,7 @@
 
 // Plan holds the routing decisions for one set of lost sites: where load and fills go, and what is rejected.
 type Plan struct {
-	Lost       []string         `json:"lost"`
+	Lost       []string         `json:"lost"` // names of the lost sites, sorted
 	Branches   []BranchPlan     `json:"branches"`
 	Rejections []ClassRejection `json:"refused"` // ordered by FromLoad, lowest first
 	// RejectionStart is the load, as a multiple of the usual load, above which some requests are rejected. It is 0 if
--- a/internal/failover/topology.go
+++ b/internal/failover/topology.go
@@ -44,7 +44,7 @@
 	RingPosition    int     // of a hub: its position in the ring of hubs; -1: none
 }
 
-// Class is a class of requests.
+// Class describes a class of requests: its share of the load and its value.
 type Class struct {
 	Name           string
 	LoadShare      float64       // fraction of all requested work; the shares of all classes sum to 1
