--- a/internal/buffer/buffer.go
+++ b/internal/buffer/buffer.go
@@ -1,29 +1,31 @@
-// Package buffer lends buffers of one size from a bounded pool, and joins them to chains that hold bodies. It is not
-// safe for concurrent use: the event loop owns it.
+// Package buffer provides a bounded pool of fixed-size buffers, and chains of these buffers that hold message bodies
+// and partly received frames. Pools and chains are not safe for concurrent use: all their methods run on the event
+// loop.
 package buffer
 
 import "errors"
 
-// ErrExhausted reports that as many buffers are in use as the pool may lend.
+// ErrExhausted is returned when the maximum number of a pool's buffers is in use.
 var ErrExhausted = errors.New("buffer pool exhausted")
 
-// Pool lends buffers of one size.
+// Pool lends buffers of one size, up to a maximum number at once.
 type Pool struct {
-	size  int // bytes of a buffer
-	limit int // buffers in use at once
-	inUse int
-	free  [][]byte
+	size  int      // capacity of each buffer, in bytes
+	limit int      // maximum number of buffers in use at once
+	inUse int      // buffers that are lent now
+	free  [][]byte // released buffers that are kept for reuse
 }
 
-// keptFraction is the part of the limit, as a divisor, that the pool keeps free for reuse.
+// keptFraction is the divisor of the pool's limit that gives the maximum number of released buffers kept for reuse.
 const keptFraction = 4
 
-// NewPool returns a pool that lends up to limit buffers of size bytes.
+// NewPool returns a pool that lends at most limit buffers at once, of size bytes each.
 func NewPool(size, limit int) *Pool { return &Pool{size: size, limit: limit} }
 
-// InUse is the number of buffers that are lent.
+// InUse returns the number of buffers that are lent now.
 func (p *Pool) InUse() int { return p.inUse }
 
+// acquire returns an empty buffer, or ErrExhausted if limit buffers are in use.
 func (p *Pool) acquire() ([]byte, error) {
 	if p.inUse >= p.limit {
 		return nil, ErrExhausted
@@ -38,8 +40,8 @@
 	return free, nil
 }
 
-// release takes a buffer back. Only a quarter of the limit is kept, and the rest left to the garbage collector, so that
-// a burst does not hold its memory for good.
+// release returns a buffer to the pool. The pool keeps at most a quarter of its limit for reuse and leaves the rest to
+// the garbage collector, so that the memory of a burst is freed again.
 func (p *Pool) release(buffer []byte) {
 	p.inUse--
 	if len(p.free) < p.limit/keptFraction {
--- a/internal/buffer/buffer_test.go
+++ b/internal/buffer/buffer_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-func TestChainHoldsWhatWasAppended(t *testing.T) {
+func TestChainHoldsAppendedData(t *testing.T) {
 	pool := NewPool(8, 4)
 	chain := pool.NewChain()
 	want := []byte("0123456789abcdefXYZ")
@@ -16,18 +16,18 @@
 		}
 	}
 	if got := bytes.Join(chain.Segments(nil), nil); !bytes.Equal(got, want) || chain.Len() != len(want) {
-		t.Errorf("chain holds %q (%d), want %q", got, chain.Len(), want)
+		t.Errorf("got segments %q and length %d, want %q", got, chain.Len(), want)
 	}
 	if pool.InUse() != 3 {
-		t.Errorf("%d buffers in use, want 3", pool.InUse())
+		t.Errorf("got %d buffers in use, want 3", pool.InUse())
 	}
 	chain.Release()
 	if pool.InUse() != 0 || chain.Len() != 0 {
-		t.Errorf("after release %d buffers in use, chain of %d", pool.InUse(), chain.Len())
+		t.Errorf("after Release: got %d buffers in use and length %d, want 0 and 0", pool.InUse(), chain.Len())
 	}
 }
 
-// A pool that lent without a bound would have a director killed at its memory limit.
+// Without a bound, a pool grows until the director is killed at its memory limit.
 func TestPoolIsBounded(t *testing.T) {
 	pool := NewPool(4, 2)
 	first, second := pool.NewChain(), pool.NewChain()
@@ -35,10 +35,10 @@
 		t.Fatal(err)
 	}
 	if err := second.Append([]byte{1}); !errors.Is(err, ErrExhausted) {
-		t.Errorf("error %v, want %v", err, ErrExhausted)
+		t.Errorf("Append with all buffers in use: got error %v, want %v", err, ErrExhausted)
 	}
 	first.Release()
 	if err := second.Append([]byte{1}); err != nil {
-		t.Errorf("after a release: %v", err)
+		t.Errorf("Append after buffers were released: %v", err)
 	}
 }
--- a/internal/buffer/chain.go
+++ b/internal/buffer/chain.go
@@ -1,19 +1,21 @@
 package buffer
 
-// Chain is a sequence of buffers with one owner. Its zero value is empty and can't be written to.
+// Chain is a byte sequence in buffers of a Pool, with one owner. The zero value is an empty chain without a pool: it
+// can be read and released, but Append panics.
 type Chain struct {
 	pool    *Pool
 	buffers [][]byte
 	length  int
 }
 
-// NewChain returns an empty chain on the pool.
+// NewChain returns an empty chain that acquires its buffers from the pool.
 func (p *Pool) NewChain() Chain { return Chain{pool: p} }
 
-// Len is the number of bytes held.
+// Len returns the number of bytes in the chain.
 func (c *Chain) Len() int { return c.length }
 
-// Append adds a copy of data. After ErrExhausted a part may have been added; the chain can only be released.
+// Append copies data to the end of the chain. It returns ErrExhausted if the pool has no buffer left: a part of data
+// may then be in the chain already, and the caller must release the chain without further use.
 func (c *Chain) Append(data []byte) error {
 	for len(data) > 0 {
 		last := len(c.buffers) - 1
@@ -34,10 +36,10 @@
 	return nil
 }
 
-// Segments appends the chain's buffers to dst; they are valid until Release.
+// Segments appends the chain's buffers to dst in order and returns the result. The buffers are valid until Release.
 func (c *Chain) Segments(dst [][]byte) [][]byte { return append(dst, c.buffers...) }
 
-// Release gives the buffers back and leaves the chain empty.
+// Release returns all buffers to the pool and leaves the chain empty.
 func (c *Chain) Release() {
 	for _, buffer := range c.buffers {
 		c.pool.release(buffer)
--- a/internal/downstream/capacity.go
+++ b/internal/downstream/capacity.go
@@ -6,19 +6,19 @@
 	"shaleyard/routing"
 )
 
-// This file keeps the bounds that connections share: how many there are, and how much all together leave unread.
+// This file enforces the limits that all connections share: their number, and their total of unread output.
 
-// evictionRank orders the connections that may be closed for a new one; the lowest goes first.
+// evictionRank orders the connections that can be evicted for a new one. The lowest rank is evicted first.
 type evictionRank int
 
 const (
-	rankIdlePastKeepAlive evictionRank = iota // idle for longer than clients keep their connections
-	rankSilent                                // has sent no message yet
-	rankIdle
-	rankReceiving // a message is just arriving
+	rankIdlePastKeepAlive evictionRank = iota // idle for longer than clients keep idle connections
+	rankSilent                                // has sent no complete message yet
+	rankIdle                                  // idle for a shorter time
+	rankReceiving // has sent a part of a message
 )
 
-// evictionRank is the rank of a connection that is owed no answer.
+// evictionRank returns the eviction rank of a connection without pending answers.
 func (c *Connection) evictionRank(now routing.Time) evictionRank {
 	switch {
 	case c.receivingFrame():
@@ -31,8 +31,8 @@
 	return rankIdle
 }
 
-// evictsBefore reports whether c is closed for a new connection rather than other: by rank, and of one rank the one
-// that was active least recently.
+// evictsBefore reports whether c is evicted before other: the connection of the lower rank first, and of equal ranks
+// the one whose last activity is longer ago.
 func (c *Connection) evictsBefore(other *Connection, now routing.Time) bool {
 	rank, otherRank := c.evictionRank(now), other.evictionRank(now)
 	if rank != otherRank {
@@ -41,8 +41,9 @@
 	return c.lastActivity < other.lastActivity
 }
 
-// evict closes one connection for a new one, so that clients that connect and send nothing, or hold a connection for
-// good, can't shut others out. A connection that is owed an answer stays.
+// evict closes the connection with the lowest eviction rank to make room for a new one, so that clients that send
+// nothing, or keep idle connections open, cannot lock out other clients. Connections with pending answers are never
+// evicted.
 func (s *Server) evict() {
 	now := s.now()
 	var candidate *Connection
@@ -59,9 +60,9 @@
 	candidate.transition(phaseLingering, flightrecorder.ReasonEvictedForNewConnection)
 }
 
-// trim aborts the oldest lingering connections, beyond what the descriptors leave for them. In a graceful close
-// nearly all linger at once: they may have the unused places of connections then, but new connections still take
-// those.
+// trim closes the oldest lingering connections until their number is at most Limits.MaxLingeringConns, their share of
+// the file descriptors. In a graceful close nearly all connections linger at once, so that the limit then includes the
+// unused part of Limits.MaxClientConns. Each new connection lowers this limit by one.
 func (s *Server) trim() {
 	limit := s.limits.MaxLingeringConns
 	if s.closingGracefully {
@@ -72,8 +73,9 @@
 	}
 }
 
-// enforceTotalOutboundLimit closes the connections that leave the most unread, until all together keep within their
-// bound. It comes after a write, as closing a connection cancels requests, and that may bring answers to others.
+// enforceTotalOutboundLimit closes the connections with the most unread output until the total is at most
+// Limits.TotalBacklogBytes. Callers write their own output first: closing a connection cancels its requests, and the
+// cancellation can cause answers to other requests.
 func (s *Server) enforceTotalOutboundLimit() {
 	for s.outboundEstimate > s.limits.TotalBacklogBytes {
 		s.outboundEstimate = s.OutboundBuffered()
@@ -85,7 +87,7 @@
 	}
 }
 
-// slowestReader is the connection whose client has left the most unread; nil: there is none.
+// slowestReader returns the connection with the most unread output, or nil if there are no connections.
 func (s *Server) slowestReader() *Connection {
 	var slowest *Connection
 	s.connections.All(func(_ handle.Handle, connection *Connection) bool {
--- a/internal/downstream/capacity_test.go
+++ b/internal/downstream/capacity_test.go
@@ -7,7 +7,8 @@
 	"shaleyard/internal/nettest"
 )
 
-// A client that does not read must lose its connection, not the program its memory.
+// A client that does not read its answers must lose its connection. Otherwise its unread output uses up the process's
+// memory.
 func TestBacklogIsBounded(t *testing.T) {
 	harness := newHarness(t)
 	slow, other := harness.connect(), harness.connect()
@@ -15,18 +16,20 @@
 	slow.socket.Buffered = 9_990
 	harness.replyServed(0)
 	if !slow.socket.Closed || slow.socket.Written.Len() > 0 {
-		t.Errorf("closed %v with %d bytes written", slow.socket.Closed, slow.socket.Written.Len())
+		t.Errorf("client over its limit: closed %v with %d bytes written, want closed with none", slow.socket.Closed,
+			slow.socket.Written.Len())
 	}
 	other.send(submitMessage(1))
 	harness.replyServed(1)
 	if other.socket.Closed || other.socket.Written.Len() == 0 {
-		t.Error("another client suffers from it")
+		t.Errorf("other client: closed %v with %d bytes written, want it open with an answer", other.socket.Closed,
+			other.socket.Written.Len())
 	}
 }
 
-// Where all together leave too much unread, the client that has left the most loses its connection, not the one that
-// is just answered.
-func TestTotalBacklogIsChargedToWhoLeavesMost(t *testing.T) {
+// When the unread output of all clients together exceeds its limit, the client with the most unread output must lose
+// its connection, not the client whose answer is being written.
+func TestTotalBacklogLimitClosesSlowestReader(t *testing.T) {
 	harness := newHarness(t)
 	var clients [3]*testClient
 	for i := range clients {
@@ -39,15 +42,15 @@
 	harness.server.outboundEstimate = harness.server.OutboundBuffered()
 	harness.replyServed(2)
 	if first.Closed || !second.Closed || last.Closed || last.Written.Len() == 0 {
-		t.Errorf("closed %v, %v, %v with %d bytes written to the last; want the second closed alone", first.Closed,
+		t.Errorf("closed %v, %v, %v with %d bytes written to the last; want only the second one closed", first.Closed,
 			second.Closed, last.Closed, last.Written.Len())
 	}
 }
 
-// When the table is full a connection has to go: first one that has long been idle, then one that has sent nothing
-// yet, then the one that is idle longest; never one that is owed an answer, or has one in our buffer. Else the new
-// connection is rejected.
-func TestFullTableEvictsWhoIsMissedLeast(t *testing.T) {
+// When the connection table is full, a new connection evicts another one: first one that is idle past the clients' keep
+// alive, then one that has sent no message yet, then the one that has been idle longest. A connection with an open
+// request or with buffered output is never evicted; if only such connections are left, the new one is rejected.
+func TestFullTableEvictionOrder(t *testing.T) {
 	harness := newHarness(t)
 	connect := func() *testClient {
 		t.Helper()
@@ -71,13 +74,13 @@
 	}{{"long idle", longIdle}, {"silent", silent}, {"idle", idle}} {
 		connect().send(submitMessage(1))
 		if !want.client.socket.Closed {
-			t.Errorf("the new connection did not take the place of the one that is %s", want.name)
+			t.Errorf("the new connection did not evict the connection that is %s", want.name)
 		}
 	}
 	if waiting.socket.Closed || unread.socket.Closed {
-		t.Error("a connection that is owed an answer was closed")
+		t.Error("a connection with a pending answer was closed")
 	}
 	if harness.server.Accept(&nettest.FakeConn{}) != nil || harness.server.Counters.RejectedConnections != 1 {
-		t.Error("one more was taken, though all others wait for answers")
+		t.Error("a new connection was accepted, want it rejected as all others have pending answers")
 	}
 }
--- a/internal/downstream/connection.go
+++ b/internal/downstream/connection.go
@@ -11,52 +11,54 @@
 	"shaleyard/routing"
 )
 
-// phase is where a connection is in its life; docs/lifecycles.md lists what each event does in each. It only goes
-// forward, in transition.
+// phase is the state of a connection in its life cycle. Phases only advance, and only in transition. docs/lifecycles.md
+// lists the effect of each event in each phase.
 type phase uint8
 
 const (
 	phaseReady     phase = iota // requests are read
-	phaseDraining               // nothing more is read, as the stream is malformed; open requests are still answered
-	phaseLingering              // nothing is owed, our half is closed; data is dropped until the client closes its half
-	phaseClosed                 // nothing reaches the client any more
+	phaseDraining               // input is discarded after a malformed or timed-out message; open requests are answered
+	phaseLingering              // answers sent, our half closed; input is discarded until the client closes its half
+	phaseClosed                 // no output reaches the client any more
 )
 
 // Connection is the connection of one client.
 type Connection struct {
 	server *Server
 	socket eventloop.Conn
-	id     uint64 // counted from 1, for the log
+	id     uint64 // counted from 1; identifies the connection in recorded events
 	handle handle.Handle
 	phase  phase
 
 	// The frame that is being received.
-	lengthPrefix []byte       // what has come of its length
-	frameLength  int          // in bytes, without the length itself; 0: not known yet
-	partialFrame buffer.Chain // what has come of it
+	lengthPrefix []byte       // the received part of the length prefix
+	frameLength  int          // in bytes, without the length prefix; 0: not known yet
+	partialFrame buffer.Chain // the received part of the frame's content
 
-	openRequests map[int32]handle.Handle // by sequence number; nil until the first one
+	openRequests map[int32]handle.Handle // by sequence number; nil until the first request
 	timeout      timer.Timer
 
-	lastActivity    routing.Time // when a message was complete, or answered
-	lastMessage     routing.Time // when a message was complete
-	messageStarted  routing.Time // when the message that is due began, for the first one the connection; 0: none is due
-	receivedMessage bool         // at least one was complete
+	lastActivity    routing.Time // when the connection was accepted, or the last message was received or answered
+	lastMessage     routing.Time // when the last message was complete
+	messageStarted  routing.Time // first byte of the expected message, or the accept before the first one; 0: none
+	receivedMessage bool         // at least one message was complete
 
-	droppedBytes    int          // read after our half-close, and not looked at
-	outboundSeen    int          // bytes unread by the client, as ShortenDeadlines saw them last
-	outboundChanged routing.Time // and when it last saw them change
+	droppedBytes    int          // received and discarded since the connection stopped reading requests
+	outboundSeen    int          // bytes of unread output at the last call of ShortenDeadlines
+	outboundChanged routing.Time // when a call of ShortenDeadlines last found outboundSeen changed
 }
 
-// owesAnswer reports whether an answer is due, or not yet passed on to the system: closing would lose it.
+// owesAnswer reports whether a request is open, or the socket has not accepted all output yet. Closing the connection
+// then loses an answer.
 func (c *Connection) owesAnswer() bool {
 	return len(c.openRequests) > 0 || c.socket.OutboundBuffered() > 0
 }
 
-// receivingFrame reports that a part of a message has come, and not all of it.
+// receivingFrame reports whether a frame is partly received.
 func (c *Connection) receivingFrame() bool { return c.frameLength != 0 || len(c.lengthPrefix) > 0 }
 
-// transition takes the connection to a later phase; it is the one place where the phase changes.
+// transition advances the connection to a later phase. It does nothing if the connection has reached that phase
+// already. No other function changes the phase.
 func (c *Connection) transition(to phase, reason flightrecorder.Reason) {
 	if to <= c.phase {
 		return
@@ -76,6 +78,7 @@
 	}
 }
 
+// recordTransition records the start of a phase in the flight recorder.
 func (c *Connection) recordTransition(to phase, reason flightrecorder.Reason) {
 	event := flightrecorder.Event{Kind: flightrecorder.ConnClosing, Conn: c.id, Count: len(c.openRequests)}
 	if to == phaseClosed {
@@ -84,7 +87,7 @@
 	c.server.record(event, reason)
 }
 
-// dropFrame forgets the message that was due or arriving.
+// dropFrame discards a partly received message and resets the time limit of the expected one.
 func (c *Connection) dropFrame() {
 	c.partialFrame.Release()
 	c.messageStarted = 0
@@ -92,7 +95,8 @@
 	c.lengthPrefix = nil
 }
 
-// leaveLists takes the connection out of the list of the phase that it has left; a draining one keeps its place.
+// leaveLists removes the connection from the server's list for the phase that it has left. A connection that starts to
+// drain stays in the table of connections.
 func (c *Connection) leaveLists(from phase) {
 	switch {
 	case from == phaseLingering:
@@ -129,7 +133,7 @@
 	}
 }
 
-// drain reads nothing more from the connection, and closes it in good order once all that is owed has been sent.
+// drain stops reading requests from the connection, and half-closes it once all pending answers have been sent.
 func (c *Connection) drain(reason flightrecorder.Reason) {
 	if c.owesAnswer() {
 		c.transition(phaseDraining, reason)
@@ -138,8 +142,9 @@
 	c.transition(phaseLingering, reason)
 }
 
-// completeDrain ends a draining connection once it owes nothing. The event loop does not tell when buffered bytes
-// have been sent, so it looks again until they have, or until the client has read nothing for the idle timeout.
+// completeDrain half-closes a draining connection once all its answers have been sent. The event loop does not report
+// when buffered output has been sent, so completeDrain checks again after each Limits.FlushCheckInterval. It closes the
+// connection if output is still unread Limits.ClientIdleTimeout after the last answer or message.
 func (c *Connection) completeDrain() {
 	if c.phase != phaseDraining || len(c.openRequests) > 0 {
 		return
@@ -156,14 +161,16 @@
 	server.timers.Schedule(&c.timeout, server.now()+server.limits.FlushCheckInterval, c.completeDrain)
 }
 
-// closeNow closes the connection and frees its place. What the client has not read may be lost.
+// closeNow closes the connection at once. Output that the client has not read can be lost.
 func (c *Connection) closeNow(reason flightrecorder.Reason) {
 	c.transition(phaseClosed, reason)
-	_ = c.socket.Close() // the connection is given up, whatever becomes of it
+	_ = c.socket.Close() // the connection is abandoned even if Close fails
 }
 
-// lingerExpired ends the lingering, unless the client is still reading what was left for it: it can't know of our
-// half-close yet, and a message that it sends after a full close would reset the connection and take the rest along.
+// lingerExpired closes a lingering connection, unless the client has unacknowledged output and the last activity is
+// less than Limits.ClientIdleTimeout ago; the linger timeout then starts again. A client that is still reading does not
+// know of our half-close, and a message that it sent after a full close would cause a reset, which loses the remaining
+// output.
 func (c *Connection) lingerExpired() {
 	server := c.server
 	if c.socket.Unacknowledged() > 0 && server.now()-c.lastActivity < server.limits.ClientIdleTimeout {
@@ -173,11 +180,12 @@
 	c.abortLinger(flightrecorder.ReasonLingerTimeout)
 }
 
-// abortLinger ends the lingering before the client has closed its half.
+// abortLinger closes a lingering connection before its client has closed its half.
 func (c *Connection) abortLinger(reason flightrecorder.Reason) {
 	c.server.Counters.LingersAborted++
 	c.closeNow(reason)
 }
 
-// Closed is called by the event loop when the client has closed or reset the connection: no answer can reach it.
+// Closed is called by the event loop when the client has closed or reset the connection. No answer can reach the client
+// any more.
 func (c *Connection) Closed() { c.transition(phaseClosed, flightrecorder.ReasonClosedByClient) }
--- a/internal/downstream/connection_test.go
+++ b/internal/downstream/connection_test.go
@@ -6,15 +6,16 @@
 	"time"
 )
 
-// What a client has asked for before its stream goes bad, or before a message of it gets stuck, is owed an answer all
-// the same: a close would lose it. Nothing more is read, and the connection ends after the answer.
-func TestAnswersOwedGoOutBeforeABadStreamEnds(t *testing.T) {
+// Requests that were received before a malformed frame or a message timeout must still be answered. Closing the
+// connection at once loses their answers. The connection must read nothing more, and half-close once the client has
+// read the answers.
+func TestPendingAnswersAreSentBeforeMalformedStreamCloses(t *testing.T) {
 	for _, test := range []struct {
-		name  string
-		spoil func(*testHarness, *testClient)
+		name        string
+		breakStream func(*testHarness, *testClient)
 	}{
-		{"bad frame", func(_ *testHarness, client *testClient) { client.send("GET / HTTP/1.1\r\n\r\n") }},
-		{"stuck message", func(harness *testHarness, client *testClient) {
+		{"malformed frame", func(_ *testHarness, client *testClient) { client.send("GET / HTTP/1.1\r\n\r\n") }},
+		{"incomplete message", func(harness *testHarness, client *testClient) {
 			client.send(submitMessage(2)[:9])
 			harness.advance(2100 * time.Millisecond)
 		}},
@@ -24,7 +25,7 @@
 			client := harness.connect()
 			socket := &client.socket
 			client.send(submitMessage(1))
-			test.spoil(harness, client)
+			test.breakStream(harness, client)
 			client.send(submitMessage(3))
 			phase := client.connection.phase
 			if phase != phaseDraining || socket.WriteClosed || socket.Closed || harness.canceled != 0 ||
@@ -37,8 +38,8 @@
 			harness.replyServed(0)
 			harness.advance(100 * time.Millisecond)
 			if socket.WriteClosed || socket.Written.Len() == 0 {
-				t.Fatalf("half-closed %v with %d bytes written, before the client has read them", socket.WriteClosed,
-					socket.Written.Len())
+				t.Fatalf("half-closed %v with %d bytes written while output is unread, want false and an answer",
+					socket.WriteClosed, socket.Written.Len())
 			}
 			socket.Buffered = 0
 			harness.advance(20 * time.Millisecond)
@@ -48,16 +49,17 @@
 			}
 			client.connection.Closed()
 			if n := harness.server.Conns(); n != 0 || client.connection.phase != phaseClosed {
-				t.Errorf("%d connections left, phase %d", n, client.connection.phase)
+				t.Errorf("got %d connections and phase %d after the client closed, want 0 and %d", n,
+					client.connection.phase, phaseClosed)
 			}
 		})
 	}
 }
 
-// A request that is read after our half-close must not be forwarded: its client has seen the connection end. What
-// comes is read and dropped, so that no reset takes the last answer with it, for a bounded time and a bounded number
-// of bytes.
-func TestNothingIsTakenBehindAHalfClose(t *testing.T) {
+// A request that is received after our half-close must not be submitted, because its client has seen the connection
+// end. Input is still read and discarded, because closing over unread input causes a reset that loses the last answer.
+// The time and the number of bytes for this are bounded.
+func TestInputAfterHalfCloseIsDiscarded(t *testing.T) {
 	harness := newLingeringHarness(t)
 	harness.server.limits.ClientIdleTimeout = time.Second
 	var clients [3]*testClient
@@ -67,11 +69,11 @@
 		harness.advance(5 * time.Millisecond)
 	}
 	oldest, second, last := clients[0], clients[1], clients[2]
-	harness.advance(995 * time.Millisecond) // all have been idle for too long
+	harness.advance(995 * time.Millisecond) // all connections have reached the idle timeout
 	second.send(submitMessage(2))
 	last.send(submitMessage(2))
 	if len(harness.submitted) != 0 {
-		t.Errorf("%d requests submitted after the half-close", len(harness.submitted))
+		t.Errorf("got %d requests submitted after the half-close, want 0", len(harness.submitted))
 	}
 	if !oldest.socket.Closed || second.socket.Closed || last.socket.Closed || !second.socket.WriteClosed ||
 		!last.socket.WriteClosed {
@@ -80,24 +82,24 @@
 	}
 	last.send(strings.Repeat("x", 5000))
 	if !last.socket.Closed {
-		t.Error("a client that sends without end is still read")
+		t.Error("still open after more input than the limit of discarded bytes")
 	}
 	harness.advance(510 * time.Millisecond)
 	if !second.socket.Closed || harness.server.Conns() != 0 {
-		t.Errorf("closed %v, %d connections; want none after the linger timeout", second.socket.Closed,
+		t.Errorf("closed %v, %d connections after the linger timeout; want closed and 0", second.socket.Closed,
 			harness.server.Conns())
 	}
 }
 
-// A client that never reads its last answer, and never closes, does not hold its place for good: neither one that is
-// served as usual nor one whose stream went bad.
-func TestWhoNeverReadsIsClosed(t *testing.T) {
+// A client that neither reads its last answer nor closes its connection must not occupy a place in the connection table
+// forever, whether its stream is valid or malformed.
+func TestClientThatNeverReadsIsClosed(t *testing.T) {
 	for _, test := range []struct {
 		name string
 		sent string // after the request
 	}{
-		{"good stream", ""},
-		{"bad stream", "\xff\xff\xff\xff"},
+		{"valid stream", ""},
+		{"malformed stream", "\xff\xff\xff\xff"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			harness := newLingeringHarness(t)
@@ -105,19 +107,20 @@
 			socket := &client.socket
 			client.send(submitMessage(1))
 			client.send(test.sent)
-			harness.advance(40 * time.Second) // a client waits for its answer for as long as that takes
+			harness.advance(40 * time.Second) // the idle timeout does not apply while a request is open
 			if socket.Closed || harness.canceled != 0 {
-				t.Fatalf("closed %v, %d canceled while an answer was owed", socket.Closed, harness.canceled)
+				t.Fatalf("closed %v, %d canceled with an open request; want neither", socket.Closed, harness.canceled)
 			}
 			socket.Buffered = 100
 			harness.replyServed(0)
 			harness.advance(29 * time.Second)
 			if socket.Closed {
-				t.Error("closed within 29 s")
+				t.Error("closed within 29 s of the answer, want 30 s")
 			}
 			harness.advance(2 * time.Second)
 			if !socket.Closed || harness.server.Conns() != 0 {
-				t.Errorf("closed %v, %d connections after 31 s", socket.Closed, harness.server.Conns())
+				t.Errorf("closed %v, %d connections 31 s after the answer; want closed and 0", socket.Closed,
+					harness.server.Conns())
 			}
 		})
 	}
--- a/internal/downstream/fields.go
+++ b/internal/downstream/fields.go
@@ -9,7 +9,7 @@
 	"shaleyard/internal/director"
 )
 
-// The names of a request's fields.
+// Keys of a request's field map.
 const (
 	fieldService        = "service"
 	fieldRef            = "ref"
@@ -22,12 +22,12 @@
 	fieldIdempotencyKey = "replay"
 )
 
-// Bounds of fields.
+// Bounds of field values.
 const (
 	maxGroup       = 255
 	maxSizeKB      = 1e9
-	maxTokenLength = 128
-	idLength       = 16 // hex digits
+	maxTokenLength = 128 // bytes
+	idLength       = 16  // hex digits
 )
 
 // fieldError reports that a field of a request is invalid. Its text is sent to the client.
@@ -36,12 +36,13 @@
 // Error implements error.
 func (e *fieldError) Error() string { return e.field + ": " + e.problem }
 
-// invalidField is a fieldError that quotes the value, shortened.
+// invalidField returns a fieldError that quotes at most 40 characters of the value before the problem.
 func invalidField(field, value, problem string) error {
 	return &fieldError{field: field, problem: fmt.Sprintf("%.40q %s", value, problem)}
 }
 
-// parseRequest checks the fields of a request and fills it in, but for its body.
+// parseRequest validates the arguments of a submit and sets the fields of request from them, except its body. The error
+// is a fieldError.
 func (s *Server) parseRequest(args submitArgs, request *director.Request) error {
 	if err := s.parseNames(args.fields, request); err != nil {
 		return err
@@ -56,7 +57,7 @@
 	return nil
 }
 
-// parseNames reads the fields that name things.
+// parseNames validates the fields that hold names, identifiers and tokens, and sets them in request.
 func (s *Server) parseNames(fields map[string]string, request *director.Request) error {
 	request.Service = fields[fieldService]
 	request.Ref = fields[fieldRef]
@@ -75,7 +76,7 @@
 	if !isHexID(request.Object) {
 		return invalidField(fieldObject, request.Object, "is not 16 hex digits")
 	}
-	request.ObjectKey, _ = strconv.ParseUint(request.Object, 16, 64) // it was checked above
+	request.ObjectKey, _ = strconv.ParseUint(request.Object, 16, 64) // isHexID has checked the digits
 	if request.IfNoneMatch != "" && !isToken(request.IfNoneMatch) {
 		return invalidField(fieldIfNoneMatch, request.IfNoneMatch, "is no tag")
 	}
@@ -85,7 +86,8 @@
 	return nil
 }
 
-// parseNumbers reads the fields that hold numbers. All but the timeout may be missing.
+// parseNumbers validates the fields that hold numbers, and sets them in request. Only the timeout is required; the
+// other numbers are 0 by default.
 func (s *Server) parseNumbers(fields map[string]string, request *director.Request) error {
 	maxTimeout := int(s.limits.MaxRequestTimeout / time.Millisecond)
 	timeout, err := parseNumber(fieldTimeout, fields[fieldTimeout], 1, maxTimeout)
@@ -114,7 +116,7 @@
 	return err
 }
 
-// parseSize reads a size in KB.
+// parseSize parses a size in KB, which must be from 0 to maxSizeKB.
 func parseSize(value string) (float64, error) {
 	size, err := strconv.ParseFloat(value, 64)
 	inRange := size >= 0 && size <= maxSizeKB // false for NaN
@@ -124,7 +126,8 @@
 	return size, nil
 }
 
-// parseNumber reads a number in its one plain form: the text is passed on to caches, which may know no other.
+// parseNumber parses a decimal number from least to most. It rejects a plus sign and leading zeros, because the text is
+// forwarded to caches, which may not accept other forms.
 func parseNumber(field, value string, least, most int) (int, error) {
 	number, err := strconv.Atoi(value)
 	if err != nil || number < least || number > most || strconv.Itoa(number) != value {
@@ -133,7 +136,7 @@
 	return number, nil
 }
 
-// isHexID reports whether text is an identifier of 16 hex digits.
+// isHexID reports whether text is an identifier: 16 hex digits, in upper or lower case.
 func isHexID(text string) bool {
 	if len(text) != idLength {
 		return false
@@ -150,8 +153,8 @@
 	return '0' <= char && char <= '9' || 'a' <= char && char <= 'f' || 'A' <= char && char <= 'F'
 }
 
-// isToken reports whether text can be passed on in the list of fields towards caches: it must bring no separators into
-// it.
+// isToken reports whether text can be forwarded as a value in the list of fields of a cache request: at most 128
+// printable ASCII characters, without the separators of the list (space, comma and equals sign).
 func isToken(text string) bool {
 	if len(text) > maxTokenLength {
 		return false
--- a/internal/downstream/frames.go
+++ b/internal/downstream/frames.go
@@ -8,14 +8,17 @@
 	"shaleyard/internal/thrift"
 )
 
-// frameLengthError reports that a frame has a length that is not possible, or over Limits.MaxFrameBytes.
+// frameLengthError is the error for a frame whose length is not positive or exceeds Limits.MaxFrameBytes. The length is
+// in bytes; -1 also stands for a length of 0.
 type frameLengthError struct{ length int }
 
 // Error implements error.
-func (e *frameLengthError) Error() string { return fmt.Sprintf("frame of %d bytes", e.length) }
+func (e *frameLengthError) Error() string {
+	return fmt.Sprintf("invalid frame length %d, must be positive and at most the frame limit", e.length)
+}
 
-// Data takes what has come in. A malformed stream ends the connection, once all requests that were read before are
-// answered. The error is always nil: the connection closes itself.
+// Data handles bytes received from the client. A malformed stream ends the connection after all requests that were read
+// before have been answered. The returned error is always nil, because the connection closes itself.
 func (c *Connection) Data(data []byte) error {
 	c.server.Counters.BytesIn += uint64(len(data))
 	if c.phase != phaseReady {
@@ -30,7 +33,8 @@
 	return nil
 }
 
-// dropData counts data that comes after the last request that is read, up to a bound.
+// dropData counts and discards data received after the connection has stopped reading requests. It closes the
+// connection once more than Limits.MaxLingerBytes have been discarded.
 func (c *Connection) dropData(data []byte) {
 	c.server.Counters.DroppedBytes += uint64(len(data))
 	c.droppedBytes += len(data)
@@ -42,7 +46,7 @@
 	c.server.record(event, flightrecorder.ReasonDroppedAfterHalfClose)
 }
 
-// readFrames handles the messages that data completes and keeps the rest.
+// readFrames handles the messages that data completes, and keeps a partly received one for the next call.
 func (c *Connection) readFrames(data []byte) error {
 	for len(data) > 0 && c.phase == phaseReady {
 		var err error
@@ -58,7 +62,7 @@
 	return nil
 }
 
-// beginFrame reads a frame's length, or a part of it, and returns the data after it.
+// beginFrame reads a frame's length prefix, or a part of it, and returns the data after it.
 func (c *Connection) beginFrame(data []byte) ([]byte, error) {
 	if c.messageStarted == 0 {
 		c.messageStarted = c.server.now()
@@ -78,8 +82,9 @@
 	return data, nil
 }
 
-// readLengthPrefix takes a frame's length off the data. A frame of no bytes is malformed, and its length is set to
-// -1, as 0 stands for a length that is not known yet.
+// readLengthPrefix reads a frame's length prefix, or a part of it, and sets frameLength once the prefix is complete. It
+// returns the data after the prefix. A length of 0 is malformed and is stored as -1, because a frameLength of 0 means
+// that the length is not known yet.
 func (c *Connection) readLengthPrefix(data []byte) (rest []byte, complete bool) {
 	n := min(thrift.FrameHeaderSize-len(c.lengthPrefix), len(data))
 	c.lengthPrefix = append(c.lengthPrefix, data[:n]...)
@@ -94,10 +99,10 @@
 	return data[n:], true
 }
 
-// continueFrame takes the rest of a frame, or a part of it, off the data, and handles the message once it is
-// complete.
+// continueFrame reads the rest of a frame, or a part of it, and returns the data after it. It handles the message once
+// the frame is complete.
 func (c *Connection) continueFrame(data []byte) ([]byte, error) {
-	if c.partialFrame.Len() == 0 && len(data) >= c.frameLength { // nothing needs to be copied
+	if c.partialFrame.Len() == 0 && len(data) >= c.frameLength { // the whole frame is in data: no copy is needed
 		frame, rest := data[:c.frameLength], data[c.frameLength:]
 		c.frameLength = 0
 		return rest, c.handleMessage(frame)
@@ -113,7 +118,8 @@
 	return data[n:], c.handleMessage(c.joinFrame())
 }
 
-// joinFrame copies a complete frame into the server's buffer and releases its pieces.
+// joinFrame copies a complete frame from the pool's buffers into the server's frameBuffer, releases the former, and
+// returns the copy, which is valid until the next call.
 func (c *Connection) joinFrame() []byte {
 	frame := c.server.frameBuffer[:0]
 	for _, segment := range c.partialFrame.Segments(nil) {
--- a/internal/downstream/golden_answers_test.go
+++ b/internal/downstream/golden_answers_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// TestGoldenAnswers compares the bytes of every kind of answer.
+// TestGoldenAnswers compares the bytes of all kinds of answers with a golden file.
 func TestGoldenAnswers(t *testing.T) {
 	served := director.Response{Outcome: director.Served}
 	same := director.Response{Outcome: director.Served, NotModified: true}
@@ -57,7 +57,8 @@
 	checkGolden(t, "answers.txt", all.String())
 }
 
-// goldenOrders holds answers that come in another order than their requests, twice, or for nobody.
+// goldenOrders returns the transcript of answers that come in another order than their requests, twice, after a revoke,
+// or after the connection has closed.
 func goldenOrders(t *testing.T) string {
 	t.Helper()
 	served := director.Response{Outcome: director.Served}
@@ -78,6 +79,7 @@
 	return text + g.transcript.String()
 }
 
+// goldenHeartbeats returns the transcripts of heartbeats in ready and not ready states.
 func goldenHeartbeats(t *testing.T) string {
 	t.Helper()
 	var all strings.Builder
@@ -106,7 +108,7 @@
 	return all.String()
 }
 
-// goldenLocalRejections holds the rejections of requests that were handed to nobody.
+// goldenLocalRejections returns the transcripts of rejections of requests that the handler has not accepted.
 func goldenLocalRejections(t *testing.T) string {
 	t.Helper()
 	var all strings.Builder
--- a/internal/downstream/golden_harness_test.go
+++ b/internal/downstream/golden_harness_test.go
@@ -23,13 +23,13 @@
 	"shaleyard/routing"
 )
 
-// The golden files hold the client protocol as this package speaks it: the bytes of every kind of answer, and what is
-// made of every form of a message that clients may send, malformed ones included. They name things as the protocol
-// does, so that no Go name can change them.
+// The golden files hold the client protocol as this package implements it: the bytes of all kinds of answers, and the
+// results of all forms of messages that clients may send, including malformed ones. They use the names of the protocol,
+// so that they do not depend on names in the Go code.
 
 var updateGolden = flag.Bool("update", false, "write the golden files of the client protocol")
 
-// checkGolden compares text with a golden file, or writes the file under -update.
+// checkGolden compares text with a golden file. With the -update flag it writes the file instead.
 func checkGolden(t *testing.T, name, text string) {
 	t.Helper()
 	path := filepath.Join("testdata", "golden", name)
@@ -58,12 +58,13 @@
 	t.Fatalf("%s: %d lines, want %d", path, len(gotLines), len(wantLines))
 }
 
-// goldenTranscript collects what happens as lines of text.
+// goldenTranscript collects the events of a connection as lines of text.
 type goldenTranscript struct{ strings.Builder }
 
 func (g *goldenTranscript) line(format string, args ...any) { fmt.Fprintf(g, format+"\n", args...) }
 
-// goldenBytes is the hexadecimal form of bytes; long ones are shortened to their ends and a digest.
+// goldenBytes returns b in hexadecimal. More than 1024 bytes are shortened to the first and last 64, the length and a
+// SHA-256 digest.
 func goldenBytes(b []byte) string {
 	const longest, end = 1024, 64
 	if len(b) <= longest {
@@ -72,7 +73,7 @@
 	return fmt.Sprintf("%x..%x length=%d sha256=%x", b[:end], b[len(b)-end:], len(b), sha256.Sum256(b))
 }
 
-// goldenSocket is a connection that writes down what it is told to do.
+// goldenSocket is a socket that writes each call and all output to the transcript.
 type goldenSocket struct{ transcript *goldenTranscript }
 
 func (s *goldenSocket) Writev(pieces [][]byte) (int, error) {
@@ -94,14 +95,14 @@
 	return nil
 }
 
-// goldenHandler writes down the requests that it is handed, and keeps them for an answer.
+// goldenHandler is a RequestHandler that writes the requests to the transcript and keeps their repliers and tokens.
 type goldenHandler struct {
 	transcript *goldenTranscript
 	full       bool
 	repliers   []director.Replier
 	tokens     []uint64
-	ending     bool            // the connection ends: what is given up with it comes in any order
-	givenUp    []handle.Handle // while it does
+	ending     bool            // the connection is closing and cancels its requests in random order
+	givenUp    []handle.Handle // canceled while ending
 }
 
 func (h *goldenHandler) Submit(q director.Request, r director.Replier, token uint64) (handle.Handle, bool) {
@@ -134,21 +135,21 @@
 	h.transcript.line("  shortened: request %d", request)
 }
 
-// goldenOptions are what differs between the servers of the cases.
+// goldenOptions holds the settings that differ between the servers of the cases.
 type goldenOptions struct {
-	buffers  int // in the pool, of 4096 bytes; 0: enough
+	buffers  int // in the pool, of 4096 bytes each; 0: 200
 	notReady bool
-	full     bool          // no request is taken
+	full     bool          // the handler accepts no request
 	cooldown time.Duration // of local rejections; 0: the settings allow none
 }
 
-// goldenConnection is a connection of a server of its own, the transcript of which begins with its name.
+// goldenConnection is a connection with its own server, which writes its events to the transcript.
 type goldenConnection struct {
 	t          *testing.T
 	transcript goldenTranscript
 	handler    goldenHandler
 	server     *Server
-	ready      bool // what heartbeats are told
+	ready      bool // result of Config.Ready, which heartbeats report
 	connection *Connection
 	pool       *buffer.Pool
 	timers     timer.Queue
@@ -198,7 +199,7 @@
 	return g
 }
 
-// receive hands the stream over in pieces of a size.
+// receive passes the stream to the connection in pieces of at most size bytes.
 func (g *goldenConnection) receive(stream string, size int) {
 	g.t.Helper()
 	for rest := []byte(stream); len(rest) > 0; {
@@ -210,7 +211,8 @@
 	}
 }
 
-// reply answers a request, counted from 0 in the order in which they came, with a body or without (nil).
+// reply answers the request of the given index, which counts from 0 in the order of submission. A nil body means an
+// answer without a body.
 func (g *goldenConnection) reply(request int, answer director.Response, body []byte) {
 	g.t.Helper()
 	if body != nil {
@@ -224,7 +226,8 @@
 	g.handler.repliers[request].Reply(g.handler.tokens[request], answer)
 }
 
-// end is the transcript, with what the connection's end adds to it.
+// end simulates that the client closes the connection, and returns the whole transcript. It fails the test if buffers
+// are still in use.
 func (g *goldenConnection) end() string {
 	g.t.Helper()
 	g.transcript.line("  the client closes")
@@ -235,12 +238,12 @@
 		g.transcript.line("  given up: request %d", request)
 	}
 	if n := g.pool.InUse(); n != 0 {
-		g.t.Errorf("%d buffers left in use", n)
+		g.t.Errorf("got %d buffers in use after the connection closed, want 0", n)
 	}
 	return g.transcript.String()
 }
 
-// goldenFrame puts a payload into a frame.
+// goldenFrame returns the frame of a payload.
 func goldenFrame(payload string) string {
 	return string(binary.BigEndian.AppendUint32(nil, uint32(len(payload)))) + payload
 }
@@ -249,12 +252,12 @@
 
 func goldenString(s string) string { return goldenInt32(int32(len(s))) + s }
 
-// goldenMessage is the payload of a message; arguments hold the fields of its struct, with the stop byte.
+// goldenMessage returns the payload of a message. arguments are the encoded fields of its struct, with the stop byte.
 func goldenMessage(kind byte, name string, seqid int32, arguments string) string {
 	return "\x80\x01\x00" + string([]byte{kind}) + goldenString(name) + goldenInt32(seqid) + arguments
 }
 
-// goldenMap is field 1 of submit, from names and values in turn.
+// goldenMap returns the encoded field 1 of submit, a map given as keys and values alternately.
 func goldenMap(words ...string) string {
 	var b strings.Builder
 	b.WriteString("\x0d\x00\x01\x0b\x0b" + goldenInt32(int32(len(words)/2)))
@@ -264,10 +267,11 @@
 	return b.String()
 }
 
-// goldenBody is field 2 of submit.
+// goldenBody returns the encoded field 2 of submit, its body.
 func goldenBody(body string) string { return "\x0b\x00\x02" + goldenString(body) }
 
-// goldenFields are the fields of a request with some replaced, or left out where the value is "-".
+// goldenFields returns the fields of a request as keys and values alternately. changes are keys and new values
+// alternately; the value "-" removes the field.
 func goldenFields(changes ...string) []string {
 	fields := []string{"service", "media", "ref", "9b1f03aa5c7e2d41", "allow", "1500", "lookup", "7f3a9c21e0b4d655",
 		"chunk", "3", "tag", "17", "room", "412.5", "known", "4be0c1927d55a6f3", "replay", "5c0f6e1a2b3d4c59"}
@@ -287,11 +291,12 @@
 	return fields
 }
 
-// goldenSubmit is the frame of a submit.
+// goldenSubmit returns the frame of a submit.
 func goldenSubmit(seqid int32, body string, fields ...string) string {
 	return goldenFrame(goldenMessage(1, "submit", seqid, goldenMap(fields...)+goldenBody(body)+"\x00"))
 }
 
+// goldenPattern returns n bytes of a fixed pattern.
 func goldenPattern(n int) []byte {
 	b := make([]byte, n)
 	for i := range b {
--- a/internal/downstream/golden_messages_test.go
+++ b/internal/downstream/golden_messages_test.go
@@ -8,11 +8,11 @@
 	"testing"
 )
 
-// goldenCase is a stream of bytes from a client.
+// goldenCase is a named stream of bytes from a client.
 type goldenCase struct{ name, stream string }
 
-// TestGoldenMessages compares what is made of every form of a message, and of malformed ones. How the stream is cut
-// into pieces must not matter.
+// TestGoldenMessages compares the results of all forms of messages, valid and malformed, with a golden file. The
+// results must not depend on how the stream is split into reads.
 func TestGoldenMessages(t *testing.T) {
 	cases := slices.Concat(goldenForms(), goldenUnknownMethods(), goldenSequenceNumbers(), goldenRevokes(),
 		goldenFieldValues(), goldenBadFrames(), goldenBadStructs(), goldenNesting(), goldenTruncations())
@@ -33,6 +33,7 @@
 	checkGolden(t, "messages.txt", all.String())
 }
 
+// goldenRun returns the transcript of a case whose stream is received in pieces of at most size bytes.
 func goldenRun(t *testing.T, c goldenCase, size int) string {
 	t.Helper()
 	g := newGoldenConnection(t, goldenOptions{})
@@ -42,7 +43,7 @@
 	return g.end()
 }
 
-// goldenUnknown is a struct's field of each type, with numbers that the protocol does not know.
+// goldenUnknown is the encoding of struct fields of all types, with ids that the protocol does not define.
 const goldenUnknown = "\x02\x00\x09\x01" + "\x03\x00\x0a\x07" + "\x04\x00\x0b12345678" + "\x06\x00\x0c12" +
 	"\x08\x00\x0d1234" + "\x0a\x00\x0e12345678" + "\x0b\x00\x0f\x00\x00\x00\x01x" +
 	"\x0c\x00\x10\x0b\x00\x01\x00\x00\x00\x00\x00" +
@@ -50,7 +51,7 @@
 	"\x0e\x00\x13\x08\x00\x00\x00\x01\x00\x00\x00\x01" + "\x0f\x00\x14\x0c\x00\x00\x00\x01\x00" +
 	"\x0b\xff\xff\x00\x00\x00\x00"
 
-// goldenForms holds well-formed messages in all their forms.
+// goldenForms returns valid messages in all their forms, and requests with invalid arguments in valid messages.
 func goldenForms() []goldenCase {
 	submit := func(arguments string) string { return goldenFrame(goldenMessage(1, "submit", 1, arguments)) }
 	fields, body := goldenMap(goldenFields()...), goldenBody("the body\x00\xff")
@@ -86,7 +87,7 @@
 	}
 }
 
-// goldenUnknownMethods holds calls of methods that are unknown, and the same as oneway.
+// goldenUnknownMethods returns calls and oneway messages of unknown methods.
 func goldenUnknownMethods() []goldenCase {
 	names := []string{"", "Submit", "submit2", "fetch", strings.Repeat("n", 500), "\x00\xff\"\n"}
 	cases := make([]goldenCase, 0, 2*len(names))
@@ -99,7 +100,7 @@
 	return cases
 }
 
-// goldenSequenceNumbers holds a request under several sequence numbers.
+// goldenSequenceNumbers returns the same request with several sequence numbers.
 func goldenSequenceNumbers() []goldenCase {
 	numbers := []int32{0, 1, -1, math.MaxInt32, math.MinInt32}
 	cases := make([]goldenCase, 0, len(numbers))
@@ -110,7 +111,7 @@
 	return cases
 }
 
-// goldenRevokes holds revokes behind two requests, 1 and 2.
+// goldenRevokes returns forms of revoke, each sent after the requests 1 and 2.
 func goldenRevokes() []goldenCase {
 	forms := []goldenCase{
 		{"of an open request", "\x08\x00\x01" + goldenInt32(1) + "\x00"},
@@ -138,7 +139,8 @@
 	return cases
 }
 
-// goldenFieldValues holds requests with values of one field, good ones and bad ones; "-" leaves the field out.
+// goldenFieldValues returns requests in which one field has a valid or an invalid value. The value "-" leaves the field
+// out.
 func goldenFieldValues() []goldenCase {
 	long := strings.Repeat("x", 128)
 	var cases []goldenCase
@@ -173,8 +175,8 @@
 		goldenSubmit(1, "body", goldenFields("ref", "x", "lookup", "y", "allow", "z", "known", " ", "replay", " ")...)})
 }
 
-// goldenBadFrames holds frames and message heads that end the connection. A request waits for its answer before some
-// of them.
+// goldenBadFrames returns frames and message headers that end the connection. Each is sent once alone, and once after a
+// request that is still open.
 func goldenBadFrames() []goldenCase {
 	heartbeat := goldenFrame(goldenMessage(1, "heartbeat", 2, "\x00"))
 	streams := []goldenCase{
@@ -209,7 +211,7 @@
 	return cases
 }
 
-// goldenBadStructs holds arguments of submit that can't be read, or only just.
+// goldenBadStructs returns malformed arguments of submit, and unusual ones that are still valid.
 func goldenBadStructs() []goldenCase {
 	fields := goldenMap(goldenFields()...)
 	cases := []goldenCase{
@@ -250,7 +252,8 @@
 	return goldenSubmitOf(cases)
 }
 
-// goldenNesting holds arguments of submit with fields of unknown types, and with values that are nested.
+// goldenNesting returns arguments of submit with fields of undefined types, and with values nested up to and beyond the
+// limit.
 func goldenNesting() []goldenCase {
 	fields := goldenMap(goldenFields()...)
 	kinds := []byte{1, 5, 7, 9, 16, 17, 255}
@@ -272,7 +275,7 @@
 	return goldenSubmitOf(cases)
 }
 
-// goldenSubmitOf makes a submit, and a heartbeat behind it, of each case's arguments.
+// goldenSubmitOf replaces the arguments in each case by a submit with these arguments and a heartbeat after it.
 func goldenSubmitOf(cases []goldenCase) []goldenCase {
 	heartbeat := goldenFrame(goldenMessage(1, "heartbeat", 2, "\x00"))
 	for i := range cases {
@@ -282,7 +285,7 @@
 	return cases
 }
 
-// goldenTruncations holds messages cut short at every byte, in frames of the length that is left.
+// goldenTruncations returns messages truncated at each byte, in frames of the truncated length.
 func goldenTruncations() []goldenCase {
 	var cases []goldenCase
 	small := goldenMap(goldenFields("chunk", "-", "tag", "-", "room", "-", "known", "-", "replay", "-")...)
--- a/internal/downstream/graceful.go
+++ b/internal/downstream/graceful.go
@@ -6,11 +6,11 @@
 	"shaleyard/routing"
 )
 
-// This file ends all connections in good order, as the process is drained or stops.
+// This file closes all connections without losing an answer, when the process drains or stops.
 
-// StartGracefulClose closes all connections that are owed nothing. It is called again until none is left, or
-// CancelGracefulClose ends it. A message that has begun may come to its end first, and the client of a new connection
-// has a moment (Limits.NewConnGracePeriod) to send one: it may have connected before it could know.
+// StartGracefulClose half-closes all connections that have no pending answer and no partly received message. The client
+// of a new connection first has Limits.NewConnGracePeriod to send a message, because it may have connected before it
+// could know of the close. The caller repeats the call until no connection is left, or calls CancelGracefulClose.
 func (s *Server) StartGracefulClose() {
 	s.closingGracefully = true
 	for _, connection := range s.closableConnections() {
@@ -18,7 +18,7 @@
 	}
 }
 
-// closableConnections are those that a graceful close may end now.
+// closableConnections returns the connections that a graceful close may half-close now.
 func (s *Server) closableConnections() []*Connection {
 	var closable []*Connection
 	now := s.now()
@@ -32,16 +32,16 @@
 	return closable
 }
 
-// CancelGracefulClose ends what StartGracefulClose began: connections are kept again.
+// CancelGracefulClose ends a graceful close: connections that are still ready stay open.
 func (s *Server) CancelGracefulClose() {
 	s.closingGracefully = false
 	s.trim()
 }
 
-// ShortenDeadlines bounds how long clients can hold their connections open in a graceful close. The open requests of
-// connections that have had a message since a time are answered by the deadline. After the deadline, connections that
-// wait for nothing but their client's reading are closed once it has read nothing for Limits.SlowReaderTimeout. It is
-// called again until none is left.
+// ShortenDeadlines bounds how long clients can keep their connections open in a graceful close. On connections whose
+// last message was complete at activeSince or later, open requests are answered by the deadline. From the deadline on,
+// a connection whose requests are all answered is closed once its client has read no output for
+// Limits.SlowReaderTimeout. The caller repeats the call until no connection is left.
 func (s *Server) ShortenDeadlines(activeSince, deadline routing.Time) {
 	now := s.now()
 	var stalled []*Connection
@@ -63,7 +63,7 @@
 	}
 }
 
-// noteReading notes whether the client has read something since the last call.
+// noteReading updates the amount of unread output, and the time of its last change, for stalled.
 func (c *Connection) noteReading(now routing.Time) {
 	buffered := c.socket.OutboundBuffered()
 	if buffered != c.outboundSeen {
@@ -72,7 +72,8 @@
 	}
 }
 
-// stalled reports that all is answered, and that the client has long read nothing of what is left for it.
+// stalled reports whether all requests are answered, output is unread, and its amount has not changed for
+// Limits.SlowReaderTimeout.
 func (c *Connection) stalled(now routing.Time) bool {
 	return len(c.openRequests) == 0 && c.outboundSeen > 0 && now-c.outboundChanged >= c.server.limits.SlowReaderTimeout
 }
--- a/internal/downstream/graceful_test.go
+++ b/internal/downstream/graceful_test.go
@@ -5,9 +5,10 @@
 	"time"
 )
 
-// In a graceful close, a connection ends as soon as nothing is owed on it: not one that waits for an answer, nor one
-// on which a message is just arriving. Any number may linger then.
-func TestPartEndsWhatOwesNothing(t *testing.T) {
+// A graceful close must half-close a connection as soon as it has no pending answer, and not before: a connection with
+// an open request or a partly received message stays open. The limit of lingering connections includes unused places of
+// the connection table meanwhile.
+func TestGracefulCloseKeepsConnectionsWithPendingAnswers(t *testing.T) {
 	harness := newLingeringHarness(t)
 	harness.server.limits.MaxLingeringConns = 0
 	var clients [4]*testClient
@@ -21,13 +22,13 @@
 	harness.server.StartGracefulClose()
 	if !first.socket.WriteClosed || waiting.socket.WriteClosed || receiving.socket.WriteClosed ||
 		!last.socket.WriteClosed || first.socket.Closed || last.socket.Closed {
-		t.Fatalf("sockets %+v, %+v, %+v, %+v; want the first and the last half-closed alone", &first.socket,
+		t.Fatalf("sockets %+v, %+v, %+v, %+v; want only the first and the last half-closed", &first.socket,
 			&waiting.socket, &receiving.socket, &last.socket)
 	}
 	receiving.send(submitMessage(2)[20:])
 	harness.server.StartGracefulClose()
 	if len(harness.submitted) != 2 || receiving.socket.WriteClosed {
-		t.Errorf("%d submitted, half-closed %v: a message that had begun was cut off", len(harness.submitted),
+		t.Errorf("%d submitted, half-closed %v; want 2 submitted and an open connection", len(harness.submitted),
 			receiving.socket.WriteClosed)
 	}
 	harness.replyServed(0)
@@ -35,6 +36,6 @@
 	harness.advance(60 * time.Millisecond)
 	harness.server.StartGracefulClose()
 	if !receiving.socket.WriteClosed {
-		t.Error("still open with nothing owed")
+		t.Error("still open without a pending answer, want it half-closed")
 	}
 }
--- a/internal/downstream/harness_test.go
+++ b/internal/downstream/harness_test.go
@@ -15,7 +15,7 @@
 
 const testRef = "9b1f03aa5c7e2d41"
 
-// testHarness is a server on a clock of the test's, that hands its requests to the test.
+// testHarness holds a server with a simulated clock. It is the server's RequestHandler and records the requests.
 type testHarness struct {
 	t              testing.TB
 	server         *Server
@@ -24,12 +24,12 @@
 	pool           *buffer.Pool
 	submitted      []director.Request
 	tokens         []uint64
-	replier        director.Replier // of the last request
+	replier        director.Replier // for the last request
 	canceled       int
 	shortened      map[handle.Handle]routing.Time
 	tableFull      bool
 	protocolErrors int
-	duringSubmit   func() // what happens while Submit runs
+	duringSubmit   func() // if set, called by Submit
 }
 
 func (h *testHarness) Submit(request director.Request, replier director.Replier, token uint64) (handle.Handle, bool) {
@@ -55,7 +55,7 @@
 	}
 }
 
-// newHarness returns a harness with small limits, whose connections don't linger.
+// newHarness returns a harness with small limits and no lingering connections.
 func newHarness(t testing.TB) *testHarness {
 	t.Helper()
 	harness := &testHarness{
@@ -90,7 +90,7 @@
 	return harness
 }
 
-// newLingeringHarness returns a harness whose connections linger, two at once.
+// newLingeringHarness returns a harness in which at most two connections linger at once.
 func newLingeringHarness(t testing.TB) *testHarness {
 	t.Helper()
 	harness := newHarness(t)
@@ -103,7 +103,7 @@
 	return harness
 }
 
-// advance lets time pass, in steps of 5 ms.
+// advance advances the clock by duration in steps of 5 ms, and runs the timers that are due after each step.
 func (h *testHarness) advance(duration time.Duration) {
 	for end := h.now + duration; h.now < end; {
 		h.now += 5 * time.Millisecond
@@ -111,19 +111,19 @@
 	}
 }
 
-// replyServed answers a request by the replier of the last one.
+// replyServed answers the request of the given index as served, through the replier of the last submitted request.
 func (h *testHarness) replyServed(request int) {
 	h.replier.Reply(h.tokens[request], director.Response{Outcome: director.Served})
 }
 
-// testClient is a client's connection and what the server has done to its socket.
+// testClient is a client's connection with a fake socket, which holds the server's output.
 type testClient struct {
 	t          testing.TB
 	connection *Connection
 	socket     nettest.FakeConn
 }
 
-// connect opens a connection; the server must take it.
+// connect opens a connection and fails the test if the server rejects it.
 func (h *testHarness) connect() *testClient {
 	h.t.Helper()
 	client := &testClient{t: h.t}
@@ -134,7 +134,8 @@
 	return client
 }
 
-// send hands data to the connection, which must not leave its close to the event loop.
+// send passes data to the connection as received. It fails the test if Data returns an error, which would make the
+// event loop close the connection.
 func (c *testClient) send(data string) {
 	c.t.Helper()
 	if err := c.connection.Data([]byte(data)); err != nil {
@@ -142,7 +143,7 @@
 	}
 }
 
-// sendInPieces hands data to the connection, so many bytes at a time.
+// sendInPieces passes data to the connection in pieces of at most size bytes.
 func (c *testClient) sendInPieces(data string, size int) {
 	c.t.Helper()
 	for len(data) > 0 {
@@ -152,7 +153,7 @@
 	}
 }
 
-// submitFields are all fields of a request, and one that is unknown.
+// submitFields returns all fields of a request and an unknown one, as keys and values alternately.
 func submitFields(ref string) []string {
 	return []string{"service", "media", "ref", ref, "allow", "1500", "lookup", "7f3a9c21e0b4d655", "chunk", "3",
 		"tag", "17", "room", "412.5", "known", "4be0c1927d55a6f3", "replay", "5c0f6e1a2b3d4c59", "unheard", "of"}
--- a/internal/downstream/messages.go
+++ b/internal/downstream/messages.go
@@ -7,7 +7,7 @@
 	"shaleyard/internal/thrift"
 )
 
-// This file holds the messages of the clients' service, as its Thrift definition describes them:
+// This file encodes and decodes the messages of the clients' service, which has this Thrift definition:
 //
 //	struct Answer { 1: binary body, 2: map<string,string> fields, 3: bool good }
 //	exception Overloaded { 1: map<string,string> fields }
@@ -18,14 +18,14 @@
 //	  Answer heartbeat(1: bool unused)
 //	}
 
-// The methods.
+// Method names of the service.
 const (
 	methodSubmit    = "submit"
 	methodRevoke    = "revoke"
 	methodHeartbeat = "heartbeat"
 )
 
-// The numbers of fields.
+// Field ids of the service's structs.
 const (
 	submitArgFields = 1
 	submitArgBody   = 2
@@ -41,13 +41,14 @@
 	exceptionFields = 1
 )
 
-// The names of fields in an answer's or an exception's map.
+// Keys of the field map of an Answer or an exception.
 const (
-	fieldNotModified = "valid"    // "1": the copy that the client has is the one
+	fieldNotModified = "valid"    // "1": the client's copy is current
 	fieldRetryAfter  = "cooldown" // milliseconds
 )
 
-// errFieldMapType reports that the fields of a request are no map of strings. Its text is sent to the client.
+// errFieldMapType is the error for a request whose field map does not have strings as keys and values. Its text is sent
+// to the client.
 var errFieldMapType = errors.New("fields are no map of strings")
 
 // fieldCountError reports that a request has too many fields. Its text is sent to the client.
@@ -58,14 +59,14 @@
 	return fmt.Sprintf("%d fields, %d at most", e.count, e.limit)
 }
 
-// submitArgs are the arguments of submit. The body is a view of the frame.
+// submitArgs holds the arguments of submit. The body is a view of the frame.
 type submitArgs struct {
 	fields map[string]string
 	body   []byte
 }
 
-// readSubmitArgs reads the arguments of submit; the reader keeps the error. Fields of the struct that are unknown, or
-// of another type than they should be, are skipped.
+// readSubmitArgs reads the arguments of submit. Errors are left in the reader. Struct fields of an unknown id or an
+// unexpected type are skipped.
 func readSubmitArgs(r *thrift.Reader, maxFields int) (args submitArgs) {
 	r.Fields(func(id int16, valueType thrift.Type) {
 		switch {
@@ -80,7 +81,8 @@
 	return args
 }
 
-// readFieldMap reads a map of strings. The types of an empty map may be anything.
+// readFieldMap reads a map from strings to strings with at most maxFields entries. Errors are left in the reader. The
+// types of an empty map are not checked.
 func readFieldMap(r *thrift.Reader, maxFields int) map[string]string {
 	keyType, valueType, count := r.MapHeader()
 	if count > 0 && (keyType != thrift.String || valueType != thrift.String) {
@@ -97,7 +99,8 @@
 	return fields
 }
 
-// readRevokeArgs reads the sequence number of the request that is given up; 0 if it is missing.
+// readRevokeArgs reads the sequence number of the request to revoke, and returns 0 if it is missing. Errors are left in
+// the reader.
 func readRevokeArgs(r *thrift.Reader) (seqID int32) {
 	r.Fields(func(id int16, valueType thrift.Type) {
 		if id == revokeArgSeqID && valueType == thrift.I32 {
@@ -109,8 +112,8 @@
 	return seqID
 }
 
-// beginAnswer begins the reply that holds an Answer, up to the length of its body. The body follows, then what
-// finishAnswer writes.
+// beginAnswer writes the beginning of a reply that holds an Answer, up to and including the length of its body. The
+// body has to follow, and then the output of finishAnswer.
 func beginAnswer(w *thrift.Writer, method string, seqID int32, bodyLength int) {
 	w.Begin(thrift.Reply, method, seqID)
 	w.PutField(thrift.Struct, resultAnswer)
@@ -118,7 +121,8 @@
 	w.PutInt32(int32(bodyLength))
 }
 
-// finishAnswer writes what follows the body of an Answer; its map is given as keys and values in turn.
+// finishAnswer writes the part of a reply that follows the body of its Answer. The Answer's field map is given as keys
+// and values alternately.
 func finishAnswer(w *thrift.Writer, good bool, fields ...string) {
 	w.PutField(thrift.Map, answerFields)
 	w.PutStringMap(fields...)
@@ -128,7 +132,8 @@
 	w.PutStop() // of the result
 }
 
-// exceptionFrame is the reply that holds one of submit's exceptions; its map is given as keys and values in turn.
+// exceptionFrame returns the frame of a reply to submit that holds the exception with the id resultField. The
+// exception's field map is given as keys and values alternately.
 func exceptionFrame(w *thrift.Writer, seqID int32, resultField int16, fields ...string) []byte {
 	w.Begin(thrift.Reply, methodSubmit, seqID)
 	w.PutField(thrift.Struct, resultField)
--- a/internal/downstream/replies.go
+++ b/internal/downstream/replies.go
@@ -9,7 +9,8 @@
 	"shaleyard/internal/thrift"
 )
 
-// Reply implements director.Replier: it writes the one response to a request. The token is its sequence number.
+// Reply implements director.Replier. It writes the response to an open request, whose sequence number is the token, and
+// closes the request. A response to a request that is not open any more is discarded.
 func (c *Connection) Reply(token uint64, response director.Response) {
 	server := c.server
 	seqID := int32(uint32(token))
@@ -32,11 +33,11 @@
 	c.completeDrain()
 }
 
-// writeAnswer writes the Answer to a request that was served. The body is written from its buffers, and not copied.
+// writeAnswer writes the Answer to a served request. The body is written from its own buffers, without a copy.
 func (c *Connection) writeAnswer(seqID int32, response director.Response) {
 	server := c.server
 	bodyLength := 0
-	segments := append(server.segments[:0], nil) // the first is the head, which is known last
+	segments := append(server.segments[:0], nil) // the first segment is the head, which is complete only at the end
 	if response.Body != nil && !response.NotModified {
 		bodyLength = response.Body.Len()
 		segments = response.Body.Segments(segments)
@@ -56,15 +57,15 @@
 	clear(segments)
 }
 
-// rejectLocally rejects a request that the director has not seen.
+// rejectLocally rejects a request that the director has not accepted.
 func (c *Connection) rejectLocally(seqID int32, reason flightrecorder.Reason) {
 	server := c.server
 	server.record(flightrecorder.Event{Kind: flightrecorder.RequestRejected, Conn: c.id}, reason)
 	c.writeRejection(seqID, server.retryAfter)
 }
 
-// writeRejection tells a client that its request was rejected, and how long it should stay away: whole milliseconds,
-// rounded up; 0 or less: no advice.
+// writeRejection writes the Overloaded exception to a rejected request. It includes retryAfter, the delay after which
+// the client may try again, in whole milliseconds, rounded up. A delay of 0 or less is not sent.
 func (c *Connection) writeRejection(seqID int32, retryAfter time.Duration) {
 	server := c.server
 	server.Counters.Rejections++
@@ -75,13 +76,14 @@
 	c.write(exceptionFrame(&server.replyWriter, seqID, resultOverloaded, fields...))
 }
 
-// writeApplicationException answers a call that cannot be handled.
+// writeApplicationException writes an application exception as the answer to a call that cannot be handled.
 func (c *Connection) writeApplicationException(call thrift.MessageHeader, kind thrift.ApplicationError, text string) {
 	c.write(c.server.replyWriter.ApplicationException(call.Method, call.SeqID, kind, text))
 }
 
-// write passes a message to the socket. What a client leaves unread is bounded, for each and for all together: a slow
-// reader loses its connection, so that the others keep theirs.
+// write writes a message to the socket. Unread output is bounded by Limits.ClientBacklogBytes for one client and by
+// Limits.TotalBacklogBytes for all clients together. The connections of the slowest readers are closed to stay within
+// these bounds, so that the other clients keep their connections.
 func (c *Connection) write(segments ...[]byte) {
 	server := c.server
 	if c.phase >= phaseLingering {
--- a/internal/downstream/requests.go
+++ b/internal/downstream/requests.go
@@ -11,19 +11,24 @@
 	"shaleyard/internal/thrift"
 )
 
-// seqIDInUseError reports that a client has given two open requests one sequence number.
+// seqIDInUseError is the error for a submit whose sequence number is that of an open request on the same connection.
 type seqIDInUseError struct{ seqID int32 }
 
 // Error implements error.
-func (e *seqIDInUseError) Error() string { return fmt.Sprintf("sequence number %d is open", e.seqID) }
+func (e *seqIDInUseError) Error() string {
+	return fmt.Sprintf("sequence number %d is already in use by an open request", e.seqID)
+}
 
-// messageTypeError reports that a client has sent a message of a type that clients don't send.
+// messageTypeError is the error for a message from a client that is neither a call nor oneway.
 type messageTypeError struct{ messageType thrift.MessageType }
 
 // Error implements error.
-func (e *messageTypeError) Error() string { return fmt.Sprintf("message of type %d", e.messageType) }
+func (e *messageTypeError) Error() string {
+	return fmt.Sprintf("unexpected message type %d, must be a call or oneway", e.messageType)
+}
 
-// handleMessage handles the message of one frame. An error means that the stream is malformed.
+// handleMessage handles the message of one frame. It returns an error if the stream is malformed and must not be read
+// any further.
 func (c *Connection) handleMessage(frame []byte) error {
 	counters := &c.server.Counters
 	counters.Frames++
@@ -82,7 +87,8 @@
 	c.write(w.Frame(0))
 }
 
-// handleUnknownMethod answers a call; nobody waits for the answer to a oneway message.
+// handleUnknownMethod answers a call of an unknown method with an application exception. A oneway message gets no
+// answer.
 func (c *Connection) handleUnknownMethod(header thrift.MessageHeader) {
 	c.server.Counters.UnknownMethod++
 	if header.Type == thrift.Oneway {
@@ -91,7 +97,8 @@
 	c.writeApplicationException(header, thrift.UnknownMethod, "unknown method")
 }
 
-// handleSubmit hands a request to the director, or answers it at once where that is not possible.
+// handleSubmit validates a request and submits it to the director. A request that is invalid or exceeds a limit is
+// answered at once. Only a sequence number in use is returned as an error.
 func (c *Connection) handleSubmit(header thrift.MessageHeader, r *thrift.Reader) error {
 	server := c.server
 	server.Counters.Submits++
@@ -125,7 +132,7 @@
 	return nil
 }
 
-// rejectInvalid answers a request that has invalid fields. The error's text is sent to the client.
+// rejectInvalid answers a request with invalid arguments. The text of cause is sent to the client.
 func (c *Connection) rejectInvalid(header thrift.MessageHeader, cause error) {
 	server := c.server
 	server.Counters.BadFields++
@@ -134,13 +141,13 @@
 	c.writeApplicationException(header, thrift.ProtocolError, cause.Error())
 }
 
-// submit hands a request to the director.
+// submit submits a request to the director, and rejects it if the director has no room for it.
 func (c *Connection) submit(seqID int32, request director.Request) {
 	server := c.server
-	if c.openRequests == nil { // most connections that are idle never have an open request again
+	if c.openRequests == nil { // allocated late, as most idle connections have no requests
 		c.openRequests = map[int32]handle.Handle{}
 	}
-	// The reply may come within Submit, so the number is in use before.
+	// The director can reply before Submit returns, so the request is entered as open before the call.
 	c.openRequests[seqID] = 0
 	requestHandle, ok := server.handler.Submit(request, c, uint64(uint32(seqID)))
 	if !ok {
@@ -154,7 +161,9 @@
 		c.openRequests[seqID] = requestHandle
 		return
 	}
-	if c.phase == phaseClosed { // closed within Submit, by the answer to another request: this one had no handle then
+	// The answer to another request can close the connection during Submit. enterClosed cannot cancel this request
+	// then, because its handle is not known yet.
+	if c.phase == phaseClosed {
 		server.handler.Cancel(requestHandle)
 	}
 }
--- a/internal/downstream/requests_test.go
+++ b/internal/downstream/requests_test.go
@@ -11,14 +11,14 @@
 	"shaleyard/internal/nettest"
 )
 
-func TestRequestIsReadInAnyPieces(t *testing.T) {
+func TestRequestSplitIntoPieces(t *testing.T) {
 	stream := nettest.SubmitFrame(1, strings.Repeat("b", 99), submitFields(testRef)...) + submitMessage(2)
 	for _, size := range []int{1, 3, 64, 65, len(stream)} {
 		t.Run(fmt.Sprintf("pieces of %d bytes", size), func(t *testing.T) {
 			harness := newHarness(t)
 			harness.connect().sendInPieces(stream, size)
 			if len(harness.submitted) != 2 {
-				t.Fatalf("%d requests, want 2", len(harness.submitted))
+				t.Fatalf("got %d requests, want 2", len(harness.submitted))
 			}
 			request := harness.submitted[0]
 			got := []any{request.Ref, request.Service, request.Object, request.Part, request.Class, request.ObjectKey,
@@ -31,13 +31,13 @@
 			}
 			request.Body.Release()
 			if harness.pool.InUse() != 0 {
-				t.Fatalf("%d buffers in use", harness.pool.InUse())
+				t.Fatalf("got %d buffers in use after the body was released, want 0", harness.pool.InUse())
 			}
 		})
 	}
 }
 
-func TestBadFieldsAreNamed(t *testing.T) {
+func TestInvalidFieldIsNamedInAnswer(t *testing.T) {
 	for _, test := range []struct{ field, value string }{
 		{"service", "nobody"},
 		{"ref", "xyz"},
@@ -60,7 +60,8 @@
 			client.send(nettest.SubmitFrame(1, "", append(submitFields(testRef), test.field, test.value)...))
 			answer := client.socket.Written.String()
 			if len(harness.submitted) != 0 || !strings.Contains(answer, test.field+":") {
-				t.Errorf("%d submitted, answer %q", len(harness.submitted), answer)
+				t.Errorf("%d submitted, answer %q; want 0 and an answer that names the field", len(harness.submitted),
+					answer)
 			}
 		})
 	}
@@ -74,38 +75,37 @@
 	}
 	overLimit := harness.server.Counters.TooManyOpenRequests
 	if len(harness.submitted) != 2 || overLimit != 1 || client.socket.Written.Len() == 0 {
-		t.Errorf("%d submitted, %d over the limit, answer of %d bytes", len(harness.submitted), overLimit,
-			client.socket.Written.Len())
+		t.Errorf("%d submitted, %d over the limit, %d bytes written; want 2, 1 and an answer", len(harness.submitted),
+			overLimit, client.socket.Written.Len())
 	}
 	client.send(submitMessage(2))
 	phase := client.connection.phase
 	if len(harness.submitted) != 2 || harness.protocolErrors != 1 || phase != phaseDraining {
-		t.Errorf("an open sequence number again: %d submitted, %d protocol errors, phase %d", len(harness.submitted),
-			harness.protocolErrors, phase)
+		t.Errorf("sequence number in use: %d submitted, %d protocol errors, phase %d; want 2, 1 and %d",
+			len(harness.submitted), harness.protocolErrors, phase, phaseDraining)
 	}
 	client.connection.Closed()
 	if harness.canceled != 2 {
-		t.Errorf("%d requests canceled with their connection, want 2", harness.canceled)
+		t.Errorf("got %d requests canceled when their connection closed, want 2", harness.canceled)
 	}
 }
 
-// A connection may be closed by the answer to one request while another of it is being submitted: that one is
-// canceled as soon as it has a handle, or it would go on for a client that has gone.
-func TestRequestTakenAsItsConnectionDiesIsWithdrawn(t *testing.T) {
+// The answer to one request can close the connection while another request is being submitted, before that request has
+// a handle. The request must be canceled once its handle is known. Otherwise it continues without a client.
+func TestRequestIsCanceledIfConnectionClosesDuringSubmit(t *testing.T) {
 	harness := newLingeringHarness(t)
 	client := harness.connect()
 	client.send(submitMessage(1))
 	harness.duringSubmit = client.connection.Closed
 	client.send(submitMessage(2))
 	if len(harness.submitted) != 2 || harness.canceled != 2 {
-		t.Errorf("%d submitted, %d canceled; want 2 and 2", len(harness.submitted), harness.canceled)
+		t.Errorf("got %d submitted, %d canceled; want 2 and 2", len(harness.submitted), harness.canceled)
 	}
 }
 
-// All forms that the protocol allows are one message each, however they come: fields of the structs in any order,
-// absent or unknown, a oneway sent as a call, maps without types where they are empty, several messages in one
-// segment.
-func TestEveryFormOfAMessageIsRead(t *testing.T) {
+// All encodings that the protocol allows must be accepted, however the stream is split into reads: struct fields in any
+// order, missing or unknown, a oneway method sent as a call, empty maps without types, several messages in one segment.
+func TestAllMessageEncodingsAreAccepted(t *testing.T) {
 	const call, oneway = 1, 4
 	whole := nettest.SubmitFrame(1, "body", submitFields(testRef)...)[4:]
 	arguments := whole[4+4+len(methodSubmit)+4 : len(whole)-1]
@@ -135,8 +135,9 @@
 			counters := harness.server.Counters
 			if client.connection.phase != phaseReady || len(harness.submitted) != 3 || harness.canceled != 1 ||
 				counters.Heartbeats != 2 || counters.BadFields != 2 || counters.BadMessage != 0 {
-				t.Errorf("phase %d, %d submitted, %d canceled, %+v", client.connection.phase, len(harness.submitted),
-					harness.canceled, counters)
+				t.Errorf("phase %d, %d submitted, %d canceled, counters %+v; want phase %d, 3 submitted, 1 canceled, "+
+					"2 Heartbeats, 2 BadFields, 0 BadMessage", client.connection.phase, len(harness.submitted),
+					harness.canceled, counters, phaseReady)
 			}
 		})
 	}
@@ -159,7 +160,7 @@
 			harness.submitted[i].Body.Release()
 		}
 		if inUse := harness.pool.InUse(); inUse != 0 {
-			t.Errorf("%d buffers in use", inUse)
+			t.Errorf("got %d buffers in use after the connection closed, want 0", inUse)
 		}
 	})
 }
--- a/internal/downstream/server.go
+++ b/internal/downstream/server.go
@@ -1,9 +1,10 @@
-// Package downstream is the client side of a director: it holds the clients' connections, reads their requests
-// (Thrift's strict binary protocol in frames), hands them to the director and writes one response for each.
+// Package downstream implements the client side of a director. It accepts the clients' connections, reads requests from
+// them (Thrift's strict binary protocol in the framed transport), submits the requests to the director, and writes one
+// response to each request that is not revoked.
 //
-// Everything here runs on the event loop: a Server and its Connections are not safe for concurrent use. What clients
-// can make the process hold is bounded, for each connection and for all together: frames, bodies, open requests,
-// bytes that were not read, and the connections themselves.
+// All code runs on the event loop: a Server and its Connections are not safe for concurrent use. The resources that
+// clients can occupy are bounded, for each connection and for all connections together: frames, bodies, open requests,
+// unread output, and the connections themselves.
 package downstream
 
 import (
@@ -20,34 +21,36 @@
 	"shaleyard/routing"
 )
 
-// RequestHandler handles requests; it is the director.
+// RequestHandler handles the requests of all connections. The director implements it.
 type RequestHandler interface {
-	// Submit takes a request in, which is replied to once, under its token, perhaps before Submit returns; false:
-	// there is no room for it, and it is still the caller's.
+	// Submit accepts a request and returns its handle. The handler replies once, with the given token, unless the
+	// request is canceled; the reply can come before Submit returns. Submit returns false if there is no room for the
+	// request, and the caller then keeps ownership of its body.
 	Submit(request director.Request, replier director.Replier, token uint64) (handle.Handle, bool)
-	// Cancel ends a request whose client no longer waits; it is not replied to.
+	// Cancel ends a request that its client no longer waits for. The handler does not reply to it.
 	Cancel(request handle.Handle)
-	// ShortenDeadline has a request replied to by a time, if it was not due sooner.
+	// ShortenDeadline lowers the time by which a request is replied to. An earlier deadline of the request stays.
 	ShortenDeadline(request handle.Handle, deadline routing.Time)
 }
 
-// Counters count connections, messages and responses since the start.
+// Counters holds the numbers of connections, messages, responses and bytes since the process started.
 type Counters struct {
 	Accepted, RejectedConnections, Evicted, Closed uint64
 	IdleTimeouts, MessageTimeouts                  uint64
 	Frames, Submits, Revokes, Heartbeats           uint64
 	BadFrame, BadMessage, BadFields, UnknownMethod uint64
 	Answers, Rejections, Failures                  uint64
-	TooManyOpenRequests, OutOfCapacity             uint64 // rejections of requests that the director has not seen
-	SlowReadersClosed                              uint64 // that have left too much unread
+	TooManyOpenRequests, OutOfCapacity             uint64 // rejections of requests that the director has not accepted
+	SlowReadersClosed                              uint64 // connections closed for too much unread output
 	BytesIn, BytesOut                              uint64
-	AnswersAfterClose                              uint64 // that reach nobody
+	AnswersAfterClose                              uint64 // answers discarded, as their request or connection had ended
 	Draining, Lingering, LingersAborted            uint64
-	DroppedBytes                                   uint64 // that came after we had stopped reading requests
-	StalledReadersClosed                           uint64 // in a graceful close, having read nothing for long
+	DroppedBytes                                   uint64 // bytes received after their connection had stopped reading requests
+	StalledReadersClosed                           uint64 // connections closed in a graceful close as their clients read nothing
 }
 
-// Config is what a Server is made of. Limits are kept, not copied.
+// Config holds the settings and dependencies of a Server. The Server keeps the pointer to Limits and makes no copy of
+// them.
 type Config struct {
 	Limits   *config.Limits
 	Settings *routing.Settings
@@ -56,11 +59,11 @@
 	Timers   *timer.Queue
 	Now      func() routing.Time
 
-	// Ready reports whether heartbeats are answered as good; nil: they always are.
+	// Ready reports whether heartbeats are answered with good = true. If it is nil, they always are.
 	Ready func() bool
-	// OnProtocolError, where set, is called with the reason for which nothing more is read from a connection.
+	// OnProtocolError, if set, is called with the cause when a connection stops reading a malformed stream.
 	OnProtocolError func(reason error)
-	// FlightRecorder keeps what happens to connections and requests; nil: nothing is kept.
+	// FlightRecorder records the events of connections and requests. If it is nil, no events are recorded.
 	FlightRecorder *flightrecorder.Recorder
 }
 
@@ -76,24 +79,24 @@
 	ready           func() bool
 	onProtocolError func(reason error)
 	flightRecorder  *flightrecorder.Recorder
-	classIndexes    map[string]int // of the settings' classes, by name
-	retryAfter      time.Duration  // advised on rejections that the director does not see; 0: the settings allow none
-	lastID          uint64
+	classIndexes    map[string]int // class names to indexes in Settings.Classes
+	retryAfter      time.Duration  // delay sent by rejectLocally; 0: the settings allow none
+	lastID          uint64         // of the newest connection
 
-	connections       *handle.Table[*Connection] // that are ready or draining
-	lingering         []*Connection              // oldest first; they are not in connections
-	closingGracefully bool                       // since StartGracefulClose, until CancelGracefulClose
+	connections       *handle.Table[*Connection] // in phaseReady or phaseDraining
+	lingering         []*Connection              // in phaseLingering, oldest first; not in connections
+	closingGracefully bool                       // from StartGracefulClose until CancelGracefulClose
 
-	outboundEstimate int // of the bytes that clients have not read: never less than there are
+	outboundEstimate int // upper bound of OutboundBuffered, in bytes
 
-	// Buffers that are used again for each message.
+	// Buffers that are reused for each message.
 	replyWriter thrift.Writer
 	tailWriter  thrift.Writer
 	segments    [][]byte
-	frameBuffer []byte // a frame that came in pieces
+	frameBuffer []byte // holds a frame that arrived in pieces
 }
 
-// NewServer returns a server that hands requests of the settings' classes to the handler.
+// NewServer returns a server that submits requests of the classes in cfg.Settings to cfg.Handler.
 func NewServer(cfg Config) *Server {
 	if cfg.Ready == nil {
 		cfg.Ready = func() bool { return true }
@@ -124,8 +127,8 @@
 	}
 }
 
-// Accept takes a connection in. Where clients hold as many as they may, another is closed for it; if all others are
-// owed answers, nil is returned and the new one is rejected.
+// Accept registers a new connection and returns it. At Limits.MaxClientConns connections, Accept evicts another one; if
+// all of them have pending answers, it rejects the new connection and returns nil.
 func (s *Server) Accept(socket eventloop.Conn) *Connection {
 	if s.connections.Len() >= s.limits.MaxClientConns {
 		s.evict()
@@ -150,10 +153,11 @@
 	return connection
 }
 
-// Conns is the number of connections held, lingering ones included.
+// Conns returns the number of connections, including lingering ones.
 func (s *Server) Conns() int { return s.connections.Len() + len(s.lingering) }
 
-// OutboundBuffered is the number of bytes that clients have not read yet, those on their way not counted.
+// OutboundBuffered returns the number of output bytes that the sockets of ready and draining connections have not
+// accepted yet. Bytes in the system's buffers and on the network are not counted.
 func (s *Server) OutboundBuffered() int {
 	total := 0
 	s.connections.All(func(_ handle.Handle, connection *Connection) bool {
@@ -163,7 +167,7 @@
 	return total
 }
 
-// record keeps an event that has a reason, with the time.
+// record records an event in the flight recorder, with its reason and the current time.
 func (s *Server) record(event flightrecorder.Event, reason flightrecorder.Reason) {
 	event.At = s.now()
 	event.Reason = reason
--- a/internal/downstream/timeouts.go
+++ b/internal/downstream/timeouts.go
@@ -5,17 +5,17 @@
 	"shaleyard/routing"
 )
 
-// scheduleTimeout sets the timer for the connection's next timeout: that of the message that is due, or the idle
+// scheduleTimeout sets the timer to the connection's next timeout: the one of the expected message, or the idle
 // timeout.
 func (c *Connection) scheduleTimeout() {
 	c.server.timers.Schedule(&c.timeout, c.nextTimeout(), c.timeoutExpired)
 }
 
-// nextTimeout is when the connection is to be looked at. The time for a message counts from where it began, not from
-// its last byte, so that a client that sends a byte now and then can't hold a connection.
+// nextTimeout returns the time at which the timer has to expire. The message timeout counts from the beginning of a
+// message, not from its last received byte, so that a client cannot keep a connection open by single bytes.
 func (c *Connection) nextTimeout() routing.Time {
 	limits := c.server.limits
-	if c.receivingFrame() { // not idle: its client is writing
+	if c.receivingFrame() { // not idle: the client is sending a message
 		return c.messageStarted + limits.MessageTimeout
 	}
 	due := c.lastActivity + limits.ClientIdleTimeout
@@ -28,8 +28,8 @@
 	return due
 }
 
-// timeoutExpired ends the connection if a message has been due for too long, or if it has been idle for too long.
-// Else the timer was set before the last activity, and is set anew.
+// timeoutExpired ends the connection if the expected message is overdue, or if the connection was idle for
+// Limits.ClientIdleTimeout. Otherwise there was activity since the timer was set, and timeoutExpired sets it again.
 func (c *Connection) timeoutExpired() {
 	limits := c.server.limits
 	now := c.server.now()
@@ -47,8 +47,8 @@
 	}
 }
 
-// closeIdle closes a connection that waits for nothing: in good order, unless its client has not read the last answer
-// in all that time.
+// closeIdle closes an idle connection: by a half-close, or at once if the client has not read the last answer during
+// the whole idle timeout.
 func (c *Connection) closeIdle() {
 	if c.owesAnswer() {
 		c.closeNow(flightrecorder.ReasonAnswerNotRead)
--- a/internal/downstream/timeouts_test.go
+++ b/internal/downstream/timeouts_test.go
@@ -8,23 +8,23 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// A client that connects and sends nothing, or sends a message byte by byte, is owed a close within 3 s; one that is
-// idle between requests is not, and one that waits for an answer never.
-func TestIdleAndStuckConnectionsAreClosed(t *testing.T) {
+// A connection must be closed within 3 s if its client sends no message, or sends one byte by byte. A connection that
+// is idle between requests is closed only at the idle timeout, and a connection with an open request never.
+func TestIdleAndIncompleteConnectionsAreClosed(t *testing.T) {
 	harness := newHarness(t)
 	var clients [5]*testClient
 	for i := range clients {
 		clients[i] = harness.connect()
 	}
-	dripping, idle, waiting, stuck := clients[1], clients[2], clients[3], clients[4] // the first one is silent
+	bytewise, idle, waiting, incomplete := clients[1], clients[2], clients[3], clients[4] // clients[0] sends nothing
 	idle.send(heartbeatMessage())
 	waiting.send(submitMessage(1))
-	stuck.send(heartbeatMessage() + heartbeatMessage()[:9])
+	incomplete.send(heartbeatMessage() + heartbeatMessage()[:9])
 	var closedAt [5]int // second
 	for second := 1; second <= 40; second++ {
 		harness.now += time.Second
-		if !dripping.socket.Closed {
-			dripping.send("\x00") // never more than a byte, and never none for long
+		if !bytewise.socket.Closed {
+			bytewise.send("\x00") // one byte per second
 		}
 		harness.timers.RunDue(harness.now)
 		for i, client := range clients {
@@ -34,12 +34,14 @@
 		}
 	}
 	if difference := cmp.Diff([5]int{2, 2, 30, 0, 2}, closedAt); difference != "" {
-		t.Errorf("silent, dripping, idle, waiting, stuck: %s", difference)
+		t.Errorf("seconds until closed of: no message, byte by byte, idle, waiting, incomplete (-want +got):\n%s",
+			difference)
 	}
 }
 
-// Whatever part of a message has come, be it a part of its length, the rest is owed within 2 s.
-func TestStuckMessageEndsItsConnection(t *testing.T) {
+// A partly received message must time out after 2 s, also if only a part of its length prefix has been received.
+// A client that stops within a message must not occupy its connection any longer.
+func TestIncompleteMessageTimesOut(t *testing.T) {
 	for _, size := range []int{1, 4, 9} {
 		t.Run(fmt.Sprintf("%d bytes of a message", size), func(t *testing.T) {
 			harness := newLingeringHarness(t)
@@ -51,16 +53,16 @@
 			early := client.socket.WriteClosed
 			harness.advance(200 * time.Millisecond)
 			if early || !client.socket.WriteClosed {
-				t.Errorf("half-closed %v before 2 s, %v after", early, client.socket.WriteClosed)
+				t.Errorf("half-closed %v before 2 s, %v after 2 s; want false and true", early,
+					client.socket.WriteClosed)
 			}
 		})
 	}
 }
 
-// A message that has begun to come may come to its end: neither the idle timeout nor a new connection nor a graceful
-// close cuts it off. Its client is still writing, and a request whose end comes long after our half-close would be
-// lost.
-func TestMessageThatHasBegunIsNotCutOff(t *testing.T) {
+// A connection with a partly received message must not be closed by the idle timeout, by a new connection or by a
+// graceful close. Its client is still writing, and a request that is complete only after our half-close is lost.
+func TestPartlyReceivedMessageIsNotInterrupted(t *testing.T) {
 	begin := func(t *testing.T) (*testHarness, *testClient) {
 		t.Helper()
 		harness := newLingeringHarness(t)
@@ -95,7 +97,7 @@
 		}
 		client.send(rest)
 		if client.socket.WriteClosed || len(harness.submitted) != 1 || !others[0].socket.WriteClosed {
-			t.Errorf("half-closed %v, %d submitted, the longest idle one half-closed %v; want that one gone",
+			t.Errorf("half-closed %v, %d submitted, the longest idle one half-closed %v; want false, 1, true",
 				client.socket.WriteClosed, len(harness.submitted), others[0].socket.WriteClosed)
 		}
 	})
@@ -108,11 +110,11 @@
 				"submitted, to be rejected", client.socket.WriteClosed, len(harness.submitted))
 		}
 	})
-	t.Run("stuck in a graceful close", func(t *testing.T) {
+	t.Run("message timeout in a graceful close", func(t *testing.T) {
 		harness, client := begin(t)
 		closeGracefully(harness, 420)
 		if !client.socket.WriteClosed {
-			t.Error("a message that is stuck keeps the program from ending")
+			t.Error("not half-closed 2.1 s after the graceful close began, although the message is incomplete")
 		}
 	})
 }
--- a/internal/thrift/reader.go
+++ b/internal/thrift/reader.go
@@ -2,28 +2,29 @@
 
 import "encoding/binary"
 
-// Reader takes values off one message. After the first error, which Err returns, all values are zero: callers check
-// once, when all is read.
+// Reader decodes the values of one message in order. After the first error, all reads return zero values, so callers
+// check Err once, after the last read.
 type Reader struct {
 	data []byte
 	err  error
 }
 
-// NewReader returns a reader of a message, without the frame's length. The message must stay unchanged as long as
-// values that were read from it are in use.
+// NewReader returns a reader of a message without its frame's length prefix. The message must not change while values
+// that were read from it are in use, because strings and binaries are views of it.
 func NewReader(message []byte) Reader { return Reader{data: message} }
 
-// Err is the first error met.
+// Err returns the first error of the reader, or nil.
 func (r *Reader) Err() error { return r.err }
 
-// Fail ends the reading with an error, unless there was one before.
+// Fail sets the reader's error to err, unless the reader has an error already.
 func (r *Reader) Fail(err error) {
 	if r.err == nil {
 		r.err = err
 	}
 }
 
-// take returns the next n bytes as a view.
+// take consumes the next n bytes and returns them as a view of the message. It returns nil after an error, and fails
+// with ErrTruncated if n is negative or greater than the number of bytes left.
 func (r *Reader) take(n int) []byte {
 	if r.err != nil || n < 0 || n > len(r.data) {
 		r.Fail(ErrTruncated)
@@ -58,10 +59,11 @@
 	return 0
 }
 
-// Bytes reads a string or binary; it is a view of the message.
+// Bytes reads a string or binary and returns it as a view of the message.
 func (r *Reader) Bytes() []byte { return r.take(int(r.Int32())) }
 
-// MessageHeader reads the head of a message.
+// MessageHeader reads the header of a message. It fails with ErrBadVersion unless the header has version 1 of the
+// strict binary protocol.
 func (r *Reader) MessageHeader() MessageHeader {
 	version := uint32(r.Int32())
 	if r.err == nil && version&versionMask != version1 {
@@ -73,8 +75,8 @@
 	return header
 }
 
-// MapHeader reads what a map begins with: the types of its keys and values, and the number of its entries, which may
-// be anything: Repeat checks it.
+// MapHeader reads the header of a map: the types of its keys and values, and the number of its entries. The number is
+// not validated here: Repeat validates it.
 func (r *Reader) MapHeader() (key, value Type, count int32) {
 	key = Type(r.Byte())
 	value = Type(r.Byte())
@@ -82,15 +84,17 @@
 	return key, value, count
 }
 
-// ListHeader reads what a list or a set begins with: the type and the number of its elements.
+// ListHeader reads the header of a list or a set: the type of its elements and their number. The number is not
+// validated here: Repeat validates it.
 func (r *Reader) ListHeader() (element Type, count int32) {
 	element = Type(r.Byte())
 	count = r.Int32()
 	return element, count
 }
 
-// Repeat reads count elements by a function. Each takes a byte at least, so a count of more than the bytes that are
-// left is an error before anything is read.
+// Repeat calls element count times, or until the first error; each call must read one element. Every element has at
+// least one byte, so a count that is negative or greater than the number of bytes left fails with ErrTruncated before
+// the first call.
 func (r *Reader) Repeat(count int32, element func()) {
 	if count < 0 || int(count) > len(r.data) {
 		r.Fail(ErrTruncated)
@@ -100,7 +104,8 @@
 	}
 }
 
-// Fields calls field for each field of a struct, up to its end. The function must read the field's value, or Skip it.
+// Fields calls field for each field of a struct, up to the stop byte or the first error. Each call must read the
+// field's value or Skip it.
 func (r *Reader) Fields(field func(id int16, valueType Type)) {
 	for r.err == nil {
 		valueType := Type(r.Byte())
@@ -112,8 +117,8 @@
 	}
 }
 
-// Skip passes over a value, as of a field that this side does not know. Values nested deeper than 8 levels are an
-// error.
+// Skip reads a value of the given type and discards it, as for a field with an unknown id. It fails with ErrTooDeep for
+// values nested more than 8 levels below the skipped one, and with an UnknownTypeError for an undefined type.
 func (r *Reader) Skip(valueType Type) { r.skip(valueType, 0) }
 
 func (r *Reader) skip(valueType Type, depth int) {
--- a/internal/thrift/thrift.go
+++ b/internal/thrift/thrift.go
@@ -1,8 +1,9 @@
-// Package thrift reads and writes messages of Apache Thrift's strict binary protocol, as the protocol's specification
-// (thrift-binary-protocol.md of the Thrift project) describes it, in the framed transport. It knows values, structs,
-// message headers and application exceptions; the methods of a service belong to its user.
+// Package thrift reads and writes messages of Apache Thrift's strict binary protocol in the framed transport, as
+// specified in thrift-binary-protocol.md of the Thrift project. It encodes and decodes values, structs, message headers
+// and application exceptions; its users define the methods of their service.
 //
-// Nothing is copied on reading: strings and binaries are views of the message. All integers are big-endian.
+// Values are read without copying: strings and binaries are views of the message. Only the method name of a message
+// header is copied. All integers are big-endian.
 package thrift
 
 import (
@@ -10,10 +11,10 @@
 	"fmt"
 )
 
-// MessageType says what a message is.
+// MessageType is the type of a message in its header.
 type MessageType byte
 
-// The types of messages.
+// Message types of the protocol.
 const (
 	Call      MessageType = 1
 	Reply     MessageType = 2
@@ -21,10 +22,10 @@
 	Oneway    MessageType = 4
 )
 
-// Type is the type of a value on the wire.
+// Type is the wire type of a value.
 type Type byte
 
-// The types of values. Stop ends the fields of a struct.
+// Wire types of the protocol. Stop is not the type of a value: it marks the end of a struct's fields.
 const (
 	Stop   Type = 0
 	Bool   Type = 2
@@ -40,10 +41,10 @@
 	List   Type = 15
 )
 
-// ApplicationError is the type field of an application exception.
+// ApplicationError is the error code in the type field of an application exception.
 type ApplicationError int32
 
-// The application exceptions that are used.
+// Error codes of the application exceptions that directors send.
 const (
 	UnknownMethod ApplicationError = 1
 	ProtocolError ApplicationError = 7
@@ -54,27 +55,28 @@
 	versionMask     = 0xffff_ff00
 	messageTypeMask = 0xff
 
-	// FrameHeaderSize is the number of bytes of a frame's length, which come before the message.
+	// FrameHeaderSize is the size in bytes of the length prefix that precedes the message in a frame.
 	FrameHeaderSize = 4
 
-	// maxDepth bounds how deep the values that are skipped may be nested.
+	// maxDepth is the number of nesting levels that Skip accepts below the skipped value.
 	maxDepth = 8
 )
 
-// Errors of malformed messages. Their texts go to peers in application exceptions: they are part of what is sent.
+// Errors of malformed messages. Their texts are sent to peers in application exceptions, so a new text changes what
+// peers receive.
 var (
 	ErrTruncated  = errors.New("message cut short")
 	ErrTooDeep    = errors.New("values nested too deep")
 	ErrBadVersion = errors.New("not the strict binary protocol")
 )
 
-// UnknownTypeError reports that a value has a type that the protocol does not know.
+// UnknownTypeError is the error for a value whose wire type the protocol does not define.
 type UnknownTypeError struct{ Type Type }
 
 // Error implements error.
 func (e *UnknownTypeError) Error() string { return fmt.Sprintf("unknown type %d", e.Type) }
 
-// MessageHeader is what a message begins with.
+// MessageHeader is the header of a message. SeqID relates a reply to its call.
 type MessageHeader struct {
 	Type   MessageType
 	Method string
--- a/internal/thrift/thrift_test.go
+++ b/internal/thrift/thrift_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-func TestMessageHeaderIsReadAsWritten(t *testing.T) {
+func TestMessageHeaderRoundTrip(t *testing.T) {
 	for _, want := range []MessageHeader{
 		{Type: Call, Method: "submit", SeqID: 1},
 		{Type: Oneway, Method: "", SeqID: -1},
@@ -16,17 +16,17 @@
 		w.Begin(want.Type, want.Method, want.SeqID)
 		r := NewReader(w.Frame(0)[FrameHeaderSize:])
 		if got := r.MessageHeader(); got != want || r.Err() != nil {
-			t.Errorf("read %+v (%v), want %+v", got, r.Err(), want)
+			t.Errorf("got %+v with error %v, want %+v", got, r.Err(), want)
 		}
 	}
 }
 
-func TestFrameCountsWhatFollows(t *testing.T) {
+func TestFrameLengthIncludesFollowingBytes(t *testing.T) {
 	var w Writer
 	w.Begin(Reply, "m", 7)
 	const want = "\x00\x00\x00\x15" + "\x80\x01\x00\x02" + "\x00\x00\x00\x01m" + "\x00\x00\x00\x07"
 	if got := string(w.Frame(8)); got != want {
-		t.Errorf("frame %x, want %x", got, want)
+		t.Errorf("got frame %x, want %x", got, want)
 	}
 }
 
@@ -35,11 +35,11 @@
 	const want = "\x00\x00\x00\x1f" + "\x80\x01\x00\x03" + "\x00\x00\x00\x01m" + "\x00\x00\x00\x02" +
 		"\x0b\x00\x01\x00\x00\x00\x03bad" + "\x08\x00\x02\x00\x00\x00\x07" + "\x00"
 	if got := string(w.ApplicationException("m", 2, ProtocolError, "bad")); got != want {
-		t.Errorf("exception %x, want %x", got, want)
+		t.Errorf("got frame %x, want %x", got, want)
 	}
 }
 
-func TestStringMapIsReadAsWritten(t *testing.T) {
+func TestStringMapRoundTrip(t *testing.T) {
 	var w Writer
 	w.PutStringMap("a", "1", "b", "")
 	r := NewReader(w.Bytes())
@@ -47,19 +47,20 @@
 	var words []string
 	r.Repeat(2*count, func() { words = append(words, string(r.Bytes())) })
 	if key != String || value != String || strings.Join(words, ",") != "a,1,b," || r.Err() != nil {
-		t.Errorf("types %d and %d, words %q, error %v", key, value, words, r.Err())
+		t.Errorf("got types %d and %d, words %q, error %v; want two strings, words a,1,b, and no error", key, value,
+			words, r.Err())
 	}
 }
 
-// The first error stays, and nothing is read behind it.
+// After the first error, reads return zero values, and later errors do not replace the first one.
 func TestReaderStopsAtTheFirstError(t *testing.T) {
 	r := NewReader([]byte("\x00\x00\x00\x05abc"))
 	if b := r.Bytes(); b != nil {
-		t.Errorf("read %q of a string that is cut short", b)
+		t.Errorf("got %q for a truncated string, want nil", b)
 	}
 	r.Fail(errors.New("another"))
 	if b := r.Byte(); b != 0 || !errors.Is(r.Err(), ErrTruncated) {
-		t.Errorf("read %d behind the error %v, want 0 behind %v", b, r.Err(), ErrTruncated)
+		t.Errorf("got byte %d and error %v, want 0 and %v", b, r.Err(), ErrTruncated)
 	}
 }
 
@@ -80,34 +81,34 @@
 		{"struct", Struct, "\x08\x00\x01abcd\x00rest", nil, 4},
 		{"map", Map, "\x03\x06\x00\x00\x00\x02112122rest", nil, 4},
 		{"set", Set, "\x08\x00\x00\x00\x01abcdrest", nil, 4},
-		{"list of more than is left", List, "\x02\x00\x00\x00\x05abcd", ErrTruncated, 4},
-		{"map of a negative size", Map, "\x02\x02\xff\xff\xff\xff", ErrTruncated, 0},
-		{"as deep as may be", Struct, nested(8), nil, 0},
-		{"too deep", Struct, nested(9), ErrTooDeep, 10},
+		{"list count exceeds the bytes left", List, "\x02\x00\x00\x00\x05abcd", ErrTruncated, 4},
+		{"negative map count", Map, "\x02\x02\xff\xff\xff\xff", ErrTruncated, 0},
+		{"nested to the limit", Struct, nested(8), nil, 0},
+		{"nested beyond the limit", Struct, nested(9), ErrTooDeep, 10},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			r := NewReader([]byte(c.data))
 			r.Skip(c.valueType)
 			if !errors.Is(r.Err(), c.want) || len(r.data) != c.left {
-				t.Errorf("error %v with %d bytes left, want %v with %d", r.Err(), len(r.data), c.want, c.left)
+				t.Errorf("got error %v with %d bytes left, want %v with %d", r.Err(), len(r.data), c.want, c.left)
 			}
 		})
 	}
 }
 
-func TestUnknownTypeIsNamed(t *testing.T) {
+func TestSkipReportsUnknownType(t *testing.T) {
 	r := NewReader(nil)
 	r.Skip(9)
 	var unknown *UnknownTypeError
 	if !errors.As(r.Err(), &unknown) || unknown.Type != 9 {
-		t.Errorf("error %v, want one that names type 9", r.Err())
+		t.Errorf("got error %v, want an UnknownTypeError for type 9", r.Err())
 	}
 }
 
 func TestVersionIsChecked(t *testing.T) {
 	r := NewReader([]byte("\x80\x02\x00\x01\x00\x00\x00\x01m\x00\x00\x00\x01"))
 	if r.MessageHeader(); !errors.Is(r.Err(), ErrBadVersion) {
-		t.Errorf("error %v, want %v", r.Err(), ErrBadVersion)
+		t.Errorf("got error %v, want %v", r.Err(), ErrBadVersion)
 	}
 }
 
@@ -118,7 +119,7 @@
 		r.MessageHeader()
 		r.Skip(Struct)
 		if len(r.data) > len(message) {
-			t.Errorf("%d bytes left of %d", len(r.data), len(message))
+			t.Errorf("got %d bytes left of a message of %d", len(r.data), len(message))
 		}
 	})
 }
