--- a/internal/buffer/buffer.go
+++ b/internal/buffer/buffer.go
@@ -16,8 +16,8 @@
 	free  [][]byte // released buffers that are kept for reuse
 }
 
-// keptFraction is the divisor of the pool's limit that gives the maximum number of released buffers kept for reuse.
-const keptFraction = 4
+// freeListDivisor is the divisor of the pool's limit that gives the maximum number of released buffers kept for reuse.
+const freeListDivisor = 4
 
 // NewPool returns a pool that lends at most limit buffers at once, of size bytes each.
 func NewPool(size, limit int) *Pool { return &Pool{size: size, limit: limit} }
@@ -44,7 +44,7 @@
 // the garbage collector, so that the memory of a burst is freed again.
 func (p *Pool) release(buffer []byte) {
 	p.inUse--
-	if len(p.free) < p.limit/keptFraction {
+	if len(p.free) < p.limit/freeListDivisor {
 		p.free = append(p.free, buffer[:0])
 	}
 }
--- a/internal/downstream/capacity.go
+++ b/internal/downstream/capacity.go
@@ -13,9 +13,9 @@
 
 const (
 	rankIdlePastKeepAlive evictionRank = iota // idle for longer than clients keep idle connections
-	rankSilent                                // has sent no complete message yet
+	rankNoMessage                             // has sent no complete message yet
 	rankIdle                                  // idle for a shorter time
-	rankReceiving // has sent a part of a message
+	rankReceiving                             // has sent a part of a message
 )
 
 // evictionRank returns the eviction rank of a connection without pending answers.
@@ -26,7 +26,7 @@
 	case c.receivedMessage && now-c.lastActivity > c.server.limits.ClientKeepAlive:
 		return rankIdlePastKeepAlive
 	case !c.receivedMessage:
-		return rankSilent
+		return rankNoMessage
 	}
 	return rankIdle
 }
@@ -48,7 +48,7 @@
 	now := s.now()
 	var candidate *Connection
 	s.connections.All(func(_ handle.Handle, connection *Connection) bool {
-		if !connection.owesAnswer() && (candidate == nil || connection.evictsBefore(candidate, now)) {
+		if !connection.hasPendingAnswer() && (candidate == nil || connection.evictsBefore(candidate, now)) {
 			candidate = connection
 		}
 		return true
@@ -60,10 +60,10 @@
 	candidate.transition(phaseLingering, flightrecorder.ReasonEvictedForNewConnection)
 }
 
-// trim closes the oldest lingering connections until their number is at most Limits.MaxLingeringConns, their share of
-// the file descriptors. In a graceful close nearly all connections linger at once, so that the limit then includes the
-// unused part of Limits.MaxClientConns. Each new connection lowers this limit by one.
-func (s *Server) trim() {
+// trimLingering closes the oldest lingering connections until their number is at most Limits.MaxLingeringConns, their
+// share of the file descriptors. In a graceful close nearly all connections linger at once, so that the limit then
+// includes the unused part of Limits.MaxClientConns. Each new connection lowers this limit by one.
+func (s *Server) trimLingering() {
 	limit := s.limits.MaxLingeringConns
 	if s.closingGracefully {
 		limit += s.limits.MaxClientConns - s.connections.Len()
--- a/internal/downstream/connection.go
+++ b/internal/downstream/connection.go
@@ -43,14 +43,14 @@
 	messageStarted  routing.Time // first byte of the expected message, or the accept before the first one; 0: none
 	receivedMessage bool         // at least one message was complete
 
-	droppedBytes    int          // received and discarded since the connection stopped reading requests
-	outboundSeen    int          // bytes of unread output at the last call of ShortenDeadlines
-	outboundChanged routing.Time // when a call of ShortenDeadlines last found outboundSeen changed
+	discardedBytes      int          // received and discarded since the connection stopped reading requests
+	unreadOutput        int          // bytes of unread output at the last call of ShortenDeadlines
+	unreadOutputChanged routing.Time // when a call of ShortenDeadlines last found unreadOutput changed
 }
 
-// owesAnswer reports whether a request is open, or the socket has not accepted all output yet. Closing the connection
-// then loses an answer.
-func (c *Connection) owesAnswer() bool {
+// hasPendingAnswer reports whether a request is open, or the socket has not accepted all output yet. Closing the
+// connection then loses an answer.
+func (c *Connection) hasPendingAnswer() bool {
 	return len(c.openRequests) > 0 || c.socket.OutboundBuffered() > 0
 }
 
@@ -66,8 +66,8 @@
 	from := c.phase
 	c.recordTransition(to, reason)
 	c.phase = to
-	c.dropFrame()
-	c.leaveLists(from)
+	c.discardFrame()
+	c.removeFromLists(from)
 	switch to {
 	case phaseDraining:
 		c.enterDraining()
@@ -87,17 +87,17 @@
 	c.server.record(event, reason)
 }
 
-// dropFrame discards a partly received message and resets the time limit of the expected one.
-func (c *Connection) dropFrame() {
+// discardFrame discards a partly received message and resets the time limit of the expected one.
+func (c *Connection) discardFrame() {
 	c.partialFrame.Release()
 	c.messageStarted = 0
 	c.frameLength = 0
 	c.lengthPrefix = nil
 }
 
-// leaveLists removes the connection from the server's list for the phase that it has left. A connection that starts to
-// drain stays in the table of connections.
-func (c *Connection) leaveLists(from phase) {
+// removeFromLists removes the connection from the server's list for the phase that it has left. A connection that
+// starts to drain stays in the table of connections.
+func (c *Connection) removeFromLists(from phase) {
 	switch {
 	case from == phaseLingering:
 		c.server.lingering = slices.DeleteFunc(c.server.lingering, func(other *Connection) bool { return other == c })
@@ -120,7 +120,7 @@
 	if err := c.socket.CloseWrite(); err != nil {
 		c.closeNow(flightrecorder.ReasonHalfCloseFailed)
 	}
-	server.trim()
+	server.trimLingering()
 }
 
 func (c *Connection) enterClosed() {
@@ -135,7 +135,7 @@
 
 // drain stops reading requests from the connection, and half-closes it once all pending answers have been sent.
 func (c *Connection) drain(reason flightrecorder.Reason) {
-	if c.owesAnswer() {
+	if c.hasPendingAnswer() {
 		c.transition(phaseDraining, reason)
 		return
 	}
--- a/internal/downstream/fields.go
+++ b/internal/downstream/fields.go
@@ -27,7 +27,7 @@
 	maxGroup       = 255
 	maxSizeKB      = 1e9
 	maxTokenLength = 128 // bytes
-	idLength       = 16  // hex digits
+	hexIDLength    = 16  // hex digits
 )
 
 // fieldError reports that a field of a request is invalid. Its text is sent to the client.
@@ -126,19 +126,19 @@
 	return size, nil
 }
 
-// parseNumber parses a decimal number from least to most. It rejects a plus sign and leading zeros, because the text is
-// forwarded to caches, which may not accept other forms.
-func parseNumber(field, value string, least, most int) (int, error) {
+// parseNumber parses a decimal number from minimum to maximum. It rejects a plus sign and leading zeros, because the
+// text is forwarded to caches, which may not accept other forms.
+func parseNumber(field, value string, minimum, maximum int) (int, error) {
 	number, err := strconv.Atoi(value)
-	if err != nil || number < least || number > most || strconv.Itoa(number) != value {
-		return 0, invalidField(field, value, fmt.Sprintf("is not a number from %d to %d", least, most))
+	if err != nil || number < minimum || number > maximum || strconv.Itoa(number) != value {
+		return 0, invalidField(field, value, fmt.Sprintf("is not a number from %d to %d", minimum, maximum))
 	}
 	return number, nil
 }
 
 // isHexID reports whether text is an identifier: 16 hex digits, in upper or lower case.
 func isHexID(text string) bool {
-	if len(text) != idLength {
+	if len(text) != hexIDLength {
 		return false
 	}
 	for i := range len(text) {
--- a/internal/downstream/frames.go
+++ b/internal/downstream/frames.go
@@ -22,7 +22,7 @@
 func (c *Connection) Data(data []byte) error {
 	c.server.Counters.BytesIn += uint64(len(data))
 	if c.phase != phaseReady {
-		c.dropData(data)
+		c.discardData(data)
 		return nil
 	}
 	err := c.readFrames(data)
@@ -33,12 +33,12 @@
 	return nil
 }
 
-// dropData counts and discards data received after the connection has stopped reading requests. It closes the
+// discardData counts and discards data received after the connection has stopped reading requests. It closes the
 // connection once more than Limits.MaxLingerBytes have been discarded.
-func (c *Connection) dropData(data []byte) {
+func (c *Connection) discardData(data []byte) {
 	c.server.Counters.DroppedBytes += uint64(len(data))
-	c.droppedBytes += len(data)
-	if c.droppedBytes > c.server.limits.MaxLingerBytes {
+	c.discardedBytes += len(data)
+	if c.discardedBytes > c.server.limits.MaxLingerBytes {
 		c.closeNow(flightrecorder.ReasonTooMuchAfterHalfClose)
 		return
 	}
--- a/internal/downstream/golden_answers_test.go
+++ b/internal/downstream/golden_answers_test.go
@@ -51,15 +51,15 @@
 			all.WriteString(g.end())
 		}
 	}
-	all.WriteString(goldenOrders(t))
+	all.WriteString(goldenAnswerOrders(t))
 	all.WriteString(goldenHeartbeats(t))
 	all.WriteString(goldenLocalRejections(t))
 	checkGolden(t, "answers.txt", all.String())
 }
 
-// goldenOrders returns the transcript of answers that come in another order than their requests, twice, after a revoke,
-// or after the connection has closed.
-func goldenOrders(t *testing.T) string {
+// goldenAnswerOrders returns the transcript of answers that come in another order than their requests, twice, after a
+// revoke, or after the connection has closed.
+func goldenAnswerOrders(t *testing.T) string {
 	t.Helper()
 	served := director.Response{Outcome: director.Served}
 	g := newGoldenConnection(t, goldenOptions{})
@@ -120,7 +120,7 @@
 			count   int32
 		}{
 			{"too many open on the connection", goldenOptions{}, "", 4},
-			{"no request is taken", goldenOptions{full: true}, "body", 1},
+			{"no request is taken", goldenOptions{tableFull: true}, "body", 1},
 			{"no buffer for the body", goldenOptions{buffers: 1}, strings.Repeat("b", 5000), 1},
 		} {
 			c.options.cooldown = cooldown
--- a/internal/downstream/golden_harness_test.go
+++ b/internal/downstream/golden_harness_test.go
@@ -98,15 +98,15 @@
 // goldenHandler is a RequestHandler that writes the requests to the transcript and keeps their repliers and tokens.
 type goldenHandler struct {
 	transcript *goldenTranscript
-	full       bool
+	tableFull  bool
 	repliers   []director.Replier
 	tokens     []uint64
-	ending     bool            // the connection is closing and cancels its requests in random order
-	givenUp    []handle.Handle // canceled while ending
+	closing    bool            // the connection is closing and cancels its requests in random order
+	canceled   []handle.Handle // canceled while closing
 }
 
 func (h *goldenHandler) Submit(q director.Request, r director.Replier, token uint64) (handle.Handle, bool) {
-	if h.full {
+	if h.tableFull {
 		return 0, false
 	}
 	var body []byte
@@ -124,8 +124,8 @@
 }
 
 func (h *goldenHandler) Cancel(request handle.Handle) {
-	if h.ending {
-		h.givenUp = append(h.givenUp, request)
+	if h.closing {
+		h.canceled = append(h.canceled, request)
 		return
 	}
 	h.transcript.line("  given up: request %d", request)
@@ -137,10 +137,10 @@
 
 // goldenOptions holds the settings that differ between the servers of the cases.
 type goldenOptions struct {
-	buffers  int // in the pool, of 4096 bytes each; 0: 200
-	notReady bool
-	full     bool          // the handler accepts no request
-	cooldown time.Duration // of local rejections; 0: the settings allow none
+	buffers   int // in the pool, of 4096 bytes each; 0: 200
+	notReady  bool
+	tableFull bool          // the handler accepts no request
+	cooldown  time.Duration // of local rejections; 0: the settings allow none
 }
 
 // goldenConnection is a connection with its own server, which writes its events to the transcript.
@@ -161,7 +161,7 @@
 		options.buffers = 200
 	}
 	g := &goldenConnection{t: t, pool: buffer.NewPool(4096, options.buffers)}
-	g.handler = goldenHandler{transcript: &g.transcript, full: options.full}
+	g.handler = goldenHandler{transcript: &g.transcript, tableFull: options.tableFull}
 	limits := &config.Limits{
 		MaxClientConns:      4,
 		MaxRequestsPerConn:  3,
@@ -231,10 +231,10 @@
 func (g *goldenConnection) end() string {
 	g.t.Helper()
 	g.transcript.line("  the client closes")
-	g.handler.ending = true
+	g.handler.closing = true
 	g.connection.Closed()
-	slices.Sort(g.handler.givenUp)
-	for _, request := range g.handler.givenUp {
+	slices.Sort(g.handler.canceled)
+	for _, request := range g.handler.canceled {
 		g.transcript.line("  given up: request %d", request)
 	}
 	if n := g.pool.InUse(); n != 0 {
--- a/internal/downstream/golden_messages_test.go
+++ b/internal/downstream/golden_messages_test.go
@@ -14,7 +14,7 @@
 // TestGoldenMessages compares the results of all forms of messages, valid and malformed, with a golden file. The
 // results must not depend on how the stream is split into reads.
 func TestGoldenMessages(t *testing.T) {
-	cases := slices.Concat(goldenForms(), goldenUnknownMethods(), goldenSequenceNumbers(), goldenRevokes(),
+	cases := slices.Concat(goldenMessageForms(), goldenUnknownMethods(), goldenSequenceNumbers(), goldenRevokes(),
 		goldenFieldValues(), goldenBadFrames(), goldenBadStructs(), goldenNesting(), goldenTruncations())
 	var all strings.Builder
 	for _, c := range cases {
@@ -51,23 +51,23 @@
 	"\x0e\x00\x13\x08\x00\x00\x00\x01\x00\x00\x00\x01" + "\x0f\x00\x14\x0c\x00\x00\x00\x01\x00" +
 	"\x0b\xff\xff\x00\x00\x00\x00"
 
-// goldenForms returns valid messages in all their forms, and requests with invalid arguments in valid messages.
-func goldenForms() []goldenCase {
+// goldenMessageForms returns valid messages in all their forms, and requests with invalid arguments in valid messages.
+func goldenMessageForms() []goldenCase {
 	submit := func(arguments string) string { return goldenFrame(goldenMessage(1, "submit", 1, arguments)) }
 	fields, body := goldenMap(goldenFields()...), goldenBody("the body\x00\xff")
-	least := goldenMap(goldenFields("chunk", "-", "tag", "-", "room", "-", "known", "-", "replay", "-")...)
+	requiredFields := goldenMap(goldenFields("chunk", "-", "tag", "-", "room", "-", "known", "-", "replay", "-")...)
 	return []goldenCase{
 		{"submit, all fields and a body", submit(fields + body + "\x00")},
 		{"submit, the body first", submit(body + fields + "\x00")},
 		{"submit, no body", submit(fields + "\x00")},
 		{"submit, empty body", submit(fields + goldenBody("") + "\x00")},
-		{"submit, the fields that must be there", submit(least + "\x00")},
+		{"submit, the fields that must be there", submit(requiredFields + "\x00")},
 		{"submit, unknown struct fields",
 			submit(goldenUnknown + fields + goldenUnknown + body + goldenUnknown + "\x00")},
 		{"submit, unknown request fields",
 			submit(goldenMap(append(goldenFields(), "unheard", "of", "", "")...) + "\x00")},
 		{"submit, a request field twice", submit(goldenMap(append(goldenFields(), "chunk", "4")...) + "\x00")},
-		{"submit, the field map twice", submit(least + fields + "\x00")},
+		{"submit, the field map twice", submit(requiredFields + fields + "\x00")},
 		{"submit, the body twice", submit(fields + body + goldenBody("other") + "\x00")},
 		{"submit, as many request fields as may be",
 			submit(goldenMap(append(goldenFields(), strings.Fields("a 1 b 2 c 3 d 4 e 5 f 6 g 7")...)...) + "\x00")},
@@ -249,7 +249,7 @@
 		{"no end of the struct", fields},
 		{"no end of a nested struct", fields + "\x0c\x00\x09\x00"},
 	}
-	return goldenSubmitOf(cases)
+	return goldenSubmitsWithArguments(cases)
 }
 
 // goldenNesting returns arguments of submit with fields of undefined types, and with values nested up to and beyond the
@@ -272,11 +272,12 @@
 			goldenCase{fmt.Sprintf("lists nested %d deep", depth), fields + "\x0f\x00\x09" + lists + "\x00"},
 			goldenCase{fmt.Sprintf("maps nested %d deep", depth), fields + "\x0d\x00\x09" + maps + "\x00"})
 	}
-	return goldenSubmitOf(cases)
+	return goldenSubmitsWithArguments(cases)
 }
 
-// goldenSubmitOf replaces the arguments in each case by a submit with these arguments and a heartbeat after it.
-func goldenSubmitOf(cases []goldenCase) []goldenCase {
+// goldenSubmitsWithArguments replaces the arguments in each case by a submit with these arguments and a heartbeat after
+// it.
+func goldenSubmitsWithArguments(cases []goldenCase) []goldenCase {
 	heartbeat := goldenFrame(goldenMessage(1, "heartbeat", 2, "\x00"))
 	for i := range cases {
 		cases[i].name = "submit, " + cases[i].name
--- a/internal/downstream/graceful.go
+++ b/internal/downstream/graceful.go
@@ -23,8 +23,8 @@
 	var closable []*Connection
 	now := s.now()
 	s.connections.All(func(_ handle.Handle, connection *Connection) bool {
-		messageMayCome := connection.messageStarted != 0 && now-connection.messageStarted < s.limits.NewConnGracePeriod
-		if !connection.owesAnswer() && !connection.receivingFrame() && !messageMayCome {
+		awaitingMessage := connection.messageStarted != 0 && now-connection.messageStarted < s.limits.NewConnGracePeriod
+		if !connection.hasPendingAnswer() && !connection.receivingFrame() && !awaitingMessage {
 			closable = append(closable, connection)
 		}
 		return true
@@ -35,7 +35,7 @@
 // CancelGracefulClose ends a graceful close: connections that are still ready stay open.
 func (s *Server) CancelGracefulClose() {
 	s.closingGracefully = false
-	s.trim()
+	s.trimLingering()
 }
 
 // ShortenDeadlines bounds how long clients can keep their connections open in a graceful close. On connections whose
@@ -46,7 +46,7 @@
 	now := s.now()
 	var stalled []*Connection
 	s.connections.All(func(_ handle.Handle, connection *Connection) bool {
-		connection.noteReading(now)
+		connection.updateUnreadOutput(now)
 		if now >= deadline && connection.stalled(now) {
 			stalled = append(stalled, connection)
 		}
@@ -63,17 +63,17 @@
 	}
 }
 
-// noteReading updates the amount of unread output, and the time of its last change, for stalled.
-func (c *Connection) noteReading(now routing.Time) {
+// updateUnreadOutput updates the amount of unread output, and the time of its last change, for stalled.
+func (c *Connection) updateUnreadOutput(now routing.Time) {
 	buffered := c.socket.OutboundBuffered()
-	if buffered != c.outboundSeen {
-		c.outboundSeen = buffered
-		c.outboundChanged = now
+	if buffered != c.unreadOutput {
+		c.unreadOutput = buffered
+		c.unreadOutputChanged = now
 	}
 }
 
 // stalled reports whether all requests are answered, output is unread, and its amount has not changed for
 // Limits.SlowReaderTimeout.
 func (c *Connection) stalled(now routing.Time) bool {
-	return len(c.openRequests) == 0 && c.outboundSeen > 0 && now-c.outboundChanged >= c.server.limits.SlowReaderTimeout
+	return len(c.openRequests) == 0 && c.unreadOutput > 0 && now-c.unreadOutputChanged >= c.server.limits.SlowReaderTimeout
 }
--- a/internal/downstream/requests.go
+++ b/internal/downstream/requests.go
@@ -43,17 +43,17 @@
 		counters.BadMessage++
 		return err
 	}
-	called := header.Type == thrift.Call
-	oneway := header.Type == thrift.Oneway
+	isCall := header.Type == thrift.Call
+	isOneway := header.Type == thrift.Oneway
 	switch {
-	case !called && !oneway:
+	case !isCall && !isOneway:
 		counters.BadMessage++
 		return &messageTypeError{messageType: header.Type}
 	case header.Method == methodRevoke: // some clients send it as a call
 		return c.handleRevoke(&r)
-	case header.Method == methodSubmit && called:
+	case header.Method == methodSubmit && isCall:
 		return c.handleSubmit(header, &r)
-	case header.Method == methodHeartbeat && called:
+	case header.Method == methodHeartbeat && isCall:
 		c.handleHeartbeat(header)
 	default:
 		c.handleUnknownMethod(header)
--- a/internal/downstream/server.go
+++ b/internal/downstream/server.go
@@ -45,8 +45,8 @@
 	BytesIn, BytesOut                              uint64
 	AnswersAfterClose                              uint64 // answers discarded, as their request or connection had ended
 	Draining, Lingering, LingersAborted            uint64
-	DroppedBytes                                   uint64 // bytes received after their connection had stopped reading requests
-	StalledReadersClosed                           uint64 // connections closed in a graceful close as their clients read nothing
+	DroppedBytes                                   uint64 // bytes discarded by connections that read no more requests
+	StalledReadersClosed                           uint64 // connections closed by ShortenDeadlines
 }
 
 // Config holds the settings and dependencies of a Server. The Server keeps the pointer to Limits and makes no copy of
@@ -149,7 +149,7 @@
 	connection.messageStarted = now
 	s.flightRecorder.Record(flightrecorder.Event{At: now, Kind: flightrecorder.ConnOpened, Conn: connection.id})
 	connection.scheduleTimeout()
-	s.trim()
+	s.trimLingering()
 	return connection
 }
 
--- a/internal/downstream/timeouts.go
+++ b/internal/downstream/timeouts.go
@@ -50,7 +50,7 @@
 // closeIdle closes an idle connection: by a half-close, or at once if the client has not read the last answer during
 // the whole idle timeout.
 func (c *Connection) closeIdle() {
-	if c.owesAnswer() {
+	if c.hasPendingAnswer() {
 		c.closeNow(flightrecorder.ReasonAnswerNotRead)
 		return
 	}
--- a/internal/thrift/reader.go
+++ b/internal/thrift/reader.go
@@ -23,9 +23,9 @@
 	}
 }
 
-// take consumes the next n bytes and returns them as a view of the message. It returns nil after an error, and fails
+// next consumes the next n bytes and returns them as a view of the message. It returns nil after an error, and fails
 // with ErrTruncated if n is negative or greater than the number of bytes left.
-func (r *Reader) take(n int) []byte {
+func (r *Reader) next(n int) []byte {
 	if r.err != nil || n < 0 || n > len(r.data) {
 		r.Fail(ErrTruncated)
 		return nil
@@ -37,7 +37,7 @@
 
 // Byte reads a byte.
 func (r *Reader) Byte() byte {
-	if b := r.take(1); b != nil {
+	if b := r.next(1); b != nil {
 		return b[0]
 	}
 	return 0
@@ -45,7 +45,7 @@
 
 // Int16 reads an i16.
 func (r *Reader) Int16() int16 {
-	if b := r.take(2); b != nil {
+	if b := r.next(2); b != nil {
 		return int16(binary.BigEndian.Uint16(b))
 	}
 	return 0
@@ -53,14 +53,14 @@
 
 // Int32 reads an i32.
 func (r *Reader) Int32() int32 {
-	if b := r.take(4); b != nil {
+	if b := r.next(4); b != nil {
 		return int32(binary.BigEndian.Uint32(b))
 	}
 	return 0
 }
 
 // Bytes reads a string or binary and returns it as a view of the message.
-func (r *Reader) Bytes() []byte { return r.take(int(r.Int32())) }
+func (r *Reader) Bytes() []byte { return r.next(int(r.Int32())) }
 
 // MessageHeader reads the header of a message. It fails with ErrBadVersion unless the header has version 1 of the
 // strict binary protocol.
@@ -128,13 +128,13 @@
 	}
 	switch valueType {
 	case Bool, Byte:
-		r.take(1)
+		r.next(1)
 	case I16:
-		r.take(2)
+		r.next(2)
 	case I32:
-		r.take(4)
+		r.next(4)
 	case Double, I64:
-		r.take(8)
+		r.next(8)
 	case String:
 		r.Bytes()
 	case Struct:
--- a/internal/thrift/thrift_test.go
+++ b/internal/thrift/thrift_test.go
@@ -73,7 +73,7 @@
 		valueType Type
 		data      string
 		want      error
-		left      int
+		bytesLeft int
 	}{
 		{"bool", Bool, "\x01rest", nil, 4},
 		{"double", Double, "12345678", nil, 0},
@@ -89,8 +89,8 @@
 		t.Run(c.name, func(t *testing.T) {
 			r := NewReader([]byte(c.data))
 			r.Skip(c.valueType)
-			if !errors.Is(r.Err(), c.want) || len(r.data) != c.left {
-				t.Errorf("got error %v with %d bytes left, want %v with %d", r.Err(), len(r.data), c.want, c.left)
+			if !errors.Is(r.Err(), c.want) || len(r.data) != c.bytesLeft {
+				t.Errorf("got error %v with %d bytes left, want %v with %d", r.Err(), len(r.data), c.want, c.bytesLeft)
 			}
 		})
 	}
