--- a/internal/buffer/buffer.go
+++ b/internal/buffer/buffer.go
@@ -5,7 +5,7 @@
 
 import "errors"
 
-// ErrExhausted is returned when the maximum number of a pool's buffers is in use.
+// ErrExhausted is the error of Chain.Append when the pool's maximum number of buffers is in use.
 var ErrExhausted = errors.New("buffer pool exhausted")
 
 // Pool lends buffers of one size, up to a maximum number at once.
--- a/internal/downstream/capacity.go
+++ b/internal/downstream/capacity.go
@@ -12,13 +12,14 @@
 type evictionRank int
 
 const (
-	rankIdlePastKeepAlive evictionRank = iota // idle for longer than clients keep idle connections
+	rankIdlePastKeepAlive evictionRank = iota // idle for longer than Limits.ClientKeepAlive
 	rankNoMessage                             // has sent no complete message yet
-	rankIdle                                  // idle for a shorter time
+	rankIdle                                  // idle for at most Limits.ClientKeepAlive
 	rankReceiving                             // has sent a part of a message
 )
 
-// evictionRank returns the eviction rank of a connection without pending answers.
+// evictionRank returns the eviction rank of a connection without pending answers. Clients close or abandon a connection
+// that was idle for Limits.ClientKeepAlive, so such a connection is worth the least.
 func (c *Connection) evictionRank(now routing.Time) evictionRank {
 	switch {
 	case c.receivingFrame():
@@ -61,8 +62,8 @@
 }
 
 // trimLingering closes the oldest lingering connections until their number is at most Limits.MaxLingeringConns, their
-// share of the file descriptors. In a graceful close nearly all connections linger at once, so that the limit then
-// includes the unused part of Limits.MaxClientConns. Each new connection lowers this limit by one.
+// share of the file descriptors. In a graceful close nearly all connections linger at once, so the limit then
+// also includes the unused part of Limits.MaxClientConns. Each new connection lowers this limit by one.
 func (s *Server) trimLingering() {
 	limit := s.limits.MaxLingeringConns
 	if s.closingGracefully {
@@ -74,7 +75,7 @@
 }
 
 // enforceTotalOutboundLimit closes the connections with the most unread output until the total is at most
-// Limits.TotalBacklogBytes. Callers write their own output first: closing a connection cancels its requests, and the
+// Limits.TotalBacklogBytes. The caller writes its own output first: closing a connection cancels its requests, and the
 // cancellation can cause answers to other requests.
 func (s *Server) enforceTotalOutboundLimit() {
 	for s.outboundEstimate > s.limits.TotalBacklogBytes {
--- a/internal/downstream/capacity_test.go
+++ b/internal/downstream/capacity_test.go
@@ -47,9 +47,10 @@
 	}
 }
 
-// When the connection table is full, a new connection evicts another one: first one that is idle past the clients' keep
-// alive, then one that has sent no message yet, then the one that has been idle longest. A connection with an open
-// request or with buffered output is never evicted; if only such connections are left, the new one is rejected.
+// When the connection table is full, a new connection evicts another one: first one that has been idle for longer than
+// Limits.ClientKeepAlive, then one that has sent no message yet, then the one that has been idle longest. A connection
+// with an open request or with buffered output is never evicted; if only such connections are left, the new one is
+// rejected.
 func TestFullTableEvictionOrder(t *testing.T) {
 	harness := newHarness(t)
 	connect := func() *testClient {
--- a/internal/downstream/connection.go
+++ b/internal/downstream/connection.go
@@ -43,13 +43,13 @@
 	messageStarted  routing.Time // first byte of the expected message, or the accept before the first one; 0: none
 	receivedMessage bool         // at least one message was complete
 
-	discardedBytes      int          // received and discarded since the connection stopped reading requests
-	unreadOutput        int          // bytes of unread output at the last call of ShortenDeadlines
-	unreadOutputChanged routing.Time // when a call of ShortenDeadlines last found unreadOutput changed
+	discardedBytes int          // received and discarded since the connection stopped reading requests
+	unreadOutput   int          // bytes of unread output at the last call of ShortenDeadlines
+	unreadChanged  routing.Time // when a call of ShortenDeadlines last found unreadOutput changed
 }
 
-// hasPendingAnswer reports whether a request is open, or the socket has not accepted all output yet. Closing the
-// connection then loses an answer.
+// hasPendingAnswer reports whether a request is open, or the socket has not accepted all output yet. If so, closing
+// the connection would lose an answer.
 func (c *Connection) hasPendingAnswer() bool {
 	return len(c.openRequests) > 0 || c.socket.OutboundBuffered() > 0
 }
@@ -161,7 +161,8 @@
 	server.timers.Schedule(&c.timeout, server.now()+server.limits.FlushCheckInterval, c.completeDrain)
 }
 
-// closeNow closes the connection at once. Output that the client has not read can be lost.
+// closeNow closes the connection at once and frees its place in the connection table. Output that the client has not
+// read can be lost.
 func (c *Connection) closeNow(reason flightrecorder.Reason) {
 	c.transition(phaseClosed, reason)
 	_ = c.socket.Close() // the connection is abandoned even if Close fails
--- a/internal/downstream/graceful.go
+++ b/internal/downstream/graceful.go
@@ -68,12 +68,12 @@
 	buffered := c.socket.OutboundBuffered()
 	if buffered != c.unreadOutput {
 		c.unreadOutput = buffered
-		c.unreadOutputChanged = now
+		c.unreadChanged = now
 	}
 }
 
 // stalled reports whether all requests are answered, output is unread, and its amount has not changed for
 // Limits.SlowReaderTimeout.
 func (c *Connection) stalled(now routing.Time) bool {
-	return len(c.openRequests) == 0 && c.unreadOutput > 0 && now-c.unreadOutputChanged >= c.server.limits.SlowReaderTimeout
+	return len(c.openRequests) == 0 && c.unreadOutput > 0 && now-c.unreadChanged >= c.server.limits.SlowReaderTimeout
 }
--- a/internal/downstream/harness_test.go
+++ b/internal/downstream/harness_test.go
@@ -55,7 +55,7 @@
 	}
 }
 
-// newHarness returns a harness with small limits and no lingering connections.
+// newHarness returns a harness with small limits that allow no lingering connections.
 func newHarness(t testing.TB) *testHarness {
 	t.Helper()
 	harness := &testHarness{
--- a/internal/downstream/requests.go
+++ b/internal/downstream/requests.go
@@ -144,7 +144,7 @@
 // submit submits a request to the director, and rejects it if the director has no room for it.
 func (c *Connection) submit(seqID int32, request director.Request) {
 	server := c.server
-	if c.openRequests == nil { // allocated late, as most idle connections have no requests
+	if c.openRequests == nil { // most idle connections never need the map
 		c.openRequests = map[int32]handle.Handle{}
 	}
 	// The director can reply before Submit returns, so the request is entered as open before the call.
--- a/internal/downstream/server.go
+++ b/internal/downstream/server.go
@@ -45,8 +45,8 @@
 	BytesIn, BytesOut                              uint64
 	AnswersAfterClose                              uint64 // answers discarded, as their request or connection had ended
 	Draining, Lingering, LingersAborted            uint64
-	DroppedBytes                                   uint64 // bytes discarded by connections that read no more requests
-	StalledReadersClosed                           uint64 // connections closed by ShortenDeadlines
+	DroppedBytes                                   uint64 // received after a connection had stopped reading requests
+	StalledReadersClosed                           uint64 // closed in a graceful close, as the client read no output
 }
 
 // Config holds the settings and dependencies of a Server. The Server keeps the pointer to Limits and makes no copy of
--- a/internal/downstream/timeouts.go
+++ b/internal/downstream/timeouts.go
@@ -12,7 +12,8 @@
 }
 
 // nextTimeout returns the time at which the timer has to expire. The message timeout counts from the beginning of a
-// message, not from its last received byte, so that a client cannot keep a connection open by single bytes.
+// message, not from its last received byte, so that a client cannot keep a connection open by sending a byte now and
+// then.
 func (c *Connection) nextTimeout() routing.Time {
 	limits := c.server.limits
 	if c.receivingFrame() { // not idle: the client is sending a message
