--- a/internal/downstream/golden_answers_test.go
+++ b/internal/downstream/golden_answers_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// TestGoldenAnswers compares the bytes of every kind of answer.
+// TestGoldenAnswers compares the bytes of all kinds of answers with a golden file.
 func TestGoldenAnswers(t *testing.T) {
 	served := director.Response{Outcome: director.Served}
 	same := director.Response{Outcome: director.Served, NotModified: true}
@@ -51,14 +51,15 @@
 			all.WriteString(g.end())
 		}
 	}
-	all.WriteString(goldenOrders(t))
+	all.WriteString(goldenAnswerOrders(t))
 	all.WriteString(goldenHeartbeats(t))
 	all.WriteString(goldenLocalRejections(t))
 	checkGolden(t, "answers.txt", all.String())
 }
 
-// goldenOrders holds answers that come in another order than their requests, twice, or for nobody.
-func goldenOrders(t *testing.T) string {
+// goldenAnswerOrders returns the transcript of answers that come in another order than their requests, twice, after a
+// revoke, or after the connection has closed.
+func goldenAnswerOrders(t *testing.T) string {
 	t.Helper()
 	served := director.Response{Outcome: director.Served}
 	g := newGoldenConnection(t, goldenOptions{})
@@ -78,6 +79,7 @@
 	return text + g.transcript.String()
 }
 
+// goldenHeartbeats returns the transcripts of heartbeats in ready and not ready states.
 func goldenHeartbeats(t *testing.T) string {
 	t.Helper()
 	var all strings.Builder
@@ -106,7 +108,7 @@
 	return all.String()
 }
 
-// goldenLocalRejections holds the rejections of requests that were handed to nobody.
+// goldenLocalRejections returns the transcripts of rejections of requests that the handler has not accepted.
 func goldenLocalRejections(t *testing.T) string {
 	t.Helper()
 	var all strings.Builder
@@ -118,7 +120,7 @@
 			count   int32
 		}{
 			{"too many open on the connection", goldenOptions{}, "", 4},
-			{"no request is taken", goldenOptions{full: true}, "body", 1},
+			{"no request is taken", goldenOptions{tableFull: true}, "body", 1},
 			{"no buffer for the body", goldenOptions{buffers: 1}, strings.Repeat("b", 5000), 1},
 		} {
 			c.options.cooldown = cooldown
