--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,6 +1,6 @@
-// Package clock measures time. All durations are taken from the system's monotonic clock, so that a step of the wall
-// clock moves no deadline. Timestamps of peers, which are Unix times of other clocks, are converted to our clock by
-// PeerClock.
+// Package clock measures time. All durations are measured with the system's monotonic clock, so that a step of the wall
+// clock does not move deadlines. Timestamps of peers, which are Unix times of other clocks, are converted to the local
+// clock by PeerClock.
 package clock
 
 import (
@@ -9,11 +9,11 @@
 	"shaleyard/routing"
 )
 
-// Clock is the one clock of a process: monotonic, and counted from the Unix epoch as the wall clock had it at the
-// start. It is safe for concurrent use.
+// Clock is the clock of a process. It starts at the wall clock's Unix time and then advances with the monotonic clock.
+// It is safe for concurrent use.
 type Clock struct {
 	start time.Time    // holds a monotonic reading
-	epoch routing.Time // Unix time of start
+	epoch routing.Time // Unix time at start
 }
 
 // New returns a clock that starts now.
@@ -22,5 +22,6 @@
 	return &Clock{start: start, epoch: routing.Time(start.UnixNano())}
 }
 
-// Now is the time. It never goes back, and advances at the same rate whatever happens to the wall clock.
+// Now returns the current time since the Unix epoch. The returned time never decreases, and steps of the wall clock do
+// not affect it.
 func (c *Clock) Now() routing.Time { return c.epoch + time.Since(c.start) }
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -42,7 +42,7 @@
 
 // A list of what was missed comes at once: the age of each event follows from the stamps alone, also where our own wall
 // clock was an hour off at the start.
-func TestPeerStampsOfABacklogKeepTheirDistances(t *testing.T) {
+func TestBacklogStampsKeepRelativeAges(t *testing.T) {
 	now := routing.Time(1_764_576_000*time.Second) + time.Hour
 	var peer PeerClock
 	ages := []time.Duration{time.Minute, 30 * time.Second, 100 * time.Millisecond}
@@ -59,7 +59,7 @@
 	}
 }
 
-func TestClockRunsOn(t *testing.T) {
+func TestClockIsMonotonic(t *testing.T) {
 	c := New()
 	if first, second := c.Now(), c.Now(); second < first {
 		t.Errorf("%v after %v", second, first)
--- a/internal/clock/peer.go
+++ b/internal/clock/peer.go
@@ -7,28 +7,30 @@
 )
 
 const (
-	// clockStepThreshold is how far a peer's timestamp may lie behind an earlier one before its clock counts as set
-	// back. Timestamps of events that were sent out of order lie behind by less.
+	// clockStepThreshold is the amount by which a peer's timestamp may be less than its latest timestamp before the
+	// peer's clock counts as set back. Events that are sent out of order differ by less.
 	clockStepThreshold = time.Second
-	// maxDrift is the most by which two clocks move apart, as a part of the time that passes.
+	// maxDrift is the maximum drift between two clocks, as a fraction of the elapsed time.
 	maxDrift = 0.001
 )
 
-// PeerClock converts timestamps of one peer's clock to ours. A timestamp that was received can't lie in the future: so
-// the least observed difference between our clock and a timestamp bounds the offset of the two clocks, and no event is
-// taken for older than it is. It errs towards younger, by the shortest time that an event has taken to arrive. (NTP
-// filters its samples for the least delay in the same way, RFC 5905, section 10.) A peer's clock that is set back
-// between two events by less than the time between them can't be told from an event that came late.
+// PeerClock converts timestamps of one peer's clock to the local clock. A received timestamp can't be in the future, so
+// the smallest observed difference between the local clock and a timestamp is an upper bound of the clocks' offset.
+// With this bound no event appears older than it is; events appear younger by the shortest observed delay of an event.
+// (NTP's clock filter selects the sample with the lowest delay in the same way, RFC 5905, section 10.) If the peer's
+// clock is set back between two events by less than the time between them, this can't be distinguished from a late
+// event.
 //
-// The zero PeerClock has seen no timestamp and takes both clocks to be the same.
+// The zero PeerClock has observed no timestamp and assumes that both clocks are equal.
 type PeerClock struct {
 	seen        bool
-	offset      routing.Time // upper bound of our clock less the peer's
-	offsetAt    routing.Time // when offset was learnt
-	latestStamp routing.Time // the peer's latest timestamp
+	offset      routing.Time // upper bound of the local time minus the peer's time
+	offsetAt    routing.Time // local time of the last update of offset
+	latestStamp routing.Time // highest timestamp of the peer since its clock was last set back
 }
 
-// Observe learns from a timestamp that the peer has put on something that had happened by now.
+// Observe updates the offset with a timestamp that the peer gave to an event that occurred at or before the local time
+// now. A timestamp that is more than clockStepThreshold below the latest one restarts the estimate.
 func (c *PeerClock) Observe(stamp, now routing.Time) {
 	difference := now - stamp
 	if !c.seen || stamp < c.latestStamp-clockStepThreshold {
@@ -41,5 +43,5 @@
 	c.offsetAt = now
 }
 
-// Local is the time on our clock at which the peer's clock showed a timestamp.
+// Local returns the time on the local clock that corresponds to a timestamp of the peer's clock.
 func (c *PeerClock) Local(stamp routing.Time) routing.Time { return stamp + c.offset }
--- a/internal/discovery/apply.go
+++ b/internal/discovery/apply.go
@@ -15,14 +15,15 @@
 	"shaleyard/routing"
 )
 
-// endpointState is what the list last said of an endpoint, also of one that is gone.
+// endpointState holds the latest known state of an endpoint. Endpoints that are gone have an entry too.
 type endpointState struct {
 	state   routing.State
-	sinceMS int64        // when it was started, if that was late, on the service's clock; 0: it was not
-	started routing.Time // the same on our clock
+	sinceMS int64        // time of a late start, in Unix milliseconds of the service's clock; 0: no late start
+	started routing.Time // time of a late start on the local clock; 0: no late start
 }
 
-// Bootstrap applies the events that the configuration holds. It is called before Start.
+// Bootstrap applies the events that the configuration contains. It must be called before Start. It returns an error if
+// an event is invalid or has a higher revision than bootstrap.Revision.
 func (w *Watcher) Bootstrap(bootstrap config.Bootstrap) error {
 	w.learnServiceClock(bootstrap.Events)
 	for i, text := range bootstrap.Events {
@@ -31,14 +32,15 @@
 		}
 	}
 	if w.revision > bootstrap.Revision {
-		return fmt.Errorf("known.n: %d, but its events go to %d", bootstrap.Revision, w.revision)
+		return fmt.Errorf("known.n is %d, must be at least %d, the last revision of known.events",
+			bootstrap.Revision, w.revision)
 	}
 	w.revision = bootstrap.Revision
 	return nil
 }
 
-// learnServiceClock learns the offset of the service's clock from the stamps of a backlog, before the first of its
-// events is dated by them.
+// learnServiceClock estimates the offset of the service's clock from the timestamps of all purges in the backlog. It
+// runs before any event of the backlog is applied, because applying a purge converts its timestamp to the local clock.
 func (w *Watcher) learnServiceClock(backlog []json.RawMessage) {
 	now := w.now()
 	for _, text := range backlog {
@@ -52,8 +54,9 @@
 	}
 }
 
-// applyLine reads one line, of a watch or (with source nil) of the configuration, and applies its event. Events of a
-// watch must come without a gap; events that were applied before are ignored.
+// applyLine parses one line and applies its event or heartbeat. The line comes from the watch source, or from the
+// configuration if source is nil. Events of a watch must have consecutive revisions: a gap is an error, and an event
+// that was already applied is ignored.
 func (w *Watcher) applyLine(text []byte, source *watch) error {
 	if revision, err := strconv.ParseUint(string(bytes.TrimSpace(text)), 10, 64); err == nil {
 		return w.heartbeat(revision, source)
@@ -81,7 +84,9 @@
 	return nil
 }
 
-// checkRevision reports whether the event is one to apply. It is an error if events before it are missing.
+// checkRevision reports whether the event has not been applied yet. It returns an error if events between the last
+// applied event and this one are missing, or if the first event after a request for all events is not a snapshot with
+// revision 1.
 func (w *Watcher) checkRevision(received *event, source *watch) (isNew bool, err error) {
 	revision := *received.Revision
 	if source != nil && source.fullResync {
@@ -99,8 +104,9 @@
 	return true, nil
 }
 
-// applyEvent hands the endpoints and the purge of an event to the sink. An event that is in error is not applied, or
-// only its endpoints are, and the revision stays.
+// applyEvent passes the endpoints and the purge of an event to the sink and advances the revision. If the endpoints are
+// invalid, nothing is applied; if the purge is invalid, only the endpoints are. In both cases the revision stays
+// unchanged.
 func (w *Watcher) applyEvent(received *event, source *watch) error {
 	if received.Update != nil {
 		endpoints, err := w.parseEndpoints(received.Update)
@@ -113,7 +119,7 @@
 		w.applyEndpoints(received.Update, endpoints)
 	}
 	if received.Purge != nil {
-		if source != nil { // learnServiceClock has observed those of the configuration.
+		if source != nil { // learnServiceClock has observed the timestamps of the configuration's purges.
 			w.serviceClock.Observe(received.Purge.serviceTime(), w.now())
 		}
 		if err := w.applyPurge(received.Purge); err != nil {
@@ -130,10 +136,11 @@
 	return nil
 }
 
-// parseEndpoints converts the endpoints of an update that can be used.
+// parseEndpoints converts the endpoints of an update. It skips and counts endpoints whose zone or kind is unknown, and
+// returns an error if there are more than MaxMembers endpoints or if any endpoint is invalid.
 func (w *Watcher) parseEndpoints(update *endpointUpdate) ([]director.Endpoint, error) {
 	if count := len(update.Endpoints); count > w.limits.MaxMembers {
-		return nil, fmt.Errorf("%w: %d, %d at most", errTooManyEndpoints, count, w.limits.MaxMembers)
+		return nil, fmt.Errorf("%w: got %d, limit is %d", errTooManyEndpoints, count, w.limits.MaxMembers)
 	}
 	endpoints := make([]director.Endpoint, 0, len(update.Endpoints))
 	for i := range update.Endpoints {
@@ -150,8 +157,9 @@
 	return endpoints, nil
 }
 
-// applyEndpoints hands an update to the sink. While the service's numbers have begun anew, its list may be older than
-// what is known: then endpoints that are missing from it are not taken for gone.
+// applyEndpoints passes an update to the sink. During a resync after the service restarted its revisions, the service's
+// list may be older than the known one. Such an older list is passed on as a partial update, so that endpoints that are
+// missing from it are not removed.
 func (w *Watcher) applyEndpoints(update *endpointUpdate, endpoints []director.Endpoint) {
 	full := update.Snapshot || w.revision == 0
 	if w.resyncing && update.Version < w.listVersion {
@@ -173,9 +181,10 @@
 	w.sink.UpdateEndpoints(full, update.Version, kept)
 }
 
-// retainDrain keeps an endpoint that was draining or gone in that state where an older list, after the service's
-// numbers have begun anew, says that it is ready, unless it has been started anew since. It reports whether there is
-// anything to tell of the endpoint: nothing is if it stays gone.
+// retainDrain prevents a resync from undoing a drain: the list that the service sends after it restarted its revisions
+// may be older than the drain. An entry that is ready in this list, but is known as draining or gone, keeps the known
+// state unless the endpoint has been restarted since. retainDrain reports whether the entry must be passed to the sink;
+// an endpoint that stays gone need not be.
 func (w *Watcher) retainDrain(entry *director.Endpoint) bool {
 	if !w.resyncing || entry.State != routing.Ready {
 		return true
@@ -189,7 +198,8 @@
 	return known.state != routing.Gone
 }
 
-// remember notes what the list says of an endpoint. Endpoints that are gone are forgotten when there are too many.
+// remember stores the state of an endpoint. Once twice MaxMembers endpoints are stored, it first deletes those that are
+// gone.
 func (w *Watcher) remember(entry *director.Endpoint) {
 	if len(w.endpoints) >= 2*w.limits.MaxMembers {
 		maps.DeleteFunc(w.endpoints, func(_ string, known endpointState) bool { return known.state == routing.Gone })
@@ -201,8 +211,9 @@
 	}
 }
 
-// startTime is when an endpoint was started, on our clock; 0 if it was not started late. One start keeps its time,
-// whatever is learnt of the service's clock meanwhile: another time would be another incarnation of the endpoint.
+// startTime returns when an endpoint was started, on the local clock, or 0 if it has no late start. The time of one
+// start is converted once and then reused, even if the estimated offset of the service's clock changes: a different time
+// would mean a new incarnation of the endpoint.
 func (w *Watcher) startTime(entry *endpoint) routing.Time {
 	if entry.SinceMS == 0 {
 		return 0
@@ -213,7 +224,8 @@
 	return w.serviceClock.Local(routing.Time(entry.SinceMS) * routing.Time(time.Millisecond))
 }
 
-// applyPurge hands a purge to the sink.
+// applyPurge passes a purge to the sink. It returns an InvalidFieldError if the key is not hexadecimal, or if both
+// the key and the group are missing.
 func (w *Watcher) applyPurge(notice *purgeNotice) error {
 	purge := director.Purge{
 		RemoteIssuedAt: notice.serviceTime(),
@@ -233,8 +245,9 @@
 	return nil
 }
 
-// heartbeat takes a line with only the service's latest revision. A revision behind ours comes from a service that lags
-// or was restored from a backup: what it sends next is not what comes next for us.
+// heartbeat handles a line with only the service's latest revision. A revision after the last applied one is an error,
+// because events are missing. A revision before it means that the service lags or was restored from a backup, so that
+// its next events may differ from those after the last applied event; this is counted once until the service catches up.
 func (w *Watcher) heartbeat(revision uint64, source *watch) error {
 	if source == nil || source.fullResync {
 		return nil
--- a/internal/discovery/backoff.go
+++ b/internal/discovery/backoff.go
@@ -8,75 +8,89 @@
 	"shaleyard/routing"
 )
 
-// BackoffConfig is what the waits between calls are derived from.
+// BackoffConfig holds the parameters from which a Backoff derives the waits between calls to the discovery service.
 type BackoffConfig struct {
-	// Directors is the size of the fleet (settings: balancers), and DirectorIndex is this director's number in it, from
-	// 0 (settings: me).
+	// Directors is the number of directors in the fleet (settings: balancers), and DirectorIndex is this director's
+	// index in the fleet, starting at 0 (settings: me).
 	Directors, DirectorIndex int
-	// ApplyWithin is the time within which a drain must be applied, from when the service has it (settings:
+	// ApplyWithin is the time within which a drain must be applied after the service has it (settings:
 	// guarantees.drainGrace; 2 s).
 	ApplyWithin time.Duration
-	// ApplyPurgeWithin is the time within which a purge must be applied (settings: familyInfo.purgeSlack; 0.5 s).
+	// ApplyPurgeWithin is the time within which a purge must be applied after it counts as notified (settings:
+	// familyInfo.purgeSlack; 0.5 s).
 	ApplyPurgeWithin time.Duration
-	// StartWindow is the time over which the fleet spreads its first calls. It may be longer than the return window
-	// only for a director that takes no requests before it has reached the service; 0 means the return window.
+	// StartWindow is the time over which the fleet spreads its first calls; 0 means the return window. Only a director
+	// that accepts no requests before it has reached the service may have a start window longer than the return window.
 	StartWindow time.Duration
-	// NotifiedAfter is when an event counts as notified even though nothing arrived (protocol page: 7 s).
+	// NotifiedAfter is the time after which a published event counts as notified even if the director has not received
+	// it (protocol page: 7 s).
 	NotifiedAfter time.Duration
-	// SilenceTimeout is how long a watch may bring nothing before it is given up.
+	// SilenceTimeout is the time without a received line after which a watch is closed.
 	SilenceTimeout time.Duration
-	// CallDuration is the longest duration of a call of a healthy service: connect, subscribe, read the missed events.
+	// CallDuration is the longest time that a call to a healthy service takes to connect, subscribe and read the missed
+	// events.
 	CallDuration time.Duration
-	// MinWait is the shortest wait after a call that failed, whatever the fleet's size.
+	// MinWait is the shortest wait after a failed call, for any size of the fleet. It does not apply if the first failure
+	// in a row is a watch that broke or fell silent after usable lines.
 	MinWait time.Duration
 }
 
-// Figures that do not follow from the configuration.
 const (
-	fullWindowFleet      = 8               // directors that need the full windows: fewer can't overload the service
-	settleTime           = 3 * time.Second // a watch that was usable for less counts as a failure: a flapping service
-	maxSavedCalls        = 4               // calls that may be made at once after a quiet time: a break, and its repair
-	backoffFactor        = 2.0             // growth of the backoff window with each call that is not served
-	maxDoublings         = 16              // after which the window has long reached its bound
+	// fullWindowFleet is the number of directors from which the fleet uses the full windows. Fewer directors can't
+	// overload the service, so their windows are shorter.
+	fullWindowFleet = 8
+	// settleTime is the time for which a watch must have been usable to count as stable. A shorter watch counts as a
+	// failure, because the service may be flapping.
+	settleTime = 3 * time.Second
+	// maxSavedCalls is the capacity of the token bucket of calls. It allows a burst of calls after a quiet time, for a
+	// broken watch and the calls that replace it.
+	maxSavedCalls = 4
+	// backoffFactor is the growth of the backoff window with each consecutive call that was refused or timed out.
+	backoffFactor = 2.0
+	// maxDoublings bounds the exponent of the backoff window, which reaches its maximum length well before.
+	maxDoublings = 16
+	// goldenRatioConjugate is the fraction of the window by which the director's slot moves with each broken watch.
 	goldenRatioConjugate = 0.6180339887498949
 )
 
-// Backoff decides when one director calls the list service: it is the reconnect backoff of a Watcher. The caller makes
-// a call at the time that FirstCall, NextCall or RedirectCall returns, and reports what came of it: RecordUsableLine
-// for each usable line, NextCall at the end.
+// Backoff schedules the calls of one director to the discovery service: it is the reconnect backoff of a Watcher. The
+// caller makes a call at the time that FirstCall, NextCall or RedirectCall returns. It then reports each usable line
+// with RecordUsableLine and the end of the call or its watch with NextCall.
 //
-// Four bounds meet here (docs/cold-start.md has the sums):
-//   - A director that loses a healthy watch goes on working, and purges go on: it is back within the time that those
-//     leave. So is a director that has just started, as clients may not have noticed that it was gone.
-//   - A director that takes no requests until it has reached the service may spread its first call over StartWindow.
-//   - A service that is down, or sends what can't be used, is not burdened by calls, and what it sends when it is
-//     healthy again must be applied within ApplyWithin of that: no wait is longer than maxWaitWhileDown then.
-//   - A service that is overloaded can't serve all directors within ApplyWithin, whatever they do. Its events count as
-//     notified after NotifiedAfter: no wait is longer than that, less the call.
+// Four bounds determine the waits (docs/cold-start.md has the calculations):
+//   - A director that loses a healthy watch continues to serve requests while purges are published, so it must
+//     reconnect early enough to apply them within ApplyPurgeWithin. The same holds for a director that has just
+//     started, because clients may not have noticed its restart.
+//   - A director that accepts no requests before it has reached the service may spread its first call over StartWindow.
+//   - A service that is down, or sends unusable lines, must not be overloaded by calls, but the events that it sends
+//     after its recovery must be applied within ApplyWithin. The wait is therefore at most maxWaitWhileDown.
+//   - An overloaded service can't serve all directors within ApplyWithin. Its events count as notified after
+//     NotifiedAfter, so the wait is at most NotifiedAfter less CallDuration.
 //
-// A service that serves and breaks by turns is called again as soon as after a healthy watch, as what it has cut off is
-// due as soon, until the budget of calls (a token bucket) is nearly spent. docs/lifecycles.md has the worst cases.
+// A flapping service, which alternately serves and breaks watches, is called again as soon as after the loss of a
+// healthy watch, because the events that were cut off are due equally soon. This ends when the call budget (a token
+// bucket) is nearly spent. docs/lifecycles.md has the worst cases.
 type Backoff struct {
 	rng    *rand.Rand
 	config BackoffConfig
 
-	startWindow       time.Duration // over which the fleet spreads its first calls
-	returnWindow      time.Duration // over which it spreads its return to a service that broke healthy watches
-	maxWaitAfterBreak time.Duration // leaves a call its time within ApplyPurgeWithin
-	maxWaitWhileDown  time.Duration // longest wait while the service is down; one call is earned in this time
-	maxWait           time.Duration // longest wait at all
+	startWindow       time.Duration // time over which the fleet spreads its first calls
+	returnWindow      time.Duration // time over which the fleet spreads its reconnects after healthy watches broke
+	maxWaitAfterBreak time.Duration // longest wait after a break; the call then fits within ApplyPurgeWithin
+	maxWaitWhileDown  time.Duration // longest wait while the service is down, and the time in which one token is added
+	maxWait           time.Duration // longest wait of all
 
-	tokens        float64      // calls saved up, as of refilledAt
-	refilledAt    routing.Time // when the latest call was made, or will be
-	failures      int          // ends in a row without a settled watch between them
-	unservedCalls int          // calls in a row that were refused or timed out, without a usable line between them
-	unusableEnds  int          // unusable ends in a row, without a usable line between them
-	breaks        int          // of watches; each moves our slot in the window
-	usableSince   routing.Time // first usable line of the present watch
-	usable        bool         // the present watch has brought a usable line
+	tokens        float64      // tokens in the bucket at refilledAt; each call takes one
+	refilledAt    routing.Time // time of the latest call, or of the next call if it is scheduled
+	failures      int          // consecutive calls or watches that ended, without a stable watch between them
+	unservedCalls int          // consecutive calls that were refused or timed out, without a usable line between them
+	unusableEnds  int          // consecutive EndUnusable ends, without a usable line between them
+	breaks        int          // broken watches and redirects; each one moves this director's slot in the window
+	usableSince   routing.Time // time of the current watch's first usable line
+	usable        bool         // the current watch has received a usable line
 }
 
-// NewBackoff returns the backoff of one director. The seed should differ from director to director.
+// NewBackoff returns the backoff of one director. The seed of the random waits should differ between directors.
 func NewBackoff(config BackoffConfig, seed uint64) *Backoff {
 	config.Directors = max(config.Directors, 1)
 	backoff := &Backoff{rng: rand.New(rand.NewPCG(seed, 2)), config: config, tokens: maxSavedCalls}
@@ -92,21 +106,22 @@
 	return backoff
 }
 
-// StartWindow is the time over which the fleet spreads its first calls.
+// StartWindow returns the time over which the fleet spreads its first calls.
 func (b *Backoff) StartWindow() time.Duration { return b.startWindow }
 
-// ReturnWindow is the time over which the fleet spreads its return to a service that broke healthy watches.
+// ReturnWindow returns the time over which the fleet spreads its reconnects after the service broke healthy watches.
 func (b *Backoff) ReturnWindow() time.Duration { return b.returnWindow }
 
-// FirstCall returns when to make the first call.
+// FirstCall returns the time of the first call, which is in this director's slot of the start window.
 func (b *Backoff) FirstCall(now routing.Time) routing.Time {
 	b.refilledAt = now
 	return b.reserveCall(now, b.slot(now, b.startWindow))
 }
 
-// RedirectCall returns when to call another service that the configuration names, which all directors are told at once.
-// Events that only the new service has must be applied as after a break, though the present watch is followed until
-// then.
+// RedirectCall returns the time of the first call to another service that a new configuration names. All directors
+// receive the new configuration at once, so the call is in this director's slot of the return window. Events that only
+// the new service has are due as soon as after a broken watch, although the current watch stays up until that call
+// succeeds.
 func (b *Backoff) RedirectCall(now routing.Time) routing.Time {
 	b.breaks++
 	b.failures = 0
@@ -116,7 +131,7 @@
 	return b.reserveCall(now, b.slot(now, b.returnWindow))
 }
 
-// RecordUsableLine records a usable line of the present watch.
+// RecordUsableLine records that the current watch received a usable line at the time now.
 func (b *Backoff) RecordUsableLine(now routing.Time) {
 	if !b.usable {
 		b.usable = true
@@ -129,10 +144,10 @@
 	}
 }
 
-// Failures is the number of ends in a row without a settled watch between them.
+// Failures returns the number of consecutive calls or watches that ended without a stable watch between them.
 func (b *Backoff) Failures() int { return b.failures }
 
-// NextCall returns when to call again after the present call, or its watch, has ended.
+// NextCall returns the time of the next call after the current call, or its watch, has ended at the time now.
 func (b *Backoff) NextCall(now routing.Time, end WatchEnd) routing.Time {
 	settled := b.usable && now-b.usableSince >= settleTime
 	b.usable = false
@@ -144,8 +159,9 @@
 	return b.reserveCall(now, b.waitAfterFailure(now, end))
 }
 
-// waitAfterSettledWatch is the wait to our slot in the return window. Time lost in silence is gone from the time in
-// which events must be applied, and shortens the window.
+// waitAfterSettledWatch returns the wait until this director's slot in the return window. After EndSilent the window is
+// bounded by maxWaitWhileDown less SilenceTimeout, because the time without lines counts toward the time within which
+// events must be applied.
 func (b *Backoff) waitAfterSettledWatch(now routing.Time, end WatchEnd) time.Duration {
 	b.breaks++
 	window := b.returnWindow
@@ -155,6 +171,7 @@
 	return b.slot(now, window)
 }
 
+// waitAfterFailure returns the wait after a call that failed or a watch that ended before it was stable.
 func (b *Backoff) waitAfterFailure(now routing.Time, end WatchEnd) time.Duration {
 	switch end {
 	case EndRefused:
@@ -168,12 +185,16 @@
 	}
 }
 
+// waitAfterRefusal returns a random wait in a window that starts at a quarter of maxWaitWhileDown and doubles with each
+// consecutive refusal or timeout, up to maxWaitWhileDown.
 func (b *Backoff) waitAfterRefusal() time.Duration {
 	b.unservedCalls++
 	return b.jitter(b.backoffWindow(b.maxWaitWhileDown/4, b.maxWaitWhileDown), 0)
 }
 
-// waitAfterUnusable is short the first time in a row, as a break within an event is seen as an unusable end, too.
+// waitAfterUnusable returns a random wait of half to all of maxWaitAfterBreak after the first EndUnusable in a row, and
+// of half to all of maxWaitWhileDown after the following ones. The first wait is short because a watch that breaks within
+// its first event also ends as EndUnusable.
 func (b *Backoff) waitAfterUnusable() time.Duration {
 	b.unusableEnds++
 	if b.unusableEnds == 1 {
@@ -182,10 +203,11 @@
 	return b.jitter(b.maxWaitWhileDown, 0.5)
 }
 
-// waitAfterYoungWatch is the wait after a watch that was usable for less than settleTime. It had brought something, so
-// the service is there and not overloaded, and what the break has cut off is due no later than after a settled watch:
-// the watch is replaced as soon as the budget of calls allows. The last call in the budget is spent at a random time;
-// from then on the budget sets the time.
+// waitAfterYoungWatch returns the wait after a watch that was usable for less than settleTime. The watch had received
+// usable lines, so the service is up and not overloaded, and the events that the break cut off are due as soon as after
+// a stable watch. The watch is therefore replaced within the return window if it is the first failure in a row or if two
+// or more tokens are left. Otherwise the wait is random, at least half of maxWaitWhileDown, and reserveCall extends it if
+// no token is left.
 func (b *Backoff) waitAfterYoungWatch(now routing.Time) time.Duration {
 	if b.failures == 1 {
 		b.breaks++
@@ -199,9 +221,10 @@
 	return b.jitter(b.maxWaitWhileDown, 0.5)
 }
 
-// waitAfterTimeout is at least half of the window, as a director that is back at once adds to the overload that its
-// call was lost in. An event that was published right after the last call counts as notified NotifiedAfter later, and
-// must be applied ApplyPurgeWithin after that: the next call is served by then.
+// waitAfterTimeout returns a random wait of at least half of the backoff window, because a call that follows at once
+// adds to the overload that made the last call time out. The wait also has an upper bound: an event that was published
+// right after the last call counts as notified NotifiedAfter later and must be applied ApplyPurgeWithin after that, so
+// the next call must be complete by then.
 func (b *Backoff) waitAfterTimeout(now routing.Time) time.Duration {
 	b.unservedCalls++
 	wait := b.jitter(b.backoffWindow(b.maxWaitWhileDown, b.maxWait), 0.5)
@@ -209,10 +232,11 @@
 	return max(min(wait, latest-now), b.config.MinWait)
 }
 
-// slot is the wait to our slot in the window. The windows follow one another by the clock, and each director has a slot
-// of its own in each: calls that fall due everywhere at about one moment make an even stream, however long each process
-// took to start or to notice. Within its slot the call is at a random place, so that two directors with one number do
-// not always collide. The slot moves with each break, by the golden ratio, so that no director is always the last.
+// slot returns the wait until this director's slot in the window. Windows are aligned to the clock and follow each
+// other without gaps, and each director has its own slot in each window. Calls that become due on all directors at about
+// the same time are therefore evenly spread, however long each process takes to start or to detect the loss. The time
+// within the slot is random, so that two directors with the same index do not always collide. The slot moves with each
+// break, by the golden ratio, so that no director is always the last.
 func (b *Backoff) slot(now routing.Time, window time.Duration) time.Duration {
 	if window <= 0 {
 		return 0
@@ -223,28 +247,30 @@
 	return (time.Duration(fraction*float64(window)) - now%window + window) % window
 }
 
-// backoffWindow grows exponentially with each call in a row that was not served, from first up to longest. Watches that
-// break are not counted: faults of the service must not count as its overload.
+// backoffWindow returns the window of the exponential backoff. It is first after one unserved call and doubles with
+// each further consecutive one, up to longest. Broken watches are not counted, because they are no evidence of an
+// overloaded service.
 func (b *Backoff) backoffWindow(first, longest time.Duration) time.Duration {
 	doublings := float64(min(b.unservedCalls-1, maxDoublings))
 	window := float64(first) * math.Pow(backoffFactor, doublings)
 	return time.Duration(min(window, float64(longest)))
 }
 
-// jitter is a random wait within the window, at least minFraction of it and at least MinWait.
+// jitter returns a random wait between minFraction of the window and the whole window, but at least MinWait.
 func (b *Backoff) jitter(window time.Duration, minFraction float64) time.Duration {
 	fraction := minFraction + (1-minFraction)*b.rng.Float64()
 	return max(time.Duration(fraction*float64(window)), b.config.MinWait)
 }
 
-// remainingBudget is the number of calls saved up at a time.
+// remainingBudget returns the number of tokens in the bucket at a time, at most maxSavedCalls.
 func (b *Backoff) remainingBudget(at routing.Time) float64 {
 	return min(maxSavedCalls, b.tokens+float64(at-b.refilledAt)/float64(b.maxWaitWhileDown))
 }
 
-// reserveCall takes a call, a wait from now, off the budget: a token bucket that gains one call in each
-// maxWaitWhileDown. If no call is left, it waits for the next one, which comes within that time: a service that serves
-// and breaks by turns gets one call from each director in that time, and no more.
+// reserveCall takes a token for a call that is made after the wait, and returns the time of the call. The bucket gains
+// one token per maxWaitWhileDown. If no token is left, the call is postponed until the next one is added, by at
+// most maxWaitWhileDown. Once the bucket is empty, a flapping service thus receives at most one call per director in that
+// time.
 func (b *Backoff) reserveCall(now routing.Time, wait time.Duration) routing.Time {
 	at := now + wait
 	b.tokens = b.remainingBudget(at)
--- a/internal/discovery/backoff_test.go
+++ b/internal/discovery/backoff_test.go
@@ -89,7 +89,7 @@
 }
 
 // A director that takes requests from the first moment on has no more time for its first call than for its return.
-func TestStartWithoutAWindowIsAReturn(t *testing.T) {
+func TestFirstCallUsesReturnWindowByDefault(t *testing.T) {
 	for index := range 300 {
 		config := platformConfig(300, index)
 		config.StartWindow = 0
@@ -100,7 +100,7 @@
 }
 
 // One director alone has nobody to spread from.
-func TestLoneDirectorCallsAtOnce(t *testing.T) {
+func TestSingleDirectorCallsImmediately(t *testing.T) {
 	backoff := NewBackoff(platformConfig(1, 0), 1)
 	if at := backoff.FirstCall(time.Second); at != time.Second {
 		t.Errorf("first call at %v", at)
@@ -112,7 +112,7 @@
 }
 
 // Silence has used up most of the time in which events must be applied.
-func TestSilenceLeavesLessTime(t *testing.T) {
+func TestReturnWindowIsShorterAfterSilence(t *testing.T) {
 	for index := range 300 {
 		backoff := NewBackoff(platformConfig(300, index), uint64(index))
 		at := backoff.FirstCall(0)
@@ -125,7 +125,7 @@
 }
 
 // A service that is down is called again soon; one that is overloaded, ever less often.
-func TestWaitsGrowByWhatFailed(t *testing.T) {
+func TestBackoffDependsOnKindOfFailure(t *testing.T) {
 	meanWait := func(end WatchEnd, failures int) (mean time.Duration) {
 		for seed := range uint64(200) {
 			backoff := NewBackoff(platformConfig(300, 7), seed)
@@ -156,7 +156,7 @@
 
 // Whatever the service does, no wait is longer than events may be late, and calls keep to the budget: in any span there
 // are no more than what was saved and one for each 1.5 s of it.
-func TestPaceKeepsItsBoundsWhateverHappens(t *testing.T) {
+func TestWaitsAndCallBudgetAreBounded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		directors := rapid.IntRange(1, 400).Draw(t, "directors")
 		index := rapid.IntRange(0, directors-1).Draw(t, "me")
@@ -205,7 +205,7 @@
 }
 
 // A watch that settles clears what failed before; a flapping one does not.
-func TestOnlyASettledWatchForgives(t *testing.T) {
+func TestOnlyStableWatchResetsFailures(t *testing.T) {
 	backoff := NewBackoff(platformConfig(300, 0), 1)
 	now := backoff.FirstCall(0)
 	for range 3 {
@@ -224,7 +224,7 @@
 
 // A watch that was usable for a moment and falls silent is a break, not a call that the service had no time for: drains
 // must be applied within ApplyWithin, and a window that grows with each failure goes past that.
-func TestYoungWatchesThatFallSilentAreNoTimeouts(t *testing.T) {
+func TestSilenceOfShortWatchIsNotATimeout(t *testing.T) {
 	for seed := range uint64(50) {
 		backoff := NewBackoff(platformConfig(300, int(seed)), seed)
 		now := backoff.FirstCall(1000 * time.Second)
@@ -243,7 +243,7 @@
 // A watch that breaks soon after it was opened leaves purges unheard as one that was usable for long does, and is
 // replaced as soon, also when it does so again: what it has cut off counts as notified when the service is called
 // again. But a service that flaps costs no more than the budget: what was saved up, and one call in each earnTime.
-func TestBreaksOfYoungStreamsAreMendedSoonWithinTheBudget(t *testing.T) {
+func TestBrokenShortWatchesAreReplacedWithinBudget(t *testing.T) {
 	const budget = 4 // calls at once
 	for _, directors := range []int{1, 12, 300} {
 		for seed := range uint64(50) {
@@ -278,7 +278,7 @@
 }
 
 // A fleet whose young watches break at one moment, and again, comes back in an even stream each time.
-func TestFleetSpreadsItsReturnToAServiceThatFlaps(t *testing.T) {
+func TestFleetSpreadsReconnectsToFlappingService(t *testing.T) {
 	const directors = 300
 	for seed := range uint64(5) {
 		fleet := make([]*Backoff, directors)
@@ -307,7 +307,7 @@
 
 // Watches that break are no overload: a call that times out after them is followed as the first one in a row is. Calls
 // that time out one after the other are followed ever later.
-func TestBreaksDoNotMakeATimeoutLonger(t *testing.T) {
+func TestBrokenWatchesDoNotExtendTimeoutBackoff(t *testing.T) {
 	for seed := range uint64(50) {
 		backoff := NewBackoff(platformConfig(300, int(seed)), seed)
 		now := backoff.FirstCall(1000 * time.Second)
@@ -330,7 +330,7 @@
 // What was published right behind a call that is not served counts as notified after NotifiedAfter. However many
 // timeouts in a row there were, and however long the call took, the next one is made in time to be served when that is
 // due.
-func TestTheWaitAfterATimeoutLeavesTheTimeOfItsCall(t *testing.T) {
+func TestWaitAfterTimeoutLeavesTimeForNextCall(t *testing.T) {
 	for seed := range uint64(50) {
 		config := platformConfig(300, int(seed))
 		backoff := NewBackoff(config, seed)
--- a/internal/discovery/counters.go
+++ b/internal/discovery/counters.go
@@ -2,24 +2,24 @@
 
 import "encoding/json"
 
-// Counters count what a Watcher has seen since its start. They are logged by their field names.
+// Counters holds the event counts of a Watcher since its start. The counts are logged under their field names.
 type Counters struct {
 	Connects         uint64 // watches opened
 	ConnectFailures  uint64 // dials that failed
-	Disconnects      uint64 // watches that the service closed
-	SilenceTimeouts  uint64 // watches given up because nothing came for too long
+	Disconnects      uint64 // watches closed by the service
+	SilenceTimeouts  uint64 // watches closed because no line was received for WatchSilenceTimeout
 	Redirects        uint64 // changes of the service's address by a new configuration
 	Lines            uint64 // complete lines received
-	Events           uint64 // events applied, those of the configuration included
-	BadLines         uint64 // lines that could not be used
-	SkippedEndpoints uint64 // endpoints in a zone or of a kind that the settings do not know
+	Events           uint64 // events applied, including those of the configuration
+	BadLines         uint64 // lines that are invalid, too long or out of sequence
+	SkippedEndpoints uint64 // endpoints whose zone or kind is not in the settings
 	WatchEnds        EndCounts
-	RevisionBehind   uint64 // watches whose revision was behind ours
-	FullResyncs      uint64 // requests for everything, from a service that numbers its events anew
-	RetainedDrains   uint64 // endpoints kept draining or gone against an older list
+	RevisionBehind   uint64 // times that the service's revision fell behind the last applied event
+	FullResyncs      uint64 // requests for all events, after the service restarted its revisions
+	RetainedDrains   uint64 // endpoints kept draining or gone although an older list has them as ready
 }
 
-// EndCounts counts the ends of calls and watches, indexed by WatchEnd.
+// EndCounts holds the number of calls and watches that ended in each way, indexed by WatchEnd.
 type EndCounts [numWatchEnds]uint64
 
 // MarshalJSON encodes the counts as an object whose keys are the names of the ends.
--- a/internal/discovery/errors.go
+++ b/internal/discovery/errors.go
@@ -6,28 +6,30 @@
 )
 
 var (
-	errWatchReplaced    = errors.New("watch is not followed any more")
-	errLineTooLong      = errors.New("line too long")
-	errNoRevision       = errors.New("no revision")
-	errNotFullList      = errors.New("first event after a request for everything is not revision 1 with a full list")
+	errWatchReplaced    = errors.New("watch is no longer the active one")
+	errLineTooLong      = errors.New("line exceeds the maximum length")
+	errNoRevision       = errors.New("event has no revision")
+	errNotFullList      = errors.New("first event after a request for all events must be a snapshot with revision 1")
 	errTooManyEndpoints = errors.New("too many endpoints")
 )
 
-// InvalidFieldError says that a field of an event has a value that can't be used.
+// InvalidFieldError reports that a field of an event has an invalid value.
 type InvalidFieldError struct {
-	Field string // path within the event, with dots
+	Field string // name of an endpoint's field, or dotted path of another field of the event
 	Value string
 }
 
-// Error names the field and the start of its value.
-func (e *InvalidFieldError) Error() string { return fmt.Sprintf("%s: %.40q", e.Field, e.Value) }
+// Error returns the field and the first 40 characters of its value.
+func (e *InvalidFieldError) Error() string { return fmt.Sprintf("%s: %.40q is invalid", e.Field, e.Value) }
 
-// RevisionError says that an event, or the revision in a heartbeat, does not follow the last event that was applied:
-// events between the two are missing.
+// RevisionError reports a gap in the revisions: events between the last applied event and the revision of the received
+// event or heartbeat are missing.
 type RevisionError struct {
-	Got  uint64
-	Last uint64 // last event that was applied
+	Got  uint64 // revision of the received event or heartbeat
+	Last uint64 // revision of the last applied event
 }
 
-// Error names both revisions.
-func (e *RevisionError) Error() string { return fmt.Sprintf("revision %d after %d", e.Got, e.Last) }
+// Error returns a message with both revisions.
+func (e *RevisionError) Error() string {
+	return fmt.Sprintf("gap in revisions: received %d, last applied %d", e.Got, e.Last)
+}
--- a/internal/discovery/errors_test.go
+++ b/internal/discovery/errors_test.go
@@ -8,7 +8,7 @@
 )
 
 // A line that can't be used names its fault by a type or a sentinel.
-func TestErrorsNameTheFaultOfALine(t *testing.T) {
+func TestInvalidLineErrors(t *testing.T) {
 	for _, tc := range []struct {
 		name, line string
 		want       error
--- a/internal/discovery/event.go
+++ b/internal/discovery/event.go
@@ -9,26 +9,27 @@
 	"shaleyard/routing"
 )
 
-// maxNameLength bounds the bytes of an endpoint's name.
+// maxNameLength is the maximum length of an endpoint's name, in bytes.
 const maxNameLength = 64
 
-// event is one line of a watch. With a revision only, it is a heartbeat.
+// event is one line of a watch as JSON. An event with only a revision is a heartbeat.
 type event struct {
 	Revision *uint64         `json:"n"`
 	Update   *endpointUpdate `json:"members"`
 	Purge    *purgeNotice    `json:"purge"`
 }
 
-// isHeartbeat reports whether the event brings nothing but the service's latest revision.
+// isHeartbeat reports whether the event holds nothing but the service's latest revision.
 func (e *event) isHeartbeat() bool { return e.Update == nil && e.Purge == nil }
 
-// endpointUpdate is the whole list of endpoints, or the entries of it that have changed.
+// endpointUpdate holds the full list of endpoints (Snapshot), or only the endpoints that have changed.
 type endpointUpdate struct {
 	Version   uint64     `json:"index"`
 	Snapshot  bool       `json:"snapshot"`
 	Endpoints []endpoint `json:"endpoints"`
 }
 
+// endpoint is one entry of the discovery service's list.
 type endpoint struct {
 	Name    string  `json:"name"`
 	Address string  `json:"address"`
@@ -37,7 +38,7 @@
 	Group   int     `json:"group"`
 	Status  string  `json:"status"`
 	Weight  float64 `json:"weight"`
-	SinceMS int64   `json:"since_ms"` // start, if it was late, as Unix milliseconds of the service's clock; 0: none
+	SinceMS int64   `json:"since_ms"` // time of a late start in Unix milliseconds of the service's clock; 0: none
 }
 
 // purgeNotice announces the purge of an object, of a group, or of an object in a group.
@@ -47,12 +48,12 @@
 	MadeAt int64  `json:"at"` // Unix milliseconds of the service's clock
 }
 
-// serviceTime is when the purge was made, on the service's clock.
+// serviceTime returns when the purge was issued, on the service's clock.
 func (p *purgeNotice) serviceTime() routing.Time {
 	return routing.Time(p.MadeAt) * routing.Time(time.Millisecond)
 }
 
-// state returns the endpoint's state.
+// state returns the endpoint's state, or an InvalidFieldError if the status is unknown.
 func (e *endpoint) state() (routing.State, error) {
 	switch e.Status {
 	case "ready":
@@ -65,7 +66,8 @@
 	return 0, &InvalidFieldError{Field: "status", Value: e.Status}
 }
 
-// validate checks the name, and the address of an endpoint that is not gone.
+// validate returns an InvalidFieldError if the name is invalid, or if the address is invalid and the endpoint is not
+// gone.
 func (e *endpoint) validate(state routing.State) error {
 	if e.Name == "" || len(e.Name) > maxNameLength || strings.ContainsAny(e.Name, ",=\r\n ") {
 		return &InvalidFieldError{Field: "name", Value: e.Name}
@@ -76,8 +78,8 @@
 	return nil
 }
 
-// parseEndpoint converts an endpoint. usable is false where it is in a zone or of a kind that the settings do not know:
-// no request goes to it.
+// parseEndpoint converts an entry of the list. It reports usable as false if the settings do not have the zone or the
+// kind of an endpoint that is not gone; no request is sent to such an endpoint.
 func (w *Watcher) parseEndpoint(entry *endpoint) (parsed director.Endpoint, usable bool, err error) {
 	state, err := entry.state()
 	if err != nil {
--- a/internal/discovery/flapping_test.go
+++ b/internal/discovery/flapping_test.go
@@ -132,7 +132,7 @@
 // Watches that break or stop when they are young, again and again, dials that fail between them and purges all the
 // time: each class of sequences keeps to its worst case, as worked out from the backoff, under each reading of when a
 // purge counts as notified. The worst drawn comes near to it, so that a backoff that waits longer is found.
-func TestYoungStreamsKeepToTheWorstCase(t *testing.T) {
+func TestFlappingServiceStaysWithinWorstCase(t *testing.T) {
 	for _, class := range faultClasses() {
 		all := worstOf(t, class)
 		allowances := [readingCount]time.Duration{
--- a/internal/discovery/random_sequences_test.go
+++ b/internal/discovery/random_sequences_test.go
@@ -139,7 +139,7 @@
 // Whatever the service does, refusing, silent, half events, events again, numbers behind and ahead, watches that break,
 // two services at once: each event reaches the sink once, in order, and none is skipped. When it is healthy again, all
 // that it has sent is applied within the time in which a drain must be, if no call has timed out of late.
-func TestEventsComeOnceInOrderWhateverHappens(t *testing.T) {
+func TestEventsAreAppliedOnceAndInOrder(t *testing.T) {
 	for seed := range uint64(300) {
 		h := startedHarness(t, 1+int(seed%2)*299)
 		service := &randomService{harness: h, rng: rand.New(rand.NewPCG(seed, 5))}
--- a/internal/discovery/redirect_test.go
+++ b/internal/discovery/redirect_test.go
@@ -12,7 +12,7 @@
 // A new configuration names another service: all directors are told at once, and each calls it when it is its turn.
 // The old one is followed until the new one is up, which may be late, or down at first; from then on nothing of it
 // counts, and no event is missed or comes twice.
-func TestRedirectFollowsTheOldFeedUntilTheNewIsUp(t *testing.T) {
+func TestRedirectKeepsOldWatchUntilNewIsUp(t *testing.T) {
 	h := startedHarness(t, 300)
 	old := h.open()
 	h.receive(t, 0, readyLine+"\n")
@@ -56,7 +56,7 @@
 }
 
 // The old service ends while the new one is being dialled: that dial replaces it, and no second one is made.
-func TestOldFeedEndsWhileTheNewIsDialled(t *testing.T) {
+func TestOldWatchEndsDuringRedirectDial(t *testing.T) {
 	h := startedHarness(t, 300)
 	h.open()
 	h.receive(t, 0, readyLine+"\n")
@@ -86,7 +86,7 @@
 }
 
 // Operators may name one service after another, or the same again: the next call is put off by none of that.
-func TestOrdersToMoveDoNotPutTheCallOff(t *testing.T) {
+func TestRedirectsDoNotPostponeCall(t *testing.T) {
 	for _, names := range []string{"bc", "b"} {
 		t.Run(names, func(t *testing.T) {
 			h := startedHarness(t, 300)
--- a/internal/discovery/resync_test.go
+++ b/internal/discovery/resync_test.go
@@ -52,7 +52,7 @@
 }
 
 // A replica that lags and catches up brings the events between without a new call.
-func TestServiceThatCatchesUpIsKept(t *testing.T) {
+func TestWatchIsKeptWhenServiceCatchesUp(t *testing.T) {
 	h := startedHarness(t, 1)
 	h.open()
 	h.receive(t, 0, readyLine+"\n")
--- a/internal/discovery/service_clock_test.go
+++ b/internal/discovery/service_clock_test.go
@@ -11,7 +11,7 @@
 
 // The service's clock is hours from ours, as either was stepped. The ages of purges follow from their stamps alone:
 // those of a backlog, and one that is announced as it is made, which is of now.
-func TestPurgesAreDatedByTheServicesClock(t *testing.T) {
+func TestPurgeTimesFollowServiceClock(t *testing.T) {
 	for _, offset := range []time.Duration{-time.Hour, -5 * time.Second, 0, 5 * time.Second, time.Hour} {
 		t.Run(offset.String(), func(t *testing.T) {
 			h := newHarness()
@@ -41,7 +41,7 @@
 
 // An endpoint's start keeps its time on our clock, whatever is learnt of the service's meanwhile: announced again, it
 // is no new incarnation.
-func TestAStartToldAgainIsTheSame(t *testing.T) {
+func TestRepeatedStartTimeIsSameIncarnation(t *testing.T) {
 	h := newHarness()
 	bootstrap := config.Bootstrap{Revision: 1, Events: []json.RawMessage{[]byte(readyLine)}}
 	if err := h.watcher.Bootstrap(bootstrap); err != nil {
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -11,22 +11,22 @@
 	"shaleyard/internal/eventloop"
 )
 
-// watch is one call of the list service: a dial, and the connection that comes of it.
+// watch is one call to the discovery service: a dial, and the connection that results from it.
 type watch struct {
 	watcher        *Watcher
 	conn           eventloop.Conn
-	partial        []byte // start of a line whose end has not come
-	productive     bool   // a usable line has come
-	revisionBehind bool   // the service's revision was behind ours when it last said it
-	fullResync     bool   // everything was requested: the first event replaces all that is known
+	partial        []byte // received start of an incomplete line
+	productive     bool   // a usable line has been received
+	revisionBehind bool   // the service's last heartbeat had a revision before the last applied event
+	fullResync     bool   // all events were requested, and the first one, a snapshot, has not been applied yet
 }
 
-// Opened takes a dial that has succeeded. From now on this watch is followed, and one before it is closed, so that no
-// event comes twice or out of order.
+// Opened handles a successful dial: it makes this watch the active one and subscribes. The previous watch is closed, so
+// that no event is received twice or out of order.
 func (w *watch) Opened(conn eventloop.Conn) {
 	watcher := w.watcher
 	if watcher.dialing != w {
-		_ = conn.Close() // Nothing was sent on it, and nothing depends on how it ends.
+		_ = conn.Close() // Nothing was sent on this connection, so an error of Close does not matter.
 		return
 	}
 	if previous := watcher.active; previous != nil {
@@ -48,8 +48,8 @@
 	}
 }
 
-// subscribe requests all events behind the last one that was applied, or all there are if the service numbers its
-// events anew.
+// subscribe requests all events after the last applied one, or all events if maxWatchesBehind watches show that the
+// service has restarted its revisions.
 func (w *watch) subscribe() error {
 	watcher := w.watcher
 	from := watcher.revision
@@ -66,8 +66,9 @@
 	return err
 }
 
-// Failed takes a dial that has failed. If it was refused or reset, the service is down; if it took too long, the
-// service is overloaded or unreachable, and more calls would make that worse.
+// Failed handles a failed dial. A connection that is refused or reset (ECONNREFUSED, ECONNRESET) means that the service
+// is down. Any other error counts as a timeout: the service is overloaded or unreachable, and more calls would add to
+// an overload.
 func (w *watch) Failed(err error) {
 	w.watcher.Counters.ConnectFailures++
 	if errors.Is(err, syscall.ECONNREFUSED) || errors.Is(err, syscall.ECONNRESET) {
@@ -77,8 +78,9 @@
 	w.watcher.endWatch(w, EndTimedOut)
 }
 
-// Closed takes the end of the connection. Events count as notified while the watch is down, so a productive watch is
-// replaced soon; the wait after one that never was, or broke off within a list, is longer, to spare a broken service.
+// Closed handles the end of the connection. Events count as notified while no watch is up, so a watch that received a
+// usable line is replaced soon. The wait after a watch that received none, or closed within its first list, is longer
+// to limit the load on a broken service.
 func (w *watch) Closed() {
 	if w.watcher.active == w {
 		w.watcher.Counters.Disconnects++
@@ -86,7 +88,8 @@
 	w.watcher.endWatch(w, w.endOnClose())
 }
 
-// endOnClose is how the watch ends if it is closed, or brings a line that can't be used.
+// endOnClose returns the WatchEnd of a watch that is closed by the service or receives an unusable line: EndBroken if
+// it had received a usable line before, EndUnusable otherwise.
 func (w *watch) endOnClose() WatchEnd {
 	if w.productive {
 		return EndBroken
@@ -94,7 +97,8 @@
 	return EndUnusable
 }
 
-// endOnSilence is how the watch ends if nothing has come for too long.
+// endOnSilence returns the WatchEnd of a watch whose silence timer expires: EndUnusable if the service's revision is
+// behind the last applied event, else EndSilent if the watch had received a usable line, else EndTimedOut.
 func (w *watch) endOnSilence() WatchEnd {
 	if w.revisionBehind {
 		return EndUnusable
@@ -105,8 +109,8 @@
 	return EndTimedOut
 }
 
-// Data takes received bytes and applies the lines that are complete. A line that can't be used ends the watch, and the
-// next one resumes behind the last event that was applied.
+// Data handles received bytes and applies the lines that are complete. An unusable line ends the watch, and the next
+// watch resumes after the last applied event.
 func (w *watch) Data(received []byte) error {
 	for len(received) > 0 {
 		if w.watcher.active != w {
@@ -125,7 +129,8 @@
 	return nil
 }
 
-// bufferPartial keeps the start of a line, up to the limit of a line's length.
+// bufferPartial stores the start of an incomplete line, or returns errLineTooLong if the line would exceed
+// MaxWatchLineBytes.
 func (w *watch) bufferPartial(start []byte) error {
 	if len(w.partial)+len(start) > w.watcher.limits.MaxWatchLineBytes {
 		w.watcher.Counters.BadLines++
@@ -135,7 +140,8 @@
 	return nil
 }
 
-// completeLine returns the line that ends with tail. It is valid until the next bytes are buffered.
+// completeLine returns the line that consists of the buffered start and tail. The returned slice is valid until the
+// next call of bufferPartial or completeLine.
 func (w *watch) completeLine(tail []byte) []byte {
 	if len(w.partial) == 0 {
 		return tail
@@ -144,24 +150,25 @@
 	return w.partial
 }
 
-// applyLine applies a complete line and resets the timer of silence.
+// applyLine applies a complete line and resets the silence timer. An unusable line ends the watch and is returned as an
+// error. The timer is not reset while the service's revision is behind the last applied event.
 func (w *watch) applyLine(line []byte) error {
 	watcher := w.watcher
 	watcher.Counters.Lines++
 	if err := watcher.applyLine(line, w); err != nil {
 		watcher.Counters.BadLines++
-		watcher.log.Warn("discovery line can't be used", zap.String("address", watcher.address), zap.Error(err))
+		watcher.log.Warn("invalid line from the discovery service", zap.String("address", watcher.address), zap.Error(err))
 		watcher.endWatch(w, w.endOnClose())
 		return err
 	}
 	w.partial = w.partial[:0]
-	if w.revisionBehind { // The service is alive but has no news: it has the time until the timer runs out to catch up.
+	if w.revisionBehind { // The service must catch up before the silence timer expires.
 		return nil
 	}
 	watcher.resetSilenceTimer(w)
 	w.productive = true
 	watcher.lastUsableLine = watcher.now()
-	if !watcher.redirecting { // Lines of the old service say nothing of calls of the new one.
+	if !watcher.redirecting { // Lines of the old service are no evidence about the new one.
 		watcher.backoff.RecordUsableLine(watcher.now())
 	}
 	return nil
--- a/internal/discovery/watch_end.go
+++ b/internal/discovery/watch_end.go
@@ -1,30 +1,31 @@
 package discovery
 
-// WatchEnd says how a call of the list service, or the watch that came of it, has ended.
+// WatchEnd represents the way in which a call to the discovery service, or the resulting watch, ended.
 type WatchEnd uint8
 
-// Ends differ in what the call cost the service and in whether events may have been missed, and so in the time until
-// the next call.
+// The ends differ in the load that the call put on the service and in whether events may have been missed. Both
+// determine the wait until the next call.
 const (
-	// EndRefused: the connection was refused or reset. That cost the service next to nothing, and it is most likely
-	// down: the next call is soon, as it may be up again at any moment.
+	// EndRefused means that the connection was refused or reset. The call put almost no load on the service, which is
+	// most likely down and may be up again at any moment, so the next call follows soon.
 	EndRefused WatchEnd = iota
-	// EndTimedOut: no connection was made in time, or no complete line came on it in time. The service is there but
-	// overloaded, and each further call adds to that.
+	// EndTimedOut means that no connection was established in time, or that no usable line was received on it in time.
+	// The service is most likely overloaded, and each further call adds to the overload.
 	EndTimedOut
-	// EndUnusable: a line could not be used, the first list broke off, or the service's revision stayed behind ours.
-	// The call was served in vain, and the next one would hardly go better at once.
+	// EndUnusable means that the watch failed or was closed before its first usable line, or that the service's revision
+	// stayed behind the last applied event. An immediate call would most likely fail in the same way.
 	EndUnusable
-	// EndBroken: a watch that had brought usable lines was closed. Events go on without us from now on.
+	// EndBroken means that a watch that had received usable lines was closed or received an unusable line. The director
+	// misses events from then on.
 	EndBroken
-	// EndSilent: such a watch brought nothing for BackoffConfig.SilenceTimeout. That time is lost from the time in
-	// which events must be applied.
+	// EndSilent means that a watch that had received usable lines received none for BackoffConfig.SilenceTimeout. That
+	// time counts toward the time within which events must be applied.
 	EndSilent
 
 	numWatchEnds = iota
 )
 
-// String names the end, for logs and counters.
+// String returns the name of the end that logs and counters use.
 func (e WatchEnd) String() string {
 	return [...]string{"refused", "timed out", "unusable", "broken", "silent"}[e]
 }
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -13,37 +13,38 @@
 	"shaleyard/routing"
 )
 
-// maxWatchesBehind is how many watches in a row, each with WatchSilenceTimeout to catch up, may have a revision behind
-// ours before the service counts as one that numbers its events anew. They follow each other at the waits after
-// unusable ends, which together are well over the time after which events count as notified: nothing is lost by
-// waiting, and a replica that lags is not mistaken for a service that begins anew.
+// maxWatchesBehind is the number of consecutive watches whose revision was before the last applied event after which the
+// service counts as having restarted its revisions. Each watch has WatchSilenceTimeout to catch up. Together with the
+// waits after EndUnusable between them, this takes well over the time after which events count as notified. Waiting that
+// long loses no event, and a lagging replica is not mistaken for a service that restarted its revisions.
 const maxWatchesBehind = 5
 
-// Sink receives the endpoint updates and purges. The director implements it.
+// Sink receives the endpoint updates and purges of a Watcher. The director implements it.
 type Sink interface {
-	// UpdateEndpoints takes the whole list (full) or the entries of it that have changed, with the list's version.
+	// UpdateEndpoints replaces all endpoints by the list if full is true, and otherwise updates only those in the list.
+	// version is the version of the service's list.
 	UpdateEndpoints(full bool, version uint64, list []director.Endpoint)
-	// Purge takes a purge of an object or of a group.
+	// Purge invalidates the cached copies of an object, a group, or an object in a group.
 	Purge(director.Purge)
 }
 
-// Config is what a Watcher is made of. Limits are kept, not copied.
+// Config holds the parameters and dependencies of a Watcher.
 type Config struct {
-	Limits   *config.Limits
-	Settings *routing.Settings // name the zones and kinds of the list's entries
-	Address  string            // of the list service
-	Backoff  *Backoff          // says when the service is called
+	Limits   *config.Limits    // kept as a pointer, so later changes of the limits take effect
+	Settings *routing.Settings // defines the zones and kinds that list entries may have
+	Address  string            // address of the discovery service
+	Backoff  *Backoff          // schedules the calls to the service
 	Dialer   eventloop.Dialer
 	Sink     Sink
 	Timers   *timer.Queue
 	Now      func() routing.Time
 	Log      *zap.Logger
 
-	// OnFirstConnect, if set, is called once, when the service is connected for the first time.
+	// OnFirstConnect, if set, is called once, when the first connection to the service is established.
 	OnFirstConnect func()
 }
 
-// Watcher keeps a watch of one list service up.
+// Watcher maintains a watch of one discovery service.
 type Watcher struct {
 	Counters Counters
 
@@ -55,31 +56,31 @@
 	now            func() routing.Time
 	log            *zap.Logger
 	onFirstConnect func()         // nil: none
-	zones          map[string]int // index of a zone in the settings, by its name
-	kinds          map[string]int // likewise of a kind of server
-
-	// What is known of the list.
-	revision       uint64 // last event that was applied
-	listVersion    uint64 // latest version of the list
-	endpoints      map[string]endpointState
-	serviceClock   clock.PeerClock // the service's clock, as the stamps of purges show it
-	watchesBehind  int             // watches in a row whose revision was behind ours
-	resyncing      bool            // the service has numbered its events anew, and its latest has not been reached
-	everConnected  bool            // a watch has been opened since the start
-	lastUsableLine routing.Time    // when the last line came that could be used; 0: none has
-
-	// Calls of the service.
+	zones          map[string]int // index of each zone in the settings, by name
+	kinds          map[string]int // index of each kind of server in the settings, by name
+
+	// State of the endpoint list and the event sequence.
+	revision       uint64                   // revision of the last applied event
+	listVersion    uint64                   // latest version of the list
+	endpoints      map[string]endpointState // latest known states, by name of the endpoint
+	serviceClock   clock.PeerClock          // offset of the service's clock, estimated from the timestamps of purges
+	watchesBehind  int                      // consecutive watches with a service revision before the last applied event
+	resyncing      bool                     // the service has restarted its revisions, and its latest is not reached yet
+	everConnected  bool                     // a watch has been opened since the start
+	lastUsableLine routing.Time             // when the last usable line was received; 0: none yet
+
+	// State of the calls to the service.
 	backoff        *Backoff
-	dialTime       routing.Time // when the latest call was made, or will be
-	active         *watch       // the watch that is followed; nil: none
+	dialTime       routing.Time // time of the latest call, or of the next call if it is scheduled
+	active         *watch       // the open watch whose events are applied; nil: none
 	dialing        *watch       // the watch that is being dialled; nil: none
-	pendingAddress string       // address to go over to with the next dial; "": none
-	redirecting    bool         // a new address is being called and its watch is not up yet
-	silenceTimer   timer.Timer  // ends the active watch
-	redialTimer    timer.Timer  // makes the next call
+	pendingAddress string       // address to which the next dial switches; "": none
+	redirecting    bool         // a new address has been dialled, and its watch is not up yet
+	silenceTimer   timer.Timer  // ends the active watch when it expires
+	redialTimer    timer.Timer  // starts the next dial when it expires
 }
 
-// New returns a Watcher, which does nothing before Start.
+// New returns a Watcher that makes no call to the service before Start.
 func New(cfg Config) *Watcher {
 	return &Watcher{
 		limits:         cfg.Limits,
@@ -97,6 +98,7 @@
 	}
 }
 
+// indexByName returns the index of each name in names.
 func indexByName(names []string) map[string]int {
 	index := make(map[string]int, len(names))
 	for i, name := range names {
@@ -105,31 +107,34 @@
 	return index
 }
 
-// Start calls the service when it is this director's turn, and keeps a watch up from then on.
+// Start schedules the first call in this director's slot of the start window. From then on the Watcher maintains a
+// watch.
 func (w *Watcher) Start() {
 	w.scheduleDial(w.backoff.FirstCall(w.now()))
 }
 
-// DialTime is when the latest call was made, or will be.
+// DialTime returns the time of the latest call, or of the next call if it is scheduled.
 func (w *Watcher) DialTime() routing.Time { return w.dialTime }
 
-// Connected reports whether a watch is up.
+// Connected reports whether a watch is open.
 func (w *Watcher) Connected() bool { return w.active != nil }
 
-// EverConnected reports whether a watch has been opened since the start, so that the list has been received or is on
-// its way. A director that has lost its watch since goes on with the list that it has.
+// EverConnected reports whether a watch has been opened since the start, so that the endpoint list has been received or
+// is being received. A director that has lost its watch continues with the list that it has.
 func (w *Watcher) EverConnected() bool { return w.everConnected }
 
-// LastUsableLine is when the last line came that could be used; 0 if none has.
+// LastUsableLine returns when the last usable line was received, or 0 if none has been received. A line is usable if it
+// was applied or ignored without an error and the service's revision is not behind the last applied event.
 func (w *Watcher) LastUsableLine() routing.Time { return w.lastUsableLine }
 
+// scheduleDial schedules the next dial, in place of one that is scheduled already.
 func (w *Watcher) scheduleDial(at routing.Time) {
 	w.dialTime = at
 	w.timers.Schedule(&w.redialTimer, at, w.dial)
 }
 
-// dial opens a watch. If one is up, because the configuration names another service now, it is followed until the new
-// one is up: events it brings count as notified, and the new service may be down or slow.
+// dial starts to dial a new watch, at the new address if one is pending. After a redirect the active watch stays up
+// until the new one is open, because its events count as notified and the new service may be down or slow.
 func (w *Watcher) dial() {
 	if w.pendingAddress != "" {
 		w.address = w.pendingAddress
@@ -140,14 +145,14 @@
 	w.dialer.Dial(w.address, w.limits.ConnectTimeout, w.dialing)
 }
 
-// endWatch gives up a watch, or a dial that has failed, and schedules the next call. If the next watch is being dialled
-// already, that one replaces it. A watch that was given up before is ignored.
+// endWatch ends the active watch, or a failed dial, and schedules the next call. If the active watch ends while the
+// next one is being dialled, no further call is scheduled. A watch that has already ended or been replaced is ignored.
 func (w *Watcher) endWatch(ended *watch, end WatchEnd) {
 	switch ended {
 	case w.active:
 		w.active = nil
 		w.timers.Cancel(&w.silenceTimer)
-		_ = ended.conn.Close() // The watch has ended, however the close does.
+		_ = ended.conn.Close() // The watch has ended, so an error of Close does not matter.
 	case w.dialing:
 		w.dialing = nil
 	default:
@@ -164,10 +169,10 @@
 	w.scheduleDial(at)
 }
 
-// Redirect goes over to the service at another address and resumes behind the last event that was applied. All
-// directors are redirected at once, so each one waits for its turn, and follows its present watch until then. A call
-// that was due before is made at its time, to the new address: however often the address changes, the next call comes
-// no later.
+// Redirect switches to the service at another address and resumes after the last applied event. All directors are
+// redirected at once, so each one calls the new address in its own slot and keeps its current watch until then. A call
+// that is already scheduled for an earlier time is made at that time, to the new address. Repeated redirects therefore
+// never postpone the next call.
 func (w *Watcher) Redirect(address string) {
 	wasPending := w.pendingAddress != ""
 	if address == cmp.Or(w.pendingAddress, w.address) {
@@ -185,15 +190,16 @@
 	w.scheduleDial(at)
 }
 
-// HandlePause restarts the timer of silence after a pause of the process, in which it could not read what was sent.
+// HandlePause restarts the silence timer after a pause of the process, during which the process could not read received
+// lines.
 func (w *Watcher) HandlePause() {
 	if w.Connected() {
 		w.resetSilenceTimer(w.active)
 	}
 }
 
-// resetSilenceTimer bounds the time to the next line of the active watch. A watch that is cut off by the network brings
-// nothing, neither lines nor its end, while its events count as notified all the same.
+// resetSilenceTimer restarts the timer that ends the watch after WatchSilenceTimeout. When the network fails, a watch
+// receives neither lines nor a close, while the service's events still count as notified.
 func (w *Watcher) resetSilenceTimer(source *watch) {
 	w.timers.Schedule(&w.silenceTimer, w.now()+w.limits.WatchSilenceTimeout, func() {
 		w.Counters.SilenceTimeouts++
--- a/internal/discovery/watcher_test.go
+++ b/internal/discovery/watcher_test.go
@@ -75,7 +75,7 @@
 }
 
 // A watch that is cut off brings neither lines nor its end: its events count as notified all the same.
-func TestSilentFeedIsReplaced(t *testing.T) {
+func TestSilentWatchIsReplaced(t *testing.T) {
 	h := startedHarness(t, 1)
 	link := h.open()
 	for range 5 {
@@ -95,7 +95,7 @@
 
 // While no watch is up, events count as notified: a productive watch is replaced in our turn, which is at once for a
 // director alone; one that closes without a line, later.
-func TestLostFeedIsReplaced(t *testing.T) {
+func TestLostWatchIsReplaced(t *testing.T) {
 	h := startedHarness(t, 1)
 	h.open()
 	h.receiveHeartbeats(t, 4)
@@ -116,7 +116,7 @@
 
 // All directors of a fleet lose the service at once. This one waits for its turn, and no longer than the rule on
 // purges leaves.
-func TestLossInAFleetWaitsForItsTurn(t *testing.T) {
+func TestFleetReconnectWaitsForSlot(t *testing.T) {
 	h := startedHarness(t, 300)
 	h.open()
 	h.receiveHeartbeats(t, 4)
@@ -132,7 +132,7 @@
 }
 
 // Refusals and timeouts are told apart: a call after timeouts comes far later.
-func TestFailedDialsAreToldApart(t *testing.T) {
+func TestRefusedDialsAreRetriedSoonerThanTimeouts(t *testing.T) {
 	callsIn20s := func(err error) int {
 		h := startedHarness(t, 300)
 		for range 200 {
@@ -152,7 +152,7 @@
 
 // A line that can't be used on a watch that was productive until then is a break: the events behind it are asked for at
 // once, also where the watch was young, as a purge may be among them.
-func TestBadLineOnAGoodStreamIsMendedSoon(t *testing.T) {
+func TestInvalidLineOnUsableWatchReconnectsSoon(t *testing.T) {
 	h := startedHarness(t, 300)
 	h.open()
 	h.receive(t, 0, readyLine+"\n")
@@ -165,7 +165,7 @@
 }
 
 // A list that breaks off half-way brings nothing; the next call comes behind the last whole event.
-func TestHalfAListIsNoList(t *testing.T) {
+func TestTruncatedListIsNotApplied(t *testing.T) {
 	h := startedHarness(t, 1)
 	h.open()
 	h.receive(t, 0, readyLine[:len(readyLine)/2])
@@ -181,7 +181,7 @@
 }
 
 // A watch that opens and hangs half-way through a list is of a service that is overloaded.
-func TestHangWithinAListIsATimeOut(t *testing.T) {
+func TestStallWithinListIsATimeout(t *testing.T) {
 	h := startedHarness(t, 1)
 	link := h.open()
 	h.receive(t, 0, readyLine[:len(readyLine)/2])
@@ -191,7 +191,7 @@
 	}
 }
 
-func TestBootstrapMustAddUp(t *testing.T) {
+func TestBootstrapRejectsInvalidRevisions(t *testing.T) {
 	for _, tc := range []struct {
 		name      string
 		bootstrap config.Bootstrap
