--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -9,10 +9,10 @@
 	"shaleyard/routing"
 )
 
-// Whatever the difference of the clocks, however late events come, and however the peer's clock is set meanwhile: no
-// event is taken for older than it is by more than the step that can't be told from events out of order, nor for one of
-// the future. (Set back between two events that are further apart than the step, a clock can't be told from a late
-// event.)
+// No event appears older than it is by more than clockStepThreshold, and none appears to be in the future, for any
+// offset of the clocks, any delay of up to 0.5 s and any steps of the peer's clock. Steps back that are smaller than
+// the threshold can't be distinguished from events that arrive out of order. A clock that is set back between two
+// events by less than the time between them can't be distinguished from a late event.
 func TestPeerStampsAreNeverTakenForOlder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		hour, seconds := int64(time.Hour), int64(5*time.Second)
@@ -22,26 +22,26 @@
 		var peer PeerClock
 		for range rapid.IntRange(1, 40).Draw(t, "events") {
 			now += routing.Time(rapid.Int64Range(0, int64(2*time.Second)).Draw(t, "pause"))
-			if rapid.IntRange(0, 9).Draw(t, "step") == 0 { // back by an hour or by seconds, or forward
+			if rapid.IntRange(0, 9).Draw(t, "step") == 0 { // forward or back, by an hour or by 5 s
 				difference += routing.Time(steps.Draw(t, "by"))
 			}
 			delay := routing.Time(rapid.Int64Range(0, int64(500*time.Millisecond)).Draw(t, "delay"))
-			made := now - delay
-			stamp := made - difference
+			occurred := now - delay
+			stamp := occurred - difference
 			peer.Observe(stamp, now)
 			at := peer.Local(stamp)
-			if at < made-routing.Time(clockStepThreshold) {
-				t.Fatalf("an event of %v ago is taken for one of %v ago", delay, now-at)
+			if at < occurred-routing.Time(clockStepThreshold) {
+				t.Fatalf("got age %v, want at most %v more than %v", now-at, clockStepThreshold, delay)
 			}
 			if at > now {
-				t.Fatalf("an event is taken for one of the future, by %v", at-now)
+				t.Fatalf("got a time %v in the future, want none later than now", at-now)
 			}
 		}
 	})
 }
 
-// A list of what was missed comes at once: the age of each event follows from the stamps alone, also where our own wall
-// clock was an hour off at the start.
+// A backlog of missed events arrives at one moment, so the age of each event follows from the timestamps alone. This
+// also holds if the local wall clock was off by an hour at the start.
 func TestBacklogStampsKeepRelativeAges(t *testing.T) {
 	now := routing.Time(1_764_576_000*time.Second) + time.Hour
 	var peer PeerClock
@@ -62,6 +62,6 @@
 func TestClockIsMonotonic(t *testing.T) {
 	c := New()
 	if first, second := c.Now(), c.Now(); second < first {
-		t.Errorf("%v after %v", second, first)
+		t.Errorf("got %v after %v, want no decrease", second, first)
 	}
 }
--- a/internal/discovery/apply.go
+++ b/internal/discovery/apply.go
@@ -212,8 +212,8 @@
 }
 
 // startTime returns when an endpoint was started, on the local clock, or 0 if it has no late start. The time of one
-// start is converted once and then reused, even if the estimated offset of the service's clock changes: a different time
-// would mean a new incarnation of the endpoint.
+// start is converted once and then reused, even if the estimated offset of the service's clock changes: a different
+// time would mean a new incarnation of the endpoint.
 func (w *Watcher) startTime(entry *endpoint) routing.Time {
 	if entry.SinceMS == 0 {
 		return 0
@@ -247,7 +247,8 @@
 
 // heartbeat handles a line with only the service's latest revision. A revision after the last applied one is an error,
 // because events are missing. A revision before it means that the service lags or was restored from a backup, so that
-// its next events may differ from those after the last applied event; this is counted once until the service catches up.
+// its next events may differ from those after the last applied event; this is counted once until the service catches
+// up.
 func (w *Watcher) heartbeat(revision uint64, source *watch) error {
 	if source == nil || source.fullResync {
 		return nil
--- a/internal/discovery/backoff.go
+++ b/internal/discovery/backoff.go
@@ -30,8 +30,8 @@
 	// CallDuration is the longest time that a call to a healthy service takes to connect, subscribe and read the missed
 	// events.
 	CallDuration time.Duration
-	// MinWait is the shortest wait after a failed call, for any size of the fleet. It does not apply if the first failure
-	// in a row is a watch that broke or fell silent after usable lines.
+	// MinWait is the shortest wait after a failed call, for any size of the fleet. It does not apply if the first
+	// failure in a row is a watch that broke or fell silent after usable lines.
 	MinWait time.Duration
 }
 
@@ -193,8 +193,8 @@
 }
 
 // waitAfterUnusable returns a random wait of half to all of maxWaitAfterBreak after the first EndUnusable in a row, and
-// of half to all of maxWaitWhileDown after the following ones. The first wait is short because a watch that breaks within
-// its first event also ends as EndUnusable.
+// of half to all of maxWaitWhileDown after the following ones. The first wait is short because a watch that breaks
+// within its first event also ends as EndUnusable.
 func (b *Backoff) waitAfterUnusable() time.Duration {
 	b.unusableEnds++
 	if b.unusableEnds == 1 {
@@ -205,9 +205,9 @@
 
 // waitAfterYoungWatch returns the wait after a watch that was usable for less than settleTime. The watch had received
 // usable lines, so the service is up and not overloaded, and the events that the break cut off are due as soon as after
-// a stable watch. The watch is therefore replaced within the return window if it is the first failure in a row or if two
-// or more tokens are left. Otherwise the wait is random, at least half of maxWaitWhileDown, and reserveCall extends it if
-// no token is left.
+// a stable watch. The watch is therefore replaced within the return window if it is the first failure in a row or if
+// two or more tokens are left. Otherwise the wait is random, at least half of maxWaitWhileDown, and reserveCall extends
+// it if no token is left.
 func (b *Backoff) waitAfterYoungWatch(now routing.Time) time.Duration {
 	if b.failures == 1 {
 		b.breaks++
@@ -233,10 +233,10 @@
 }
 
 // slot returns the wait until this director's slot in the window. Windows are aligned to the clock and follow each
-// other without gaps, and each director has its own slot in each window. Calls that become due on all directors at about
-// the same time are therefore evenly spread, however long each process takes to start or to detect the loss. The time
-// within the slot is random, so that two directors with the same index do not always collide. The slot moves with each
-// break, by the golden ratio, so that no director is always the last.
+// other without gaps, and each director has its own slot in each window. Calls that become due on all directors at
+// about the same time are therefore evenly spread, however long each process takes to start or to detect the loss. The
+// time within the slot is random, so that two directors with the same index do not always collide. The slot moves with
+// each break, by the golden ratio, so that no director is always the last.
 func (b *Backoff) slot(now routing.Time, window time.Duration) time.Duration {
 	if window <= 0 {
 		return 0
@@ -268,8 +268,8 @@
 }
 
 // reserveCall takes a token for a call that is made after the wait, and returns the time of the call. The bucket gains
-// one token per maxWaitWhileDown. If no token is left, the call is postponed until the next one is added, by at
-// most maxWaitWhileDown. Once the bucket is empty, a flapping service thus receives at most one call per director in that
+// one token per maxWaitWhileDown. If no token is left, the call is postponed until the next one is added, by at most
+// maxWaitWhileDown. Once the bucket is empty, a flapping service thus receives at most one call per director in that
 // time.
 func (b *Backoff) reserveCall(now routing.Time, wait time.Duration) routing.Time {
 	at := now + wait
--- a/internal/discovery/backoff_test.go
+++ b/internal/discovery/backoff_test.go
@@ -10,7 +10,8 @@
 	"shaleyard/routing"
 )
 
-// platformConfig is the configuration that the platform's pages lead to, for one director of a fleet.
+// platformConfig returns the backoff parameters that the platform's documentation specifies, for one director of a
+// fleet.
 func platformConfig(directors, index int) BackoffConfig {
 	return BackoffConfig{
 		Directors:        directors,
@@ -25,10 +26,10 @@
 	}
 }
 
-// earnTime is the time in which the budget of platformConfig earns a call.
-const earnTime = 1500 * time.Millisecond
+// tokenInterval is the time in which the call budget of platformConfig gains one token.
+const tokenInterval = 1500 * time.Millisecond
 
-// peakToMean is the busiest 100 ms of calls over their mean in the span.
+// peakToMean returns the number of calls in the busiest 100 ms, divided by the mean number per 100 ms of the span.
 func peakToMean(calls []routing.Time, from, span routing.Time) float64 {
 	const step = 100 * time.Millisecond
 	bins := make([]int, int(span/step)+1)
@@ -41,22 +42,22 @@
 	return float64(busiest) / (float64(len(calls)) / (float64(span) / float64(step)))
 }
 
-// checkBudget returns an error if any span has more calls than a number that is saved up and what is earned in the
-// span.
-func checkBudget(calls []routing.Time, saved float64) error {
+// checkBudget returns an error if any time span has more calls than the bucket's capacity plus the tokens that are
+// added during the span.
+func checkBudget(calls []routing.Time, capacity float64) error {
 	for i := range calls {
 		for j := i; j < len(calls); j++ {
 			span := calls[j] - calls[i]
-			if most := saved + 1e-6 + float64(span)/float64(earnTime); float64(j-i+1) > most {
-				return fmt.Errorf("%d calls in %v", j-i+1, span)
+			if most := capacity + 1e-6 + float64(span)/float64(tokenInterval); float64(j-i+1) > most {
+				return fmt.Errorf("got %d calls in %v, want at most %.2f", j-i+1, span, most)
 			}
 		}
 	}
 	return nil
 }
 
-// Directors that start at one moment, and that lose a healthy watch at one moment, must not call at one moment.
-// Every one is back within the time that the rule on drains leaves.
+// Directors that start at the same moment, or lose a healthy watch at the same moment, must not call at the same
+// moment. After the loss every director reconnects within 0.4 s, which leaves time to apply purges.
 func TestFleetSpreadsItsCalls(t *testing.T) {
 	for _, directors := range []int{24, 60, 300} {
 		for seed := range uint64(5) {
@@ -72,46 +73,49 @@
 				back := backoff.NextCall(loss, EndBroken)
 				returns = append(returns, back)
 				if back-loss > 400*time.Millisecond {
-					t.Errorf("%d directors: number %d is back after %v", directors, index, back-loss)
+					t.Errorf("%d directors, index %d: got a wait of %v, want at most 400ms",
+						directors, index, back-loss)
 				}
 			}
 			backoff := NewBackoff(platformConfig(directors, 0), 0)
 			if peak := peakToMean(starts, begin, backoff.StartWindow()); peak > 2 {
-				t.Errorf("%d directors, seed %d: the busiest 100 ms of the start has %.2f times the mean",
+				t.Errorf("%d directors, seed %d: got %.2f times the mean in 100 ms of the start, want at most 2",
 					directors, seed, peak)
 			}
 			if peak := peakToMean(returns, loss, backoff.ReturnWindow()); peak > 2 {
-				t.Errorf("%d directors, seed %d: the busiest 100 ms of the return has %.2f times the mean",
+				t.Errorf("%d directors, seed %d: got %.2f times the mean in 100 ms of the return, want at most 2",
 					directors, seed, peak)
 			}
 		}
 	}
 }
 
-// A director that takes requests from the first moment on has no more time for its first call than for its return.
+// Without a StartWindow, as for a director that accepts requests immediately after its start, the first call is made
+// within the return window.
 func TestFirstCallUsesReturnWindowByDefault(t *testing.T) {
 	for index := range 300 {
 		config := platformConfig(300, index)
 		config.StartWindow = 0
 		if wait := NewBackoff(config, uint64(index)).FirstCall(time.Hour) - time.Hour; wait > 400*time.Millisecond {
-			t.Fatalf("number %d calls after %v", index, wait)
+			t.Fatalf("index %d: got a wait of %v, want at most 400ms", index, wait)
 		}
 	}
 }
 
-// One director alone has nobody to spread from.
+// A single director can't overload the service, so it makes its first call and reconnects without a wait.
 func TestSingleDirectorCallsImmediately(t *testing.T) {
 	backoff := NewBackoff(platformConfig(1, 0), 1)
 	if at := backoff.FirstCall(time.Second); at != time.Second {
-		t.Errorf("first call at %v", at)
+		t.Errorf("got the first call at %v, want 1s", at)
 	}
 	backoff.RecordUsableLine(time.Second)
 	if at := backoff.NextCall(10*time.Second, EndBroken); at != 10*time.Second {
-		t.Errorf("back at %v", at)
+		t.Errorf("got the next call at %v, want 10s", at)
 	}
 }
 
-// Silence has used up most of the time in which events must be applied.
+// A watch is silent for SilenceTimeout before it ends, which is most of the time within which events must be applied.
+// The wait after it is therefore shorter, at most 0.2 s.
 func TestReturnWindowIsShorterAfterSilence(t *testing.T) {
 	for index := range 300 {
 		backoff := NewBackoff(platformConfig(300, index), uint64(index))
@@ -119,12 +123,13 @@
 		backoff.RecordUsableLine(at)
 		ended := at + 10*time.Second
 		if wait := backoff.NextCall(ended, EndSilent) - ended; wait > 200*time.Millisecond {
-			t.Fatalf("number %d waits %v after a silence", index, wait)
+			t.Fatalf("index %d: got a wait of %v after a silence, want at most 200ms", index, wait)
 		}
 	}
 }
 
-// A service that is down is called again soon; one that is overloaded, ever less often.
+// A service that refuses connections is called again soon, after a mean wait of at most 1.6 s. The waits after
+// consecutive timeouts grow, because the service may be overloaded. The waits after unusable lines stay bounded.
 func TestBackoffDependsOnKindOfFailure(t *testing.T) {
 	meanWait := func(end WatchEnd, failures int) (mean time.Duration) {
 		for seed := range uint64(200) {
@@ -142,24 +147,25 @@
 	}
 	first, late := meanWait(EndRefused, 1), meanWait(EndRefused, 8)
 	if first > 300*time.Millisecond || late > 1600*time.Millisecond {
-		t.Errorf("refused: %v at first, %v later", first, late)
+		t.Errorf("refused: got mean waits %v first and %v later, want at most 300ms and 1.6s", first, late)
 	}
 	first, late = meanWait(EndTimedOut, 1), meanWait(EndTimedOut, 8)
 	second := meanWait(EndTimedOut, 2)
 	if first < 700*time.Millisecond || second < first*3/2 || late < 4*time.Second {
-		t.Errorf("timed out: %v, %v, later %v", first, second, late)
+		t.Errorf("timed out: got mean waits %v, %v and later %v, want at least 700ms, 1.5 times the first, and 4s",
+			first, second, late)
 	}
 	if late := meanWait(EndUnusable, 8); late < 1000*time.Millisecond || late > 1600*time.Millisecond {
-		t.Errorf("unusable: later %v", late)
+		t.Errorf("unusable: got a later mean wait of %v, want 1s to 1.6s", late)
 	}
 }
 
-// Whatever the service does, no wait is longer than events may be late, and calls keep to the budget: in any span there
-// are no more than what was saved and one for each 1.5 s of it.
+// For any sequence of ends, no wait exceeds the time within which events must be applied, and the calls stay within the
+// budget: any time span has at most the bucket's capacity of calls plus one call per 1.5 s.
 func TestWaitsAndCallBudgetAreBounded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		directors := rapid.IntRange(1, 400).Draw(t, "directors")
-		index := rapid.IntRange(0, directors-1).Draw(t, "me")
+		index := rapid.IntRange(0, directors-1).Draw(t, "index")
 		backoff := NewBackoff(platformConfig(directors, index), rapid.Uint64().Draw(t, "seed"))
 		nanoseconds := rapid.Custom(func(t *rapid.T) routing.Time {
 			return routing.Time(rapid.Int64Range(0, 1e12).Draw(t, "ns"))
@@ -170,7 +176,7 @@
 		calls := make([]routing.Time, 0, steps)
 		for range steps {
 			if due < now {
-				t.Fatalf("a call at %v, which has passed at %v", due, now)
+				t.Fatalf("got a call at %v, want none before the current time %v", due, now)
 			}
 			now = due
 			calls = append(calls, now)
@@ -182,20 +188,21 @@
 				backoff.RecordUsableLine(now)
 			}
 			end := WatchEnd(rapid.IntRange(0, int(EndSilent)).Draw(t, "end"))
-			if rapid.IntRange(0, 9).Draw(t, "moved") == 0 {
+			if rapid.IntRange(0, 9).Draw(t, "redirected") == 0 {
 				due = backoff.RedirectCall(now)
 			} else {
 				due = backoff.NextCall(now, end)
 			}
 			wait := due - now
 			if wait > 6500*time.Millisecond || (end != EndTimedOut && end != EndSilent && wait > 3*time.Second) {
-				t.Fatalf("waits %v after %v, served for %v", wait, end, served)
+				t.Fatalf("got a wait of %v after %v, want at most 6.5s (timed out, silent) or 3s; usable for %v",
+					wait, end, served)
 			}
 			if served >= settleTime && wait > 400*time.Millisecond {
-				t.Fatalf("waits %v after a watch that was usable for %v", wait, served)
+				t.Fatalf("got a wait of %v after a watch that was usable for %v, want at most 400ms", wait, served)
 			}
 			if tokens := backoff.tokens; tokens < 0 || tokens > maxSavedCalls {
-				t.Fatalf("%v calls saved", tokens)
+				t.Fatalf("got %v tokens, want 0 to %d", tokens, maxSavedCalls)
 			}
 		}
 		if err := checkBudget(calls, maxSavedCalls+1); err != nil {
@@ -204,7 +211,7 @@
 	})
 }
 
-// A watch that settles clears what failed before; a flapping one does not.
+// A watch that was usable for settleTime resets the count of failures; short watches of a flapping service do not.
 func TestOnlyStableWatchResetsFailures(t *testing.T) {
 	backoff := NewBackoff(platformConfig(300, 0), 1)
 	now := backoff.FirstCall(0)
@@ -213,17 +220,17 @@
 		now = backoff.NextCall(now+100*time.Millisecond, EndBroken)
 	}
 	if backoff.Failures() != 3 {
-		t.Errorf("%d failures after three watches of 0.1 s, want 3", backoff.Failures())
+		t.Errorf("got %d failures after three watches of 0.1 s, want 3", backoff.Failures())
 	}
 	backoff.RecordUsableLine(now)
 	backoff.RecordUsableLine(now + settleTime)
 	if backoff.Failures() != 0 {
-		t.Errorf("%d failures after a settled watch", backoff.Failures())
+		t.Errorf("got %d failures after a stable watch, want 0", backoff.Failures())
 	}
 }
 
-// A watch that was usable for a moment and falls silent is a break, not a call that the service had no time for: drains
-// must be applied within ApplyWithin, and a window that grows with each failure goes past that.
+// A watch that was usable for a moment and then receives no lines counts as broken, not as timed out. The backoff
+// window of timeouts grows past ApplyWithin, within which drains must be applied.
 func TestSilenceOfShortWatchIsNotATimeout(t *testing.T) {
 	for seed := range uint64(50) {
 		backoff := NewBackoff(platformConfig(300, int(seed)), seed)
@@ -232,19 +239,20 @@
 			backoff.RecordUsableLine(now + 10*time.Millisecond)
 			now += 2 * time.Second
 			next := backoff.NextCall(now, EndSilent)
-			if wait := next - now; wait > earnTime {
-				t.Errorf("seed %d: %v after silence %d of a young watch", seed, wait, i+1)
+			if wait := next - now; wait > tokenInterval {
+				t.Errorf("seed %d: got a wait of %v after silence %d of a short watch, want at most %v",
+					seed, wait, i+1, tokenInterval)
 			}
 			now = next
 		}
 	}
 }
 
-// A watch that breaks soon after it was opened leaves purges unheard as one that was usable for long does, and is
-// replaced as soon, also when it does so again: what it has cut off counts as notified when the service is called
-// again. But a service that flaps costs no more than the budget: what was saved up, and one call in each earnTime.
+// A watch that breaks soon after it was opened misses purges just like a long one, and is replaced as soon, also
+// repeatedly: the missed purges count as notified when the service is called again. A flapping service still receives
+// no more calls than the budget allows: the bucket's capacity, and one call per tokenInterval.
 func TestBrokenShortWatchesAreReplacedWithinBudget(t *testing.T) {
-	const budget = 4 // calls at once
+	const budget = 4 // capacity of the token bucket
 	for _, directors := range []int{1, 12, 300} {
 		for seed := range uint64(50) {
 			backoff := NewBackoff(platformConfig(directors, int(seed)%directors), seed)
@@ -260,11 +268,11 @@
 				switch {
 				case i == 0:
 					least, most = 0, 400*time.Millisecond
-				case i < budget-2: // the first call was one, and one is kept
+				case i < budget-2: // the first call took a token, and the last one is not spent this soon
 					least, most = 100*time.Millisecond, 400*time.Millisecond
 				}
 				if wait < least || wait > most {
-					t.Errorf("%d directors, seed %d: %v after break %d of a young watch, want %v to %v",
+					t.Errorf("%d directors, seed %d: got a wait of %v after break %d of a short watch, want %v to %v",
 						directors, seed, wait, i+1, least, most)
 				}
 				now = next
@@ -277,7 +285,8 @@
 	}
 }
 
-// A fleet whose young watches break at one moment, and again, comes back in an even stream each time.
+// If the short watches of a whole fleet break at the same moment, twice in a row, the reconnects are evenly spread each
+// time.
 func TestFleetSpreadsReconnectsToFlappingService(t *testing.T) {
 	const directors = 300
 	for seed := range uint64(5) {
@@ -287,26 +296,27 @@
 			fleet[index].FirstCall(100 * time.Second)
 		}
 		now := 101 * time.Second
-		for i := range 2 { // the next one is at random, as the budget is nearly spent
+		for i := range 2 { // after a third break the wait is random, because the budget is nearly spent
 			returns := make([]routing.Time, 0, len(fleet))
 			for _, backoff := range fleet {
 				backoff.RecordUsableLine(now)
 				back := backoff.NextCall(now, EndBroken)
 				if back-now > 400*time.Millisecond {
-					t.Fatalf("seed %d: back %v after break %d", seed, back-now, i+1)
+					t.Fatalf("seed %d: got a wait of %v after break %d, want at most 400ms", seed, back-now, i+1)
 				}
 				returns = append(returns, back)
 			}
 			if peak := peakToMean(returns, now, fleet[0].ReturnWindow()); peak > 2 {
-				t.Errorf("seed %d, break %d: the busiest 100 ms of the return has %.2f times the mean", seed, i+1, peak)
+				t.Errorf("seed %d, break %d: got %.2f times the mean in 100 ms of the return, want at most 2",
+					seed, i+1, peak)
 			}
 			now += 600 * time.Millisecond
 		}
 	}
 }
 
-// Watches that break are no overload: a call that times out after them is followed as the first one in a row is. Calls
-// that time out one after the other are followed ever later.
+// Broken watches are no evidence of an overloaded service, so the wait after a first timeout that follows them is that
+// of a first failure. The waits after consecutive timeouts grow.
 func TestBrokenWatchesDoNotExtendTimeoutBackoff(t *testing.T) {
 	for seed := range uint64(50) {
 		backoff := NewBackoff(platformConfig(300, int(seed)), seed)
@@ -319,7 +329,7 @@
 			now += time.Second
 			next := backoff.NextCall(now, EndTimedOut)
 			if wait := next - now; wait > most || wait < most/2 {
-				t.Errorf("seed %d: %v after timeout %d behind young watches, want %v to %v",
+				t.Errorf("seed %d: got a wait of %v after timeout %d following short watches, want %v to %v",
 					seed, wait, i+1, most/2, most)
 			}
 			now = next
@@ -327,9 +337,9 @@
 	}
 }
 
-// What was published right behind a call that is not served counts as notified after NotifiedAfter. However many
-// timeouts in a row there were, and however long the call took, the next one is made in time to be served when that is
-// due.
+// An event that was published right after a call that timed out counts as notified NotifiedAfter later. For any number
+// of consecutive timeouts and any duration of the call, the next call is made early enough to complete before that
+// event is due.
 func TestWaitAfterTimeoutLeavesTimeForNextCall(t *testing.T) {
 	for seed := range uint64(50) {
 		config := platformConfig(300, int(seed))
@@ -340,7 +350,8 @@
 			for range 8 {
 				next := backoff.NextCall(now+duration, EndTimedOut)
 				if next-now > config.NotifiedAfter+config.ApplyPurgeWithin-config.CallDuration {
-					t.Errorf("seed %d: the next call is made %v behind one that took %v", seed, next-now, duration)
+					t.Errorf("seed %d: got the next call %v after one that took %v, want at most %v",
+						seed, next-now, duration, config.NotifiedAfter+config.ApplyPurgeWithin-config.CallDuration)
 				}
 				now = next
 			}
--- a/internal/discovery/deadline_checker_test.go
+++ b/internal/discovery/deadline_checker_test.go
@@ -8,43 +8,46 @@
 	"shaleyard/routing"
 )
 
-// Figures of the pages: when what a watch would have brought counts as notified, and how much later it must be applied.
+// Times of the platform's documentation: when a missed event counts as notified, and the tolerance for applying it.
 const (
-	notifiedAfterBreak = 2 * time.Second
-	notifiedAfterStop  = 4 * time.Second
-	notifiedAtLatest   = 7 * time.Second
+	notifiedAfterBreak = 2 * time.Second // after a watch broke
+	notifiedAfterStop  = 4 * time.Second // after a watch stopped sending while it stayed open
+	notifiedAtLatest   = 7 * time.Second // after the event was published
 	applySlack         = 50 * time.Millisecond
 	never              = routing.Time(1 << 62)
 )
 
-// reading is one way to read the pages on when a purge counts as notified.
-type reading int
+// interpretation is one way to interpret the documentation's rule on when a purge counts as notified.
+type interpretation int
 
 const (
-	// sinceLastFault: behind the last fault before it counted as notified: 2 s for a break, 4 s for a stop.
-	sinceLastFault reading = iota
-	// sinceFirstFault: behind the first fault since everything was applied last.
+	// sinceLastFault counts a purge as notified 2 s after a break or 4 s after a stop. A further fault before that time
+	// restarts it.
+	sinceLastFault interpretation = iota
+	// sinceFirstFault counts a purge as notified 2 s or 4 s after the first fault since all events were applied.
 	sinceFirstFault
-	// untilNextRequest: as sinceLastFault, but at the next subscription at the latest, whatever comes of that.
+	// untilNextRequest is like sinceLastFault, but counts a purge as notified at the next subscription at the latest,
+	// even if that subscription fails.
 	untilNextRequest
-	// sincePublication: 7 s after it was published, whatever happens.
+	// sincePublication counts a purge as notified 7 s after it was published, independently of faults.
 	sincePublication
 
-	readingCount
+	interpretationCount
 )
 
-// String names the reading in the output of the tests; docs/lifecycles.md has it as fresh, first, ask and 7 s.
-func (r reading) String() string { return [...]string{"fresh", "first", "strict", "late"}[r] }
+// String returns the name of the interpretation in the output of the tests. docs/lifecycles.md calls the four
+// interpretations fresh, first, ask and 7 s.
+func (i interpretation) String() string { return [...]string{"fresh", "first", "strict", "late"}[i] }
 
-// missedPurge is a purge that was not sent as it was published.
+// missedPurge is a purge that no watch sent when it was published.
 type missedPurge struct {
 	revision  int
 	published routing.Time
-	notified  [readingCount]routing.Time
-	requested bool // a subscription has come since
+	notified  [interpretationCount]routing.Time
+	requested bool // a subscription has been received since the purge was published
 }
 
-// historyEntry is one event of a sequence.
+// historyEntry is one step of a test sequence: a call, a subscription, a fault or an applied purge.
 type historyEntry struct {
 	at   routing.Time
 	text string
@@ -52,7 +55,7 @@
 
 func (e historyEntry) String() string { return fmt.Sprintf("%.3f %s", e.at.Seconds(), e.text) }
 
-// formatHistory formats the events of a sequence, one a line.
+// formatHistory formats the steps of a sequence, one per line.
 func formatHistory(history []historyEntry) string {
 	var text strings.Builder
 	for _, entry := range history {
@@ -62,16 +65,16 @@
 	return text.String()
 }
 
-// worstCase is the latest application of a purge under one reading, and what led to it.
+// worstCase holds the latest application of a purge under one interpretation, and the sequence that led to it.
 type worstCase struct {
-	lateBy   time.Duration // beyond the time that the rule leaves; less than 0: as much was left
-	breaches int
-	sequence []historyEntry
-	shortest []historyEntry // of those that break the rule
+	lateBy   time.Duration  // time by which the purge missed its deadline; negative: time left before the deadline
+	breaches int            // purges that missed their deadline
+	sequence []historyEntry // steps that led to lateBy
+	shortest []historyEntry // shortest sequence in which a purge missed its deadline
 }
 
-// join adds the result of another run.
-func (w *worstCase) join(other worstCase) {
+// merge adds the result of another run.
+func (w *worstCase) merge(other worstCase) {
 	w.breaches += other.breaches
 	if other.lateBy > w.lateBy {
 		w.lateBy = other.lateBy
@@ -82,28 +85,29 @@
 	}
 }
 
-// deadlineChecker records when each purge counts as notified, and when it is applied.
+// deadlineChecker records when each missed purge counts as notified and when it is applied, and keeps the worst case.
 type deadlineChecker struct {
-	missed             []missedPurge
-	lastFaultNotified  routing.Time // when what the last fault left unsent counts as notified
-	firstFaultNotified routing.Time // likewise the first one since everything was applied
-	faulty             bool         // a fault has come since
+	missed             []missedPurge // missed purges that are not applied yet, oldest first
+	lastFaultNotified  routing.Time  // when purges missed because of the last fault count as notified
+	firstFaultNotified routing.Time  // when purges missed because of the first fault since recordComplete do
+	faulty             bool          // a fault has occurred since recordComplete
 	history            []historyEntry
-	worst              [readingCount]worstCase
+	worst              [interpretationCount]worstCase
 }
 
-func (c *deadlineChecker) note(now routing.Time, text string) {
+// addHistory appends a step to the current sequence.
+func (c *deadlineChecker) addHistory(now routing.Time, text string) {
 	c.history = append(c.history, historyEntry{at: now, text: text})
 }
 
-// historyUntil is what led to the application of a purge.
-func (c *deadlineChecker) historyUntil(now routing.Time, missed missedPurge, r reading) []historyEntry {
-	text := fmt.Sprintf("applies the purge of %.3f, notified at %.3f",
-		missed.published.Seconds(), missed.notified[r].Seconds())
+// historyUntil returns the current sequence, followed by the application of a purge.
+func (c *deadlineChecker) historyUntil(now routing.Time, missed missedPurge, rule interpretation) []historyEntry {
+	text := fmt.Sprintf("applies the purge published at %.3f, notified at %.3f",
+		missed.published.Seconds(), missed.notified[rule].Seconds())
 	return append(c.history[:len(c.history):len(c.history)], historyEntry{at: now, text: text})
 }
 
-// recordFault records a break or a stop, after which events count as notified within the allowed time.
+// recordFault records a break or a stop of a watch. Events that it cuts off count as notified after the allowed time.
 func (c *deadlineChecker) recordFault(now routing.Time, allowed time.Duration) {
 	c.lastFaultNotified = now + allowed
 	for i := range c.missed {
@@ -117,10 +121,10 @@
 	}
 }
 
-// recordMissed records a purge that no watch brings as it is published.
+// recordMissed records a purge that no watch sends when it is published.
 func (c *deadlineChecker) recordMissed(now routing.Time, revision int) {
 	missed := missedPurge{revision: revision, published: now}
-	missed.notified = [readingCount]routing.Time{
+	missed.notified = [interpretationCount]routing.Time{
 		sinceLastFault:   max(now, c.lastFaultNotified),
 		sinceFirstFault:  max(now, c.firstFaultNotified),
 		untilNextRequest: max(now, c.lastFaultNotified),
@@ -129,7 +133,7 @@
 	c.missed = append(c.missed, missed)
 }
 
-// recordRequest records a subscription.
+// recordRequest records that the service received a subscription.
 func (c *deadlineChecker) recordRequest(now routing.Time) {
 	for i := range c.missed {
 		if missed := &c.missed[i]; !missed.requested {
@@ -139,28 +143,28 @@
 	}
 }
 
-// recordApplied records that the watcher has handed the oldest missed purge on.
+// recordApplied records that the watcher has passed the oldest missed purge to its sink, and updates the worst cases.
 func (c *deadlineChecker) recordApplied(now routing.Time, applyWithin time.Duration) {
 	missed := c.missed[0]
 	c.missed = c.missed[1:]
-	for r := range readingCount {
-		lateBy := now - missed.notified[r] - applyWithin - applySlack
-		worst := &c.worst[r]
+	for rule := range interpretationCount {
+		lateBy := now - missed.notified[rule] - applyWithin - applySlack
+		worst := &c.worst[rule]
 		if lateBy > worst.lateBy {
 			worst.lateBy = lateBy
-			worst.sequence = c.historyUntil(now, missed, r)
+			worst.sequence = c.historyUntil(now, missed, rule)
 		}
 		if lateBy <= 0 {
 			continue
 		}
 		worst.breaches++
 		if worst.shortest == nil || len(c.history)+1 < len(worst.shortest) {
-			worst.shortest = c.historyUntil(now, missed, r)
+			worst.shortest = c.historyUntil(now, missed, rule)
 		}
 	}
 }
 
-// recordComplete records that everything has been applied.
+// recordComplete records that all published events have been applied, and starts a new sequence.
 func (c *deadlineChecker) recordComplete() {
 	c.faulty = false
 	c.history = nil
--- a/internal/discovery/errors.go
+++ b/internal/discovery/errors.go
@@ -20,7 +20,9 @@
 }
 
 // Error returns the field and the first 40 characters of its value.
-func (e *InvalidFieldError) Error() string { return fmt.Sprintf("%s: %.40q is invalid", e.Field, e.Value) }
+func (e *InvalidFieldError) Error() string {
+	return fmt.Sprintf("%s: %.40q is invalid", e.Field, e.Value)
+}
 
 // RevisionError reports a gap in the revisions: events between the last applied event and the revision of the received
 // event or heartbeat are missing.
--- a/internal/discovery/errors_test.go
+++ b/internal/discovery/errors_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// A line that can't be used names its fault by a type or a sentinel.
+// Each kind of invalid line has its own sentinel error, which callers can match.
 func TestInvalidLineErrors(t *testing.T) {
 	for _, tc := range []struct {
 		name, line string
@@ -21,13 +21,13 @@
 			h := startedHarness(t, 1)
 			h.open()
 			if err := h.dials[0].Data([]byte(tc.line)); !errors.Is(err, tc.want) {
-				t.Errorf("error %v, want %v", err, tc.want)
+				t.Errorf("got error %v, want %v", err, tc.want)
 			}
 		})
 	}
 }
 
-// A gap in the revisions says which events are missing.
+// The error on a gap in the revisions holds the received revision and the last applied one.
 func TestRevisionErrorNamesTheGap(t *testing.T) {
 	h := startedHarness(t, 1)
 	h.open()
@@ -35,14 +35,14 @@
 	err := h.dials[0].Data([]byte(purgeLine(4)))
 	var gap *RevisionError
 	if !errors.As(err, &gap) {
-		t.Fatalf("error %v, want a RevisionError", err)
+		t.Fatalf("got error %v, want a RevisionError", err)
 	}
 	if gap.Got != 4 || gap.Last != 1 {
-		t.Errorf("%d after %d, want 4 after 1", gap.Got, gap.Last)
+		t.Errorf("got revision %d after %d, want 4 after 1", gap.Got, gap.Last)
 	}
 }
 
-// A field that can't be used is named, with the start of its value.
+// The error on an invalid field names the field and its value.
 func TestInvalidFieldErrorNamesTheField(t *testing.T) {
 	for _, tc := range []struct{ field, line, value string }{
 		{"status", strings.Replace(readyLine, "ready", "odd", 1), "odd"},
@@ -56,19 +56,20 @@
 			err := h.dials[0].Data([]byte(tc.line + "\n"))
 			var invalid *InvalidFieldError
 			if !errors.As(err, &invalid) {
-				t.Fatalf("error %v, want an InvalidFieldError", err)
+				t.Fatalf("got error %v, want an InvalidFieldError", err)
 			}
 			if invalid.Field != tc.field || invalid.Value != tc.value {
-				t.Errorf("field %q with value %q, want %q with %q", invalid.Field, invalid.Value, tc.field, tc.value)
+				t.Errorf("got field %q with value %q, want %q with %q",
+					invalid.Field, invalid.Value, tc.field, tc.value)
 			}
 			if !strings.Contains(err.Error(), tc.field+`: "`+tc.value+`"`) {
-				t.Errorf("error %v does not name the field", err)
+				t.Errorf("got error %v, want one with the field and its value", err)
 			}
 		})
 	}
 }
 
-// The counts of ends are logged by the ends' names.
+// The counts of watch ends are encoded under the names of the ends, as the counters log shows them.
 func TestEndCountsAreNamedInJSON(t *testing.T) {
 	var counts EndCounts
 	for end := range counts {
--- a/internal/discovery/flapping_service_test.go
+++ b/internal/discovery/flapping_service_test.go
@@ -17,37 +17,41 @@
 	"shaleyard/routing"
 )
 
-// faultClass is a class of sequences: what the service does to calls and watches.
+// faultClass defines which faults a flappingService injects, and the resulting worst case.
+//
+// A watch is up to date once the service has sent all published events on it. A watch breaks if the service closes it,
+// and stops if the service sends nothing more on it but leaves it open. A replay sends the missed events after a
+// subscription: it is interrupted if the watch breaks within it, and stalls if the watch stops within it.
 type faultClass struct {
-	name            string
-	breaks          bool          // watches that sent everything break, between events or amid one
-	stops           bool          // or stop while they stay open
-	maxVainRequests int           // subscriptions in a row whose watches break amid what was missed
-	maxStalls       int           // or that bring nothing more, or nothing at all, between two usable lines
-	maxRefused      int           // dials refused, likewise
-	maxTimedOut     int           // and timed out, likewise
-	dialDelay       time.Duration // a dial succeeds within this
-	maxBurst        int           // calls between watches that are usable for long; 0: any number
-	seedFactor      int           // as many times the seeds show its worst case
-	bound           [readingCount]time.Duration
+	name                  string
+	breaks                bool          // up-to-date watches break, between events or within one
+	stops                 bool          // up-to-date watches stop
+	maxInterruptedReplays int           // consecutive interrupted replays
+	maxStalls             int           // stalled replays between two usable lines of up-to-date watches
+	maxRefused            int           // refused dials between two such lines
+	maxTimedOut           int           // timed out dials between two such lines
+	dialDelay             time.Duration // longest additional time until a dial succeeds
+	maxBurst              int           // calls between stable watches; 0: any number
+	seedFactor            int           // multiple of the usual number of seeds that the worst case needs; 0: 1
+	bound                 [interpretationCount]time.Duration
 }
 
-// fault is a kind of fault that the service draws.
+// fault is a kind of fault that a flappingService injects at random.
 type fault int
 
 const (
 	faultRefused fault = iota
 	faultTimedOut
-	faultStalled
-	faultVainRequest
-	faultStopped // rather than broken
-	faultAmidEvent
+	faultStalled           // the replay of missed events stalls
+	faultInterruptedReplay // the watch breaks within the replay of missed events
+	faultStopped           // an up-to-date watch stops instead of breaking
+	faultWithinEvent       // an up-to-date watch breaks within an event instead of between two events
 
 	faultCount
 )
 
-// flappingService is a list service whose watches are young when they end. It is the watcher's dialer and sink too, and
-// everything happens on the watcher's timers.
+// flappingService is a fake discovery service whose watches end soon after they were opened. It is also the watcher's
+// dialer and sink, and runs on the watcher's timers.
 type flappingService struct {
 	faults   faultClass
 	watcher  *Watcher
@@ -56,41 +60,42 @@
 	now      routing.Time
 	rng      *rand.Rand
 	checker  deadlineChecker
-	live     *flappingWatch
-	healthy  bool
+	live     *flappingWatch // up-to-date watch; nil: none
+	healthy  bool           // the service injects no more faults
 	settings flappingSettings
 
-	published int // latest event
-	applied   int // latest event handed to the sink
+	published int // revision of the latest published event
+	applied   int // revision of the latest event that the sink received
 
-	breakOnNextEvent  bool // the next event breaks the live watch
-	completedOnce     bool // a watch has sent everything: what was published before it is a matter of the start
-	callsSinceSettled int  // calls since a watch that settled
+	breakOnNextEvent  bool // the live watch breaks within the next event
+	completedOnce     bool // a watch has been up to date; no faults are injected before, as they would test the start
+	callsSinceSettled int  // calls since the latest watch that was given a long lifetime for maxBurst
 
-	// Faults in a row.
-	vainRequests int
-	stalls       int
-	refusals     int
-	timeouts     int
+	// Consecutive faults, see faultClass.
+	interruptedReplays int
+	stalls             int
+	refusals           int
+	timeouts           int
 }
 
-// flappingSettings are drawn for each run.
+// flappingSettings holds the random parameters of one run.
 type flappingSettings struct {
 	probabilities [faultCount]float64
-	maxLife       time.Duration // of a watch
+	maxLifetime   time.Duration // longest random lifetime of a watch
 }
 
 // flappingWatch is the service's side of a watch.
 type flappingWatch struct {
 	nettest.FakeConn
-	watch      *watch
-	productive bool // a usable line was sent
-	stopping   bool // it stops behind the next line
+	watch    *watch
+	usable   bool // a usable line has been sent
+	stopping bool // the watch stops after the next line
 }
 
 // Close implements eventloop.Conn.
 func (f *flappingWatch) Close() error { return nil }
 
+// newFlappingService returns a service and a watcher of one director in a fleet. The watcher has not been started.
 func newFlappingService(faults faultClass, directors int, seed uint64) *flappingService {
 	s := &flappingService{
 		faults: faults,
@@ -132,23 +137,24 @@
 	for i := range s.settings.probabilities {
 		s.settings.probabilities[i] = []float64{0.05, 0.3, 0.6, 0.95}[s.rng.IntN(4)]
 	}
-	for r := range s.checker.worst {
-		s.checker.worst[r].lateBy = -never
+	for rule := range s.checker.worst {
+		s.checker.worst[rule].lateBy = -never
 	}
-	lives := []time.Duration{20 * time.Millisecond, 300 * time.Millisecond, 1200 * time.Millisecond, 3 * time.Second}
-	s.settings.maxLife = lives[s.rng.IntN(4)]
+	bounds := []time.Duration{20 * time.Millisecond, 300 * time.Millisecond, 1200 * time.Millisecond, 3 * time.Second}
+	s.settings.maxLifetime = bounds[s.rng.IntN(4)]
 	return s
 }
 
 // UpdateEndpoints implements Sink.
 func (s *flappingService) UpdateEndpoints(bool, uint64, []director.Endpoint) {}
 
-// Purge implements Sink. The purges' times are their revisions, in milliseconds.
+// Purge implements Sink. The issue time of each purge is its revision, in milliseconds.
 func (s *flappingService) Purge(purge director.Purge) {
 	s.applied = int(purge.RemoteIssuedAt / routing.Time(time.Millisecond))
 }
 
-// draw draws whether a fault happens.
+// draw decides at random whether a fault occurs. No fault occurs while the service is healthy, before a watch has been
+// up to date, or after maxBurst calls.
 func (s *flappingService) draw(kind fault) bool {
 	if s.healthy || !s.completedOnce || !s.watcher.EverConnected() {
 		return false
@@ -159,15 +165,16 @@
 	return s.rng.Float64() < s.settings.probabilities[kind]
 }
 
+// randomUpTo returns a random duration between 0 and most.
 func (s *flappingService) randomUpTo(most time.Duration) time.Duration {
 	return time.Duration(s.rng.Float64() * float64(most))
 }
 
-// Dial implements eventloop.Dialer: it draws what becomes of the call.
+// Dial implements eventloop.Dialer. The dial is refused, times out or succeeds at random.
 func (s *flappingService) Dial(_ string, timeout time.Duration, stream eventloop.Stream) {
 	dial := stream.(*watch)
 	s.callsSinceSettled++
-	s.checker.note(s.now, "call")
+	s.checker.addHistory(s.now, "call")
 	switch {
 	case s.refusals < s.faults.maxRefused && s.draw(faultRefused):
 		s.refusals++
@@ -181,31 +188,32 @@
 	}
 }
 
+// failDial schedules the failure of a dial.
 func (s *flappingService) failDial(dial *watch, after time.Duration, err error, text string) {
 	s.timers.ScheduleFunc(s.now+after, func() {
-		s.checker.note(s.now, "dial "+text)
+		s.checker.addHistory(s.now, "dial "+text)
 		dial.Failed(err)
 	})
 }
 
-// open has a call succeed: it is sent what it has missed, or a part.
+// open makes a dial succeed and replays the missed events. At random, the replay stalls or is interrupted.
 func (s *flappingService) open(dial *watch) {
 	opened := &flappingWatch{watch: dial}
 	dial.Opened(opened)
 	s.checker.recordRequest(s.now)
-	s.checker.note(s.now, "asks")
+	s.checker.addHistory(s.now, "subscribes")
 	missed := s.published - s.applied
 	switch {
 	case s.stalls < s.faults.maxStalls && s.draw(faultStalled):
 		s.stalls++
 		s.sendEvents(opened, s.rng.IntN(2)*s.rng.IntN(missed+1))
 		s.stopWatch(opened)
-	case missed > 0 && s.vainRequests < s.faults.maxVainRequests && s.draw(faultVainRequest):
-		s.vainRequests++
+	case missed > 0 && s.interruptedReplays < s.faults.maxInterruptedReplays && s.draw(faultInterruptedReplay):
+		s.interruptedReplays++
 		s.sendEvents(opened, s.rng.IntN(missed))
-		s.breakAmidEvent(opened)
+		s.breakWithinEvent(opened)
 	default:
-		s.vainRequests = 0
+		s.interruptedReplays = 0
 		s.sendEvents(opened, missed)
 		s.checker.recordComplete()
 		s.live = opened
@@ -218,13 +226,13 @@
 	}
 }
 
-// sendEvents writes so many events that come next, whole.
+// sendEvents writes the given number of complete events, starting after the last applied one.
 func (s *flappingService) sendEvents(to *flappingWatch, events int) {
 	for range events {
 		revision := s.applied + 1
 		line := fmt.Appendf(nil, `{"n":%d,"purge":{"group":1,"at":%d}}`+"\n", revision, revision)
 		if err := to.watch.Data(line); err != nil {
-			panic(err) // the service writes nothing that can't be used
+			panic(err) // this service writes no unusable lines
 		}
 		if len(s.checker.missed) > 0 && s.checker.missed[0].revision == s.applied {
 			s.checker.recordApplied(s.now, s.limits.PurgeApplyWithin)
@@ -232,9 +240,9 @@
 	}
 }
 
-// recordUsableLine records that the live watch was sent a usable line.
+// recordUsableLine records that a usable line was sent on the live watch, and stops the watch if it is stopping.
 func (s *flappingService) recordUsableLine(to *flappingWatch) {
-	to.productive = true
+	to.usable = true
 	s.stalls = 0
 	s.refusals = 0
 	s.timeouts = 0
@@ -243,67 +251,67 @@
 	}
 }
 
-// breakAmidEvent breaks the watch amid the event that comes next.
-func (s *flappingService) breakAmidEvent(to *flappingWatch) {
-	_ = to.watch.Data(fmt.Appendf(nil, `{"n":%d,"purge":{"gr`, s.applied+1)) // An error says that the watch has ended.
-	s.breakWatch(to, "breaks amid an event")
+// breakWithinEvent writes the start of the next event and breaks the watch.
+func (s *flappingService) breakWithinEvent(to *flappingWatch) {
+	_ = to.watch.Data(fmt.Appendf(nil, `{"n":%d,"purge":{"gr`, s.applied+1)) // An error means that the watch has ended.
+	s.breakWatch(to, "breaks within an event")
 }
 
-// breakWatch closes the watch.
+// breakWatch closes the watch and records the fault.
 func (s *flappingService) breakWatch(ended *flappingWatch, text string) {
 	if s.live == ended {
 		s.live = nil
 		s.breakOnNextEvent = false
 	}
-	s.checker.note(s.now, text)
+	s.checker.addHistory(s.now, text)
 	s.checker.recordFault(s.now, notifiedAfterBreak)
 	ended.watch.Closed()
 }
 
-// stopWatch leaves the watch open and sends nothing more on it.
+// stopWatch records that the service sends nothing more on the watch, which stays open.
 func (s *flappingService) stopWatch(stopped *flappingWatch) {
 	if s.live == stopped {
 		s.live = nil
 	}
-	s.checker.note(s.now, "stops")
+	s.checker.addHistory(s.now, "stops")
 	s.checker.recordFault(s.now, notifiedAfterStop)
 }
 
-// scheduleHeartbeat sends a heartbeat each second.
+// scheduleHeartbeat sends a heartbeat each second while the watch is live.
 func (s *flappingService) scheduleHeartbeat(to *flappingWatch) {
 	s.timers.ScheduleFunc(s.now+time.Second, func() {
 		if s.live != to {
 			return
 		}
-		_ = to.watch.Data(fmt.Appendf(nil, "%d\n", s.applied)) // An error says that the watch has ended.
+		_ = to.watch.Data(fmt.Appendf(nil, "%d\n", s.applied)) // An error means that the watch has ended.
 		s.recordUsableLine(to)
 		s.scheduleHeartbeat(to)
 	})
 }
 
-// scheduleEnd draws when and how a watch that sent everything ends.
+// scheduleEnd decides at random when and how an up-to-date watch ends.
 func (s *flappingService) scheduleEnd(ending *flappingWatch) {
-	life := s.randomUpTo(s.settings.maxLife)
+	lifetime := s.randomUpTo(s.settings.maxLifetime)
 	switch {
-	case s.faults.maxBurst > 0 && s.callsSinceSettled >= s.faults.maxBurst: // until the budget of calls is whole again
-		life += 7 * time.Second
+	case s.faults.maxBurst > 0 && s.callsSinceSettled >= s.faults.maxBurst: // until the token bucket is full again
+		lifetime += 7 * time.Second
 		s.callsSinceSettled = 0
-	case s.rng.IntN(12) == 0: // now and then one settles
-		life += 3 * time.Second
+	case s.rng.IntN(12) == 0: // one of 12 watches becomes stable
+		lifetime += 3 * time.Second
 	}
 	stops := s.faults.stops && (!s.faults.breaks || s.draw(faultStopped))
-	amidEvent := s.draw(faultAmidEvent)
-	s.timers.ScheduleFunc(s.now+life, func() {
+	withinEvent := s.draw(faultWithinEvent)
+	s.timers.ScheduleFunc(s.now+lifetime, func() {
 		switch {
 		case s.live != ending || s.healthy:
-		case stops && (ending.productive || s.stalls < s.faults.maxStalls):
-			if !ending.productive { // nothing was missed and nothing sent: for the watcher a stall
+		case stops && (ending.usable || s.stalls < s.faults.maxStalls):
+			if !ending.usable { // no event was missed and no line was sent, which the watcher sees as a stall
 				s.stalls++
 			}
 			s.stopWatch(ending)
 		case stops:
 			ending.stopping = true
-		case amidEvent:
+		case withinEvent:
 			s.breakOnNextEvent = true
 		default:
 			s.breakWatch(ending, "breaks")
@@ -311,7 +319,7 @@
 	})
 }
 
-// publish publishes a purge, and the next one soon.
+// publish publishes a purge, and schedules the next one after a random time of up to 161 ms.
 func (s *flappingService) publish() {
 	s.published++
 	switch {
@@ -321,7 +329,7 @@
 		s.breakOnNextEvent = false
 		s.checker.recordFault(s.now, notifiedAfterBreak)
 		s.checker.recordMissed(s.now, s.published)
-		s.breakAmidEvent(broken)
+		s.breakWithinEvent(broken)
 	case s.live != nil:
 		s.sendEvents(s.live, 1)
 		s.recordUsableLine(s.live)
@@ -331,7 +339,7 @@
 	s.timers.ScheduleFunc(s.now+time.Millisecond+s.randomUpTo(160*time.Millisecond), s.publish)
 }
 
-// run has the service flap for some time, and then be healthy until everything is applied.
+// run starts the watcher and runs the service, which flaps for one duration and is then healthy for the other.
 func (s *flappingService) run(flapping, healthy time.Duration) {
 	s.watcher.Start()
 	s.timers.ScheduleFunc(s.watcher.DialTime()+time.Second, s.publish)
--- a/internal/discovery/flapping_test.go
+++ b/internal/discovery/flapping_test.go
@@ -5,137 +5,146 @@
 	"time"
 )
 
-// worstCaseBound is the worst case under the readings. A purge is due a time after it counts as notified; lost is the
-// time from the first fault until everything is sent, which was a break if allowed is 2 s; last is that from the last
-// fault, with its own allowance; requested is that from the first subscription, if it was in vain.
-func worstCaseBound(lost, allowed, last, lastAllowed, requested time.Duration) [readingCount]time.Duration {
+// worstCaseBound returns, for each interpretation, the longest time by which a purge may miss its deadline. A purge is
+// due 0.5 s plus applySlack after it counts as notified. The parameters are times until all missed events are sent:
+// lost from the first fault, last from the last fault, and requested from the first subscription if its replay fails
+// (else 0). allowed and lastAllowed are the times after the first and the last fault at which events count as notified:
+// 2 s for a break, 4 s for a stop.
+func worstCaseBound(lost, allowed, last, lastAllowed, requested time.Duration) [interpretationCount]time.Duration {
 	const applyWithin = 500*time.Millisecond + applySlack
-	bound := [readingCount]time.Duration{
+	bound := [interpretationCount]time.Duration{
 		sinceLastFault:   last - lastAllowed,
 		sinceFirstFault:  lost - allowed,
 		untilNextRequest: max(requested, last-lastAllowed),
 		sincePublication: lost - notifiedAtLatest,
 	}
-	for r := range bound {
-		bound[r] -= applyWithin
+	for rule := range bound {
+		bound[rule] -= applyWithin
 	}
 	return bound
 }
 
-// Figures of the backoff for the fleets of flappingService.
+// Times of the backoff for the parameters that flappingService uses.
 const (
-	waitAfterBreak = 400 * time.Millisecond
-	waitWhileDown  = 1500 * time.Millisecond
-	longestWait    = 7 * time.Second
-	silenceTime    = 1300 * time.Millisecond
-	dialTimeout    = time.Second
-	dialTime       = 2 * time.Millisecond // a dial's own time, twice
-	slowDial       = 500 * time.Millisecond
+	waitAfterBreak = 400 * time.Millisecond  // longest wait after a break while tokens are left
+	waitWhileDown  = 1500 * time.Millisecond // longest wait after a break or a refusal
+	longestWait    = 7 * time.Second         // longest time from a call that timed out to the next one
+	silenceTime    = 1300 * time.Millisecond // SilenceTimeout
+	dialTimeout    = time.Second             // ConnectTimeout
+	dialTime       = 2 * time.Millisecond    // twice the time of a successful dial
+	slowDial       = 500 * time.Millisecond  // additional time of a slow dial
 )
 
-// boundOfBreaks is the worst case of so many subscriptions in vain between breaks.
-func boundOfBreaks(vainRequests time.Duration) [readingCount]time.Duration {
+// breakBound returns the worst case of breaks with a number of consecutive interrupted replays between them.
+func breakBound(interruptedReplays time.Duration) [interpretationCount]time.Duration {
 	const call = waitWhileDown + dialTime
-	return worstCaseBound((vainRequests+1)*call, notifiedAfterBreak, call, notifiedAfterBreak, vainRequests*call)
+	return worstCaseBound(
+		(interruptedReplays+1)*call, notifiedAfterBreak,
+		call, notifiedAfterBreak,
+		interruptedReplays*call)
 }
 
-// boundOfFailures is the worst case of dials that fail after a break, until a time after it.
-func boundOfFailures(lost time.Duration) [readingCount]time.Duration {
+// failureBound returns the worst case of failed or slow dials after a break, where lost is the time from the break
+// until all missed events are sent.
+func failureBound(lost time.Duration) [interpretationCount]time.Duration {
 	return worstCaseBound(lost, notifiedAfterBreak, lost, notifiedAfterBreak, 0)
 }
 
-// boundOfStalls is the worst case of stalls. A stall behind a stop takes the longer until everything is sent, but its
-// allowance is longer still.
-func boundOfStalls(lost, last, requested time.Duration) [readingCount]time.Duration {
+// stallBound returns the worst case of stalled replays. The first fault is a break: after a stop, it takes longer by
+// silenceTime until all missed events are sent, but the events count as notified even later than that. The
+// interpretation sincePublication does not have this allowance, so its bound is longer by silenceTime. last is the time
+// from the last fault less its allowance.
+func stallBound(lost, last, requested time.Duration) [interpretationCount]time.Duration {
 	bound := worstCaseBound(lost, notifiedAfterBreak, last, 0, requested)
 	bound[sincePublication] += silenceTime
 	return bound
 }
 
-// faultClasses are the classes of sequences, with the worst case of each, worked out from the backoff:
-//   - A call comes within waitWhileDown of the end of a watch, or of a refusal, once the budget is spent; while some is
-//     left, within waitAfterBreak of a break.
-//   - A timeout takes dialTimeout, a stall silenceTime; the next call comes within waitWhileDown, twice that, and so on
-//     with each that is not served, and no later than longestWait behind the last one.
+// faultClasses returns all fault classes, each with its worst case as calculated from the rules of the backoff:
+//   - While tokens are left, a call is made within waitAfterBreak after a break. Once the budget is spent, a call is
+//     made within waitWhileDown after the end of a watch or after a refusal.
+//   - A timeout takes dialTimeout, a stall takes silenceTime. The next call is made within waitWhileDown after the
+//     first of them, within twice that after the second, and so on, but within longestWait after the previous call.
 //
-// docs/lifecycles.md has the figures as a table.
+// docs/lifecycles.md has the results as a table.
 func faultClasses() []faultClass {
 	const (
-		quick = waitAfterBreak
-		soon  = waitWhileDown
-		tick  = dialTime
+		short = waitAfterBreak
+		long  = waitWhileDown
+		dial  = dialTime
 	)
 	return []faultClass{
-		{name: "breaks", breaks: true, bound: boundOfBreaks(0)},
-		{name: "breaks, 1 amid what was missed", breaks: true, maxVainRequests: 1, bound: boundOfBreaks(1)},
-		{name: "breaks, 2 amid", breaks: true, maxVainRequests: 2, bound: boundOfBreaks(2)},
-		{name: "breaks, budget left, 1 amid", breaks: true, maxVainRequests: 1, maxBurst: 2,
-			bound: worstCaseBound(2*(quick+tick), notifiedAfterBreak, quick+tick, notifiedAfterBreak, quick+tick)},
-		{name: "breaks, calls late", breaks: true, dialDelay: slowDial, bound: boundOfFailures(soon + slowDial + tick)},
-		{name: "breaks, calls late, 1 amid", breaks: true, maxVainRequests: 1, dialDelay: slowDial,
-			bound: worstCaseBound(2*(soon+slowDial+tick), notifiedAfterBreak, soon+slowDial+tick, notifiedAfterBreak,
-				soon+slowDial+tick)},
+		{name: "breaks", breaks: true, bound: breakBound(0)},
+		{name: "breaks, 1 interrupted replay", breaks: true, maxInterruptedReplays: 1, bound: breakBound(1)},
+		{name: "breaks, 2 interrupted", breaks: true, maxInterruptedReplays: 2, bound: breakBound(2)},
+		{name: "breaks, budget left, 1 interrupted", breaks: true, maxInterruptedReplays: 1, maxBurst: 2,
+			bound: worstCaseBound(2*(short+dial), notifiedAfterBreak, short+dial, notifiedAfterBreak, short+dial)},
+		{name: "breaks, slow dials", breaks: true, dialDelay: slowDial, bound: failureBound(long + slowDial + dial)},
+		{name: "breaks, slow dials, 1 interrupted", breaks: true, maxInterruptedReplays: 1, dialDelay: slowDial,
+			bound: worstCaseBound(2*(long+slowDial+dial), notifiedAfterBreak, long+slowDial+dial, notifiedAfterBreak,
+				long+slowDial+dial)},
 		{name: "stops", stops: true,
 			bound: worstCaseBound(
-				silenceTime+quick+tick, notifiedAfterStop,
-				silenceTime+quick+tick, notifiedAfterStop,
+				silenceTime+short+dial, notifiedAfterStop,
+				silenceTime+short+dial, notifiedAfterStop,
 				0)},
 		{name: "breaks and stops, 1 stalled", breaks: true, stops: true, maxStalls: 1,
-			bound: boundOfStalls(soon+silenceTime+soon+2*tick, soon+tick-notifiedAfterBreak, silenceTime+soon+tick)},
+			bound: stallBound(long+silenceTime+long+2*dial, long+dial-notifiedAfterBreak, silenceTime+long+dial)},
 		{name: "breaks and stops, 2 stalled", breaks: true, stops: true, maxStalls: 2,
-			bound: boundOfStalls(
-				soon+silenceTime+soon+silenceTime+2*soon+3*tick,
-				silenceTime+2*soon+tick-notifiedAfterStop,
-				2*silenceTime+3*soon+2*tick)},
+			bound: stallBound(
+				long+silenceTime+long+silenceTime+2*long+3*dial,
+				silenceTime+2*long+dial-notifiedAfterStop,
+				2*silenceTime+3*long+2*dial)},
 		{name: "breaks and stops, 3 stalled", breaks: true, stops: true, maxStalls: 3, seedFactor: 5,
-			bound: boundOfStalls(
-				2*silenceTime+4*soon+longestWait+4*tick,
-				silenceTime+2*soon+longestWait+2*tick-notifiedAfterStop,
-				2*silenceTime+3*soon+longestWait+3*tick)},
+			bound: stallBound(
+				2*silenceTime+4*long+longestWait+4*dial,
+				silenceTime+2*long+longestWait+2*dial-notifiedAfterStop,
+				2*silenceTime+3*long+longestWait+3*dial)},
 		{name: "breaks, budget left, 1 refused", breaks: true, maxRefused: 1, maxBurst: 2,
-			bound: boundOfFailures(quick + soon/4 + 2*tick)},
-		{name: "breaks, 1 refused", breaks: true, maxRefused: 1, bound: boundOfFailures(2 * (soon + tick))},
-		{name: "breaks, 3 refused", breaks: true, maxRefused: 3, bound: boundOfFailures(4 * (soon + tick))},
+			bound: failureBound(short + long/4 + 2*dial)},
+		{name: "breaks, 1 refused", breaks: true, maxRefused: 1, bound: failureBound(2 * (long + dial))},
+		{name: "breaks, 3 refused", breaks: true, maxRefused: 3, bound: failureBound(4 * (long + dial))},
 		{name: "breaks, budget left, 1 timed out", breaks: true, maxTimedOut: 1, maxBurst: 2,
-			bound: boundOfFailures(quick + dialTimeout + soon + 2*tick)},
+			bound: failureBound(short + dialTimeout + long + 2*dial)},
 		{name: "breaks, 1 timed out", breaks: true, maxTimedOut: 1,
-			bound: boundOfFailures(soon + dialTimeout + soon + 2*tick)},
+			bound: failureBound(long + dialTimeout + long + 2*dial)},
 		{name: "breaks, 2 timed out", breaks: true, maxTimedOut: 2,
-			bound: boundOfFailures(2*dialTimeout + 4*soon + 3*tick)},
+			bound: failureBound(2*dialTimeout + 4*long + 3*dial)},
 	}
 }
 
-// worstOf plays a class with several fleets and seeds and returns the worst case under each reading.
-func worstOf(t *testing.T, class faultClass) [readingCount]worstCase {
+// runFaultClass runs a class with several fleet sizes and seeds and returns the worst case under each interpretation.
+func runFaultClass(t *testing.T, class faultClass) [interpretationCount]worstCase {
 	t.Helper()
 	const seeds = 12
-	var all [readingCount]worstCase
-	for r := range all {
-		all[r].lateBy = -never
+	var all [interpretationCount]worstCase
+	for rule := range all {
+		all[rule].lateBy = -never
 	}
 	for _, directors := range []int{1, 12, 300} {
 		for seed := range uint64(max(1, class.seedFactor)) * seeds {
 			service := newFlappingService(class, directors, seed)
 			service.run(20*time.Second, 9*time.Second)
 			if missed := len(service.checker.missed); missed > 0 {
-				t.Errorf("%s, %d directors, seed %d: %d purges are not applied 9 s after all is well",
+				t.Errorf("%s, %d directors, seed %d: got %d purges that are not applied 9 s after the recovery, want 0",
 					class.name, directors, seed, missed)
 			}
-			for r := range all {
-				all[r].join(service.checker.worst[r])
+			for rule := range all {
+				all[rule].merge(service.checker.worst[rule])
 			}
 		}
 	}
 	return all
 }
 
-// Watches that break or stop when they are young, again and again, dials that fail between them and purges all the
-// time: each class of sequences keeps to its worst case, as worked out from the backoff, under each reading of when a
-// purge counts as notified. The worst drawn comes near to it, so that a backoff that waits longer is found.
+// A flapping service breaks or stops its watches soon after they are opened, and fails dials between them, while purges
+// are published. In each fault class, no purge may be later than the worst case calculated from the backoff, under each
+// interpretation of when a purge counts as notified. The worst result of the random runs must also come close to the
+// calculated one, so that the test detects a backoff that waits longer.
 func TestFlappingServiceStaysWithinWorstCase(t *testing.T) {
 	for _, class := range faultClasses() {
-		all := worstOf(t, class)
-		allowances := [readingCount]time.Duration{
+		all := runFaultClass(t, class)
+		allowances := [interpretationCount]time.Duration{
 			sinceLastFault:   notifiedAfterBreak,
 			sinceFirstFault:  notifiedAfterBreak,
 			sincePublication: notifiedAtLatest,
@@ -144,19 +153,20 @@
 			allowances[sinceLastFault] = notifiedAfterStop
 			allowances[sinceFirstFault] = notifiedAfterStop
 		}
-		for r := range readingCount {
-			worst, bound := all[r], class.bound[r]
-			t.Logf("%-34s %-6v worst %7.3f s, worked out %7.3f s, %d late",
-				class.name, r, worst.lateBy.Seconds(), bound.Seconds(), worst.breaches)
+		for rule := range interpretationCount {
+			worst, bound := all[rule], class.bound[rule]
+			t.Logf("%-34s %-6v worst %7.3f s, calculated %7.3f s, %d late",
+				class.name, rule, worst.lateBy.Seconds(), bound.Seconds(), worst.breaches)
 			if worst.lateBy > bound {
-				t.Errorf("%s, read as %v: late by %v, %v worked out:%s\nshortest:%s",
-					class.name, r, worst.lateBy, bound, formatHistory(worst.sequence), formatHistory(worst.shortest))
+				t.Errorf("%s, interpretation %v: got a purge late by %v, want at most %v:%s\nshortest:%s",
+					class.name, rule, worst.lateBy, bound, formatHistory(worst.sequence), formatHistory(worst.shortest))
 			}
-			// What was lost, not how late that is, is the measure of how near the draws have come.
-			lost := bound + allowances[r] + 500*time.Millisecond + applySlack
+			// The tolerance is relative to the time from the fault until all events are sent, as lateness may be near
+			// 0.
+			lost := bound + allowances[rule] + 500*time.Millisecond + applySlack
 			if bound-worst.lateBy > lost/3+5*time.Millisecond {
-				t.Errorf("%s, read as %v: late by %v at worst, %v worked out: a part of what can happen isn't drawn",
-					class.name, r, worst.lateBy, bound)
+				t.Errorf("%s, interpretation %v: got at most %v late, want close to %v: the runs miss some sequences",
+					class.name, rule, worst.lateBy, bound)
 			}
 		}
 	}
--- a/internal/discovery/harness_test.go
+++ b/internal/discovery/harness_test.go
@@ -16,14 +16,15 @@
 	"shaleyard/routing"
 )
 
-// harness is a Watcher on scripted dials, with a clock that the test advances. It is the dialer and the sink, too.
+// harness runs a Watcher with dials whose outcome the test decides and a clock that the test advances. The harness is
+// also the Watcher's dialer and sink.
 type harness struct {
-	watcher      *Watcher
-	timers       timer.Queue
-	now          routing.Time
-	dials        []*watch
-	notified     []string       // what the sink got, as text
-	purgesMadeAt []routing.Time // on the watcher's clock
+	watcher         *Watcher
+	timers          timer.Queue
+	now             routing.Time
+	dials           []*watch
+	sinkCalls       []string       // endpoints and purges that the sink received, as text
+	purgeIssueTimes []routing.Time // when the received purges were issued, on the watcher's clock
 }
 
 // Dial implements eventloop.Dialer.
@@ -36,16 +37,18 @@
 	for _, endpoint := range list {
 		text := fmt.Sprintln(full, version, endpoint.Name, endpoint.Address,
 			endpoint.Zone, endpoint.Kind, endpoint.State, endpoint.Started)
-		h.notified = append(h.notified, strings.TrimSpace(text))
+		h.sinkCalls = append(h.sinkCalls, strings.TrimSpace(text))
 	}
 }
 
 // Purge implements Sink.
 func (h *harness) Purge(purge director.Purge) {
-	h.notified = append(h.notified, fmt.Sprint("purge ", purge.ObjectKey, " ", purge.Group, " ", purge.RemoteIssuedAt))
-	h.purgesMadeAt = append(h.purgesMadeAt, purge.IssuedAt)
+	text := fmt.Sprint("purge ", purge.ObjectKey, " ", purge.Group, " ", purge.RemoteIssuedAt)
+	h.sinkCalls = append(h.sinkCalls, text)
+	h.purgeIssueTimes = append(h.purgeIssueTimes, purge.IssuedAt)
 }
 
+// newHarness returns the harness of a single director. Its watcher has not been started.
 func newHarness() *harness { return newFleetHarness(1) }
 
 // newFleetHarness returns the harness of one director in a fleet. Its watcher has not been started.
@@ -89,49 +92,50 @@
 	h.watcher.Start()
 	h.advance(1500 * time.Millisecond)
 	if len(h.dials) != 1 {
-		t.Fatalf("%d dials after the start, want 1", len(h.dials))
+		t.Fatalf("got %d dials after the start, want 1", len(h.dials))
 	}
 	return h
 }
 
-// lastDial is the latest call.
+// lastDial returns the latest call.
 func (h *harness) lastDial() *watch { return h.dials[len(h.dials)-1] }
 
-// open has the latest call succeed.
+// open makes the latest call succeed and returns its connection.
 func (h *harness) open() *nettest.FakeConn {
-	link := &nettest.FakeConn{}
-	h.lastDial().Opened(link)
-	return link
+	conn := &nettest.FakeConn{}
+	h.lastDial().Opened(conn)
+	return conn
 }
 
-// wantSubscription has the latest call succeed, and fails the test unless it asks for the events behind a revision.
+// wantSubscription makes the latest call succeed and reports a test error unless it requests the events after a
+// revision.
 func (h *harness) wantSubscription(t *testing.T, revision int) *nettest.FakeConn {
 	t.Helper()
-	link := h.open()
-	if got, want := link.Written.String(), fmt.Sprintf("SUB %d\n", revision); got != want {
-		t.Errorf("subscribed with %q, want %q", got, want)
+	conn := h.open()
+	if got, want := conn.Written.String(), fmt.Sprintf("SUB %d\n", revision); got != want {
+		t.Errorf("got request %q, want %q", got, want)
 	}
-	return link
+	return conn
 }
 
-// receive has a call, counted from 0, receive text that can be used.
+// receive passes text to a call, counted from 0, and fails the test if the call rejects it.
 func (h *harness) receive(t *testing.T, call int, text string) {
 	t.Helper()
 	if err := h.dials[call].Data([]byte(text)); err != nil {
-		t.Fatalf("%.60q: %v", text, err)
+		t.Fatalf("got error %v for %.60q, want none", err, text)
 	}
 }
 
-// receivePurge has the first call receive the purge that is the next event.
+// receivePurge passes a purge with the next revision to the first call, and fails the test unless it is applied.
 func (h *harness) receivePurge(t *testing.T, revision uint64) {
 	t.Helper()
 	h.receive(t, 0, fmt.Sprintf("{\"n\":%d,\"purge\":{\"group\":1,\"at\":1}}\n", revision))
 	if h.watcher.revision != revision {
-		t.Fatalf("event %d was not applied, at %d", revision, h.watcher.revision)
+		t.Fatalf("got last applied revision %d, want %d", h.watcher.revision, revision)
 	}
 }
 
-// receiveHeartbeats has the first call receive a heartbeat each second for some seconds, from now on.
+// receiveHeartbeats passes a heartbeat to the first call each second, for a number of seconds.
 func (h *harness) receiveHeartbeats(t *testing.T, seconds int) {
 	t.Helper()
 	for range seconds {
@@ -140,21 +144,21 @@
 	}
 }
 
-// wantDials fails the test unless so many calls have been made.
+// wantDials fails the test unless want calls have been made in total.
 func (h *harness) wantDials(t *testing.T, want int, when string) {
 	t.Helper()
 	if len(h.dials) != want {
-		t.Fatalf("%d dials %s, want %d", len(h.dials), when, want)
+		t.Fatalf("got %d dials %s, want %d", len(h.dials), when, want)
 	}
 }
 
-// advance lets time pass and runs the timers that are due then.
+// advance moves the clock forward by d and then runs the timers that are due.
 func (h *harness) advance(d time.Duration) {
 	h.now += d
 	h.timers.RunDue(h.now)
 }
 
-// Lines of the list service.
+// Lines of the discovery service, without the final newline.
 const (
 	readyLine = `{"n":1,"members":{"index":7,"snapshot":true,"endpoints":[{"name":"s-1","address":"127.0.0.1:80",` +
 		`"zone":"here","type":"small","group":2,"status":"ready","weight":4,"since_ms":5}]}}`
--- a/internal/discovery/random_sequences_test.go
+++ b/internal/discovery/random_sequences_test.go
@@ -12,23 +12,22 @@
 	"shaleyard/internal/nettest"
 )
 
-// randomService is a list service with events of its own, which it sends on whatever watches are up. Its faults are
-// drawn at random.
+// randomService is a fake discovery service that sends its events on all open watches and injects random faults.
 type randomService struct {
 	harness   *harness
 	rng       *rand.Rand
-	events    int // that there are
+	events    int // revision of the latest event
 	watches   []*fakeWatch
-	dialsSeen int // of the harness's dials
-	behind    int // heartbeats sent with a revision behind the director's
+	dialsSeen int // dials of the harness that have been answered
+	behind    int // heartbeats sent with a revision before the latest sent event
 }
 
 // fakeWatch is the service's side of a watch.
 type fakeWatch struct {
 	nettest.FakeConn
 	watch  *watch
-	next   int // event that is sent next
-	silent bool
+	next   int  // revision of the next event to send
+	silent bool // the service sends nothing on the watch
 	ended  bool
 }
 
@@ -38,14 +37,15 @@
 	return nil
 }
 
-// purgeLine is the line of an event.
+// purgeLine returns the line of a purge event with the revision.
 func purgeLine(revision int) string {
 	return fmt.Sprintf(`{"n":%d,"purge":{"group":%d,"at":%d}}`, revision, revision%256, revision) + "\n"
 }
 
+// heartbeatLine returns the line of a heartbeat with the revision.
 func heartbeatLine(revision int) string { return fmt.Sprintf("%d\n", revision) }
 
-// answerDials lets calls succeed, or not.
+// answerDials opens each new dial. Unless the service is healthy, random dials are refused, time out or open silent.
 func (s *randomService) answerDials(healthy bool) {
 	for ; s.dialsSeen < len(s.harness.dials); s.dialsSeen++ {
 		dial := s.harness.dials[s.dialsSeen]
@@ -58,7 +58,7 @@
 			opened := &fakeWatch{watch: dial, silent: !healthy && fault < 5}
 			dial.Opened(opened)
 			if _, err := fmt.Sscanf(opened.Written.String(), "SUB %d\n", &opened.next); err != nil {
-				continue // a dial that was overtaken: closed, nothing asked
+				continue // a superseded dial: closed without a request
 			}
 			opened.next++
 			s.watches = append(s.watches, opened)
@@ -66,7 +66,8 @@
 	}
 }
 
-// send writes on a watch: unless the service is healthy, sometimes in pieces, and sometimes only a part.
+// send writes text on a watch. Unless the service is healthy, text is sometimes split, and sometimes cut off by the end
+// of the watch.
 func (s *randomService) send(to *fakeWatch, text string, healthy bool) {
 	if to.ended || to.silent {
 		return
@@ -83,6 +84,7 @@
 	}
 }
 
+// end closes a watch that has not ended yet.
 func (s *randomService) end(ended *fakeWatch) {
 	if !ended.ended {
 		ended.ended = true
@@ -90,9 +92,9 @@
 	}
 }
 
-// step does one thing at random.
+// step performs one random action: publishes an event, advances the clock, sends a line, or injects a fault.
 func (s *randomService) step() {
-	var to *fakeWatch // one of the latest two
+	var to *fakeWatch // one of the two latest watches
 	if count := len(s.watches); count > 0 {
 		to = s.watches[count-1-s.rng.IntN(min(2, count))]
 	}
@@ -107,10 +109,10 @@
 	case action < 33:
 		s.send(to, heartbeatLine(to.next-1), false)
 	case action < 34 && to.next > 1:
-		s.send(to, purgeLine(to.next-1), false) // again
+		s.send(to, purgeLine(to.next-1), false) // repeated
 	case action < 35 && to.next < s.events:
-		s.send(to, purgeLine(to.next+1), false) // one is missing
-	case action < 36 && s.behind < maxWatchesBehind-1: // more in a row are a service that numbers its events anew
+		s.send(to, purgeLine(to.next+1), false) // after a gap
+	case action < 36 && s.behind < maxWatchesBehind-1: // more in a row count as restarted revisions
 		s.behind++
 		s.send(to, heartbeatLine(max(0, to.next-3)), false)
 	case action < 37:
@@ -122,7 +124,7 @@
 	}
 }
 
-// healthyStep lets the service be healthy for 100 ms: it answers calls and sends all events that there are.
+// healthyStep simulates 100 ms of a healthy service, which opens all dials and sends all missing events.
 func (s *randomService) healthyStep() {
 	s.answerDials(true)
 	for _, to := range s.watches {
@@ -136,9 +138,9 @@
 	s.harness.advance(100 * time.Millisecond)
 }
 
-// Whatever the service does, refusing, silent, half events, events again, numbers behind and ahead, watches that break,
-// two services at once: each event reaches the sink once, in order, and none is skipped. When it is healthy again, all
-// that it has sent is applied within the time in which a drain must be, if no call has timed out of late.
+// Each event reaches the sink exactly once and in order under random faults: refused dials, timeouts, silent or broken
+// watches, incomplete or repeated events, revisions behind or ahead, and redirects. Within 8 s after the service
+// becomes healthy, which is longer than the longest wait after timeouts, all events are applied.
 func TestEventsAreAppliedOnceAndInOrder(t *testing.T) {
 	for seed := range uint64(300) {
 		h := startedHarness(t, 1+int(seed%2)*299)
@@ -147,20 +149,20 @@
 			service.answerDials(false)
 			service.step()
 		}
-		for range 80 { // 8 s: past the longest wait after timeouts
+		for range 80 { // 8 s, which exceeds the longest wait after timeouts
 			service.healthyStep()
 		}
-		for i, got := range h.notified {
+		for i, got := range h.sinkCalls {
 			revision := i + 1
 			want := fmt.Sprintf("purge 0 %d %v", revision%256, time.Duration(revision)*time.Millisecond)
 			if got != want {
-				t.Fatalf("seed %d: event %d came as %q, want %q", seed, revision, got, want)
+				t.Fatalf("seed %d: got %q for event %d, want %q", seed, got, revision, want)
 			}
 		}
-		if len(h.notified) != service.events {
-			t.Fatalf("seed %d: %d events of %d are known 8 s after all is well; ends %v, last lines %q",
-				seed, len(h.notified), service.events, h.watcher.Counters.WatchEnds,
-				strings.Join(h.notified[max(0, len(h.notified)-3):], ", "))
+		if len(h.sinkCalls) != service.events {
+			t.Fatalf("seed %d: got %d events 8 s after the recovery, want %d; ends %v, last events %q",
+				seed, len(h.sinkCalls), service.events, h.watcher.Counters.WatchEnds,
+				strings.Join(h.sinkCalls[max(0, len(h.sinkCalls)-3):], ", "))
 		}
 	}
 }
--- a/internal/discovery/resync_test.go
+++ b/internal/discovery/resync_test.go
@@ -8,14 +8,14 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// A service that comes back with a revision behind ours is given time to catch up; one that stays behind numbers its
-// events anew. Then its list may be older than ours: an endpoint that was draining stays so, and one that has been
-// restarted does not.
+// A service that returns with a revision before the last applied event has time to catch up. If it stays behind, it has
+// restarted its revisions, and all events are requested. Its list may then be older than the known one: it must not
+// make a draining endpoint ready again, unless the endpoint has been restarted.
 func TestOlderListDoesNotUndoADrain(t *testing.T) {
 	h := startedHarness(t, 1)
 	h.open()
 	h.receive(t, 0, readyLine+"\n"+drainingLine+"\n")
-	h.notified = nil
+	h.sinkCalls = nil
 	h.dials[0].Closed()
 	for range maxWatchesBehind {
 		h.advance(7 * time.Second)
@@ -23,35 +23,36 @@
 		h.wantSubscription(t, 2)
 		h.receive(t, last, "1\n")
 		h.advance(time.Second)
-		h.receive(t, last, "1\n") // a heartbeat that brings no news
+		h.receive(t, last, "1\n") // still behind
 		h.advance(300 * time.Millisecond)
 		if h.watcher.active == h.dials[last] {
-			t.Fatal("a service that stays behind is followed for good")
+			t.Fatal("the watch is still active although the service stays behind, want it closed")
 		}
 	}
-	if len(h.notified) != 0 {
-		t.Fatalf("the sink got %v of a service behind", h.notified)
+	if len(h.sinkCalls) != 0 {
+		t.Fatalf("got %v from a service that is behind, want no calls of the sink", h.sinkCalls)
 	}
 	h.advance(7 * time.Second)
 	h.wantSubscription(t, 0)
 	last := len(h.dials) - 1
 	h.receive(t, last, "1\n"+olderListLine+"\n1\n")
-	if diff := cmp.Diff([]string{"false 6 s-1 127.0.0.1:80 1 0 draining 5ms"}, h.notified); diff != "" {
+	if diff := cmp.Diff([]string{"false 6 s-1 127.0.0.1:80 1 0 draining 5ms"}, h.sinkCalls); diff != "" {
 		t.Error(diff)
 	}
 	restartedLine := strings.Replace(drainingLine, "draining", "ready", 1)
 	restartedLine = strings.Replace(restartedLine, `"since_ms":5`, `"since_ms":9`, 1)
 	h.receive(t, last, restartedLine+"\n")
-	if diff := cmp.Diff("false 8 s-1 127.0.0.1:80 1 0 ready 9ms", h.notified[1]); diff != "" {
+	if diff := cmp.Diff("false 8 s-1 127.0.0.1:80 1 0 ready 9ms", h.sinkCalls[1]); diff != "" {
 		t.Error(diff)
 	}
 	counters := &h.watcher.Counters
 	if counters.RevisionBehind != maxWatchesBehind || counters.FullResyncs != 1 || counters.RetainedDrains != 1 {
-		t.Errorf("counters %+v", *counters)
+		t.Errorf("got counters %+v, want %d RevisionBehind, 1 FullResyncs, 1 RetainedDrains",
+			*counters, maxWatchesBehind)
 	}
 }
 
-// A replica that lags and catches up brings the events between without a new call.
+// A lagging replica that catches up sends the missing events on the same watch, without a new call.
 func TestWatchIsKeptWhenServiceCatchesUp(t *testing.T) {
 	h := startedHarness(t, 1)
 	h.open()
@@ -61,10 +62,10 @@
 	h.open()
 	h.receive(t, 1, "0\n1\n"+drainingLine+"\n2\n")
 	if h.watcher.revision != 2 {
-		t.Errorf("at event %d", h.watcher.revision)
+		t.Errorf("got last applied revision %d, want 2", h.watcher.revision)
 	}
 	h.advance(time.Second)
 	if len(h.dials) != 2 || !h.watcher.Connected() {
-		t.Errorf("%d dials, connected %v", len(h.dials), h.watcher.Connected())
+		t.Errorf("got %d dials, connected %v, want 2, true", len(h.dials), h.watcher.Connected())
 	}
 }
--- a/internal/discovery/service_clock_test.go
+++ b/internal/discovery/service_clock_test.go
@@ -9,8 +9,9 @@
 	"shaleyard/internal/config"
 )
 
-// The service's clock is hours from ours, as either was stepped. The ages of purges follow from their stamps alone:
-// those of a backlog, and one that is announced as it is made, which is of now.
+// If either clock was stepped, the service's clock may differ from the local one by hours. The ages of purges must
+// follow from their timestamps alone: relative to each other within a backlog, and 0 for a purge that is announced when
+// it is issued.
 func TestPurgeTimesFollowServiceClock(t *testing.T) {
 	for _, offset := range []time.Duration{-time.Hour, -5 * time.Second, 0, 5 * time.Second, time.Hour} {
 		t.Run(offset.String(), func(t *testing.T) {
@@ -31,16 +32,16 @@
 			h.receive(t, 0, fmt.Sprintf(`{"n":4,"purge":{"group":4,"at":%d}}`+"\n", stamp(0)))
 			start := h.now - time.Second
 			for i, want := range []time.Duration{8 * time.Second, 0, -time.Second} {
-				if age := start - h.purgesMadeAt[i]; age != want {
-					t.Errorf("purge %d is dated %v before the start, want %v", i+2, age, want)
+				if age := start - h.purgeIssueTimes[i]; age != want {
+					t.Errorf("purge %d: got issue time %v before the start, want %v", i+2, age, want)
 				}
 			}
 		})
 	}
 }
 
-// An endpoint's start keeps its time on our clock, whatever is learnt of the service's meanwhile: announced again, it
-// is no new incarnation.
+// The start time of an endpoint on the local clock stays the same even if the estimated offset of the service's clock
+// changes. An endpoint that is announced again must not appear as a new incarnation.
 func TestRepeatedStartTimeIsSameIncarnation(t *testing.T) {
 	h := newHarness()
 	bootstrap := config.Bootstrap{Revision: 1, Events: []json.RawMessage{[]byte(readyLine)}}
@@ -53,7 +54,7 @@
 	purge := fmt.Sprintf(`{"n":2,"purge":{"group":1,"at":%d}}`, (h.now - time.Minute).Milliseconds())
 	again := fmt.Sprintf(`{"n":3,%s`, readyLine[len(`{"n":1,`):])
 	h.receive(t, 0, purge+"\n"+again+"\n")
-	if first, second := h.notified[0], h.notified[2]; first != second {
-		t.Errorf("notified of %q, and again of %q", first, second)
+	if first, second := h.sinkCalls[0], h.sinkCalls[2]; first != second {
+		t.Errorf("got %q for the second announcement, want %q as for the first", second, first)
 	}
 }
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -157,7 +157,8 @@
 	watcher.Counters.Lines++
 	if err := watcher.applyLine(line, w); err != nil {
 		watcher.Counters.BadLines++
-		watcher.log.Warn("invalid line from the discovery service", zap.String("address", watcher.address), zap.Error(err))
+		watcher.log.Warn("invalid line from discovery service",
+			zap.String("address", watcher.address), zap.Error(err))
 		watcher.endWatch(w, w.endOnClose())
 		return err
 	}
--- a/internal/discovery/watch_end.go
+++ b/internal/discovery/watch_end.go
@@ -12,8 +12,8 @@
 	// EndTimedOut means that no connection was established in time, or that no usable line was received on it in time.
 	// The service is most likely overloaded, and each further call adds to the overload.
 	EndTimedOut
-	// EndUnusable means that the watch failed or was closed before its first usable line, or that the service's revision
-	// stayed behind the last applied event. An immediate call would most likely fail in the same way.
+	// EndUnusable means that the watch failed or was closed before its first usable line, or that the service's
+	// revision stayed behind the last applied event. An immediate call would most likely fail in the same way.
 	EndUnusable
 	// EndBroken means that a watch that had received usable lines was closed or received an unusable line. The director
 	// misses events from then on.
--- a/internal/discovery/watcher_test.go
+++ b/internal/discovery/watcher_test.go
@@ -14,6 +14,8 @@
 	"shaleyard/internal/config"
 )
 
+// Events of the configuration and of the watch reach the sink in order, also if each byte arrives separately.
+// Heartbeats, events that were already applied and endpoints in an unknown zone do not.
 func TestEventsReachTheSink(t *testing.T) {
 	h := newHarness()
 	bootstrap := config.Bootstrap{Revision: 1, Events: []json.RawMessage{[]byte(readyLine)}}
@@ -31,30 +33,31 @@
 		readyLine,
 		unknownZoneLine,
 	}, "\n") + "\n"
-	for i := range len(received) { // byte by byte
+	for i := range len(received) { // one byte at a time
 		if err := h.dials[0].Data([]byte(received[i : i+1])); err != nil {
 			t.Fatal(err)
 		}
 	}
 	want := []string{"true 7 s-1 127.0.0.1:80 1 0 ready 5ms", "purge 255 0 9ms", "purge 0 17 10ms"}
-	if diff := cmp.Diff(want, h.notified); diff != "" {
+	if diff := cmp.Diff(want, h.sinkCalls); diff != "" {
 		t.Error(diff)
 	}
 	if h.watcher.revision != 4 || h.watcher.Counters.SkippedEndpoints != 1 {
-		t.Errorf("at event %d, %d endpoints skipped", h.watcher.revision, h.watcher.Counters.SkippedEndpoints)
+		t.Errorf("got last applied revision %d, %d endpoints skipped, want 4, 1",
+			h.watcher.revision, h.watcher.Counters.SkippedEndpoints)
 	}
 }
 
-// What can't be used, and a gap in the numbers, must lead to a new subscription behind the last good event.
+// An unusable line or a gap in the revisions must lead to a new subscription after the last applied event.
 func TestBadLineReconnects(t *testing.T) {
 	for _, tc := range []struct{ name, line string }{
-		{"no JSON", "nonsense"},
+		{"invalid JSON", "nonsense"},
 		{"no revision", `{"purge":{"group":1,"at":1}}`},
 		{"gap", `{"n":3,"purge":{"group":1,"at":1}}`},
 		{"heartbeat ahead", "2"},
 		{"heartbeat ahead as an object", `{"n":2}`},
 		{"invalid purge key", `{"n":1,"purge":{"key":"zz","at":1}}`},
-		{"purge of nothing", `{"n":1,"purge":{"at":1}}`},
+		{"purge without key or group", `{"n":1,"purge":{"at":1}}`},
 		{"unknown status", strings.Replace(readyLine, "ready", "odd", 1)},
 		{"invalid address", strings.Replace(readyLine, "127.0.0.1:80", "home", 1)},
 		{"invalid name", strings.Replace(readyLine, "s-1", "s,up=1", 1)},
@@ -64,7 +67,7 @@
 			h := startedHarness(t, 1)
 			h.open()
 			if err := h.dials[0].Data([]byte(tc.line + "\n")); err == nil {
-				t.Error("was taken")
+				t.Error("got no error, want one")
 			}
 			h.dials[0].Closed()
 			h.advance(1500 * time.Millisecond)
@@ -74,48 +77,50 @@
 	}
 }
 
-// A watch that is cut off brings neither lines nor its end: its events count as notified all the same.
+// When the network fails, a watch receives neither lines nor a close, while the service's events still count as
+// notified. The watch must be closed and replaced after WatchSilenceTimeout.
 func TestSilentWatchIsReplaced(t *testing.T) {
 	h := startedHarness(t, 1)
-	link := h.open()
+	conn := h.open()
 	for range 5 {
 		h.advance(time.Second)
 		h.receive(t, 0, "0\n")
 	}
 	h.advance(time.Second)
-	if link.Closed {
-		t.Error("closed though it brought lines")
+	if conn.Closed {
+		t.Error("the watch was closed although it received lines, want it open")
 	}
 	h.advance(400 * time.Millisecond)
 	h.advance(0)
-	if !link.Closed || len(h.dials) != 2 || h.watcher.Connected() {
-		t.Errorf("closed %v, %d dials, connected %v", link.Closed, len(h.dials), h.watcher.Connected())
+	if !conn.Closed || len(h.dials) != 2 || h.watcher.Connected() {
+		t.Errorf("got closed %v, %d dials, connected %v, want true, 2, false",
+			conn.Closed, len(h.dials), h.watcher.Connected())
 	}
 }
 
-// While no watch is up, events count as notified: a productive watch is replaced in our turn, which is at once for a
-// director alone; one that closes without a line, later.
+// Events count as notified while no watch is up. A watch that received usable lines is replaced in the director's slot,
+// which is at once for a single director. A watch that closes without a usable line is replaced later.
 func TestLostWatchIsReplaced(t *testing.T) {
 	h := startedHarness(t, 1)
 	h.open()
 	h.receiveHeartbeats(t, 4)
 	h.dials[0].Closed()
 	h.advance(0)
-	h.wantDials(t, 2, "after the loss of a productive watch")
+	h.wantDials(t, 2, "after the loss of a watch that received usable lines")
 	h.open()
 	h.dials[1].Closed()
 	h.advance(100 * time.Millisecond)
 	if len(h.dials) != 2 {
-		t.Errorf("%d dials after a watch that closed without a line, want 2", len(h.dials))
+		t.Errorf("got %d dials after a watch that closed without a line, want 2", len(h.dials))
 	}
 	h.advance(1400 * time.Millisecond)
 	if len(h.dials) != 3 {
-		t.Errorf("%d dials after the wait, want 3", len(h.dials))
+		t.Errorf("got %d dials after the wait, want 3", len(h.dials))
 	}
 }
 
-// All directors of a fleet lose the service at once. This one waits for its turn, and no longer than the rule on
-// purges leaves.
+// When all directors of a fleet lose the service at once, each waits for its own slot, which is at most 0.4 s away, so
+// that purges can still be applied in time.
 func TestFleetReconnectWaitsForSlot(t *testing.T) {
 	h := startedHarness(t, 300)
 	h.open()
@@ -123,15 +128,15 @@
 	h.dials[0].Closed()
 	h.advance(0)
 	if len(h.dials) != 1 {
-		t.Errorf("back at once")
+		t.Errorf("got %d dials right after the loss, want 1", len(h.dials))
 	}
 	h.advance(400 * time.Millisecond)
 	if len(h.dials) != 2 {
-		t.Errorf("%d dials 0.4 s after the loss, want 2", len(h.dials))
+		t.Errorf("got %d dials 0.4 s after the loss, want 2", len(h.dials))
 	}
 }
 
-// Refusals and timeouts are told apart: a call after timeouts comes far later.
+// Refused dials and timeouts have different waits: the waits after timeouts are much longer.
 func TestRefusedDialsAreRetriedSoonerThanTimeouts(t *testing.T) {
 	callsIn20s := func(err error) int {
 		h := startedHarness(t, 300)
@@ -146,25 +151,26 @@
 	refused := callsIn20s(fmt.Errorf("dial: %w", syscall.ECONNREFUSED))
 	timedOut := callsIn20s(os.ErrDeadlineExceeded)
 	if refused < 12 || refused > 20 || timedOut > 8 || timedOut < 4 {
-		t.Errorf("in 20 s %d calls of a service that refuses, %d of one that times out", refused, timedOut)
+		t.Errorf("got %d refused and %d timed out calls in 20 s, want 12 to 20 and 4 to 8", refused, timedOut)
 	}
 }
 
-// A line that can't be used on a watch that was productive until then is a break: the events behind it are asked for at
-// once, also where the watch was young, as a purge may be among them.
+// An unusable line on a watch that had received usable lines counts as a break: the events after the last applied one
+// are requested soon, also if the watch was short, because there may be a purge among them.
 func TestInvalidLineOnUsableWatchReconnectsSoon(t *testing.T) {
 	h := startedHarness(t, 300)
 	h.open()
 	h.receive(t, 0, readyLine+"\n")
 	if err := h.dials[0].Data([]byte("{\"n\":2,\"pur\n")); err == nil {
-		t.Error("half an event was taken")
+		t.Error("got no error for an incomplete event, want one")
 	}
 	h.advance(400 * time.Millisecond)
 	h.wantDials(t, 2, "0.4 s after a bad line")
 	h.wantSubscription(t, 1)
 }
 
-// A list that breaks off half-way brings nothing; the next call comes behind the last whole event.
+// A list that is cut off by the end of the connection is not applied; the next call requests the events after the last
+// complete one.
 func TestTruncatedListIsNotApplied(t *testing.T) {
 	h := startedHarness(t, 1)
 	h.open()
@@ -172,25 +178,26 @@
 	h.dials[0].Closed()
 	h.advance(1500 * time.Millisecond)
 	h.wantSubscription(t, 0)
-	if len(h.notified) != 0 {
-		t.Errorf("the sink got %v", h.notified)
+	if len(h.sinkCalls) != 0 {
+		t.Errorf("got %v, want no calls of the sink", h.sinkCalls)
 	}
 	if h.watcher.Counters.WatchEnds[EndUnusable] != 1 {
-		t.Errorf("ends %v, want one unusable", h.watcher.Counters.WatchEnds)
+		t.Errorf("got ends %v, want one unusable", h.watcher.Counters.WatchEnds)
 	}
 }
 
-// A watch that opens and hangs half-way through a list is of a service that is overloaded.
+// A watch that opens and stalls within its first list ends as timed out, because the service is most likely overloaded.
 func TestStallWithinListIsATimeout(t *testing.T) {
 	h := startedHarness(t, 1)
-	link := h.open()
+	conn := h.open()
 	h.receive(t, 0, readyLine[:len(readyLine)/2])
 	h.advance(1300 * time.Millisecond)
-	if !link.Closed || h.watcher.Counters.WatchEnds[EndTimedOut] != 1 {
-		t.Errorf("closed %v, ends %v, want one timed out", link.Closed, h.watcher.Counters.WatchEnds)
+	if !conn.Closed || h.watcher.Counters.WatchEnds[EndTimedOut] != 1 {
+		t.Errorf("got closed %v, ends %v, want true, one timed out", conn.Closed, h.watcher.Counters.WatchEnds)
 	}
 }
 
+// The events of a configuration must each have a revision, none higher than the revision of the configuration.
 func TestBootstrapRejectsInvalidRevisions(t *testing.T) {
 	for _, tc := range []struct {
 		name      string
@@ -202,7 +209,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			err := newHarness().watcher.Bootstrap(tc.bootstrap)
 			if err == nil || !strings.HasPrefix(err.Error(), "known.") {
-				t.Errorf("error %v", err)
+				t.Errorf("got error %v, want one that starts with known.", err)
 			}
 		})
 	}
