--- a/internal/discovery/apply.go
+++ b/internal/discovery/apply.go
@@ -18,14 +18,14 @@
 // endpointState holds the latest known state of an endpoint. Endpoints that are gone have an entry too.
 type endpointState struct {
 	state   routing.State
-	sinceMS int64        // time of a late start, in Unix milliseconds of the service's clock; 0: no late start
-	started routing.Time // time of a late start on the local clock; 0: no late start
+	sinceMS int64        // start time, in Unix milliseconds of the service's clock; 0: started long ago
+	started routing.Time // start time on the local clock; 0: started long ago
 }
 
 // Bootstrap applies the events that the configuration contains. It must be called before Start. It returns an error if
 // an event is invalid or has a higher revision than bootstrap.Revision.
 func (w *Watcher) Bootstrap(bootstrap config.Bootstrap) error {
-	w.learnServiceClock(bootstrap.Events)
+	w.observeServiceClock(bootstrap.Events)
 	for i, text := range bootstrap.Events {
 		if err := w.applyLine(text, nil); err != nil {
 			return fmt.Errorf("known.events[%d]: %w", i, err)
@@ -39,9 +39,9 @@
 	return nil
 }
 
-// learnServiceClock estimates the offset of the service's clock from the timestamps of all purges in the backlog. It
+// observeServiceClock estimates the offset of the service's clock from the timestamps of all purges in the backlog. It
 // runs before any event of the backlog is applied, because applying a purge converts its timestamp to the local clock.
-func (w *Watcher) learnServiceClock(backlog []json.RawMessage) {
+func (w *Watcher) observeServiceClock(backlog []json.RawMessage) {
 	now := w.now()
 	for _, text := range backlog {
 		if !bytes.Contains(text, []byte(`"purge"`)) {
@@ -91,7 +91,7 @@
 	revision := *received.Revision
 	if source != nil && source.fullResync {
 		if revision != 1 || received.Update == nil || !received.Update.Snapshot {
-			return false, errNotFullList
+			return false, errNotSnapshot
 		}
 		return true, nil
 	}
@@ -119,7 +119,7 @@
 		w.applyEndpoints(received.Update, endpoints)
 	}
 	if received.Purge != nil {
-		if source != nil { // learnServiceClock has observed the timestamps of the configuration's purges.
+		if source != nil { // observeServiceClock has observed the timestamps of the configuration's purges.
 			w.serviceClock.Observe(received.Purge.serviceTime(), w.now())
 		}
 		if err := w.applyPurge(received.Purge); err != nil {
@@ -175,7 +175,7 @@
 		clear(w.endpoints)
 	}
 	for i := range kept {
-		w.remember(&kept[i])
+		w.recordEndpoint(&kept[i])
 	}
 	w.listVersion = max(w.listVersion, update.Version)
 	w.sink.UpdateEndpoints(full, update.Version, kept)
@@ -198,9 +198,9 @@
 	return known.state != routing.Gone
 }
 
-// remember stores the state of an endpoint. Once twice MaxMembers endpoints are stored, it first deletes those that are
-// gone.
-func (w *Watcher) remember(entry *director.Endpoint) {
+// recordEndpoint stores the state of an endpoint. Once twice MaxMembers endpoints are stored, it first deletes those
+// that are gone.
+func (w *Watcher) recordEndpoint(entry *director.Endpoint) {
 	if len(w.endpoints) >= 2*w.limits.MaxMembers {
 		maps.DeleteFunc(w.endpoints, func(_ string, known endpointState) bool { return known.state == routing.Gone })
 	}
@@ -211,9 +211,9 @@
 	}
 }
 
-// startTime returns when an endpoint was started, on the local clock, or 0 if it has no late start. The time of one
-// start is converted once and then reused, even if the estimated offset of the service's clock changes: a different
-// time would mean a new incarnation of the endpoint.
+// startTime returns when an endpoint was started, on the local clock, or 0 if that was long ago. The time of one start
+// is converted once and then reused, even if the estimated offset of the service's clock changes: a different time
+// would mean a new incarnation of the endpoint.
 func (w *Watcher) startTime(entry *endpoint) routing.Time {
 	if entry.SinceMS == 0 {
 		return 0
--- a/internal/discovery/backoff.go
+++ b/internal/discovery/backoff.go
@@ -25,7 +25,7 @@
 	// NotifiedAfter is the time after which a published event counts as notified even if the director has not received
 	// it (protocol page: 7 s).
 	NotifiedAfter time.Duration
-	// SilenceTimeout is the time without a received line after which a watch is closed.
+	// SilenceTimeout is the time without a usable line after which a watch is closed.
 	SilenceTimeout time.Duration
 	// CallDuration is the longest time that a call to a healthy service takes to connect, subscribe and read the missed
 	// events.
@@ -36,15 +36,15 @@
 }
 
 const (
-	// fullWindowFleet is the number of directors from which the fleet uses the full windows. Fewer directors can't
+	// minFullWindowFleet is the number of directors from which the fleet uses the full windows. Fewer directors can't
 	// overload the service, so their windows are shorter.
-	fullWindowFleet = 8
-	// settleTime is the time for which a watch must have been usable to count as stable. A shorter watch counts as a
+	minFullWindowFleet = 8
+	// minStableTime is the time for which a watch must have been usable to count as stable. A shorter watch counts as a
 	// failure, because the service may be flapping.
-	settleTime = 3 * time.Second
-	// maxSavedCalls is the capacity of the token bucket of calls. It allows a burst of calls after a quiet time, for a
+	minStableTime = 3 * time.Second
+	// maxTokens is the capacity of the token bucket of calls. It allows a burst of calls after a quiet time, for a
 	// broken watch and the calls that replace it.
-	maxSavedCalls = 4
+	maxTokens = 4
 	// backoffFactor is the growth of the backoff window with each consecutive call that was refused or timed out.
 	backoffFactor = 2.0
 	// maxDoublings bounds the exponent of the backoff window, which reaches its maximum length well before.
@@ -93,10 +93,10 @@
 // NewBackoff returns the backoff of one director. The seed of the random waits should differ between directors.
 func NewBackoff(config BackoffConfig, seed uint64) *Backoff {
 	config.Directors = max(config.Directors, 1)
-	backoff := &Backoff{rng: rand.New(rand.NewPCG(seed, 2)), config: config, tokens: maxSavedCalls}
+	backoff := &Backoff{rng: rand.New(rand.NewPCG(seed, 2)), config: config, tokens: maxTokens}
 	backoff.maxWaitWhileDown = max(config.ApplyWithin-config.CallDuration, config.MinWait)
 	backoff.maxWait = max(config.NotifiedAfter-config.CallDuration, backoff.maxWaitWhileDown)
-	windowFraction := min(1, float64(config.Directors-1)/(fullWindowFleet-1))
+	windowFraction := min(1, float64(config.Directors-1)/(minFullWindowFleet-1))
 	backoff.maxWaitAfterBreak = min(backoff.maxWaitWhileDown, config.ApplyPurgeWithin*4/5)
 	backoff.returnWindow = time.Duration(windowFraction * float64(backoff.maxWaitAfterBreak))
 	backoff.startWindow = backoff.returnWindow
@@ -115,7 +115,7 @@
 // FirstCall returns the time of the first call, which is in this director's slot of the start window.
 func (b *Backoff) FirstCall(now routing.Time) routing.Time {
 	b.refilledAt = now
-	return b.reserveCall(now, b.slot(now, b.startWindow))
+	return b.takeToken(now, b.slot(now, b.startWindow))
 }
 
 // RedirectCall returns the time of the first call to another service that a new configuration names. All directors
@@ -128,7 +128,7 @@
 	b.unservedCalls = 0
 	b.unusableEnds = 0
 	b.usable = false
-	return b.reserveCall(now, b.slot(now, b.returnWindow))
+	return b.takeToken(now, b.slot(now, b.returnWindow))
 }
 
 // RecordUsableLine records that the current watch received a usable line at the time now.
@@ -139,7 +139,7 @@
 		b.unservedCalls = 0
 		b.unusableEnds = 0
 	}
-	if now-b.usableSince >= settleTime {
+	if now-b.usableSince >= minStableTime {
 		b.failures = 0
 	}
 }
@@ -149,20 +149,20 @@
 
 // NextCall returns the time of the next call after the current call, or its watch, has ended at the time now.
 func (b *Backoff) NextCall(now routing.Time, end WatchEnd) routing.Time {
-	settled := b.usable && now-b.usableSince >= settleTime
+	stable := b.usable && now-b.usableSince >= minStableTime
 	b.usable = false
-	if settled {
+	if stable {
 		b.failures = 0
-		return b.reserveCall(now, b.waitAfterSettledWatch(now, end))
+		return b.takeToken(now, b.waitAfterStableWatch(now, end))
 	}
 	b.failures++
-	return b.reserveCall(now, b.waitAfterFailure(now, end))
+	return b.takeToken(now, b.waitAfterFailure(now, end))
 }
 
-// waitAfterSettledWatch returns the wait until this director's slot in the return window. After EndSilent the window is
+// waitAfterStableWatch returns the wait until this director's slot in the return window. After EndSilent the window is
 // bounded by maxWaitWhileDown less SilenceTimeout, because the time without lines counts toward the time within which
 // events must be applied.
-func (b *Backoff) waitAfterSettledWatch(now routing.Time, end WatchEnd) time.Duration {
+func (b *Backoff) waitAfterStableWatch(now routing.Time, end WatchEnd) time.Duration {
 	b.breaks++
 	window := b.returnWindow
 	if end == EndSilent {
@@ -179,7 +179,7 @@
 	case EndUnusable:
 		return b.waitAfterUnusable()
 	case EndBroken, EndSilent:
-		return b.waitAfterYoungWatch(now)
+		return b.waitAfterShortWatch(now)
 	default:
 		return b.waitAfterTimeout(now)
 	}
@@ -203,17 +203,17 @@
 	return b.jitter(b.maxWaitWhileDown, 0.5)
 }
 
-// waitAfterYoungWatch returns the wait after a watch that was usable for less than settleTime. The watch had received
-// usable lines, so the service is up and not overloaded, and the events that the break cut off are due as soon as after
-// a stable watch. The watch is therefore replaced within the return window if it is the first failure in a row or if
-// two or more tokens are left. Otherwise the wait is random, at least half of maxWaitWhileDown, and reserveCall extends
-// it if no token is left.
-func (b *Backoff) waitAfterYoungWatch(now routing.Time) time.Duration {
+// waitAfterShortWatch returns the wait after a watch that was usable for less than minStableTime. The watch had
+// received usable lines, so the service is up and not overloaded, and the events that the break cut off are due as soon
+// as after a stable watch. The watch is therefore replaced within the return window if it is the first failure in a row
+// or if two or more tokens are left. Otherwise the wait is random, at least half of maxWaitWhileDown, and takeToken
+// extends it if no token is left.
+func (b *Backoff) waitAfterShortWatch(now routing.Time) time.Duration {
 	if b.failures == 1 {
 		b.breaks++
 		return b.slot(now, b.returnWindow)
 	}
-	if b.remainingBudget(now) >= 2 {
+	if b.tokensAt(now) >= 2 {
 		b.breaks++
 		minWait := min(b.config.MinWait, b.maxWaitAfterBreak)
 		return minWait + b.slot(now+minWait, max(0, b.returnWindow-minWait))
@@ -262,18 +262,18 @@
 	return max(time.Duration(fraction*float64(window)), b.config.MinWait)
 }
 
-// remainingBudget returns the number of tokens in the bucket at a time, at most maxSavedCalls.
-func (b *Backoff) remainingBudget(at routing.Time) float64 {
-	return min(maxSavedCalls, b.tokens+float64(at-b.refilledAt)/float64(b.maxWaitWhileDown))
+// tokensAt returns the number of tokens in the bucket at a time, at most maxTokens.
+func (b *Backoff) tokensAt(at routing.Time) float64 {
+	return min(maxTokens, b.tokens+float64(at-b.refilledAt)/float64(b.maxWaitWhileDown))
 }
 
-// reserveCall takes a token for a call that is made after the wait, and returns the time of the call. The bucket gains
+// takeToken takes a token for a call that is made after the wait, and returns the time of the call. The bucket gains
 // one token per maxWaitWhileDown. If no token is left, the call is postponed until the next one is added, by at most
 // maxWaitWhileDown. Once the bucket is empty, a flapping service thus receives at most one call per director in that
 // time.
-func (b *Backoff) reserveCall(now routing.Time, wait time.Duration) routing.Time {
+func (b *Backoff) takeToken(now routing.Time, wait time.Duration) routing.Time {
 	at := now + wait
-	b.tokens = b.remainingBudget(at)
+	b.tokens = b.tokensAt(at)
 	b.refilledAt = at
 	if b.tokens < 1 {
 		at += time.Duration((1 - b.tokens) * float64(b.maxWaitWhileDown))
--- a/internal/discovery/backoff_test.go
+++ b/internal/discovery/backoff_test.go
@@ -198,20 +198,20 @@
 				t.Fatalf("got a wait of %v after %v, want at most 6.5s (timed out, silent) or 3s; usable for %v",
 					wait, end, served)
 			}
-			if served >= settleTime && wait > 400*time.Millisecond {
+			if served >= minStableTime && wait > 400*time.Millisecond {
 				t.Fatalf("got a wait of %v after a watch that was usable for %v, want at most 400ms", wait, served)
 			}
-			if tokens := backoff.tokens; tokens < 0 || tokens > maxSavedCalls {
-				t.Fatalf("got %v tokens, want 0 to %d", tokens, maxSavedCalls)
+			if tokens := backoff.tokens; tokens < 0 || tokens > maxTokens {
+				t.Fatalf("got %v tokens, want 0 to %d", tokens, maxTokens)
 			}
 		}
-		if err := checkBudget(calls, maxSavedCalls+1); err != nil {
+		if err := checkBudget(calls, maxTokens+1); err != nil {
 			t.Fatal(err)
 		}
 	})
 }
 
-// A watch that was usable for settleTime resets the count of failures; short watches of a flapping service do not.
+// A watch that was usable for minStableTime resets the count of failures; short watches of a flapping service do not.
 func TestOnlyStableWatchResetsFailures(t *testing.T) {
 	backoff := NewBackoff(platformConfig(300, 0), 1)
 	now := backoff.FirstCall(0)
@@ -223,7 +223,7 @@
 		t.Errorf("got %d failures after three watches of 0.1 s, want 3", backoff.Failures())
 	}
 	backoff.RecordUsableLine(now)
-	backoff.RecordUsableLine(now + settleTime)
+	backoff.RecordUsableLine(now + minStableTime)
 	if backoff.Failures() != 0 {
 		t.Errorf("got %d failures after a stable watch, want 0", backoff.Failures())
 	}
--- a/internal/discovery/counters.go
+++ b/internal/discovery/counters.go
@@ -7,7 +7,7 @@
 	Connects         uint64 // watches opened
 	ConnectFailures  uint64 // dials that failed
 	Disconnects      uint64 // watches closed by the service
-	SilenceTimeouts  uint64 // watches closed because no line was received for WatchSilenceTimeout
+	SilenceTimeouts  uint64 // watches closed because no usable line was received for WatchSilenceTimeout
 	Redirects        uint64 // changes of the service's address by a new configuration
 	Lines            uint64 // complete lines received
 	Events           uint64 // events applied, including those of the configuration
--- a/internal/discovery/errors.go
+++ b/internal/discovery/errors.go
@@ -9,7 +9,7 @@
 	errWatchReplaced    = errors.New("watch is no longer the active one")
 	errLineTooLong      = errors.New("line exceeds the maximum length")
 	errNoRevision       = errors.New("event has no revision")
-	errNotFullList      = errors.New("first event after a request for all events must be a snapshot with revision 1")
+	errNotSnapshot      = errors.New("first event after a request for all events must be a snapshot with revision 1")
 	errTooManyEndpoints = errors.New("too many endpoints")
 )
 
--- a/internal/discovery/event.go
+++ b/internal/discovery/event.go
@@ -38,19 +38,19 @@
 	Group   int     `json:"group"`
 	Status  string  `json:"status"`
 	Weight  float64 `json:"weight"`
-	SinceMS int64   `json:"since_ms"` // time of a late start in Unix milliseconds of the service's clock; 0: none
+	SinceMS int64   `json:"since_ms"` // start time, in Unix milliseconds of the service's clock; 0: long ago
 }
 
 // purgeNotice announces the purge of an object, of a group, or of an object in a group.
 type purgeNotice struct {
-	Key    string `json:"key"` // hexadecimal
-	Group  *int   `json:"group"`
-	MadeAt int64  `json:"at"` // Unix milliseconds of the service's clock
+	Key      string `json:"key"` // hexadecimal
+	Group    *int   `json:"group"`
+	IssuedAt int64  `json:"at"` // Unix milliseconds of the service's clock
 }
 
 // serviceTime returns when the purge was issued, on the service's clock.
 func (p *purgeNotice) serviceTime() routing.Time {
-	return routing.Time(p.MadeAt) * routing.Time(time.Millisecond)
+	return routing.Time(p.IssuedAt) * routing.Time(time.Millisecond)
 }
 
 // state returns the endpoint's state, or an InvalidFieldError if the status is unknown.
--- a/internal/discovery/flapping_service_test.go
+++ b/internal/discovery/flapping_service_test.go
@@ -67,9 +67,9 @@
 	published int // revision of the latest published event
 	applied   int // revision of the latest event that the sink received
 
-	breakOnNextEvent  bool // the live watch breaks within the next event
-	completedOnce     bool // a watch has been up to date; no faults are injected before, as they would test the start
-	callsSinceSettled int  // calls since the latest watch that was given a long lifetime for maxBurst
+	breakOnNextEvent bool // the live watch breaks within the next event
+	completedOnce    bool // a watch has been up to date; no faults are injected before, as they would test the start
+	callsSinceStable int  // calls since the latest watch that was given a long lifetime for maxBurst
 
 	// Consecutive faults, see faultClass.
 	interruptedReplays int
@@ -159,7 +159,7 @@
 	if s.healthy || !s.completedOnce || !s.watcher.EverConnected() {
 		return false
 	}
-	if s.faults.maxBurst != 0 && s.callsSinceSettled >= s.faults.maxBurst {
+	if s.faults.maxBurst != 0 && s.callsSinceStable >= s.faults.maxBurst {
 		return false
 	}
 	return s.rng.Float64() < s.settings.probabilities[kind]
@@ -173,7 +173,7 @@
 // Dial implements eventloop.Dialer. The dial is refused, times out or succeeds at random.
 func (s *flappingService) Dial(_ string, timeout time.Duration, stream eventloop.Stream) {
 	dial := stream.(*watch)
-	s.callsSinceSettled++
+	s.callsSinceStable++
 	s.checker.addHistory(s.now, "call")
 	switch {
 	case s.refusals < s.faults.maxRefused && s.draw(faultRefused):
@@ -293,9 +293,9 @@
 func (s *flappingService) scheduleEnd(ending *flappingWatch) {
 	lifetime := s.randomUpTo(s.settings.maxLifetime)
 	switch {
-	case s.faults.maxBurst > 0 && s.callsSinceSettled >= s.faults.maxBurst: // until the token bucket is full again
+	case s.faults.maxBurst > 0 && s.callsSinceStable >= s.faults.maxBurst: // until the token bucket is full again
 		lifetime += 7 * time.Second
-		s.callsSinceSettled = 0
+		s.callsSinceStable = 0
 	case s.rng.IntN(12) == 0: // one of 12 watches becomes stable
 		lifetime += 3 * time.Second
 	}
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -16,7 +16,7 @@
 	watcher        *Watcher
 	conn           eventloop.Conn
 	partial        []byte // received start of an incomplete line
-	productive     bool   // a usable line has been received
+	usable         bool   // a usable line has been received
 	revisionBehind bool   // the service's last heartbeat had a revision before the last applied event
 	fullResync     bool   // all events were requested, and the first one, a snapshot, has not been applied yet
 }
@@ -91,7 +91,7 @@
 // endOnClose returns the WatchEnd of a watch that is closed by the service or receives an unusable line: EndBroken if
 // it had received a usable line before, EndUnusable otherwise.
 func (w *watch) endOnClose() WatchEnd {
-	if w.productive {
+	if w.usable {
 		return EndBroken
 	}
 	return EndUnusable
@@ -103,7 +103,7 @@
 	if w.revisionBehind {
 		return EndUnusable
 	}
-	if w.productive {
+	if w.usable {
 		return EndSilent
 	}
 	return EndTimedOut
@@ -167,7 +167,7 @@
 		return nil
 	}
 	watcher.resetSilenceTimer(w)
-	w.productive = true
+	w.usable = true
 	watcher.lastUsableLine = watcher.now()
 	if !watcher.redirecting { // Lines of the old service are no evidence about the new one.
 		watcher.backoff.RecordUsableLine(watcher.now())
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -65,7 +65,7 @@
 	endpoints      map[string]endpointState // latest known states, by name of the endpoint
 	serviceClock   clock.PeerClock          // offset of the service's clock, estimated from the timestamps of purges
 	watchesBehind  int                      // consecutive watches with a service revision before the last applied event
-	resyncing      bool                     // the service restarted its revisions, and its latest one is not reached yet
+	resyncing      bool                     // the service restarted its revisions, and its latest is not reached yet
 	everConnected  bool                     // a watch has been opened since the start
 	lastUsableLine routing.Time             // when the last usable line was received; 0: none yet
 
@@ -198,8 +198,8 @@
 	}
 }
 
-// resetSilenceTimer restarts the timer that ends the watch after WatchSilenceTimeout. When the network fails, a watch
-// receives neither lines nor a close, while the service's events still count as notified.
+// resetSilenceTimer restarts the timer that ends the watch after WatchSilenceTimeout without a usable line. When the
+// network fails, a watch receives neither lines nor a close, while the service's events still count as notified.
 func (w *Watcher) resetSilenceTimer(source *watch) {
 	w.timers.Schedule(&w.silenceTimer, w.now()+w.limits.WatchSilenceTimeout, func() {
 		w.Counters.SilenceTimeouts++
