--- a/internal/discovery/backoff.go
+++ b/internal/discovery/backoff.go
@@ -62,7 +62,7 @@
 //     reconnect early enough to apply them within ApplyPurgeWithin. The same holds for a director that has just
 //     started, because clients may not have noticed its restart.
 //   - A director that accepts no requests before it has reached the service may spread its first call over StartWindow.
-//   - A service that is down, or sends unusable lines, must not be overloaded by calls, but the events that it sends
+//   - A service that is down, or sends invalid lines, must not be overloaded by calls, but the events that it sends
 //     after its recovery must be applied within ApplyWithin. The wait is therefore at most maxWaitWhileDown.
 //   - An overloaded service can't serve all directors within ApplyWithin. Its events count as notified after
 //     NotifiedAfter, so the wait is at most NotifiedAfter less CallDuration.
@@ -85,7 +85,7 @@
 	failures      int          // consecutive calls or watches that ended, without a stable watch between them
 	unservedCalls int          // consecutive calls that were refused or timed out, without a usable line between them
 	unusableEnds  int          // consecutive EndUnusable ends, without a usable line between them
-	breaks        int          // broken watches and redirects; each one moves this director's slot in the window
+	breaks        int          // ended usable watches and redirects; each one moves this director's slot in the window
 	usableSince   routing.Time // time of the current watch's first usable line
 	usable        bool         // the current watch has received a usable line
 }
--- a/internal/discovery/backoff_test.go
+++ b/internal/discovery/backoff_test.go
@@ -129,7 +129,7 @@
 }
 
 // A service that refuses connections is called again soon, after a mean wait of at most 1.6 s. The waits after
-// consecutive timeouts grow, because the service may be overloaded. The waits after unusable lines stay bounded.
+// consecutive timeouts grow, because the service may be overloaded. The waits after unusable watches stay bounded.
 func TestBackoffDependsOnKindOfFailure(t *testing.T) {
 	meanWait := func(end WatchEnd, failures int) (mean time.Duration) {
 		for seed := range uint64(200) {
--- a/internal/discovery/flapping_service_test.go
+++ b/internal/discovery/flapping_service_test.go
@@ -232,7 +232,7 @@
 		revision := s.applied + 1
 		line := fmt.Appendf(nil, `{"n":%d,"purge":{"group":1,"at":%d}}`+"\n", revision, revision)
 		if err := to.watch.Data(line); err != nil {
-			panic(err) // this service writes no unusable lines
+			panic(err) // this service writes no invalid lines
 		}
 		if len(s.checker.missed) > 0 && s.checker.missed[0].revision == s.applied {
 			s.checker.recordApplied(s.now, s.limits.PurgeApplyWithin)
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -88,7 +88,7 @@
 	w.watcher.endWatch(w, w.endOnClose())
 }
 
-// endOnClose returns the WatchEnd of a watch that is closed by the service or receives an unusable line: EndBroken if
+// endOnClose returns the WatchEnd of a watch that is closed by the service or receives an invalid line: EndBroken if
 // it had received a usable line before, EndUnusable otherwise.
 func (w *watch) endOnClose() WatchEnd {
 	if w.usable {
@@ -109,7 +109,7 @@
 	return EndTimedOut
 }
 
-// Data handles received bytes and applies the lines that are complete. An unusable line ends the watch, and the next
+// Data handles received bytes and applies the lines that are complete. An invalid line ends the watch, and the next
 // watch resumes after the last applied event.
 func (w *watch) Data(received []byte) error {
 	for len(received) > 0 {
@@ -150,7 +150,7 @@
 	return w.partial
 }
 
-// applyLine applies a complete line and resets the silence timer. An unusable line ends the watch and is returned as an
+// applyLine applies a complete line and resets the silence timer. An invalid line ends the watch and is returned as an
 // error. The timer is not reset while the service's revision is behind the last applied event.
 func (w *watch) applyLine(line []byte) error {
 	watcher := w.watcher
--- a/internal/discovery/watch_end.go
+++ b/internal/discovery/watch_end.go
@@ -15,7 +15,7 @@
 	// EndUnusable means that the watch failed or was closed before its first usable line, or that the service's
 	// revision stayed behind the last applied event. An immediate call would most likely fail in the same way.
 	EndUnusable
-	// EndBroken means that a watch that had received usable lines was closed or received an unusable line. The director
+	// EndBroken means that a watch that had received usable lines was closed or received an invalid line. The director
 	// misses events from then on.
 	EndBroken
 	// EndSilent means that a watch that had received usable lines received none for BackoffConfig.SilenceTimeout. That
--- a/internal/discovery/watcher_test.go
+++ b/internal/discovery/watcher_test.go
@@ -48,7 +48,8 @@
 	}
 }
 
-// An unusable line or a gap in the revisions must lead to a new subscription after the last applied event.
+// An invalid line, such as one after a gap in the revisions, must lead to a new subscription after the last applied
+// event.
 func TestBadLineReconnects(t *testing.T) {
 	for _, tc := range []struct{ name, line string }{
 		{"invalid JSON", "nonsense"},
@@ -155,7 +156,7 @@
 	}
 }
 
-// An unusable line on a watch that had received usable lines counts as a break: the events after the last applied one
+// An invalid line on a watch that had received usable lines counts as a break: the events after the last applied one
 // are requested soon, also if the watch was short, because there may be a purge among them.
 func TestInvalidLineOnUsableWatchReconnectsSoon(t *testing.T) {
 	h := startedHarness(t, 300)
