--- a/internal/resp/parser.go
+++ b/internal/resp/parser.go
@@ -8,7 +8,7 @@
 	"shaleyard/internal/buffer"
 )
 
-// Bounds that every response keeps. The bounds of the fields and of the body are a matter of configuration (Limits).
+// Fixed bounds of a response. The bounds of the FIELDS and BODY elements depend on the configuration; see Limits.
 const (
 	minElements    = 2 // ID and STATUS
 	maxElements    = 4 // ID, STATUS, FIELDS and BODY
@@ -17,7 +17,7 @@
 	maxStatusBytes = 16
 )
 
-// Positions of the elements in the array of a response.
+// Indexes of the elements in the array of a response.
 const (
 	idElement = iota
 	statusElement
@@ -26,13 +26,13 @@
 )
 
 var (
-	// ErrMalformed reports bytes that can't be a part of a response.
+	// ErrMalformed is returned for data that cannot be part of a response.
 	ErrMalformed = errors.New("malformed response")
-	// ErrTooLarge reports a response with more elements, or a longer element, than the bounds allow.
+	// ErrTooLarge is returned for a response with more elements, a longer element or a longer header than allowed.
 	ErrTooLarge = errors.New("response too large")
 )
 
-// Limits bound the elements of a response whose size depends on the configuration, in bytes.
+// Limits holds the maximum sizes, in bytes, of the response elements whose bound depends on the configuration.
 type Limits struct {
 	Fields int
 	Body   int
@@ -43,39 +43,40 @@
 	ID     string
 	Status string
 	Fields string
-	Body   buffer.Chain // owned by whoever is handed the response
+	Body   buffer.Chain // owned by the function that receives the response
 }
 
-// Parser takes responses off a stream. The memory that a stream can make it hold is bounded by its limits.
+// Parser reads responses from a stream. Its limits bound the memory that it holds, whatever the stream contains.
 type Parser struct {
 	buffers *buffer.Pool
 	limits  Limits
 
 	state        parserState
-	header       []byte // of the header line being read
-	elementCount int    // announced by the array's header
-	elementIndex int    // of the element being read
-	element      []byte // bytes read of it, for all elements but the body
-	remaining    int    // bytes to come of the bulk string; in state atTerminator: of its line end
-	current      Response
+	header       []byte   // bytes read so far of the current header line
+	elementCount int      // number of elements in the current response, according to its array header
+	elementIndex int      // index of the current element
+	element      []byte   // bytes read so far of the current element; unused for the body
+	remaining    int      // bytes still to be read of the current bulk string or, in state atTerminator, of its CRLF
+	current      Response // the response being read
 }
 
+// parserState is the part of a response that the parser reads next.
 type parserState uint8
 
 const (
 	atArrayHeader parserState = iota
 	atBulkHeader
 	inBulkString
-	atTerminator // in the line end behind a bulk string
+	atTerminator // in the CRLF after a bulk string
 )
 
-// NewParser returns a parser at the start of a stream. Bodies are held in buffers of the pool.
+// NewParser returns a parser for a stream, from its start. The parser stores response bodies in buffers of the pool.
 func NewParser(buffers *buffer.Pool, limits Limits) Parser {
 	return Parser{buffers: buffers, limits: limits}
 }
 
-// Feed reads the next bytes of the stream and calls handle with each response that they complete, in their order. An
-// error (ErrMalformed, ErrTooLarge, or of the buffer pool) is final: the stream can't be read any further.
+// Feed parses the next bytes of the stream and calls handle for each response that they complete, in stream order.
+// After an error (ErrMalformed, ErrTooLarge or an error of the buffer pool) the rest of the stream cannot be parsed.
 func (p *Parser) Feed(data []byte, handle func(Response)) error {
 	for len(data) > 0 {
 		var err error
@@ -94,37 +95,39 @@
 	return nil
 }
 
-// InProgress tells whether the stream stands within a response.
+// InProgress reports whether the parser has read a part of a response but not all of it.
 func (p *Parser) InProgress() bool {
 	return p.state != atArrayHeader || len(p.header) > 0
 }
 
-// Release gives back the buffers of a response that is not complete. The parser must not be fed afterwards.
+// Release returns the buffers of an incomplete response to the pool. Feed must not be called afterwards.
 func (p *Parser) Release() {
 	p.current.Body.Release()
 }
 
-// readHeader reads a header line up to its end, or all of data where that does not hold the end, and returns the rest.
+// readHeader reads a header line from data up to the line's end, and returns the rest of data. If the line does not end
+// in data, readHeader reads all of data.
 func (p *Parser) readHeader(data []byte) ([]byte, error) {
 	for i, c := range data {
 		if c == '\n' {
 			return data[i+1:], p.finishHeader()
 		}
 		if len(p.header) >= maxHeaderBytes {
-			return nil, fmt.Errorf("%w: header of over %d bytes", ErrTooLarge, maxHeaderBytes)
+			return nil, fmt.Errorf("%w: header is longer than %d bytes", ErrTooLarge, maxHeaderBytes)
 		}
 		p.header = append(p.header, c)
-		// Noise that never ends its line must not hold up the attempts on the connection, so each byte is checked as it
-		// arrives.
+		// Each byte is checked as it arrives: invalid data without a line end must not delay the failure of the
+		// attempts on the connection.
 		if !p.validHeaderByte(c) {
-			return nil, fmt.Errorf("%w: %.16q begins no header", ErrMalformed, p.header)
+			return nil, fmt.Errorf("%w: invalid start of a header %.16q", ErrMalformed, p.header)
 		}
 	}
 	return nil, nil
 }
 
-// validHeaderByte tells whether the latest byte of the header may stand there: first the mark of its type, then digits
-// and '\r'. A minus may not: null strings and null arrays are no responses.
+// validHeaderByte reports whether c, the last byte read of the header, is allowed at its position: first the byte that
+// identifies the type, then digits and '\r'. A minus sign is not allowed, because null strings and null arrays are not
+// part of the protocol.
 func (p *Parser) validHeaderByte(c byte) bool {
 	if len(p.header) > 1 {
 		return c == '\r' || ('0' <= c && c <= '9')
@@ -135,6 +138,7 @@
 	return c == arrayMark
 }
 
+// finishHeader parses the header line that has been read, and begins the response or the element that it announces.
 func (p *Parser) finishHeader() error {
 	number, err := headerNumber(p.header)
 	if err != nil {
@@ -147,25 +151,25 @@
 	return p.beginElement(number)
 }
 
-// headerNumber reads a header without its final '\n'.
+// headerNumber returns the number in a header line, which is given without its final '\n'.
 func headerNumber(header []byte) (int, error) {
 	last := len(header) - 1
 	if last < 2 || header[last] != '\r' {
-		return 0, fmt.Errorf("%w: %.16q is no header", ErrMalformed, header)
+		return 0, fmt.Errorf("%w: invalid header %.16q", ErrMalformed, header)
 	}
 	number, err := strconv.Atoi(string(header[1:last]))
 	if err != nil {
-		return 0, fmt.Errorf("%w: header: %w", ErrMalformed, err)
+		return 0, fmt.Errorf("%w: invalid number in header: %w", ErrMalformed, err)
 	}
 	return number, nil
 }
 
 func (p *Parser) beginResponse(elements int) error {
 	if elements < minElements {
-		return fmt.Errorf("%w: %d elements, want at least %d", ErrMalformed, elements, minElements)
+		return fmt.Errorf("%w: array has %d elements, want at least %d", ErrMalformed, elements, minElements)
 	}
 	if elements > maxElements {
-		return fmt.Errorf("%w: %d elements, want at most %d", ErrTooLarge, elements, maxElements)
+		return fmt.Errorf("%w: array has %d elements, want at most %d", ErrTooLarge, elements, maxElements)
 	}
 	p.elementCount = elements
 	p.elementIndex = 0
@@ -176,7 +180,7 @@
 
 func (p *Parser) beginElement(length int) error {
 	if limit := p.elementLimit(); length > limit {
-		return fmt.Errorf("%w: element %d of %d bytes, want at most %d", ErrTooLarge, p.elementIndex, length, limit)
+		return fmt.Errorf("%w: element %d has %d bytes, want at most %d", ErrTooLarge, p.elementIndex, length, limit)
 	}
 	p.element = p.element[:0]
 	if length == 0 {
@@ -188,6 +192,7 @@
 	return nil
 }
 
+// elementLimit returns the maximum length of the current element in bytes.
 func (p *Parser) elementLimit() int {
 	switch p.elementIndex {
 	case idElement:
@@ -222,7 +227,7 @@
 	return data[size:], nil
 }
 
-// readTerminator reads one byte of the line end behind a bulk string. The last element's completes the response.
+// readTerminator reads one byte of the CRLF after a bulk string. The CRLF of the last element completes the response.
 func (p *Parser) readTerminator(data []byte, handle func(Response)) ([]byte, error) {
 	if data[0] != lineEnd[len(lineEnd)-p.remaining] {
 		return nil, fmt.Errorf("%w: element %d is longer than its header says", ErrMalformed, p.elementIndex)
--- a/internal/resp/resp.go
+++ b/internal/resp/resp.go
@@ -1,8 +1,10 @@
-// Package resp is the codec of the cache protocol: arrays of bulk strings in the form of RESP, the Redis serialization
-// protocol (https://redis.io/docs/latest/develop/reference/protocol-spec/). Of RESP it knows no other type.
+// Package resp implements the codec of the cache protocol, whose messages are arrays of bulk strings in RESP, the Redis
+// serialization protocol (https://redis.io/docs/latest/develop/reference/protocol-spec/). It supports no other RESP
+// types.
 //
-// A request is an array of any number of bulk strings, built with the Append functions. A response is an array of two
-// to four: ID, STATUS, FIELDS and BODY, read by a Parser, which takes a stream in whatever pieces it arrives.
+// A request is an array of any number of bulk strings and is built with the Append functions. A response is an array of
+// two to four bulk strings: ID, STATUS, FIELDS and BODY. A Parser reads responses from a stream that arrives in chunks
+// of any size.
 //
 // A Parser is not safe for concurrent use.
 package resp
@@ -11,23 +13,24 @@
 
 const lineEnd = "\r\n"
 
-// The first bytes of headers tell the type of what follows.
+// First bytes of a header, which identify the type of the element that follows.
 const (
 	arrayMark = '*'
 	bulkMark  = '$'
 )
 
-// AppendArrayHeader appends the header of an array with a number of elements.
+// AppendArrayHeader appends the header of an array with the given number of elements to dst.
 func AppendArrayHeader(dst []byte, elements int) []byte {
 	return appendHeader(dst, arrayMark, elements)
 }
 
-// AppendBulkHeader appends the header of a bulk string. The string's bytes, and a line end, must follow.
+// AppendBulkHeader appends the header of a bulk string of length bytes to dst. The caller must append the string's
+// bytes and a CRLF.
 func AppendBulkHeader(dst []byte, length int) []byte {
 	return appendHeader(dst, bulkMark, length)
 }
 
-// AppendBulkString appends a whole bulk string.
+// AppendBulkString appends a complete bulk string to dst: header, text and CRLF.
 func AppendBulkString(dst []byte, text string) []byte {
 	dst = AppendBulkHeader(dst, len(text))
 	dst = append(dst, text...)
--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -6,23 +6,24 @@
 	"shaleyard/routing"
 )
 
-// activeAttempt is an attempt that was sent and has neither ended nor been cancelled.
+// activeAttempt is an attempt that Send has accepted and that has neither ended nor been cancelled.
 type activeAttempt struct {
 	handle    handle.Handle
 	request   director.UpstreamRequest
 	requestID string
-	clientTag string // of the copy that the client holds; "": none
+	clientTag string // version tag of the client's copy; empty if the client has none
 	conn      *conn
 	startedAt routing.Time
 	deadline  routing.Time
 
-	idleBefore routing.Time // how long its connection had been idle; 0: it was new or in use
-	redials    int          // dials that were made again for it, because they were reset
-	written    bool         // it may have been executed
+	idleBefore routing.Time // how long conn had been idle when it got the attempt; 0 if conn was new or in use
+	redials    int          // additional dials after dials that were reset, at most maxRedials
+	written    bool         // the request has been handed to the socket and may have been executed
 }
 
-// Send starts an attempt, on a connection of the host's pool or on a new one. It is reported to the CompletionHandler,
-// during the call or later, unless it is cancelled.
+// Send starts an attempt at host, on a connection of the endpoint's pool or on a new one. It reports the result to the
+// CompletionHandler, during the call or later, unless the attempt is cancelled first. The result is ConnectFailed if
+// host is not a known endpoint, and Abandoned if the limit on file descriptors allows no connection.
 func (p *Pools) Send(attemptID handle.Handle, host routing.Host, request director.UpstreamRequest) {
 	endpoint := p.endpoints[host]
 	if endpoint == nil {
@@ -33,7 +34,8 @@
 	requestID := request.Request.Ref
 	conn := p.pickConn(endpoint, requestID, request.NonIdempotent)
 	if conn == nil {
-		// The shortage is our own: the attempt never ran, and this is no evidence against the endpoint.
+		// The director itself has no file descriptor left: the attempt was never sent, so the result must not count
+		// against the endpoint.
 		p.Counters.DescriptorLimitHits++
 		p.completions.AttemptEnded(attemptID, director.AttemptResult{Result: routing.Abandoned})
 		return
@@ -51,12 +53,13 @@
 	conn.assign(attempt)
 }
 
-// Cancel gives an attempt up and tells whether it may have been written. Where it was, the endpoint is told, and a
-// response that is on its way already is dropped. No result is reported.
+// Cancel cancels an attempt and reports whether its request may have been written. If the request was written and the
+// connection is still open, Cancel sends a STOP command to the endpoint; a response that arrives nevertheless is
+// dropped. The CompletionHandler gets no result for a cancelled attempt.
 func (p *Pools) Cancel(attemptID handle.Handle) (written bool) {
 	attempt := p.attempts[attemptID]
 	if attempt == nil {
-		return true // it has ended in some other way: nothing can be proven here
+		return true // the attempt is no longer active, so there is no proof that nothing was written
 	}
 	p.removeAttempt(attempt)
 	conn := attempt.conn
@@ -73,8 +76,8 @@
 	return true
 }
 
-// CancelIfUnwritten gives an attempt up of which nothing has been written, and reports no result. An attempt of which
-// something may have been written goes on, and false is returned.
+// CancelIfUnwritten cancels an attempt if none of its request has been written, and reports whether it did. The
+// CompletionHandler gets no result for a cancelled attempt. An attempt whose request was written continues.
 func (p *Pools) CancelIfUnwritten(attemptID handle.Handle) bool {
 	attempt := p.attempts[attemptID]
 	if attempt == nil || attempt.written {
@@ -85,11 +88,11 @@
 	return true
 }
 
-// SuspendWrites keeps attempts from being written until ResumeWrites. It is called when the process has stood still:
-// the messages that would cancel them may be waiting to be read.
+// SuspendWrites delays the writing of requests until ResumeWrites is called. The director calls it after the process
+// was paused: cancellations of the waiting attempts may be among the input that has not been read yet.
 func (p *Pools) SuspendWrites() { p.writesSuspended = true }
 
-// ResumeWrites writes what has waited since SuspendWrites.
+// ResumeWrites ends the suspension by SuspendWrites and writes the requests that are pending on open connections.
 func (p *Pools) ResumeWrites() {
 	p.writesSuspended = false
 	var waiting []*conn
@@ -104,6 +107,7 @@
 	}
 }
 
+// removeAttempt removes an attempt from the pools and from its connection without reporting a result.
 func (p *Pools) removeAttempt(attempt *activeAttempt) {
 	delete(p.attempts, attempt.handle)
 	conn := attempt.conn
@@ -118,12 +122,14 @@
 	p.completions.AttemptEnded(attempt.handle, result)
 }
 
-// maxRedials bounds the dials that are made again for one attempt.
+// maxRedials is the maximum number of additional dials for one attempt whose dials are reset.
 const maxRedials = 2
 
-// reassign gives an attempt whose dial failed to a working connection of the same endpoint, if there is one. The
-// failure proves nothing then: an endpoint may take no more connections than it has. Nor does a dial that was reset,
-// unlike one that was refused, prove anything, so that one is made again.
+// reassign moves an attempt whose dial failed to another open connection of the same endpoint, if one can take the
+// attempt: the failed dial does not show that the endpoint is down, as the endpoint may be at its connection limit. If
+// no connection can take the attempt and the dial was reset, reassign dials again, at most maxRedials times per
+// attempt: unlike a refused dial, a reset one does not show that the endpoint is down. If neither is possible, the
+// attempt stays on the failed connection.
 func (p *Pools) reassign(attempt *activeAttempt, dialWasReset bool) {
 	from := attempt.conn
 	to := from.endpoint.readyConn(attempt.requestID)
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -15,15 +15,15 @@
 	"shaleyard/routing"
 )
 
-// connPhase is the state of a connection, in the terms of gRPC's connectivity states as far as they fit. It only moves
-// forward, in transition; docs/lifecycles.md lists what each event does in each phase.
+// connPhase is the state of a connection, named after gRPC's connectivity states where they fit. A connection only
+// moves to later phases, in transition; docs/lifecycles.md lists the effect of each event in each phase.
 type connPhase uint8
 
 const (
-	connecting connPhase = iota // attempts wait for it
-	ready                       // it takes attempts
-	draining                    // it takes no more attempts; those in flight may end
-	closed                      // it carries no attempts, and has left its endpoint's pool
+	connecting connPhase = iota // being dialled; its attempts wait in conn.pending
+	ready                       // open; accepts new attempts
+	draining                    // accepts no new attempts; attempts in flight may finish
+	closed                      // has no attempts and has been removed from its endpoint's pool
 )
 
 // conn is a connection to an endpoint.
@@ -32,25 +32,26 @@
 	endpoint *endpoint
 	phase    connPhase
 	handle   handle.Handle
-	socket   eventloop.Conn // nil while connecting
+	socket   eventloop.Conn // nil until the dial succeeds
 	parser   resp.Parser
 
-	inFlight map[string]*activeAttempt // by request id, those in pending included
-	pending  []*activeAttempt          // not written yet: it is connecting, or writes are suspended
-	// lateResponseIDs are the ids of attempts that were cancelled here, or got a response other than OK, and when:
-	// another response under such an id may still come.
+	inFlight map[string]*activeAttempt // by request ID, including the attempts in pending
+	pending  []*activeAttempt          // not written yet: the connection is connecting, or writes are suspended
+	// lateResponseIDs holds the IDs of requests for which another response may still arrive, and when each ID was
+	// added: requests that were cancelled after they were written, or that got a response other than OK.
 	lateResponseIDs map[string]routing.Time
 
 	openedAt       routing.Time
-	awaitingSince  routing.Time // the first write since something was received; 0: no response is due
-	lastUsedAt     routing.Time // when an attempt was assigned to it
-	idleSince      routing.Time // since when it has carried no attempt
+	awaitingSince  routing.Time // since when it has received nothing although a response is due; 0 if none is due
+	lastUsedAt     routing.Time // when an attempt was last assigned
+	idleSince      routing.Time // when the last attempt in flight ended
 	idleTimer      timer.Timer
-	protocolFailed bool // we close it, because of what it received
-	responses      int  // received
+	protocolFailed bool // received data violated the protocol, so the director closes the connection
+	responses      int  // number of responses that answered an attempt
 }
 
-// transition moves the connection to a later phase. It is the one place where the phase changes.
+// transition moves the connection to a later phase; a call with an earlier phase has no effect. On the move to closed
+// it releases the connection's resources. The phase changes only in transition.
 func (c *conn) transition(to connPhase) {
 	if to <= c.phase {
 		return
@@ -65,7 +66,8 @@
 	c.pools.removeConn(c)
 }
 
-// assign gives an attempt to the connection, which writes it as soon as it is open and writes are not suspended.
+// assign adds an attempt to the connection. It writes the request at once if the connection is open and writes are not
+// suspended; otherwise the attempt waits in pending.
 func (c *conn) assign(attempt *activeAttempt) {
 	now := c.pools.now()
 	if len(c.inFlight) == 0 && c.phase != connecting {
@@ -82,7 +84,8 @@
 	c.pools.writeRequest(attempt)
 }
 
-// writePending writes the attempts that have waited, but for those that were cancelled meanwhile.
+// writePending writes the requests of the attempts in pending, except attempts that were cancelled in the meantime. It
+// stops writing when the connection closes.
 func (c *conn) writePending() {
 	pending := c.pending
 	c.pending = nil
@@ -93,11 +96,11 @@
 	}
 }
 
-// lateResponsesPerStream bounds lateResponseIDs, as a multiple of the attempts that a connection may carry.
+// lateResponsesPerStream is the maximum size of lateResponseIDs as a multiple of MaxAttemptsPerConn.
 const lateResponsesPerStream = 4
 
-// expectLateResponse notes that another response under an id may come: one that crossed the cancellation of its
-// attempt, or a duplicate.
+// expectLateResponse records that another response with a request ID may still arrive: one that was sent before the
+// endpoint received the cancellation, or a duplicate. If there is no room for the ID, the connection starts to drain.
 func (c *conn) expectLateResponse(requestID string) {
 	limit := lateResponsesPerStream * c.pools.limits.MaxAttemptsPerConn
 	now := c.pools.now()
@@ -109,13 +112,13 @@
 		}
 	}
 	if len(c.lateResponseIDs) >= limit {
-		c.transition(draining) // there are too many to tell apart
+		c.transition(draining) // without the ID on record, a late response could be taken for a later attempt's
 		return
 	}
 	c.lateResponseIDs[requestID] = now
 }
 
-// Opened implements eventloop.Stream: the dial has succeeded.
+// Opened implements eventloop.Stream. It is called when the dial has succeeded, and writes the pending requests.
 func (c *conn) Opened(socket eventloop.Conn) {
 	c.pools.descriptorsInUse -= descriptorsPerDial - 1
 	now := c.pools.now()
@@ -124,7 +127,7 @@
 	c.idleSince = now
 	c.transition(ready)
 	c.endpoint.connectLimiter.RecordSuccess(now, c.endpoint.numEstablished())
-	if c.phase == closed { // while it was being opened
+	if c.phase == closed { // the connection was closed while the dial was in progress
 		socket.Close()
 		return
 	}
@@ -134,15 +137,17 @@
 	c.releaseIfIdle()
 }
 
-// dialFailureResults tell, by what we ourselves were short of, how the attempts on a dial that failed have ended.
+// dialFailureResults maps the class of a dial failure to the result of the attempts that waited for the dial. Only
+// ConnectFailed is evidence against the endpoint; the other classes are shortages on the director's own side.
 var dialFailureResults = map[eventloop.DialFailure]routing.Result{
 	eventloop.PeerFailed:              routing.ConnectFailed,
 	eventloop.LocalResourcesExhausted: routing.LocalResourcesExhausted,
 	eventloop.Unreachable:             routing.Unreachable,
 }
 
-// Failed implements eventloop.Stream: the dial has failed, and none of the attempts that waited for it was executed. A
-// failure for want of descriptors, ports or routes of our own is no evidence against the endpoint.
+// Failed implements eventloop.Stream. It is called when the dial has failed: none of the attempts that waited for the
+// dial was executed, and each is reassigned or ended. A failure for lack of descriptors, ports or routes on the
+// director's own side is no evidence against the endpoint.
 func (c *conn) Failed(err error) {
 	c.pools.descriptorsInUse -= descriptorsPerDial
 	c.pools.Counters.DialFailures++
@@ -157,7 +162,8 @@
 		c.pools.Counters.LocalResourceErrors++
 	}
 	if errors.Is(err, syscall.ECONNREFUSED) {
-		// Its process has ended, which explains the connections it closed before.
+		// The endpoint's process has ended, which explains why it closed connections before: there was no idle-close
+		// race.
 		c.pools.timers.Cancel(&c.endpoint.idleCloseRaceTimer)
 	}
 	c.transition(draining)
@@ -170,11 +176,12 @@
 	c.terminate(result)
 }
 
-// quickCloseLimit is the age up to which a connection that the endpoint closes unused counts as rejected: the endpoint
-// holds as many as it takes.
+// quickCloseLimit is the age below which a connection that is lost without having received a response counts as
+// rejected: the endpoint is at its connection limit.
 const quickCloseLimit = 100 * time.Millisecond
 
-// Closed implements eventloop.Stream: an open connection has ended. Attempts that were written may have been executed.
+// Closed implements eventloop.Stream. It is called when an open connection has ended. Attempts that were written end
+// with Reset, because they may have been executed.
 func (c *conn) Closed() {
 	c.pools.descriptorsInUse--
 	if c.phase != closed {
@@ -183,7 +190,9 @@
 	c.terminate(routing.Reset)
 }
 
-// recordLoss learns from a connection that ended without our doing.
+// recordLoss records the end of an open connection that the endpoint or the network closed, or that violated the
+// protocol. It counts and logs the loss; except after a protocol violation, it also passes the loss to the detection of
+// idle-close races and to the connect limiter.
 func (c *conn) recordLoss() {
 	c.pools.Counters.ConnsLost++
 	age := c.pools.now() - c.openedAt
@@ -200,7 +209,7 @@
 	}
 }
 
-// close closes the connection from our side. Attempts in flight on it end as on a reset.
+// close closes the connection from the director's side. The attempts in flight end as after a reset by the endpoint.
 func (c *conn) close() {
 	if c.socket != nil && c.phase != closed {
 		c.socket.Close()
@@ -208,8 +217,8 @@
 	c.terminate(routing.Reset)
 }
 
-// terminate ends the connection, and all attempts in flight on it with a result. An attempt that was not written can't
-// have been reset; it was never executed.
+// terminate moves the connection to closed and ends each attempt in flight with result. An attempt that was not written
+// ends with ConnectFailed instead of Reset, because it was never executed.
 func (c *conn) terminate(result routing.Result) {
 	if c.phase == closed {
 		return
@@ -224,8 +233,8 @@
 	}
 }
 
-// releaseIfIdle handles a connection that carries no attempt any more. It is closed at once if it can't be used again,
-// else after the idle timeout.
+// releaseIfIdle handles a connection without attempts in flight. It closes the connection at once if the connection is
+// draining or its endpoint was removed; otherwise it starts the idle timeout.
 func (c *conn) releaseIfIdle() {
 	if len(c.inFlight) > 0 || c.phase == closed {
 		return
@@ -237,7 +246,8 @@
 	c.idleSince = c.pools.now()
 	timeout := c.pools.limits.UpstreamIdleTimeout
 	if c.parser.InProgress() {
-		timeout = c.pools.limits.UpstreamSilenceTimeout // for the rest of a response that was given up: some never end
+		// The attempt was cancelled in the middle of its response, and the rest of the response may never arrive.
+		timeout = c.pools.limits.UpstreamSilenceTimeout
 	}
 	c.pools.timers.Schedule(&c.idleTimer, c.idleSince+timeout, func() {
 		c.pools.Counters.IdleTimeouts++
--- a/internal/upstream/endpoint.go
+++ b/internal/upstream/endpoint.go
@@ -8,25 +8,26 @@
 	"shaleyard/routing"
 )
 
-// endpoint is a cache, a parent or the origin, with its pool of connections. It is identified by its host: another one
-// at the same address is another endpoint, with connections of its own.
+// endpoint is a cache, a parent or the origin, with its pool of connections. Its host identifies it: a different host
+// at the same address is a separate endpoint with its own connections.
 type endpoint struct {
 	host           routing.Host
 	name           string
 	address        string
-	startedAt      routing.Time // of its process, as the endpoint list gives it
+	startedAt      routing.Time // when its process started, according to the endpoint list
 	conns          []*conn
 	connectLimiter overload.ConnectLimiter
-	removed        bool // from the endpoint list; it stays until its last connection is closed
+	removed        bool // from the endpoint list; the endpoint is kept until its last connection is closed
 
-	lastConnLossAt     routing.Time
-	idleCloseRaceTimer timer.Timer // pending while a loss may turn out to be an idle-close race
+	lastConnLossAt     routing.Time // when a connection was last lost; 0 if none was
+	idleCloseRaceTimer timer.Timer  // pending while the latest loss may still prove to be an idle-close race
 
-	nextLogAt routing.Time
+	nextLogAt routing.Time // earliest time of the next log line about this endpoint
 }
 
-// UpdateEndpoint adds an endpoint, or takes in its new address or start. Connections to an earlier process of the
-// endpoint are closed: that process is gone, and if its machine vanished they would never report it.
+// UpdateEndpoint adds an endpoint, or applies its new address or process start time. It closes the connections to the
+// endpoint's previous address or process: that process is gone, and if its machine vanished, no close or reset would
+// ever arrive on them.
 func (p *Pools) UpdateEndpoint(host routing.Host, name, address string, startedAt routing.Time) {
 	known := p.endpoints[host]
 	if known == nil {
@@ -52,6 +53,8 @@
 	p.endpoints[host] = added
 }
 
+// restartEndpoint applies a new address or process start time to an endpoint, resets what was learned from the previous
+// process, and closes the connections that lead to it.
 func (p *Pools) restartEndpoint(endpoint *endpoint, address string, startedAt routing.Time) {
 	moved := endpoint.address != address
 	endpoint.address = address
@@ -60,8 +63,8 @@
 	p.timers.Cancel(&endpoint.idleCloseRaceTimer)
 	p.Counters.EndpointRestarts++
 	for _, conn := range slices.Clone(endpoint.conns) {
-		// The endpoint list is late: a connection that was opened after the start leads to the new process already, and
-		// closing it would lose the attempts in flight on it.
+		// The endpoint list may report a restart late: a connection that was opened after the restart already leads to
+		// the new process, and closing the connection would lose its attempts in flight.
 		outdated := conn.phase != connecting && conn.openedAt < startedAt
 		if moved || outdated {
 			conn.close()
@@ -69,8 +72,8 @@
 	}
 }
 
-// RemoveEndpoint lets an endpoint that has left the list finish the attempts in flight to it, and closes each of its
-// connections after its last one.
+// RemoveEndpoint removes an endpoint that has left the endpoint list. The attempts in flight may finish; each
+// connection of the endpoint is closed when it has no attempts left.
 func (p *Pools) RemoveEndpoint(host routing.Host) {
 	endpoint := p.endpoints[host]
 	if endpoint == nil {
@@ -86,8 +89,8 @@
 	}
 }
 
-// removeConn takes a closed connection out of its endpoint's pool, and the endpoint out of the pools where it was the
-// last connection of one that has left the list.
+// removeConn removes a closed connection from its endpoint's pool. It also removes the endpoint if that has left the
+// endpoint list and this was its last connection.
 func (p *Pools) removeConn(closing *conn) {
 	endpoint := closing.endpoint
 	endpoint.conns = slices.DeleteFunc(endpoint.conns, func(other *conn) bool { return other == closing })
@@ -96,7 +99,7 @@
 	}
 }
 
-// numConnecting returns the number of the endpoint's connections that are being opened.
+// numConnecting returns the number of the endpoint's connections that are being dialled.
 func (e *endpoint) numConnecting() int {
 	count := 0
 	for _, conn := range e.conns {
@@ -107,7 +110,7 @@
 	return count
 }
 
-// numEstablished returns the number of its connections that are open.
+// numEstablished returns the number of the endpoint's connections that are open.
 func (e *endpoint) numEstablished() int {
 	return len(e.conns) - e.numConnecting()
 }
--- a/internal/upstream/idlerace.go
+++ b/internal/upstream/idlerace.go
@@ -1,12 +1,14 @@
 package upstream
 
-// observeIdleCloseRace learns from a connection that was reset under the first request after it had been idle. The
-// endpoint, or something between it and us, closes idle connections sooner than the settings say, and idle connections
-// are used again for less time from then on.
+// observeIdleCloseRace checks whether a connection was lost to an idle-close race: the endpoint, or a device on the way
+// to it, closed the idle connection while the first request after the idle time was being sent. After a race, idle
+// connections are reused for a shorter time, because they are closed sooner than the settings say.
 //
-// A reset that comes long after the request did not race with it. An endpoint that has died says nothing of idle times
-// either: it ends all its connections at once and refuses the next one. So the conclusion waits for
-// IdleCloseRaceWindow, and is dropped if either shows meanwhile.
+// A loss counts as a race only if the connection carried that one attempt and the attempt started at most
+// IdleCloseRaceWindow before the loss. A crash of the endpoint is no evidence about idle times: it closes all
+// connections at once, and the next dial is refused. The conclusion therefore waits for IdleCloseRaceWindow, and is
+// dropped if the endpoint loses another connection, refuses a dial, restarts or is removed in that time. A loss that
+// follows another loss within IdleCloseRaceWindow is no race either.
 func (p *Pools) observeIdleCloseRace(lost *conn) {
 	endpoint, now := lost.endpoint, p.now()
 	recentLoss := endpoint.lastConnLossAt != 0 && now-endpoint.lastConnLossAt <= p.limits.IdleCloseRaceWindow
--- a/internal/upstream/pick.go
+++ b/internal/upstream/pick.go
@@ -8,12 +8,14 @@
 	"shaleyard/routing"
 )
 
-// pickConn returns the connection for a new attempt; nil: there is none, and no descriptor for a new one.
+// pickConn returns the connection for a new attempt, or nil if no connection can take the attempt and the limit on file
+// descriptors allows no new one.
 //
-// It is an idle connection, the latest used first; else a new one, up to the endpoint's quota; else the one with the
-// fewest attempts in flight. Attempts share a connection only where connections run short, because an invalid response
-// or a reset ends all attempts on its connection. A request that is not idempotent gets a new connection where
-// possible: when a reset crosses it on an idle one, nobody can tell whether it was executed.
+// pickConn prefers the idle connection that was used last, then a new connection if MaxConnsPerEndpoint and the connect
+// limiter allow one, then the connection with the fewest attempts in flight. Attempts share a connection only if no
+// further one may be opened, because malformed data or a reset ends all attempts on a connection. A non-idempotent
+// request gets a new connection where possible, if need be in place of an idle one: if the endpoint closed an idle
+// connection while the request was being sent, it would be unknown whether the request was executed.
 func (p *Pools) pickConn(endpoint *endpoint, requestID string, nonIdempotent bool) *conn {
 	best := endpoint.bestConn(requestID)
 	if best == nil {
@@ -22,7 +24,7 @@
 	full := len(endpoint.conns) >= p.limits.MaxConnsPerEndpoint
 	idle := len(best.inFlight) == 0
 	if nonIdempotent && full && idle && best.phase == ready {
-		best.close() // a new one takes its place
+		best.close() // a new connection takes its place
 		return p.dial(endpoint)
 	}
 	if full || (idle && !nonIdempotent) {
@@ -38,7 +40,8 @@
 	return best
 }
 
-// bestConn returns the preferred one of the connections that can take an attempt of a request; nil: none can.
+// bestConn returns the most preferred of the endpoint's connections that can take an attempt of a request, or nil if
+// none can. See preferredOver for the order.
 func (e *endpoint) bestConn(requestID string) *conn {
 	var best *conn
 	for _, conn := range slices.Clone(e.conns) { // usable may close connections
@@ -52,7 +55,8 @@
 	return best
 }
 
-// readyConn returns the first open connection that can take an attempt of a request; nil: none can.
+// readyConn returns the first of the endpoint's open connections that can take an attempt of a request, or nil if none
+// can.
 func (e *endpoint) readyConn(requestID string) *conn {
 	for _, conn := range slices.Clone(e.conns) { // usable may close connections
 		if conn.phase == ready && conn.usable(requestID) {
@@ -62,8 +66,9 @@
 	return nil
 }
 
-// preferredOver tells whether c is the better connection for an attempt: the one with fewer in flight, then one that is
-// open already, then the one used last, so that connections that are no longer needed reach their idle timeout.
+// preferredOver reports whether c is a better connection for a new attempt than other. The connection with fewer
+// attempts in flight is better, then an open one, then the one used last, so that connections that are no longer needed
+// reach their idle timeout.
 func (c *conn) preferredOver(other *conn) bool {
 	if len(c.inFlight) != len(other.inFlight) {
 		return len(c.inFlight) < len(other.inFlight)
@@ -74,8 +79,8 @@
 	return c.lastUsedAt > other.lastUsedAt
 }
 
-// usable tells whether the connection can take an attempt of a request. A connection that is found to be of no more use
-// to any request is closed on the way.
+// usable reports whether the connection can take an attempt of a request. As a side effect it closes the connection if
+// that has no attempts in flight and is stale or unresponsive.
 func (c *conn) usable(requestID string) bool {
 	if c.phase > ready || len(c.inFlight) >= c.pools.limits.MaxAttemptsPerConn {
 		return false
@@ -84,13 +89,13 @@
 		return false
 	}
 	if len(c.inFlight) == 0 && c.parser.InProgress() {
-		return false // the response would be read as the rest of one that was given up
+		return false // the next response would be parsed as the rest of a cancelled attempt's response
 	}
 	return !c.closeIfStale() && !c.unresponsive() && !c.backlogged()
 }
 
-// mayAnswer tells whether a response under the id of a request may still come from an earlier attempt. It could not be
-// told from that to a new one.
+// mayAnswer reports whether a response to an earlier attempt of a request may still arrive on the connection. That
+// response would have the same ID as the response to a new attempt and would be taken for it.
 func (c *conn) mayAnswer(requestID string) bool {
 	if _, taken := c.inFlight[requestID]; taken {
 		return true
@@ -99,7 +104,8 @@
 	return expected && c.pools.now()-since <= c.pools.limits.LateAnswerWindow
 }
 
-// closeIfStale closes a connection that has been idle for too long to be used again: the endpoint may be closing it.
+// closeIfStale closes the connection if it has been idle for too long to be reused, and reports whether it did. The
+// endpoint may already be closing such a connection.
 func (c *conn) closeIfStale() bool {
 	if len(c.inFlight) > 0 || c.phase != ready {
 		return false
@@ -113,8 +119,9 @@
 	return true
 }
 
-// unresponsive tells whether a response has been due for too long. A machine that has vanished leaves its connections
-// open, and only a new one shows whether it is there. An unresponsive connection without attempts is closed.
+// unresponsive reports whether nothing has been received for UpstreamSilenceTimeout although a response is due. The
+// connections to a machine that vanished stay open; only a new dial shows whether the machine is reachable. An
+// unresponsive connection without attempts in flight is closed.
 func (c *conn) unresponsive() bool {
 	if c.awaitingSince == 0 || c.pools.now()-c.awaitingSince < c.pools.limits.UpstreamSilenceTimeout {
 		return false
@@ -126,8 +133,8 @@
 	return true
 }
 
-// backlogged tells whether the endpoint has not taken all that was written. What is written behind that would leave at
-// a time of the endpoint's choosing, possibly after it was cancelled.
+// backlogged reports whether written data is still buffered because the endpoint has not read it. A request behind that
+// data would be sent at an unpredictable time, possibly after its cancellation.
 func (c *conn) backlogged() bool {
 	if c.phase != ready || c.socket.OutboundBuffered() == 0 {
 		return false
@@ -136,11 +143,12 @@
 	return true
 }
 
-// descriptorsPerDial is the number of descriptors that a dial holds while it is handed to the event loop; the open
-// connection holds one.
+// descriptorsPerDial is the number of file descriptors that a dial holds until the event loop has taken over its
+// connection; an open connection holds one.
 const descriptorsPerDial = 2
 
-// dial opens a connection; nil: that could take more descriptors than connections to endpoints may hold.
+// dial starts to open a connection to an endpoint and returns it, or nil if that could exceed the limit on file
+// descriptors (MaxUpstreamConns).
 func (p *Pools) dial(endpoint *endpoint) *conn {
 	if !p.ensureDescriptors() {
 		return nil
@@ -167,9 +175,10 @@
 	return dialled
 }
 
-// ensureDescriptors tells whether the descriptors suffice for another dial. Where they don't, the connection that has
-// been idle for the longest is closed, so that endpoints used earlier can't lock others out. Its descriptor becomes
-// free only when the event loop has closed it; MaxReplacementDials bounds how many may be on their way.
+// ensureDescriptors reports whether another dial may use its file descriptors. If the dial would exceed
+// MaxUpstreamConns, ensureDescriptors closes the connection that has been idle for the longest time, so that idle
+// connections to some endpoints cannot prevent dials to others. A closed connection's descriptor is in use until the
+// event loop has closed the socket; until then MaxReplacementDials bounds the descriptors beyond MaxUpstreamConns.
 func (p *Pools) ensureDescriptors() bool {
 	needed := p.descriptorsInUse + descriptorsPerDial
 	if needed <= p.limits.MaxUpstreamConns {
@@ -184,6 +193,7 @@
 	return true
 }
 
+// longestIdle returns the open connection that has been idle for the longest time, or nil if none is idle.
 func (p *Pools) longestIdle() *conn {
 	var eldest *conn
 	p.conns.All(func(_ handle.Handle, conn *conn) bool {
--- a/internal/upstream/request.go
+++ b/internal/upstream/request.go
@@ -9,7 +9,7 @@
 	"shaleyard/routing"
 )
 
-// Commands of the protocol, and the numbers of their words.
+// Commands of the protocol, and the number of elements in the array of each.
 const (
 	requestCommand  = "REQ"
 	requestElements = 4 // REQ ID FIELDS BODY
@@ -19,8 +19,9 @@
 
 var lineEnd = []byte("\r\n")
 
-// writeRequest writes an attempt to its connection. From then on it may be executed. An attempt past the end of its
-// idempotency window is not written: it could be executed a second time.
+// writeRequest writes the request of an attempt to its connection; from then on the request may be executed. After the
+// end of the request's idempotency window it writes nothing, because the endpoint could execute the request a second
+// time, and ends the attempt with Abandoned.
 func (p *Pools) writeRequest(attempt *activeAttempt) {
 	conn := attempt.conn
 	windowEnd := attempt.request.IdempotencyWindowEnd
@@ -44,7 +45,8 @@
 	}
 }
 
-// encodeRequest returns the segments of a request. They are valid until the next call.
+// encodeRequest returns the encoded request of an attempt as segments. They are valid until the next call of
+// encodeRequest or writeCancel, which reuse the buffer.
 func (p *Pools) encodeRequest(attempt *activeAttempt) [][]byte {
 	request := attempt.request.Request
 	fields := appendRequestFields(nil, attempt.request, attempt.deadline-p.now())
@@ -63,7 +65,7 @@
 	return segments
 }
 
-// writeCancel tells the endpoint that an attempt is given up.
+// writeCancel writes a STOP command to the endpoint, which cancels the request with the given ID.
 func (c *conn) writeCancel(requestID string) {
 	command := resp.AppendArrayHeader(c.pools.headBuffer[:0], cancelElements)
 	command = resp.AppendBulkString(command, cancelCommand)
@@ -74,10 +76,11 @@
 	}
 }
 
-// fetchFlagWords are the protocol's words for fetch flags, by the number of the flag's bit.
+// fetchFlagWords holds the protocol's names of the fetch flags, indexed by the bit number of the flag.
 var fetchFlagWords = [...]string{"share", "peek", "pass", "swr"}
 
-// appendRequestFields appends the FIELDS of a request.
+// appendRequestFields appends the content of a request's FIELDS element to dst. The timeout is the time that is left
+// for the attempt.
 func appendRequestFields(dst []byte, request director.UpstreamRequest, timeout time.Duration) []byte {
 	client := request.Request
 	dst = appendField(dst, "sort=", client.Service)
@@ -95,7 +98,7 @@
 		dst = strconv.AppendInt(dst, int64(request.RetentionRank), 10)
 	}
 	if request.MaxAge > 0 {
-		// The part of a millisecond is cut off, which is on the safe side of a purge.
+		// Fractions of a millisecond are truncated: a smaller maximum age cannot admit a copy from before a purge.
 		dst = appendMilliseconds(dst, ",cap=", request.MaxAge)
 	}
 	dst = appendFetchFlags(dst, request.FetchFlags)
@@ -105,17 +108,21 @@
 	return dst
 }
 
+// appendField appends a field to dst. The name includes the separators around it.
 func appendField(dst []byte, name, value string) []byte {
 	dst = append(dst, name...)
 	return append(dst, value...)
 }
 
-// appendMilliseconds appends a duration in whole milliseconds, at least one: the protocol takes 0 for an absent value.
+// appendMilliseconds appends a duration field to dst, in whole milliseconds. The value is rounded down but is at least
+// 1, because the protocol treats 0 as an absent value.
 func appendMilliseconds(dst []byte, name string, duration time.Duration) []byte {
 	dst = append(dst, name...)
 	return strconv.AppendInt(dst, int64(max(1, duration/time.Millisecond)), 10)
 }
 
+// appendFetchFlags appends the field do with the names of the set flags, joined by "+". It appends nothing if no flag
+// is set.
 func appendFetchFlags(dst []byte, flags routing.FetchFlags) []byte {
 	separator := ",do="
 	for bit, word := range fetchFlagWords {
--- a/internal/upstream/response.go
+++ b/internal/upstream/response.go
@@ -12,7 +12,8 @@
 	"shaleyard/routing"
 )
 
-// Data implements eventloop.Session: it takes what was received. An error closes the connection.
+// Data implements eventloop.Session. It parses received data and handles the responses that the data completes. If Data
+// returns an error, the event loop closes the connection.
 func (c *conn) Data(data []byte) error {
 	c.pools.Counters.BytesIn += uint64(len(data))
 	c.awaitingSince = 0
@@ -21,7 +22,8 @@
 		c.awaitingSince = c.pools.now()
 	}
 	if c.phase == closed {
-		c.parser.Release() // what a response brought about has closed it, and the next response has begun
+		// Handling one of the responses closed the connection, and the parser may since have begun the next response.
+		c.parser.Release()
 	}
 	if err != nil {
 		c.pools.Counters.ProtocolErrors++
@@ -32,7 +34,8 @@
 	return nil
 }
 
-// handleResponse ends the attempt that a response answers.
+// handleResponse ends the attempt that a response answers, with Errored if the response is invalid. It drops a response
+// that answers no attempt.
 func (c *conn) handleResponse(response resp.Response) {
 	attempt := c.inFlight[response.ID]
 	if attempt == nil || !attempt.written {
@@ -51,19 +54,21 @@
 		result = director.AttemptResult{Result: routing.Errored}
 	}
 	if result.Result != routing.OK {
-		c.expectLateResponse(attempt.requestID) // a request that was served is not sent again
+		// The request may be sent again, and a duplicate of this response could be taken for the response to the new
+		// attempt. A request that was served is not sent again.
+		c.expectLateResponse(attempt.requestID)
 	}
 	c.pools.completions.AttemptEnded(attempt.handle, result)
 	c.releaseIfIdle()
 }
 
-// notModified is the status that confirms the client's own copy.
+// notModified is the status of a response that confirms that the client's copy is current.
 const notModified = "SAME"
 
-// noFields stands for an empty list of fields.
+// noFields is the FIELDS element of a response without fields.
 const noFields = "-"
 
-// statusResults are the results of attempts by the status of their response.
+// statusResults maps the status of a response to the result of the attempt.
 var statusResults = map[string]routing.Result{
 	"OK":        routing.OK,
 	notModified: routing.OK,
@@ -73,7 +78,7 @@
 	"VOID":      routing.Abandoned,
 }
 
-// fillStatuses are the values of the field n.
+// fillStatuses maps the values of the response field n to fill statuses.
 var fillStatuses = map[string]routing.FillStatus{
 	"HIT":         routing.FillStatusHit,
 	"MISS":        routing.FillStatusFilled,
@@ -87,7 +92,8 @@
 	"ORIGIN_ERR":  routing.FillStatusOriginFailed,
 }
 
-// loadReportKeys are the protocol's keys for figures of load reports that the settings name otherwise.
+// loadReportKeys maps the settings' names of load report figures to the protocol's keys, for the figures whose name and
+// key differ.
 var loadReportKeys = map[string]string{
 	"active":  "inflight",
 	"waiting": "queue",
@@ -97,11 +103,13 @@
 	"err_rps": "eps",
 }
 
-// errInvalidResponse reports a response with a status or fields that can't be used.
+// errInvalidResponse is returned for a response with an unknown status, with invalid fields, or with a confirmation of
+// a copy that the client does not have.
 var errInvalidResponse = errors.New("invalid response")
 
-// decodeResponse reads the status and the fields of a response. The result owns the response's body unless an error is
-// returned.
+// decodeResponse returns the result of an attempt, as given by the status and the fields of its response. The tag of
+// the client's copy is clientTag, or empty if the client has no copy. The result owns the response's body unless an
+// error is returned.
 func (p *Pools) decodeResponse(response *resp.Response, clientTag string) (director.AttemptResult, error) {
 	code, known := statusResults[response.Status]
 	if !known {
@@ -116,15 +124,15 @@
 	if err != nil {
 		return director.AttemptResult{}, err
 	}
-	// The client's copy may be confirmed only where the client has one and the response names that very copy.
+	// A response may confirm the client's copy only if the client has one and the response names its tag.
 	if result.NotModified && (clientTag == "" || tag != clientTag || response.Body.Len() > 0) {
 		return director.AttemptResult{}, errInvalidResponse
 	}
 	return result, nil
 }
 
-// decodeFields reads the fields of a response into its result and returns the tag of the copy. Unknown fields are
-// ignored.
+// decodeFields decodes the fields of a response into result and returns the tag of the served copy (field rev). Unknown
+// fields are ignored.
 func (p *Pools) decodeFields(fields string, result *director.AttemptResult) (tag string, err error) {
 	if fields == "" || fields == noFields {
 		return "", nil
@@ -154,22 +162,24 @@
 	return tag, nil
 }
 
-// maxMilliseconds bounds the times in responses, far above any that occurs.
+// maxMilliseconds is the maximum duration in a response field, far above any that occurs.
 const maxMilliseconds = 1e9
 
+// parseMilliseconds parses a duration between 0 and maxMilliseconds, given in milliseconds with an optional fraction.
 func parseMilliseconds(text string) (time.Duration, error) {
 	ms, err := strconv.ParseFloat(text, 64)
 	if err != nil {
 		return 0, fmt.Errorf("%w: %w", errInvalidResponse, err)
 	}
-	if !(ms >= 0) || ms > maxMilliseconds { // the first one holds for NaN as well
+	if !(ms >= 0) || ms > maxMilliseconds { // the first comparison also rejects NaN
 		return 0, errInvalidResponse
 	}
 	return time.Duration(ms * float64(time.Millisecond)), nil
 }
 
-// decodeLoadReport returns the figures of a load report in the order of the settings. A figure that is absent or can't
-// be read is 0: a report is a hint, and no reason to lose the response.
+// decodeLoadReport returns the figures of a load report in the order of the settings, or nil if the settings name none.
+// A figure that is absent or not a number is 0: load reports are hints, so a bad figure does not invalidate the
+// response.
 func (p *Pools) decodeLoadReport(text string) []float32 {
 	if len(p.loadReportFields) == 0 {
 		return nil
@@ -181,7 +191,7 @@
 			if key != field && key != loadReportKeys[field] {
 				continue
 			}
-			figure, _ := strconv.ParseFloat(value, 32) // 0 where it is no number
+			figure, _ := strconv.ParseFloat(value, 32) // 0 if value is not a number
 			report[i] = float32(figure)
 		}
 	}
