--- a/internal/resp/parser_test.go
+++ b/internal/resp/parser_test.go
@@ -11,6 +11,7 @@
 	"shaleyard/internal/buffer"
 )
 
+// array encodes words as an array of bulk strings, without the package's Append functions.
 func array(words ...string) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "*%d\r\n", len(words))
@@ -20,7 +21,8 @@
 	return b.String()
 }
 
-// parseInPieces feeds a stream in pieces of one size and returns the responses, each as its words.
+// parseInPieces feeds a stream to a parser in chunks of size bytes and returns the responses, each as its four
+// elements.
 func parseInPieces(stream string, size int, pool *buffer.Pool) (got [][]string, err error) {
 	parser := NewParser(pool, Limits{Fields: 64, Body: 100})
 	defer parser.Release()
@@ -39,7 +41,7 @@
 	return got, err
 }
 
-func TestParserReadsResponsesInAnyPieces(t *testing.T) {
+func TestParserReadsResponsesInChunksOfAnySize(t *testing.T) {
 	body := strings.Repeat("x\r\n$*", 20)
 	stream := array("id1", "OK", "n=HIT", body) + array("id2", "MISS") + array("id3", "ERR", "-", "")
 	want := [][]string{{"id1", "OK", "n=HIT", body}, {"id2", "MISS", "", ""}, {"id3", "ERR", "-", ""}}
@@ -47,18 +49,19 @@
 		pool := buffer.NewPool(16, 16)
 		got, err := parseInPieces(stream, size, pool)
 		if err != nil {
-			t.Fatalf("pieces of %d: %v", size, err)
+			t.Fatalf("chunks of %d bytes: got error %v, want none", size, err)
 		}
 		if diff := cmp.Diff(want, got); diff != "" {
-			t.Fatalf("pieces of %d: %s", size, diff)
+			t.Fatalf("chunks of %d bytes: responses (-want +got):\n%s", size, diff)
 		}
 		if pool.InUse() != 0 {
-			t.Fatalf("pieces of %d: %d buffers left", size, pool.InUse())
+			t.Fatalf("chunks of %d bytes: got %d buffers in use, want 0", size, pool.InUse())
 		}
 	}
 }
 
-// Whatever an endpoint sends, the memory it can make the parser hold is bounded.
+// An endpoint that sends malformed or oversized data must not make the parser hold unbounded memory: the parser returns
+// an error as soon as the data exceeds a bound.
 func TestParserRejectsMalformedResponses(t *testing.T) {
 	for _, stream := range []string{
 		"+OK\r\n",
@@ -79,24 +82,24 @@
 		"*2\r\n$99999999999999999999\r\n",
 	} {
 		if _, err := parseInPieces(stream, len(stream), buffer.NewPool(16, 16)); err == nil {
-			t.Errorf("%q was taken", stream)
+			t.Errorf("%q: got no error, want one", stream)
 		}
 	}
 	stream := array("a", "OK", "-", strings.Repeat("x", 90))
 	if _, err := parseInPieces(stream, 7, buffer.NewPool(16, 2)); err == nil {
-		t.Error("a body beyond the pool was taken")
+		t.Error("body larger than the buffer pool: got no error, want one")
 	}
 }
 
-func TestErrorsTellMalformedFromTooLarge(t *testing.T) {
+func TestParserErrorsDistinguishMalformedFromTooLarge(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
 		stream string
 		want   error
 	}{
-		{"another type", "+OK\r\n", ErrMalformed},
+		{"another RESP type", "+OK\r\n", ErrMalformed},
 		{"null string", "*2\r\n$-1\r\n", ErrMalformed},
-		{"no number", "*\r\n", ErrMalformed},
+		{"header without a number", "*\r\n", ErrMalformed},
 		{"string longer than announced", "*2\r\n$1\r\nab", ErrMalformed},
 		{"too few elements", "*1\r\n", ErrMalformed},
 		{"too many elements", "*5\r\n", ErrTooLarge},
@@ -106,7 +109,7 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			if _, err := parseInPieces(tc.stream, 1, buffer.NewPool(16, 2)); !errors.Is(err, tc.want) {
-				t.Errorf("error %v, want %v", err, tc.want)
+				t.Errorf("got error %v, want %v", err, tc.want)
 			}
 		})
 	}
@@ -118,7 +121,7 @@
 	got = AppendBulkString(got, "")
 	got = AppendBulkHeader(got, 4)
 	if diff := cmp.Diff("*3\r\n$3\r\nREQ\r\n$0\r\n\r\n$4\r\n", string(got)); diff != "" {
-		t.Error(diff)
+		t.Errorf("encoded request (-want +got):\n%s", diff)
 	}
 }
 
@@ -130,10 +133,11 @@
 		whole, errWhole := parseInPieces(stream, max(1, len(stream)), pool)
 		pieces, errPieces := parseInPieces(stream, int(size)+1, pool)
 		if diff := cmp.Diff(whole, pieces); diff != "" || (errWhole == nil) != (errPieces == nil) {
-			t.Errorf("pieces of %d: %v, whole %v: %s", int(size)+1, errPieces, errWhole, diff)
+			t.Errorf("error %v in chunks of %d bytes, error %v as a whole; responses (-whole +chunks):\n%s",
+				errPieces, int(size)+1, errWhole, diff)
 		}
 		if pool.InUse() != 0 {
-			t.Errorf("%d buffers left", pool.InUse())
+			t.Errorf("got %d buffers in use, want 0", pool.InUse())
 		}
 	})
 }
--- a/internal/upstream/attempt_test.go
+++ b/internal/upstream/attempt_test.go
@@ -14,8 +14,9 @@
 
 var errRefused = errors.New("refused")
 
-// Nothing that waited for a dial was executed when it fails; what was written may have been when it is reset.
-func TestEndsAreExact(t *testing.T) {
+// An attempt that waited for a failed dial was never executed, and an attempt that was written before a reset may have
+// been: the director resends non-idempotent requests according to these results.
+func TestResultsTellWhetherAttemptMayHaveRun(t *testing.T) {
 	h := newHarness()
 	h.send(1, "r1")
 	h.dials[0].Failed(errRefused)
@@ -29,39 +30,39 @@
 		3: routing.ConnectFailed,
 	})
 	if n := h.pools.NumConns(); n != 0 {
-		t.Errorf("%d connections left", n)
+		t.Errorf("got %d connections, want 0", n)
 	}
 }
 
-func TestCancelReportsWhetherItWasWritten(t *testing.T) {
+func TestCancelReportsWhetherAttemptWasWritten(t *testing.T) {
 	h := newHarness()
 	h.send(1, "r1")
 	if h.pools.Cancel(1) {
-		t.Error("an attempt that waits for its dial counts as written")
+		t.Error("Cancel of an attempt that waits for its dial: got written, want not written")
 	}
 	socket := h.open(0)
 	if got := socket.Written.String(); got != "" {
-		t.Errorf("after its cancellation %q was sent", got)
+		t.Errorf("got %q written for a cancelled attempt, want nothing", got)
 	}
 	h.send(2, "r2")
 	if !h.pools.Cancel(2) {
-		t.Error("a written attempt counts as not written")
+		t.Error("Cancel of a written attempt: got not written, want written")
 	}
 	if !strings.HasSuffix(socket.Written.String(), bulkArray("STOP", "r2")) {
-		t.Errorf("no STOP in %q", socket.Written.String())
+		t.Errorf("got %q written, want a STOP command at the end", socket.Written.String())
 	}
 }
 
-// A response that crosses a STOP can't be told from that to a second attempt with the same id on the same connection:
-// the second one takes another.
-func TestSecondAttemptAvoidsTheCancelledOnesConnection(t *testing.T) {
+// A response that the endpoint sent before it received a STOP cannot be distinguished from the response to a second
+// attempt with the same ID on the same connection. The second attempt must therefore use another connection.
+func TestRetryAvoidsConnectionOfCancelledAttempt(t *testing.T) {
 	h := newHarness()
 	h.send(1, "r1")
 	h.open(0)
 	h.pools.Cancel(1)
 	h.send(2, "r1")
 	if len(h.dials) != 2 {
-		t.Fatalf("%d dials, want a second one", len(h.dials))
+		t.Fatalf("got %d dials, want 2", len(h.dials))
 	}
 	h.open(1)
 	h.respond(t, 0, "r1", "OK", "n=HIT", "late")
@@ -70,7 +71,8 @@
 	h.wantResults(t, map[handle.Handle]routing.Result{2: routing.Miss})
 }
 
-// What waits for a dial and is cancelled is never written, however late the dial succeeds; what was written goes on.
+// CancelIfUnwritten must cancel an attempt that waits for its dial, so that nothing is written when the dial succeeds
+// later, and must leave an attempt that was written in flight.
 func TestCancelledAttemptIsNeverWritten(t *testing.T) {
 	h := newHarness()
 	h.pools.limits.MaxConnsPerEndpoint = 2
@@ -78,45 +80,45 @@
 	h.send(2, "r2")
 	early := h.open(0)
 	if h.pools.CancelIfUnwritten(1) {
-		t.Error("what was written was taken back")
+		t.Error("CancelIfUnwritten of a written attempt: got true, want false")
 	}
 	if !h.pools.CancelIfUnwritten(2) {
-		t.Error("what waits for its dial was not taken back")
+		t.Error("CancelIfUnwritten of an attempt that waits for its dial: got false, want true")
 	}
 	late := h.open(1)
 	if early.Written.Len() == 0 || late.Written.Len() != 0 {
-		t.Errorf("%d bytes on the first connection, %d on the second; want some and none",
+		t.Errorf("got %d bytes on the first connection and %d on the second, want more than 0 and 0",
 			early.Written.Len(), late.Written.Len())
 	}
 	h.respond(t, 0, "r1", "OK", "-", "x")
 	h.wantResults(t, map[handle.Handle]routing.Result{1: routing.OK})
 }
 
-// While writes are suspended, a dial that succeeds, and one that fails beside a connection that works, write nothing:
-// what would cancel the attempts is unread yet.
-func TestNothingIsWrittenWhileSuspended(t *testing.T) {
+// While writes are suspended, cancellations of the attempts may be among the unread input. Neither a dial that succeeds
+// nor the reassignment after a dial that fails may write a request then.
+func TestNoRequestIsWrittenWhileSuspended(t *testing.T) {
 	h := newHarness()
 	h.pools.limits.MaxConnsPerEndpoint = 2
 	h.pools.limits.MaxAttemptsPerConn = 10
 	h.send(1, "r1")
 	h.send(2, "r2")
-	h.send(3, "r3") // shares the first
+	h.send(3, "r3") // shares the first connection
 	h.pools.SuspendWrites()
 	socket := h.open(0)
 	h.dials[1].Failed(errRefused)
 	if socket.Written.Len() != 0 {
-		t.Fatalf("written while suspended: %q", socket.Written.String())
+		t.Fatalf("got %q written while writes were suspended, want nothing", socket.Written.String())
 	}
 	h.pools.CancelIfUnwritten(1)
 	h.pools.ResumeWrites()
 	if got := h.pools.Counters.RequestsSent; got != 2 {
-		t.Errorf("%d attempts written after the suspension, want the two that were not taken back", got)
+		t.Errorf("got %d attempts written after ResumeWrites, want the 2 that were not cancelled", got)
 	}
 }
 
-// A dial that is reset, other than one that is refused, does not prove that nobody is there: nothing was executed, and
-// it is made again, but not without end.
-func TestResetDialIsMadeAgain(t *testing.T) {
+// A reset dial, unlike a refused one, does not show that the endpoint is down, and nothing was executed. The pools dial
+// again, a limited number of times.
+func TestResetDialIsRetried(t *testing.T) {
 	h := newHarness()
 	h.send(1, "r1")
 	for i := range 3 {
@@ -125,6 +127,6 @@
 	}
 	h.wantResults(t, map[handle.Handle]routing.Result{1: routing.ConnectFailed})
 	if len(h.dials) != 3 {
-		t.Errorf("%d dials, want 3", len(h.dials))
+		t.Errorf("got %d dials, want 3", len(h.dials))
 	}
 }
--- a/internal/upstream/conn_test.go
+++ b/internal/upstream/conn_test.go
@@ -12,7 +12,8 @@
 	"shaleyard/routing"
 )
 
-// A restarted process, or a new endpoint at an old address, must get nothing over its predecessor's sockets.
+// Connections to a process that has ended may never report a close. After a restart of the endpoint, new attempts must
+// use new connections, and the old connections must be closed.
 func TestRestartedEndpointGetsNewConnections(t *testing.T) {
 	h := newHarness()
 	h.send(1, "r1")
@@ -21,20 +22,20 @@
 	h.wantResults(t, map[handle.Handle]routing.Result{1: routing.Reset})
 	h.send(2, "r2")
 	if len(h.dials) != 2 || !socket.Closed {
-		t.Errorf("%d dials, old connection closed: %v", len(h.dials), socket.Closed)
+		t.Errorf("got %d dials, old connection closed: %v; want 2, true", len(h.dials), socket.Closed)
 	}
 	h.pools.RemoveEndpoint(1)
 	h.open(1)
 	h.respond(t, 1, "r2", "OK", "-", "x")
 	h.wantResults(t, map[handle.Handle]routing.Result{1: routing.Reset, 2: routing.OK})
 	if n := h.pools.NumConns(); n != 0 {
-		t.Errorf("%d connections to an endpoint that has left", n)
+		t.Errorf("got %d connections to a removed endpoint, want 0", n)
 	}
 }
 
-// The endpoint list is late with starts. A connection that was opened to the new process already must stay: a reset
-// would fail the payments that are in flight on it.
-func TestLateNoticeOfARestartKeepsNewConnections(t *testing.T) {
+// The endpoint list may report a restart after connections to the new process were opened. They must stay open: closing
+// them would fail the payments that are in flight on them.
+func TestLateRestartUpdateKeepsNewConnections(t *testing.T) {
 	h := newHarness()
 	h.send(1, "r1")
 	h.send(2, "r2")
@@ -43,7 +44,7 @@
 	socket := h.open(0)
 	h.pools.UpdateEndpoint(1, "c1", "a", h.now-time.Second/2)
 	if socket.Closed {
-		t.Error("a connection to the new process was closed")
+		t.Error("connection to the new process: got closed, want open")
 	}
 	h.wantResults(t, map[handle.Handle]routing.Result{})
 }
@@ -55,17 +56,17 @@
 	h.respond(t, 0, "r1", "OK", "l=inflight:7;x1:0.5", "x")
 	h.timers.RunDue(h.now + 9*time.Second)
 	if socket.Closed {
-		t.Error("closed before the idle timeout")
+		t.Error("connection before the idle timeout: got closed, want open")
 	}
 	h.timers.RunDue(h.now + 11*time.Second)
 	if !socket.Closed {
-		t.Error("still open after the idle timeout")
+		t.Error("connection after the idle timeout: got open, want closed")
 	}
 }
 
-// Connects fail in every way that Linux documents. A shortage of our own is told apart from what the endpoint has done,
-// and neither ejects nor limits the endpoint; the attempt was never executed in any case.
-func TestLocalShortagesAreNoEvidence(t *testing.T) {
+// connect(2) on Linux documents many errors. Shortages on the director's own side must be reported as such, so that
+// they neither eject the endpoint nor limit its connections. The attempt was never executed in any of these cases.
+func TestLocalDialErrorsDoNotCountAgainstEndpoint(t *testing.T) {
 	for errno, want := range map[syscall.Errno]routing.Result{
 		syscall.EMFILE:        routing.LocalResourcesExhausted,
 		syscall.ENFILE:        routing.LocalResourcesExhausted,
@@ -86,7 +87,7 @@
 			h := newHarness()
 			h.send(1, "r1")
 			err := &net.OpError{Op: "dial", Err: os.NewSyscallError("connect", errno)}
-			for range 1 + maxRedials { // a dial that was reset is made again
+			for range 1 + maxRedials { // a dial that was reset is repeated
 				if len(h.results) == 0 {
 					h.dials[len(h.dials)-1].Failed(fmt.Errorf("attempt: %w", err))
 				}
@@ -94,8 +95,8 @@
 			h.wantResults(t, map[handle.Handle]routing.Result{1: want})
 			ours := h.pools.Counters.LocalResourceErrors != 0
 			if ours != (want != routing.ConnectFailed) || h.pools.NumConns() != 0 {
-				t.Errorf("%d shortages counted, %d connections left",
-					h.pools.Counters.LocalResourceErrors, h.pools.NumConns())
+				t.Errorf("got LocalResourceErrors %d, want above 0: %v; got %d connections, want 0",
+					h.pools.Counters.LocalResourceErrors, want != routing.ConnectFailed, h.pools.NumConns())
 			}
 		})
 	}
--- a/internal/upstream/golden_request_test.go
+++ b/internal/upstream/golden_request_test.go
@@ -13,14 +13,15 @@
 
 type upstreamRequest = director.UpstreamRequest
 
-// requestCase is a request with a body; change sets what is peculiar to it.
+// requestCase is one golden request: the plain request with a body, and with the changes that change makes.
 type requestCase struct {
 	name   string
 	body   string
 	change func(*upstreamRequest, *director.Request)
 }
 
-// TestGoldenRequests pins the bytes of each request, with every field and every combination of switches.
+// TestGoldenRequests compares the encoded bytes of requests with the golden file, for each field and each combination
+// of fetch flags.
 func TestGoldenRequests(t *testing.T) {
 	cases := append(requestFieldCases(), requestFigureCases()...)
 	lines := make([]string, 0, len(cases))
@@ -39,7 +40,7 @@
 	compareGolden(t, "requests.txt", lines)
 }
 
-// requestFieldCases are requests with one field, with none and with all.
+// requestFieldCases returns requests with a single optional field, with none and with all of them.
 func requestFieldCases() []requestCase {
 	return []requestCase{
 		{"plain", "", func(*upstreamRequest, *director.Request) {}},
@@ -69,7 +70,8 @@
 	}
 }
 
-// requestFigureCases are requests with the figures and combinations that a field may hold.
+// requestFigureCases returns requests with various values of the retention rank, the fetch flags, the maximum age and
+// the timeout.
 func requestFigureCases() (cases []requestCase) {
 	add := func(name string, change func(*upstreamRequest, *director.Request)) {
 		cases = append(cases, requestCase{name: name, change: change})
--- a/internal/upstream/golden_response_test.go
+++ b/internal/upstream/golden_response_test.go
@@ -13,15 +13,15 @@
 	"shaleyard/internal/nettest"
 )
 
-// goldenStreams are what an endpoint may send over a connection with the attempts r1 (with the client's copy tag1) and
-// r2 (without a copy) in flight.
+// goldenStreams returns streams that an endpoint may send over a connection with two attempts in flight: r1, whose
+// client has the copy tag1, and r2, whose client has no copy.
 func goldenStreams() []string {
 	streams := wellFormedStreams()
 	streams = append(streams, unusableStreams()...)
 	return append(streams, brokenStreams()...)
 }
 
-// wellFormedStreams are all statuses with all fill notes, for an attempt with and without a copy of the client.
+// wellFormedStreams returns streams with each status and each fill status, for a client with a copy and one without.
 func wellFormedStreams() (streams []string) {
 	const rest = ",fill=12.5,l=inflight:7;queue:2;util:0.61;latency_ms:8.5;qps:100;eps:0.25;x1:3" +
 		",rev=tag1,since=1764576000123"
@@ -56,7 +56,8 @@
 		bulkArray("", "", "", ""))
 }
 
-// unusableStreams hold whole answers that no attempt can use.
+// unusableStreams returns streams of complete responses with an invalid status, invalid fields or an invalid
+// confirmation of the client's copy.
 func unusableStreams() (streams []string) {
 	for _, status := range []string{"", "ok", "OKAY", "UP", "STOP"} {
 		streams = append(streams, bulkArray("r1", status), bulkArray("r2", status, "n=HIT", "x"))
@@ -69,7 +70,8 @@
 	return append(streams, bulkArray("r1", "SAME", "rev=tag1", "x"), bulkArray("r2", "SAME", "rev=", ""))
 }
 
-// brokenStreams are no arrays of bulk strings within the bounds, or end within one.
+// brokenStreams returns streams that are not arrays of bulk strings, exceed or just reach the parser's bounds, or end
+// in the middle of a response.
 func brokenStreams() []string {
 	whole := bulkArray("r1", "OK", "n=HIT", "body")
 	streams := []string{
@@ -126,7 +128,8 @@
 	return streams
 }
 
-// readStream plays a stream to a connection with two attempts in flight, and tells what came of it.
+// readStream feeds a stream in chunks of size bytes to a connection with two attempts in flight, and returns a
+// description of the results. The buffer pool has spareBuffers buffers, or the default number if spareBuffers is 0.
 func readStream(stream string, size, spareBuffers int) string {
 	recorder := newWireRecorder()
 	if spareBuffers > 0 {
@@ -145,7 +148,8 @@
 	return strings.Join(append([]string{verdict, recorder.state()}, recorder.results...), "; ")
 }
 
-// TestGoldenResponses pins the reading of answers, whole and in pieces, and of streams that are no answers.
+// TestGoldenResponses compares the results of valid, invalid and malformed responses with the golden file. Streams that
+// arrive in chunks must have the same results as whole ones.
 func TestGoldenResponses(t *testing.T) {
 	streams := goldenStreams()
 	lines := make([]string, 0, len(streams))
@@ -153,7 +157,7 @@
 		whole := readStream(stream, len(stream), 0)
 		for _, size := range []int{1, 7} {
 			if diff := cmp.Diff(whole, readStream(stream, size, 0)); diff != "" {
-				t.Errorf("%q in pieces of %d (-whole +pieces):\n%s", stream, size, diff)
+				t.Errorf("%q in chunks of %d bytes (-whole +chunks):\n%s", stream, size, diff)
 			}
 		}
 		lines = append(lines, fmt.Sprintf("%q: %s", stream, whole))
--- a/internal/upstream/golden_sequence_test.go
+++ b/internal/upstream/golden_sequence_test.go
@@ -15,7 +15,8 @@
 	"shaleyard/internal/nettest"
 )
 
-// TestGoldenSequences pins what is written, and what ends how, over the course of connections.
+// TestGoldenSequences compares with the golden file what sequences of events write to connections and which results the
+// attempts get.
 func TestGoldenSequences(t *testing.T) {
 	var lines []string
 	for _, tc := range []struct {
@@ -49,7 +50,8 @@
 	compareGolden(t, "sequences.txt", lines)
 }
 
-// wireScript records what each step of a sequence wrote and which attempts it ended.
+// wireScript runs the steps of a sequence and records the effects of each step: dials, written bytes, closed
+// connections and results of attempts.
 type wireScript struct {
 	recorder *wireRecorder
 	links    []*nettest.FakeConn
@@ -60,7 +62,7 @@
 	lines    []string
 }
 
-// step runs a part of a sequence and records its effects.
+// step runs one step of a sequence and records its effects since the previous step.
 func (s *wireScript) step(name string, do func()) {
 	do()
 	var effects []string
@@ -83,7 +85,7 @@
 	s.lines = append(s.lines, fmt.Sprintf("%s: %s", name, strings.Join(effects, "; ")))
 }
 
-// send starts an attempt with a reference of its own.
+// send starts an attempt of a request with the ID ref, at host 1 with a timeout of 1.5 seconds.
 func (s *wireScript) send(attempt handle.Handle, ref string) {
 	s.step("send "+ref, func() {
 		request := goldenRequest()
@@ -92,7 +94,7 @@
 	})
 }
 
-// open ends the dial with a number well, on a new connection.
+// open completes the dial with the given index successfully.
 func (s *wireScript) open(dial int) {
 	link := &nettest.FakeConn{}
 	s.links = append(s.links, link)
--- a/internal/upstream/golden_test.go
+++ b/internal/upstream/golden_test.go
@@ -22,8 +22,8 @@
 	"shaleyard/routing"
 )
 
-// The golden files hold what the package sends and how it reads what it is sent, in the protocol's own words and in
-// labels that are defined here, so that no Go name occurs in them and no rename can change them.
+// The golden files hold the bytes that the package sends and the results that it derives from received bytes. They use
+// the protocol's terms and the labels defined below instead of Go identifiers, so that a rename cannot change them.
 
 var updateGolden = flag.Bool("update", false, "write the golden files in testdata/golden")
 
@@ -55,7 +55,7 @@
 	routing.FillStatusOriginFailed:      "origin-error",
 }
 
-// wireRecorder is one set of pools on scripted dials. It records each result of an attempt as text.
+// wireRecorder runs pools on dials whose results the test determines. It records the result of each attempt as text.
 type wireRecorder struct {
 	pools   *Pools
 	timers  timer.Queue
@@ -100,6 +100,7 @@
 	end.Body.Release()
 }
 
+// body returns text as a chain of buffers from the recorder's pool.
 func (r *wireRecorder) body(t *testing.T, text string) buffer.Chain {
 	t.Helper()
 	chain := r.buffers.NewChain()
@@ -109,7 +110,8 @@
 	return chain
 }
 
-// deliver hands bytes to a connection in pieces of one size, as the event loop does: an error ends the connection.
+// deliver passes text to a connection as received data, in chunks of size bytes. If the connection returns an error,
+// deliver ends the connection, as the event loop does, and returns true.
 func (r *wireRecorder) deliver(stream eventloop.Stream, text string, size int) (failed bool) {
 	for len(text) > 0 {
 		piece := min(size, len(text))
@@ -122,15 +124,14 @@
 	return false
 }
 
-// lose ends a connection. All that is in flight on it is lost together, in no particular order: it is recorded in that
-// of the attempts.
+// lose ends a connection. The attempts in flight end in random order, so lose sorts their recorded results.
 func (r *wireRecorder) lose(stream eventloop.Stream) {
 	before := len(r.results)
 	stream.Closed()
 	slices.Sort(r.results[before:])
 }
 
-// state tells what is left after the events of a case.
+// state returns the numbers of open connections, buffers in use and rejected responses as text.
 func (r *wireRecorder) state() string {
 	return fmt.Sprintf(
 		"conns=%d buffers=%d unmatched=%d unusable=%d broken-streams=%d",
@@ -142,6 +143,7 @@
 	)
 }
 
+// chainText returns the content of a chain of buffers.
 func chainText(chain *buffer.Chain) string {
 	var text strings.Builder
 	for _, segment := range chain.Segments(nil) {
@@ -150,11 +152,12 @@
 	return text.String()
 }
 
+// goldenRequest returns the request that the golden cases start from.
 func goldenRequest() director.Request {
 	return director.Request{Ref: "9b1f03aa5c7e2d41", Service: "segment", Object: "7f3a9c21e0b4d655", Part: "3"}
 }
 
-// compareGolden compares lines with a golden file, or writes it under -update.
+// compareGolden compares lines with a golden file. With the flag -update it writes the file instead.
 func compareGolden(t *testing.T, name string, lines []string) {
 	t.Helper()
 	file := filepath.Join("testdata", "golden", name)
--- a/internal/upstream/harness_test.go
+++ b/internal/upstream/harness_test.go
@@ -19,7 +19,8 @@
 	"shaleyard/routing"
 )
 
-// harness is one set of pools on scripted dials, with a clock that the test moves. It has one endpoint, host 1.
+// harness runs pools on dials whose results the test determines and on a clock that the test advances. The pools have
+// one endpoint, host 1.
 type harness struct {
 	pools   *Pools
 	timers  timer.Queue
@@ -59,36 +60,37 @@
 	result.Body.Release()
 }
 
-// send starts an attempt that takes up to a second.
+// send starts an attempt with a timeout of one second.
 func (h *harness) send(attemptID handle.Handle, requestID string) {
 	request := &director.Request{Ref: requestID, Service: "s", Object: "o", Part: "0"}
 	h.pools.Send(attemptID, 1, director.UpstreamRequest{Request: request, Timeout: time.Second})
 }
 
-// open ends a dial well.
+// open completes the dial with the given index successfully and returns its socket.
 func (h *harness) open(dial int) *nettest.FakeConn {
 	socket := &nettest.FakeConn{}
 	h.dials[dial].Opened(socket)
 	return socket
 }
 
-// receive hands a connection bytes that it must take.
+// receive passes text to a connection as received data. It fails the test if the connection returns an error.
 func (h *harness) receive(t *testing.T, dial int, text string) {
 	t.Helper()
 	if err := h.dials[dial].Data([]byte(text)); err != nil {
-		t.Errorf("connection %d does not take %q: %v", dial, text, err)
+		t.Errorf("connection %d: Data(%q) = %v, want no error", dial, text, err)
 	}
 }
 
-// respond hands a connection a response.
+// respond passes a response with the given elements to a connection as received data.
 func (h *harness) respond(t *testing.T, dial int, words ...string) {
 	t.Helper()
 	h.receive(t, dial, bulkArray(words...))
 }
 
-// runTimers runs what is due by now.
+// runTimers runs the timers that are due at the harness's current time.
 func (h *harness) runTimers() { h.timers.RunDue(h.now) }
 
+// wantResults fails the test if the results reported so far differ from want.
 func (h *harness) wantResults(t *testing.T, want map[handle.Handle]routing.Result) {
 	t.Helper()
 	if diff := cmp.Diff(want, h.results); diff != "" {
@@ -96,7 +98,8 @@
 	}
 }
 
-// bulkArray is an array of bulk strings, built apart from package resp, so that the two check each other.
+// bulkArray returns an array of bulk strings. It does not use package resp, so that the tests check that package's
+// encoding too.
 func bulkArray(words ...string) string {
 	var text strings.Builder
 	fmt.Fprintf(&text, "*%d\r\n", len(words))
--- a/internal/upstream/idlerace_test.go
+++ b/internal/upstream/idlerace_test.go
@@ -7,25 +7,25 @@
 	"time"
 )
 
-// Endpoints may drop idle connections sooner than they say. A reset under the first request after an idle time teaches
-// not to use connections again that were idle for so long; what was spoilt, or reset under a first request, teaches
-// nothing.
-func TestResetAfterIdleTimeShortensIt(t *testing.T) {
+// Endpoints may close idle connections sooner than announced. After a reset during the first request that follows an
+// idle time, connections that were idle for that long must not be reused. Other losses must not change the reuse: a
+// protocol error, a close after the response, and a reset without an idle time before it.
+func TestResetAfterIdleTimeShortensIdleReuse(t *testing.T) {
 	const idle = 300 * time.Millisecond
 	for _, tc := range []struct {
 		name      string
 		idle      time.Duration
 		end       func(*testing.T, *harness)
-		usedAgain bool // a connection that was idle for as long
+		usedAgain bool // whether a connection with the same idle time is still reused
 	}{
 		{"reset after an idle time", idle, func(_ *testing.T, h *harness) { h.dials[0].Closed() }, false},
-		{"noise", idle, func(t *testing.T, h *harness) {
+		{"malformed data", idle, func(t *testing.T, h *harness) {
 			if err := h.dials[0].Data([]byte("noise")); err == nil {
-				t.Error("noise was taken")
+				t.Error("malformed data: got no error, want one")
 			}
 			h.dials[0].Closed()
 		}, true},
-		{"closed behind its response", idle, func(t *testing.T, h *harness) {
+		{"closed after the response", idle, func(t *testing.T, h *harness) {
 			h.respond(t, 0, "r2", "OK", "-", "x")
 			h.dials[0].Closed()
 		}, true},
@@ -47,42 +47,42 @@
 			h.runTimers()
 			h.send(4, "r4")
 			if usedAgain := len(h.dials) == 2; usedAgain != tc.usedAgain {
-				t.Errorf("after %v idle: used again %v, want %v", tc.idle, usedAgain, tc.usedAgain)
+				t.Errorf("after a loss with idle time %v: got reuse %v, want %v", tc.idle, usedAgain, tc.usedAgain)
 			}
 		})
 	}
 }
 
-// Found on a day with cold caches: each director took the resets of a cache that died for idle times that were too
-// long, at all caches, and for good: every attempt opened a connection from then on. Only a request that crossed the
-// close of its connection alone tells of idle times, and what it tells ages.
-func TestOnlyIdleCloseRacesShortenIdleTime(t *testing.T) {
+// Guards against resets of a crashed cache being counted as idle-close races. The directors then shorten the idle time
+// for all caches and for good, and with cold caches every attempt opens a new connection. Only a request that was sent
+// while its connection alone was being closed may shorten the idle time, and the reduction expires over time.
+func TestOnlyIdleCloseRacesShortenIdleReuse(t *testing.T) {
 	const untouched = 10 * time.Second
 	for _, tc := range []struct {
 		name string
 		end  func(*testing.T, *harness)
-		want time.Duration // idle connections are used again for
+		want time.Duration // idle time up to which connections are reused
 	}{
-		{"crossed", func(_ *testing.T, h *harness) { h.dials[0].Closed() }, 225 * time.Millisecond},
-		{"reset while it worked", func(_ *testing.T, h *harness) {
+		{"one close in the request", func(_ *testing.T, h *harness) { h.dials[0].Closed() }, 225 * time.Millisecond},
+		{"reset 51 ms after the request", func(_ *testing.T, h *harness) {
 			h.now += 51 * time.Millisecond
 			h.dials[0].Closed()
 		}, untouched},
-		{"the endpoint has died", func(_ *testing.T, h *harness) {
+		{"all connections closed, the idle one last", func(_ *testing.T, h *harness) {
 			h.dials[0].Closed()
 			h.now += 10 * time.Millisecond
 			h.dials[1].Closed()
 		}, untouched},
-		{"an idle one first", func(_ *testing.T, h *harness) {
+		{"all connections closed, the idle one first", func(_ *testing.T, h *harness) {
 			h.dials[1].Closed()
 			h.dials[0].Closed()
 		}, untouched},
-		{"the next is refused", endThenRefuse, untouched},
-		{"a restart", func(_ *testing.T, h *harness) {
+		{"next dial refused", endThenRefuse, untouched},
+		{"endpoint restarted", func(_ *testing.T, h *harness) {
 			h.dials[0].Closed()
 			h.pools.UpdateEndpoint(1, "c1", "a", h.now)
 		}, untouched},
-		{"removed", func(_ *testing.T, h *harness) {
+		{"endpoint removed", func(_ *testing.T, h *harness) {
 			h.dials[0].Closed()
 			h.pools.RemoveEndpoint(1)
 		}, untouched},
@@ -105,13 +105,14 @@
 			h.now += h.pools.limits.IdleCloseRaceWindow
 			h.runTimers()
 			if got := h.pools.idleReuse.Value(h.now); got != tc.want {
-				t.Errorf("idle ones are used again for %v, want %v", got, tc.want)
+				t.Errorf("got reuse up to an idle time of %v, want %v", got, tc.want)
 			}
 		})
 	}
 }
 
-// endThenRefuse ends all connections, the last one under a request after an idle time, and then refuses the next dial.
+// endThenRefuse closes all connections, opens one more, closes that during the first request after an idle time, and
+// refuses the next dial.
 func endThenRefuse(t *testing.T, h *harness) {
 	t.Helper()
 	h.dials[0].Closed()
--- a/internal/upstream/pools.go
+++ b/internal/upstream/pools.go
@@ -45,7 +45,7 @@
 	IdleEvictions     uint64 // idle connections closed to free a descriptor for another endpoint
 	IdleCloseRaces    uint64 // requests lost because the endpoint closed an idle connection at the same time
 	UnresponsiveConns uint64 // connections closed because a response had been due for too long
-	BackloggedConns   uint64 // times that a connection was not chosen because the endpoint had not read all written data
+	BackloggedConns   uint64 // times a connection was not chosen because the endpoint had not read all written data
 
 	EndpointRestarts uint64
 	UnknownEndpoints uint64 // attempts at a host that is not a known endpoint
--- a/internal/upstream/request_test.go
+++ b/internal/upstream/request_test.go
@@ -48,9 +48,9 @@
 	}
 }
 
-// A repeat whose window ends while it waits for its connection would be executed a second time: it is not written, and
-// was never executed.
-func TestRepeatOutsideItsWindowIsNotWritten(t *testing.T) {
+// A retry whose idempotency window ends while it waits for its connection could be executed a second time. It must not
+// be written, and must be reported as never executed.
+func TestRetryAfterIdempotencyWindowIsNotWritten(t *testing.T) {
 	for _, tc := range []struct {
 		name    string
 		after   time.Duration
@@ -69,7 +69,7 @@
 			h.now += tc.after
 			socket := h.open(0)
 			if written := socket.Written.Len() > 0; written != tc.written {
-				t.Errorf("connection open after %v: written %v, want %v", tc.after, written, tc.written)
+				t.Errorf("connection opened after %v: got written %v, want %v", tc.after, written, tc.written)
 			}
 			want := map[handle.Handle]routing.Result{}
 			if !tc.written {
--- a/internal/upstream/response_test.go
+++ b/internal/upstream/response_test.go
@@ -16,20 +16,21 @@
 	h.send(1, "r1")
 	h.send(2, "r2")
 	h.open(0)
-	h.respond(t, 0, "r1", "SAME", "-", "") // no copy of the client was passed on
+	h.respond(t, 0, "r1", "SAME", "-", "") // invalid: the client has no copy
 	h.respond(t, 0, "r2", "OK", "n=NEVER", "x")
 	h.wantResults(t, map[handle.Handle]routing.Result{1: routing.Errored, 2: routing.Errored})
 }
 
-func TestReportFollowsTheSettings(t *testing.T) {
+func TestLoadReportFollowsSettings(t *testing.T) {
 	h := newHarness()
 	if diff := cmp.Diff([]float32{7, 0.5}, h.pools.decodeLoadReport("x0:1;inflight:7;x1:0.5")); diff != "" {
-		t.Error(diff)
+		t.Errorf("load report (-want +got):\n%s", diff)
 	}
 }
 
-// A copy is called current only where the cache names the copy that the client has.
-func TestNotModifiedNamesTheClientsOwnCopy(t *testing.T) {
+// A response with the status SAME must name the tag of the copy that the client has. Otherwise the client would keep a
+// copy that the cache has not confirmed.
+func TestNotModifiedMustNameClientsCopy(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
 		fields string
@@ -51,19 +52,19 @@
 	}
 }
 
-// A duplicate of a response may come some time after the first, with others between them. Had the next attempt of that
-// request gone over the same connection, the duplicate would say of a payment that is in flight that it was never
+// A duplicate of a response may arrive some time after the first, with other responses in between. If the next attempt
+// of the same request used the same connection, the duplicate would report a payment that is in flight as never
 // executed.
-func TestDuplicateResponseMeetsNoLaterAttempt(t *testing.T) {
+func TestDuplicateResponseEndsNoLaterAttempt(t *testing.T) {
 	h := newHarness()
 	h.send(1, "r1")
 	h.open(0)
 	h.respond(t, 0, "r1", "BUSY", "-", "")
 	h.send(2, "r2")
-	h.respond(t, 0, "r2", "OK", "-", "x") // so that r1 is no longer the latest id
+	h.respond(t, 0, "r2", "OK", "-", "x") // r1 is then no longer the ID of the latest response
 	h.send(3, "r1")
 	if len(h.dials) != 2 {
-		t.Fatalf("%d dials: the second attempt of r1 is where its first was answered", len(h.dials))
+		t.Fatalf("got %d dials, want 2 with the second attempt of r1 on a new connection", len(h.dials))
 	}
 	h.open(1)
 	h.respond(t, 0, "r1", "BUSY", "-", "") // the duplicate
@@ -72,14 +73,15 @@
 	h.respond(t, 1, "r1", "BUSY", "-", "")
 	h.send(4, "r1")
 	if h.pools.attempts[4].conn != h.dials[0] {
-		t.Error("a connection is passed over for good, though no duplicate can come any more")
+		t.Error("after LateAnswerWindow: got the attempt elsewhere, want it on the first connection")
 	}
 }
 
-// Half a response has come when its attempt is cancelled: what is asked next on that connection would be answered into
-// the other half, which may never come. Once it has come, the connection is as good as any.
-func TestConnectionAmidAResponseTakesNothingNew(t *testing.T) {
-	const missing = 5 // bytes
+// If an attempt is cancelled after a part of its response has arrived, the response to a new attempt on that connection
+// would follow the missing part, which may never arrive. The connection must get no new attempt until the response is
+// complete, and must be closed after UpstreamSilenceTimeout if the response stays incomplete.
+func TestConnectionWithPartialResponseGetsNoNewAttempt(t *testing.T) {
+	const missing = 5 // number of bytes that are missing at the end of the response
 	whole := bulkArray("r1", "OK", "-", "a long body")
 	half, rest := whole[:len(whole)-missing], whole[len(whole)-missing:]
 	for _, tc := range []struct {
@@ -94,20 +96,20 @@
 			h.pools.Cancel(1)
 			h.send(2, "r2")
 			if len(h.dials) != 2 {
-				t.Fatalf("%d dials: r2 is behind half a response", len(h.dials))
+				t.Fatalf("got %d dials, want 2 with r2 on a new connection", len(h.dials))
 			}
 			if tc.ends {
 				h.receive(t, 0, rest)
 				h.send(3, "r3")
 				if h.pools.attempts[3].conn != h.dials[0] {
-					t.Error("a connection is not used though the response on it has ended")
+					t.Error("after the complete response: got the attempt elsewhere, want it on the first connection")
 				}
 				return
 			}
 			h.now += h.pools.limits.UpstreamSilenceTimeout
 			h.runTimers()
 			if !socket.Closed {
-				t.Error("a connection with a response that does not end is kept")
+				t.Error("connection with an incomplete response: got open, want closed")
 			}
 		})
 	}
