--- a/internal/resp/parser.go
+++ b/internal/resp/parser.go
@@ -56,7 +56,7 @@
 	elementCount int      // number of elements in the current response, according to its array header
 	elementIndex int      // index of the current element
 	element      []byte   // bytes read so far of the current element; unused for the body
-	remaining    int      // bytes still to be read of the current bulk string or, in state atTerminator, of its CRLF
+	remaining    int      // bytes still to be read of the current bulk string or, in stateTerminator, of its CRLF
 	current      Response // the response being read
 }
 
@@ -64,10 +64,10 @@
 type parserState uint8
 
 const (
-	atArrayHeader parserState = iota
-	atBulkHeader
-	inBulkString
-	atTerminator // in the CRLF after a bulk string
+	stateArrayHeader parserState = iota
+	stateBulkHeader
+	stateBulkString
+	stateTerminator // in the CRLF after a bulk string
 )
 
 // NewParser returns a parser for a stream, from its start. The parser stores response bodies in buffers of the pool.
@@ -81,11 +81,11 @@
 	for len(data) > 0 {
 		var err error
 		switch p.state {
-		case atArrayHeader, atBulkHeader:
+		case stateArrayHeader, stateBulkHeader:
 			data, err = p.readHeader(data)
-		case inBulkString:
+		case stateBulkString:
 			data, err = p.readBulkString(data)
-		case atTerminator:
+		case stateTerminator:
 			data, err = p.readTerminator(data, handle)
 		}
 		if err != nil {
@@ -97,7 +97,7 @@
 
 // InProgress reports whether the parser has read a part of a response but not all of it.
 func (p *Parser) InProgress() bool {
-	return p.state != atArrayHeader || len(p.header) > 0
+	return p.state != stateArrayHeader || len(p.header) > 0
 }
 
 // Release returns the buffers of an incomplete response to the pool. Feed must not be called afterwards.
@@ -132,10 +132,10 @@
 	if len(p.header) > 1 {
 		return c == '\r' || ('0' <= c && c <= '9')
 	}
-	if p.state == atBulkHeader {
-		return c == bulkMark
+	if p.state == stateBulkHeader {
+		return c == bulkPrefix
 	}
-	return c == arrayMark
+	return c == arrayPrefix
 }
 
 // finishHeader parses the header line that has been read, and begins the response or the element that it announces.
@@ -145,7 +145,7 @@
 		return err
 	}
 	p.header = p.header[:0]
-	if p.state == atArrayHeader {
+	if p.state == stateArrayHeader {
 		return p.beginResponse(number)
 	}
 	return p.beginElement(number)
@@ -174,7 +174,7 @@
 	p.elementCount = elements
 	p.elementIndex = 0
 	p.current = Response{Body: p.buffers.NewChain()}
-	p.state = atBulkHeader
+	p.state = stateBulkHeader
 	return nil
 }
 
@@ -188,7 +188,7 @@
 		return nil
 	}
 	p.remaining = length
-	p.state = inBulkString
+	p.state = stateBulkString
 	return nil
 }
 
@@ -207,8 +207,8 @@
 }
 
 func (p *Parser) expectTerminator() {
-	p.remaining = len(lineEnd)
-	p.state = atTerminator
+	p.remaining = len(crlf)
+	p.state = stateTerminator
 }
 
 func (p *Parser) readBulkString(data []byte) ([]byte, error) {
@@ -229,7 +229,7 @@
 
 // readTerminator reads one byte of the CRLF after a bulk string. The CRLF of the last element completes the response.
 func (p *Parser) readTerminator(data []byte, handle func(Response)) ([]byte, error) {
-	if data[0] != lineEnd[len(lineEnd)-p.remaining] {
+	if data[0] != crlf[len(crlf)-p.remaining] {
 		return nil, fmt.Errorf("%w: element %d is longer than its header says", ErrMalformed, p.elementIndex)
 	}
 	p.remaining--
@@ -251,11 +251,11 @@
 	p.element = p.element[:0]
 	p.elementIndex++
 	if p.elementIndex < p.elementCount {
-		p.state = atBulkHeader
+		p.state = stateBulkHeader
 		return
 	}
 	response := p.current
 	p.current = Response{}
-	p.state = atArrayHeader
+	p.state = stateArrayHeader
 	handle(response)
 }
--- a/internal/resp/parser_test.go
+++ b/internal/resp/parser_test.go
@@ -11,24 +11,24 @@
 	"shaleyard/internal/buffer"
 )
 
-// array encodes words as an array of bulk strings, without the package's Append functions.
-func array(words ...string) string {
+// bulkArray returns an encoded array of bulk strings. It does not use the package's Append functions.
+func bulkArray(elements ...string) string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "*%d\r\n", len(words))
-	for _, word := range words {
-		fmt.Fprintf(&b, "$%d\r\n%s\r\n", len(word), word)
+	fmt.Fprintf(&b, "*%d\r\n", len(elements))
+	for _, element := range elements {
+		fmt.Fprintf(&b, "$%d\r\n%s\r\n", len(element), element)
 	}
 	return b.String()
 }
 
-// parseInPieces feeds a stream to a parser in chunks of size bytes and returns the responses, each as its four
+// parseInChunks feeds a stream to a parser in chunks of size bytes and returns the responses, each as its four
 // elements.
-func parseInPieces(stream string, size int, pool *buffer.Pool) (got [][]string, err error) {
+func parseInChunks(stream string, size int, pool *buffer.Pool) (got [][]string, err error) {
 	parser := NewParser(pool, Limits{Fields: 64, Body: 100})
 	defer parser.Release()
 	for len(stream) > 0 && err == nil {
-		piece := min(size, len(stream))
-		err = parser.Feed([]byte(stream[:piece]), func(response Response) {
+		chunk := min(size, len(stream))
+		err = parser.Feed([]byte(stream[:chunk]), func(response Response) {
 			var body strings.Builder
 			for _, segment := range response.Body.Segments(nil) {
 				body.Write(segment)
@@ -36,18 +36,18 @@
 			got = append(got, []string{response.ID, response.Status, response.Fields, body.String()})
 			response.Body.Release()
 		})
-		stream = stream[piece:]
+		stream = stream[chunk:]
 	}
 	return got, err
 }
 
 func TestParserReadsResponsesInChunksOfAnySize(t *testing.T) {
 	body := strings.Repeat("x\r\n$*", 20)
-	stream := array("id1", "OK", "n=HIT", body) + array("id2", "MISS") + array("id3", "ERR", "-", "")
+	stream := bulkArray("id1", "OK", "n=HIT", body) + bulkArray("id2", "MISS") + bulkArray("id3", "ERR", "-", "")
 	want := [][]string{{"id1", "OK", "n=HIT", body}, {"id2", "MISS", "", ""}, {"id3", "ERR", "-", ""}}
 	for size := 1; size <= len(stream); size++ {
 		pool := buffer.NewPool(16, 16)
-		got, err := parseInPieces(stream, size, pool)
+		got, err := parseInChunks(stream, size, pool)
 		if err != nil {
 			t.Fatalf("chunks of %d bytes: got error %v, want none", size, err)
 		}
@@ -81,12 +81,12 @@
 		"*4\r\n$1\r\na\r\n$2\r\nOK\r\n$1\r\n-\r\n$101\r\n",
 		"*2\r\n$99999999999999999999\r\n",
 	} {
-		if _, err := parseInPieces(stream, len(stream), buffer.NewPool(16, 16)); err == nil {
+		if _, err := parseInChunks(stream, len(stream), buffer.NewPool(16, 16)); err == nil {
 			t.Errorf("%q: got no error, want one", stream)
 		}
 	}
-	stream := array("a", "OK", "-", strings.Repeat("x", 90))
-	if _, err := parseInPieces(stream, 7, buffer.NewPool(16, 2)); err == nil {
+	stream := bulkArray("a", "OK", "-", strings.Repeat("x", 90))
+	if _, err := parseInChunks(stream, 7, buffer.NewPool(16, 2)); err == nil {
 		t.Error("body larger than the buffer pool: got no error, want one")
 	}
 }
@@ -105,10 +105,10 @@
 		{"too many elements", "*5\r\n", ErrTooLarge},
 		{"header too long", "*" + strings.Repeat("0", 40), ErrTooLarge},
 		{"id too long", "*2\r\n$65\r\n", ErrTooLarge},
-		{"pool exhausted", array("a", "OK", "-", strings.Repeat("x", 90)), buffer.ErrExhausted},
+		{"pool exhausted", bulkArray("a", "OK", "-", strings.Repeat("x", 90)), buffer.ErrExhausted},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			if _, err := parseInPieces(tc.stream, 1, buffer.NewPool(16, 2)); !errors.Is(err, tc.want) {
+			if _, err := parseInChunks(tc.stream, 1, buffer.NewPool(16, 2)); !errors.Is(err, tc.want) {
 				t.Errorf("got error %v, want %v", err, tc.want)
 			}
 		})
@@ -126,15 +126,15 @@
 }
 
 func FuzzParser(f *testing.F) {
-	f.Add(array("id1", "OK", "n=HIT,fill=3", "body")+array("id2", "BUSY", "-", ""), uint8(3))
+	f.Add(bulkArray("id1", "OK", "n=HIT,fill=3", "body")+bulkArray("id2", "BUSY", "-", ""), uint8(3))
 	f.Add("*2\r\n$0\r\n\r\n$0\r\n\r\n", uint8(1))
 	f.Fuzz(func(t *testing.T, stream string, size uint8) {
 		pool := buffer.NewPool(16, 16)
-		whole, errWhole := parseInPieces(stream, max(1, len(stream)), pool)
-		pieces, errPieces := parseInPieces(stream, int(size)+1, pool)
-		if diff := cmp.Diff(whole, pieces); diff != "" || (errWhole == nil) != (errPieces == nil) {
+		whole, errWhole := parseInChunks(stream, max(1, len(stream)), pool)
+		chunked, errChunked := parseInChunks(stream, int(size)+1, pool)
+		if diff := cmp.Diff(whole, chunked); diff != "" || (errWhole == nil) != (errChunked == nil) {
 			t.Errorf("error %v in chunks of %d bytes, error %v as a whole; responses (-whole +chunks):\n%s",
-				errPieces, int(size)+1, errWhole, diff)
+				errChunked, int(size)+1, errWhole, diff)
 		}
 		if pool.InUse() != 0 {
 			t.Errorf("got %d buffers in use, want 0", pool.InUse())
--- a/internal/resp/resp.go
+++ b/internal/resp/resp.go
@@ -11,34 +11,34 @@
 
 import "strconv"
 
-const lineEnd = "\r\n"
+const crlf = "\r\n"
 
 // First bytes of a header, which identify the type of the element that follows.
 const (
-	arrayMark = '*'
-	bulkMark  = '$'
+	arrayPrefix = '*'
+	bulkPrefix  = '$'
 )
 
 // AppendArrayHeader appends the header of an array with the given number of elements to dst.
 func AppendArrayHeader(dst []byte, elements int) []byte {
-	return appendHeader(dst, arrayMark, elements)
+	return appendHeader(dst, arrayPrefix, elements)
 }
 
 // AppendBulkHeader appends the header of a bulk string of length bytes to dst. The caller must append the string's
 // bytes and a CRLF.
 func AppendBulkHeader(dst []byte, length int) []byte {
-	return appendHeader(dst, bulkMark, length)
+	return appendHeader(dst, bulkPrefix, length)
 }
 
 // AppendBulkString appends a complete bulk string to dst: header, text and CRLF.
 func AppendBulkString(dst []byte, text string) []byte {
 	dst = AppendBulkHeader(dst, len(text))
 	dst = append(dst, text...)
-	return append(dst, lineEnd...)
+	return append(dst, crlf...)
 }
 
-func appendHeader(dst []byte, mark byte, number int) []byte {
-	dst = append(dst, mark)
+func appendHeader(dst []byte, prefix byte, number int) []byte {
+	dst = append(dst, prefix)
 	dst = strconv.AppendInt(dst, int64(number), 10)
-	return append(dst, lineEnd...)
+	return append(dst, crlf...)
 }
--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -16,9 +16,9 @@
 	startedAt routing.Time
 	deadline  routing.Time
 
-	idleBefore routing.Time // how long conn had been idle when it got the attempt; 0 if conn was new or in use
-	redials    int          // additional dials after dials that were reset, at most maxRedials
-	written    bool         // the request has been handed to the socket and may have been executed
+	connIdleTime routing.Time // how long conn had been idle when it got the attempt; 0 if conn was new or in use
+	redials      int          // additional dials after dials that were reset, at most maxRedials
+	written      bool         // the request has been handed to the socket and may have been executed
 }
 
 // Send starts an attempt at host, on a connection of the endpoint's pool or on a new one. It reports the result to the
--- a/internal/upstream/attempt_test.go
+++ b/internal/upstream/attempt_test.go
@@ -78,17 +78,17 @@
 	h.pools.limits.MaxConnsPerEndpoint = 2
 	h.send(1, "r1")
 	h.send(2, "r2")
-	early := h.open(0)
+	first := h.open(0)
 	if h.pools.CancelIfUnwritten(1) {
 		t.Error("CancelIfUnwritten of a written attempt: got true, want false")
 	}
 	if !h.pools.CancelIfUnwritten(2) {
 		t.Error("CancelIfUnwritten of an attempt that waits for its dial: got false, want true")
 	}
-	late := h.open(1)
-	if early.Written.Len() == 0 || late.Written.Len() != 0 {
+	second := h.open(1)
+	if first.Written.Len() == 0 || second.Written.Len() != 0 {
 		t.Errorf("got %d bytes on the first connection and %d on the second, want more than 0 and 0",
-			early.Written.Len(), late.Written.Len())
+			first.Written.Len(), second.Written.Len())
 	}
 	h.respond(t, 0, "r1", "OK", "-", "x")
 	h.wantResults(t, map[handle.Handle]routing.Result{1: routing.OK})
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -71,7 +71,7 @@
 func (c *conn) assign(attempt *activeAttempt) {
 	now := c.pools.now()
 	if len(c.inFlight) == 0 && c.phase != connecting {
-		attempt.idleBefore = now - c.idleSince
+		attempt.connIdleTime = now - c.idleSince
 	}
 	attempt.conn = c
 	c.inFlight[attempt.requestID] = attempt
@@ -96,13 +96,13 @@
 	}
 }
 
-// lateResponsesPerStream is the maximum size of lateResponseIDs as a multiple of MaxAttemptsPerConn.
-const lateResponsesPerStream = 4
+// lateResponsesPerAttempt is the maximum size of lateResponseIDs as a multiple of MaxAttemptsPerConn.
+const lateResponsesPerAttempt = 4
 
 // expectLateResponse records that another response with a request ID may still arrive: one that was sent before the
 // endpoint received the cancellation, or a duplicate. If there is no room for the ID, the connection starts to drain.
 func (c *conn) expectLateResponse(requestID string) {
-	limit := lateResponsesPerStream * c.pools.limits.MaxAttemptsPerConn
+	limit := lateResponsesPerAttempt * c.pools.limits.MaxAttemptsPerConn
 	now := c.pools.now()
 	if len(c.lateResponseIDs) >= limit {
 		for id, since := range c.lateResponseIDs {
@@ -176,9 +176,9 @@
 	c.terminate(result)
 }
 
-// quickCloseLimit is the age below which a connection that is lost without having received a response counts as
+// rejectedConnMaxAge is the age below which a connection that is lost without having received a response counts as
 // rejected: the endpoint is at its connection limit.
-const quickCloseLimit = 100 * time.Millisecond
+const rejectedConnMaxAge = 100 * time.Millisecond
 
 // Closed implements eventloop.Stream. It is called when an open connection has ended. Attempts that were written end
 // with Reset, because they may have been executed.
@@ -204,7 +204,7 @@
 		return
 	}
 	c.pools.observeIdleCloseRace(c)
-	if c.responses == 0 && age < quickCloseLimit {
+	if c.responses == 0 && age < rejectedConnMaxAge {
 		c.endpoint.connectLimiter.RecordFailure(c.pools.now(), c.endpoint.numEstablished()-1)
 	}
 }
@@ -225,11 +225,11 @@
 	}
 	c.transition(closed)
 	for _, attempt := range c.inFlight {
-		ended := result
+		attemptResult := result
 		if !attempt.written && result == routing.Reset {
-			ended = routing.ConnectFailed
+			attemptResult = routing.ConnectFailed
 		}
-		c.pools.endAttempt(attempt, director.AttemptResult{Result: ended})
+		c.pools.endAttempt(attempt, director.AttemptResult{Result: attemptResult})
 	}
 }
 
--- a/internal/upstream/conn_test.go
+++ b/internal/upstream/conn_test.go
@@ -93,8 +93,8 @@
 				}
 			}
 			h.wantResults(t, map[handle.Handle]routing.Result{1: want})
-			ours := h.pools.Counters.LocalResourceErrors != 0
-			if ours != (want != routing.ConnectFailed) || h.pools.NumConns() != 0 {
+			localFailure := h.pools.Counters.LocalResourceErrors != 0
+			if localFailure != (want != routing.ConnectFailed) || h.pools.NumConns() != 0 {
 				t.Errorf("got LocalResourceErrors %d, want above 0: %v; got %d connections, want 0",
 					h.pools.Counters.LocalResourceErrors, want != routing.ConnectFailed, h.pools.NumConns())
 			}
--- a/internal/upstream/golden_request_test.go
+++ b/internal/upstream/golden_request_test.go
@@ -13,29 +13,29 @@
 
 type upstreamRequest = director.UpstreamRequest
 
-// requestCase is one golden request: the plain request with a body, and with the changes that change makes.
+// requestCase is one golden request: the result of goldenRequest with a body, changed further by modify.
 type requestCase struct {
 	name   string
 	body   string
-	change func(*upstreamRequest, *director.Request)
+	modify func(*upstreamRequest, *director.Request)
 }
 
 // TestGoldenRequests compares the encoded bytes of requests with the golden file, for each field and each combination
 // of fetch flags.
 func TestGoldenRequests(t *testing.T) {
-	cases := append(requestFieldCases(), requestFigureCases()...)
+	cases := append(requestFieldCases(), requestValueCases()...)
 	lines := make([]string, 0, len(cases))
 	for _, tc := range cases {
 		recorder := newWireRecorder()
 		request := goldenRequest()
 		request.Body = recorder.body(t, tc.body)
 		call := director.UpstreamRequest{Request: &request, Timeout: 1500 * time.Millisecond}
-		tc.change(&call, &request)
+		tc.modify(&call, &request)
 		recorder.pools.Send(1, 1, call)
-		link := &nettest.FakeConn{}
-		recorder.dials[0].Opened(link)
+		socket := &nettest.FakeConn{}
+		recorder.dials[0].Opened(socket)
 		request.Body.Release()
-		lines = append(lines, fmt.Sprintf("%s: %q", tc.name, link.Written.String()))
+		lines = append(lines, fmt.Sprintf("%s: %q", tc.name, socket.Written.String()))
 	}
 	compareGolden(t, "requests.txt", lines)
 }
@@ -70,11 +70,11 @@
 	}
 }
 
-// requestFigureCases returns requests with various values of the retention rank, the fetch flags, the maximum age and
+// requestValueCases returns requests with various values of the retention rank, the fetch flags, the maximum age and
 // the timeout.
-func requestFigureCases() (cases []requestCase) {
-	add := func(name string, change func(*upstreamRequest, *director.Request)) {
-		cases = append(cases, requestCase{name: name, change: change})
+func requestValueCases() (cases []requestCase) {
+	add := func(name string, modify func(*upstreamRequest, *director.Request)) {
+		cases = append(cases, requestCase{name: name, modify: modify})
 	}
 	for rank := range 4 {
 		add(
@@ -82,19 +82,19 @@
 			func(call *upstreamRequest, _ *director.Request) { call.RetentionRank = uint8(rank) },
 		)
 	}
-	for switches := range 16 {
-		add(fmt.Sprintf("switches %04b", switches), func(call *upstreamRequest, _ *director.Request) {
-			call.Source, call.FetchFlags = "s-1", routing.FetchFlags(switches)
+	for flags := range 16 {
+		add(fmt.Sprintf("switches %04b", flags), func(call *upstreamRequest, _ *director.Request) {
+			call.Source, call.FetchFlags = "s-1", routing.FetchFlags(flags)
 		})
 	}
 	for _, age := range []time.Duration{0, 1, 999 * time.Microsecond, time.Millisecond, 8999 * time.Microsecond,
 		time.Hour} {
 		add(fmt.Sprintf("oldest copy %v", age), func(call *upstreamRequest, _ *director.Request) { call.MaxAge = age })
 	}
-	for _, patience := range []time.Duration{0, 1, 1999 * time.Microsecond, 2 * time.Millisecond, time.Minute} {
+	for _, timeout := range []time.Duration{0, 1, 1999 * time.Microsecond, 2 * time.Millisecond, time.Minute} {
 		add(
-			fmt.Sprintf("patience %v", patience),
-			func(call *upstreamRequest, _ *director.Request) { call.Timeout = patience },
+			fmt.Sprintf("patience %v", timeout),
+			func(call *upstreamRequest, _ *director.Request) { call.Timeout = timeout },
 		)
 	}
 	return cases
--- a/internal/upstream/golden_response_test.go
+++ b/internal/upstream/golden_response_test.go
@@ -17,8 +17,8 @@
 // client has the copy tag1, and r2, whose client has no copy.
 func goldenStreams() []string {
 	streams := wellFormedStreams()
-	streams = append(streams, unusableStreams()...)
-	return append(streams, brokenStreams()...)
+	streams = append(streams, invalidResponseStreams()...)
+	return append(streams, malformedStreams()...)
 }
 
 // wellFormedStreams returns streams with each status and each fill status, for a client with a copy and one without.
@@ -27,10 +27,10 @@
 		",rev=tag1,since=1764576000123"
 	for _, id := range []string{"r1", "r2"} {
 		for _, status := range []string{"OK", "SAME", "MISS", "BUSY", "ERR", "VOID"} {
-			for _, note := range []string{"HIT", "MISS", "MISS_ORIGIN", "COLLAPSED", "STALE", "UP_BUSY", "UP_DOWN",
+			for _, fillStatus := range []string{"HIT", "MISS", "MISS_ORIGIN", "COLLAPSED", "STALE", "UP_BUSY", "UP_DOWN",
 				"UP_MISS",
 				"NO_FILL", "ORIGIN_ERR"} {
-				streams = append(streams, bulkArray(id, status, "n="+note+rest, ""))
+				streams = append(streams, bulkArray(id, status, "n="+fillStatus+rest, ""))
 			}
 			streams = append(streams,
 				bulkArray(id, status),
@@ -56,9 +56,9 @@
 		bulkArray("", "", "", ""))
 }
 
-// unusableStreams returns streams of complete responses with an invalid status, invalid fields or an invalid
+// invalidResponseStreams returns streams of complete responses with an invalid status, invalid fields or an invalid
 // confirmation of the client's copy.
-func unusableStreams() (streams []string) {
+func invalidResponseStreams() (streams []string) {
 	for _, status := range []string{"", "ok", "OKAY", "UP", "STOP"} {
 		streams = append(streams, bulkArray("r1", status), bulkArray("r2", status, "n=HIT", "x"))
 	}
@@ -70,9 +70,9 @@
 	return append(streams, bulkArray("r1", "SAME", "rev=tag1", "x"), bulkArray("r2", "SAME", "rev=", ""))
 }
 
-// brokenStreams returns streams that are not arrays of bulk strings, exceed or just reach the parser's bounds, or end
-// in the middle of a response.
-func brokenStreams() []string {
+// malformedStreams returns streams that are not arrays of bulk strings, exceed or just reach the parser's bounds, or
+// end in the middle of a response.
+func malformedStreams() []string {
 	whole := bulkArray("r1", "OK", "n=HIT", "body")
 	streams := []string{
 		"+OK\r\n",
@@ -141,11 +141,11 @@
 	recorder.pools.Send(1, 1, director.UpstreamRequest{Request: &first, Timeout: time.Second})
 	recorder.pools.Send(2, 1, director.UpstreamRequest{Request: &second, Timeout: time.Second})
 	recorder.dials[0].Opened(&nettest.FakeConn{})
-	verdict := "stream kept"
+	outcome := "stream kept"
 	if recorder.deliver(recorder.dials[0], stream, size) {
-		verdict = "stream broken"
+		outcome = "stream broken"
 	}
-	return strings.Join(append([]string{verdict, recorder.state()}, recorder.results...), "; ")
+	return strings.Join(append([]string{outcome, recorder.state()}, recorder.results...), "; ")
 }
 
 // TestGoldenResponses compares the results of valid, invalid and malformed responses with the golden file. Streams that
--- a/internal/upstream/golden_test.go
+++ b/internal/upstream/golden_test.go
@@ -27,6 +27,7 @@
 
 var updateGolden = flag.Bool("update", false, "write the golden files in testdata/golden")
 
+// goldenResults maps the results of attempts to their labels in the golden files.
 var goldenResults = map[routing.Result]string{
 	routing.OK:                      "ok",
 	routing.Errored:                 "error",
@@ -41,6 +42,7 @@
 	routing.Unreachable:             "no-way",
 }
 
+// goldenFillStatuses maps fill statuses to their labels in the golden files.
 var goldenFillStatuses = map[routing.FillStatus]string{
 	routing.FillStatusUnknown:           "none",
 	routing.FillStatusHit:               "hit",
@@ -93,11 +95,11 @@
 }
 
 // AttemptEnded implements CompletionHandler.
-func (r *wireRecorder) AttemptEnded(attempt handle.Handle, end director.AttemptResult) {
+func (r *wireRecorder) AttemptEnded(attempt handle.Handle, result director.AttemptResult) {
 	r.results = append(r.results, fmt.Sprintf("attempt %d %s note=%s waited=%v load=%v same=%v body=%q",
-		attempt, goldenResults[end.Result], goldenFillStatuses[end.FillStatus], end.SourceWait, end.LoadReport,
-		end.NotModified, chainText(&end.Body)))
-	end.Body.Release()
+		attempt, goldenResults[result.Result], goldenFillStatuses[result.FillStatus], result.SourceWait, result.LoadReport,
+		result.NotModified, chainText(&result.Body)))
+	result.Body.Release()
 }
 
 // body returns text as a chain of buffers from the recorder's pool.
@@ -114,18 +116,18 @@
 // deliver ends the connection, as the event loop does, and returns true.
 func (r *wireRecorder) deliver(stream eventloop.Stream, text string, size int) (failed bool) {
 	for len(text) > 0 {
-		piece := min(size, len(text))
-		if err := stream.Data([]byte(text[:piece])); err != nil {
-			r.lose(stream)
+		chunk := min(size, len(text))
+		if err := stream.Data([]byte(text[:chunk])); err != nil {
+			r.closeConn(stream)
 			return true
 		}
-		text = text[piece:]
+		text = text[chunk:]
 	}
 	return false
 }
 
-// lose ends a connection. The attempts in flight end in random order, so lose sorts their recorded results.
-func (r *wireRecorder) lose(stream eventloop.Stream) {
+// closeConn ends a connection. The attempts in flight end in random order, so closeConn sorts their recorded results.
+func (r *wireRecorder) closeConn(stream eventloop.Stream) {
 	before := len(r.results)
 	stream.Closed()
 	slices.Sort(r.results[before:])
--- a/internal/upstream/harness_test.go
+++ b/internal/upstream/harness_test.go
@@ -82,9 +82,9 @@
 }
 
 // respond passes a response with the given elements to a connection as received data.
-func (h *harness) respond(t *testing.T, dial int, words ...string) {
+func (h *harness) respond(t *testing.T, dial int, elements ...string) {
 	t.Helper()
-	h.receive(t, dial, bulkArray(words...))
+	h.receive(t, dial, bulkArray(elements...))
 }
 
 // runTimers runs the timers that are due at the harness's current time.
@@ -100,11 +100,11 @@
 
 // bulkArray returns an array of bulk strings. It does not use package resp, so that the tests check that package's
 // encoding too.
-func bulkArray(words ...string) string {
+func bulkArray(elements ...string) string {
 	var text strings.Builder
-	fmt.Fprintf(&text, "*%d\r\n", len(words))
-	for _, word := range words {
-		fmt.Fprintf(&text, "$%d\r\n%s\r\n", len(word), word)
+	fmt.Fprintf(&text, "*%d\r\n", len(elements))
+	for _, element := range elements {
+		fmt.Fprintf(&text, "$%d\r\n%s\r\n", len(element), element)
 	}
 	return text.String()
 }
--- a/internal/upstream/idlerace.go
+++ b/internal/upstream/idlerace.go
@@ -12,20 +12,20 @@
 func (p *Pools) observeIdleCloseRace(lost *conn) {
 	endpoint, now := lost.endpoint, p.now()
 	recentLoss := endpoint.lastConnLossAt != 0 && now-endpoint.lastConnLossAt <= p.limits.IdleCloseRaceWindow
-	alone := !endpoint.idleCloseRaceTimer.Pending() && !recentLoss
+	onlyLoss := !endpoint.idleCloseRaceTimer.Pending() && !recentLoss
 	endpoint.lastConnLossAt = now
 	p.timers.Cancel(&endpoint.idleCloseRaceTimer)
-	if !alone || len(lost.inFlight) != 1 {
+	if !onlyLoss || len(lost.inFlight) != 1 {
 		return
 	}
 	for _, attempt := range lost.inFlight {
-		raced := attempt.written && attempt.idleBefore > 0 && now-attempt.startedAt <= p.limits.IdleCloseRaceWindow
+		raced := attempt.written && attempt.connIdleTime > 0 && now-attempt.startedAt <= p.limits.IdleCloseRaceWindow
 		if !raced {
 			continue
 		}
 		p.timers.Schedule(&endpoint.idleCloseRaceTimer, now+p.limits.IdleCloseRaceWindow, func() {
 			p.Counters.IdleCloseRaces++
-			p.idleReuse.RecordCloseRace(p.now(), attempt.idleBefore)
+			p.idleReuseTimeout.RecordCloseRace(p.now(), attempt.connIdleTime)
 		})
 	}
 }
--- a/internal/upstream/idlerace_test.go
+++ b/internal/upstream/idlerace_test.go
@@ -13,10 +13,10 @@
 func TestResetAfterIdleTimeShortensIdleReuse(t *testing.T) {
 	const idle = 300 * time.Millisecond
 	for _, tc := range []struct {
-		name      string
-		idle      time.Duration
-		end       func(*testing.T, *harness)
-		usedAgain bool // whether a connection with the same idle time is still reused
+		name   string
+		idle   time.Duration
+		end    func(*testing.T, *harness)
+		reused bool // whether a connection with the same idle time is still reused
 	}{
 		{"reset after an idle time", idle, func(_ *testing.T, h *harness) { h.dials[0].Closed() }, false},
 		{"malformed data", idle, func(t *testing.T, h *harness) {
@@ -46,8 +46,8 @@
 			h.now += idle
 			h.runTimers()
 			h.send(4, "r4")
-			if usedAgain := len(h.dials) == 2; usedAgain != tc.usedAgain {
-				t.Errorf("after a loss with idle time %v: got reuse %v, want %v", tc.idle, usedAgain, tc.usedAgain)
+			if reused := len(h.dials) == 2; reused != tc.reused {
+				t.Errorf("after a loss with idle time %v: got reuse %v, want %v", tc.idle, reused, tc.reused)
 			}
 		})
 	}
@@ -57,7 +57,7 @@
 // for all caches and for good, and with cold caches every attempt opens a new connection. Only a request that was sent
 // while its connection alone was being closed may shorten the idle time, and the reduction expires over time.
 func TestOnlyIdleCloseRacesShortenIdleReuse(t *testing.T) {
-	const untouched = 10 * time.Second
+	const unchanged = 10 * time.Second
 	for _, tc := range []struct {
 		name string
 		end  func(*testing.T, *harness)
@@ -67,25 +67,25 @@
 		{"reset 51 ms after the request", func(_ *testing.T, h *harness) {
 			h.now += 51 * time.Millisecond
 			h.dials[0].Closed()
-		}, untouched},
+		}, unchanged},
 		{"all connections closed, the idle one last", func(_ *testing.T, h *harness) {
 			h.dials[0].Closed()
 			h.now += 10 * time.Millisecond
 			h.dials[1].Closed()
-		}, untouched},
+		}, unchanged},
 		{"all connections closed, the idle one first", func(_ *testing.T, h *harness) {
 			h.dials[1].Closed()
 			h.dials[0].Closed()
-		}, untouched},
-		{"next dial refused", endThenRefuse, untouched},
+		}, unchanged},
+		{"next dial refused", closeAllThenRefuse, unchanged},
 		{"endpoint restarted", func(_ *testing.T, h *harness) {
 			h.dials[0].Closed()
 			h.pools.UpdateEndpoint(1, "c1", "a", h.now)
-		}, untouched},
+		}, unchanged},
 		{"endpoint removed", func(_ *testing.T, h *harness) {
 			h.dials[0].Closed()
 			h.pools.RemoveEndpoint(1)
-		}, untouched},
+		}, unchanged},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			h := newHarness()
@@ -104,16 +104,16 @@
 			tc.end(t, h)
 			h.now += h.pools.limits.IdleCloseRaceWindow
 			h.runTimers()
-			if got := h.pools.idleReuse.Value(h.now); got != tc.want {
+			if got := h.pools.idleReuseTimeout.Value(h.now); got != tc.want {
 				t.Errorf("got reuse up to an idle time of %v, want %v", got, tc.want)
 			}
 		})
 	}
 }
 
-// endThenRefuse closes all connections, opens one more, closes that during the first request after an idle time, and
-// refuses the next dial.
-func endThenRefuse(t *testing.T, h *harness) {
+// closeAllThenRefuse closes all connections, opens one more, closes that during the first request after an idle time,
+// and refuses the next dial.
+func closeAllThenRefuse(t *testing.T, h *harness) {
 	t.Helper()
 	h.dials[0].Closed()
 	h.dials[1].Closed()
--- a/internal/upstream/pick.go
+++ b/internal/upstream/pick.go
@@ -44,8 +44,8 @@
 // none can. See preferredOver for the order.
 func (e *endpoint) bestConn(requestID string) *conn {
 	var best *conn
-	for _, conn := range slices.Clone(e.conns) { // usable may close connections
-		if !conn.usable(requestID) {
+	for _, conn := range slices.Clone(e.conns) { // canAccept may remove connections from e.conns
+		if !conn.canAccept(requestID) {
 			continue
 		}
 		if best == nil || conn.preferredOver(best) {
@@ -58,8 +58,8 @@
 // readyConn returns the first of the endpoint's open connections that can take an attempt of a request, or nil if none
 // can.
 func (e *endpoint) readyConn(requestID string) *conn {
-	for _, conn := range slices.Clone(e.conns) { // usable may close connections
-		if conn.phase == ready && conn.usable(requestID) {
+	for _, conn := range slices.Clone(e.conns) { // canAccept may remove connections from e.conns
+		if conn.phase == ready && conn.canAccept(requestID) {
 			return conn
 		}
 	}
@@ -79,13 +79,13 @@
 	return c.lastUsedAt > other.lastUsedAt
 }
 
-// usable reports whether the connection can take an attempt of a request. As a side effect it closes the connection if
-// that has no attempts in flight and is stale or unresponsive.
-func (c *conn) usable(requestID string) bool {
+// canAccept reports whether the connection can take an attempt of a request. As a side effect it closes the connection
+// if that has no attempts in flight and is stale or unresponsive.
+func (c *conn) canAccept(requestID string) bool {
 	if c.phase > ready || len(c.inFlight) >= c.pools.limits.MaxAttemptsPerConn {
 		return false
 	}
-	if c.mayAnswer(requestID) {
+	if c.expectsResponseTo(requestID) {
 		return false
 	}
 	if len(c.inFlight) == 0 && c.parser.InProgress() {
@@ -94,9 +94,9 @@
 	return !c.closeIfStale() && !c.unresponsive() && !c.backlogged()
 }
 
-// mayAnswer reports whether a response to an earlier attempt of a request may still arrive on the connection. That
-// response would have the same ID as the response to a new attempt and would be taken for it.
-func (c *conn) mayAnswer(requestID string) bool {
+// expectsResponseTo reports whether a response to an earlier attempt of a request may still arrive on the connection.
+// That response would have the same ID as the response to a new attempt and would be taken for it.
+func (c *conn) expectsResponseTo(requestID string) bool {
 	if _, taken := c.inFlight[requestID]; taken {
 		return true
 	}
@@ -111,7 +111,7 @@
 		return false
 	}
 	now := c.pools.now()
-	if now-c.idleSince <= c.pools.idleReuse.Value(now) {
+	if now-c.idleSince <= c.pools.idleReuseTimeout.Value(now) {
 		return false
 	}
 	c.pools.Counters.StaleIdleConns++
@@ -184,26 +184,26 @@
 	if needed <= p.limits.MaxUpstreamConns {
 		return true
 	}
-	eldest := p.longestIdle()
-	if eldest == nil || needed > p.limits.MaxUpstreamConns+p.limits.MaxReplacementDials {
+	longest := p.longestIdle()
+	if longest == nil || needed > p.limits.MaxUpstreamConns+p.limits.MaxReplacementDials {
 		return false
 	}
 	p.Counters.IdleEvictions++
-	eldest.close()
+	longest.close()
 	return true
 }
 
 // longestIdle returns the open connection that has been idle for the longest time, or nil if none is idle.
 func (p *Pools) longestIdle() *conn {
-	var eldest *conn
+	var longest *conn
 	p.conns.All(func(_ handle.Handle, conn *conn) bool {
 		if conn.phase != ready || len(conn.inFlight) > 0 {
 			return true
 		}
-		if eldest == nil || conn.idleSince < eldest.idleSince {
-			eldest = conn
+		if longest == nil || conn.idleSince < longest.idleSince {
+			longest = conn
 		}
 		return true
 	})
-	return eldest
+	return longest
 }
--- a/internal/upstream/pick_test.go
+++ b/internal/upstream/pick_test.go
@@ -208,14 +208,14 @@
 // only one to an endpoint that has just started.
 func TestBurstOpensFewConnectionsAtATime(t *testing.T) {
 	for _, tc := range []struct {
-		name  string
-		young bool
-		want  int
+		name        string
+		justStarted bool
+		want        int
 	}{{"long running", false, 3}, {"just started", true, 1}} {
 		t.Run(tc.name, func(t *testing.T) {
 			h := newHarness()
 			h.raiseLimits(32, 64)
-			if tc.young {
+			if tc.justStarted {
 				h.pools.UpdateEndpoint(1, "c1", "a", h.now)
 			}
 			for i := range 20 {
--- a/internal/upstream/pools.go
+++ b/internal/upstream/pools.go
@@ -79,7 +79,7 @@
 	endpoints        map[routing.Host]*endpoint
 	attempts         map[handle.Handle]*activeAttempt
 	conns            *handle.Table[*conn]
-	idleReuse        overload.IdleTimeout // for how long an idle connection may be reused
+	idleReuseTimeout overload.IdleTimeout // for how long an idle connection may be reused
 	descriptorsInUse int
 	writesSuspended  bool
 	headBuffer       []byte   // reused for the encoding of each request and cancellation
@@ -103,7 +103,7 @@
 		endpoints:        map[routing.Host]*endpoint{},
 		attempts:         map[handle.Handle]*activeAttempt{},
 		conns:            handle.NewTable[*conn](limits.MaxUpstreamConns),
-		idleReuse:        overload.NewIdleTimeout(limits.MinIdleTimeout, limits.UpstreamIdleTimeout),
+		idleReuseTimeout: overload.NewIdleTimeout(limits.MinIdleTimeout, limits.UpstreamIdleTimeout),
 	}
 }
 
--- a/internal/upstream/request.go
+++ b/internal/upstream/request.go
@@ -17,7 +17,7 @@
 	cancelElements  = 2 // STOP ID
 )
 
-var lineEnd = []byte("\r\n")
+var crlf = []byte("\r\n")
 
 // writeRequest writes the request of an attempt to its connection; from then on the request may be executed. After the
 // end of the request's idempotency window it writes nothing, because the endpoint could execute the request a second
@@ -55,11 +55,11 @@
 	head = resp.AppendBulkString(head, request.Ref)
 	head = resp.AppendBulkHeader(head, len(fields))
 	head = append(head, fields...)
-	head = append(head, lineEnd...)
+	head = append(head, crlf...)
 	head = resp.AppendBulkHeader(head, request.Body.Len())
 	segments := append(p.writeSegments[:0], head)
 	segments = request.Body.Segments(segments)
-	segments = append(segments, lineEnd)
+	segments = append(segments, crlf)
 	p.headBuffer = head
 	p.writeSegments = segments
 	return segments
@@ -76,8 +76,8 @@
 	}
 }
 
-// fetchFlagWords holds the protocol's names of the fetch flags, indexed by the bit number of the flag.
-var fetchFlagWords = [...]string{"share", "peek", "pass", "swr"}
+// fetchFlagNames holds the protocol's names of the fetch flags, indexed by the bit number of the flag.
+var fetchFlagNames = [...]string{"share", "peek", "pass", "swr"}
 
 // appendRequestFields appends the content of a request's FIELDS element to dst. The timeout is the time that is left
 // for the attempt.
@@ -125,9 +125,9 @@
 // is set.
 func appendFetchFlags(dst []byte, flags routing.FetchFlags) []byte {
 	separator := ",do="
-	for bit, word := range fetchFlagWords {
+	for bit, name := range fetchFlagNames {
 		if flags&(1<<bit) != 0 {
-			dst = appendField(dst, separator, word)
+			dst = appendField(dst, separator, name)
 			separator = "+"
 		}
 	}
--- a/internal/upstream/response.go
+++ b/internal/upstream/response.go
@@ -45,7 +45,7 @@
 	}
 	c.pools.Counters.Responses++
 	c.responses++
-	c.pools.idleReuse.RecordReuse(c.pools.now(), attempt.idleBefore)
+	c.pools.idleReuseTimeout.RecordReuse(c.pools.now(), attempt.connIdleTime)
 	c.pools.removeAttempt(attempt)
 	result, err := c.pools.decodeResponse(&response, attempt.clientTag)
 	if err != nil {
--- a/internal/upstream/response_test.go
+++ b/internal/upstream/response_test.go
@@ -83,22 +83,22 @@
 func TestConnectionWithPartialResponseGetsNoNewAttempt(t *testing.T) {
 	const missing = 5 // number of bytes that are missing at the end of the response
 	whole := bulkArray("r1", "OK", "-", "a long body")
-	half, rest := whole[:len(whole)-missing], whole[len(whole)-missing:]
+	firstPart, rest := whole[:len(whole)-missing], whole[len(whole)-missing:]
 	for _, tc := range []struct {
-		name string
-		ends bool
+		name      string
+		completed bool
 	}{{"the rest comes", true}, {"the rest never comes", false}} {
 		t.Run(tc.name, func(t *testing.T) {
 			h := newHarness()
 			h.send(1, "r1")
 			socket := h.open(0)
-			h.receive(t, 0, half)
+			h.receive(t, 0, firstPart)
 			h.pools.Cancel(1)
 			h.send(2, "r2")
 			if len(h.dials) != 2 {
 				t.Fatalf("got %d dials, want 2 with r2 on a new connection", len(h.dials))
 			}
-			if tc.ends {
+			if tc.completed {
 				h.receive(t, 0, rest)
 				h.send(3, "r3")
 				if h.pools.attempts[3].conn != h.dials[0] {
