--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -34,8 +34,8 @@
 	requestID := request.Request.Ref
 	conn := p.pickConn(endpoint, requestID, request.NonIdempotent)
 	if conn == nil {
-		// The director itself has no file descriptor left: the attempt was never sent, so the result must not count
-		// against the endpoint.
+		// The director has no file descriptor left for a connection. The attempt was never sent, and its result must
+		// not count against the endpoint.
 		p.Counters.DescriptorLimitHits++
 		p.completions.AttemptEnded(attemptID, director.AttemptResult{Result: routing.Abandoned})
 		return
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -44,7 +44,7 @@
 	openedAt       routing.Time
 	awaitingSince  routing.Time // since when it has received nothing although a response is due; 0 if none is due
 	lastUsedAt     routing.Time // when an attempt was last assigned
-	idleSince      routing.Time // when the last attempt in flight ended
+	idleSince      routing.Time // when it was opened or last became free of attempts
 	idleTimer      timer.Timer
 	protocolFailed bool // received data violated the protocol, so the director closes the connection
 	responses      int  // number of responses that answered an attempt
@@ -100,7 +100,8 @@
 const lateResponsesPerAttempt = 4
 
 // expectLateResponse records that another response with a request ID may still arrive: one that was sent before the
-// endpoint received the cancellation, or a duplicate. If there is no room for the ID, the connection starts to drain.
+// endpoint received the cancellation, or a duplicate. If lateResponseIDs is full of IDs added within LateAnswerWindow,
+// the connection starts to drain.
 func (c *conn) expectLateResponse(requestID string) {
 	limit := lateResponsesPerAttempt * c.pools.limits.MaxAttemptsPerConn
 	now := c.pools.now()
@@ -138,7 +139,8 @@
 }
 
 // dialFailureResults maps the class of a dial failure to the result of the attempts that waited for the dial. Only
-// ConnectFailed is evidence against the endpoint; the other classes are shortages on the director's own side.
+// ConnectFailed is evidence against the endpoint; the other results are caused by the director's own shortage of
+// resources, routes or permissions.
 var dialFailureResults = map[eventloop.DialFailure]routing.Result{
 	eventloop.PeerFailed:              routing.ConnectFailed,
 	eventloop.LocalResourcesExhausted: routing.LocalResourcesExhausted,
--- a/internal/upstream/conn_test.go
+++ b/internal/upstream/conn_test.go
@@ -12,8 +12,8 @@
 	"shaleyard/routing"
 )
 
-// Connections to a process that has ended may never report a close. After a restart of the endpoint, new attempts must
-// use new connections, and the old connections must be closed.
+// Connections to a process that has ended may never report a close. After the endpoint has restarted or a new endpoint
+// has taken its address, attempts must use new connections, and the old connections must be closed.
 func TestRestartedEndpointGetsNewConnections(t *testing.T) {
 	h := newHarness()
 	h.send(1, "r1")
--- a/internal/upstream/golden_response_test.go
+++ b/internal/upstream/golden_response_test.go
@@ -27,9 +27,8 @@
 		",rev=tag1,since=1764576000123"
 	for _, id := range []string{"r1", "r2"} {
 		for _, status := range []string{"OK", "SAME", "MISS", "BUSY", "ERR", "VOID"} {
-			for _, fillStatus := range []string{"HIT", "MISS", "MISS_ORIGIN", "COLLAPSED", "STALE", "UP_BUSY", "UP_DOWN",
-				"UP_MISS",
-				"NO_FILL", "ORIGIN_ERR"} {
+			for _, fillStatus := range []string{"HIT", "MISS", "MISS_ORIGIN", "COLLAPSED", "STALE", "UP_BUSY",
+				"UP_DOWN", "UP_MISS", "NO_FILL", "ORIGIN_ERR"} {
 				streams = append(streams, bulkArray(id, status, "n="+fillStatus+rest, ""))
 			}
 			streams = append(streams,
--- a/internal/upstream/golden_test.go
+++ b/internal/upstream/golden_test.go
@@ -97,8 +97,8 @@
 // AttemptEnded implements CompletionHandler.
 func (r *wireRecorder) AttemptEnded(attempt handle.Handle, result director.AttemptResult) {
 	r.results = append(r.results, fmt.Sprintf("attempt %d %s note=%s waited=%v load=%v same=%v body=%q",
-		attempt, goldenResults[result.Result], goldenFillStatuses[result.FillStatus], result.SourceWait, result.LoadReport,
-		result.NotModified, chainText(&result.Body)))
+		attempt, goldenResults[result.Result], goldenFillStatuses[result.FillStatus], result.SourceWait,
+		result.LoadReport, result.NotModified, chainText(&result.Body)))
 	result.Body.Release()
 }
 
--- a/internal/upstream/idlerace_test.go
+++ b/internal/upstream/idlerace_test.go
@@ -53,9 +53,9 @@
 	}
 }
 
-// Guards against resets of a crashed cache being counted as idle-close races. The directors then shorten the idle time
-// for all caches and for good, and with cold caches every attempt opens a new connection. Only a request that was sent
-// while its connection alone was being closed may shorten the idle time, and the reduction expires over time.
+// Resets by a crashed cache must not count as idle-close races. With cold caches, such resets made each director
+// shorten the idle time for all caches and for good, until every attempt opened a new connection. Only a request that
+// was sent while its connection alone was being closed may shorten the idle time, and the reduction expires over time.
 func TestOnlyIdleCloseRacesShortenIdleReuse(t *testing.T) {
 	const unchanged = 10 * time.Second
 	for _, tc := range []struct {
--- a/internal/upstream/pools.go
+++ b/internal/upstream/pools.go
@@ -39,7 +39,7 @@
 	DescriptorLimitHits uint64 // attempts that ended unsent because all file descriptors were in use
 	ConnectLimited      uint64 // attempts that share a connection because the connect limiter allowed no further one
 
-	ConnsLost         uint64 // closed by the endpoint or the network, or after a protocol error
+	ConnsLost         uint64 // connections closed by the endpoint or the network, or after a protocol error
 	IdleTimeouts      uint64 // connections closed after their idle timeout
 	StaleIdleConns    uint64 // connections closed instead of reused, because they had been idle for too long
 	IdleEvictions     uint64 // idle connections closed to free a descriptor for another endpoint
--- a/internal/upstream/response.go
+++ b/internal/upstream/response.go
@@ -103,8 +103,8 @@
 	"err_rps": "eps",
 }
 
-// errInvalidResponse is returned for a response with an unknown status, with invalid fields, or with a confirmation of
-// a copy that the client does not have.
+// errInvalidResponse is returned for a response with an unknown status, with invalid fields, or with an invalid
+// confirmation of the client's copy.
 var errInvalidResponse = errors.New("invalid response")
 
 // decodeResponse returns the result of an attempt, as given by the status and the fields of its response. The tag of
@@ -191,7 +191,7 @@
 			if key != field && key != loadReportKeys[field] {
 				continue
 			}
-			figure, _ := strconv.ParseFloat(value, 32) // 0 if value is not a number
+			figure, _ := strconv.ParseFloat(value, 32) // 0 if value is not a number, infinite if out of range
 			report[i] = float32(figure)
 		}
 	}
