--- a/internal/resp/parser_test.go
+++ b/internal/resp/parser_test.go
@@ -11,22 +11,24 @@
 	"shaleyard/internal/buffer"
 )
 
-func array(words ...string) string {
+// bulkArray returns an encoded array of bulk strings. It does not use the package's Append functions.
+func bulkArray(elements ...string) string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "*%d\r\n", len(words))
-	for _, word := range words {
-		fmt.Fprintf(&b, "$%d\r\n%s\r\n", len(word), word)
+	fmt.Fprintf(&b, "*%d\r\n", len(elements))
+	for _, element := range elements {
+		fmt.Fprintf(&b, "$%d\r\n%s\r\n", len(element), element)
 	}
 	return b.String()
 }
 
-// parseInPieces feeds a stream in pieces of one size and returns the responses, each as its words.
-func parseInPieces(stream string, size int, pool *buffer.Pool) (got [][]string, err error) {
+// parseInChunks feeds a stream to a parser in chunks of size bytes and returns the responses, each as its four
+// elements.
+func parseInChunks(stream string, size int, pool *buffer.Pool) (got [][]string, err error) {
 	parser := NewParser(pool, Limits{Fields: 64, Body: 100})
 	defer parser.Release()
 	for len(stream) > 0 && err == nil {
-		piece := min(size, len(stream))
-		err = parser.Feed([]byte(stream[:piece]), func(response Response) {
+		chunk := min(size, len(stream))
+		err = parser.Feed([]byte(stream[:chunk]), func(response Response) {
 			var body strings.Builder
 			for _, segment := range response.Body.Segments(nil) {
 				body.Write(segment)
@@ -34,31 +36,32 @@
 			got = append(got, []string{response.ID, response.Status, response.Fields, body.String()})
 			response.Body.Release()
 		})
-		stream = stream[piece:]
+		stream = stream[chunk:]
 	}
 	return got, err
 }
 
-func TestParserReadsResponsesInAnyPieces(t *testing.T) {
+func TestParserReadsResponsesInChunksOfAnySize(t *testing.T) {
 	body := strings.Repeat("x\r\n$*", 20)
-	stream := array("id1", "OK", "n=HIT", body) + array("id2", "MISS") + array("id3", "ERR", "-", "")
+	stream := bulkArray("id1", "OK", "n=HIT", body) + bulkArray("id2", "MISS") + bulkArray("id3", "ERR", "-", "")
 	want := [][]string{{"id1", "OK", "n=HIT", body}, {"id2", "MISS", "", ""}, {"id3", "ERR", "-", ""}}
 	for size := 1; size <= len(stream); size++ {
 		pool := buffer.NewPool(16, 16)
-		got, err := parseInPieces(stream, size, pool)
+		got, err := parseInChunks(stream, size, pool)
 		if err != nil {
-			t.Fatalf("pieces of %d: %v", size, err)
+			t.Fatalf("chunks of %d bytes: got error %v, want none", size, err)
 		}
 		if diff := cmp.Diff(want, got); diff != "" {
-			t.Fatalf("pieces of %d: %s", size, diff)
+			t.Fatalf("chunks of %d bytes: responses (-want +got):\n%s", size, diff)
 		}
 		if pool.InUse() != 0 {
-			t.Fatalf("pieces of %d: %d buffers left", size, pool.InUse())
+			t.Fatalf("chunks of %d bytes: got %d buffers in use, want 0", size, pool.InUse())
 		}
 	}
 }
 
-// Whatever an endpoint sends, the memory it can make the parser hold is bounded.
+// An endpoint that sends malformed or oversized data must not make the parser hold unbounded memory: the parser returns
+// an error as soon as the data exceeds a bound.
 func TestParserRejectsMalformedResponses(t *testing.T) {
 	for _, stream := range []string{
 		"+OK\r\n",
@@ -78,35 +81,35 @@
 		"*4\r\n$1\r\na\r\n$2\r\nOK\r\n$1\r\n-\r\n$101\r\n",
 		"*2\r\n$99999999999999999999\r\n",
 	} {
-		if _, err := parseInPieces(stream, len(stream), buffer.NewPool(16, 16)); err == nil {
-			t.Errorf("%q was taken", stream)
+		if _, err := parseInChunks(stream, len(stream), buffer.NewPool(16, 16)); err == nil {
+			t.Errorf("%q: got no error, want one", stream)
 		}
 	}
-	stream := array("a", "OK", "-", strings.Repeat("x", 90))
-	if _, err := parseInPieces(stream, 7, buffer.NewPool(16, 2)); err == nil {
-		t.Error("a body beyond the pool was taken")
+	stream := bulkArray("a", "OK", "-", strings.Repeat("x", 90))
+	if _, err := parseInChunks(stream, 7, buffer.NewPool(16, 2)); err == nil {
+		t.Error("body larger than the buffer pool: got no error, want one")
 	}
 }
 
-func TestErrorsTellMalformedFromTooLarge(t *testing.T) {
+func TestParserErrorsDistinguishMalformedFromTooLarge(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
 		stream string
 		want   error
 	}{
-		{"another type", "+OK\r\n", ErrMalformed},
+		{"another RESP type", "+OK\r\n", ErrMalformed},
 		{"null string", "*2\r\n$-1\r\n", ErrMalformed},
-		{"no number", "*\r\n", ErrMalformed},
+		{"header without a number", "*\r\n", ErrMalformed},
 		{"string longer than announced", "*2\r\n$1\r\nab", ErrMalformed},
 		{"too few elements", "*1\r\n", ErrMalformed},
 		{"too many elements", "*5\r\n", ErrTooLarge},
 		{"header too long", "*" + strings.Repeat("0", 40), ErrTooLarge},
 		{"id too long", "*2\r\n$65\r\n", ErrTooLarge},
-		{"pool exhausted", array("a", "OK", "-", strings.Repeat("x", 90)), buffer.ErrExhausted},
+		{"pool exhausted", bulkArray("a", "OK", "-", strings.Repeat("x", 90)), buffer.ErrExhausted},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			if _, err := parseInPieces(tc.stream, 1, buffer.NewPool(16, 2)); !errors.Is(err, tc.want) {
-				t.Errorf("error %v, want %v", err, tc.want)
+			if _, err := parseInChunks(tc.stream, 1, buffer.NewPool(16, 2)); !errors.Is(err, tc.want) {
+				t.Errorf("got error %v, want %v", err, tc.want)
 			}
 		})
 	}
@@ -118,22 +121,23 @@
 	got = AppendBulkString(got, "")
 	got = AppendBulkHeader(got, 4)
 	if diff := cmp.Diff("*3\r\n$3\r\nREQ\r\n$0\r\n\r\n$4\r\n", string(got)); diff != "" {
-		t.Error(diff)
+		t.Errorf("encoded request (-want +got):\n%s", diff)
 	}
 }
 
 func FuzzParser(f *testing.F) {
-	f.Add(array("id1", "OK", "n=HIT,fill=3", "body")+array("id2", "BUSY", "-", ""), uint8(3))
+	f.Add(bulkArray("id1", "OK", "n=HIT,fill=3", "body")+bulkArray("id2", "BUSY", "-", ""), uint8(3))
 	f.Add("*2\r\n$0\r\n\r\n$0\r\n\r\n", uint8(1))
 	f.Fuzz(func(t *testing.T, stream string, size uint8) {
 		pool := buffer.NewPool(16, 16)
-		whole, errWhole := parseInPieces(stream, max(1, len(stream)), pool)
-		pieces, errPieces := parseInPieces(stream, int(size)+1, pool)
-		if diff := cmp.Diff(whole, pieces); diff != "" || (errWhole == nil) != (errPieces == nil) {
-			t.Errorf("pieces of %d: %v, whole %v: %s", int(size)+1, errPieces, errWhole, diff)
+		whole, errWhole := parseInChunks(stream, max(1, len(stream)), pool)
+		chunked, errChunked := parseInChunks(stream, int(size)+1, pool)
+		if diff := cmp.Diff(whole, chunked); diff != "" || (errWhole == nil) != (errChunked == nil) {
+			t.Errorf("error %v in chunks of %d bytes, error %v as a whole; responses (-whole +chunks):\n%s",
+				errChunked, int(size)+1, errWhole, diff)
 		}
 		if pool.InUse() != 0 {
-			t.Errorf("%d buffers left", pool.InUse())
+			t.Errorf("got %d buffers in use, want 0", pool.InUse())
 		}
 	})
 }
