--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -1,6 +1,7 @@
-// Package admin serves operators' calls over HTTP, beside the event loop: whether the process is ready, and its drain.
-// The number of connections and the time of a call are bounded, so that callers which send nothing, or more than a call
-// has, do not delay the others.
+// Package admin serves operators' calls over HTTP: the readiness check of the process, and the start and the
+// cancellation of its drain. Calls are served on goroutines of their own, not on the event loop. The number of
+// connections, the size of a header and the duration of a call are bounded, so that callers that send nothing, or too
+// much, do not delay other callers.
 package admin
 
 import (
@@ -16,33 +17,34 @@
 	"shaleyard/internal/listener"
 )
 
-// Paths of the calls.
+// URL paths of the calls.
 const (
 	healthPath = "/healthcheck"
 	drainPath  = "/healthcheck/fail"
 	resumePath = "/healthcheck/ok"
 )
 
-// Bounds of a call.
+// Limits of a call.
 const (
 	maxHeaderBytes  = 4 << 10
-	callTimeout     = 5 * time.Second       // from a connection's accept to the end of its call
-	shutdownTimeout = 50 * time.Millisecond // for calls that are being answered when the server closes
+	callTimeout     = 5 * time.Second       // from the accept of a connection to the end of its call
+	shutdownTimeout = 50 * time.Millisecond // time that calls in progress have to end when the server closes
 )
 
-// Process is what operators query and control. Its methods must not wait for the event loop.
+// Process is the process that operators query and control. Its methods must not wait for the event loop, so that calls
+// are answered while the loop is stalled.
 type Process interface {
-	// Ready reports whether the load balancer may send clients here, and if not, why.
+	// Ready reports whether the load balancer may send clients to this process, and the reason if it may not.
 	Ready() (ready bool, why string)
-	// Drain starts a drain.
+	// Drain starts a drain of the process.
 	Drain()
-	// Resume cancels a drain; false: it can't be cancelled any more.
+	// Resume cancels a drain. It returns false if the drain can no longer be cancelled.
 	Resume() bool
-	// Called is called for each call except health checks.
+	// Called is called for each drain and each resume, with the status of the answer.
 	Called(method, path string, status int)
 }
 
-// Server answers operators' calls. Its methods may be called from any goroutine.
+// Server is the HTTP server for operators' calls. Its methods may be called from any goroutine.
 type Server struct {
 	process  Process
 	listener *listener.Listener
@@ -53,8 +55,8 @@
 	conns []net.Conn // oldest first
 }
 
-// Listen opens the operators' address for a process. At most maxConns connections are held at once; the oldest is
-// closed for a new one.
+// Listen returns a Server that listens at the address and passes calls to the process. The server holds at most
+// maxConns connections at once: a new connection beyond that closes the oldest one.
 func Listen(address string, maxConns int, process Process) (*Server, error) {
 	opened, err := listener.Open(address)
 	if err != nil {
@@ -71,19 +73,19 @@
 		WriteTimeout:   callTimeout,
 		MaxHeaderBytes: maxHeaderBytes,
 		ConnState:      s.trackConnection,
-		ErrorLog:       log.New(io.Discard, "", 0), // callers' faults are reported to the callers
+		ErrorLog:       log.New(io.Discard, "", 0), // errors of a call are reported to its caller only
 	}
-	s.http.SetKeepAlivesEnabled(false) // one call to a connection
+	s.http.SetKeepAlivesEnabled(false) // one call per connection
 	return s, nil
 }
 
-// Address is where the server listens.
+// Address returns the address at which the server listens.
 func (s *Server) Address() string { return s.listener.Addr().String() }
 
 // Serve answers calls until Close.
 func (s *Server) Serve() { _ = s.http.Serve(s.listener) }
 
-// Close ends the server. Calls that are being answered have shutdownTimeout to end.
+// Close stops the server. Calls in progress are cut off after shutdownTimeout.
 func (s *Server) Close() {
 	ctx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer cancel()
@@ -92,7 +94,8 @@
 	}
 }
 
-// trackConnection bounds the number of connections. The oldest gives way, as it has had the most time for its call.
+// trackConnection keeps s.conns up to date on a change of a connection's state, and limits the number of connections.
+// Beyond the limit the oldest connection is closed, as it has had the most time for its call.
 func (s *Server) trackConnection(conn net.Conn, state http.ConnState) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,5 +1,5 @@
-// Package config reads what a director is told at its start, and derives the one set of limits that all other packages
-// keep to: from EDGE_CONFIG and the environment, and from the operators' own file.
+// Package config reads a director's configuration at its start, from the file that EDGE_CONFIG names, other environment
+// variables and the operators' own file. It derives from them the one set of Limits that all other packages keep to.
 package config
 
 import (
@@ -25,40 +25,41 @@
 	envOperator = "EDGE_OPERATOR"
 )
 
-// Bounds of the resources in a configuration.
+// Smallest and largest resources that a configuration may give the process.
 const (
-	leastMemoryMB = 32
-	mostMemoryMB  = 1 << 20
-	leastSockets  = 64
-	mostSockets   = 1 << 20
+	minMemoryMB = 32
+	maxMemoryMB = 1 << 20
+	minSockets  = 64
+	maxSockets  = 1 << 20
 )
 
-// firstInheritableFD is the first descriptor behind the standard streams.
+// firstInheritableFD is the lowest descriptor after the three standard streams.
 const firstInheritableFD = 3
 
+// errMissing reports a required key that is absent or empty.
 var errMissing = errors.New("missing")
 
-// Config is what EDGE_CONFIG holds, checked.
+// Config is the validated content of EDGE_CONFIG's file, with the environment variables that override it.
 type Config struct {
 	Name             string
 	ListenAddress    string
 	DiscoveryAddress string
-	OperatorAddress  string // for operators' calls; "": none
+	OperatorAddress  string // address that serves operators' calls; empty if there is none
 	Seed             uint64
 	Bootstrap        Bootstrap
 	Settings         routing.Settings
 	Limits           Limits
 
-	InheritedFD int // descriptor of an inherited listening socket; 0: none
+	InheritedFD int // descriptor of an inherited listening socket; 0 if there is none
 }
 
-// Bootstrap is the list service's history at the start.
+// Bootstrap is the state of the list service that the configuration holds: the revision, and the events up to it.
 type Bootstrap struct {
 	Revision uint64            `json:"n"`
 	Events   []json.RawMessage `json:"events"`
 }
 
-// document is the form of EDGE_CONFIG's file.
+// document is the JSON form of EDGE_CONFIG's file.
 type document struct {
 	Name   string `json:"name"`
 	Listen string `json:"listen"`
@@ -74,7 +75,7 @@
 	Settings  json.RawMessage `json:"settings"`
 }
 
-// transportSettings are the settings that only connections need.
+// transportSettings holds the settings of upstream connections. The router does not use them.
 type transportSettings struct {
 	Ceilings struct {
 		ConnectTimeout time.Duration `json:"connectTimeout"`
@@ -83,17 +84,23 @@
 	} `json:"ceilings"`
 }
 
-// keyError is a fault of a key of EDGE_CONFIG's file, or of an environment variable. It names no file, as there is one.
+// keyError returns an error of a key of EDGE_CONFIG's file or of an environment variable. The error names no file, as
+// EDGE_CONFIG names only one.
 func keyError(key string, err error) error { return &strictconfig.Error{Key: key, Err: err} }
 
+// keyErrorf returns a keyError with a formatted text.
 func keyErrorf(key, format string, args ...any) error {
 	return keyError(key, fmt.Errorf(format, args...))
 }
 
-// Load reads the file that EDGE_CONFIG names. EDGE_NAME and EDGE_LISTEN, where set, must not contradict it. EDGE_FD,
-// where set, is the descriptor of a socket that listens there already. EDGE_OPERATOR, where set, takes precedence over
-// the file: two processes that replace one another may read the same one. The limit of descriptors takes precedence
-// over a higher one in the file. An error is a *strictconfig.Error that names the key or variable.
+// Load reads the file that EDGE_CONFIG names, and the environment variables that complete it:
+//   - EDGE_NAME and EDGE_LISTEN, if set, must equal the name and the address in the file.
+//   - EDGE_FD, if set, is the descriptor of a socket that listens at the address already.
+//   - EDGE_OPERATOR, if set, takes precedence over the operators' address in the file: two processes of which one
+//     replaces the other may read the same file.
+//
+// descriptors is the process's limit of open descriptors; it takes precedence over a higher limit in the file. An error
+// is a *strictconfig.Error that names the key or variable.
 func Load(getenv func(string) string, descriptors uint64) (*Config, error) {
 	path := getenv(envConfig)
 	if path == "" {
@@ -113,13 +120,14 @@
 	return parsed, nil
 }
 
-// applyEnvironment checks the name and address against the environment, and takes the inherited descriptor from there.
+// applyEnvironment checks the name and the address against EDGE_NAME and EDGE_LISTEN, and sets InheritedFD from
+// EDGE_FD.
 func (c *Config) applyEnvironment(getenv func(string) string) error {
 	if name := getenv(envName); name != "" && name != c.Name {
-		return keyErrorf(envName, "%q, but name is %q", name, c.Name)
+		return keyErrorf(envName, "is %q, but name in the configuration is %q", name, c.Name)
 	}
 	if address := getenv(envListen); address != "" && address != c.ListenAddress {
-		return keyErrorf(envListen, "%q, but listen is %q", address, c.ListenAddress)
+		return keyErrorf(envListen, "is %q, but listen in the configuration is %q", address, c.ListenAddress)
 	}
 	text := getenv(envFD)
 	if text == "" {
@@ -127,16 +135,17 @@
 	}
 	fd, err := strconv.Atoi(text)
 	if err != nil || fd < firstInheritableFD {
-		return keyErrorf(envFD, "%q is no descriptor", text)
+		return keyErrorf(envFD, "invalid descriptor %q, must be a number of at least %d", text, firstInheritableFD)
 	}
 	c.InheritedFD = fd
 	return nil
 }
 
-// Parse checks a configuration. An error is a *strictconfig.Error that names the key.
+// Parse parses and validates the text of EDGE_CONFIG's file, without the environment. descriptors is the process's
+// limit of open descriptors. An error is a *strictconfig.Error that names the key.
 func Parse(text []byte, descriptors uint64) (*Config, error) { return parse(text, descriptors, "") }
 
-// parse checks a configuration. The address for operators' calls, where given, takes precedence over the file's.
+// parse does the work of Parse. operator, if not empty, takes precedence over the file's address for operators' calls.
 func parse(text []byte, descriptors uint64, operator string) (*Config, error) {
 	doc, err := decodeDocument(text)
 	if err != nil {
@@ -155,7 +164,7 @@
 	}
 	parsed.Seed, err = strconv.ParseUint(doc.Seed, 16, 64)
 	if err != nil {
-		return nil, keyErrorf("seed", "%q is no hex number of 64 bits", doc.Seed)
+		return nil, keyErrorf("seed", "invalid seed %q, must be a hexadecimal number of at most 64 bits", doc.Seed)
 	}
 	transport, err := parsed.decodeSettings(doc.Settings)
 	if err != nil {
@@ -176,12 +185,12 @@
 	case err == nil:
 		return doc, nil
 	case errors.As(err, &wrongType):
-		return doc, keyErrorf(wrongType.Field, "can't be a %s", wrongType.Value)
+		return doc, keyErrorf(wrongType.Field, "invalid JSON type %s, must be %s", wrongType.Value, wrongType.Type)
 	}
 	return doc, keyError("config", err)
 }
 
-// checkIdentity checks the director's name and the addresses.
+// checkIdentity validates the director's name and the addresses. Only the address for operators' calls may be empty.
 func (d *document) checkIdentity() error {
 	if d.Name == "" {
 		return keyError("name", errMissing)
@@ -201,21 +210,22 @@
 	return nil
 }
 
-// checkResources checks what the process may use. The comparisons are written so that NaN fails them.
+// checkResources validates the resources that the process may use. The comparisons are written so that NaN fails them.
 func (d *document) checkResources() error {
 	resources := &d.Limits
 	switch {
 	case !(resources.Cores > 0):
-		return keyErrorf("limits.cores", "%v", resources.Cores)
-	case !(resources.MemoryMB >= leastMemoryMB) || resources.MemoryMB > mostMemoryMB:
-		return keyErrorf("limits.memory_mb", "%v, %d at least", resources.MemoryMB, leastMemoryMB)
-	case !(resources.Sockets >= leastSockets) || resources.Sockets > mostSockets:
-		return keyErrorf("limits.sockets", "%v, %d at least", resources.Sockets, leastSockets)
+		return keyErrorf("limits.cores", "is %v, must be greater than 0", resources.Cores)
+	case !(resources.MemoryMB >= minMemoryMB) || resources.MemoryMB > maxMemoryMB:
+		return keyErrorf("limits.memory_mb", "is %v, must be %d to %d", resources.MemoryMB, minMemoryMB, maxMemoryMB)
+	case !(resources.Sockets >= minSockets) || resources.Sockets > maxSockets:
+		return keyErrorf("limits.sockets", "is %v, must be %d to %d", resources.Sockets, minSockets, maxSockets)
 	}
 	return nil
 }
 
-// decodeSettings reads the settings, and returns the part of them that is not routing's.
+// decodeSettings decodes the settings: those of the router into c.Settings, and those of upstream connections into the
+// result.
 func (c *Config) decodeSettings(text json.RawMessage) (transport transportSettings, err error) {
 	if len(text) == 0 || string(text) == "null" {
 		return transport, keyError("settings", errMissing)
@@ -229,14 +239,14 @@
 	return transport, nil
 }
 
-// CheckReload tells whether a running program may change to another configuration: one that is for another director, or
-// for another address, must not be taken for this one's.
+// CheckReload returns an error if a running process must not change to the next configuration: next names another
+// director, or another address to listen at, which cannot change without a restart.
 func (c *Config) CheckReload(next *Config) error {
 	switch {
 	case next.Name != c.Name:
-		return keyErrorf("name", "%q, but this is %q", next.Name, c.Name)
+		return keyErrorf("name", "is %q, but the name of this director is %q", next.Name, c.Name)
 	case next.ListenAddress != c.ListenAddress:
-		return keyErrorf("listen", "%q can't change from %q without a restart", next.ListenAddress, c.ListenAddress)
+		return keyErrorf("listen", "cannot change from %q to %q without a restart", c.ListenAddress, next.ListenAddress)
 	}
 	return nil
 }
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -19,7 +19,7 @@
  "settings":{"services":[{"name":"a","aim":1,"deadline":5000000000}],
   "ceilings":{"connectTimeout":400000000,"keepalive":15000000000,"streamsPerConn":64,"openCap":100}}}`
 
-// manyDescriptors is a limit of the process that does not bind.
+// manyDescriptors is a limit of descriptors above the limits of all test configurations.
 const manyDescriptors = 1 << 20
 
 func mustParse(t *testing.T, text string, descriptors uint64) *Config {
@@ -31,13 +31,13 @@
 	return c
 }
 
-// checkErrorKey checks that an error names a key, in its text and by its type.
+// checkErrorKey checks that err is a *strictconfig.Error whose key and text begin with the given key.
 func checkErrorKey(t *testing.T, err error, key string) {
 	t.Helper()
-	var fault *strictconfig.Error
+	var keyErr *strictconfig.Error
 	if err == nil || !strings.HasPrefix(err.Error(), key) {
 		t.Errorf("error %v, want one that names %s", err, key)
-	} else if !errors.As(err, &fault) || !strings.HasPrefix(fault.Key, key) {
+	} else if !errors.As(err, &keyErr) || !strings.HasPrefix(keyErr.Key, key) {
 		t.Errorf("error %v is a %T without the key %s", err, err, key)
 	}
 }
@@ -50,18 +50,20 @@
 	if d := cmp.Diff(want, got); d != "" {
 		t.Error(d)
 	}
-	// An accept by gnet would end the engine when descriptors run out: the shares must leave a reserve.
+	// The shares must leave the 20 reserved descriptors for the listener, pollers and standard streams, so that
+	// connections do not make accepts fail for lack of descriptors.
 	sum := limits.MaxClientConns + limits.MaxLingeringConns + limits.MaxUpstreamConns + limits.MaxReplacementDials
 	if sum > limits.Descriptors-20 {
-		t.Errorf("%d descriptors shared out of %d", sum, limits.Descriptors)
+		t.Errorf("got shares of %d out of %d descriptors, want at least 20 left", sum, limits.Descriptors)
 	}
 	if held := int64(limits.BufferCount*limits.BufferSize + limits.TotalBacklogBytes); held > limits.MemoryBytes {
-		t.Errorf("bodies may hold %d bytes of %d", held, limits.MemoryBytes)
+		t.Errorf("buffers and unread output may hold %d bytes, want at most %d", held, limits.MemoryBytes)
 	}
 }
 
-// A silence must be noticed in time for a drain to be applied, but nothing shorter than a heartbeat is one.
-func TestSilenceFollowsTheTimeToApplyADrain(t *testing.T) {
+// The silence timeout must leave time to apply a drain, but must not be shorter than the interval of heartbeats with
+// its margin: a shorter timeout ends healthy watches.
+func TestSilenceTimeoutFollowsDrainTime(t *testing.T) {
 	for _, tc := range []struct {
 		drainGrace string // nanoseconds
 		want       time.Duration
@@ -76,34 +78,34 @@
 			guarantees := `"guarantees":{"drainGrace":` + tc.drainGrace + `},"ceilings"`
 			c := mustParse(t, strings.Replace(validConfig, `"ceilings"`, guarantees, 1), manyDescriptors)
 			if got := c.Limits.WatchSilenceTimeout; got != tc.want {
-				t.Errorf("a silence is %v, want %v", got, tc.want)
+				t.Errorf("got silence timeout %v, want %v", got, tc.want)
 			}
 		})
 	}
 }
 
-// The smaller of the two limits counts.
-func TestProcessLimitCounts(t *testing.T) {
+// The process's limit of descriptors must apply if it is lower than the configuration's.
+func TestProcessDescriptorLimitApplies(t *testing.T) {
 	c := mustParse(t, validConfig, 256)
 	if c.Limits.Descriptors != 256 || c.Limits.MaxClientConns != 85 {
-		t.Errorf("%d descriptors, %d for clients", c.Limits.Descriptors, c.Limits.MaxClientConns)
+		t.Errorf("got %d descriptors, %d for clients, want 256 and 85", c.Limits.Descriptors, c.Limits.MaxClientConns)
 	}
 }
 
-func TestBadConfigurationNamesItsField(t *testing.T) {
+func TestInvalidConfigurationErrorNamesKey(t *testing.T) {
 	for _, tc := range []struct{ name, from, to, key string }{
 		{"name empty", `"name":"n1"`, `"name":""`, "name"},
 		{"name a number", `"name":"n1"`, `"name":7`, "name"},
-		{"listen no address", `"listen":"127.0.0.1:8080"`, `"listen":"nowhere"`, "listen"},
+		{"listen not an address", `"listen":"127.0.0.1:8080"`, `"listen":"nowhere"`, "listen"},
 		{"feed empty", `"feed":"127.0.0.1:2379"`, `"feed":""`, "feed"},
-		{"seed no number", `"seed":"8c1f30d27a5be964"`, `"seed":"x"`, "seed"},
+		{"seed not a number", `"seed":"8c1f30d27a5be964"`, `"seed":"x"`, "seed"},
 		{"no cores", `"cores":1.0`, `"cores":0`, "limits.cores"},
-		{"memory a text", `"memory_mb":192`, `"memory_mb":"much"`, "limits.memory_mb"},
+		{"memory a string", `"memory_mb":192`, `"memory_mb":"much"`, "limits.memory_mb"},
 		{"memory too small", `"memory_mb":192`, `"memory_mb":1`, "limits.memory_mb"},
-		{"sockets too few", `"sockets":1024`, `"sockets":3`, "limits.sockets"},
+		{"too few sockets", `"sockets":1024`, `"sockets":3`, "limits.sockets"},
 		{"settings null", `"settings":{`, `"settings":null,"x":{`, "settings"},
 		{"setting of a wrong type", `"aim":1`, `"aim":"1"`, "settings"},
-		{"no JSON", validConfig, `{`, "config"},
+		{"not JSON", validConfig, `{`, "config"},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			_, err := Parse([]byte(strings.Replace(validConfig, tc.from, tc.to, 1)), manyDescriptors)
@@ -112,7 +114,7 @@
 	}
 }
 
-func TestEnvironmentMustNotContradict(t *testing.T) {
+func TestContradictingEnvironmentIsRejected(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
 	if err := os.WriteFile(path, []byte(validConfig), 0o600); err != nil {
 		t.Fatal(err)
@@ -125,7 +127,7 @@
 		{"EDGE_NAME", "n2"},
 		{"EDGE_LISTEN", "127.0.0.1:8081"},
 		{"EDGE_FD", "x"},
-		{"EDGE_FD", "2"}, // the log
+		{"EDGE_FD", "2"}, // standard error
 	} {
 		t.Run(tc.variable+"="+tc.value, func(t *testing.T) {
 			_, err := load(map[string]string{"EDGE_CONFIG": path, tc.variable: tc.value})
@@ -134,6 +136,6 @@
 	}
 	c, err := load(map[string]string{"EDGE_CONFIG": path, "EDGE_NAME": "n1", "EDGE_FD": "7"})
 	if err != nil || c.InheritedFD != 7 {
-		t.Errorf("%+v, %v", c, err)
+		t.Errorf("got %+v, error %v, want InheritedFD 7", c, err)
 	}
 }
--- a/internal/config/derive.go
+++ b/internal/config/derive.go
@@ -8,22 +8,25 @@
 )
 
 const (
-	// heartbeatInterval is the time between two heartbeats of the list service (protocol page).
+	// heartbeatInterval is the time between two heartbeats of the list service, as the protocol page specifies.
 	heartbeatInterval = time.Second
-	// reservedDescriptors are for the listener, pollers, the watch, standard streams, and connections between accept
-	// and close.
+	// reservedDescriptors is the number of descriptors reserved for the listener, pollers, the watch on the list
+	// service, standard streams, and connections between their accept and their close.
 	reservedDescriptors = 20
-	// longestStopTimeout bounds how much of the longest request timeout counts for a stop (protocol page).
+	// longestStopTimeout is the largest part of the longest request timeout that counts towards the time from SIGTERM
+	// to SIGKILL, as the protocol page specifies.
 	longestStopTimeout = 3 * time.Second
-	// stopMargin is the least time between SIGTERM and SIGKILL beyond that (protocol page).
+	// stopMargin is the minimum time from SIGTERM to SIGKILL in addition to that part of the longest request timeout,
+	// as the protocol page specifies.
 	stopMargin = 700 * time.Millisecond
 )
 
-// descriptorShares divides the process's descriptors.
+// descriptorShares holds the process's limit of descriptors and the number of them that each use may take.
 type descriptorShares struct {
 	total, clients, lingering, replacementDials, operators, upstream int
 }
 
+// shareDescriptors divides total descriptors among their uses. withOperators is whether operators' calls are served.
 func shareDescriptors(total int, withOperators bool) descriptorShares {
 	shares := descriptorShares{
 		total:            total,
@@ -34,14 +37,15 @@
 	reserve := reservedDescriptors + shares.lingering + shares.replacementDials
 	if withOperators {
 		shares.operators = max(2, min(8, total/32))
-		reserve += 1 + shares.operators // with their listener
+		reserve += 1 + shares.operators // 1 for the operators' listener
 	}
 	shares.upstream = total - shares.clients - reserve
 	return shares
 }
 
-// deriveLimits works out all limits from the resources of the process and the settings. Of the memory, a third may hold
-// bodies in buffers and a sixth what clients have not read; the rest is for the program and the collector's headroom.
+// deriveLimits derives all limits from the resources of the process and the settings. A third of the memory may hold
+// bodies in buffers, and a sixth may hold output that clients have not read. The rest is for the program and the
+// headroom of the garbage collector.
 func deriveLimits(doc document, transport transportSettings, settings *routing.Settings) Limits {
 	memoryBytes := int(doc.Limits.MemoryMB * (1 << 20))
 	shares := shareDescriptors(int(doc.Limits.Sockets), doc.Operator != "")
@@ -77,7 +81,7 @@
 	l.MaxLingeringConns = shares.lingering
 	l.MaxLingerBytes = 1 << 20
 	l.FlushCheckInterval = 10 * time.Millisecond
-	l.NewConnGracePeriod = 2 * time.Second // some clients take that long to write, and their request is owed an answer
+	l.NewConnGracePeriod = 2 * time.Second // some clients take that long to write, and must be answered
 	l.MaxOpenRequests = 4096
 	l.MaxRequestTimeout = 10 * time.Minute
 	l.OverdueGracePeriod = 25 * time.Millisecond
@@ -94,7 +98,7 @@
 	l.ConnectTimeout = time.Second
 	l.UpstreamIdleTimeout = 15 * time.Second
 	l.MinIdleTimeout = 50 * time.Millisecond
-	l.IdleCloseRaceWindow = 50 * time.Millisecond // protocol page, of the close of an idle connection
+	l.IdleCloseRaceWindow = 50 * time.Millisecond // protocol page, on the close of an idle connection
 	l.UpstreamSilenceTimeout = time.Second
 	l.LateAnswerWindow = 5 * time.Second
 	l.MaxAnswerBodyBytes = 240_000
@@ -103,7 +107,7 @@
 		l.ConnectTimeout = timeout
 	}
 	if keepAlive := transport.Ceilings.Keepalive; keepAlive > 0 {
-		// before the peer does: an attempt that crosses its close may have executed
+		// Close before the peer does: an attempt that crosses the peer's close may have been executed.
 		l.UpstreamIdleTimeout = keepAlive * 3 / 4
 	}
 	if streams := transport.Ceilings.StreamsPerConn; streams > 0 {
@@ -116,10 +120,12 @@
 	if grace := settings.Guarantees.DrainGrace; grace > 0 {
 		l.DrainApplyWithin = grace
 	}
-	// An event during a silence is received once the silence has been noticed and the service called again. A heartbeat
-	// comes each second, so that nothing shorter than that, with a margin for the network, is a silence.
-	longest := l.DrainApplyWithin - l.WatchCallTime - heartbeatInterval/5
-	l.WatchSilenceTimeout = max(heartbeatInterval+heartbeatInterval/10, min(l.WatchSilenceTimeout, longest))
+	// An event that occurs while a watch is silent is received only after the silence timeout and a new call. Both must
+	// fit into DrainApplyWithin, with a margin of a fifth of a heartbeat interval. But a healthy service sends a
+	// heartbeat each heartbeat interval, so the timeout is at least that interval plus a tenth as a margin for the
+	// network.
+	maxSilence := l.DrainApplyWithin - l.WatchCallTime - heartbeatInterval/5
+	l.WatchSilenceTimeout = max(heartbeatInterval+heartbeatInterval/10, min(l.WatchSilenceTimeout, maxSilence))
 	if slack := settings.Tiers.PurgeSlack; slack > 0 {
 		l.PurgeApplyWithin = slack
 	}
@@ -132,8 +138,8 @@
 	l.WatchCallTime = 500 * time.Millisecond
 	l.DrainApplyWithin = 2 * time.Second
 	l.PurgeApplyWithin = 500 * time.Millisecond
-	l.MaxEventDelay = 7 * time.Second      // protocol page, 'Figures'
-	l.InitialListTimeout = 2 * time.Second // the spread of the first calls, and a call
+	l.MaxEventDelay = 7 * time.Second      // protocol page, section 'Figures'
+	l.InitialListTimeout = 2 * time.Second // covers the spread of the first calls and one call
 	l.MaxMembers = 4096
 }
 
@@ -145,35 +151,36 @@
 func (l *Limits) setDrain(shares descriptorShares) {
 	l.MaxOperatorConns = shares.operators
 	l.LoopStallThreshold = time.Second
-	// the load balancer asks ten times a second and sends nobody new 0.2 s after a no
+	// The load balancer checks readiness ten times a second, and stops sending new clients 0.2 s after a failed check.
 	l.DrainNoticePeriod = 500 * time.Millisecond
 	l.DrainGracePeriod = 1200 * time.Millisecond
 	l.DrainDeadline = 3200 * time.Millisecond
 	l.DrainCheckInterval = 20 * time.Millisecond
 }
 
-// setStop follows the protocol page: SIGKILL comes no sooner after SIGTERM than the longest request timeout, counted as
-// longestStopTimeout where it is longer, and stopMargin.
+// setStop sets the limits of a stop so that it is complete before SIGKILL. As the protocol page specifies, SIGKILL
+// comes no sooner after SIGTERM than the sum of stopMargin and the longest request timeout, of which at most
+// longestStopTimeout counts.
 func (l *Limits) setStop(settings *routing.Settings) {
-	longest := time.Duration(0)
+	longestTimeout := time.Duration(0)
 	for _, class := range settings.Classes {
-		longest = max(longest, class.Timeout)
+		longestTimeout = max(longestTimeout, class.Timeout)
 	}
-	killed := min(longest, longestStopTimeout) + stopMargin
+	killAfter := min(longestTimeout, longestStopTimeout) + stopMargin
 	l.StopGracePeriod = 700 * time.Millisecond
 	l.ShutdownRetryAfter = time.Second
 	l.StopCheckInterval = 5 * time.Millisecond
-	l.StopAnswerDeadline = killed - 200*time.Millisecond
-	// requests that come then have the rest of the time for their answers
+	l.StopAnswerDeadline = killAfter - 200*time.Millisecond
+	// Requests that arrive at the end of this period have the other two fifths of the time for their answers.
 	l.StopHandoverPeriod = l.StopAnswerDeadline * 3 / 5
-	l.StopDeadline = killed - 50*time.Millisecond
+	l.StopDeadline = killAfter - 50*time.Millisecond
 }
 
 func (l *Limits) setPauses() {
-	// below the time in which a client's leaving must be handled, over the router's tick
+	// Shorter than the time within which the departure of a client must be handled, longer than the router's tick.
 	l.PauseThreshold = 80 * time.Millisecond
 	l.PauseSettleTime = 30 * time.Millisecond
-	l.LongPauseThreshold = 300 * time.Millisecond // well below the time to apply a purge
+	l.LongPauseThreshold = 300 * time.Millisecond // well below PurgeApplyWithin
 }
 
 func (l *Limits) setLogs() {
--- a/internal/config/limits.go
+++ b/internal/config/limits.go
@@ -2,94 +2,111 @@
 
 import "time"
 
-// Limits are all sizes, counts and times that the program keeps to.
+// Limits holds all sizes, counts and times that bound what the program does.
 type Limits struct {
-	Cores       float64
-	MemoryBytes int64 // soft limit for the Go runtime
-	Descriptors int
+	Cores       float64 // processors that the program may use
+	MemoryBytes int64   // soft memory limit of the Go runtime
+	Descriptors int     // file descriptors that the program may hold open
 
 	// Clients.
-	MaxClientConns      int           // connections that clients may hold
+
+	MaxClientConns      int           // open client connections
 	MaxRequestsPerConn  int           // open requests on one connection
-	MaxFrameBytes       int           // of one Thrift frame
-	MaxRequestBodyBytes int           // of a write
-	MaxRequestFields    int           // entries of the field map
-	ClientBacklogBytes  int           // that one client may leave unread
-	TotalBacklogBytes   int           // that all clients together may leave unread
-	MessageTimeout      time.Duration // for a connection's first message, and for any from its first byte to its last
-	ClientKeepAlive     time.Duration // clients close a connection that was idle for so long, or abandon it
-	ClientIdleTimeout   time.Duration // an idle client connection is closed after this
-	// after our half is closed, input is read for so long until the client closes its own
-	LingerTimeout      time.Duration
-	SlowReaderTimeout  time.Duration // during shutdown, a client that reads nothing for so long is disconnected
-	MaxLingeringConns  int           // at once, beyond MaxClientConns
-	MaxLingerBytes     int           // that are read and dropped on a connection that is closing
-	FlushCheckInterval time.Duration // between checks whether a client has read what is buffered for it
-	NewConnGracePeriod time.Duration // for a new connection's first message during a drain or shutdown
-	MaxOpenRequests    int           // requests accepted and not answered
-	MaxRequestTimeout  time.Duration // that a client may ask for
-	OverdueGracePeriod time.Duration // past its deadline, after which a request without an answer is failed
-
-	// Upstream: caches, parents, origin.
+	MaxFrameBytes       int           // length of one Thrift frame
+	MaxRequestBodyBytes int           // length of a request's body
+	MaxRequestFields    int           // entries of a request's field map
+	ClientBacklogBytes  int           // output that one client may leave unread
+	TotalBacklogBytes   int           // output that all clients together may leave unread
+	MessageTimeout      time.Duration // for a connection's first message, and from the first to the last byte of any
+	ClientKeepAlive     time.Duration // idle time after which clients close or abandon a connection
+	ClientIdleTimeout   time.Duration // idle time after which the program closes a client's connection
+	// LingerTimeout is how long input is read after our half of a connection is closed, until the client closes its
+	// half.
+	LingerTimeout time.Duration
+	// SlowReaderTimeout is the time without reading after which a client is disconnected during a shutdown.
+	SlowReaderTimeout  time.Duration
+	MaxLingeringConns  int           // connections that linger at once, in addition to MaxClientConns
+	MaxLingerBytes     int           // input that is read and discarded on a connection that is closing
+	FlushCheckInterval time.Duration // between two checks whether a client has read its buffered output
+	NewConnGracePeriod time.Duration // for the first message of a new connection during a drain or a shutdown
+	MaxOpenRequests    int           // accepted requests that are not answered yet
+	MaxRequestTimeout  time.Duration // longest timeout that a client may request
+	OverdueGracePeriod time.Duration // from a request's deadline until the request is failed if it is unanswered
+
+	// Upstream: caches, parents and the origin.
+
 	MaxUpstreamConns int // descriptors that dialled connections may hold
-	// beyond those: for dials that replace idle connections, until these are closed
+	// MaxReplacementDials is the number of descriptors, in addition to MaxUpstreamConns, for dials that replace idle
+	// connections, until those connections are closed.
 	MaxReplacementDials int
-	MaxConnsPerEndpoint int           // connections to one endpoint, before attempts share them
+	MaxConnsPerEndpoint int           // connections to one endpoint; beyond them attempts share connections
 	MaxAttemptsPerConn  int           // attempts in flight on one connection
-	ConnectTimeout      time.Duration // a connection not established by then has failed
-	UpstreamIdleTimeout time.Duration // an idle connection is closed after this
-	MinIdleTimeout      time.Duration // connections idle for less are reused, however many resets were seen
-	// a request that is reset so soon after its write may have crossed an idle close
+	ConnectTimeout      time.Duration // after which a connection that is not established counts as failed
+	UpstreamIdleTimeout time.Duration // idle time after which a connection is closed
+	MinIdleTimeout      time.Duration // idle time up to which connections are reused, however many resets were seen
+	// IdleCloseRaceWindow is the time after a request's write in which a reset may be due to the endpoint's close of an
+	// idle connection.
 	IdleCloseRaceWindow time.Duration
-	// a connection that owes answers and was silent for so long takes no new attempts
+	// UpstreamSilenceTimeout is the time without input after which a connection that awaits answers takes no new
+	// attempts.
 	UpstreamSilenceTimeout time.Duration
-	LateAnswerWindow       time.Duration // during which the answer to a cancelled attempt is still expected
-	MaxAnswerBodyBytes     int           // of an object
-	MaxAnswerFieldBytes    int           // of an answer's fields
+	LateAnswerWindow       time.Duration // during which an answer to a cancelled attempt is still expected
+	MaxAnswerBodyBytes     int           // length of an answer's body
+	MaxAnswerFieldBytes    int           // length of an answer's fields
 
 	// Discovery: the watch on the list service.
-	MaxWatchLineBytes   int           // of one line
-	WatchSilenceTimeout time.Duration // without a line, after which the service is called again
-	MinWatchBackoff     time.Duration // shortest wait after a call that failed
-	// that a call takes at most with the service up: connect, subscribe, read what was missed
+
+	MaxWatchLineBytes   int           // length of one line
+	WatchSilenceTimeout time.Duration // time without a line after which the service is called again
+	MinWatchBackoff     time.Duration // shortest wait after a failed call
+	// WatchCallTime is the longest duration of a call to a healthy service: connect, subscribe, read the missed events.
 	WatchCallTime    time.Duration
-	DrainApplyWithin time.Duration // from when the service has a drain until it must be applied
-	PurgeApplyWithin time.Duration // the same for a purge
-	// InitialJitterWindow is what the fleet's first calls are spread over; no work is accepted before ours. 0: they are
-	// spread over PurgeApplyWithin, and work is accepted before.
+	DrainApplyWithin time.Duration // from when the service has a drain until the drain must be applied
+	PurgeApplyWithin time.Duration // from when the service has a purge until the purge must be applied
+	// InitialJitterWindow is the time over which the fleet's first calls are spread. Requests are accepted only once
+	// this director has reached the service, or InitialListTimeout has passed. If InitialJitterWindow is 0, the calls
+	// are spread over PurgeApplyWithin, and requests are accepted before.
 	InitialJitterWindow time.Duration
-	MaxEventDelay       time.Duration // after which the service's events count as known though none arrived
-	InitialListTimeout  time.Duration // readiness waits for a list no longer
-	MaxMembers          int           // members held at once
+	MaxEventDelay       time.Duration // after which an event of the service counts as known even if it did not arrive
+	InitialListTimeout  time.Duration // longest time for which readiness waits for the first list
+	MaxMembers          int           // endpoints in one update of the list
 
 	// Buffers.
-	BufferSize  int // bytes
-	BufferCount int
+
+	BufferSize  int // bytes of one buffer
+	BufferCount int // buffers in the pool
 
 	// Operators' calls and drains. Times count from the request to drain.
-	MaxOperatorConns   int           // connections of operators held at once
-	LoopStallThreshold time.Duration // an event loop that has not run for so long makes the process not ready
-	// the load balancer knows of a drain by then; clients that are disconnected sooner would come back
+
+	MaxOperatorConns   int           // open connections of operators
+	LoopStallThreshold time.Duration // time without a run of the event loop after which the process is not ready
+	// DrainNoticePeriod is the time by which the load balancer knows of a drain. Clients that are disconnected sooner
+	// would be sent back to this process.
 	DrainNoticePeriod  time.Duration
 	DrainGracePeriod   time.Duration // for which requests are accepted on open connections
-	DrainDeadline      time.Duration // by which clients that go on sending, or read nothing, are disconnected
-	DrainCheckInterval time.Duration // between checks of what a drained process holds
+	DrainDeadline      time.Duration // by which clients that keep sending, or read nothing, are disconnected
+	DrainCheckInterval time.Duration // between two checks of what a draining process still holds
 
 	// Stop. Times count from SIGTERM.
-	StopGracePeriod    time.Duration // for which connections and requests are accepted
-	StopHandoverPeriod time.Duration // the same on a listener that another process takes over: idle clients move there
+
+	StopGracePeriod time.Duration // for which connections and requests are accepted
+	// StopHandoverPeriod replaces StopGracePeriod, if it is longer, when another process takes over the listener: idle
+	// clients move to that process.
+	StopHandoverPeriod time.Duration
 	StopAnswerDeadline time.Duration // by which all accepted requests are answered
-	ShutdownRetryAfter time.Duration // told to clients that are rejected during a drain or shutdown
-	StopCheckInterval  time.Duration // between checks whether all is answered
+	ShutdownRetryAfter time.Duration // retry delay for clients that are rejected during a drain or a shutdown
+	StopCheckInterval  time.Duration // between two checks whether all requests are answered
 	StopDeadline       time.Duration // by which the program ends
 
 	// Pauses of the process.
-	PauseThreshold     time.Duration // a loop that has not run for so long was paused
-	PauseSettleTime    time.Duration // bounds how long timers are delayed after a pause
-	LongPauseThreshold time.Duration // after a longer pause, requests are admitted as after a start
+
+	PauseThreshold     time.Duration // time without a run of the event loop after which the loop counts as paused
+	PauseSettleTime    time.Duration // longest delay of timers after a pause
+	LongPauseThreshold time.Duration // length of a pause beyond which requests are admitted as after a start
 
 	// Logs.
+
 	FlightRecorderEvents       int           // latest events that are kept in memory
-	FlightRecorderEventsAtExit int           // of these, how many are logged at the exit
-	CountersInterval           time.Duration // between log lines with all counters
+	FlightRecorderEventsAtExit int           // latest events that are logged at the exit
+	CountersInterval           time.Duration // between two log lines with all counters
 }
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -10,18 +10,18 @@
 	"shaleyard/internal/strictconfig"
 )
 
-// OperatorFile is the operators' own file, deploy/shaleyard.toml: what an installation sets beside the configuration
-// that the platform hands each director. Without one the program runs with the defaults.
+// OperatorFile is the content of the operators' own file, such as deploy/shaleyard.toml. It holds what an installation
+// sets in addition to the configuration that the platform gives each director. Without the file, the defaults apply.
 type OperatorFile struct {
 	Discovery OperatorDiscovery `toml:"list"`
 	Pause     OperatorPause     `toml:"pause"`
 	Log       OperatorLog       `toml:"log"`
 
-	Failover failover.Overrides `toml:"plan"` // for the loss of whole sites
+	Failover failover.Overrides `toml:"plan"` // plan for the loss of whole sites
 }
 
-// OperatorDiscovery sets the times of the watch on the list service, in milliseconds. Each stands for the limit of the
-// same name; 0 leaves the default.
+// OperatorDiscovery holds the times of the watch on the list service, in milliseconds. Each overrides the field of
+// Limits that timeSettings gives for its key; 0 leaves the default.
 type OperatorDiscovery struct {
 	DrainApplyWithinMS    float64 `toml:"heed_ms"`
 	PurgeApplyWithinMS    float64 `toml:"purge_ms"`
@@ -33,19 +33,20 @@
 	InitialListTimeoutMS  float64 `toml:"wait_ms"`
 }
 
-// OperatorPause sets when the process counts as paused, in milliseconds.
+// OperatorPause holds Limits.PauseThreshold and Limits.PauseSettleTime in milliseconds; 0 leaves the default.
 type OperatorPause struct {
 	ThresholdMS  float64 `toml:"limit_ms"`
 	SettleTimeMS float64 `toml:"settle_ms"`
 }
 
-// OperatorLog sets what is logged: the least level, and the milliseconds between log lines with all counters.
+// OperatorLog holds the minimum level of log lines, and the milliseconds between two log lines with all counters.
 type OperatorLog struct {
 	Level              string  `toml:"level"`
 	CountersIntervalMS float64 `toml:"counters_every_ms"`
 }
 
-// LoadOperator reads an operators' file. An error names the file, the line and the key.
+// LoadOperator reads and validates the operators' file at the path. An error of a key names the file, the line and the
+// key.
 func LoadOperator(path string) (*OperatorFile, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -54,7 +55,8 @@
 	return ParseOperator(path, text)
 }
 
-// ParseOperator checks the text of an operators' file, whose name is for errors.
+// ParseOperator parses and validates the text of an operators' file. An error names the file, the line and the key;
+// file is the name that errors give.
 func ParseOperator(file string, text []byte) (*OperatorFile, error) {
 	o := &OperatorFile{}
 	if err := strictconfig.Decode(file, text, o); err != nil {
@@ -68,7 +70,7 @@
 	return o, nil
 }
 
-// checkRanges checks each time against its range. The comparison is written so that NaN fails it.
+// checkRanges checks that each time is 0 or within its range. The comparison is written so that NaN fails it.
 func (o *OperatorFile) checkRanges() error {
 	for _, setting := range o.timeSettings() {
 		value := *setting.value
@@ -96,8 +98,9 @@
 	return keyErrorf("log.level", "%q is none of debug, info, warn, error", o.Log.Level)
 }
 
-// checkDiscoveryTimes checks times of the list service that depend on one another: a call that takes as long as an
-// event may be delayed leaves no time to spread the fleet's calls over.
+// checkDiscoveryTimes checks times of the list service that depend on one another. A call must take less time than a
+// drain has to be applied, as the fleet's calls are spread over the rest of that time. An event must not count as known
+// before a drain has to be applied.
 func (o *OperatorFile) checkDiscoveryTimes() error {
 	limits := Limits{}
 	limits.setDiscoveryDefaults()
@@ -117,7 +120,8 @@
 	return nil
 }
 
-// timeSetting is a time of the operators' file in milliseconds, its range, and the limit that it sets.
+// timeSetting is one time in the operators' file: its key, its value and range in milliseconds, and the limit that it
+// sets.
 type timeSetting struct {
 	key       string
 	value     *float64
@@ -125,7 +129,7 @@
 	limit     func(*Limits) *time.Duration
 }
 
-// timeSettings are all times of the file.
+// timeSettings returns all times of the file.
 func (o *OperatorFile) timeSettings() []timeSetting {
 	list, pause := &o.Discovery, &o.Pause
 	return []timeSetting{
@@ -154,7 +158,7 @@
 	}
 }
 
-// Apply replaces the defaults by what the file sets.
+// Apply sets the limits for which the file has a time, and leaves the others.
 func (o *OperatorFile) Apply(limits *Limits) {
 	for _, setting := range o.timeSettings() {
 		if *setting.value != 0 {
@@ -163,7 +167,8 @@
 	}
 }
 
-// Describe lists what the file sets, each time with its unit.
+// Describe returns a line for each time that the file sets, with the key and the time with its unit, and one for the
+// log level if the file sets it.
 func (o *OperatorFile) Describe() (lines []string) {
 	var limits Limits
 	o.Apply(&limits)
--- a/internal/eventloop/accept.go
+++ b/internal/eventloop/accept.go
@@ -11,16 +11,17 @@
 	"shaleyard/internal/listener"
 )
 
-// acceptedConn carries an accepted connection to OnOpen.
+// acceptedConn is the context value of an accepted connection that is being registered with the loop. OnOpen sets
+// opened.
 type acceptedConn struct{ opened bool }
 
-// registerBackoff is the time between attempts to hand an accepted connection to the loop.
+// registerBackoff is the wait between two attempts to register an accepted connection with the loop.
 const registerBackoff = 5 * time.Millisecond
 
-// errDuplicateFailed reports that an accepted connection could not be duplicated.
-var errDuplicateFailed = errors.New("an accepted connection could not be duplicated")
+// errDuplicateFailed reports that the descriptor of an accepted connection could not be duplicated.
+var errDuplicateFailed = errors.New("cannot duplicate the descriptor of an accepted connection")
 
-// openListener opens the listener, or takes over the inherited one.
+// openListener opens a listening socket at the address, or takes over the inherited one, and stores it in l.listener.
 func (l *Loop) openListener(address string) error {
 	opened, err := l.openOrInherit(address)
 	if err != nil {
@@ -38,8 +39,8 @@
 	return listener.Open(address, acceptFailed)
 }
 
-// SetAccepting turns accepting on or off; while it is off, connections wait in the system's queue. It may be called
-// from Boot on, from any goroutine.
+// SetAccepting turns the accepting of connections on or off. While it is off, new connections wait in the kernel's
+// accept queue. SetAccepting may be called from any goroutine once Boot has been called.
 func (l *Loop) SetAccepting(on bool) {
 	if on {
 		l.listener.Resume()
@@ -48,19 +49,21 @@
 	l.listener.Pause()
 }
 
-// acceptConnections hands connections to the loop one at a time, so that those on their way hold few descriptors.
+// acceptConnections accepts connections until the listener is closed. It registers them with the loop one at a time,
+// so that connections that are not registered yet hold few descriptors.
 func (l *Loop) acceptConnections() {
 	for {
 		conn, err := l.listener.Accept()
 		if err != nil {
-			return // closed
+			return // the listener is closed
 		}
 		l.registerAccepted(conn.(*net.TCPConn))
 	}
 }
 
-// registerAccepted hands an accepted connection to the loop. Its client may have sent a request already, so that the
-// connection must not be lost for want of a descriptor: a duplicate is kept until the loop has taken it.
+// registerAccepted registers an accepted connection with the loop and retries until that succeeds or the loop is
+// stopped. The client may have sent a request already, so the connection must not be lost when descriptors run out.
+// Because a failed registration closes the connection, registerAccepted holds a duplicate of the descriptor meanwhile.
 func (l *Loop) registerAccepted(conn *net.TCPConn) {
 	duplicate, ok := l.duplicateUntilStopped(conn)
 	if !ok {
@@ -83,7 +86,8 @@
 	}
 }
 
-// duplicateUntilStopped duplicates a connection's descriptor, however often that fails; false: the loop was stopped.
+// duplicateUntilStopped duplicates the connection's descriptor and retries each failure. ok is false if the loop was
+// stopped first.
 func (l *Loop) duplicateUntilStopped(conn *net.TCPConn) (descriptor int, ok bool) {
 	for {
 		descriptor, err := duplicateDescriptor(conn)
@@ -96,8 +100,8 @@
 	}
 }
 
-// restoreUntilStopped makes the connection again from its duplicate, after a wait, when it could not be registered for
-// a reason; false: the loop was stopped.
+// restoreUntilStopped waits, then recreates a connection from the duplicate of its descriptor, and retries each
+// failure. reason is why the registration of the connection failed. ok is false if the loop was stopped first.
 func (l *Loop) restoreUntilStopped(duplicate int, reason error) (conn *net.TCPConn, ok bool) {
 	for conn == nil {
 		if !l.waitToRegister(reason) {
@@ -108,7 +112,8 @@
 	return conn, true
 }
 
-// waitToRegister waits before the next attempt to hand a connection over; false: the loop was stopped.
+// waitToRegister reports the reason of a failure to AcceptFailed and waits for registerBackoff. It returns false, at
+// once, if the loop was stopped.
 func (l *Loop) waitToRegister(reason error) bool {
 	l.mu.Lock()
 	stopped := l.stopped
@@ -123,7 +128,7 @@
 	return true
 }
 
-// duplicateDescriptor duplicates the descriptor of a connection.
+// duplicateDescriptor returns a close-on-exec duplicate of the connection's descriptor.
 func duplicateDescriptor(conn *net.TCPConn) (duplicate int, err error) {
 	raw, err := conn.SyscallConn()
 	if err != nil {
@@ -138,7 +143,8 @@
 	return duplicate, err
 }
 
-// connFromDescriptor makes a connection from a descriptor that stays open; nil: it could not be made.
+// connFromDescriptor returns a new connection on a duplicate of the descriptor, or nil if it cannot be created. The
+// descriptor itself stays open.
 func connFromDescriptor(descriptor int) *net.TCPConn {
 	fd, err := unix.FcntlInt(uintptr(descriptor), unix.F_DUPFD_CLOEXEC, 0)
 	if err != nil {
--- a/internal/eventloop/conn.go
+++ b/internal/eventloop/conn.go
@@ -9,46 +9,50 @@
 	"golang.org/x/sys/unix"
 )
 
-// Conn is a connection as its owner uses it, on the loop.
+// Conn is a connection of the loop. Its methods are called on the loop.
 type Conn interface {
-	// Writev never blocks: what the socket does not take at once is buffered.
+	// Writev writes without blocking. Bytes that the socket does not accept at once are buffered.
 	Writev([][]byte) (int, error)
-	// OutboundBuffered is the number of written bytes that the socket has not taken.
+	// OutboundBuffered returns the number of written bytes that the socket has not accepted yet.
 	OutboundBuffered() int
-	// Unacknowledged is the number of bytes that the socket has taken and the peer has not acknowledged, not counting
-	// the end of our half; 0 where the system does not report it.
+	// Unacknowledged returns the number of bytes that the socket has accepted and the peer has not acknowledged. A FIN
+	// of ours is not counted. It returns 0 where the system does not report the number.
 	Unacknowledged() int
-	// CloseWrite ends our half of the connection, after all that was written.
+	// CloseWrite shuts down the write half of the connection (SHUT_WR). The peer receives the bytes that the socket has
+	// accepted, then a FIN. Bytes that are still buffered are not sent.
 	CloseWrite() error
-	// Close takes effect after the caller has returned. Over unread input it resets the connection, and what the peer
-	// has not read of our output is lost.
+	// Close closes the connection after the caller has returned to the loop. If input is left unread, the connection is
+	// reset, and output that the peer has not read is lost.
 	Close() error
 }
 
-// Session handles a connection's events, on the loop. An error of Data closes the connection.
+// Session handles the events of one connection, on the loop. Data receives input; if it returns an error, the loop
+// closes the connection. Closed is called once the connection is closed.
 type Session interface {
 	Data([]byte) error
 	Closed()
 }
 
-// Stream is the session of a dialled connection. Either Opened or Failed is called, once; Closed follows Opened.
+// Stream is the session of a dialled connection. The loop calls either Opened or Failed, once. Closed is called only
+// after Opened.
 type Stream interface {
 	Session
 	Opened(Conn)
 	Failed(error)
 }
 
-// Dialer opens connections without blocking the loop, within a time limit.
+// Dialer opens connections without blocking the loop. A dial that takes longer than the limit fails.
 type Dialer interface {
 	Dial(address string, limit time.Duration, s Stream)
 }
 
-// Acceptor accepts connections. A nil Session rejects the connection.
+// Acceptor handles accepted connections. Accept returns the session of a connection, or nil to
+// close the connection.
 type Acceptor interface {
 	Accept(c Conn) Session
 }
 
-// gnetConn is gnet's connection as a Conn.
+// gnetConn implements Conn on a connection of gnet.
 type gnetConn struct{ gnet.Conn }
 
 // CloseWrite implements Conn.
@@ -62,5 +66,5 @@
 	if err != nil {
 		return 0
 	}
-	return max(0, queued-1) // the end of our half counts as a byte
+	return max(0, queued-1) // TIOCOUTQ counts an unacknowledged FIN as one byte
 }
--- a/internal/eventloop/dial.go
+++ b/internal/eventloop/dial.go
@@ -9,27 +9,29 @@
 	"github.com/panjf2000/gnet/v2"
 )
 
-// errNotRegistered reports a connection that the loop could not wait on: it was closed before anything was sent or
-// received on it.
-var errNotRegistered = errors.New("the event loop could not take the connection")
+// errNotRegistered reports that epoll_ctl failed for a connection, so that the loop closed it before anything was sent
+// or received on it.
+var errNotRegistered = errors.New("cannot register the connection with the event loop")
 
-// pendingDial carries a stream from its dial to OnOpen.
+// pendingDial is the context value of a dialled connection that is being registered with the loop. OnOpen takes the
+// stream from it and sets opened.
 type pendingDial struct {
 	stream Stream
 	opened bool
 }
 
-// Dial opens a connection within the limit, off the loop, and reports the result on the loop.
-func (l *Loop) Dial(address string, limit time.Duration, s Stream) {
+// Dial implements Dialer. It connects on a goroutine of its own, within the timeout, and calls Opened or Failed of the
+// stream on the loop.
+func (l *Loop) Dial(address string, timeout time.Duration, s Stream) {
 	go func() {
-		if err := l.dial(address, limit, s); err != nil {
+		if err := l.dial(address, timeout, s); err != nil {
 			l.Do(func() { s.Failed(err) })
 		}
 	}()
 }
 
-func (l *Loop) dial(address string, limit time.Duration, s Stream) error {
-	conn, err := net.DialTimeout("tcp", address, limit)
+func (l *Loop) dial(address string, timeout time.Duration, s Stream) error {
+	conn, err := net.DialTimeout("tcp", address, timeout)
 	if err != nil {
 		return err
 	}
@@ -43,9 +45,9 @@
 	return nil
 }
 
-// register hands a connection to the loop. When it returns without an error, the loop has called OnOpen with the given
-// context value, unless the system refused to wait on the connection. The connection itself is closed in any case: the
-// loop holds a duplicate.
+// register registers a connection with the loop. If it returns nil, the loop has called OnOpen with value as the
+// connection's context, unless epoll_ctl failed for the connection: gnet reports no error then. conn itself is closed
+// in any case, as the loop works on a duplicate of its descriptor.
 func (l *Loop) register(conn net.Conn, value any) error {
 	registered, err := l.gnetLoop.Enroll(gnet.NewContext(context.Background(), value), conn)
 	if err != nil {
--- a/internal/eventloop/handler.go
+++ b/internal/eventloop/handler.go
@@ -9,32 +9,33 @@
 	"github.com/panjf2000/gnet/v2"
 )
 
-// neverTick is the pause between two ticks of gnet once the wakeup socket is registered.
-const neverTick = 24 * time.Hour
+// idleTickInterval is the time between two calls of OnTick after the first one, which registers the wakeup socket.
+const idleTickInterval = 24 * time.Hour
 
-// wakeupContext marks the wakeup socket.
+// wakeupContext is the context value of the wakeup socket, by which OnOpen recognizes it.
 type wakeupContext struct{}
 
-// OnBoot implements gnet.EventHandler. The engine has no event loop yet, so the wakeup socket is left to OnTick.
+// OnBoot implements gnet.EventHandler. The engine has no event loop yet, so OnTick registers the wakeup socket.
 func (l *Loop) OnBoot(engine gnet.Engine) gnet.Action {
 	l.engine = engine
 	return gnet.None
 }
 
-// OnTick implements gnet.EventHandler. It runs beside the loop. Its first call, when the event loop exists, registers
-// the wakeup socket; later ones have nothing to do.
+// OnTick implements gnet.EventHandler. gnet calls it on a goroutine of its own, not on the loop. The event loop exists
+// by the first call, which registers the wakeup socket; later calls do nothing.
 func (l *Loop) OnTick() (time.Duration, gnet.Action) {
 	if l.wakeupSocket != nil {
-		return neverTick, gnet.None
+		return idleTickInterval, gnet.None
 	}
 	if err := l.registerWakeup(); err != nil {
-		l.wakeupErr = fmt.Errorf("wakeup socket: %w", err)
-		return neverTick, gnet.Shutdown
+		l.wakeupErr = fmt.Errorf("register wakeup socket: %w", err)
+		return idleTickInterval, gnet.Shutdown
 	}
-	return neverTick, gnet.None
+	return idleTickInterval, gnet.None
 }
 
-// registerWakeup registers the wakeup socket, takes the event loop from it, and boots on that.
+// registerWakeup registers the wakeup socket, obtains the event loop from the socket's connection, and runs boot on
+// that loop.
 func (l *Loop) registerWakeup() error {
 	socket, err := openWakeupSocket()
 	if err != nil {
@@ -58,8 +59,9 @@
 	}))
 }
 
-// openWakeupSocket opens a UDP socket on loopback, connected to one of its own that is closed again. Nothing is ever
-// sent on it. It is not a pair of Unix sockets because the process may be confined to IPv4 sockets, TCP and UDP.
+// openWakeupSocket returns a UDP socket on loopback, connected to the address of another socket that is closed again.
+// Nothing is ever sent on it. It is not a pair of Unix sockets because the process may be confined to IPv4 sockets, TCP
+// and UDP.
 func openWakeupSocket() (net.Conn, error) {
 	peer, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
@@ -69,7 +71,7 @@
 	return net.DialUDP("udp4", nil, peer.LocalAddr().(*net.UDPAddr))
 }
 
-// boot stores the event loop and calls Boot, once, on the loop. Connections are accepted from then on.
+// boot stores the event loop, calls Boot and begins to accept connections. It runs once, on the loop.
 func (l *Loop) boot(gnetLoop gnet.EventLoop) {
 	l.gnetLoop = gnetLoop
 	l.Boot()
@@ -82,7 +84,8 @@
 	l.checkForPause()
 	switch opened := c.Context().(type) {
 	case wakeupContext:
-		// Not a client's connection: it is not to be closed for sending nothing.
+		// The wakeup socket gets no session: the acceptor would take it for a client's connection and close it for
+		// sending nothing.
 	case *pendingDial:
 		opened.opened = true
 		c.SetContext(opened.stream)
--- a/internal/eventloop/logger.go
+++ b/internal/eventloop/logger.go
@@ -5,11 +5,12 @@
 	"time"
 )
 
-// warningInterval is the least time between two warnings that are passed on.
+// warningInterval is the minimum time between two logged warnings.
 const warningInterval = time.Second
 
-// logger passes on gnet's warnings and errors, from any goroutine. Warnings are rate-limited: gnet has one for each
-// event that finds its connection closed, and clients could cause those in any number.
+// logger is the gnet Logger that logs warnings and errors. It may be used from any goroutine. Warnings are
+// rate-limited: gnet logs one for each event on a connection that is closed already, and clients can cause any number
+// of such events.
 type logger struct {
 	logf        func(string, ...any)
 	now         func() time.Time
@@ -17,13 +18,13 @@
 	lastWarning time.Time
 }
 
-// Debugf implements gnet's Logger: nothing is logged.
+// Debugf implements gnet's Logger. It discards the message.
 func (l *logger) Debugf(string, ...any) {}
 
-// Infof implements gnet's Logger: nothing is logged.
+// Infof implements gnet's Logger. It discards the message.
 func (l *logger) Infof(string, ...any) {}
 
-// Warnf implements gnet's Logger.
+// Warnf implements gnet's Logger. It logs at most one warning each warningInterval and discards the others.
 func (l *logger) Warnf(format string, a ...any) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -38,5 +39,5 @@
 // Errorf implements gnet's Logger.
 func (l *logger) Errorf(format string, a ...any) { l.logf("gnet: "+format, a...) }
 
-// Fatalf implements gnet's Logger. It does not end the process.
+// Fatalf implements gnet's Logger. It logs the message and does not end the process.
 func (l *logger) Fatalf(format string, a ...any) { l.logf("gnet: "+format, a...) }
--- a/internal/eventloop/loop_test.go
+++ b/internal/eventloop/loop_test.go
@@ -10,7 +10,7 @@
 	"shaleyard/routing"
 )
 
-// countingAcceptor rejects connections and counts them.
+// countingAcceptor counts connections and rejects them.
 type countingAcceptor struct{ count int }
 
 func (a *countingAcceptor) Accept(Conn) Session {
@@ -18,12 +18,12 @@
 	return nil
 }
 
-// acceptorFunc is an Acceptor.
+// acceptorFunc implements Acceptor by a function.
 type acceptorFunc func(Conn) Session
 
 func (f acceptorFunc) Accept(c Conn) Session { return f(c) }
 
-// connChannel passes on each connection, and rejects it.
+// connChannel is an Acceptor that sends each connection on the channel and rejects the connection.
 type connChannel chan Conn
 
 func (a connChannel) Accept(c Conn) Session {
@@ -38,14 +38,14 @@
 	return &Loop{Timers: &timer.Queue{}, Now: now, Logf: t.Logf}
 }
 
-// start runs a loop on an address; the channel has the error of Run.
+// start runs the loop at the address on a new goroutine. The channel delivers the result of Run.
 func start(l *Loop, address string) <-chan error {
 	ended := make(chan error, 1)
 	go func() { ended <- l.Run(address) }()
 	return ended
 }
 
-// dialLoop opens a connection that ends with the test.
+// dialLoop opens a connection to the address, which is closed at the end of the test.
 func dialLoop(t *testing.T, address string) {
 	t.Helper()
 	conn, err := net.Dial("tcp", address)
@@ -55,7 +55,8 @@
 	t.Cleanup(func() { conn.Close() })
 }
 
-// openInheritable opens a listener and duplicates its descriptor, as whoever starts the program would pass it on.
+// openInheritable opens a listener and duplicates its descriptor, as a process that starts the program does to pass the
+// socket on.
 func openInheritable(t *testing.T) (listener *net.TCPListener, fd int) {
 	t.Helper()
 	listener, err := net.ListenTCP("tcp", &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)})
@@ -75,9 +76,9 @@
 	return listener, fd
 }
 
-// Clients keep connecting to a director that was down. A connection that is there before the loop has booted must wait
-// until it has: its request sets timers and dials, and without a handle on the loop that was a nil call.
-func TestFirstConnectionWaitsForTheBoot(t *testing.T) {
+// Clients keep connecting while a director is down, so a connection may be queued before the loop has booted. The
+// connection must not be accepted before the boot: its request sets timers and dials, which calls a nil event loop.
+func TestConnectionsAreAcceptedOnlyAfterBoot(t *testing.T) {
 	listener, fd := openInheritable(t)
 	address := listener.Addr().String()
 	dialLoop(t, address)
@@ -86,7 +87,7 @@
 	l.InheritedFD = fd
 	l.Acceptor = acceptorFunc(func(c Conn) Session {
 		if !booted {
-			t.Error("a connection came before the loop had booted")
+			t.Error("a connection was accepted before the loop had booted")
 		}
 		return conns.Accept(c)
 	})
@@ -103,9 +104,10 @@
 	}
 }
 
-// A program that was started with the address bound already, and the listening socket inherited, ended at once with
-// "address already in use". It accepts on that socket, and leaves it open to others when it ends.
-func TestInheritedListenerIsAcceptedOn(t *testing.T) {
+// Guards against a program that ignores its inherited listening socket: it opens one of its own at the same address and
+// ends with "address already in use". The loop must accept on the inherited socket, and must leave that socket open to
+// other processes when the loop ends.
+func TestLoopAcceptsOnInheritedListener(t *testing.T) {
 	listener, fd := openInheritable(t)
 	address, conns := listener.Addr().String(), make(connChannel, 1)
 	booted := make(chan struct{})
@@ -127,33 +129,34 @@
 		t.Error(err)
 	}
 	if _, err := net.Dial("tcp", address); err != nil {
-		t.Errorf("after the end: %v", err)
+		t.Errorf("dial after the loop ended: %v", err)
 	}
 	if _, err := listener.Accept(); err != nil {
-		t.Errorf("after the end: %v", err)
+		t.Errorf("accept by the original listener after the loop ended: %v", err)
 	}
 }
 
-// A descriptor that is no listener at the configured address must not be accepted on: the loop would end over it, or
-// clients of another address would be served.
+// An inherited descriptor that is not a listening socket at the configured address must be rejected. Otherwise the loop
+// ends on the first accept, or serves the clients of another address.
 func TestInheritedDescriptorIsChecked(t *testing.T) {
-	_, elsewhere := openInheritable(t)
-	notListening, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM, 0)
+	_, otherAddressFD := openInheritable(t)
+	notListeningFD, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
-	for name, fd := range map[string]int{"listens elsewhere": elsewhere, "does not listen": notListening} {
+	for name, fd := range map[string]int{"another address": otherAddressFD, "does not listen": notListeningFD} {
 		t.Run(name, func(t *testing.T) {
 			defer syscall.Close(fd)
 			if err := (&Loop{InheritedFD: fd}).Run("127.0.0.1:1"); err == nil {
-				t.Errorf("descriptor %d was taken", fd)
+				t.Errorf("Run with descriptor %d: no error", fd)
 			}
 		})
 	}
 }
 
-// Clients can make gnet warn for each event on a connection that has just been closed: that must not fill the log.
-func TestWarningsAreLoggedSparingly(t *testing.T) {
+// gnet logs a warning for each event on a connection that has just been closed. Clients can cause any number of such
+// events, and the warnings must not fill the log.
+func TestWarningsAreRateLimited(t *testing.T) {
 	var clock time.Time
 	lines := 0
 	l := &logger{logf: func(string, ...any) { lines++ }, now: func() time.Time { return clock }}
@@ -165,12 +168,12 @@
 	}
 	l.Errorf("in earnest")
 	if lines != 4 {
-		t.Errorf("%d lines, want 3 of 300 warnings and the error", lines)
+		t.Errorf("got %d lines, want 4: 3 of 300 warnings, and the error", lines)
 	}
 }
 
-// Where directors are tested in their hundreds, a process may open IPv4 sockets alone. The wakeup socket was a pair of
-// Unix sockets and every director ended at its start; the loop must boot with no client and no such pair.
+// In tests with hundreds of directors, a process may open IPv4 sockets only. With a pair of Unix sockets as the wakeup
+// socket, every director ends at its start there. The loop must boot on an IPv4 wakeup socket and without a client.
 func TestBootsOnAnIPv4WakeupSocket(t *testing.T) {
 	booted := make(chan struct{})
 	acceptor := &countingAcceptor{}
@@ -179,15 +182,15 @@
 	ended := start(l, "127.0.0.1:0")
 	select {
 	case <-booted:
-	case <-time.After(20 * time.Second): // only so that a failure ends
+	case <-time.After(20 * time.Second): // bounds the test if it fails
 		t.Fatal("the loop did not boot without a client")
 	}
 	l.Do(func() {
 		if at, ok := l.wakeupSocket.LocalAddr().(*net.UDPAddr); !ok || at.IP.To4() == nil {
-			t.Errorf("the wakeup socket is at %v, not an IPv4 socket", l.wakeupSocket.LocalAddr())
+			t.Errorf("wakeup socket at %v, want an IPv4 UDP address", l.wakeupSocket.LocalAddr())
 		}
 		if acceptor.count != 0 {
-			t.Error("the wakeup socket was taken for a client, and would be closed for sending nothing")
+			t.Error("the wakeup socket was passed to the acceptor, which would close it for sending nothing")
 		}
 		l.Stop()
 	})
@@ -196,32 +199,32 @@
 	}
 }
 
-// The wakeup socket opens before the loop has booted, when timers may be due already: the alarm must wait, as it calls
-// a loop that is not there yet.
+// The wakeup socket is opened before the loop has booted, and timers may be due by then. The alarm must not be set
+// before the boot, as it calls an event loop that does not exist yet.
 func TestNoAlarmBeforeTheBoot(t *testing.T) {
 	l := &Loop{Timers: &timer.Queue{}, Now: func() routing.Time { return time.Hour }}
 	l.Timers.ScheduleFunc(0, func() {})
 	l.resetAlarm()
 	if l.alarm != nil {
 		l.alarm.Stop()
-		t.Error("an alarm is set before the loop has booted")
+		t.Error("the alarm was set before the loop had booted")
 	}
 }
 
-// A loop that has not run for longer than it should was paused: timers are delayed until input that came meanwhile is
-// read.
-func TestDeadlinesRestBehindAPause(t *testing.T) {
+// A loop that has not run for longer than PauseThreshold was paused. Timers must be delayed after the pause until input
+// that arrived during it is read, and pauses between events and during an event must both be reported.
+func TestTimersAreDelayedAfterAPause(t *testing.T) {
 	clock := 1000 * time.Second
-	var told []string
-	ran := 0
+	var calls []string
+	timersRun := 0
 	l := &Loop{
 		Timers:         &timer.Queue{},
 		Now:            func() routing.Time { return clock },
 		PauseThreshold: 300 * time.Millisecond,
 		SettleTime:     30 * time.Millisecond,
-		Settled:        func() { told = append(told, "settled") },
+		Settled:        func() { calls = append(calls, "settled") },
 	}
-	l.Paused = func(gap time.Duration) { told = append(told, "paused "+gap.String()) }
+	l.Paused = func(gap time.Duration) { calls = append(calls, "paused "+gap.String()) }
 	l.alarm = time.NewTimer(time.Hour)
 	defer l.alarm.Stop()
 	runOnce := func() {
@@ -229,35 +232,35 @@
 		l.runDue()
 		l.resetAlarm()
 	}
-	l.Timers.ScheduleFunc(clock+50*time.Millisecond, func() { ran++ })
+	l.Timers.ScheduleFunc(clock+50*time.Millisecond, func() { timersRun++ })
 	runOnce()
 	clock += 290 * time.Millisecond
 	runOnce()
-	if ran != 1 || len(told) != 0 {
-		t.Fatalf("ran %d, told %v without a pause", ran, told)
+	if timersRun != 1 || len(calls) != 0 {
+		t.Fatalf("without a pause: %d timers run, calls %v; want 1 and none", timersRun, calls)
 	}
-	l.Timers.ScheduleFunc(clock+time.Second, func() { ran++ })
+	l.Timers.ScheduleFunc(clock+time.Second, func() { timersRun++ })
 	clock += 5 * time.Second
 	runOnce()
 	clock += 20 * time.Millisecond
 	runOnce()
-	if ran != 1 || len(told) != 1 || told[0] != "paused 5s" {
-		t.Errorf("ran %d, told %v during the delay", ran, told)
+	if timersRun != 1 || len(calls) != 1 || calls[0] != "paused 5s" {
+		t.Errorf("during the delay: %d timers run, calls %v; want 1 and [paused 5s]", timersRun, calls)
 	}
 	clock += 10 * time.Millisecond
 	runOnce()
-	if ran != 2 || len(told) != 2 {
-		t.Errorf("ran %d, told %v after it", ran, told)
+	if timersRun != 2 || len(calls) != 2 {
+		t.Errorf("after the delay: %d timers run, calls %v; want 2 and 2 calls", timersRun, calls)
 	}
 	l.checkForPause()
-	clock += 2 * time.Second // during an event
+	clock += 2 * time.Second // a pause during an event
 	l.CheckForPause()
-	if len(told) != 3 || told[2] != "paused 2s" {
-		t.Errorf("told %v after a pause during an event", told)
+	if len(calls) != 3 || calls[2] != "paused 2s" {
+		t.Errorf("after a pause during an event: calls %v, want \"paused 2s\" as the third", calls)
 	}
 	clock += time.Second
 	l.resetAlarm()
-	if len(told) != 4 || told[3] != "paused 1s" {
-		t.Errorf("told %v after a pause at the end of an event", told)
+	if len(calls) != 4 || calls[3] != "paused 1s" {
+		t.Errorf("after a pause at the end of an event: calls %v, want \"paused 1s\" as the fourth", calls)
 	}
 }
--- a/internal/eventloop/timers.go
+++ b/internal/eventloop/timers.go
@@ -6,15 +6,16 @@
 	"shaleyard/routing"
 )
 
-// settleDivisor is the part of a pause for which timers are delayed after it.
+// settleDivisor divides the length of a pause: timers are delayed after the pause by the quotient, at most SettleTime.
 const settleDivisor = 10
 
-// CheckForPause detects a pause of the process during the event that is being handled. It is called on the loop.
+// CheckForPause checks whether the process was paused since the event that is being handled began, and handles such a
+// pause. It is called on the loop.
 func (l *Loop) CheckForPause() { l.checkForPause() }
 
-// checkForPause detects that the loop was paused, between two events or during one. The state in memory is as old as
-// the pause, and newer events wait in the sockets in no order. So timers are delayed for a moment, and Paused is
-// called.
+// checkForPause checks whether the loop was paused, between two events or during one. After a pause the state in memory
+// is out of date by the length of the pause, and newer events wait unread in the sockets, in no order. Timers are
+// therefore delayed by up to SettleTime, and Paused is called.
 func (l *Loop) checkForPause() {
 	now := l.Now()
 	gap := now - l.lastCheck
@@ -26,14 +27,16 @@
 	l.lastRun.Store(int64(now))
 }
 
-// LastRun is when the loop last ran. It may be called from any goroutine.
+// LastRun returns the time at which the loop last began or ended an event or a timer run. It may be called from any
+// goroutine.
 func (l *Loop) LastRun() routing.Time { return routing.Time(l.lastRun.Load()) }
 
-// resetAlarm sets the alarm for the earliest timer, or for the end of the delay after a pause.
+// resetAlarm sets the alarm for the earliest timer or, during the delay after a pause, for the end of the delay. It
+// does nothing before boot.
 func (l *Loop) resetAlarm() {
 	l.checkForPause()
 	if l.gnetLoop == nil {
-		return // the wakeup socket opens before the boot, which sets the alarm for all that is due
+		return // OnOpen of the wakeup socket comes before boot, which sets the alarm for all timers
 	}
 	at, ok := l.Timers.NextDeadline()
 	if l.settleUntil != 0 {
@@ -51,7 +54,8 @@
 	l.alarm.Reset(wait)
 }
 
-// runDue runs the timers that have fallen due.
+// runDue runs the timers that have fallen due, unless the delay after a pause has not ended yet. At the end of the
+// delay it calls Settled first.
 func (l *Loop) runDue() {
 	l.alarmAt = 0
 	now := l.Now()
--- a/internal/flightrecorder/event.go
+++ b/internal/flightrecorder/event.go
@@ -6,19 +6,19 @@
 	"shaleyard/routing"
 )
 
-// Kind is the kind of an event.
+// Kind is the kind of an Event.
 type Kind uint8
 
 // The kinds of events.
 const (
 	ConnOpened      Kind = iota // a client's connection was accepted
-	ConnClosing                 // we began to close it, for a reason
-	ConnClosed                  // nothing reaches the client any more
-	RequestAccepted             // a request was read and is owed an answer
-	RequestRejected             // a request was rejected before routing, for a reason
+	ConnClosing                 // the process began to close a client's connection, for Event.Reason
+	ConnClosed                  // a client's connection is closed: no answer can reach the client any more
+	RequestAccepted             // a request was read and must be answered
+	RequestRejected             // a request was rejected before routing, for Event.Reason
 	RequestEnded                // a request was answered, or cancelled by its client
 	AttemptSent                 // an attempt was sent upstream
-	AttemptEnded                // an attempt has ended, for a reason
+	AttemptEnded                // an attempt has ended, with Event.Reason as its result
 )
 
 var kindNames = [...]string{
@@ -32,7 +32,7 @@
 	AttemptEnded:    "attempt_ended",
 }
 
-// String is the kind's name in the log.
+// String returns the name of the kind in the log, or "unknown".
 func (k Kind) String() string {
 	if int(k) >= len(kindNames) {
 		return "unknown"
@@ -40,16 +40,16 @@
 	return kindNames[k]
 }
 
-// Event is one thing that has happened. Fields that do not apply are 0.
+// Event is one recorded event of a connection, a request or an attempt. Fields that do not apply to its Kind are 0.
 type Event struct {
 	At      routing.Time
 	Kind    Kind
 	Reason  Reason
 	Conn    uint64       // the client's connection, counted from 1
-	Request uint32       // handle of the request
-	Attempt int          // its number within the request, from 0: a higher one is a retry or a hedge
-	Host    routing.Host // to which the attempt was sent
-	Count   int          // open requests of a connection, or bytes dropped on it
+	Request uint32       // the handle of the request
+	Attempt int          // the attempt's number within the request, from 0; each further one is a retry or a hedge
+	Host    routing.Host // the server to which the attempt was sent
+	Count   int          // open requests of the connection, or bytes dropped on it
 }
 
 // MarshalLogObject implements zapcore.ObjectMarshaler.
@@ -77,7 +77,7 @@
 	return nil
 }
 
-// Events are events in their order.
+// Events is a sequence of events, oldest first.
 type Events []Event
 
 // MarshalLogArray implements zapcore.ArrayMarshaler.
--- a/internal/flightrecorder/reason.go
+++ b/internal/flightrecorder/reason.go
@@ -1,67 +1,68 @@
 package flightrecorder
 
-// Reason is why an event has happened. The zero Reason means that there is none.
+// Reason is the cause of an Event, or the result of an attempt. The zero Reason means that the event has no reason.
 type Reason uint8
 
-// Reasons.
+// The reasons, grouped by the events that have them.
 const (
 	ReasonNone Reason = iota
 
-	// Why connections end.
+	// Reasons for which connections end.
 	ReasonClosedByClient          // closed or reset by the client
-	ReasonConnectionTableFull     // too many connections, and all others are owed answers
+	ReasonConnectionTableFull     // too many connections are open, and none can be evicted: all await answers
 	ReasonEvictedForNewConnection // closed to make room for a new connection
-	ReasonMessageTimeout          // a message was not complete in time
-	ReasonIdleTimeout             // it was idle for too long
+	ReasonMessageTimeout          // a message was not complete within its time limit
+	ReasonIdleTimeout             // the connection was idle for too long
 	ReasonMalformedStream         // the client sent malformed data
-	ReasonDrainCompleted          // it was draining, and the last answer has been sent
-	ReasonGracefulClose           // the process is drained or stops
-	ReasonLingerTimeout           // the client did not close its half in time
-	ReasonTooManyLingering        // too many connections linger, and it is the oldest of them
+	ReasonDrainCompleted          // the connection was draining, and its last answer has been sent
+	ReasonGracefulClose           // the process is being drained or stopped
+	ReasonLingerTimeout           // the client did not close its half within the linger timeout
+	ReasonTooManyLingering        // too many connections linger, and this one is the oldest
 	ReasonTooMuchAfterHalfClose   // the client sent too much after our half-close
 	ReasonAnswerNotRead           // the client did not read the last answer
-	ReasonOutboundLimitExceeded   // the client left too much unread
+	ReasonOutboundLimitExceeded   // the client left too much output unread
 	ReasonWriteFailed
 	ReasonHalfCloseFailed
 
-	// Why data of a connection is dropped, which ends nothing: Event.Count is the number of bytes.
-	ReasonDroppedAfterHalfClose // it came after our half-close
+	// Reason for which data of a connection is dropped. The connection does not end; Event.Count is the number of
+	// bytes.
+	ReasonDroppedAfterHalfClose // the data arrived after our half-close
 
-	// Why requests are rejected before the director has seen them.
+	// Reasons for which requests are rejected before they reach the director.
 	ReasonBuffersExhausted    // the buffer pool has no buffer left
 	ReasonRequestTableFull    // too many requests are open
 	ReasonTooManyOpenRequests // too many requests are open on the connection
 	ReasonInvalidFields
 
-	// Why requests end. Those from ReasonDeadlineExceeded on are the router's.
-	ReasonServed               // a response of a server was passed on
-	ReasonCancelledByClient    // its client no longer waits
-	ReasonOverdue              // its deadline guard failed it
-	ReasonNotAccepting         // the process accepts no requests, as it starts or drains
-	ReasonExpiredUnread        // its deadline may have passed while it waited to be read
+	// Reasons for which requests end. Those from ReasonDeadlineExceeded on are given by the router.
+	ReasonServed               // the response of a server was passed on to the client
+	ReasonCancelledByClient    // the client cancelled the request or closed its connection
+	ReasonOverdue              // the deadline guard failed the request after its deadline
+	ReasonNotAccepting         // the process accepts no requests while it starts, drains or stops
+	ReasonExpiredUnread        // the deadline may have passed while the request waited to be read
 	ReasonNotAdmitted          // too many requests are in flight after a start or a pause
-	ReasonDeadlineExceeded     // no attempt succeeded by its deadline
-	ReasonAttemptsExhausted    // it has no attempt left
-	ReasonMayHaveExecuted      // an attempt may have run, and must not be repeated
+	ReasonDeadlineExceeded     // no attempt succeeded by the request's deadline
+	ReasonAttemptsExhausted    // the request has used all its attempts
+	ReasonMayHaveExecuted      // an attempt may have been executed, so the request must not be repeated
 	ReasonSiteLost             // our own site is lost
-	ReasonNoServerInTime       // no server could take it early enough
+	ReasonNoServerInTime       // no server could take the request early enough for its deadline
 	ReasonRetryBudgetExhausted // the budget for further attempts is spent
-	ReasonOriginShielded       // the origin is overloaded and not to be asked
+	ReasonOriginShielded       // the origin is overloaded and is sent no more fills
 
-	// How attempts end.
+	// Results of attempts.
 	ReasonOK
 	ReasonErrored  // the server answered with an error
-	ReasonRejected // the server rejected it unseen, or its source rejected the fill
+	ReasonRejected // the server rejected the attempt unprocessed, or its source rejected the fill
 	ReasonTimedOut
 	ReasonConnectFailed
-	ReasonReset                   // the connection broke under it
-	ReasonCancelled               // the router cancelled it
-	ReasonAbandoned               // given up before it was written
-	ReasonMiss                    // asked for a cached copy only, and there was none
+	ReasonReset                   // the connection was lost during the attempt
+	ReasonCancelled               // the router, or the end of the request, cancelled the attempt
+	ReasonAbandoned               // the attempt was given up before it was written
+	ReasonMiss                    // the attempt asked for a cached copy only, and the cache had none
 	ReasonLocalResourcesExhausted // this host had no descriptor, buffer or memory for a connection
 	ReasonUnreachable             // this host had no route or port towards the server
 
-	// ReasonUnknown stands for a reason of the router that is not listed here.
+	// ReasonUnknown replaces a reason of the router that is not listed here.
 	ReasonUnknown
 
 	reasonCount = int(iota)
@@ -122,7 +123,8 @@
 	ReasonUnknown: "unknown",
 }
 
-// String is the reason's name in the log; ReasonNone has none.
+// String returns the name of the reason in the log. The name of ReasonNone is empty, and that of a reason that is not
+// listed is "unknown".
 func (r Reason) String() string {
 	if int(r) >= len(reasonNames) {
 		return reasonNames[ReasonUnknown]
--- a/internal/flightrecorder/reason_test.go
+++ b/internal/flightrecorder/reason_test.go
@@ -6,10 +6,10 @@
 	"go.uber.org/zap/zapcore"
 )
 
-// Whoever reads the flight recorder tells reasons apart by their names alone.
-func TestReasonsHaveNamesOfTheirOwn(t *testing.T) {
+// A reader of the log can tell reasons apart only by their names, so each reason must have a name of its own.
+func TestReasonNamesAreUnique(t *testing.T) {
 	if name := ReasonNone.String(); name != "" {
-		t.Errorf("no reason is named %q", name)
+		t.Errorf("ReasonNone has the name %q, want an empty one", name)
 	}
 	reasons := map[string]Reason{}
 	for reason := ReasonNone + 1; int(reason) < reasonCount; reason++ {
@@ -23,7 +23,7 @@
 		reasons[name] = reason
 	}
 	if name := Reason(reasonCount).String(); name != "unknown" {
-		t.Errorf("a reason that is not listed is named %q", name)
+		t.Errorf("name of an unlisted reason: got %q, want \"unknown\"", name)
 	}
 }
 
@@ -31,7 +31,7 @@
 	for _, test := range []struct {
 		name   string
 		reason Reason
-		want   any // nil: no key
+		want   any // value of the key "reason"; nil if the key must be absent
 	}{
 		{"no reason", ReasonNone, nil},
 		{"a reason", ReasonCancelledByClient, "cancelled_by_client"},
@@ -42,10 +42,10 @@
 				t.Fatal(err)
 			}
 			if kind := encoder.Fields["kind"]; kind != "request_ended" {
-				t.Errorf("kind %v", kind)
+				t.Errorf("got kind %v, want request_ended", kind)
 			}
 			if got := encoder.Fields["reason"]; got != test.want {
-				t.Errorf("reason %v, want %v", got, test.want)
+				t.Errorf("got reason %v, want %v", got, test.want)
 			}
 		})
 	}
@@ -57,6 +57,6 @@
 		recorder.Record(Event{Kind: RequestEnded, Reason: ReasonServed, Request: 7})
 	})
 	if allocations != 0 {
-		t.Errorf("%v allocations an event", allocations)
+		t.Errorf("got %v allocations per event, want 0", allocations)
 	}
 }
--- a/internal/flightrecorder/recorder.go
+++ b/internal/flightrecorder/recorder.go
@@ -1,18 +1,19 @@
-// Package flightrecorder keeps the latest events of a process in memory, in a bounded ring, and logs them on request.
-// Recording copies a few words: nothing is formatted until it is logged.
+// Package flightrecorder keeps the latest events of a process in memory, in a ring buffer of fixed size, for logging on
+// request. Recording an event only copies a few words: events are not formatted until they are logged.
 package flightrecorder
 
-// Recorder keeps the latest events. It is used on the event loop alone; the nil Recorder keeps nothing.
+// Recorder keeps the latest events. It must be used on the event loop only. A nil Recorder is valid and keeps no
+// events.
 type Recorder struct {
 	ring  []Event
-	next  int    // where the next event goes
-	total uint64 // events ever recorded
+	next  int    // index of the oldest event once the ring is full, which the next event replaces
+	total uint64 // number of events ever recorded
 }
 
-// NewRecorder returns a Recorder that keeps up to size events.
+// NewRecorder returns a Recorder that keeps the latest size events.
 func NewRecorder(size int) *Recorder { return &Recorder{ring: make([]Event, 0, size)} }
 
-// Record keeps an event in the place of the oldest.
+// Record adds an event. Once the ring is full, the event replaces the oldest one.
 func (r *Recorder) Record(e Event) {
 	if r == nil || cap(r.ring) == 0 {
 		return
@@ -26,7 +27,7 @@
 	r.next = (r.next + 1) % len(r.ring)
 }
 
-// Total is the number of events ever recorded.
+// Total returns the number of events ever recorded.
 func (r *Recorder) Total() uint64 {
 	if r == nil {
 		return 0
@@ -34,7 +35,7 @@
 	return r.total
 }
 
-// Latest returns a copy of the latest events, oldest first, limit of them at most.
+// Latest returns a copy of the latest events, at most limit of them, oldest first.
 func (r *Recorder) Latest(limit int) Events {
 	if r == nil {
 		return nil
--- a/internal/listener/listener.go
+++ b/internal/listener/listener.go
@@ -1,6 +1,6 @@
-// Package listener opens listening sockets, or takes over inherited ones, and accepts on them without ever giving up:
-// an accept that fails temporarily, for want of descriptors, buffers or memory or because the network is down, is
-// retried with exponential backoff.
+// Package listener opens listening sockets, or takes over inherited ones, and accepts connections on them. An accept
+// that fails, such as for lack of descriptors, buffers or memory or because the network is down, is retried with
+// exponential backoff until the listener is closed.
 package listener
 
 import (
@@ -14,43 +14,44 @@
 	"time"
 )
 
-// Waits between attempts of an accept that fails: the first, doubled with each failure up to the longest.
+// Shortest and longest wait before a failed accept is retried. The wait doubles with each failure in a row.
 const (
 	initialBackoff = 5 * time.Millisecond
 	maxBackoff     = 200 * time.Millisecond
 )
 
-// ErrNotListening reports an inherited descriptor that is no listening socket.
-var ErrNotListening = errors.New("does not listen")
+// ErrNotListening reports an inherited descriptor that is not a listening socket.
+var ErrNotListening = errors.New("not a listening socket")
 
-// Listener is a listening socket. Accept fails only once it is closed; Pause and Resume may be called from any
-// goroutine.
+// Listener is a listening socket whose Accept fails only once the Listener is closed. Pause and Resume may be called
+// from any goroutine.
 type Listener struct {
 	inner        deadlineListener
-	acceptFailed func(error) // nil: none
+	acceptFailed func(error) // called for each failed accept; may be nil
 	mu           sync.Mutex
-	stateChanged *sync.Cond // paused or closed
+	stateChanged *sync.Cond // signals a change of paused or closed
 	paused       bool
 	closed       bool
 }
 
-// Option sets what is optional of a Listener.
+// Option sets an optional property of a Listener.
 type Option func(*Listener)
 
-// WithAcceptFailed has a function called for each accept that failed and is retried; nil: none.
+// WithAcceptFailed returns an Option that has acceptFailed called with the error of each accept that failed and is
+// retried. acceptFailed may be nil.
 func WithAcceptFailed(acceptFailed func(error)) Option {
 	return func(l *Listener) { l.acceptFailed = acceptFailed }
 }
 
-// deadlineListener is what a Listener needs of a TCP listener.
+// deadlineListener is the part of net.TCPListener that a Listener uses.
 type deadlineListener interface {
 	net.Listener
 	SetDeadline(time.Time) error
 }
 
-// Open listens at an address.
+// Open returns a Listener on a new socket that listens at the TCP address.
 func Open(address string, options ...Option) (*Listener, error) {
-	config := net.ListenConfig{KeepAlive: -1} // silent clients are disconnected by timeouts of our own
+	config := net.ListenConfig{KeepAlive: -1} // no TCP keep-alive: timeouts of the program close silent connections
 	opened, err := config.Listen(context.Background(), "tcp", address)
 	if err != nil {
 		return nil, err
@@ -58,18 +59,19 @@
 	return newListener(opened.(*net.TCPListener), options...), nil
 }
 
-// Inherit takes over a descriptor that must be a socket that listens at the address. Other processes may hold the same
-// socket: closing the Listener leaves it open to them.
+// Inherit returns a Listener on the socket of an inherited descriptor. It fails if the descriptor is not a TCP socket
+// that listens at the address. The error wraps ErrNotListening if the descriptor is not a listening socket. Other
+// processes may hold the same socket: closing the Listener leaves the socket open to those processes.
 func Inherit(descriptor int, address string, options ...Option) (*Listener, error) {
 	listening, err := syscall.GetsockoptInt(descriptor, syscall.SOL_SOCKET, syscall.SO_ACCEPTCONN)
 	if err != nil {
-		return nil, fmt.Errorf("inherited descriptor %d %w (%w)", descriptor, ErrNotListening, err)
+		return nil, fmt.Errorf("inherited descriptor %d: %w: %w", descriptor, ErrNotListening, err)
 	}
 	if listening == 0 {
-		return nil, fmt.Errorf("inherited descriptor %d %w", descriptor, ErrNotListening)
+		return nil, fmt.Errorf("inherited descriptor %d: %w", descriptor, ErrNotListening)
 	}
 	file := os.NewFile(uintptr(descriptor), "inherited listener")
-	defer file.Close() // FileListener has a duplicate
+	defer file.Close() // net.FileListener duplicates the descriptor
 	inherited, err := net.FileListener(file)
 	if err != nil {
 		return nil, fmt.Errorf("inherited descriptor %d: %w", descriptor, err)
@@ -77,7 +79,7 @@
 	tcp, ok := inherited.(*net.TCPListener)
 	if !ok || inherited.Addr().String() != address {
 		inherited.Close()
-		return nil, fmt.Errorf("inherited descriptor %d listens at %s", descriptor, inherited.Addr())
+		return nil, fmt.Errorf("inherited descriptor %d listens at %s, want %s", descriptor, inherited.Addr(), address)
 	}
 	return newListener(tcp, options...), nil
 }
@@ -91,11 +93,11 @@
 	return l
 }
 
-// Addr is the address at which the socket listens.
+// Addr returns the address at which the socket listens.
 func (l *Listener) Addr() net.Addr { return l.inner.Addr() }
 
-// Accept waits for a connection. While the Listener is paused, connections wait in the system's queue. Its one error is
-// net.ErrClosed.
+// Accept waits for a connection and returns it. While the Listener is paused, Accept blocks and connections wait in the
+// kernel's accept queue. The only error that Accept returns is net.ErrClosed.
 func (l *Listener) Accept() (net.Conn, error) {
 	backoff := initialBackoff
 	for {
@@ -108,7 +110,7 @@
 			return conn, nil
 		case errors.Is(err, net.ErrClosed):
 			return nil, net.ErrClosed
-		case errors.Is(err, os.ErrDeadlineExceeded): // paused
+		case errors.Is(err, os.ErrDeadlineExceeded): // interrupted by Pause
 			continue
 		}
 		if l.acceptFailed != nil {
@@ -119,7 +121,7 @@
 	}
 }
 
-// waitUntilAccepting waits until the Listener is not paused; false: it is closed.
+// waitUntilAccepting waits until the Listener is not paused or is closed. It returns false if the Listener is closed.
 func (l *Listener) waitUntilAccepting() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -129,7 +131,8 @@
 	return !l.closed
 }
 
-// Pause leaves new connections in the system's queue, for Resume or for another process that holds the socket.
+// Pause stops accepting. New connections stay in the kernel's accept queue until Resume is called or another process
+// that holds the socket accepts them.
 func (l *Listener) Pause() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -137,10 +140,10 @@
 		return
 	}
 	l.paused = true
-	_ = l.inner.SetDeadline(time.Unix(1, 0)) // ends an Accept that waits; it fails only where the socket is closed
+	_ = l.inner.SetDeadline(time.Unix(1, 0)) // interrupts a waiting Accept; fails only if the socket is closed
 }
 
-// Resume accepts again.
+// Resume ends a Pause: connections are accepted again, first those in the accept queue.
 func (l *Listener) Resume() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -152,7 +155,7 @@
 	l.stateChanged.Broadcast()
 }
 
-// Close ends Accept for good.
+// Close closes the socket. Accept returns net.ErrClosed from then on.
 func (l *Listener) Close() error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/listener/listener_test.go
+++ b/internal/listener/listener_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// failingListener is a listener whose accepts fail as scripted before they succeed.
+// failingListener is a listener whose accepts fail with the given errors, in order, before they succeed.
 type failingListener struct {
 	net.Listener
 	errors []error
@@ -27,7 +27,7 @@
 	return conn, nil
 }
 
-// acceptErrors are the errors of accept that Linux documents.
+// acceptErrors are the errors of accept(2) that Linux documents.
 var acceptErrors = []syscall.Errno{
 	syscall.ECONNABORTED,
 	syscall.EMFILE,
@@ -50,30 +50,31 @@
 	syscall.EINVAL,
 }
 
-// However accept fails, it is retried; only a closed listener ends it.
-func TestAcceptOutlivesEveryError(t *testing.T) {
+// An accept that fails with any of the documented errors must be retried, and each failure must be reported. Otherwise
+// a temporary failure ends the accepting for good.
+func TestAcceptRetriesEveryError(t *testing.T) {
 	for _, errno := range acceptErrors {
 		t.Run(errno.Error(), func(t *testing.T) {
 			failures := 0
 			acceptFailed := func(err error) {
 				failures++
 				if !errors.Is(err, errno) {
-					t.Errorf("%v was reported as %v", errno, err)
+					t.Errorf("reported error %v, want %v", err, errno)
 				}
 			}
 			failing := &failingListener{errors: []error{errno, errno}}
 			l := newListener(failing, WithAcceptFailed(acceptFailed))
 			conn, err := l.Accept()
 			if err != nil || conn == nil || failures != 2 {
-				t.Errorf("%v: %v, %d failures reported, want a connection after two", errno, err, failures)
+				t.Errorf("got %v, error %v after %d reported failures, want a connection after 2", conn, err, failures)
 			}
 		})
 	}
 }
 
-// A paused listener leaves connections in the queue, where a process that shares the socket finds them; resumed, it
-// accepts what still waits.
-func TestPausedListenerLeavesTheQueueToOthers(t *testing.T) {
+// A paused listener must leave connections in the accept queue, where a process that shares the socket can accept them.
+// After Resume it must accept the connections that still wait.
+func TestPausedListenerLeavesConnectionsInAcceptQueue(t *testing.T) {
 	l, err := Open("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -113,13 +114,13 @@
 	defer other.Close()
 	dial()
 	if _, err := other.Accept(); err != nil {
-		t.Fatalf("the process that shares the socket: %v", err)
+		t.Fatalf("accept by another holder of the socket: %v", err)
 	}
 	dial()
 	l.Resume()
 	<-accepted
 	l.Close()
 	if _, more := <-accepted; more {
-		t.Error("accepted after the close")
+		t.Error("a connection was accepted after Close")
 	}
 }
--- a/internal/strictconfig/strict.go
+++ b/internal/strictconfig/strict.go
@@ -1,4 +1,4 @@
-// Package strictconfig reads TOML files of which no key may be ignored: the operators' file and the testbed's
+// Package strictconfig decodes TOML files in which an unknown key is an error: the operators' file and the testbed's
 // experiments. Its errors name the file, the line and the key.
 package strictconfig
 
@@ -12,18 +12,18 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// ErrUnknownKey reports a key that the file may not have.
+// ErrUnknownKey reports a key that is not defined for the file.
 var ErrUnknownKey = errors.New("no such key")
 
-// Error is a fault of one key of a configuration.
+// Error is an error of one key of a configuration.
 type Error struct {
-	File string // "": the reader knows which
-	Line int    // from 1; 0: the key stands in none
-	Key  string // with dots and indices, such as step[2].do
+	File string // name of the file; empty if the context tells it
+	Line int    // line number from 1; 0 if no line sets the key
+	Key  string // full key with dots and indices, such as step[2].do
 	Err  error
 }
 
-// Error is the place and the fault on one line.
+// Error returns the file, the line, the key and the text of Err on one line. Without a file it omits the line as well.
 func (e *Error) Error() string {
 	if e.File == "" {
 		return fmt.Sprintf("%s: %v", e.Key, e.Err)
@@ -31,22 +31,23 @@
 	return fmt.Sprintf("%s:%d: %s: %v", e.File, e.Line, e.Key, e.Err)
 }
 
-// Unwrap returns the fault without its place.
+// Unwrap returns Err, the error without file, line and key.
 func (e *Error) Unwrap() error { return e.Err }
 
-// Locate adds the place in a file to an Error that has none; other errors are returned as they are.
+// Locate returns an Error that has no file with the name of the file, and the line that sets its key in the text. It
+// returns other errors unchanged.
 func Locate(err error, file string, text []byte) error {
-	var fault *Error
-	if !errors.As(err, &fault) || fault.File != "" {
+	var keyErr *Error
+	if !errors.As(err, &keyErr) || keyErr.File != "" {
 		return err
 	}
-	return &Error{File: file, Line: FindLine(text, fault.Key), Key: fault.Key, Err: fault.Err}
+	return &Error{File: file, Line: FindLine(text, keyErr.Key), Key: keyErr.Key, Err: keyErr.Err}
 }
 
-// Decode reads the text into a value; the name of its file is for errors. An unknown key is an error: a file whose key
-// is misspelt must not be taken for one that sets nothing.
-func Decode(file string, text []byte, into any) error {
-	err := toml.NewDecoder(bytes.NewReader(text)).DisallowUnknownFields().Decode(into)
+// Decode decodes the TOML text into target. The name of the file is used in errors only. An unknown key is an error, as
+// a setting with a misspelt key would otherwise be ignored.
+func Decode(file string, text []byte, target any) error {
+	err := toml.NewDecoder(bytes.NewReader(text)).DisallowUnknownFields().Decode(target)
 	var unknown *toml.StrictMissingError
 	var malformed *toml.DecodeError
 	switch {
@@ -63,8 +64,9 @@
 	return fmt.Errorf("%s: %w", file, err)
 }
 
-// FindLine finds the line of a key such as clients.zipf, step[2].do or plan.pin[1].share, counted from 1; where the
-// file gives the key in a table on one line, that line. 0: the key is in none.
+// FindLine returns the number of the line, from 1, that sets a key such as clients.zipf, step[2].do or
+// plan.pin[1].share. If the key is in an inline table, that is the line of the table. It returns 0 if no line sets the
+// key.
 func FindLine(text []byte, key string) int {
 	for key != "" {
 		if line := findExactLine(text, key); line > 0 {
@@ -75,7 +77,7 @@
 	return 0
 }
 
-// findExactLine finds the line that assigns a key within its own table.
+// findExactLine returns the number of the line that assigns the key under the header of its own table, or 0.
 func findExactLine(text []byte, key string) int {
 	wanted := parseTableKey(key)
 	table, tablesSeen := "", -1
@@ -97,13 +99,15 @@
 	return 0
 }
 
-// tableKey is a key taken apart: the table, which of several of that name, and the name in it.
+// tableKey is a key split into the name of its table, the index of the table if the table is an element of an array,
+// and the name within the table.
 type tableKey struct {
 	table, name string
 	indexed     bool
 	index       int
 }
 
+// parseTableKey splits a full key such as step[2].do into its parts.
 func parseTableKey(key string) tableKey {
 	table, name := "", key
 	if dot := strings.LastIndexByte(key, '.'); dot >= 0 {
@@ -111,6 +115,6 @@
 	}
 	table, index, _ := strings.Cut(strings.TrimSuffix(table, "]"), "[")
 	parsed := tableKey{table: table, name: name, indexed: index != ""}
-	parsed.index, _ = strconv.Atoi(index) // without an index, or with one that is no number: the first
+	parsed.index, _ = strconv.Atoi(index) // 0 if there is no index or it is not a number
 	return parsed
 }
--- a/internal/strictconfig/strict_test.go
+++ b/internal/strictconfig/strict_test.go
@@ -38,36 +38,36 @@
 	} {
 		t.Run(tc.key, func(t *testing.T) {
 			if got := FindLine([]byte(sample), tc.key); got != tc.want {
-				t.Errorf("line %d, want %d", got, tc.want)
+				t.Errorf("got line %d, want %d", got, tc.want)
 			}
 		})
 	}
 }
 
-func TestUnknownKeyIsNamed(t *testing.T) {
-	var into struct {
+func TestUnknownKeyErrorNamesKey(t *testing.T) {
+	var target struct {
 		Clients struct {
 			Zipf float64 `toml:"zipf"`
 		} `toml:"clients"`
 	}
-	err := Decode("x.toml", []byte("[clients]\nzipf = 1.0\nzipff = 2.0\n"), &into)
-	var fault *Error
-	if !errors.Is(err, ErrUnknownKey) || !errors.As(err, &fault) {
-		t.Fatalf("error %v", err)
+	err := Decode("x.toml", []byte("[clients]\nzipf = 1.0\nzipff = 2.0\n"), &target)
+	var keyErr *Error
+	if !errors.Is(err, ErrUnknownKey) || !errors.As(err, &keyErr) {
+		t.Fatalf("got error %v, want an *Error with ErrUnknownKey", err)
 	}
-	if want := (Error{File: "x.toml", Line: 3, Key: "clients.zipff", Err: ErrUnknownKey}); *fault != want {
-		t.Errorf("got %+v, want %+v", *fault, want)
+	if want := (Error{File: "x.toml", Line: 3, Key: "clients.zipff", Err: ErrUnknownKey}); *keyErr != want {
+		t.Errorf("got %+v, want %+v", *keyErr, want)
 	}
 }
 
-func TestLocateAddsThePlace(t *testing.T) {
+func TestLocateAddsFileAndLine(t *testing.T) {
 	cause := errors.New("too large")
 	located := Locate(&Error{Key: "clients.zipf", Err: cause}, "x.toml", []byte(sample))
 	if !errors.Is(located, cause) || located.Error() != "x.toml:4: clients.zipf: too large" {
-		t.Errorf("%v", located)
+		t.Errorf("got error %v, want x.toml:4: clients.zipf: too large", located)
 	}
 	other := errors.New("another")
 	if located := Locate(other, "x.toml", []byte(sample)); !errors.Is(located, other) || located.Error() != "another" {
-		t.Error("an error without a key was changed")
+		t.Errorf("got error %v, want the error without a key unchanged", located)
 	}
 }
