--- a/cmd/shaleyard/anyorder_test.go
+++ b/cmd/shaleyard/anyorder_test.go
@@ -23,7 +23,7 @@
 		}
 		sim.drainClients()
 		sim.finish()
-		checkNothingIsLeft(sim)
+		checkNoResourcesLeft(sim)
 		served += sim.served
 	}
 	if served < 10_000 {
@@ -31,7 +31,7 @@
 	}
 }
 
-func checkNothingIsLeft(sim *simulation) {
+func checkNoResourcesLeft(sim *simulation) {
 	sim.t.Helper()
 	requests, clientConns := sim.director.OpenRequests(), sim.downstream.Conns()
 	cacheConns, buffers := sim.upstream.NumConns(), sim.buffers.InUse()
--- a/cmd/shaleyard/command.go
+++ b/cmd/shaleyard/command.go
@@ -17,19 +17,19 @@
                          print what is done when whole sites are lost (docs/site-loss.md)
 `
 
-// errUsage reports a command line that can't be used, for which the usage has been printed.
+// errUsage is returned for an invalid command line after the cause or the usage text has been printed.
 var errUsage = errors.New("usage")
 
-// runCommand runs the command that the arguments name, and returns the exit status.
+// runCommand runs the command that args names and returns the exit status of the process.
 //
-// There are two commands, so this is the standard library's flag: a command-line library was tried, and cost each
-// director 2 MB of resident memory for what it links in.
-func runCommand(args []string, out, errs io.Writer) (status int) {
+// The two commands parse their options with the standard library's flag package: the code that a command-line library
+// links in costs each director 2 MB of resident memory.
+func runCommand(args []string, stdout, stderr io.Writer) (status int) {
 	var err error
 	if len(args) > 0 && args[0] == "plan" {
-		err = runPlan(args[1:], out, errs)
+		err = runPlan(args[1:], stdout, stderr)
 	} else {
-		err = runCheck(args, out, errs)
+		err = runCheck(args, stdout, stderr)
 	}
 	switch {
 	case err == nil, errors.Is(err, flag.ErrHelp):
@@ -37,21 +37,21 @@
 	case errors.Is(err, errUsage):
 		return exitUsage
 	}
-	fmt.Fprintln(errs, "shaleyard:", err)
+	fmt.Fprintln(stderr, "shaleyard:", err)
 	return exitUsage
 }
 
-// runCheck checks the operators' file that the arguments name and prints what it sets. The arguments begin with the
-// word check; options before it are parsed as well, so that --help is one.
-func runCheck(args []string, out, errs io.Writer) error {
+// runCheck checks the operators' file that args names and prints the settings in it. The first argument that is not an
+// option must be the word check. Options before that word are parsed as well, so that `shaleyard --help` works.
+func runCheck(args []string, stdout, stderr io.Writer) error {
 	flags := flag.NewFlagSet("shaleyard", flag.ContinueOnError)
-	flags.SetOutput(errs)
-	flags.Usage = func() { fmt.Fprint(errs, usage) }
+	flags.SetOutput(stderr)
+	flags.Usage = func() { fmt.Fprint(stderr, usage) }
 	if err := flags.Parse(args); err != nil {
 		if errors.Is(err, flag.ErrHelp) {
 			return err
 		}
-		return errUsage // the flag set has printed the error
+		return errUsage // Parse has already printed the error and the usage
 	}
 	if flags.NArg() != 2 || flags.Arg(0) != "check" {
 		flags.Usage()
@@ -62,7 +62,7 @@
 		return err
 	}
 	for _, line := range operatorFile.Describe() {
-		fmt.Fprintln(out, line)
+		fmt.Fprintln(stdout, line)
 	}
 	return nil
 }
--- a/cmd/shaleyard/connections_test.go
+++ b/cmd/shaleyard/connections_test.go
@@ -53,7 +53,7 @@
 	rejected := make(chan struct{})
 	for done := false; !done; {
 		env.program.eventLoop.Do(func() {
-			done = env.program.failures.rejected > 0
+			done = env.program.failures.rejectedConns > 0
 			rejected <- struct{}{}
 		})
 		<-rejected
@@ -121,7 +121,7 @@
 	for range 100 {
 		failures.onConnectionRejected(io.ErrUnexpectedEOF)
 	}
-	if count := strings.Count(text.String(), "\n"); count != 1 || failures.rejected != 100 {
-		t.Errorf("%d lines on %d rejections, want one on 100", count, failures.rejected)
+	if count := strings.Count(text.String(), "\n"); count != 1 || failures.rejectedConns != 100 {
+		t.Errorf("%d lines on %d rejections, want one on 100", count, failures.rejectedConns)
 	}
 }
--- a/cmd/shaleyard/failures.go
+++ b/cmd/shaleyard/failures.go
@@ -10,19 +10,20 @@
 	"shaleyard/routing"
 )
 
-// failureLogInterval is the shortest time between two log lines on failures of a kind.
+// failureLogInterval is the minimum time between two log lines for failures of the same kind.
 const failureLogInterval = time.Second
 
-// connectionFailures counts client connections that failed, and logs some of them.
+// connectionFailures counts failed accepts and client connections closed for a protocol error. It logs both at a
+// limited rate.
 type connectionFailures struct {
 	log *zap.Logger
 	now func() routing.Time
 
-	rejected           uint64
-	nextRejectionLogAt routing.Time // no line on a rejected connection before
+	rejectedConns      uint64
+	nextRejectionLogAt routing.Time // a rejected connection is not logged before this time
 
-	// Accepts fail on a goroutine of their own, not on the event loop.
-	accepts        atomic.Uint64
+	// Failed accepts are reported by the accepting goroutine, not by the event loop.
+	failedAccepts  atomic.Uint64
 	acceptLogLimit rate.Sometimes
 }
 
@@ -30,10 +31,11 @@
 	return &connectionFailures{log: log, now: now, acceptLogLimit: rate.Sometimes{Interval: failureLogInterval}}
 }
 
-// onConnectionRejected counts a connection that was closed for what came on it. It logs one a second at most: a client
-// that sends junk must not have the event loop write a line for each message.
+// onConnectionRejected counts a client connection that is closed because of invalid input. It logs at most one such
+// connection per failureLogInterval, so that a client that sends invalid data can't make the event loop write a log
+// line for each message.
 func (f *connectionFailures) onConnectionRejected(reason error) {
-	f.rejected++
+	f.rejectedConns++
 	now := f.now()
 	if now < f.nextRejectionLogAt {
 		return
@@ -41,14 +43,14 @@
 	f.nextRejectionLogAt = now + failureLogInterval
 	f.log.Info(
 		"connection closed for a protocol error",
-		zap.Uint64("count", f.rejected),
+		zap.Uint64("count", f.rejectedConns),
 		zap.NamedError("cause", reason),
 	)
 }
 
-// onAcceptFailed counts an accept that failed and is tried again. It may be called from any goroutine.
+// onAcceptFailed counts a failed accept, which the listener retries. It may be called from any goroutine.
 func (f *connectionFailures) onAcceptFailed(cause error) {
-	count := f.accepts.Add(1)
+	count := f.failedAccepts.Add(1)
 	f.acceptLogLimit.Do(func() {
 		f.log.Warn("accept failed, retrying", zap.Uint64("count", count), zap.NamedError("cause", cause))
 	})
--- a/cmd/shaleyard/interface_process_test.go
+++ b/cmd/shaleyard/interface_process_test.go
@@ -91,23 +91,23 @@
 
 // recordingProcess is a process behind the operators' address; it notes what it is told.
 type recordingProcess struct {
-	mu             sync.Mutex
-	ready, resumes bool
-	told           []string
+	mu               sync.Mutex
+	ready, canResume bool
+	calls            []string
 }
 
-func (p *recordingProcess) note(format string, args ...any) {
+func (p *recordingProcess) record(format string, args ...any) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.told = append(p.told, fmt.Sprintf(format, args...))
+	p.calls = append(p.calls, fmt.Sprintf(format, args...))
 }
 
-// take returns what the process was told since the last call.
-func (p *recordingProcess) take() []string {
+// takeCalls returns what the process was told since the last call.
+func (p *recordingProcess) takeCalls() []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	told := p.told
-	p.told = nil
+	told := p.calls
+	p.calls = nil
 	return told
 }
 
@@ -115,17 +115,17 @@
 func (p *recordingProcess) Ready() (bool, string) { return p.ready, "the reason" }
 
 // Drain implements admin.Process.
-func (p *recordingProcess) Drain() { p.note("drain") }
+func (p *recordingProcess) Drain() { p.record("drain") }
 
 // Resume implements admin.Process.
 func (p *recordingProcess) Resume() bool {
-	p.note("resume")
-	return p.resumes
+	p.record("resume")
+	return p.canResume
 }
 
 // Called implements admin.Process.
 func (p *recordingProcess) Called(method, path string, status int) {
-	p.note("logged %s %s %d", method, path, status)
+	p.record("logged %s %s %d", method, path, status)
 }
 
 // operatorCall makes one call of an address and describes its answer.
@@ -151,20 +151,20 @@
 // Each HTTP call of the operators' address: method, path, status, body, and what the process is told.
 func TestHTTPCalls(t *testing.T) {
 	var rows strings.Builder
-	for _, can := range []bool{true, false} {
-		process := &recordingProcess{ready: can, resumes: can}
+	for _, ready := range []bool{true, false} {
+		process := &recordingProcess{ready: ready, canResume: ready}
 		server, err := admin.Listen("127.0.0.1:0", 8, process)
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer server.Close()
 		go server.Serve()
-		fmt.Fprintf(&rows, "ready, and can resume: %v\n", can)
+		fmt.Fprintf(&rows, "ready, and can resume: %v\n", ready)
 		for _, path := range []string{"/healthcheck", "/healthcheck/fail", "/healthcheck/ok", "/healthcheck/", "/"} {
 			for _, method := range []string{http.MethodGet, http.MethodHead, http.MethodPut, http.MethodPost,
 				http.MethodDelete} {
 				answer := operatorCall(t, server.Address(), method, path)
-				fmt.Fprintf(&rows, "%s %q\n", answer, process.take())
+				fmt.Fprintf(&rows, "%s %q\n", answer, process.takeCalls())
 			}
 		}
 	}
--- a/cmd/shaleyard/lifecycle.go
+++ b/cmd/shaleyard/lifecycle.go
@@ -9,12 +9,13 @@
 	"shaleyard/routing"
 )
 
-// lifecycleController carries out what the lifecycle's state machine asks for, on the event loop.
+// lifecycleController applies the policy of the lifecycle state machine to the parts of the program. Its methods run on
+// the event loop, except logTransition.
 type lifecycleController struct {
-	program   *program
-	machine   *lifecycle.Machine // safe for concurrent use
-	startedAt routing.Time
-	check     timer.Timer // the next check for what is left of a drain or a stop
+	program    *program
+	machine    *lifecycle.Machine // safe for concurrent use
+	startedAt  routing.Time
+	checkTimer timer.Timer // next call of apply while a drain or a stop is under way
 }
 
 func newLifecycleController(prog *program, sharedListener bool) *lifecycleController {
@@ -24,8 +25,8 @@
 	return controller
 }
 
-// lifecycleTimeouts are the periods of drains and stops. A process that hands its listener over accepts requests for
-// longer.
+// lifecycleTimeouts returns the timeouts of drains and stops. With a shared listener, a stopping process accepts
+// requests for at least StopHandoverPeriod, while its clients move to the process that takes the listener over.
 func lifecycleTimeouts(limits *config.Limits, sharedListener bool) lifecycle.Timeouts {
 	timeouts := lifecycle.Timeouts{
 		DrainNoticePeriod: limits.DrainNoticePeriod,
@@ -40,29 +41,33 @@
 	return timeouts
 }
 
-// logTransition logs a transition, on whatever goroutine caused it.
+// logTransition logs a state transition. It runs on the goroutine that caused the transition, which may not be the
+// event loop's.
 func (c *lifecycleController) logTransition(change lifecycle.Transition) {
 	c.program.log.Info("state", zap.Stringer("from", change.From), zap.Stringer("to", change.To),
 		zap.Stringer("cause", change.Cause))
 }
 
-// onDiscoveryReady reports that the list service was reached, or has been waited for long enough. Purges and drains
-// since the configuration was written count as notified. So requests are accepted only once this director has asked for
-// them, though its turn to call may come late in the fleet's jitter window.
+// onDiscoveryReady makes the process ready. It is called when the watch on the list service connects for the first
+// time, and again when InitialListTimeout has passed since the start. The process is not ready earlier, because this
+// director counts as notified of all purges and drains that happened after the configuration was written. It must
+// request them first, although its turn to call the list service may come late in the fleet's jitter window.
 func (c *lifecycleController) onDiscoveryReady() {
 	c.machine.DiscoveryReady(c.program.now())
 	c.apply()
 }
 
-// ready reports whether the load balancer may send clients here.
+// ready reports whether the load balancer may send clients to this process.
 func (c *lifecycleController) ready() bool { return c.machine.Policy(c.program.now()).Ready }
 
-// ended reports whether the process is over, so that no connection is accepted any more.
+// ended reports whether the shutdown is complete. No connection is accepted from then on.
 func (c *lifecycleController) ended() bool { return c.machine.State() == lifecycle.Ended }
 
-// rejectUntil reports whether requests are rejected, and until when a client should stay away. They are while the
-// process is drained or stopped; and, with an initial jitter window, until what the list service has to say is known.
-// Each director then names the time of its own call, so that clients don't come back all at once.
+// rejectUntil reports whether new requests are rejected, and returns the time before which a rejected client should not
+// retry. Requests are rejected after the grace period of a drain or a stop. With an initial jitter window they are also
+// rejected after the start until the list service was reached, for InitialListTimeout at most. In that case the retry
+// time follows this director's own turn to call the list service, so that the clients of the fleet don't all retry at
+// once.
 func (c *lifecycleController) rejectUntil() (until routing.Time, reject bool) {
 	limits, discovery, now := c.program.limits, c.program.discovery, c.program.now()
 	if !c.machine.Policy(now).AcceptRequests {
@@ -74,8 +79,9 @@
 	return discovery.DialTime() + limits.MinWatchBackoff, true
 }
 
-// stop begins a graceful shutdown. Connections and requests are accepted for a while longer, as the load balancer hears
-// of it late; the program ends once every accepted request is answered and the answer read.
+// stop begins a graceful shutdown. Requests, and connections unless the listener is shared, are accepted until the
+// grace period ends, because the load balancer learns of the shutdown with a delay. The program ends when every
+// accepted request has been answered and the clients have read the answers, or at StopDeadline.
 func (c *lifecycleController) stop() {
 	now := c.program.now()
 	if !c.machine.Stop(now) {
@@ -86,7 +92,8 @@
 	c.apply()
 }
 
-// apply carries out the policy of the present state, and schedules the next check while a drain or a stop is under way.
+// apply applies the policy of the current state and takes the transition that is due, if any. It schedules its next
+// call while a drain or a stop is under way, and stops the event loop in the state Ended.
 func (c *lifecycleController) apply() {
 	now := c.program.now()
 	c.applyPolicy(c.machine.Policy(now))
@@ -99,14 +106,15 @@
 	case state == lifecycle.Ended:
 		c.program.eventLoop.Stop()
 	case state >= lifecycle.Stopping:
-		c.program.timers.Schedule(&c.check, now+c.program.limits.StopCheckInterval, c.apply)
+		c.program.timers.Schedule(&c.checkTimer, now+c.program.limits.StopCheckInterval, c.apply)
 	case state >= lifecycle.Draining:
-		c.program.timers.Schedule(&c.check, now+c.program.limits.DrainCheckInterval, c.apply)
+		c.program.timers.Schedule(&c.checkTimer, now+c.program.limits.DrainCheckInterval, c.apply)
 	default:
-		c.program.timers.Cancel(&c.check)
+		c.program.timers.Cancel(&c.checkTimer)
 	}
 }
 
+// applyPolicy has the event loop and the downstream server follow a policy.
 func (c *lifecycleController) applyPolicy(policy lifecycle.Policy) {
 	c.program.eventLoop.SetAccepting(policy.AcceptConnections)
 	if policy.KeepIdleConnections {
--- a/cmd/shaleyard/logger.go
+++ b/cmd/shaleyard/logger.go
@@ -7,8 +7,9 @@
 	"go.uber.org/zap/zapcore"
 )
 
-// newLogger returns a logger that writes one JSON object a line, from a level on: debug, info, warn or error; "" is
-// info. Nothing is buffered: a director may be killed at any moment, and its last line is the one that is wanted.
+// newLogger returns a logger that writes one JSON object per line, with the director's name in each. It drops messages
+// below level, which is debug, info, warn or error; an empty or unknown level means info. Output is not buffered, so
+// that the last lines before a SIGKILL are not lost.
 func newLogger(to io.Writer, level, name string) *zap.Logger {
 	minLevel, err := zapcore.ParseLevel(level)
 	if level == "" || err != nil {
--- a/cmd/shaleyard/main.go
+++ b/cmd/shaleyard/main.go
@@ -1,7 +1,7 @@
-// Command shaleyard is a director: it takes clients' requests, has edge caches, parents and the origin answer them as
-// the decision module in package routing says, and answers each request once. The other packages do the work; this one
-// wires them together and handles what surrounds them: command line, environment, configuration, signals, operators'
-// calls, logs and the exit status.
+// Command shaleyard is a director, a proxy between clients and edge caches. It accepts clients' requests, forwards them
+// to edge caches, parents and the origin as package routing decides, and answers each request exactly once. This
+// package wires the other packages together, and handles the command line, environment, configuration, signals,
+// operators' calls, logs and the exit status.
 package main
 
 import (
@@ -20,11 +20,11 @@
 	"shaleyard/internal/config"
 )
 
-// The exit statuses.
+// Exit statuses of the process.
 const (
 	exitOK      = 0
-	exitFailure = 1 // the configuration can't be used, or the process could not go on
-	exitUsage   = 2 // the command line, or a file of the operators, can't be used
+	exitFailure = 1 // the configuration is invalid, the start failed, or the event loop failed
+	exitUsage   = 2 // the command line or an operators' file is invalid
 )
 
 func main() {
@@ -38,7 +38,7 @@
 	os.Exit(exitStatus(err))
 }
 
-// exitStatus is the status for the error that ended the director, or for nil.
+// exitStatus returns the exit status for the error that ended the director, or exitOK for nil.
 func exitStatus(err error) int {
 	var badFile operatorFileError
 	switch {
@@ -51,19 +51,22 @@
 	}
 }
 
-// operatorFileError reports an operators' file that can't be used. It occurs before anything is started.
+// operatorFileError is the error for an operators' file that can't be read or is invalid. It occurs only before any
+// part of the director has started.
 type operatorFileError struct{ error }
 
-// Unwrap returns the cause.
+// Unwrap returns the error of reading the file.
 func (e operatorFileError) Unwrap() error { return e.error }
 
-// run is the director, from its start to the end of its event loop.
+// run starts the director and serves until its event loop ends. It returns the error that prevented the start or ended
+// the event loop, or nil after a graceful shutdown. Logs are written to logTo.
 func run(getenv func(string) string, logTo io.Writer) error {
 	var descriptors syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &descriptors); err != nil {
-		return fmt.Errorf("descriptors: %w", err)
+		return fmt.Errorf("get the descriptor limit: %w", err)
 	}
-	// From here on no signal that the program handles ends it by default, also while it starts.
+	// From here on, a signal that the program handles no longer ends the process by its default action, even if it
+	// arrives during the start.
 	received := notifySignals()
 	defer received.stop()
 
@@ -84,7 +87,7 @@
 	if err := prog.discovery.Bootstrap(conf.Bootstrap); err != nil {
 		return err
 	}
-	conf.Bootstrap = config.Bootstrap{} // it has been applied, and would take up memory for good
+	conf.Bootstrap = config.Bootstrap{} // already applied; frees its memory
 
 	operators := &operatorAPI{program: prog}
 	if conf.OperatorAddress != "" {
@@ -108,7 +111,8 @@
 	return err
 }
 
-// loadOperatorFile reads the file that SHALEYARD_CONFIG names; without one the defaults hold.
+// loadOperatorFile reads the operators' file that SHALEYARD_CONFIG names. If SHALEYARD_CONFIG is empty, it returns an
+// empty file, which leaves all defaults in place.
 func loadOperatorFile(getenv func(string) string) (*config.OperatorFile, error) {
 	path := getenv("SHALEYARD_CONFIG")
 	if path == "" {
@@ -121,7 +125,8 @@
 	return operatorFile, nil
 }
 
-// loadConfig reads the file that EDGE_CONFIG names, and puts what the operators' file sets in place of the defaults.
+// loadConfig reads the configuration file that EDGE_CONFIG names, and overrides default limits with those that the
+// operators' file sets. The number of descriptors is the limit of the process.
 func loadConfig(
 	getenv func(string) string,
 	descriptors uint64,
@@ -135,10 +140,10 @@
 	return conf, nil
 }
 
-// setRuntimeLimits tells the Go runtime of the memory and the cores that the process may use.
+// setRuntimeLimits sets the Go runtime's memory limit and GOMAXPROCS from the memory and cores in limits.
 func setRuntimeLimits(limits *config.Limits) {
 	debug.SetMemoryLimit(limits.MemoryBytes)
-	// One more than the cores: the event loop blocks in epoll_wait, and timers and dials must not wait until the
-	// runtime notices that.
+	// GOMAXPROCS is one more than the cores, because the event loop blocks in epoll_wait. Timers and dials must not be
+	// delayed until the runtime detects that its thread is blocked.
 	runtime.GOMAXPROCS(int(math.Ceil(limits.Cores)) + 1)
 }
--- a/cmd/shaleyard/operatorapi.go
+++ b/cmd/shaleyard/operatorapi.go
@@ -6,14 +6,15 @@
 	"go.uber.org/zap"
 )
 
-// operatorAPI is the process as the operators' address sees it. Nothing here waits for the event loop, so that calls
-// are answered also while it is stalled.
+// operatorAPI implements admin.Process: it handles the calls of the operators' HTTP address. None of its methods waits
+// for the event loop, so that calls are answered even while the event loop is stalled.
 type operatorAPI struct {
 	program *program
-	booted  atomic.Bool // the event loop runs
+	booted  atomic.Bool // whether the event loop has started
 }
 
-// Ready implements admin.Process.
+// Ready implements admin.Process. The process is not ready if its lifecycle state says so, or if the event loop has not
+// run for LoopStallThreshold; why names the state or the stall.
 func (o *operatorAPI) Ready() (ready bool, why string) {
 	now, machine := o.program.now(), o.program.lifecycle.machine
 	if !machine.Policy(now).Ready {
@@ -39,7 +40,8 @@
 	return resumed
 }
 
-// applyLifecycle has the event loop carry out a transition; before it runs there is nothing to carry out.
+// applyLifecycle has the event loop apply the policy of the lifecycle state. Before the event loop has started it does
+// nothing, because the start applies the policy.
 func (o *operatorAPI) applyLifecycle() {
 	if o.booted.Load() {
 		o.program.eventLoop.Do(o.program.lifecycle.apply)
--- a/cmd/shaleyard/pauses.go
+++ b/cmd/shaleyard/pauses.go
@@ -6,21 +6,23 @@
 	"go.uber.org/zap"
 )
 
-// pauseHandler suspends decisions after the process was paused: stopped, or kept from the processor.
+// pauseHandler suspends routing decisions after a pause of the process, which was stopped by a signal or got no
+// processor time.
 type pauseHandler struct {
-	program *program
-	count   uint64
-	long    bool // the pause that is settling was long, or one of several that settle together
+	program   *program
+	count     uint64
+	longPause bool // whether a pause since the last call of onSettled exceeded LongPauseThreshold
 }
 
-// onPause is called before anything else happens after a pause. Nothing is decided until what came meanwhile is read: a
-// cache may be draining or an object purged, and both count as notified.
+// onPause handles a pause of length gap. The event loop calls it before it handles anything else after the pause.
+// Routing decisions are suspended until the input that arrived during the pause is read: it may hold the drain of a
+// cache or the purge of an object, and this director counts as notified of both.
 func (h *pauseHandler) onPause(gap time.Duration) {
 	h.count++
 	if gap > h.program.limits.LongPauseThreshold {
-		h.long = true
+		h.longPause = true
 	}
-	if h.long {
+	if h.longPause {
 		h.program.log.Warn("paused: suspended until pending input is read", zap.Duration("for", gap),
 			zap.Int("open_requests", h.program.director.OpenRequests()))
 	}
@@ -28,8 +30,9 @@
 	h.program.discovery.HandlePause()
 }
 
-// onSettled is called once what had come during the pause is read.
+// onSettled resumes routing decisions. The event loop calls it when the settle time after a pause is over, in which the
+// input that arrived during the pause is read.
 func (h *pauseHandler) onSettled() {
-	h.program.director.Resume(h.long)
-	h.long = false
+	h.program.director.Resume(h.longPause)
+	h.longPause = false
 }
--- a/cmd/shaleyard/plan.go
+++ b/cmd/shaleyard/plan.go
@@ -14,18 +14,19 @@
 	"shaleyard/internal/strictconfig"
 )
 
-// planOptions are the options of the plan command.
+// planOptions holds the options of the plan command.
 type planOptions struct {
-	settingsFile string // EDGE_CONFIG's file, or the settings alone
-	operatorFile string // "": the defaults
-	lostSites    string // separated by commas; "": each site, and each pair
+	settingsFile string // file that EDGE_CONFIG names, or a file of its settings alone
+	operatorFile string // empty: all defaults
+	lostSites    string // separated by commas; empty: each single site and each pair of sites
 	asJSON       bool
 }
 
-func parsePlanOptions(args []string, errs io.Writer) (planOptions, error) {
+// parsePlanOptions parses the arguments after the word plan. It prints errors of options and the usage to stderr.
+func parsePlanOptions(args []string, stderr io.Writer) (planOptions, error) {
 	var options planOptions
 	flags := flag.NewFlagSet("shaleyard plan", flag.ContinueOnError)
-	flags.SetOutput(errs)
+	flags.SetOutput(stderr)
 	flags.StringVar(&options.settingsFile, "settings", "", "`FILE` that EDGE_CONFIG names, or the settings in it alone")
 	flags.StringVar(
 		&options.operatorFile,
@@ -50,10 +51,10 @@
 	return options, nil
 }
 
-// runPlan prints the failover plans for lost sites, worked out from the operators' file and a director's configuration,
-// or its settings alone where the operators' file has the capacity of each site.
-func runPlan(args []string, out, errs io.Writer) error {
-	options, err := parsePlanOptions(args, errs)
+// runPlan prints the failover plans for lost sites. It computes them from a director's configuration and the operators'
+// file. The settings of the configuration are enough if the operators' file sets the capacity of each site.
+func runPlan(args []string, stdout, stderr io.Writer) error {
+	options, err := parsePlanOptions(args, stderr)
 	if err != nil {
 		return err
 	}
@@ -69,10 +70,11 @@
 		}
 		plans = []*failover.Plan{plan}
 	}
-	return printPlans(out, plans, options.asJSON)
+	return printPlans(stdout, plans, options.asJSON)
 }
 
-// loadPlanner reads the files that the options name. An error on an override of the operators' file names its line.
+// loadPlanner returns a planner for the files that the options name. An error that an override in the operators' file
+// causes names the override's line.
 func loadPlanner(options planOptions) (*failover.Planner, error) {
 	operatorFile, operatorText := &config.OperatorFile{}, []byte(nil)
 	if options.operatorFile != "" {
@@ -100,7 +102,8 @@
 	return planner, nil
 }
 
-// locateOverride adds the file and the line to an error on an override.
+// locateOverride wraps an error that an override causes with the override's file and line. It returns other errors
+// unchanged.
 func locateOverride(err error, file string, text []byte) error {
 	var override *failover.OverrideError
 	if !errors.As(err, &override) {
@@ -109,14 +112,15 @@
 	return fmt.Errorf("%s:%d: %w", file, strictconfig.FindLine(text, override.Key), err)
 }
 
-func printPlans(out io.Writer, plans []*failover.Plan, asJSON bool) error {
+// printPlans prints the plans as tables, or as one JSON array.
+func printPlans(stdout io.Writer, plans []*failover.Plan, asJSON bool) error {
 	if asJSON {
-		encoder := json.NewEncoder(out)
+		encoder := json.NewEncoder(stdout)
 		encoder.SetIndent("", "  ")
 		return encoder.Encode(plans)
 	}
 	for _, plan := range plans {
-		plan.Print(out)
+		plan.Print(stdout)
 	}
 	return nil
 }
--- a/cmd/shaleyard/program.go
+++ b/cmd/shaleyard/program.go
@@ -22,8 +22,8 @@
 	"shaleyard/routing"
 )
 
-// program is the parts of a director, wired together. Everything but log, config and limits belongs to the event loop,
-// unless a part says otherwise.
+// program holds the parts of a director. Except for log, config and limits, the parts may be used only on the event
+// loop, unless the documentation of a part allows concurrent use.
 type program struct {
 	log    *zap.Logger
 	config *config.Config
@@ -46,9 +46,9 @@
 	reporter  *reporter
 }
 
-// newProgram wires the parts for a configuration. Nothing runs yet; an error names the setting at fault. Each part is
-// made after those that it is given, but the director and the upstream side need each other: the director is made
-// first, and SetUpstream completes it.
+// newProgram creates the parts of a director for a configuration and wires them together, but starts none of them. An
+// error names the invalid setting. Each part is created after the parts that it depends on. The director and the
+// upstream pools depend on each other, so the director is created first and receives the pools from SetUpstream.
 func newProgram(conf *config.Config, overrides failover.Overrides, log *zap.Logger) (*program, error) {
 	prog := &program{log: log, config: conf, limits: &conf.Limits, now: clock.New().Now}
 	settings := &conf.Settings
@@ -128,7 +128,8 @@
 	})
 }
 
-// newEventLoop returns the event loop. What it calls once it runs is complete only when newProgram has returned.
+// newEventLoop returns the event loop, which must not run before newProgram has returned: some of the parts that its
+// callbacks use are created later.
 func (p *program) newEventLoop() *eventloop.Loop {
 	return &eventloop.Loop{
 		Timers:         &p.timers,
@@ -145,8 +146,8 @@
 	}
 }
 
-// siteOptions say how the health of whole sites is followed. A failover plan that can't be made must not keep the
-// director from starting: it goes on as without one.
+// siteOptions returns the options for monitoring the health of whole sites, with the failover planner. If the overrides
+// don't allow a plan, it logs the error and returns options without a planner, so that the director starts anyway.
 func (p *program) siteOptions(overrides failover.Overrides) sitehealth.Options {
 	logFailure := func(err error) { p.log.Warn("no plan for lost sites", zap.Error(err)) }
 	planner, err := failover.NewLocalPlanner(&p.config.Settings, overrides, logFailure)
@@ -165,7 +166,8 @@
 	return options
 }
 
-// newBackoff returns the schedule of this director's calls of the list service, among those of the fleet.
+// newBackoff returns the backoff that schedules this director's calls of the list service. It takes the size of the
+// fleet and this director's index in it into account, to spread the calls of all directors.
 func (p *program) newBackoff() *discovery.Backoff {
 	settings := &p.config.Settings
 	return discovery.NewBackoff(discovery.BackoffConfig{
@@ -181,7 +183,8 @@
 	}, p.config.Seed)
 }
 
-// start begins to watch the list service. It is called on the event loop, as the first thing there.
+// start starts the watch on the list service, applies the first lifecycle policy, and starts the periodic log of the
+// counters. The event loop calls it once, before it handles any event.
 func (p *program) start() {
 	now := p.now()
 	p.lifecycle.startedAt = now
@@ -191,17 +194,18 @@
 	p.timers.ScheduleFunc(now+p.limits.CountersInterval, p.reporter.logCountersPeriodically)
 }
 
-// acceptor hands accepted connections to the downstream server.
+// acceptor passes accepted connections to the downstream server. It implements eventloop.Acceptor.
 type acceptor struct{ program *program }
 
-// Accept implements eventloop.Acceptor.
+// Accept implements eventloop.Acceptor. It returns nil, which closes the connection, if the shutdown is complete or the
+// downstream server refuses the connection.
 func (a acceptor) Accept(conn eventloop.Conn) eventloop.Session {
 	if a.program.lifecycle.ended() {
 		return nil
 	}
 	session := a.program.downstream.Accept(conn)
 	if session == nil {
-		return nil // not a nil pointer in an interface
+		return nil // an interface holding a nil *downstream.Connection would not equal nil
 	}
 	return session
 }
--- a/cmd/shaleyard/signals.go
+++ b/cmd/shaleyard/signals.go
@@ -11,16 +11,16 @@
 	"shaleyard/internal/config"
 )
 
-// signals are the signals that were received and not handled yet. The runtime drops a signal for which its channel has
-// no room, so that each kind has a channel of its own: one signal that waits stands for all of its kind, and a
-// termination is never lost behind others, however long a reload takes to read its file.
+// signals holds the signals that were received and are not handled yet. Package os/signal drops a signal if its channel
+// is full, so each kind has a separate channel with room for one: a waiting signal also represents later signals of its
+// kind, and a termination signal is not dropped while a reload takes long to read its file.
 type signals struct {
 	terminate chan os.Signal // SIGTERM, SIGINT
 	reload    chan os.Signal // SIGHUP
 	report    chan os.Signal // SIGUSR1
 }
 
-// notifySignals begins to receive signals.
+// notifySignals starts to receive SIGTERM, SIGINT, SIGHUP and SIGUSR1, and returns the channels for them.
 func notifySignals() signals {
 	received := signals{
 		terminate: make(chan os.Signal, 1),
@@ -33,44 +33,46 @@
 	return received
 }
 
-// stop leaves the signals to their default actions.
+// stop stops receiving the signals, which have their default actions again.
 func (s signals) stop() {
 	signal.Stop(s.terminate)
 	signal.Stop(s.reload)
 	signal.Stop(s.report)
 }
 
-// handleSignals handles signals from now on, each kind on a goroutine of its own; load reads the configuration anew.
+// handleSignals starts a goroutine for each kind of signal, which has the event loop handle the signals. On SIGHUP,
+// load reads the configuration again.
 func (p *program) handleSignals(received signals, load func() (*config.Config, error)) {
 	go forEach(received.report, func() { p.eventLoop.Do(p.reporter.onReportSignal) })
 	go forEach(received.reload, func() {
-		conf, err := load() // not on the event loop, which goes on serving requests
+		conf, err := load() // on this goroutine, so that the event loop continues to serve requests
 		p.eventLoop.Do(func() { p.reloader.reload(conf, err) })
 	})
 	go forEach(received.terminate, func() { p.eventLoop.Do(p.lifecycle.stop) })
 }
 
-// forEach calls a function for each signal that is received.
+// forEach calls handle for each signal from the channel. It returns only if the channel is closed.
 func forEach(received <-chan os.Signal, handle func()) {
 	for range received {
 		handle()
 	}
 }
 
-// onReportSignal logs the counters and the latest events.
+// onReportSignal logs the counters and the latest events, on SIGUSR1.
 func (r *reporter) onReportSignal() {
 	r.logCounters()
 	r.logLatestEventsAsync("SIGUSR1", r.program.limits.FlightRecorderEvents)
 }
 
-// reloader applies configurations that are read while the program runs.
+// reloader applies configurations that are reloaded while the program runs, and counts the reloads.
 type reloader struct {
 	program           *program
 	succeeded, failed uint64
 }
 
-// reload applies a configuration, or reports the error on reading it. Only the address of the list service can change
-// while the program runs; a configuration that is bad, or that is for another director, changes nothing.
+// reload applies a reloaded configuration; err is the error from reading it, if any. Only the address of the list
+// service takes effect while the program runs. An invalid configuration, or one for another director, is rejected,
+// logged and counted as failed, and changes nothing.
 func (r *reloader) reload(conf *config.Config, err error) {
 	current, log := r.program.config, r.program.log
 	if err == nil {
--- a/cmd/shaleyard/site.go
+++ b/cmd/shaleyard/site.go
@@ -16,11 +16,11 @@
 	"shaleyard/routing"
 )
 
-// maxSiteEndpoints bounds the endpoints that the plan command reads.
+// maxSiteEndpoints is the maximum number of endpoints that the plan command reads from a configuration.
 const maxSiteEndpoints = 4096
 
-// readSite reads the settings from a director's configuration, or from a file that holds them alone, and the endpoints
-// that the configuration knows.
+// readSite returns the settings and the known endpoints from a director's configuration file. The file may also hold
+// the settings alone, in which case no endpoints are returned.
 func readSite(path string) (*routing.Settings, []routing.Endpoint, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -50,8 +50,8 @@
 	return settings, endpoints, nil
 }
 
-// bootstrapEndpoints are the endpoints after the events of a bootstrap, read as a director reads them, but without a
-// call of the list service.
+// bootstrapEndpoints returns the endpoints that result from the events of a bootstrap. It applies the events with a
+// discovery.Watcher, as a director does, but does not call the list service.
 func bootstrapEndpoints(settings *routing.Settings, known config.Bootstrap) ([]routing.Endpoint, error) {
 	list := &endpointList{}
 	limits := &config.Limits{MaxMembers: maxSiteEndpoints}
@@ -61,7 +61,7 @@
 		ApplyWithin:   2 * time.Second,
 		NotifiedAfter: 7 * time.Second,
 	}, 0)
-	watcher := discovery.New(discovery.Config{ // never started, so that it needs no address and no dialer
+	watcher := discovery.New(discovery.Config{ // never started, so it needs no address and no dialer
 		Limits:   limits,
 		Settings: settings,
 		Backoff:  backoff,
@@ -76,10 +76,12 @@
 	return list.routingEndpoints(), nil
 }
 
-// endpointList is the endpoint list that a watch comes to, by name. It implements discovery.Sink.
+// endpointList holds the endpoints that a discovery.Watcher reports, at most one for each name. It implements
+// discovery.Sink.
 type endpointList struct{ entries []director.Endpoint }
 
-// UpdateEndpoints applies a change of the list, or the full list.
+// UpdateEndpoints implements discovery.Sink. It replaces the whole list if full is set, and otherwise the endpoints
+// with the names in changed.
 func (l *endpointList) UpdateEndpoints(full bool, _ uint64, changed []director.Endpoint) {
 	if full {
 		l.entries = l.entries[:0]
@@ -93,10 +95,10 @@
 	}
 }
 
-// Purge implements discovery.Sink: purges have no part in a plan.
+// Purge implements discovery.Sink. It does nothing, because purges don't affect a plan.
 func (*endpointList) Purge(director.Purge) {}
 
-// routingEndpoints are the endpoints as the decision module knows them.
+// routingEndpoints returns the endpoints in the form that package routing uses.
 func (l *endpointList) routingEndpoints() []routing.Endpoint {
 	endpoints := make([]routing.Endpoint, 0, len(l.entries))
 	for _, entry := range l.entries {
