--- a/cmd/shaleyard/command_test.go
+++ b/cmd/shaleyard/command_test.go
@@ -9,7 +9,9 @@
 	"testing"
 )
 
-func TestCheckOfAnOperatorsFile(t *testing.T) {
+// TestCheckAndPlanCommands checks the exit status and a part of the output of the check and plan commands, with valid
+// and invalid files and options.
+func TestCheckAndPlanCommands(t *testing.T) {
 	bad := filepath.Join(t.TempDir(), "bad.toml")
 	if err := os.WriteFile(bad, []byte("[list]\nhaste = 1\n"), 0o600); err != nil {
 		t.Fatal(err)
@@ -42,9 +44,9 @@
 	}, ",")+`]}}]}}`)
 	pinned := write("pin.toml", "[plan]\n[[plan.pin]]\nlost = \"west\"\nfrom = \"edge\"\nto = \"edge\"\nshare = 0.5\n")
 	for _, test := range []struct {
-		args   []string
-		status int
-		says   string
+		args       []string
+		status     int
+		wantOutput string
 	}{
 		{[]string{"check", "../../deploy/shaleyard.toml"}, 0, "list.heed_ms: 2s"},
 		{[]string{"check", bad}, 2, "bad.toml:2: list.haste: no such key"},
@@ -62,14 +64,17 @@
 		{[]string{"--help"}, 0, "check an operators' file"},
 	} {
 		var out strings.Builder
-		if got := runCommand(test.args, &out, &out); got != test.status || !strings.Contains(out.String(), test.says) {
-			t.Errorf("%v: status %d, %q; want %d, %q", test.args, got, out.String(), test.status, test.says)
+		if got := runCommand(test.args, &out, &out); got != test.status ||
+			!strings.Contains(out.String(), test.wantOutput) {
+			t.Errorf("%v: got status %d, output %q; want status %d, output with %q", test.args, got, out.String(),
+				test.status, test.wantOutput)
 		}
 	}
 }
 
-// A bad operators' file ends the program with status 2 before anything starts.
-func TestBadOperatorsFileEndsTheStart(t *testing.T) {
+// TestInvalidOperatorFilePreventsStart checks that a process with an invalid operators' file exits with status 2 at its
+// start and reports the line and the key.
+func TestInvalidOperatorFilePreventsStart(t *testing.T) {
 	bad := filepath.Join(t.TempDir(), "bad.toml")
 	if err := os.WriteFile(bad, []byte("[pause]\nlimit_ms = 1\n"), 0o600); err != nil {
 		t.Fatal(err)
@@ -79,6 +84,6 @@
 	out, err := cmd.CombinedOutput()
 	if cmd.ProcessState.ExitCode() != 2 ||
 		!strings.Contains(string(out), "bad.toml:2: pause.limit_ms: 1 is not within") {
-		t.Errorf("%v, %q", err, out)
+		t.Errorf("got %v, output %q; want exit status 2 and the invalid key", err, out)
 	}
 }
--- a/cmd/shaleyard/configuration_test.go
+++ b/cmd/shaleyard/configuration_test.go
@@ -10,8 +10,9 @@
 	"shaleyard/internal/nettest"
 )
 
-// A plan that names sites which the platform does not have is logged, and the program starts and serves all the same.
-func TestPlanThatCantBeMadeKeepsNobodyFromStarting(t *testing.T) {
+// TestInvalidPlanDoesNotPreventStart checks that plan overrides which name unknown sites or don't fit the classes are
+// logged, and that the program can be created and bootstrapped anyway.
+func TestInvalidPlanDoesNotPreventStart(t *testing.T) {
 	env := newHarness(t)
 	conf, err := config.Parse(env.configJSON(1024), 1024)
 	if err != nil {
@@ -25,24 +26,26 @@
 		var log strings.Builder
 		prog, err := newProgram(conf, overrides, newLogger(&log, "", conf.Name))
 		if err != nil || prog.discovery.Bootstrap(conf.Bootstrap) != nil {
-			t.Fatalf("%s: %v", wantLogged, err)
+			t.Fatalf("%q: newProgram or Bootstrap failed: %v", wantLogged, err)
 		}
 		logged := strings.Contains(log.String(), "no plan for lost sites")
 		if logged != (wantLogged != "") || !strings.Contains(log.String(), wantLogged) {
-			t.Errorf("%q: log %q", wantLogged, log.String())
+			t.Errorf("got log %q, want a failed plan with %q", log.String(), wantLogged)
 		}
 	}
 }
 
-// A new configuration comes while requests are open. A bad file, or another director's, must change nothing;
-// a good one moves the watch to another address, from the last event on; and SIGHUP must not end the program.
-func TestReloadMovesTheFeedAndKeepsRequests(t *testing.T) {
+// TestReloadRedirectsWatchAndKeepsRequests reloads the configuration by SIGHUP while a request is open. An invalid
+// file, or one for another director, must change nothing. A valid file must redirect the watch to the new address,
+// where it resumes after the last applied event. The request must still be answered, and SIGHUP must not end the
+// program.
+func TestReloadRedirectsWatchAndKeepsRequests(t *testing.T) {
 	env := newHarness(t)
 	text := env.configJSON(256)
 	child := startProcess(t, text, 256)
-	old := env.discovery.Accept()
-	old.ReadLine()
-	old.Send(`{"n":2,"purge":{"group":3,"at":1}}` + "\n")
+	oldWatch := env.discovery.Accept()
+	oldWatch.ReadLine()
+	oldWatch.Send(`{"n":2,"purge":{"group":3,"at":1}}` + "\n")
 	client := nettest.Dial(t, child.address)
 	client.Submit(1, "", requestFields("media", ref1)...)
 	cacheConn := env.cache.Accept()
@@ -56,39 +59,40 @@
 	child.writeConfig(env.configJSON(256))
 	child.signal(syscall.SIGHUP)
 	if got := env.discovery.Accept().ReadLine(); got != "SUB 2" {
-		t.Errorf("the new feed was asked %q", got)
+		t.Errorf("the new list service received %q, want %q", got, "SUB 2")
 	}
-	if got := old.ReadUntilClose(); got != "" {
-		t.Errorf("the old feed was told %q", got)
+	if got := oldWatch.ReadUntilClose(); got != "" {
+		t.Errorf("the old list service received %q, want nothing", got)
 	}
 	cacheConn.WriteArray(ref1, "OK", "n=HIT", "kept")
 	env.wantReply(client.ReadReply(), nettest.Reply{Seq: 1, Body: "kept", Good: true})
 	child.stopGracefully()
 }
 
-// After a loss the watch resumes from the last event on, and a new cache at an old address is another endpoint: nothing
-// may go to it on the connections of the one that has gone.
-func TestFeedResumesAndANewCacheIsAnotherPeer(t *testing.T) {
+// TestWatchResumesAndReplacedCacheGetsNewConnection checks that a lost watch resumes after the last applied event, and
+// that a new cache at the address of a removed cache is a different endpoint: requests to the new cache must not be
+// sent on connections to the removed one.
+func TestWatchResumesAndReplacedCacheGetsNewConnection(t *testing.T) {
 	env := startProgram(t)
 	watch := env.discovery.Accept()
 	if got := watch.ReadLine(); got != "SUB 1" {
-		t.Errorf("subscribed with %q", got)
+		t.Errorf("subscribed with %q, want %q", got, "SUB 1")
 	}
 	client := env.dial()
 	client.Submit(1, "", requestFields("media", ref1)...)
-	old := env.cache.Accept()
-	old.ReadCommand()
-	old.WriteArray(ref1, "OK", "n=HIT", "old")
+	oldConn := env.cache.Accept()
+	oldConn.ReadCommand()
+	oldConn.WriteArray(ref1, "OK", "n=HIT", "old")
 	client.ReadReply()
 	watch.Send(membersEvent(2, false, endpointJSON("c1", env.cache.Addr(), "here", "edge", "gone"),
 		endpointJSON("c2", env.cache.Addr(), "here", "edge", "ready")) + "\nnonsense\n")
 	watch.ReadUntilClose()
 	watch = env.discovery.Accept()
 	if got := watch.ReadLine(); got != "SUB 2" {
-		t.Errorf("resumed with %q", got)
+		t.Errorf("resumed with %q, want %q", got, "SUB 2")
 	}
-	if got := old.ReadUntilClose(); got != "" {
-		t.Errorf("the cache that has gone got %q", got)
+	if got := oldConn.ReadUntilClose(); got != "" {
+		t.Errorf("the removed cache received %q, want nothing", got)
 	}
 	client.Submit(2, "", requestFields("media", ref2)...)
 	cacheConn := env.cache.Accept()
--- a/cmd/shaleyard/connections_test.go
+++ b/cmd/shaleyard/connections_test.go
@@ -11,39 +11,44 @@
 	"shaleyard/routing"
 )
 
-// What one connection brings must end neither another nor the program.
-func TestBadInputEndsOnlyItsConnection(t *testing.T) {
+// TestInvalidInputClosesOnlyItsConnection checks that invalid input on a connection closes neither another connection
+// nor the program. Input that is a valid frame with an unknown method or invalid fields is answered and keeps its
+// connection open, and an invalid answer of a cache fails only its attempt.
+func TestInvalidInputClosesOnlyItsConnection(t *testing.T) {
 	env := startProgram(t)
-	good := env.dial()
+	client := env.dial()
 	for _, junk := range []string{"GET / HTTP/1.1\r\n\r\n", "\x00\x00\x00\x00", "\xff\xff\xff\xff",
 		"\x00\x00\x00\x01\x80"} {
-		bad := env.dial()
-		bad.Send(junk)
-		if got := bad.ReadUntilClose(); got != "" {
-			t.Errorf("%q was answered %q", junk, got)
+		invalid := env.dial()
+		invalid.Send(junk)
+		if got := invalid.ReadUntilClose(); got != "" {
+			t.Errorf("%q was answered %q, want no answer", junk, got)
 		}
 	}
-	good.Send(nettest.Frame(1, "nonsense", 1, nil))
-	if reply := good.ReadReply(); !reply.Application || reply.Seq != 1 {
-		t.Errorf("unknown method: %+v", reply)
+	client.Send(nettest.Frame(1, "nonsense", 1, nil))
+	if reply := client.ReadReply(); !reply.Application || reply.Seq != 1 {
+		t.Errorf("unknown method: got %+v, want an application error for call 1", reply)
 	}
-	good.Submit(2, "", "service", "media", "ref", "short")
-	if reply := good.ReadReply(); !reply.Application || reply.Seq != 2 {
-		t.Errorf("bad fields: %+v", reply)
+	client.Submit(2, "", "service", "media", "ref", "short")
+	if reply := client.ReadReply(); !reply.Application || reply.Seq != 2 {
+		t.Errorf("invalid fields: got %+v, want an application error for call 2", reply)
 	}
-	good.Submit(3, "", requestFields("media", ref1)...)
+	client.Submit(3, "", requestFields("media", ref1)...)
 	cacheConn := env.cache.Accept()
 	cacheConn.ReadCommand()
 	cacheConn.WriteArray(ref1, "WHAT", "-", "")
-	cacheConn = env.cache.Accept() // not on the connection of the first attempt, where another answer might still come
-	cacheConn.ReadCommand()        // the bad answer failed its attempt; the origin or the cache gets another
+	// The invalid answer failed its attempt. The next attempt uses a new connection, because another answer to the
+	// first attempt might still arrive on the old one.
+	cacheConn = env.cache.Accept()
+	cacheConn.ReadCommand()
 	cacheConn.WriteArray(ref1, "OK", "n=HIT", "x")
-	env.wantReply(good.ReadReply(), nettest.Reply{Seq: 3, Body: "x", Good: true})
+	env.wantReply(client.ReadReply(), nettest.Reply{Seq: 3, Body: "x", Good: true})
 }
 
-// A client sends a request and then what is no message. The answer, which comes later, reaches it whole, and the
-// connection ends in good order after it: a close before all that it sent was read would have reset it.
-func TestAnswerOutlivesABadStream(t *testing.T) {
+// TestAnswerIsDeliveredAfterInvalidFrame has a client send a request and then an invalid frame before the request is
+// answered. The answer must still arrive complete, followed by an orderly close. Closing the connection before all
+// input of the client was read would reset it, and the answer would be lost.
+func TestAnswerIsDeliveredAfterInvalidFrame(t *testing.T) {
 	env := startProgram(t)
 	client := env.dial()
 	client.Submit(1, "", requestFields("media", ref1)...)
@@ -61,45 +66,47 @@
 	cacheConn.WriteArray(ref1, "OK", "n=HIT", "whole")
 	env.wantReply(client.ReadReply(), nettest.Reply{Seq: 1, Body: "whole", Good: true})
 	if rest := client.ReadUntilEOF(); rest != "" {
-		t.Errorf("%q behind the answer", rest)
+		t.Errorf("received %q after the answer, want nothing", rest)
 	}
 }
 
-// The loop accepts with SO_REUSEPORT, which by itself would let two programs share an address unnoticed.
+// TestAddressInUseIsAnError checks that a second program can't listen on an address in use. The event loop listens with
+// SO_REUSEPORT, which alone would let two programs share an address without an error.
 func TestAddressInUseIsAnError(t *testing.T) {
 	env := startProgram(t)
 	err := env.program.eventLoop.Run(env.program.eventLoop.Address())
 	if err == nil || !strings.Contains(err.Error(), "in use") {
-		t.Errorf("a second program on the address: %v", err)
+		t.Errorf("second program on the address: got error %v, want \"in use\"", err)
 	}
 }
 
-// Clients may hold a third of the descriptors. Connections on which nothing has come are evicted for those on which
-// requests come, and none that waits for an answer is.
-func TestSilentConnectionsMakeRoom(t *testing.T) {
+// TestSilentConnectionsAreEvicted opens more client connections than the limit, which is a third of the descriptors.
+// Connections on which no request has come must be evicted for new ones, but not a connection that waits for an answer.
+func TestSilentConnectionsAreEvicted(t *testing.T) {
 	env := startWithDescriptors(t, 66)
 	waiting := env.dial()
 	waiting.Submit(1, "", requestFields("media", ref1)...)
 	cacheConn := env.cache.Accept()
 	cacheConn.ReadCommand()
-	const dialled, clientShare = 50, 22 // a third of the descriptors
+	const dialled, maxClientConns = 50, 22 // the limit is a third of the 66 descriptors
 	silent := make([]*nettest.Conn, dialled)
 	for i := range silent {
 		silent[i] = env.dial()
 	}
 	if reply := env.dial().Heartbeat(1); reply.Seq != 1 {
-		t.Errorf("answer to call %d, want 1", reply.Seq)
+		t.Errorf("got an answer to call %d, want 1", reply.Seq)
 	}
-	for _, evicted := range silent[:dialled-clientShare] {
+	for _, evicted := range silent[:dialled-maxClientConns] {
 		evicted.ReadUntilClose()
 	}
 	cacheConn.WriteArray(ref1, "OK", "n=HIT", "x")
 	env.wantReply(waiting.ReadReply(), nettest.Reply{Seq: 1, Body: "x", Good: true})
 }
 
-// A burst of connections that waits in the backlog must not take the last descriptor: gnet's accept ends the
-// engine then. Only a process of its own can run out of them.
-func TestBurstOfConnectionsIsSurvived(t *testing.T) {
+// TestConnectionBurstDoesNotExhaustDescriptors checks that a burst of connections in the backlog does not use up the
+// descriptors, as gnet ends its engine when an accept fails for lack of one. The program runs in a separate process,
+// with a descriptor limit of its own.
+func TestConnectionBurstDoesNotExhaustDescriptors(t *testing.T) {
 	env := newHarness(t)
 	child := startProcess(t, env.configJSON(66), 66)
 	address := child.address
@@ -114,7 +121,9 @@
 	child.stopGracefully()
 }
 
-func TestRejectionsAreLoggedSparingly(t *testing.T) {
+// TestRejectionLogIsRateLimited checks that of many connections rejected within a second all are counted and only one
+// is logged, so that clients that send invalid data can't flood the log.
+func TestRejectionLogIsRateLimited(t *testing.T) {
 	var text strings.Builder
 	stoppedClock := func() routing.Time { return time.Hour }
 	failures := newConnectionFailures(newLogger(&text, "", "n1"), stoppedClock)
@@ -122,6 +131,6 @@
 		failures.onConnectionRejected(io.ErrUnexpectedEOF)
 	}
 	if count := strings.Count(text.String(), "\n"); count != 1 || failures.rejectedConns != 100 {
-		t.Errorf("%d lines on %d rejections, want one on 100", count, failures.rejectedConns)
+		t.Errorf("got %d log lines on %d rejections, want 1 on 100", count, failures.rejectedConns)
 	}
 }
--- a/cmd/shaleyard/drain_test.go
+++ b/cmd/shaleyard/drain_test.go
@@ -16,7 +16,7 @@
 	"shaleyard/internal/nettest"
 )
 
-// counter has the process log its counters, and returns one of them.
+// counter has the process log its counters by SIGUSR1, and returns the counter with the name.
 func (p *operatedProcess) counter(name string) int {
 	p.process.t.Helper()
 	p.signal(syscall.SIGUSR1)
@@ -35,53 +35,54 @@
 	case "Answers":
 		return line.Counters.Downstream.Answers
 	default:
-		p.process.t.Fatalf("no counter %s", name)
+		p.process.t.Fatalf("unknown counter %s", name)
 		return 0
 	}
 }
 
-// clientConnections is how many client connections the process holds.
+// clientConnections returns the number of client connections that the process holds.
 func (p *operatedProcess) clientConnections() int { return p.counter("downstream_conns") }
 
-// drain requests a drain and returns when that was.
+// drain requests a drain and returns the time of the request.
 func (p *operatedProcess) drain() time.Time {
 	p.process.t.Helper()
 	drainedAt := time.Now()
 	if !p.call(http.MethodPut, "/healthcheck/fail") {
-		p.process.t.Fatal("the drain was refused")
+		p.process.t.Fatal("the call to drain failed")
 	}
 	return drainedAt
 }
 
-// wantDrained waits for the end of a drain. No connection of a client may be left then, and the process must not be
-// ready.
+// wantDrained waits until drainLimit has passed since the request for a drain. The process must then hold no client
+// connection and must not be ready.
 func (p *operatedProcess) wantDrained(since time.Time) {
 	p.process.t.Helper()
 	time.Sleep(time.Until(since.Add(drainLimit)))
 	if p.call(http.MethodGet, "/healthcheck") {
 		p.process.t.Error("ready while drained")
 	}
-	// A line of counters that was logged before may come first.
+	// The first line with counters that is read may have been logged before the drain ended.
 	for conns := p.clientConnections(); conns > 0; conns = p.clientConnections() {
 		if time.Since(since) > drainLimit+time.Second {
-			p.process.t.Fatalf("%d client connections are held after the drain", conns)
+			p.process.t.Fatalf("got %d client connections after the drain, want 0", conns)
 		}
 	}
 }
 
-// cancelDrain ends a drain and waits until the process is ready.
+// cancelDrain cancels a drain and waits until the process is ready.
 func (p *operatedProcess) cancelDrain() {
 	p.process.t.Helper()
 	if !p.call(http.MethodPut, "/healthcheck/ok") {
-		p.process.t.Fatal("the drain was not cancelled")
+		p.process.t.Fatal("the call to cancel the drain failed")
 	}
 	p.waitReady(readyAfterResume, true)
 }
 
-// A drain coincides with other events of the process and its clients; each order keeps the terms.
-func TestDrainMeetsWhatElseHappens(t *testing.T) {
-	for name, play := range map[string]func(t *testing.T, proc *operatedProcess){
-		"a new configuration during it": func(t *testing.T, proc *operatedProcess) {
+// TestDrainWithConcurrentEvents combines a drain with a reload, a stop, cancellations and clients that send or connect
+// during it. In each case, open requests must be answered, and client connections must be closed in time.
+func TestDrainWithConcurrentEvents(t *testing.T) {
+	for name, run := range map[string]func(t *testing.T, proc *operatedProcess){
+		"configuration reload during the drain": func(t *testing.T, proc *operatedProcess) {
 			idle := proc.connect()
 			idle.Heartbeat(1)
 			drainedAt := proc.drain()
@@ -93,7 +94,7 @@
 			proc.wantDrained(drainedAt)
 			proc.cancelDrain()
 		},
-		"a stop after it": func(t *testing.T, proc *operatedProcess) {
+		"SIGTERM during the drain": func(t *testing.T, proc *operatedProcess) {
 			waiting, idle := proc.connect(), proc.connect()
 			waiting.Submit(1, "", requestFields("media", ref1)...)
 			cache := proc.cache.Accept()
@@ -103,7 +104,7 @@
 			proc.signal(syscall.SIGTERM)
 			proc.waitForLog(`"to":"stopping"`)
 			if proc.status(http.MethodPut, "/healthcheck/ok") == http.StatusOK {
-				t.Error("a process that stops was called back to work")
+				t.Error("the drain of a stopping process was cancelled, want the call to fail")
 			}
 			cache.WriteArray(ref1, "OK", "n=HIT", "owed")
 			proc.wantReply(waiting.ReadReply(), nettest.Reply{Seq: 1, Body: "owed", Good: true})
@@ -113,7 +114,7 @@
 			idle.Close()
 			proc.waitForLog(`"to":"ended"`)
 		},
-		"cancelled at once, and requested again": func(t *testing.T, proc *operatedProcess) {
+		"repeatedly cancelled and requested again": func(t *testing.T, proc *operatedProcess) {
 			client := proc.connect()
 			for seq := range int32(5) {
 				proc.drain()
@@ -131,23 +132,23 @@
 			proc.wantDrained(drainedAt)
 			proc.cancelDrain()
 		},
-		"a client that writes slowly": func(t *testing.T, proc *operatedProcess) {
+		"client that sends a request slowly": func(t *testing.T, proc *operatedProcess) {
 			client := proc.connect()
 			text := nettest.SubmitFrame(1, "", requestFields("media", ref1)...)
 			client.Send(text[:30])
 			drainedAt := proc.drain()
-			time.Sleep(1700 * time.Millisecond) // within its 2 s
+			time.Sleep(1700 * time.Millisecond) // less than the 2 s that a client may take to send a message
 			client.Send(text[30:])
 			if reply := client.ReadReply(); reply.Seq != 1 || reply.Field != 1 || reply.Fields["cooldown"] == "" {
-				t.Errorf("%+v, want request 1 refused, with a time to stay away", reply)
+				t.Errorf("got %+v, want request 1 rejected with a cooldown", reply)
 			}
 			client.ReadUntilEOF()
 			client.Close()
 			proc.wantDrained(drainedAt)
 		},
-		"a client that comes in spite of it": func(t *testing.T, proc *operatedProcess) {
+		"clients that connect during the drain": func(t *testing.T, proc *operatedProcess) {
 			drainedAt := proc.drain()
-			time.Sleep(250 * time.Millisecond) // the load balancer has heard of it by then
+			time.Sleep(250 * time.Millisecond) // the load balancer has detected the drain by then
 			late := proc.connect()
 			late.Submit(1, "", requestFields("media", ref1)...)
 			cache := proc.cache.Accept()
@@ -159,7 +160,7 @@
 			later := proc.connect()
 			later.Submit(1, "", requestFields("media", ref2)...)
 			if reply := later.ReadReply(); reply.Field != 1 {
-				t.Errorf("%+v, want a refusal", reply)
+				t.Errorf("got %+v, want a rejection", reply)
 			}
 			later.ReadUntilEOF()
 			later.Close()
@@ -168,13 +169,14 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			play(t, startOperated(t))
+			run(t, startOperated(t))
 		})
 	}
 }
 
-// A client that reads none of its answers holds its connection no longer than others.
-func TestDrainEndsAClientThatDoesNotRead(t *testing.T) {
+// TestDrainClosesClientThatDoesNotRead checks that a drain closes the connection of a client that reads none of its
+// answers within the same time as other connections, although unsent answers wait on it.
+func TestDrainClosesClientThatDoesNotRead(t *testing.T) {
 	body := strings.Repeat("0123456789abcdef", 15_000)
 	cache := serveTCP(t, respondingCache(0, body))
 	proc := startOperatedWith(t, func(text string, env *harness) string {
@@ -182,28 +184,28 @@
 	})
 	client := proc.connect()
 	client.SetReadBuffer(4 << 10)
-	const answers = 24 // more than the system takes for a client
+	const answers = 24 // more than the socket buffers of a connection hold
 	for seq := int32(1); proc.counter("Answers") < answers; seq++ {
 		if seq > 20*answers {
-			t.Fatal("requests are not answered")
+			t.Fatalf("fewer than %d of %d requests were answered", answers, 20*answers)
 		}
 		client.Submit(seq, "", requestFields("media", fmt.Sprintf("%016x", seq))...)
 	}
 	drainedAt := proc.drain()
 	if conns := proc.counter("downstream_conns"); conns != 1 {
-		t.Errorf("%d client connections are held at the start of the drain, want 1", conns)
+		t.Errorf("got %d client connections at the start of the drain, want 1", conns)
 	}
 	proc.wantDrained(drainedAt)
 }
 
-// A drain that is requested while the process starts holds also once the list service is waited for no longer, until it
-// is cancelled.
+// TestDrainDuringTheStart requests a drain while the process waits for the list service. The process must remain not
+// ready when that wait has timed out, and become ready only when the drain is cancelled.
 func TestDrainDuringTheStart(t *testing.T) {
 	env := newHarness(t)
-	env.discovery.Close() // so that the list service is waited for in vain
+	env.discovery.Close() // makes the list service unreachable
 	proc := launchOperated(t, os.Args[0], env, env.configJSON(256))
 	if proc.call(http.MethodGet, "/healthcheck") {
-		t.Error("ready without the list")
+		t.Error("ready before the endpoint list was received or its wait timed out")
 	}
 	proc.drain()
 	client := proc.connect()
@@ -217,9 +219,9 @@
 	proc.cancelDrain()
 }
 
-// The event loop is stalled: operators' calls are answered all the same, the process is not ready, and a drain that is
-// requested meanwhile is carried out as soon as the loop runs.
-func TestOperatorsAreAnsweredWhileTheLoopStandsStill(t *testing.T) {
+// TestOperatorCallsWhileEventLoopIsStalled stalls the event loop. Operators' calls must still be answered, the process
+// must not be ready, and a drain that is requested during the stall must take effect when the loop runs again.
+func TestOperatorCallsWhileEventLoopIsStalled(t *testing.T) {
 	env := startWithLimits(
 		t,
 		256,
@@ -243,12 +245,12 @@
 			break
 		}
 		if time.Since(begun) > operatorCallTimeout {
-			t.Fatal("ready though the event loop is stalled")
+			t.Fatal("ready while the event loop is stalled, want not ready")
 		}
 	}
 	operators.Drain()
 	if ready, why := operators.Ready(); ready || why != lifecycle.Draining.String() {
-		t.Errorf("ready %v: %s", ready, why)
+		t.Errorf("got ready %v, reason %q; want false, %q", ready, why, lifecycle.Draining)
 	}
 	close(proceed)
 	client.ReadUntilEOF()
--- a/cmd/shaleyard/interface_process_test.go
+++ b/cmd/shaleyard/interface_process_test.go
@@ -24,14 +24,15 @@
 	"shaleyard/internal/nettest"
 )
 
-// The program reads these environment variables and no others; an error on one names it.
+// TestEnvironmentVariables checks that the program reads exactly the expected environment variables, and that the error
+// on an invalid value of one says which variable or value is invalid.
 func TestEnvironmentVariables(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "config.json")
 	if err := os.WriteFile(file, []byte(fullEdgeConfig), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	read := map[string]bool{}
-	for _, test := range []struct{ name, value, says string }{
+	for _, test := range []struct{ name, value, wantError string }{
 		{"EDGE_CONFIG", "", "EDGE_CONFIG: not set"},
 		{"EDGE_CONFIG", file + "x", "EDGE_CONFIG: "},
 		{"EDGE_NAME", "n2", "EDGE_NAME: "},
@@ -46,23 +47,24 @@
 			read[name] = true
 			return environment[name]
 		}, io.Discard)
-		if err == nil || !strings.Contains(err.Error(), test.says) {
-			t.Errorf("%s=%q: %v, want %q", test.name, test.value, err, test.says)
+		if err == nil || !strings.Contains(err.Error(), test.wantError) {
+			t.Errorf("%s=%q: got error %v, want %q", test.name, test.value, err, test.wantError)
 		}
 	}
 	want := []string{"EDGE_CONFIG", "EDGE_FD", "EDGE_LISTEN", "EDGE_NAME", "EDGE_OPERATOR", "SHALEYARD_CONFIG"}
 	if got := slices.Sorted(maps.Keys(read)); !slices.Equal(got, want) {
-		t.Errorf("the program reads %q, want %q", got, want)
+		t.Errorf("got environment variables %q, want %q", got, want)
 	}
 	t.Setenv("SHALEYARD_CONFIG", file+"y")
 	var out strings.Builder
 	status := runCommand([]string{"plan", "--settings", file}, &out, &out)
 	if status != 2 || !strings.Contains(out.String(), file+"y") {
-		t.Errorf("plan with SHALEYARD_CONFIG: status %d, %s", status, out.String())
+		t.Errorf("plan with SHALEYARD_CONFIG: got status %d, output %q; want status 2, output with %q", status,
+			out.String(), file+"y")
 	}
 }
 
-// The words and flags of the command line, with the exit status of each.
+// TestCommandLine checks the exit status of each command with valid and invalid arguments, and the flags of plan.
 func TestCommandLine(t *testing.T) {
 	for _, test := range []struct {
 		line   string
@@ -74,7 +76,7 @@
 		{"-h", 0}, {"--help", 0}, {"--nosuch", 2},
 	} {
 		if got := runCommand(strings.Fields(test.line), io.Discard, io.Discard); got != test.status {
-			t.Errorf("shaleyard %s: status %d, want %d", test.line, got, test.status)
+			t.Errorf("shaleyard %s: got status %d, want %d", test.line, got, test.status)
 		}
 	}
 	var help strings.Builder
@@ -85,24 +87,25 @@
 		flags = append(flags, match[1])
 	}
 	if want := []string{"config", "json", "lost", "settings"}; !slices.Equal(flags, want) {
-		t.Errorf("flags of plan: %q, want %q", flags, want)
+		t.Errorf("flags of plan: got %q, want %q", flags, want)
 	}
 }
 
-// recordingProcess is a process behind the operators' address; it notes what it is told.
+// recordingProcess implements admin.Process. It records the calls of its methods.
 type recordingProcess struct {
 	mu               sync.Mutex
 	ready, canResume bool
 	calls            []string
 }
 
+// record adds a call to the record.
 func (p *recordingProcess) record(format string, args ...any) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.calls = append(p.calls, fmt.Sprintf(format, args...))
 }
 
-// takeCalls returns what the process was told since the last call.
+// takeCalls returns the recorded calls and clears the record.
 func (p *recordingProcess) takeCalls() []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -111,24 +114,24 @@
 	return told
 }
 
-// Ready implements admin.Process.
+// Ready implements admin.Process with the configured result.
 func (p *recordingProcess) Ready() (bool, string) { return p.ready, "the reason" }
 
-// Drain implements admin.Process.
+// Drain implements admin.Process. It only records the call.
 func (p *recordingProcess) Drain() { p.record("drain") }
 
-// Resume implements admin.Process.
+// Resume implements admin.Process. It records the call and returns the configured result.
 func (p *recordingProcess) Resume() bool {
 	p.record("resume")
 	return p.canResume
 }
 
-// Called implements admin.Process.
+// Called implements admin.Process. It records the call with its method, path and status.
 func (p *recordingProcess) Called(method, path string, status int) {
 	p.record("logged %s %s %d", method, path, status)
 }
 
-// operatorCall makes one call of an address and describes its answer.
+// operatorCall makes one HTTP call of an operators' address, and returns the method, path, status and body as text.
 func operatorCall(t *testing.T, address, method, path string) string {
 	t.Helper()
 	request, err := http.NewRequest(method, "http://"+address+path, nil)
@@ -148,7 +151,8 @@
 	return fmt.Sprintf("%s %s: %d %q", method, path, answer.StatusCode, body)
 }
 
-// Each HTTP call of the operators' address: method, path, status, body, and what the process is told.
+// TestHTTPCalls compares all HTTP calls of the operators' address with a golden file: for each method and path, the
+// status, the body, and the methods of the process that were called.
 func TestHTTPCalls(t *testing.T) {
 	var rows strings.Builder
 	for _, ready := range []bool{true, false} {
@@ -171,8 +175,9 @@
 	wantGolden(t, "http.txt", rows.String())
 }
 
-// failedStart runs the program, which can't start, and returns its exit status and what it wrote.
-func failedStart(t *testing.T, environment ...string) (status int, wrote string) {
+// failedStart runs the program with environment variables that prevent its start. It returns the exit status and the
+// output.
+func failedStart(t *testing.T, environment ...string) (status int, output string) {
 	t.Helper()
 	cmd := exec.Command(os.Args[0])
 	cmd.Env = append(append(os.Environ(), descriptorLimitEnv+"=256", "GORACE=atexit_sleep_ms=0"), environment...)
@@ -183,13 +188,14 @@
 	return cmd.ProcessState.ExitCode(), string(out)
 }
 
-// The exit status of a start that fails: 2 for the operators' file, 1 for everything else.
+// TestExitStatusesOfAFailedStart checks the exit status of a failed start: 2 for an invalid operators' file, 1 for
+// every other cause.
 func TestExitStatusesOfAFailedStart(t *testing.T) {
-	taken, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer taken.Close()
+	defer listener.Close()
 	folder := t.TempDir()
 	write := func(name, text string) string {
 		t.Helper()
@@ -203,34 +209,36 @@
 		return fmt.Sprintf(`{"name":"n1","listen":%q,"feed":"127.0.0.1:1","operator":%q,"seed":"1",
 			"limits":{"cores":1,"memory_mb":192,"sockets":256},"settings":%s}`, listen, operator, settingsJSON)
 	}
-	inUse := taken.Addr().String()
+	inUse := listener.Addr().String()
 	for _, test := range []struct {
 		name, environment string
 		status            int
-		says              string
+		wantOutput        string
 	}{
-		{"no configuration", "EDGE_CONFIG=", 1, "shaleyard: EDGE_CONFIG: not set"},
-		{"no such configuration", "EDGE_CONFIG=" + filepath.Join(folder, "nosuch"), 1, "shaleyard: EDGE_CONFIG: "},
-		{"a bad configuration", "EDGE_CONFIG=" + write("bad.json", "{"), 1, "shaleyard: config: "},
+		{"EDGE_CONFIG not set", "EDGE_CONFIG=", 1, "shaleyard: EDGE_CONFIG: not set"},
+		{"missing configuration file", "EDGE_CONFIG=" + filepath.Join(folder, "nosuch"), 1, "shaleyard: EDGE_CONFIG: "},
+		{"invalid configuration", "EDGE_CONFIG=" + write("bad.json", "{"), 1, "shaleyard: config: "},
 		{"clients' address in use", "EDGE_CONFIG=" + write("listen.json", document(inUse, "")), 1, "in use"},
 		{"operators' address in use", "EDGE_CONFIG=" + write("operator.json", document("127.0.0.1:0", inUse)), 1,
 			"in use"},
-		{"no such operators' file", "SHALEYARD_CONFIG=" + filepath.Join(folder, "nosuch"), 2,
+		{"missing operators' file", "SHALEYARD_CONFIG=" + filepath.Join(folder, "nosuch"), 2,
 			"shaleyard: SHALEYARD_CONFIG: "},
-		{"a bad operators' file", "SHALEYARD_CONFIG=" + write("bad.toml", "[list]\nhaste = 1\n"), 2,
+		{"invalid operators' file", "SHALEYARD_CONFIG=" + write("bad.toml", "[list]\nhaste = 1\n"), 2,
 			"shaleyard: SHALEYARD_CONFIG: "},
 	} {
-		if status, wrote := failedStart(
+		if status, output := failedStart(
 			t,
 			test.environment,
 		); status != test.status ||
-			!strings.Contains(wrote, test.says) {
-			t.Errorf("%s: status %d, want %d with %q:\n%s", test.name, status, test.status, test.says, wrote)
+			!strings.Contains(output, test.wantOutput) {
+			t.Errorf("%s: got status %d, want %d with %q; output:\n%s", test.name, status, test.status,
+				test.wantOutput, output)
 		}
 	}
 }
 
-// The names of the process's states are the body of a GET of /healthcheck that is answered 503, and stand in the log.
+// TestNamesOfProcessStates checks the names of the lifecycle states. A name is the body of a 503 answer to GET
+// /healthcheck and appears in the log, so operators' tools may depend on it.
 func TestNamesOfProcessStates(t *testing.T) {
 	names := make([]string, 0, lifecycle.Ended+1)
 	for state := range lifecycle.Ended + 1 {
@@ -242,8 +250,8 @@
 	}
 }
 
-// SIGUSR1 has the process write its latest events, SIGHUP has it read its configuration anew, and SIGTERM and SIGINT
-// end it with status 0. The operators' address takes calls.
+// TestSignals checks that SIGUSR1 makes the process log its latest events, that SIGHUP makes it reload its
+// configuration, and that SIGTERM and SIGINT end it with status 0. It also checks calls of the operators' address.
 func TestSignals(t *testing.T) {
 	for _, end := range []syscall.Signal{syscall.SIGTERM, syscall.SIGINT} {
 		proc := startOperated(t)
@@ -253,19 +261,19 @@
 		proc.writeConfig(proc.configJSON(256))
 		proc.signal(syscall.SIGHUP)
 		if got := proc.discovery.Accept().ReadLine(); got != "SUB 1" {
-			t.Errorf("behind SIGHUP the new address was asked %q", got)
+			t.Errorf("after SIGHUP the new address received %q, want %q", got, "SUB 1")
 		}
 		got := operatorCall(t, proc.operators, http.MethodPut, "/healthcheck/fail")
 		if want := `PUT /healthcheck/fail: 200 ""`; got != want {
-			t.Errorf("%s, want %s", got, want)
+			t.Errorf("got %s, want %s", got, want)
 		}
 		if got := proc.status(http.MethodGet, "/healthcheck"); got != http.StatusServiceUnavailable {
-			t.Errorf("behind a drain GET /healthcheck: %d, want 503", got)
+			t.Errorf("GET /healthcheck after a drain: got status %d, want 503", got)
 		}
 		proc.signal(end)
 		proc.skipLog()
 		if err := proc.Wait(); err != nil || proc.ProcessState.ExitCode() != 0 {
-			t.Errorf("%v: %v, want status 0", end, err)
+			t.Errorf("%v: got %v, want exit status 0", end, err)
 		}
 	}
 }
--- a/cmd/shaleyard/interface_test.go
+++ b/cmd/shaleyard/interface_test.go
@@ -21,13 +21,15 @@
 	"shaleyard/routing"
 )
 
-// The tests of this file and of interface_process_test.go hold the names that other programs and operators rely on:
-// keys of files, environment variables, command line flags, HTTP calls, signals and exit statuses. No Go name has a
-// part in them, so that they hold the same through every renaming. A difference is a change of an interface.
+// The tests in this file and in interface_process_test.go check the names that other programs and operators depend on:
+// keys of files, environment variables, command line flags, HTTP calls, signals and exit statuses. The expected names
+// don't include Go identifiers, so renaming an identifier does not change them. A difference is a change of an external
+// interface.
 
-var updateGolden = flag.Bool("update", false, "write the files in testdata/golden anew")
+var updateGolden = flag.Bool("update", false, "rewrite the files in testdata/golden")
 
-// wantGolden compares a text with a file in testdata/golden; with -update it writes the file.
+// wantGolden compares got with the named file in testdata/golden. With the flag -update it first writes got to the
+// file.
 func wantGolden(t *testing.T, name, got string) {
 	t.Helper()
 	path := filepath.Join("testdata", "golden", name)
@@ -53,23 +55,24 @@
 	return path + "." + name
 }
 
-// typeKeys lists the keys that a type is read from, each with the kind of its value, as the struct tags of the given
-// format name them. A field without a tag is listed as such, as a renaming of it would change its key.
-func typeKeys(of reflect.Type, format, path string) []string {
-	if of == reflect.TypeFor[json.RawMessage]() {
+// typeKeys returns the keys from which a value of type typ is decoded, each with the kind of its value. The keys are
+// named by the struct tags of the format, such as json. A field without a tag is marked as such, because renaming the
+// field would change its key.
+func typeKeys(typ reflect.Type, format, path string) []string {
+	if typ == reflect.TypeFor[json.RawMessage]() {
 		return []string{path + " any"}
 	}
-	switch of.Kind() {
+	switch typ.Kind() {
 	case reflect.Pointer:
-		return typeKeys(of.Elem(), format, path)
+		return typeKeys(typ.Elem(), format, path)
 	case reflect.Slice, reflect.Array:
-		return typeKeys(of.Elem(), format, path+"[]")
+		return typeKeys(typ.Elem(), format, path+"[]")
 	case reflect.Map:
-		return typeKeys(of.Elem(), format, joinKey(path, "*"))
+		return typeKeys(typ.Elem(), format, joinKey(path, "*"))
 	case reflect.Struct:
 		var keys []string
-		for i := range of.NumField() {
-			field := of.Field(i)
+		for i := range typ.NumField() {
+			field := typ.Field(i)
 			if !field.IsExported() {
 				continue
 			}
@@ -89,7 +92,7 @@
 	}
 }
 
-// documentKeys lists the keys of a decoded document in the form of typeKeys.
+// documentKeys returns the keys of a decoded document in the same form as typeKeys.
 func documentKeys(value any, path string) []string {
 	var keys []string
 	switch value := value.(type) {
@@ -111,13 +114,13 @@
 	return keys
 }
 
-// keyList is the text of a golden list of keys: sorted, each once, one a line.
+// keyList returns the keys as the text of a golden file: sorted, without duplicates, one per line.
 func keyList(keys []string) string {
 	slices.Sort(keys)
 	return strings.Join(slices.Compact(keys), "\n") + "\n"
 }
 
-// decodeJSON reads a document without loss of digits.
+// decodeJSON decodes a JSON document. Numbers keep all their digits.
 func decodeJSON(t *testing.T, text []byte) any {
 	t.Helper()
 	decoder := json.NewDecoder(bytes.NewReader(text))
@@ -129,7 +132,7 @@
 	return document
 }
 
-// fullSettings holds every key of the settings that the decision module reads.
+// fullSettings is a document with every key of routing.Settings.
 const fullSettings = `{"balancers":3,"me":2,"zone":1,"quantum":2000000,"registryMode":"automatic","weights":"rough",
  "dcs":["hub","here"],"kinds":["edge","parent","origin"],
  "services":[{"name":"media","aim":5000000001,"aimStretch":1.5,"deadline":5000000002,"worth":2.5,"lateWorth":0.5,
@@ -146,8 +149,8 @@
    "graceToAnswer":1000000011,"tipMultiple":4.5},
  "report":{"fields":["active"],"via":"inline"}}`
 
-// The settings have exactly the keys of the golden list: by their tags, in a document with all of them, and written
-// again.
+// TestKeysOfSettings compares the keys of routing.Settings, by struct tag, with a golden file and with fullSettings,
+// and checks that decoding and encoding fullSettings preserves it.
 func TestKeysOfSettings(t *testing.T) {
 	keys := keyList(typeKeys(reflect.TypeFor[routing.Settings](), "json", ""))
 	wantGolden(t, "settings.keys", keys)
@@ -171,7 +174,7 @@
 	}
 }
 
-// fullOperatorFile holds every key of the operators' file; * stands for the name of a site or a class.
+// fullOperatorFile is an operators' file with every key. A key "*" stands for the name of a site or a class.
 const fullOperatorFile = `
 [list]
 heed_ms = 2100.5
@@ -213,7 +216,7 @@
 to = "middle"
 `
 
-// decodeTOML reads a document into maps.
+// decodeTOML decodes a TOML document into maps.
 func decodeTOML(t *testing.T, text []byte) map[string]any {
 	t.Helper()
 	var document map[string]any
@@ -223,8 +226,8 @@
 	return document
 }
 
-// The operators' file has exactly the keys of the golden list: by their tags, in a file with all of them, and written
-// again.
+// TestKeysOfOperatorsFile compares the keys of config.OperatorFile, by struct tag, with a golden file and with
+// fullOperatorFile, and checks that parsing and encoding fullOperatorFile preserves it.
 func TestKeysOfOperatorsFile(t *testing.T) {
 	keys := keyList(typeKeys(reflect.TypeFor[config.OperatorFile](), "toml", ""))
 	wantGolden(t, "operators-file.keys", keys)
@@ -246,7 +249,8 @@
 	}
 }
 
-// What `shaleyard check` prints of the operators' file that is deployed, and of one with every key.
+// TestOutputOfCheck compares the output of `shaleyard check` for the deployed operators' file, and for one with every
+// key, with golden files.
 func TestOutputOfCheck(t *testing.T) {
 	full := filepath.Join(t.TempDir(), "full.toml")
 	if err := os.WriteFile(full, []byte(fullOperatorFile), 0o600); err != nil {
@@ -256,25 +260,27 @@
 		"check-full.txt": full} {
 		var out, errs strings.Builder
 		if status := runCommand([]string{"check", path}, &out, &errs); status != 0 || errs.Len() > 0 {
-			t.Errorf("check %s: status %d, %s", path, status, errs.String())
+			t.Errorf("check %s: got status %d, standard error %q; want 0, \"\"", path, status, errs.String())
 		}
 		wantGolden(t, name, out.String())
 	}
 }
 
-// What `shaleyard plan --json` prints is read by programs.
+// TestKeysOfPlan compares the JSON keys of a plan with a golden file. Other programs read the output of `shaleyard plan
+// --json`.
 func TestKeysOfPlan(t *testing.T) {
 	wantGolden(t, "plan-json.keys", keyList(typeKeys(reflect.TypeFor[[]failover.Plan](), "json", "")))
 }
 
-// fullEdgeConfig holds every key of EDGE_CONFIG outside the settings, and those of the settings that sockets need.
+// fullEdgeConfig is a configuration with every key of the EDGE_CONFIG file outside the settings, and the keys of the
+// settings that concern connections.
 const fullEdgeConfig = `{"name":"n1","listen":"127.0.0.1:0","feed":"127.0.0.1:1","operator":"127.0.0.1:2","seed":"1f",
  "limits":{"cores":1.5,"memory_mb":192,"sockets":200},
  "known":{"n":1,"events":[{"n":1,"members":{"index":1,"snapshot":true,"endpoints":[]}}]},
  "settings":{"dcs":["here"],"kinds":["edge"],"services":[{"name":"media"}],
    "ceilings":{"connectTimeout":1300000000,"keepalive":8000000000,"streamsPerConn":17}}}`
 
-// edgeConfigKeys are those keys.
+// edgeConfigKeys lists the keys in fullEdgeConfig that TestKeysOfEdgeConfig checks.
 var edgeConfigKeys = []string{
 	"name",
 	"listen",
@@ -294,7 +300,7 @@
 	"settings.ceilings.streamsPerConn",
 }
 
-// changedDocument is fullEdgeConfig with the value of a key changed, or without the key where the value is nil.
+// changedDocument returns fullEdgeConfig with the value of a key replaced, or without the key if value is nil.
 func changedDocument(t *testing.T, key string, value any) []byte {
 	t.Helper()
 	document := decodeJSON(t, []byte(fullEdgeConfig))
@@ -304,7 +310,7 @@
 	}
 	last := names[len(names)-1]
 	if _, ok := inner.(map[string]any)[last]; !ok {
-		t.Fatalf("the document has no key %s", key)
+		t.Fatalf("fullEdgeConfig has no key %s", key)
 	}
 	if value == nil {
 		delete(inner.(map[string]any), last)
@@ -318,8 +324,8 @@
 	return text
 }
 
-// Each key of EDGE_CONFIG has its effect: without it the configuration is another or none, and where its value has a
-// wrong type the error spells it.
+// TestKeysOfEdgeConfig checks that each key of the EDGE_CONFIG file has an effect: without the key, parsing fails or
+// returns a different configuration, and the error on a value of the wrong type names the key.
 func TestKeysOfEdgeConfig(t *testing.T) {
 	full, err := config.Parse([]byte(fullEdgeConfig), 1024)
 	if err != nil {
@@ -330,21 +336,21 @@
 		full.Bootstrap.Revision, len(full.Bootstrap.Events), limits.Cores, limits.MemoryBytes, limits.Descriptors,
 		limits.ConnectTimeout, limits.UpstreamIdleTimeout, limits.MaxAttemptsPerConn)
 	if want := "n1 127.0.0.1:0 127.0.0.1:1 127.0.0.1:2 31 1 1 1.5 150994944 200 1.3s 6s 17\n"; got != want {
-		t.Errorf("read as %s, want %s", got, want)
+		t.Errorf("got configuration %s, want %s", got, want)
 	}
 	for _, key := range edgeConfigKeys {
 		without, err := config.Parse(changedDocument(t, key, nil), 1024)
 		if err == nil && reflect.DeepEqual(without, full) {
-			t.Errorf("without %s the configuration is the same", key)
+			t.Errorf("without %s: got the same configuration, want an error or a difference", key)
 		}
 		var wrong any = []any{}
 		if key == "known.events" {
 			wrong = map[string]any{}
 		}
 		_, err = config.Parse(changedDocument(t, key, wrong), 1024)
-		spelt := strings.TrimPrefix(key, "settings.")
-		if err == nil || !strings.Contains(err.Error(), spelt) {
-			t.Errorf("%s of a wrong type: %v, want an error that spells it", key, err)
+		keyInError := strings.TrimPrefix(key, "settings.")
+		if err == nil || !strings.Contains(err.Error(), keyInError) {
+			t.Errorf("%s of the wrong type: got error %v, want an error with %q", key, err, keyInError)
 		}
 	}
 	known := keyList(typeKeys(reflect.TypeFor[config.Bootstrap](), "json", ""))
@@ -353,9 +359,9 @@
 	}
 }
 
-// Each key of the control feed's events, which EDGE_CONFIG's known.events holds, too, is spelt by the error on a value
-// of a wrong type.
-func TestKeysOfControlFeed(t *testing.T) {
+// TestKeysOfDiscoveryEvents checks the keys of the list service's events, which known.events in the EDGE_CONFIG file
+// also holds: the error on a value of the wrong type names the key.
+func TestKeysOfDiscoveryEvents(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "config.json")
 	for key, event := range map[string]string{
 		"n":                          `{"n":[]}`,
@@ -383,7 +389,7 @@
 		_, _, err := readSite(file)
 		var wrongType *json.UnmarshalTypeError
 		if !errors.As(err, &wrongType) || wrongType.Field != key {
-			t.Errorf("%s of a wrong type: %v, want an error that spells it", key, err)
+			t.Errorf("%s of the wrong type: got error %v, want a json.UnmarshalTypeError for that key", key, err)
 		}
 	}
 }
--- a/cmd/shaleyard/operatorapi.go
+++ b/cmd/shaleyard/operatorapi.go
@@ -27,13 +27,13 @@
 	return true, ""
 }
 
-// Drain implements admin.Process.
+// Drain implements admin.Process. It requests a drain.
 func (o *operatorAPI) Drain() {
 	o.program.lifecycle.machine.Drain(o.program.now())
 	o.applyLifecycle()
 }
 
-// Resume implements admin.Process.
+// Resume implements admin.Process. It cancels a drain, and returns false if the process is already stopping.
 func (o *operatorAPI) Resume() bool {
 	resumed := o.program.lifecycle.machine.CancelDrain(o.program.now())
 	o.applyLifecycle()
@@ -48,7 +48,7 @@
 	}
 }
 
-// Called implements admin.Process.
+// Called implements admin.Process. It logs an operators' call.
 func (o *operatorAPI) Called(method, path string, status int) {
 	o.program.log.Info(
 		"operator call",
--- a/cmd/shaleyard/plan_golden_test.go
+++ b/cmd/shaleyard/plan_golden_test.go
@@ -7,9 +7,9 @@
 	"testing"
 )
 
-// TestPlanCommandOutput holds what `shaleyard plan` prints, byte for byte, for deployments of several shapes, losses
-// and operators' files. The numbers in the JSON form are printed in full, so that a change in the order of the
-// arithmetic shows.
+// TestPlanCommandOutput compares the output of `shaleyard plan` byte for byte with golden files, for several
+// deployments, lost sites and operators' files. The JSON form has numbers with all digits, so that the test also
+// detects a change in the order of floating-point operations.
 func TestPlanCommandOutput(t *testing.T) {
 	t.Setenv("SHALEYARD_CONFIG", "")
 	for _, test := range []struct {
