--- a/cmd/shaleyard/drain_test.go
+++ b/cmd/shaleyard/drain_test.go
@@ -81,7 +81,7 @@
 // TestDrainWithConcurrentEvents combines a drain with a reload, a stop, cancellations and clients that send or connect
 // during it. In each case, open requests must be answered, and client connections must be closed in time.
 func TestDrainWithConcurrentEvents(t *testing.T) {
-	for name, run := range map[string]func(t *testing.T, proc *operatedProcess){
+	for name, scenario := range map[string]func(t *testing.T, proc *operatedProcess){
 		"configuration reload during the drain": func(t *testing.T, proc *operatedProcess) {
 			idle := proc.connect()
 			idle.Heartbeat(1)
@@ -169,7 +169,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			run(t, startOperated(t))
+			scenario(t, startOperated(t))
 		})
 	}
 }
--- a/cmd/shaleyard/interface_test.go
+++ b/cmd/shaleyard/interface_test.go
@@ -266,8 +266,8 @@
 	}
 }
 
-// TestKeysOfPlan compares the JSON keys of a plan with a golden file. Other programs read the output of `shaleyard plan
-// --json`.
+// TestKeysOfPlan compares the JSON keys of a plan with a golden file. Other programs read the output of
+// `shaleyard plan --json`.
 func TestKeysOfPlan(t *testing.T) {
 	wantGolden(t, "plan-json.keys", keyList(typeKeys(reflect.TypeFor[[]failover.Plan](), "json", "")))
 }
