--- a/cmd/shaleyard/faults_test.go
+++ b/cmd/shaleyard/faults_test.go
@@ -10,7 +10,7 @@
 	"shaleyard/internal/nettest"
 )
 
-// remainingTime is what a request that reached a cache says of the time that is left, in milliseconds.
+// remainingTime returns the remaining time that an attempt states in its patience field, which is in milliseconds.
 func remainingTime(t *testing.T, command []string) time.Duration {
 	t.Helper()
 	for field := range strings.SplitSeq(command[2], ",") {
@@ -22,15 +22,16 @@
 			return time.Duration(ms) * time.Millisecond
 		}
 	}
-	t.Fatalf("no patience in %q", command)
+	t.Fatalf("no patience field in %q", command)
 	return 0
 }
 
-// remainingTimeSlack is how much more than its client has left an attempt may be given.
+// remainingTimeSlack is the time by which an attempt's patience may exceed the client's remaining time.
 const remainingTimeSlack = 150 * time.Millisecond
 
-// The time that a cache is given is what the client has left: with the first attempt, with a retry after a reset that
-// came late, and where the process was paused while the request waited unread.
+// The patience of an attempt must not exceed the time that remains until the client's timeout, or the cache works for
+// a client that has given up. The test checks the first attempt, a retry after a connection reset that came 600 ms
+// later, and an attempt after the process was stopped for 1.5 s while the request waited unread in the socket.
 func TestPatienceIsWhatTheClientHasLeft(t *testing.T) {
 	env := newHarness(t)
 	child := startProcess(t, env.configJSON(256), 256)
@@ -41,15 +42,15 @@
 	left := func(what string, sent time.Time, command []string) {
 		t.Helper()
 		if got, want := remainingTime(t, command), 6*time.Second-time.Since(sent); got > want+remainingTimeSlack {
-			t.Errorf("%s: %v passed on, %v left", what, got, want)
+			t.Errorf("%s: patience = %v, want at most the remaining %v plus %v", what, got, want, remainingTimeSlack)
 		}
 	}
 	client := nettest.Dial(t, child.address)
 	sent := time.Now()
 	client.Submit(1, "", allow(ref1)...)
 	cacheConn := env.cache.Accept()
-	left("the first attempt", sent, cacheConn.ReadCommand())
-	time.Sleep(600 * time.Millisecond) // a reset that comes late
+	left("first attempt", sent, cacheConn.ReadCommand())
+	time.Sleep(600 * time.Millisecond) // the reset comes late
 	cacheConn.Reset()
 	cacheConn = env.cache.Accept()
 	left("after a reset", sent, cacheConn.ReadCommand())
@@ -67,8 +68,9 @@
 	child.stopGracefully()
 }
 
-// With deadlines of a second, SIGKILL may come 1.7 s after SIGTERM. The caches hang, and clients go on sending on open
-// connections: all requests that were sent have their answers when the process ends, and it does so before.
+// With request deadlines of 1 s, the platform may send SIGKILL 1.7 s after SIGTERM. The caches do not respond, and
+// clients keep sending on open connections. By the time of SIGKILL the process must have answered all requests and
+// ended by itself.
 func TestStopWithShortDeadlinesAnswersAllInTime(t *testing.T) {
 	cache := serveTCP(t, respondingCache(10*time.Second, "x"))
 	proc := startOperatedWith(t, func(text string, env *harness) string {
@@ -77,20 +79,20 @@
 		return strings.ReplaceAll(text, `"deadline":20000000000`, `"deadline":1000000000`)
 	})
 	load := startLoad(t, proc.address, 24)
-	time.Sleep(300 * time.Millisecond) // requests are out by then
+	time.Sleep(300 * time.Millisecond) // attempts are outstanding by then
 	proc.signal(syscall.SIGTERM)
-	kill := time.AfterFunc(1700*time.Millisecond, func() { _ = proc.Process.Kill() }) // as the platform does
+	kill := time.AfterFunc(1700*time.Millisecond, func() { _ = proc.Process.Kill() }) // as the platform may do
 	defer kill.Stop()
 	time.Sleep(300 * time.Millisecond)
 	load.serverStopping.Store(true)
-	proc.waitForLog(`"to":"ended"`) // by itself
+	proc.waitForLog(`"to":"ended"`) // the process was not killed before it had ended its work
 	proc.skipLog()
-	_ = proc.Wait() // it may have been killed: the clients tell whether that was too soon
+	_ = proc.Wait() // SIGKILL may still hit the exit: stopAndCheck fails if a request was lost
 	load.stopAndCheck()
 }
 
-// Signals by the hundred, an epoll_wait that they interrupt every other time, and short writes: no request is lost, and
-// no answer is corrupted.
+// Interrupted and partial system calls must neither lose a request nor corrupt an answer. The process gets hundreds of
+// signals, every second epoll_wait fails with EINTR, and a write accepts at most 100 bytes.
 func TestInterruptedSystemCallsLoseNothing(t *testing.T) {
 	proc := startWithFaults(t, map[string]func(text string) string{
 		"unix/zsyscall_linux.go": func(text string) string {
@@ -116,8 +118,8 @@
 	proc.waitExit()
 }
 
-// The system refuses every seventh time to register a new connection with epoll. Clients whose connection it was are
-// served all the same, and the caches are not blamed.
+// When the kernel cannot register a new connection with epoll, no request may be lost and no failure may be attributed
+// to a cache. After the first ten, every seventh EPOLL_CTL_ADD fails with ENOMEM.
 func TestRefusedRegistrationsLoseNothing(t *testing.T) {
 	proc := startWithFaults(t, map[string]func(text string) string{
 		"unix/zsyscall_linux.go": func(text string) string {
@@ -132,13 +134,14 @@
 		},
 	})
 	load := startLoad(t, proc.address, 12)
-	time.Sleep(1500 * time.Millisecond) // hundreds of connections
+	time.Sleep(1500 * time.Millisecond) // long enough for hundreds of connections
 	load.stopAndCheck()
 	proc.signal(syscall.SIGTERM)
 	proc.waitExit()
 }
 
-// startWithFaults starts the program with changed wrappers of system calls, and with a cache that answers.
+// startWithFaults builds the program with changed files of golang.org/x/sys and starts it with a cache that responds.
+// The keys of changes are paths inside the module; each value returns the changed text of its file.
 func startWithFaults(t *testing.T, change map[string]func(text string) string) *operatedProcess {
 	t.Helper()
 	program := buildWithModule(t, "golang.org/x/sys", change)
@@ -153,8 +156,9 @@
 	return proc
 }
 
-// A director may hold fewer descriptors than its configuration says: connections that can't be opened are waited for,
-// and all requests are served when there are descriptors again.
+// The system may allow fewer descriptors than the configuration says. A connect that then fails with EMFILE must not
+// count as a failure of the server: no server is ejected, and the request waits and is served once descriptors are
+// available again.
 func TestConnectsWithoutDescriptorsAreNoEvidence(t *testing.T) {
 	env := newHarness(t)
 	child := startProcess(t, env.configJSON(256), 256)
@@ -166,7 +170,7 @@
 	prlimit(t, child.Process.Pid, &syscall.Rlimit{Cur: 3, Max: before.Max}, nil)
 	client.Submit(2, "", requestFields("media", ref1)...)
 	if line := child.waitForLog("connect failed"); !strings.Contains(line, "too many open files") {
-		t.Errorf("the connect failed otherwise: %s", line)
+		t.Errorf("connect failed with %s, want too many open files", line)
 	}
 	prlimit(t, child.Process.Pid, &before, nil)
 	cacheConn := env.cache.Accept()
@@ -175,7 +179,7 @@
 	child.signal(syscall.SIGTERM)
 	for child.lines.Scan() {
 		if strings.Contains(child.lines.Text(), `"msg":"eject`) {
-			t.Errorf("a server was ejected: %s", child.lines.Text())
+			t.Errorf("server ejected, want no ejection: %s", child.lines.Text())
 		}
 	}
 	if err := child.Wait(); err != nil {
--- a/cmd/shaleyard/harness_test.go
+++ b/cmd/shaleyard/harness_test.go
@@ -14,23 +14,24 @@
 	"shaleyard/internal/nettest"
 )
 
-// harness is the program under test between scripted peers: the list service, a cache and the origin.
+// harness holds the program under test and the scripted servers that it connects to: the discovery service, a cache
+// and the origin.
 type harness struct {
 	t             *testing.T
-	program       *program // nil: it runs in a process of its own
+	program       *program // nil if the program runs in a process of its own
 	cache, origin *nettest.Server
 	discovery     *nettest.Server
-	exited        chan error // what the event loop has ended with
+	exited        chan error // receives the result of the event loop's Run
 }
 
-// newHarness returns a harness without the program.
+// newHarness returns a harness whose servers listen and whose program is not started.
 func newHarness(t *testing.T) *harness {
 	t.Helper()
 	return &harness{t: t, cache: nettest.Listen(t), origin: nettest.Listen(t), discovery: nettest.Listen(t),
 		exited: make(chan error, 1)}
 }
 
-// settingsJSON are the settings in all configurations of the harness.
+// settingsJSON is the settings object of every configuration that the harness writes.
 const settingsJSON = `{"balancers":1,"dcs":["hub","here"],"kinds":["edge","parent","origin"],"zone":1,
  "registryMode":"automatic","weights":"rough","quantum":2000000,
  "services":[{"name":"media","aim":5000000000,"deadline":20000000000,"worth":2,"effect":"read_like"},
@@ -43,31 +44,34 @@
   "purgeTakes":6000000000,"purgeSlack":500000000},
  "report":{"fields":["active"],"via":"inline"}}`
 
-// endpointJSON is an endpoint as the list service gives it.
+// endpointJSON returns an endpoint as the discovery service encodes it.
 func endpointJSON(name, address, zone, kind, status string) string {
 	return fmt.Sprintf(`{"name":%q,"address":%q,"zone":%q,"type":%q,"status":%q,"weight":4}`,
 		name, address, zone, kind, status)
 }
 
-// membersEvent is an event of the list service with endpoints.
+// membersEvent returns an event of the discovery service that holds a list of endpoints, each as endpointJSON returns
+// it.
 func membersEvent(revision int, snapshot bool, list ...string) string {
 	return fmt.Sprintf(`{"n":%d,"members":{"index":%d,"snapshot":%v,"endpoints":[%s]}}`, revision, revision, snapshot,
 		strings.Join(list, ","))
 }
 
-// startProgram runs the program in this process until the test ends. The test accepts its calls of the list service.
+// startProgram runs the program in the test's process until the test ends. The test has to accept the program's
+// connections to the discovery service.
 func startProgram(t *testing.T) *harness {
 	t.Helper()
 	return startWithDescriptors(t, 1024)
 }
 
-// startWithDescriptors does so with a limit on the program's descriptors.
+// startWithDescriptors is like startProgram, with a configuration that allows the given number of descriptors.
 func startWithDescriptors(t *testing.T, sockets int) *harness {
 	t.Helper()
 	return startWithLimits(t, sockets, io.Discard, nil)
 }
 
-// startWithLimits does so with the log going to logTo, and with limits changed.
+// startWithLimits is like startWithDescriptors, writes the log to logTo and, unless change is nil, lets change modify
+// the limits that are derived from the configuration.
 func startWithLimits(t *testing.T, sockets int, logTo io.Writer, change func(*config.Limits)) *harness {
 	t.Helper()
 	env := newHarness(t)
@@ -93,13 +97,13 @@
 	select {
 	case <-booted:
 	case err := <-env.exited:
-		t.Fatalf("ended at its start: %v", err)
+		t.Fatalf("event loop ended during startup: %v", err)
 	}
 	t.Cleanup(env.program.eventLoop.Stop)
 	return env
 }
 
-// configJSON is a configuration with the harness's peers, and a limit on descriptors.
+// configJSON returns a configuration that names the harness's servers and allows the given number of descriptors.
 func (h *harness) configJSON(sockets int) []byte {
 	known := membersEvent(1, true, endpointJSON("c1", h.cache.Addr(), "here", "edge", "ready"),
 		endpointJSON("o", h.origin.Addr(), "hub", "origin", "ready"))
@@ -108,16 +112,16 @@
 		h.discovery.Addr(), sockets, known, settingsJSON)
 }
 
-// dial connects a client.
+// dial connects a client to the program in the test's process.
 func (h *harness) dial() *nettest.Conn { return nettest.Dial(h.t, h.program.eventLoop.Address()) }
 
-// requestFields are the fields of a request of a class, with its reference.
+// requestFields returns the fields of a request with the given class and reference, as names and values in turn.
 func requestFields(class, ref string) []string {
 	return []string{"service", class, "ref", ref, "allow", "15000", "lookup", "7f3a9c21e0b4d655", "chunk", "3",
 		"tag", "17", "room", "412.5"}
 }
 
-// withTimeout replaces the client's timeout in such fields, in milliseconds.
+// withTimeout replaces the client's timeout in fields that requestFields has returned, and returns the fields.
 func withTimeout(fields []string, milliseconds string) []string {
 	fields[slices.Index(fields, "allow")+1] = milliseconds
 	return fields
@@ -126,10 +130,10 @@
 // References of requests.
 const ref1, ref2, ref3 = "9b1f03aa5c7e2d41", "9b1f03aa5c7e2d42", "9b1f03aa5c7e2d43"
 
-// wantReply compares a reply with the one that is wanted.
+// wantReply reports a test error if got differs from want.
 func (h *harness) wantReply(got, want nettest.Reply) {
 	h.t.Helper()
 	if diff := cmp.Diff(want, got); diff != "" {
-		h.t.Error(diff)
+		h.t.Errorf("reply mismatch (-want +got):\n%s", diff)
 	}
 }
--- a/cmd/shaleyard/load_test.go
+++ b/cmd/shaleyard/load_test.go
@@ -17,26 +17,26 @@
 	"shaleyard/internal/nettest"
 )
 
-// maxPrintedFailures bounds what is printed of a load in which requests were lost.
+// maxPrintedFailures is the maximum number of failures of a load generator that a test prints.
 const maxPrintedFailures = 5
 
-// loadGenerator is clients that send requests one after the other, some each on a new connection, some on one that they
-// keep.
+// loadGenerator runs clients that each send one request at a time. Some clients open a connection for each request,
+// others keep their connection. A request without an answer is recorded as a failure.
 type loadGenerator struct {
 	t              *testing.T
 	address        string
 	stopped        atomic.Bool
-	serverStopping atomic.Bool // the process ends: no client opens a connection any more
+	serverStopping atomic.Bool // set when the server stops accepting: clients open no further connections
 	running        sync.WaitGroup
 	answered       atomic.Int64
-	retried        atomic.Int64 // crossed the end of a connection, and sent again
+	retried        atomic.Int64 // requests sent again because they raced with the close of their connection
 	lastRef        atomic.Uint64
 
 	mu       sync.Mutex
 	failures []string
 }
 
-// startLoad starts so many clients.
+// startLoad starts a number of clients that send requests to address.
 func startLoad(t *testing.T, address string, clients int) *loadGenerator {
 	t.Helper()
 	load := &loadGenerator{t: t, address: address}
@@ -47,17 +47,18 @@
 	return load
 }
 
-// stopAndCheck ends the clients, each after the answer that it waits for; no request may have been lost.
+// stopAndCheck stops each client after the answer that it waits for. It reports a test error if a request got no
+// answer, or if no request was answered at all.
 func (g *loadGenerator) stopAndCheck() {
 	g.t.Helper()
 	g.stopped.Store(true)
 	g.running.Wait()
 	if len(g.failures) > 0 {
-		g.t.Errorf("%d requests without an answer, %d answered; %s", len(g.failures), g.answered.Load(),
+		g.t.Errorf("%d requests got no answer, want 0 (%d were answered): %s", len(g.failures), g.answered.Load(),
 			strings.Join(g.failures[:min(len(g.failures), maxPrintedFailures)], "; "))
 	}
 	if g.answered.Load() == 0 {
-		g.t.Error("nothing was answered")
+		g.t.Error("no request was answered")
 	}
 }
 
@@ -67,7 +68,7 @@
 	g.failures = append(g.failures, fmt.Sprintf(format, args...))
 }
 
-// runClient sends requests until the load is stopped or one of them is lost.
+// runClient runs one client, which sends requests until the load generator is stopped or a request gets no answer.
 func (g *loadGenerator) runClient(kind int) {
 	defer g.running.Done()
 	client := &loadClient{load: g, kind: kind, rng: rand.New(rand.NewPCG(uint64(kind), 1))}
@@ -82,35 +83,39 @@
 	}
 }
 
-// loadClient is one client of a load. Its kind, a number, says what it does otherwise than others.
+// loadClient is one client of a load generator. Its index determines how it behaves.
 type loadClient struct {
 	load    *loadGenerator
 	kind    int
 	rng     *rand.Rand
-	conn    net.Conn // nil: none
+	conn    net.Conn // nil while the client is not connected
 	reader  *bufio.Reader
-	seq     int32 // the latest request on the connection
-	retries int   // of the present request
+	seq     int32 // sequence number of the latest request on the connection
+	retries int   // of the current request
 }
 
-func (c *loadClient) writesSlowly() bool        { return c.kind%3 == 1 }
-func (c *loadClient) delaysFirstRequest() bool  { return c.kind%5 == 0 }
-func (c *loadClient) closesAfterAnswer() bool   { return c.kind%2 == 0 }
-func (c *loadClient) idlesBetweenRequest() bool { return c.kind%4 == 3 } // so that its next one may cross an end
+func (c *loadClient) writesSlowly() bool       { return c.kind%3 == 1 }
+func (c *loadClient) delaysFirstRequest() bool { return c.kind%5 == 0 }
+func (c *loadClient) closesAfterAnswer() bool  { return c.kind%2 == 0 }
 
-// sleep waits for a random time below a number of milliseconds.
+// idlesBetweenRequest reports whether the client waits after an answer, so that its next request may race with the
+// close of the connection by the server.
+func (c *loadClient) idlesBetweenRequest() bool { return c.kind%4 == 3 }
+
+// sleep waits for a random time below limitMS milliseconds.
 func (c *loadClient) sleep(limitMS int) {
 	time.Sleep(time.Duration(c.rng.IntN(limitMS)) * time.Millisecond)
 }
 
-// connect opens a connection. It returns false if the client is to end.
+// connect opens a connection. It returns false if the client has to end: because the server is stopping, or because
+// the connection was not accepted, which is recorded as a failure.
 func (c *loadClient) connect() bool {
 	if c.load.serverStopping.Load() {
 		return false
 	}
 	conn, err := net.Dial("tcp", c.load.address)
 	if err != nil {
-		c.load.recordFailure("connect: %v", err)
+		c.load.recordFailure("client %d: connect: %v", c.kind, err)
 		return false
 	}
 	c.conn, c.reader, c.seq = conn, bufio.NewReader(conn), 0
@@ -128,15 +133,16 @@
 	c.conn = nil
 }
 
-// extendDeadline gives the connection the time in which a client has its answer.
+// extendDeadline sets the deadline of the connection to clientTimeout from now.
 func (c *loadClient) extendDeadline() {
 	if err := c.conn.SetDeadline(time.Now().Add(clientTimeout)); err != nil {
-		c.load.recordFailure("deadline: %v", err)
+		c.load.recordFailure("client %d: set deadline: %v", c.kind, err)
 	}
 }
 
-// request sends a request and waits for its answer. One that crosses the end of a connection is sent again, once. It
-// returns false if the request was lost.
+// request sends a request and waits for its answer. If the request raced with the close of a connection that had
+// carried earlier requests, the next call sends a request on a new connection; only one such race in a row is accepted.
+// Otherwise request returns false if there was no answer, and records the failure.
 func (c *loadClient) request() bool {
 	c.seq++
 	sent, err := c.send()
@@ -157,7 +163,7 @@
 		c.disconnect()
 	default:
 		c.load.recordFailure(
-			"client %d, request %d of its connection: %v, %v after it was sent",
+			"client %d, request %d on its connection: %v, %v after the request was sent",
 			c.kind,
 			c.seq,
 			err,
@@ -168,10 +174,10 @@
 	return true
 }
 
-// errConnectionEnded reports a connection that the director has ended.
-var errConnectionEnded = errors.New("the connection was ended")
+// errConnectionEnded is returned when a connection ended before the answer's length was read.
+var errConnectionEnded = errors.New("connection ended before an answer")
 
-// send sends a request and reads its answer. It returns when the last byte of the request was written.
+// send sends a request and reads its answer. It returns the time at which the last byte of the request was written.
 func (c *loadClient) send() (sent time.Time, err error) {
 	ref := fmt.Sprintf("%016x", c.load.lastRef.Add(1))
 	text := nettest.SubmitFrame(c.seq, "", requestFields("media", ref)...)
--- a/cmd/shaleyard/operator_test.go
+++ b/cmd/shaleyard/operator_test.go
@@ -12,22 +12,24 @@
 	"shaleyard/internal/nettest"
 )
 
-// Terms of the operators' page (docs/terms.md).
+// Time limits that docs/terms.md promises to operators.
 const (
-	operatorCallTimeout = time.Second // a call of the operators' address has its answer by then
-	// a drained director is not ready, and holds no connection of a client, by then
-	drainLimit       = 4 * time.Second
-	readyAfterResume = 2 * time.Second // a director whose drain is cancelled is ready by then
+	// operatorCallTimeout is the maximum time from an HTTP call to the operators' address until its answer.
+	operatorCallTimeout = time.Second
+	// drainLimit is the maximum time from a drain until the director is not ready and holds no client connection.
+	drainLimit = 4 * time.Second
+	// readyAfterResume is the maximum time from the cancellation of a drain until the director is ready.
+	readyAfterResume = 2 * time.Second
 )
 
-// operatedProcess is the program in a process of its own, with the address that operators call.
+// operatedProcess is the program in a process of its own that also listens for operators' HTTP calls.
 type operatedProcess struct {
 	*process
 	*harness
-	operators string
+	operators string // address for operators' HTTP calls
 }
 
-// unusedAddress is a loopback address that nobody listens on.
+// unusedAddress returns a loopback address with a port on which no process listens.
 func unusedAddress(t *testing.T) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -38,13 +40,14 @@
 	return listener.Addr().String()
 }
 
-// startOperated starts the program between stand-ins and waits until it says that it is ready.
+// startOperated starts the program with the servers of a new harness and waits until the program reports that it is
+// ready.
 func startOperated(t *testing.T) *operatedProcess {
 	t.Helper()
 	return startOperatedWith(t, func(text string, _ *harness) string { return text })
 }
 
-// startOperatedWith does so with its configuration changed.
+// startOperatedWith is like startOperated, with the configuration that change returns for the harness's own.
 func startOperatedWith(t *testing.T, change func(text string, env *harness) string) *operatedProcess {
 	t.Helper()
 	env := newHarness(t)
@@ -55,7 +58,8 @@
 	return proc
 }
 
-// launchOperated starts a program with a configuration and an operators' address, and waits until it accepts clients.
+// launchOperated starts the program file at path with a configuration and with an address for operators' calls, and
+// waits until the program accepts clients.
 func launchOperated(t *testing.T, path string, env *harness, config []byte) *operatedProcess {
 	t.Helper()
 	proc := &operatedProcess{process: newProcess(t, path, config, 256), harness: env, operators: unusedAddress(t)}
@@ -65,17 +69,19 @@
 	return proc
 }
 
-// call makes one call of the operators' address and tells whether the answer was yes; no answer in time ends the test.
+// call makes one HTTP call to the operators' address and reports whether the status code was 2xx. The test ends if
+// there is no answer within operatorCallTimeout.
 func (p *operatedProcess) call(method, path string) bool {
 	p.process.t.Helper()
 	status := p.status(method, path)
 	if status == 0 {
-		p.process.t.Fatalf("%s %s: no answer", method, path)
+		p.process.t.Fatalf("%s %s: no answer within %v", method, path, operatorCallTimeout)
 	}
 	return status >= 200 && status < 300
 }
 
-// status is the status code of one call; 0: there was no answer in time.
+// status makes one HTTP call to the operators' address and returns the status code, or 0 if the call failed or was not
+// answered within operatorCallTimeout.
 func (p *operatedProcess) status(method, path string) int {
 	request, err := http.NewRequest(method, "http://"+p.operators+path, nil)
 	if err != nil {
@@ -90,7 +96,8 @@
 	return answer.StatusCode
 }
 
-// waitReady asks whether the program is ready, as the load balancer does, until it says so or that it is not.
+// waitReady calls the health check, as a load balancer does, until the answer equals ready. The test ends if the answer
+// still differs after limit.
 func (p *operatedProcess) waitReady(limit time.Duration, ready bool) {
 	p.process.t.Helper()
 	for begun := time.Now(); time.Since(begun) < limit; {
@@ -100,15 +107,15 @@
 			return
 		}
 	}
-	p.process.t.Fatalf("ready: not %v within %v", ready, limit)
+	p.process.t.Fatalf("health check did not report ready = %v within %v", ready, limit)
 }
 
-// connect connects a client.
+// connect opens a client connection to the process.
 func (p *operatedProcess) connect() *nettest.Conn { return nettest.Dial(p.process.t, p.address) }
 
-// A drained director is not ready at once, by HTTP and by heartbeat, answers the requests that it has accepted, and
-// holds no client's connection past the time, whether that is idle, waits for an answer or goes on sending. It runs on,
-// and accepts requests again when the drain is cancelled.
+// A drained director must report not ready at once, both by HTTP and by heartbeat, answer the requests that it has
+// accepted, and close every client connection within drainLimit: connections that are idle, that wait for an answer and
+// on which the client keeps sending. The process keeps running, and accepts requests again once the drain is cancelled.
 func TestOperatorDrainEmptiesTheProcess(t *testing.T) {
 	proc := startOperated(t)
 	idle, waiting, sending := proc.connect(), proc.connect(), proc.connect()
@@ -120,16 +127,16 @@
 	proc.cache.Accept().ReadCommand() // never answered
 
 	drained := time.Now()
-	for range 2 { // a second request changes nothing
+	for range 2 { // a second drain call has no effect
 		if !proc.call(http.MethodPut, "/healthcheck/fail") {
 			t.Fatal("the drain was refused")
 		}
 	}
 	if proc.call(http.MethodGet, "/healthcheck") {
-		t.Error("ready by HTTP after the drain")
+		t.Error("ready by HTTP after the drain, want not ready")
 	}
 	if reply := sending.Heartbeat(2); reply.Good {
-		t.Error("ready by heartbeat after the drain")
+		t.Error("ready by heartbeat after the drain, want not ready")
 	}
 	idle.ReadUntilEOF()
 	idle.Close()
@@ -140,11 +147,11 @@
 	answers := proc.keepSending(sending, 3, drained)
 	for seq, count := range answers {
 		if count != 1 {
-			t.Errorf("request %d has %d answers, want 1", seq, count)
+			t.Errorf("request %d got %d answers, want 1", seq, count)
 		}
 	}
 	if took := time.Since(drained); took > drainLimit {
-		t.Errorf("clients were held for %v after the drain, %v at most", took, drainLimit)
+		t.Errorf("client connections were closed %v after the drain, want at most %v", took, drainLimit)
 	}
 
 	if !proc.call(http.MethodPut, "/healthcheck/ok") {
@@ -153,14 +160,15 @@
 	proc.waitReady(readyAfterResume, true)
 	again := proc.connect()
 	if reply := again.Heartbeat(1); !reply.Good {
-		t.Error("not ready by heartbeat though the drain was cancelled")
+		t.Error("not ready by heartbeat after the drain was cancelled, want ready")
 	}
 	proc.signal(syscall.SIGTERM)
 	proc.waitReady(readyAfterResume, false)
 }
 
-// keepSending goes on sending requests on a connection on which request 1 is open, one each 100 ms, until the other
-// side ends it, and counts the answers of each request that was sent 50 ms before that or sooner.
+// keepSending sends a request every 100 ms on a connection on which request 1 is open, from the sequence number seq on,
+// until the server ends the connection. It returns the number of answers by sequence number, with 0 for request 1 and
+// for each request that was sent more than 50 ms before the end and got no answer.
 func (p *operatedProcess) keepSending(client *nettest.Conn, seq int32, since time.Time) map[int32]int {
 	answers := map[int32]int{1: 0}
 	sent := map[int32]time.Time{}
@@ -200,7 +208,8 @@
 	return answers
 }
 
-// An accept that fails for want of descriptors must end neither the process nor its connections: it is tried again.
+// An accept that fails because no descriptor is free must end neither the process nor its connections: the accept is
+// retried, and the new client is served once descriptors are available again.
 func TestFailedAcceptIsTriedAgain(t *testing.T) {
 	env := newHarness(t)
 	child := startProcess(t, env.configJSON(256), 256)
@@ -223,8 +232,8 @@
 	child.stopGracefully()
 }
 
-// buildWithSteppedClock builds the program with a standard library whose wall clock is stepped a second after the
-// start, the monotonic clock left alone.
+// buildWithSteppedClock builds the program with a time package whose wall clock jumps by step one second after the
+// start of the process. The monotonic clock is unchanged.
 func buildWithSteppedClock(t *testing.T, step time.Duration) string {
 	t.Helper()
 	return buildWithSource(
@@ -237,8 +246,8 @@
 	)
 }
 
-// A wall clock that is stepped changes no duration: a request that is open meanwhile fails at its deadline, and a
-// drain, its end, a reload and a stop take as long as ever.
+// A jump of the wall clock must not change any duration: a request that is open at the time of the jump fails at its
+// deadline, and a drain, its cancellation, a reload and a stop take as long as without the jump.
 func TestWallClockStepsMoveNoSpan(t *testing.T) {
 	for _, step := range []time.Duration{-time.Hour, -5 * time.Second, 5 * time.Second, time.Hour} {
 		t.Run(step.String(), func(t *testing.T) {
@@ -251,16 +260,16 @@
 			client.Submit(1, "", withTimeout(requestFields("repayment", ref1), "2500")...)
 			env.cache.Accept().ReadCommand() // never answered
 			if reply := client.ReadReply(); reply.Field != 2 {
-				t.Errorf("%+v, want request 1 failed", reply)
+				t.Errorf("reply %+v, want request 1 failed (field 2)", reply)
 			}
 			if took := time.Since(begun); took < 2400*time.Millisecond || took > 3*time.Second {
-				t.Errorf("given up after %v, want 2.5 s", took)
+				t.Errorf("request failed after %v, want about 2.5 s", took)
 			}
 			begun = proc.drain()
 			client.ReadUntilEOF()
 			client.Close()
 			if took := time.Since(begun); took < 300*time.Millisecond || took > 2*time.Second {
-				t.Errorf("an idle client was closed %v after the drain, want 0.5 s", took)
+				t.Errorf("idle client connection was closed %v after the drain, want about 0.5 s", took)
 			}
 			proc.cancelDrain()
 			env.discovery = nettest.Listen(t)
@@ -270,7 +279,7 @@
 			begun = time.Now()
 			proc.stopGracefully()
 			if took := time.Since(begun); took > 2*time.Second {
-				t.Errorf("the stop took %v, want 0.7 s", took)
+				t.Errorf("stop took %v, want about 0.7 s", took)
 			}
 		})
 	}
--- a/cmd/shaleyard/patchedbuild_test.go
+++ b/cmd/shaleyard/patchedbuild_test.go
@@ -13,7 +13,8 @@
 	"unsafe"
 )
 
-// prlimit sets or reads the limit on descriptors of a running process.
+// prlimit sets the limit on descriptors of a running process to *set and stores the previous limit in *get. A nil
+// pointer skips that part.
 func prlimit(t *testing.T, pid int, set, get *syscall.Rlimit) {
 	t.Helper()
 	_, _, errno := syscall.RawSyscall6(syscall.SYS_PRLIMIT64, uintptr(pid), syscall.RLIMIT_NOFILE,
@@ -23,7 +24,7 @@
 	}
 }
 
-// goOutput is what the go command prints.
+// goOutput runs the go command and returns what it prints, without surrounding space.
 func goOutput(t *testing.T, args ...string) string {
 	t.Helper()
 	out, err := exec.Command("go", args...).Output()
@@ -33,7 +34,8 @@
 	return strings.TrimSpace(string(out))
 }
 
-// buildWithSource builds the program with one file of the standard library, or of a module, changed.
+// buildWithSource builds the program with one source file outside the main module replaced by the text that change
+// returns for it. It returns the path of the binary.
 func buildWithSource(t *testing.T, original string, change func(text string) string) (program string) {
 	t.Helper()
 	text, err := os.ReadFile(original)
@@ -54,7 +56,8 @@
 	return build(t, folder, "-overlay="+overlay)
 }
 
-// buildWithModule builds the program with files of one of its modules changed.
+// buildWithModule builds the program with a changed copy of one module that it depends on. The keys of change are paths
+// inside the module; each value returns the changed text of its file. It returns the path of the binary.
 func buildWithModule(t *testing.T, module string, change map[string]func(text string) string) (program string) {
 	t.Helper()
 	folder := t.TempDir()
@@ -68,7 +71,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := os.Remove(path); err != nil { // a copy of what is read-only
+		if err := os.Remove(path); err != nil { // files of the module cache are read-only, and so are their copies
 			t.Fatal(err)
 		}
 		if err := os.WriteFile(path, []byte(changed(string(text))), 0o600); err != nil {
@@ -89,7 +92,7 @@
 	return build(t, folder, "-modfile="+modfile)
 }
 
-// build builds the program in a folder.
+// build builds the program into a folder, with one more option for go build, and returns the path of the binary.
 func build(t *testing.T, folder, option string) (program string) {
 	t.Helper()
 	program = filepath.Join(folder, "shaleyard")
@@ -101,13 +104,15 @@
 	return program
 }
 
-// insertAfterLine puts a text behind a line of a source file that must be there.
+// insertAfterLine inserts a text after the first occurrence of a line of source code. The test ends if there is no such
+// line.
 func insertAfterLine(t *testing.T, text, line, inserted string) string {
 	t.Helper()
 	if !strings.Contains(text, line) {
-		t.Fatalf("the source is not what it was: no %q", line)
+		t.Fatalf("source file has changed: no line %q", line)
 	}
 	return strings.Replace(text, line, line+inserted, 1)
 }
 
+// wholeSeconds returns a duration in whole seconds, as a Go literal.
 func wholeSeconds(step time.Duration) string { return fmt.Sprint(int64(step / time.Second)) }
--- a/cmd/shaleyard/process_test.go
+++ b/cmd/shaleyard/process_test.go
@@ -14,10 +14,11 @@
 	"time"
 )
 
-// descriptorLimitEnv is set for processes that the tests start as the program; its value is their limit on descriptors.
+// descriptorLimitEnv is the environment variable that makes the test binary run the program instead of the tests. Its
+// value is the limit on descriptors that the process sets for itself.
 const descriptorLimitEnv = "SHALEYARD_TEST_DESCRIPTORS"
 
-// TestMain is the program itself where a test has started it as such.
+// TestMain runs the tests, or the program if descriptorLimitEnv is set.
 func TestMain(m *testing.M) {
 	limit, err := strconv.ParseUint(os.Getenv(descriptorLimitEnv), 10, 64)
 	if err != nil {
@@ -35,11 +36,12 @@
 	*exec.Cmd
 	t          *testing.T
 	configFile string
-	address    string         // where it listens
-	lines      *bufio.Scanner // of its log
+	address    string         // address on which the program accepts clients
+	lines      *bufio.Scanner // reads the log, line by line
 }
 
-// newProcess prepares the program without starting it, so that a test can change its environment and descriptors first.
+// newProcess writes the configuration file and prepares the command for the program without starting it, so that a test
+// can first change the environment and the inherited descriptors.
 func newProcess(t *testing.T, program string, text []byte, descriptors int) *process {
 	t.Helper()
 	child := &process{Cmd: exec.Command(program), t: t, configFile: filepath.Join(t.TempDir(), "config.json")}
@@ -49,11 +51,11 @@
 		fmt.Sprintf("%s=%d", descriptorLimitEnv, descriptors),
 		"EDGE_CONFIG="+child.configFile,
 		"GORACE=atexit_sleep_ms=0",
-	) // otherwise the race detector holds each exit up for a second
+	) // with the race detector's default, each exit takes a second longer
 	return child
 }
 
-// launch starts the program; its log is read from here on.
+// launch starts the program and a scanner for its log. The program is killed at the end of the test.
 func (p *process) launch() {
 	p.t.Helper()
 	log, err := p.StderrPipe()
@@ -63,19 +65,20 @@
 	if err := p.Start(); err != nil {
 		p.t.Fatal(err)
 	}
-	p.t.Cleanup(func() { _ = p.Process.Kill() }) // which fails if it has ended
+	p.t.Cleanup(func() { _ = p.Process.Kill() }) // fails if the process has already ended
 	p.lines = bufio.NewScanner(log)
 	p.lines.Buffer(nil, 1<<20)
 }
 
-// waitListening waits until the program accepts clients.
+// waitListening waits until the program logs the address on which it accepts clients, and stores it in address.
 func (p *process) waitListening() {
 	p.t.Helper()
 	_, rest, _ := strings.Cut(p.waitForLog("listens on"), "listens on ")
 	p.address, _, _ = strings.Cut(rest, `"`)
 }
 
-// startProcess starts the program with a configuration and waits until it accepts clients.
+// startProcess starts the program with a configuration and a limit on descriptors, and waits until the program accepts
+// clients.
 func startProcess(t *testing.T, text []byte, descriptors int) *process {
 	t.Helper()
 	child := newProcess(t, os.Args[0], text, descriptors)
@@ -84,7 +87,7 @@
 	return child
 }
 
-// writeConfig replaces the configuration.
+// writeConfig replaces the content of the configuration file. The program reads it at its start and on SIGHUP.
 func (p *process) writeConfig(text []byte) {
 	p.t.Helper()
 	if err := os.WriteFile(p.configFile, text, 0o600); err != nil {
@@ -92,7 +95,7 @@
 	}
 }
 
-// signal sends a signal.
+// signal sends a signal to the process.
 func (p *process) signal(sig os.Signal) {
 	p.t.Helper()
 	if err := p.Process.Signal(sig); err != nil {
@@ -100,33 +103,33 @@
 	}
 }
 
-// pause stops the process by SIGSTOP, and waits until all its threads have stopped: on a busy machine the signal takes
-// effect late, and what comes until then is still read.
+// pause sends SIGSTOP and waits until all threads of the process have stopped. On a busy machine the signal takes
+// effect late, and until then the process still reads its sockets.
 func (p *process) pause() {
 	p.t.Helper()
 	p.signal(syscall.SIGSTOP)
 	deadline := time.Now().Add(10 * time.Second)
 	for !p.paused() {
 		if time.Now().After(deadline) {
-			p.t.Fatal("the process does not stop")
+			p.t.Fatal("process not stopped 10 s after SIGSTOP")
 		}
 		time.Sleep(time.Millisecond)
 	}
 }
 
-// paused tells whether all threads of the process are stopped by a signal (state T of proc(5)).
+// paused reports whether all threads of the process are stopped by a signal (state T of proc(5)).
 func (p *process) paused() bool {
 	p.t.Helper()
 	threads, err := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/stat", p.Process.Pid))
 	if err != nil || len(threads) == 0 {
-		p.t.Fatalf("threads of the process: %v, %v", threads, err)
+		p.t.Fatalf("list threads of the process: got %v, error %v", threads, err)
 	}
 	for _, thread := range threads {
 		text, err := os.ReadFile(thread)
 		if err != nil {
-			return false // the thread has ended meanwhile
+			return false // the thread has ended since the list was read
 		}
-		// The state follows the name, which stands in parentheses and may hold any character.
+		// The state follows the thread's name, which is in parentheses and may contain any character.
 		state := text[bytes.LastIndexByte(text, ')')+1:]
 		if !bytes.HasPrefix(state, []byte(" T ")) {
 			return false
@@ -135,16 +138,16 @@
 	return true
 }
 
-// kill ends the process with SIGKILL and waits for that.
+// kill sends SIGKILL and waits for the end of the process.
 func (p *process) kill() {
 	p.t.Helper()
 	if err := p.Process.Kill(); err != nil {
 		p.t.Errorf("kill: %v", err)
 	}
-	_ = p.Wait() // it reports the signal
+	_ = p.Wait() // returns an error that names the signal
 }
 
-// waitForLog waits for a line of the log that holds the text.
+// waitForLog reads the log until a line contains text, and returns the line. The test ends if the log ends first.
 func (p *process) waitForLog(text string) string {
 	p.t.Helper()
 	last := "nothing"
@@ -154,17 +157,17 @@
 			return last
 		}
 	}
-	p.t.Fatalf("the log ended without %q, after %.300s", text, last)
+	p.t.Fatalf("log ended without a line containing %q, last line: %.300s", text, last)
 	return ""
 }
 
-// skipLog reads the log to its end.
+// skipLog reads the log to its end, which is the end of the process.
 func (p *process) skipLog() {
 	for p.lines.Scan() {
 	}
 }
 
-// stopGracefully ends the process by SIGTERM; its exit status must be 0.
+// stopGracefully sends SIGTERM, waits for the end of the process and reports a test error if its exit status is not 0.
 func (p *process) stopGracefully() {
 	p.t.Helper()
 	p.signal(syscall.SIGTERM)
--- a/cmd/shaleyard/requests_test.go
+++ b/cmd/shaleyard/requests_test.go
@@ -12,7 +12,8 @@
 	"shaleyard/internal/nettest"
 )
 
-// withoutField drops a field, such as one that depends on the time, from the FIELDS of a request to a cache.
+// withoutField returns the comma-separated fields of a request to a cache without the field of the given name. Tests
+// use it to drop fields that depend on the time.
 func withoutField(fields, name string) string {
 	var kept []string
 	for field := range strings.SplitSeq(fields, ",") {
@@ -23,6 +24,8 @@
 	return strings.Join(kept, ",")
 }
 
+// A client must get the complete body of an answer, also one of 240 kB, and the fields of the answer to a request whose
+// copy at the client is still valid.
 func TestAnswerReachesTheClientWhole(t *testing.T) {
 	env := startProgram(t)
 	client := env.dial()
@@ -46,8 +49,9 @@
 	env.wantReply(client.ReadReply(), nettest.Reply{Seq: 2, Good: true, Fields: map[string]string{"valid": "1"}})
 }
 
-// A flood meets a director that has just started: it admits as many requests as it can hope to answer, rejects the rest
-// at once with a Retry-After of its own for each, and admits twice as many when those are answered.
+// A director that has just started must not accept more requests than it may be able to answer. It admits 16 of a flood
+// of requests and rejects the others at once, each with a different time after which to retry (cooldown), so that the
+// clients do not all return at the same time. Once the 16 are answered it admits up to twice as many.
 func TestFloodAfterAStartIsLetInAsAnswersCome(t *testing.T) {
 	env := startWithLimits(t, 1024, io.Discard, func(limits *config.Limits) { limits.MaxConnsPerEndpoint = 1 })
 	flood := func(client *nettest.Conn, from, count int) {
@@ -58,22 +62,22 @@
 	const admitted, count = 16, 30
 	one, two := env.dial(), env.dial()
 	flood(one, 1, count)
-	waits := map[string]bool{}
+	retryAfters := map[string]bool{}
 	wantRejected := func(client *nettest.Conn, count int) {
 		t.Helper()
 		for range count {
 			reply := client.ReadReply()
 			if reply.Field != 1 || reply.Fields["cooldown"] == "" {
-				t.Fatalf("%+v, want a refusal that says when to come back", reply)
+				t.Fatalf("reply %+v, want a rejection with a cooldown", reply)
 			}
-			waits[reply.Fields["cooldown"]] = true
+			retryAfters[reply.Fields["cooldown"]] = true
 		}
 	}
 	wantRejected(one, count-admitted)
 	flood(two, 1, count)
 	wantRejected(two, count)
-	if len(waits) < 20 {
-		t.Errorf("%d different times to come back for %d clients", len(waits), 2*count-admitted)
+	if len(retryAfters) < 20 {
+		t.Errorf("got %d different cooldowns for %d rejections, want at least 20", len(retryAfters), 2*count-admitted)
 	}
 	cacheConn := env.cache.Accept()
 	serve := func(count int) {
@@ -83,7 +87,7 @@
 		}
 		for range count {
 			if reply := one.ReadReply(); !reply.Good {
-				t.Fatalf("%+v, want an answer", reply)
+				t.Fatalf("reply %+v, want an answer", reply)
 			}
 		}
 	}
@@ -92,21 +96,23 @@
 	serve(count)
 }
 
-// A reset after a repayment was written may have come after it ran: it must neither be retried nor rejected.
+// When a connection is reset after a repayment was written to it, the repayment may have run. It must neither be
+// retried, which could run it twice, nor rejected, which would let the client retry: it fails (field 2).
 func TestRepaymentIsNotSentAgainAfterAReset(t *testing.T) {
 	env := startProgram(t)
 	client := env.dial()
 	client.Submit(1, "pay", requestFields("repayment", ref1)...)
 	cacheConn := env.cache.Accept()
 	if got := cacheConn.ReadCommand(); got[3] != "pay" {
-		t.Errorf("body %q", got[3])
+		t.Errorf("body %q, want %q", got[3], "pay")
 	}
 	cacheConn.Reset()
 	env.wantReply(client.ReadReply(), nettest.Reply{Seq: 1, Field: 2})
 }
 
-// A malformed answer ends its connection, and with that all attempts on it: that must be one attempt, so that a
-// repayment does not fail with the answers of others. The cache itself is not blamed: it gets further attempts.
+// A malformed answer ends its connection and every attempt on the connection. An unanswered repayment must therefore
+// not share its connection with another request, or the malformed answer to the other request fails the repayment too.
+// The malformed answer does not count as a failure of the cache, which gets further attempts.
 func TestSpoiltAnswerEndsOneAttempt(t *testing.T) {
 	env := startProgram(t)
 	client := env.dial()
@@ -114,20 +120,21 @@
 	pay := env.cache.Accept()
 	pay.ReadCommand()
 	client.Submit(2, "", requestFields("media", ref2)...)
-	spoilt := env.cache.Accept()
-	spoilt.ReadCommand()
-	spoilt.Send("*4\r\n$noise")
-	spoilt.ReadUntilClose()
+	malformed := env.cache.Accept()
+	malformed.ReadCommand()
+	malformed.Send("*4\r\n$noise")
+	malformed.ReadUntilClose()
 	client.Submit(3, "", requestFields("media", ref3)...)
 	cacheConn := env.cache.Accept()
 	if got := cacheConn.ReadCommand(); got[1] != ref3 {
-		t.Errorf("the cache was asked for %s, want %s", got[1], ref3)
+		t.Errorf("cache got request %s, want %s", got[1], ref3)
 	}
 	pay.WriteArray(ref1, "OK", "-", "paid")
 	env.wantReply(client.ReadReply(), nettest.Reply{Seq: 1, Body: "paid", Good: true})
 }
 
-// Refused connections prove that nothing ran: the repayment may be rejected, which lets the client retry.
+// If all connections are refused, a repayment cannot have run. It must be rejected (field 1), which lets the client
+// retry, and not reported as failed.
 func TestRepaymentIsRefusedWhenItNeverRan(t *testing.T) {
 	env := startProgram(t)
 	env.cache.Close()
@@ -135,11 +142,12 @@
 	client := env.dial()
 	client.Submit(1, "pay", requestFields("repayment", ref1)...)
 	if reply := client.ReadReply(); reply.Field != 1 {
-		t.Errorf("answer %+v, want a refusal", reply)
+		t.Errorf("reply %+v, want a rejection", reply)
 	}
 }
 
-// A revoked request cancels its attempts, and what its cache still answers goes to nobody.
+// When a client revokes a request, the director must cancel the attempt at the cache, and must not forward the answer
+// that the cache still sends.
 func TestRevokeStopsTheAttempt(t *testing.T) {
 	env := startProgram(t)
 	client := env.dial()
@@ -157,6 +165,7 @@
 	env.wantReply(client.ReadReply(), nettest.Reply{Seq: 2, Body: "in time", Good: true})
 }
 
+// When a client's connection is reset, the director must cancel the attempts of the client's open requests.
 func TestDeadClientEndsItsRequests(t *testing.T) {
 	env := startProgram(t)
 	client := env.dial()
--- a/cmd/shaleyard/shutdown_test.go
+++ b/cmd/shaleyard/shutdown_test.go
@@ -14,14 +14,15 @@
 	"shaleyard/internal/nettest"
 )
 
-// A stop answers what was accepted, and what comes within the grace period, before the program ends without an error.
+// During a stop the program must report not ready by heartbeat, answer the requests that it has accepted as well as
+// those that arrive within the grace period, also on new connections, and then end without an error.
 func TestStopAnswersWhatWasTaken(t *testing.T) {
 	env := startProgram(t)
 	watch := env.discovery.Accept()
 	watch.ReadLine()
 	client := env.dial()
 	if reply := client.Heartbeat(1); !reply.Good {
-		t.Error("not ready with the feed up")
+		t.Error("not ready while connected to the discovery service, want ready")
 	}
 	client.Submit(2, "", requestFields("media", ref1)...)
 	cacheConn := env.cache.Accept()
@@ -33,7 +34,7 @@
 	})
 	<-stopping
 	if reply := client.Heartbeat(3); reply.Good {
-		t.Error("ready while stopping")
+		t.Error("ready while stopping, want not ready")
 	}
 	late := env.dial()
 	late.Submit(1, "", requestFields("media", ref2)...)
@@ -48,14 +49,15 @@
 	}
 }
 
-// Caches hang just as the program is told to end: requests that wait for them are answered before the program is
-// killed, and a request that still comes is rejected at once.
+// If a cache does not respond when the program is stopped, the requests that wait for it must be rejected by
+// StopAnswerDeadline, before the platform kills the program. A request that arrives after the grace period is rejected
+// at once, on an open connection as well as on a new one.
 func TestStopAnswersWhatHangs(t *testing.T) {
 	env := startWithLimits(t, 1024, io.Discard, func(limits *config.Limits) {
 		limits.StopGracePeriod = 10 * time.Millisecond
 		limits.StopAnswerDeadline = 300 * time.Millisecond
 		limits.StopDeadline = 20 * time.Second
-		limits.NewConnGracePeriod = 10 * time.Second // however late the test's own request comes
+		limits.NewConnGracePeriod = 10 * time.Second // long enough for the test's request on a slow machine
 		limits.LingerTimeout = 10 * time.Second
 	})
 	client, second := env.dial(), env.dial()
@@ -73,16 +75,16 @@
 	}
 	client.Submit(2, "", requestFields("media", ref2)...)
 	if reply := client.ReadReply(); reply.Seq != 2 || reply.Field != 1 {
-		t.Errorf("after the grace period: %+v, want request 2 refused", reply)
+		t.Errorf("after the grace period: reply %+v, want request 2 rejected", reply)
 	}
-	late := env.dial() // accepted, and not read yet, while the program is closing
+	late := env.dial() // the program still accepts connections while it is closing
 	late.Submit(1, "", requestFields("media", ref2)...)
 	if reply := late.ReadReply(); reply.Seq != 1 || reply.Field != 1 {
-		t.Errorf("on a new connection: %+v, want its request refused", reply)
+		t.Errorf("on a new connection: reply %+v, want request 1 rejected", reply)
 	}
 	late.Close()
 	if reply := client.ReadReply(); reply.Seq != 1 || reply.Field != 1 {
-		t.Errorf("at a cache that hangs: %+v, want request 1 refused", reply)
+		t.Errorf("at a cache that does not respond: reply %+v, want request 1 rejected", reply)
 	}
 	client.ReadUntilEOF()
 	client.Close()
@@ -93,8 +95,8 @@
 	}
 }
 
-// SIGTERM may come while reloads wait behind one whose file takes long to read, and more of them than any channel
-// holds.
+// SIGTERM must stop the program at once, even if it arrives while a reload is blocked on reading its file and further
+// signals are queued. A shared queue of signals could be full then and lose SIGTERM, or delay it until the reload ends.
 func TestStopIsNotLostBehindReloads(t *testing.T) {
 	env := startWithLimits(
 		t,
@@ -122,13 +124,13 @@
 		t.Error(err)
 	}
 	if env.program.reloader.failed != 0 {
-		t.Errorf("%d reloads are through; the stop waited for them", env.program.reloader.failed)
+		t.Errorf("%d reloads ended before the stop, want 0", env.program.reloader.failed)
 	}
 }
 
-// During shutdown idle clients don't close their half, and others come in a flood: lingering and new connections must
-// together keep within the clients' share of descriptors, or accept finds none and ends the program with an answer
-// owed.
+// Lingering and new connections together must not exceed the clients' share of descriptors during shutdown. Otherwise,
+// when idle clients do not close their half and many new clients connect, accept finds no free descriptor and ends the
+// program while a request has no answer yet.
 func TestFloodWhileTheProgramPartsIsSurvived(t *testing.T) {
 	env := newHarness(t)
 	child := startProcess(t, env.configJSON(66), 66)
@@ -138,19 +140,20 @@
 	cacheConn := env.cache.Accept()
 	cacheConn.ReadCommand()
 	child.signal(syscall.SIGTERM)
-	idle.ReadUntilEOF() // the shutdown has begun
+	idle.ReadUntilEOF() // the program closes idle connections once the shutdown has begun
 	last := idle
 	for range 100 {
 		last = nettest.Dial(t, child.address)
 	}
-	last.ReadUntilClose() // it was accepted, and all before it
+	last.ReadUntilClose() // connections are accepted in order, so all earlier ones were accepted too
 	cacheConn.WriteArray(ref1, "OK", "n=HIT", "owed")
 	env.wantReply(client.ReadReply(), nettest.Reply{Seq: 1, Body: "owed", Good: true})
 	child.stopGracefully()
 }
 
-// Bytes cross the program's half-close during shutdown: the request is not accepted, let alone forwarded, and the
-// connection is read until the client closes it, so that no reset takes the last answer with it.
+// During shutdown, a request may arrive after the program has closed its half of the connection. The program must
+// neither accept nor forward the request. It reads and drops the bytes until the client closes, because closing with
+// unread bytes sends a reset, and a reset may discard the last answer before the client reads it.
 func TestRequestBehindTheLastHalfCloseIsNotTaken(t *testing.T) {
 	env := startWithLimits(t, 1024, io.Discard, func(limits *config.Limits) {
 		limits.StopGracePeriod = 10 * time.Millisecond
@@ -166,7 +169,7 @@
 	env.wantReply(client.ReadReply(), nettest.Reply{Seq: 1, Body: "last", Good: true})
 	env.program.eventLoop.Do(env.program.lifecycle.stop)
 	if rest := client.ReadUntilEOF(); rest != "" {
-		t.Errorf("%q before the end", rest)
+		t.Errorf("got %q before the end of the connection, want nothing", rest)
 	}
 	client.Submit(2, "", requestFields("media", ref2)...)
 	client.Close()
@@ -174,15 +177,17 @@
 		t.Error(err)
 	}
 	if got := env.program.director.Counters.RequestsAccepted; got != 1 {
-		t.Errorf("%d requests taken, want 1", got)
+		t.Errorf("%d requests accepted, want 1", got)
 	}
 	if got := env.program.downstream.Counters; got.DroppedBytes == 0 || got.LingersAborted != 0 {
-		t.Errorf("%d bytes dropped, %d lingers cut; want some and none", got.DroppedBytes, got.LingersAborted)
+		t.Errorf("DroppedBytes = %d, LingersAborted = %d, want > 0 and 0", got.DroppedBytes, got.LingersAborted)
 	}
 }
 
-// A client reads slowly: during shutdown the system buffers an answer that the client has no room for. The client can't
-// know of our half-close, sends its next request long after it, and still gets the complete answer.
+// During shutdown, a client that reads slowly must get its complete answer. The system still buffers the answer when
+// the program closes its half of the connection, so the client cannot see the half-close yet. The client sends its next
+// request more than three times LingerTimeout later. The program must not reset the connection then, because a reset
+// discards the rest of the answer.
 func TestSlowReaderGetsItsAnswerBehindOurHalfClose(t *testing.T) {
 	env := startWithLimits(t, 1024, io.Discard, func(limits *config.Limits) {
 		limits.StopGracePeriod = 10 * time.Millisecond
@@ -206,7 +211,7 @@
 				if holds {
 					return
 				}
-			case err := <-env.exited: // too soon: the client shows what came of it
+			case err := <-env.exited: // the program ended too soon, which the checks of the client's answer will show
 				env.exited <- err
 				return
 			}
--- a/cmd/shaleyard/simulation_peers_test.go
+++ b/cmd/shaleyard/simulation_peers_test.go
@@ -10,20 +10,20 @@
 	"shaleyard/routing"
 )
 
-// cachePeer is the far end of a connection to a cache, a parent or the origin.
+// cachePeer is the remote end of one connection to a cache, a parent or the origin. The program's end is stream.
 type cachePeer struct {
 	nettest.FakeConn
 	simulation   *simulation
 	name         string
 	stream       eventloop.Stream
 	pending      []string // references of attempts that are not answered
-	answered     []string // references of attempts that are, of which a second answer may come
-	unsent       string   // of an answer under way
-	onComplete   func()   // to be called before the rest of that is sent
+	answered     []string // references of attempts that are answered; the peer may answer them a second time
+	unsent       string   // rest of a partial answer
+	onComplete   func()   // called before unsent is sent
 	disconnected bool
 }
 
-// Writev takes what the program sends to a cache.
+// Writev receives one command from the program. STOP cancels an attempt; REQ starts one.
 func (p *cachePeer) Writev(pieces [][]byte) (int, error) {
 	words := strings.Split(string(joinPieces(pieces)), "\r\n")
 	switch words[2] {
@@ -32,12 +32,13 @@
 	case "REQ":
 		p.takeAttempt(words[4], words[6])
 	default:
-		p.simulation.failf("%q to a cache", words[2])
+		p.simulation.failf("unknown command %q sent to a cache", words[2])
 	}
 	return 1, nil
 }
 
-// takeAttempt checks that an attempt may be sent to this cache now.
+// takeAttempt records an attempt and checks that the director may send it to this cache now: the request is still open,
+// the cache and the source are ready, a retry is allowed by the request's class, and hedging is not forbidden.
 func (p *cachePeer) takeAttempt(ref, fields string) {
 	sim, source := p.simulation, ""
 	for field := range strings.SplitSeq(fields, ",") {
@@ -46,27 +47,30 @@
 		}
 	}
 	request := sim.requests[ref]
-	sim.record("%s of %s to %s, up %q", ref, request.class, p.name, source)
+	sim.record("attempt of %s, class %s, at %s with source %q", ref, request.class, p.name, source)
 	retried := request.possibleExecutions > 0
 	switch {
 	case sim.suspended:
-		sim.failf("%s was written while the director is suspended", ref)
+		sim.failf("attempt of %s written while the director is suspended", ref)
 	case request.cancelled:
-		sim.failf("%s was begun though its client had gone", ref)
+		sim.failf("attempt of %s written after the request was cancelled", ref)
 	case request.answered:
-		sim.failf("%s was begun though it was answered", ref)
+		sim.failf("attempt of %s written after the request was answered", ref)
 	case sim.endpointStates[p.name] != routing.Ready:
-		sim.failf("%s went to %s, which is %v", ref, p.name, sim.endpointStates[p.name])
+		sim.failf("attempt of %s sent to %s, which is %v, want %v", ref, p.name, sim.endpointStates[p.name],
+			routing.Ready)
 	case source != "" && sim.endpointStates[source] != routing.Ready:
-		sim.failf("%s has source %s, which is %v", ref, source, sim.endpointStates[source])
+		sim.failf("attempt of %s has source %s, which is %v, want %v", ref, source, sim.endpointStates[source],
+			routing.Ready)
 	case request.class == "pay" && retried:
-		sim.failf("%s was sent again though it may have run", ref)
+		sim.failf("%s retried although it is not idempotent and may have run", ref)
 	case request.class == "keyed" && retried && sim.clock >= request.firstWrittenAt+dedupWindow:
-		sim.failf("%s was repeated %v after it may first have run", ref, sim.clock-request.firstWrittenAt)
+		sim.failf("%s retried %v after its first attempt, want less than %v", ref, sim.clock-request.firstWrittenAt,
+			dedupWindow)
 	}
 	for _, until := range request.outstanding {
 		if sim.hedgingForbidden && sim.clock < until {
-			sim.failf("%s got a hedged attempt, which is not allowed", ref)
+			sim.failf("%s has two outstanding attempts although hedging is forbidden", ref)
 		}
 	}
 	request.outstanding[p] = math.MaxInt64
@@ -77,15 +81,16 @@
 	p.pending = append(p.pending, ref)
 }
 
-// send sends bytes to the program.
+// send delivers bytes from the cache to the program.
 func (p *cachePeer) send(text string) {
 	if err := p.stream.Data([]byte(text)); err != nil {
-		p.disconnected = true // the event loop closes at once what can't be parsed
+		p.disconnected = true // on an error of Data, the event loop closes the connection at once
 		p.stream.Closed()
 	}
 }
 
-// Close implements eventloop.Conn; it takes effect later.
+// Close implements eventloop.Conn. It cancels the attempts on the connection; the program's stream learns of the close
+// later, by carryOutClose.
 func (p *cachePeer) Close() error {
 	for _, request := range p.simulation.requests {
 		request.cancelAttempt(p)
@@ -96,7 +101,7 @@
 	return nil
 }
 
-// disconnect ends the connection from the far end.
+// disconnect ends the connection, drops its attempts and notifies the program's stream, once.
 func (p *cachePeer) disconnect() {
 	if p.disconnected {
 		return
@@ -108,7 +113,7 @@
 	p.stream.Closed()
 }
 
-// clientPeer is the far end of a client's connection.
+// clientPeer is the remote end of one client connection. The program's end is session.
 type clientPeer struct {
 	nettest.FakeConn
 	simulation   *simulation
@@ -116,11 +121,11 @@
 	seq          int32
 	open         map[int32]*simulatedRequest
 	disconnected bool
-	malformed    bool // has sent what can't be parsed
-	halfClosed   bool // by the program
+	malformed    bool // the client has sent malformed data, after which the program reads no more requests
+	halfClosed   bool // the program has closed its half
 }
 
-// Writev takes an answer to a client.
+// Writev receives one answer to the client and checks that it belongs to an open request, or to a heartbeat.
 func (p *clientPeer) Writev(pieces [][]byte) (int, error) {
 	sim, message := p.simulation, joinPieces(pieces)
 	nameLength := int(binary.BigEndian.Uint32(message[8:]))
@@ -130,17 +135,17 @@
 	sim.record("answer to %d", seq)
 	switch {
 	case p.disconnected, p.halfClosed:
-		sim.failf("an answer on a connection that has ended")
+		sim.failf("answer to %d written after the connection was disconnected or half-closed", seq)
 	case request == nil && name == "heartbeat":
 		return len(message), nil
 	case request == nil:
-		sim.failf("sequence number %d was answered, which is not open", seq)
+		sim.failf("answer to %d, which is no open request of the connection", seq)
 	case request.answered:
-		sim.failf("sequence number %d was answered twice", seq)
+		sim.failf("second answer to %d", seq)
 	}
-	// Thrift's type of an answer; the other one is an exception
+	// reply is Thrift's message type of an answer; an answer of another type is an exception.
 	const reply = 2
-	if message[7] == reply && rest[5] == 0 && rest[6] == 0 { // its field 0: the request was served
+	if message[7] == reply && rest[5] == 0 && rest[6] == 0 { // field 0 of the result: the request was served
 		sim.served++
 	}
 	request.answered = true
@@ -148,32 +153,34 @@
 	return len(message), nil
 }
 
-// CloseWrite implements eventloop.Conn.
+// CloseWrite implements eventloop.Conn. No request that the client has not revoked may be open.
 func (p *clientPeer) CloseWrite() error {
 	p.halfClosed = true
-	p.checkNothingOwed("left without an answer")
+	p.checkNothingOwed("half-closed")
 	return nil
 }
 
-// Close implements eventloop.Conn; it takes effect later.
+// Close implements eventloop.Conn. The program's session learns of the close later, by carryOutClose. If the client is
+// connected and reads its answers, no request that it has not revoked may be open.
 func (p *clientPeer) Close() error {
 	if !p.disconnected && !p.halfClosed && p.Buffered == 0 {
-		p.checkNothingOwed("closed upon")
+		p.checkNothingOwed("closed")
 	}
 	p.simulation.pendingCloses = append(p.simulation.pendingCloses, p.disconnect)
 	return nil
 }
 
-// checkNothingOwed fails if a request of the connection is open that the client has not revoked.
+// checkNothingOwed ends the test if a request of the connection is open that was not cancelled. The argument says what
+// the program did to the connection.
 func (p *clientPeer) checkNothingOwed(what string) {
 	for seq, request := range p.open {
 		if !request.cancelled {
-			p.simulation.failf("sequence number %d was %s", seq, what)
+			p.simulation.failf("connection %s while request %d has no answer", what, seq)
 		}
 	}
 }
 
-// disconnect ends the connection from the far end.
+// disconnect ends the connection, cancels its open requests and notifies the program's session, once.
 func (p *clientPeer) disconnect() {
 	if p.disconnected {
 		return
@@ -185,9 +192,9 @@
 	p.session.Closed()
 }
 
-// data sends bytes to the program.
+// data delivers bytes from the client to the program, unless the connection has ended.
 func (p *clientPeer) data(text string) {
 	if !p.disconnected {
-		_ = p.session.Data([]byte(text)) // an error closes the connection, which the peer is told of
+		_ = p.session.Data([]byte(text)) // always nil: the server itself closes a connection with malformed data
 	}
 }
--- a/cmd/shaleyard/simulation_steps_test.go
+++ b/cmd/shaleyard/simulation_steps_test.go
@@ -15,10 +15,11 @@
 
 var errRefused = errors.New("refused")
 
-// drawOne draws one of several values.
+// drawOne returns one of values at random.
 func drawOne[T any](s *simulation, values ...T) T { return values[s.rng.IntN(len(values))] }
 
-// step lets one thing happen.
+// step performs one action that the random generator chooses: of a client, of a cache, of the discovery service or of
+// the process, or the passing of time.
 func (s *simulation) step() {
 	client, hasClient := pickMatching(
 		s.rng,
@@ -38,7 +39,7 @@
 		s.record("a client closes")
 		client.disconnect()
 	case draw < 30:
-		s.record("junk from a client")
+		s.record("a client sends malformed data")
 		client.malformed = true
 		client.data("\xff\xff\xff\xff" + strings.Repeat("j", s.rng.IntN(3000)))
 	case draw < 31:
@@ -70,6 +71,7 @@
 	}
 }
 
+// connectClient opens a client connection, unless the server rejects it.
 func (s *simulation) connectClient() {
 	client := &clientPeer{simulation: s, open: map[int32]*simulatedRequest{}}
 	session := s.downstream.Accept(client)
@@ -80,7 +82,8 @@
 	s.clientPeers = append(s.clientPeers, client)
 }
 
-// submit has a client send a request, whole or in two pieces.
+// submit lets a client send a request, in one piece or in two. If the server no longer reads requests on the
+// connection, the request counts as cancelled and no answer is expected.
 func (s *simulation) submit(client *clientPeer) {
 	s.lastRef++
 	client.seq++
@@ -98,11 +101,11 @@
 	}
 	s.requests[ref] = request
 	if client.malformed || client.halfClosed {
-		request.cancelled = true // no request is accepted there any more
+		request.cancelled = true // the server accepts no more requests on this connection
 	} else {
 		client.open[client.seq] = request
 	}
-	s.record("%p asks for %s of %s, %d ms", client, ref, class, timeoutMS)
+	s.record("client %p submits %s, class %s, timeout %d ms", client, ref, class, timeoutMS)
 	body := strings.Repeat("b", s.rng.IntN(200))
 	object := fmt.Sprintf("%016x", 1+s.rng.IntN(20))
 	frame := nettest.SubmitFrame(client.seq, body, "service", class, "ref", ref, "allow", fmt.Sprint(timeoutMS),
@@ -114,7 +117,8 @@
 	client.data(frame)
 }
 
-// revoke has a client revoke one of its requests.
+// revoke lets a client revoke one of its open requests, if it has one. Unless the server no longer reads messages on
+// the connection, the request counts as cancelled from here on.
 func (s *simulation) revoke(client *clientPeer) {
 	for seq, request := range client.open {
 		s.record("revoke %d", seq)
@@ -127,7 +131,7 @@
 	}
 }
 
-// completeDial ends one of the dials that are under way.
+// completeDial ends one of the pending dials with success, a refusal or a reset.
 func (s *simulation) completeDial() {
 	i := s.rng.IntN(len(s.dials))
 	cache := s.dials[i]
@@ -139,22 +143,25 @@
 		s.cachePeers = append(s.cachePeers, cache)
 		cache.stream.Opened(cache)
 	case draw < 9:
-		s.record("%s refuses", cache.name)
+		s.record("%s refuses a connection", cache.name)
 		cache.stream.Failed(errRefused)
 	default:
-		s.record("%s resets a dial", cache.name)
+		s.record("%s resets a connection attempt", cache.name)
 		cache.stream.Failed(fmt.Errorf("dial: %w", syscall.ECONNRESET))
 	}
 }
 
+// suspend suspends the director, as after a pause of the process. The length of the pause is 0 in half of the cases,
+// and otherwise below 400 ms.
 func (s *simulation) suspend() {
 	s.record("suspend")
 	s.suspended = true
-	whether := time.Duration(s.rng.IntN(2))
-	s.director.Suspend(whether * time.Duration(s.rng.IntN(400)) * time.Millisecond)
+	zeroOrOne := time.Duration(s.rng.IntN(2))
+	s.director.Suspend(zeroOrOne * time.Duration(s.rng.IntN(400)) * time.Millisecond)
 }
 
-// respond has a cache do something on a connection.
+// respond lets a cache act on a connection: it ends a partial answer, repeats an answer, resets the connection, or
+// answers a request.
 func (s *simulation) respond(cache *cachePeer) {
 	switch {
 	case cache.unsent != "":
@@ -170,12 +177,12 @@
 	}
 }
 
-// endPartialAnswer sends the rest of an answer, or resets the connection.
+// endPartialAnswer lets a cache send the rest of a partial answer, or reset the connection instead.
 func (s *simulation) endPartialAnswer(cache *cachePeer) {
 	rest, onComplete := cache.unsent, cache.onComplete
 	cache.unsent = ""
 	if s.rng.IntN(2) == 0 {
-		s.record("%s resets amid an answer", cache.name)
+		s.record("%s resets the connection within an answer", cache.name)
 		cache.disconnect()
 		return
 	}
@@ -183,7 +190,8 @@
 	cache.send(rest)
 }
 
-// answerPending answers one of the requests that a cache has got on a connection, or another one that nobody sent.
+// answerPending lets a cache answer one of the pending requests of a connection. In one of 20 cases the answer carries
+// a reference that no request has, and the pending request never gets an answer on this connection.
 func (s *simulation) answerPending(cache *cachePeer) {
 	i := s.rng.IntN(len(cache.pending))
 	ref := cache.pending[i]
@@ -216,7 +224,8 @@
 	}
 }
 
-// sendAnswer answers a request, at once or in two pieces; onComplete is called before the last of it is sent.
+// sendAnswer sends an answer, or only its first part and leaves the rest for endPartialAnswer. onComplete is called
+// before the last byte is sent.
 func (s *simulation) sendAnswer(cache *cachePeer, ref, word, fields, body string, onComplete func()) {
 	s.record("%s answers %s %s", cache.name, ref, word)
 	text := respArray(ref, word, fields, body)
--- a/cmd/shaleyard/simulation_test.go
+++ b/cmd/shaleyard/simulation_test.go
@@ -22,16 +22,17 @@
 )
 
 const (
-	simulationStart = 1000 * time.Second // the clock at the start
-	answerSlack     = 30 * time.Millisecond
-	dedupWindow     = 700 * time.Millisecond // of the class keyed
-	cancelDelay     = 20 * time.Millisecond  // for how long an attempt that is cancelled may still be outstanding
-	failureEvents   = 30                     // latest events that a failure prints
+	simulationStart = 1000 * time.Second     // value of the simulated clock when a simulation starts
+	answerSlack     = 30 * time.Millisecond  // time past its deadline by which a request must have its answer
+	dedupWindow     = 700 * time.Millisecond // dedup window of the class keyed
+	cancelDelay     = 20 * time.Millisecond  // maximum time for which a cancelled attempt counts as outstanding
+	failureEvents   = 30                     // number of latest events that a failure prints
 )
 
-// simulation is downstream, director and upstream put together without sockets, on a clock of its own, between peers
-// that do whatever a draw says: every order of events that the parts can meet. The peers check what must hold after
-// each step.
+// simulation runs the client side (downstream), the director and the cache side (upstream) together, without sockets
+// and on a simulated clock. A random generator chooses each action of the clients, the caches, the discovery service
+// and the process, so that events can come in any possible order. The simulated peers check each message that they
+// receive against the requests that the simulation has recorded.
 type simulation struct {
 	t          *testing.T
 	seed       uint64
@@ -46,38 +47,42 @@
 	dials            []*cachePeer
 	cachePeers       []*cachePeer
 	clientPeers      []*clientPeer
-	pendingCloses    []func() // closes that the event loop carries out later
+	pendingCloses    []func() // Close calls whose effect, as in the event loop, comes later
 	requests         map[string]*simulatedRequest
 	endpointStates   map[string]routing.State
 	hedgingForbidden bool
 	suspended        bool
-	finalDeadline    routing.Time // when all requests must be answered; 0: the process goes on
+	finalDeadline    routing.Time // shutdown deadline for all answers; 0 before shutDown
 	lastRef          int
-	served           int
-	events           []string
+	served           int      // number of requests that were answered with success
+	events           []string // all events, for the message of a failure
 }
 
-// simulatedRequest is a request as its client and the caches know it.
+// simulatedRequest holds what the simulated client and caches know about a request.
 type simulatedRequest struct {
 	class              string
 	client             *clientPeer
 	seq                int32
-	deadline           routing.Time // when an answer is owed at the latest
-	cancelled          bool         // revoked, or its client has gone
+	deadline           routing.Time // latest time of the answer
+	cancelled          bool         // the request was revoked, its client has disconnected, or it was sent too late
 	answered           bool
-	possibleExecutions int          // attempts that may have run
-	firstWrittenAt     routing.Time // when the first of those was written
-	// attempts, each with the time until which it may still be outstanding
+	possibleExecutions int          // number of attempts that may have run
+	firstWrittenAt     routing.Time // time at which possibleExecutions became 1
+	// outstanding maps each connection with an unanswered attempt to the time until which the attempt counts as
+	// outstanding.
 	outstanding map[*cachePeer]routing.Time
 }
 
-// cancelAttempt cancels an attempt on a connection.
+// cancelAttempt limits the time for which the request's attempt on a connection counts as outstanding to cancelDelay
+// from now. It has no effect if there is no such attempt.
 func (r *simulatedRequest) cancelAttempt(cache *cachePeer) {
 	if until, outstanding := r.outstanding[cache]; outstanding {
 		r.outstanding[cache] = min(until, cache.simulation.clock+cancelDelay)
 	}
 }
 
+// simulationSettings returns settings with one class per kind of idempotency: read may be repeated at any time, pay
+// never, and keyed within dedupWindow.
 func simulationSettings() *routing.Settings {
 	class := func(name, idempotency string, dedupWindow time.Duration) routing.Class {
 		return routing.Class{Name: name, LatencyObjective: 300 * time.Millisecond, Timeout: 2 * time.Second,
@@ -105,6 +110,7 @@
 	}
 }
 
+// simulationLimits returns limits that are low enough for a simulation to reach them.
 func simulationLimits() *config.Limits {
 	return &config.Limits{
 		MaxOpenRequests:    200,
@@ -141,6 +147,8 @@
 	}
 }
 
+// newSimulation returns a simulation with three caches, a parent and the origin, all ready, and without clients. The
+// seed determines all random choices; hedging is forbidden with every third seed.
 func newSimulation(t *testing.T, seed uint64) *simulation {
 	t.Helper()
 	sim := &simulation{
@@ -197,23 +205,25 @@
 	return sim
 }
 
+// failf ends the test with a message, the seed and the latest events.
 func (s *simulation) failf(format string, args ...any) {
 	s.t.Helper()
 	latest := s.events[max(0, len(s.events)-failureEvents):]
 	s.t.Fatalf("seed %d: %s\nlast events:\n%s", s.seed, fmt.Sprintf(format, args...), strings.Join(latest, "\n"))
 }
 
-// record keeps an event for the message of a failure.
+// record stores an event, with the time since the start, for the message of a failure.
 func (s *simulation) record(format string, args ...any) {
 	s.events = append(s.events, fmt.Sprintf("%v ", s.clock-simulationStart)+fmt.Sprintf(format, args...))
 }
 
-// Dial implements eventloop.Dialer.
+// Dial implements eventloop.Dialer. completeDial opens the connection later or lets the dial fail.
 func (s *simulation) Dial(address string, _ time.Duration, stream eventloop.Stream) {
 	s.dials = append(s.dials, &cachePeer{simulation: s, name: strings.TrimPrefix(address, "at-"), stream: stream})
 }
 
-// updateEndpoint has the list service report an endpoint.
+// updateEndpoint delivers an update of one endpoint to the director, as from the discovery service. The first letter of
+// the name determines the kind: c for a cache, p for a parent, o for the origin.
 func (s *simulation) updateEndpoint(name string, state routing.State, started routing.Time) {
 	endpoint := director.Endpoint{Name: name, Address: "at-" + name,
 		Endpoint: routing.Endpoint{Zone: 1, State: state, Weight: 8, Started: started}}
@@ -228,7 +238,7 @@
 	s.director.UpdateEndpoints(false, 1, []director.Endpoint{endpoint})
 }
 
-// pickMatching draws one of several values that fits, if one of eight draws finds it.
+// pickMatching picks values at random until one fits, up to eight times, and reports whether one did.
 func pickMatching[T any](rng *rand.Rand, values []T, fits func(T) bool) (value T, ok bool) {
 	if len(values) == 0 {
 		return value, false
@@ -242,7 +252,9 @@
 	return value, false
 }
 
-// advance lets time pass, and checks that each request that is owed an answer by then has one.
+// advance moves the clock forward by duration in steps of 1 ms, with due timers run at each step. It then checks that
+// no request of a connected client is past its deadline without an answer. While the director is suspended, advance
+// neither runs timers nor checks answers.
 func (s *simulation) advance(duration time.Duration) {
 	for end := s.clock + duration; s.clock < end; {
 		s.clock += time.Millisecond
@@ -251,16 +263,17 @@
 		}
 	}
 	if s.suspended {
-		return // timers don't run, and answers are owed when it goes on
+		return // answers may be sent after resume, which runs the timers that are due
 	}
 	for ref, request := range s.requests {
 		if !request.answered && !request.cancelled && !request.client.disconnected && s.clock > request.deadline {
-			s.failf("%s was not answered in its time", ref)
+			s.failf("request %s not answered by its deadline", ref)
 		}
 	}
 }
 
-// resume ends a suspension, if there is one.
+// resume ends a suspension of the director, if there is one. longPause says whether the director treats it as a long
+// pause of the process.
 func (s *simulation) resume(longPause bool) {
 	if !s.suspended {
 		return
@@ -270,14 +283,14 @@
 	s.timers.RunDue(s.clock)
 }
 
-// drainClients has all clients read what is buffered for them.
+// drainClients empties the outbound buffers of all client connections, as if the clients had read everything.
 func (s *simulation) drainClients() {
 	for _, client := range s.clientPeers {
 		client.Buffered = 0
 	}
 }
 
-// shutDown has the process answer all requests soon.
+// shutDown sets a shutdown deadline 300 ms from now, by which the director must answer all requests.
 func (s *simulation) shutDown() {
 	s.finalDeadline = s.clock + 300*time.Millisecond
 	s.director.SetShutdownDeadline(s.finalDeadline)
@@ -286,7 +299,8 @@
 	}
 }
 
-// finish plays to the end: dials fail, closes are carried out, and time passes until the connections are gone.
+// finish closes the downstream connections gracefully, lets all dials fail, carries out pending closes and advances the
+// clock by 5 s in total. It then disconnects the caches.
 func (s *simulation) finish() {
 	s.downstream.StartGracefulClose()
 	for range 100 {
@@ -305,11 +319,12 @@
 	}
 }
 
-// carryOutClose carries out the oldest close that is pending.
+// carryOutClose carries out the oldest pending close.
 func (s *simulation) carryOutClose() {
 	carryOut := s.pendingCloses[0]
 	s.pendingCloses = s.pendingCloses[1:]
 	carryOut()
 }
 
+// joinPieces returns the pieces of one Writev call as one slice.
 func joinPieces(pieces [][]byte) []byte { return bytes.Join(pieces, nil) }
--- a/cmd/shaleyard/standins_test.go
+++ b/cmd/shaleyard/standins_test.go
@@ -11,7 +11,8 @@
 	"time"
 )
 
-// serveTCP listens on loopback and serves each connection on a goroutine of its own, until the test ends.
+// serveTCP listens on a free loopback port until the test ends and calls serve for each connection, on a goroutine of
+// its own. It returns the address of the listener.
 func serveTCP(t *testing.T, serve func(net.Conn)) (address string) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -31,8 +32,8 @@
 	return listener.Addr().String()
 }
 
-// respondingCache answers the requests on a connection one after the other, each after a delay; it ignores
-// cancellations.
+// respondingCache returns a function for serveTCP that answers the requests on a connection one at a time, each with
+// the same body and after a delay. It ignores cancellations.
 func respondingCache(delay time.Duration, body string) func(net.Conn) {
 	return func(conn net.Conn) {
 		defer conn.Close()
@@ -56,7 +57,8 @@
 	}
 }
 
-// idleDiscoveryService is a list service without events: it sends a heartbeat each second.
+// idleDiscoveryService serves one connection of a discovery service that has no events. After the line of the caller's
+// request it sends a heartbeat each second.
 func idleDiscoveryService(conn net.Conn) {
 	defer conn.Close()
 	if _, err := bufio.NewReader(conn).ReadString('\n'); err != nil {
@@ -91,16 +93,16 @@
 	return words, nil
 }
 
-// readLength reads a line of a mark and a number.
-func readLength(reader *bufio.Reader, mark string) (int, error) {
+// readLength reads a line that consists of a prefix and a length, and returns the length.
+func readLength(reader *bufio.Reader, prefix string) (int, error) {
 	line, err := reader.ReadString('\n')
 	if err != nil {
 		return 0, err
 	}
-	return strconv.Atoi(strings.TrimPrefix(strings.TrimSpace(line), mark))
+	return strconv.Atoi(strings.TrimPrefix(strings.TrimSpace(line), prefix))
 }
 
-// respArray is a RESP array of bulk strings.
+// respArray returns words as a RESP array of bulk strings.
 func respArray(words ...string) string {
 	var text strings.Builder
 	fmt.Fprintf(&text, "*%d\r\n", len(words))
--- a/cmd/shaleyard/upgrade_test.go
+++ b/cmd/shaleyard/upgrade_test.go
@@ -9,21 +9,25 @@
 	"time"
 )
 
-// Terms of a new version under load (docs/terms.md).
+// Time limits that docs/terms.md states for an upgrade to a new version under load.
 const (
-	readyAfterStart = 6 * time.Second       // a process that is started beside another is ready by then
-	idleCloseRace   = 50 * time.Millisecond // a request that crosses the end of a connection by less is sent again
-	clientTimeout   = 10 * time.Second      // a client that has waited for so long has no answer
+	// readyAfterStart is the maximum time from the start of a process beside another one until the new one is ready.
+	readyAfterStart = 6 * time.Second
+	// idleCloseRace is the maximum time from sending a request until the connection ends for which clients send again.
+	idleCloseRace = 50 * time.Millisecond
+	// clientTimeout is the time after which a client gives up a request as lost.
+	clientTimeout = 10 * time.Second
 )
 
-// sharedListener holds the listening socket that its processes inherit, and the stand-ins that they meet.
+// sharedListener holds a listening socket, which each of its processes inherits, and the configuration that the
+// processes share.
 type sharedListener struct {
 	t        *testing.T
 	listener *net.TCPListener
 	config   []byte
 }
 
-// newSharedListener opens the socket, and starts a cache that answers and a list service without events.
+// newSharedListener opens the socket, and starts a cache that responds and a discovery service that sends no events.
 func newSharedListener(t *testing.T) *sharedListener {
 	t.Helper()
 	listener, err := net.ListenTCP("tcp", &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)})
@@ -39,7 +43,7 @@
 		listener.Addr(), discovery, known, settingsJSON)}
 }
 
-// startProcess starts a process that inherits the socket.
+// startProcess starts a process that inherits the socket as descriptor 4.
 func (l *sharedListener) startProcess() *operatedProcess {
 	l.t.Helper()
 	socket, err := l.listener.File()
@@ -60,7 +64,7 @@
 	return proc
 }
 
-// waitExit waits for the end of a process that was told to stop.
+// waitExit waits for the end of the process and reports a test error if its exit status is not 0.
 func (p *operatedProcess) waitExit() {
 	p.process.t.Helper()
 	if err := p.Wait(); err != nil {
@@ -68,8 +72,8 @@
 	}
 }
 
-// New versions take over from old ones under load, again and again: each is ready in time, the old one is told to stop,
-// and every request has an answer, whatever connection it came on.
+// An upgrade under load must lose no request, on any connection: a new process starts on the shared socket and is ready
+// within readyAfterStart, then the old process gets SIGTERM and exits. The test upgrades three times.
 func TestUpgradeLosesNoRequest(t *testing.T) {
 	listener := newSharedListener(t)
 	old := listener.startProcess()
@@ -87,8 +91,8 @@
 	old.waitExit()
 }
 
-// A process that operators drain, beside one that is ready, takes nobody's request with it, also when it is killed in
-// the end; nor does one that is killed before it is ready.
+// No request may be lost when a process is killed before it is ready while another process serves on the shared socket,
+// nor when a process is drained beside a ready one and is killed after drainLimit.
 func TestDrainBesideAnotherProcessLosesNoRequest(t *testing.T) {
 	listener := newSharedListener(t)
 	old := listener.startProcess()
@@ -101,7 +105,7 @@
 	if !old.call("PUT", "/healthcheck/fail") {
 		t.Fatal("the drain was refused")
 	}
-	time.Sleep(drainLimit) // after which nothing may be held
+	time.Sleep(drainLimit) // after this time the process holds no client connection
 	old.kill()
 	load.stopAndCheck()
 	next.signal(syscall.SIGTERM)
