--- a/cmd/shaleyard/faults_test.go
+++ b/cmd/shaleyard/faults_test.go
@@ -32,14 +32,14 @@
 // The patience of an attempt must not exceed the time that remains until the client's timeout, or the cache works for
 // a client that has given up. The test checks the first attempt, a retry after a connection reset that came 600 ms
 // later, and an attempt after the process was stopped for 1.5 s while the request waited unread in the socket.
-func TestPatienceIsWhatTheClientHasLeft(t *testing.T) {
+func TestAttemptPatienceIsTheRemainingTime(t *testing.T) {
 	env := newHarness(t)
 	child := startProcess(t, env.configJSON(256), 256)
 	env.discovery.Accept().ReadLine()
-	allow := func(ref string) []string {
+	submitFields := func(ref string) []string {
 		return withTimeout(requestFields("media", ref), "6000")
 	}
-	left := func(what string, sent time.Time, command []string) {
+	wantRemaining := func(what string, sent time.Time, command []string) {
 		t.Helper()
 		if got, want := remainingTime(t, command), 6*time.Second-time.Since(sent); got > want+remainingTimeSlack {
 			t.Errorf("%s: patience = %v, want at most the remaining %v plus %v", what, got, want, remainingTimeSlack)
@@ -47,22 +47,22 @@
 	}
 	client := nettest.Dial(t, child.address)
 	sent := time.Now()
-	client.Submit(1, "", allow(ref1)...)
+	client.Submit(1, "", submitFields(ref1)...)
 	cacheConn := env.cache.Accept()
-	left("first attempt", sent, cacheConn.ReadCommand())
+	wantRemaining("first attempt", sent, cacheConn.ReadCommand())
 	time.Sleep(600 * time.Millisecond) // the reset comes late
 	cacheConn.Reset()
 	cacheConn = env.cache.Accept()
-	left("after a reset", sent, cacheConn.ReadCommand())
+	wantRemaining("after a reset", sent, cacheConn.ReadCommand())
 	cacheConn.WriteArray(ref1, "OK", "n=HIT", "x")
 	client.ReadReply()
 
 	child.pause()
 	sent = time.Now()
-	client.Submit(2, "", allow(ref2)...)
+	client.Submit(2, "", submitFields(ref2)...)
 	time.Sleep(1500 * time.Millisecond)
 	child.signal(syscall.SIGCONT)
-	left("after a pause", sent, cacheConn.ReadCommand())
+	wantRemaining("after a pause", sent, cacheConn.ReadCommand())
 	cacheConn.WriteArray(ref2, "OK", "n=HIT", "y")
 	env.wantReply(client.ReadReply(), nettest.Reply{Seq: 2, Body: "y", Good: true})
 	child.stopGracefully()
@@ -71,7 +71,7 @@
 // With request deadlines of 1 s, the platform may send SIGKILL 1.7 s after SIGTERM. The caches do not respond, and
 // clients keep sending on open connections. By the time of SIGKILL the process must have answered all requests and
 // ended by itself.
-func TestStopWithShortDeadlinesAnswersAllInTime(t *testing.T) {
+func TestStopWithShortDeadlinesAnswersBeforeSIGKILL(t *testing.T) {
 	cache := serveTCP(t, respondingCache(10*time.Second, "x"))
 	proc := startOperatedWith(t, func(text string, env *harness) string {
 		text = strings.ReplaceAll(text, env.cache.Addr(), cache)
@@ -93,7 +93,7 @@
 
 // Interrupted and partial system calls must neither lose a request nor corrupt an answer. The process gets hundreds of
 // signals, every second epoll_wait fails with EINTR, and a write accepts at most 100 bytes.
-func TestInterruptedSystemCallsLoseNothing(t *testing.T) {
+func TestInterruptedSystemCallsLoseNoRequest(t *testing.T) {
 	proc := startWithFaults(t, map[string]func(text string) string{
 		"unix/zsyscall_linux.go": func(text string) string {
 			return insertAfterLine(
@@ -120,7 +120,7 @@
 
 // When the kernel cannot register a new connection with epoll, no request may be lost and no failure may be attributed
 // to a cache. After the first ten, every seventh EPOLL_CTL_ADD fails with ENOMEM.
-func TestRefusedRegistrationsLoseNothing(t *testing.T) {
+func TestFailedEpollRegistrationsLoseNoRequest(t *testing.T) {
 	proc := startWithFaults(t, map[string]func(text string) string{
 		"unix/zsyscall_linux.go": func(text string) string {
 			return insertAfterLine(
@@ -142,9 +142,9 @@
 
 // startWithFaults builds the program with changed files of golang.org/x/sys and starts it with a cache that responds.
 // The keys of changes are paths inside the module; each value returns the changed text of its file.
-func startWithFaults(t *testing.T, change map[string]func(text string) string) *operatedProcess {
+func startWithFaults(t *testing.T, changes map[string]func(text string) string) *operatedProcess {
 	t.Helper()
-	program := buildWithModule(t, "golang.org/x/sys", change)
+	program := buildWithModule(t, "golang.org/x/sys", changes)
 	cache := serveTCP(t, respondingCache(time.Millisecond, strings.Repeat("0123456789abcdef", 1000)))
 	env := newHarness(t)
 	text := strings.ReplaceAll(string(env.configJSON(256)), env.cache.Addr(), cache)
@@ -159,7 +159,7 @@
 // The system may allow fewer descriptors than the configuration says. A connect that then fails with EMFILE must not
 // count as a failure of the server: no server is ejected, and the request waits and is served once descriptors are
 // available again.
-func TestConnectsWithoutDescriptorsAreNoEvidence(t *testing.T) {
+func TestConnectsWithoutDescriptorsEjectNoServer(t *testing.T) {
 	env := newHarness(t)
 	child := startProcess(t, env.configJSON(256), 256)
 	env.discovery.Accept().ReadLine()
--- a/cmd/shaleyard/load_test.go
+++ b/cmd/shaleyard/load_test.go
@@ -40,9 +40,9 @@
 func startLoad(t *testing.T, address string, clients int) *loadGenerator {
 	t.Helper()
 	load := &loadGenerator{t: t, address: address}
-	for kind := range clients {
+	for index := range clients {
 		load.running.Add(1)
-		go load.runClient(kind)
+		go load.runClient(index)
 	}
 	return load
 }
@@ -69,9 +69,9 @@
 }
 
 // runClient runs one client, which sends requests until the load generator is stopped or a request gets no answer.
-func (g *loadGenerator) runClient(kind int) {
+func (g *loadGenerator) runClient(index int) {
 	defer g.running.Done()
-	client := &loadClient{load: g, kind: kind, rng: rand.New(rand.NewPCG(uint64(kind), 1))}
+	client := &loadClient{load: g, index: index, rng: rand.New(rand.NewPCG(uint64(index), 1))}
 	defer client.disconnect()
 	for !g.stopped.Load() {
 		if client.conn == nil && !client.connect() {
@@ -86,7 +86,7 @@
 // loadClient is one client of a load generator. Its index determines how it behaves.
 type loadClient struct {
 	load    *loadGenerator
-	kind    int
+	index   int
 	rng     *rand.Rand
 	conn    net.Conn // nil while the client is not connected
 	reader  *bufio.Reader
@@ -94,13 +94,13 @@
 	retries int   // of the current request
 }
 
-func (c *loadClient) writesSlowly() bool       { return c.kind%3 == 1 }
-func (c *loadClient) delaysFirstRequest() bool { return c.kind%5 == 0 }
-func (c *loadClient) closesAfterAnswer() bool  { return c.kind%2 == 0 }
+func (c *loadClient) writesSlowly() bool       { return c.index%3 == 1 }
+func (c *loadClient) delaysFirstRequest() bool { return c.index%5 == 0 }
+func (c *loadClient) closesAfterAnswer() bool  { return c.index%2 == 0 }
 
-// idlesBetweenRequest reports whether the client waits after an answer, so that its next request may race with the
+// idlesBetweenRequests reports whether the client waits after an answer, so that its next request may race with the
 // close of the connection by the server.
-func (c *loadClient) idlesBetweenRequest() bool { return c.kind%4 == 3 }
+func (c *loadClient) idlesBetweenRequests() bool { return c.index%4 == 3 }
 
 // sleep waits for a random time below limitMS milliseconds.
 func (c *loadClient) sleep(limitMS int) {
@@ -115,7 +115,7 @@
 	}
 	conn, err := net.Dial("tcp", c.load.address)
 	if err != nil {
-		c.load.recordFailure("client %d: connect: %v", c.kind, err)
+		c.load.recordFailure("client %d: connect: %v", c.index, err)
 		return false
 	}
 	c.conn, c.reader, c.seq = conn, bufio.NewReader(conn), 0
@@ -136,7 +136,7 @@
 // extendDeadline sets the deadline of the connection to clientTimeout from now.
 func (c *loadClient) extendDeadline() {
 	if err := c.conn.SetDeadline(time.Now().Add(clientTimeout)); err != nil {
-		c.load.recordFailure("client %d: set deadline: %v", c.kind, err)
+		c.load.recordFailure("client %d: set deadline: %v", c.index, err)
 	}
 }
 
@@ -154,7 +154,7 @@
 		c.extendDeadline()
 		if c.closesAfterAnswer() {
 			c.disconnect()
-		} else if c.idlesBetweenRequest() {
+		} else if c.idlesBetweenRequests() {
 			c.sleep(60)
 		}
 	case c.seq > 1 && elapsed < idleCloseRace && c.retries == 0:
@@ -164,7 +164,7 @@
 	default:
 		c.load.recordFailure(
 			"client %d, request %d on its connection: %v, %v after the request was sent",
-			c.kind,
+			c.index,
 			c.seq,
 			err,
 			elapsed,
--- a/cmd/shaleyard/operator_test.go
+++ b/cmd/shaleyard/operator_test.go
@@ -116,7 +116,7 @@
 // A drained director must report not ready at once, both by HTTP and by heartbeat, answer the requests that it has
 // accepted, and close every client connection within drainLimit: connections that are idle, that wait for an answer and
 // on which the client keeps sending. The process keeps running, and accepts requests again once the drain is cancelled.
-func TestOperatorDrainEmptiesTheProcess(t *testing.T) {
+func TestOperatorDrainClosesClientConnections(t *testing.T) {
 	proc := startOperated(t)
 	idle, waiting, sending := proc.connect(), proc.connect(), proc.connect()
 	idle.Heartbeat(1)
@@ -158,8 +158,8 @@
 		t.Fatal("the drain was not cancelled")
 	}
 	proc.waitReady(readyAfterResume, true)
-	again := proc.connect()
-	if reply := again.Heartbeat(1); !reply.Good {
+	resumed := proc.connect()
+	if reply := resumed.Heartbeat(1); !reply.Good {
 		t.Error("not ready by heartbeat after the drain was cancelled, want ready")
 	}
 	proc.signal(syscall.SIGTERM)
@@ -176,13 +176,13 @@
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		every := time.NewTicker(100 * time.Millisecond)
-		defer every.Stop()
+		ticker := time.NewTicker(100 * time.Millisecond)
+		defer ticker.Stop()
 		for ; time.Since(since) < 2*drainLimit; seq++ {
 			select {
 			case <-stop:
 				return
-			case now := <-every.C:
+			case now := <-ticker.C:
 				sent[seq] = now
 				if !client.TrySend(nettest.SubmitFrame(seq, "", requestFields("media", "00000000000000"+"a0")...)) {
 					return
@@ -210,7 +210,7 @@
 
 // An accept that fails because no descriptor is free must end neither the process nor its connections: the accept is
 // retried, and the new client is served once descriptors are available again.
-func TestFailedAcceptIsTriedAgain(t *testing.T) {
+func TestFailedAcceptIsRetried(t *testing.T) {
 	env := newHarness(t)
 	child := startProcess(t, env.configJSON(256), 256)
 	holding := nettest.Dial(t, child.address)
@@ -248,7 +248,7 @@
 
 // A jump of the wall clock must not change any duration: a request that is open at the time of the jump fails at its
 // deadline, and a drain, its cancellation, a reload and a stop take as long as without the jump.
-func TestWallClockStepsMoveNoSpan(t *testing.T) {
+func TestWallClockStepsChangeNoDuration(t *testing.T) {
 	for _, step := range []time.Duration{-time.Hour, -5 * time.Second, 5 * time.Second, time.Hour} {
 		t.Run(step.String(), func(t *testing.T) {
 			t.Parallel()
--- a/cmd/shaleyard/patchedbuild_test.go
+++ b/cmd/shaleyard/patchedbuild_test.go
@@ -58,14 +58,14 @@
 
 // buildWithModule builds the program with a changed copy of one module that it depends on. The keys of change are paths
 // inside the module; each value returns the changed text of its file. It returns the path of the binary.
-func buildWithModule(t *testing.T, module string, change map[string]func(text string) string) (program string) {
+func buildWithModule(t *testing.T, module string, changes map[string]func(text string) string) (program string) {
 	t.Helper()
 	folder := t.TempDir()
 	copied := filepath.Join(folder, "module")
 	if err := os.CopyFS(copied, os.DirFS(goOutput(t, "list", "-m", "-f", "{{.Dir}}", module))); err != nil {
 		t.Fatal(err)
 	}
-	for file, changed := range change {
+	for file, changed := range changes {
 		path := filepath.Join(copied, file)
 		text, err := os.ReadFile(path)
 		if err != nil {
@@ -78,9 +78,9 @@
 			t.Fatal(err)
 		}
 	}
-	ours, modfile := filepath.Dir(goOutput(t, "env", "GOMOD")), filepath.Join(folder, "go.mod")
+	mainModuleDir, modfile := filepath.Dir(goOutput(t, "env", "GOMOD")), filepath.Join(folder, "go.mod")
 	for _, name := range []string{"go.mod", "go.sum"} {
-		text, err := os.ReadFile(filepath.Join(ours, name))
+		text, err := os.ReadFile(filepath.Join(mainModuleDir, name))
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/cmd/shaleyard/requests_test.go
+++ b/cmd/shaleyard/requests_test.go
@@ -26,7 +26,7 @@
 
 // A client must get the complete body of an answer, also one of 240 kB, and the fields of the answer to a request whose
 // copy at the client is still valid.
-func TestAnswerReachesTheClientWhole(t *testing.T) {
+func TestClientGetsCompleteAnswer(t *testing.T) {
 	env := startProgram(t)
 	client := env.dial()
 	client.Submit(1, "", append(requestFields("media", ref1), "known", "tag1")...)
@@ -52,7 +52,7 @@
 // A director that has just started must not accept more requests than it may be able to answer. It admits 16 of a flood
 // of requests and rejects the others at once, each with a different time after which to retry (cooldown), so that the
 // clients do not all return at the same time. Once the 16 are answered it admits up to twice as many.
-func TestFloodAfterAStartIsLetInAsAnswersCome(t *testing.T) {
+func TestAdmissionAfterStartGrowsWithAnswers(t *testing.T) {
 	env := startWithLimits(t, 1024, io.Discard, func(limits *config.Limits) { limits.MaxConnsPerEndpoint = 1 })
 	flood := func(client *nettest.Conn, from, count int) {
 		for i := range count {
@@ -113,7 +113,7 @@
 // A malformed answer ends its connection and every attempt on the connection. An unanswered repayment must therefore
 // not share its connection with another request, or the malformed answer to the other request fails the repayment too.
 // The malformed answer does not count as a failure of the cache, which gets further attempts.
-func TestSpoiltAnswerEndsOneAttempt(t *testing.T) {
+func TestMalformedAnswerEndsOneAttempt(t *testing.T) {
 	env := startProgram(t)
 	client := env.dial()
 	client.Submit(1, "pay", requestFields("repayment", ref1)...)
@@ -135,7 +135,7 @@
 
 // If all connections are refused, a repayment cannot have run. It must be rejected (field 1), which lets the client
 // retry, and not reported as failed.
-func TestRepaymentIsRefusedWhenItNeverRan(t *testing.T) {
+func TestRepaymentThatNeverRanIsRejected(t *testing.T) {
 	env := startProgram(t)
 	env.cache.Close()
 	env.origin.Close()
@@ -148,7 +148,7 @@
 
 // When a client revokes a request, the director must cancel the attempt at the cache, and must not forward the answer
 // that the cache still sends.
-func TestRevokeStopsTheAttempt(t *testing.T) {
+func TestRevokeCancelsTheAttempt(t *testing.T) {
 	env := startProgram(t)
 	client := env.dial()
 	client.Submit(1, "", requestFields("media", ref1)...)
@@ -166,7 +166,7 @@
 }
 
 // When a client's connection is reset, the director must cancel the attempts of the client's open requests.
-func TestDeadClientEndsItsRequests(t *testing.T) {
+func TestClientResetCancelsItsAttempts(t *testing.T) {
 	env := startProgram(t)
 	client := env.dial()
 	client.Submit(1, "", requestFields("media", ref1)...)
--- a/cmd/shaleyard/shutdown_test.go
+++ b/cmd/shaleyard/shutdown_test.go
@@ -16,7 +16,7 @@
 
 // During a stop the program must report not ready by heartbeat, answer the requests that it has accepted as well as
 // those that arrive within the grace period, also on new connections, and then end without an error.
-func TestStopAnswersWhatWasTaken(t *testing.T) {
+func TestStopAnswersAcceptedRequests(t *testing.T) {
 	env := startProgram(t)
 	watch := env.discovery.Accept()
 	watch.ReadLine()
@@ -52,7 +52,7 @@
 // If a cache does not respond when the program is stopped, the requests that wait for it must be rejected by
 // StopAnswerDeadline, before the platform kills the program. A request that arrives after the grace period is rejected
 // at once, on an open connection as well as on a new one.
-func TestStopAnswersWhatHangs(t *testing.T) {
+func TestStopRejectsRequestsAtUnresponsiveCache(t *testing.T) {
 	env := startWithLimits(t, 1024, io.Discard, func(limits *config.Limits) {
 		limits.StopGracePeriod = 10 * time.Millisecond
 		limits.StopAnswerDeadline = 300 * time.Millisecond
@@ -97,7 +97,7 @@
 
 // SIGTERM must stop the program at once, even if it arrives while a reload is blocked on reading its file and further
 // signals are queued. A shared queue of signals could be full then and lose SIGTERM, or delay it until the reload ends.
-func TestStopIsNotLostBehindReloads(t *testing.T) {
+func TestStopDoesNotWaitForReloads(t *testing.T) {
 	env := startWithLimits(
 		t,
 		1024,
@@ -131,7 +131,7 @@
 // Lingering and new connections together must not exceed the clients' share of descriptors during shutdown. Otherwise,
 // when idle clients do not close their half and many new clients connect, accept finds no free descriptor and ends the
 // program while a request has no answer yet.
-func TestFloodWhileTheProgramPartsIsSurvived(t *testing.T) {
+func TestConnectionFloodDuringShutdown(t *testing.T) {
 	env := newHarness(t)
 	child := startProcess(t, env.configJSON(66), 66)
 	client, idle := nettest.Dial(t, child.address), nettest.Dial(t, child.address)
@@ -154,7 +154,7 @@
 // During shutdown, a request may arrive after the program has closed its half of the connection. The program must
 // neither accept nor forward the request. It reads and drops the bytes until the client closes, because closing with
 // unread bytes sends a reset, and a reset may discard the last answer before the client reads it.
-func TestRequestBehindTheLastHalfCloseIsNotTaken(t *testing.T) {
+func TestRequestAfterHalfCloseIsNotAccepted(t *testing.T) {
 	env := startWithLimits(t, 1024, io.Discard, func(limits *config.Limits) {
 		limits.StopGracePeriod = 10 * time.Millisecond
 		limits.StopAnswerDeadline = 10 * time.Second
@@ -188,7 +188,7 @@
 // the program closes its half of the connection, so the client cannot see the half-close yet. The client sends its next
 // request more than three times LingerTimeout later. The program must not reset the connection then, because a reset
 // discards the rest of the answer.
-func TestSlowReaderGetsItsAnswerBehindOurHalfClose(t *testing.T) {
+func TestSlowReaderGetsCompleteAnswerAfterHalfClose(t *testing.T) {
 	env := startWithLimits(t, 1024, io.Discard, func(limits *config.Limits) {
 		limits.StopGracePeriod = 10 * time.Millisecond
 		limits.StopAnswerDeadline = 10 * time.Second
--- a/cmd/shaleyard/simulation_peers_test.go
+++ b/cmd/shaleyard/simulation_peers_test.go
@@ -30,16 +30,17 @@
 	case "STOP":
 		p.simulation.requests[words[4]].cancelAttempt(p)
 	case "REQ":
-		p.takeAttempt(words[4], words[6])
+		p.receiveAttempt(words[4], words[6])
 	default:
 		p.simulation.failf("unknown command %q sent to a cache", words[2])
 	}
 	return 1, nil
 }
 
-// takeAttempt records an attempt and checks that the director may send it to this cache now: the request is still open,
-// the cache and the source are ready, a retry is allowed by the request's class, and hedging is not forbidden.
-func (p *cachePeer) takeAttempt(ref, fields string) {
+// receiveAttempt records an attempt and checks that the director may send it to this cache now: the request is still
+// open, the director is not suspended, the cache and the source are ready, the request's class allows a retry if the
+// attempt is one, and there is no second outstanding attempt if hedging is forbidden.
+func (p *cachePeer) receiveAttempt(ref, fields string) {
 	sim, source := p.simulation, ""
 	for field := range strings.SplitSeq(fields, ",") {
 		if value, ok := strings.CutPrefix(field, "up="); ok {
@@ -156,7 +157,7 @@
 // CloseWrite implements eventloop.Conn. No request that the client has not revoked may be open.
 func (p *clientPeer) CloseWrite() error {
 	p.halfClosed = true
-	p.checkNothingOwed("half-closed")
+	p.checkNoOpenRequests("half-closed")
 	return nil
 }
 
@@ -164,18 +165,18 @@
 // connected and reads its answers, no request that it has not revoked may be open.
 func (p *clientPeer) Close() error {
 	if !p.disconnected && !p.halfClosed && p.Buffered == 0 {
-		p.checkNothingOwed("closed")
+		p.checkNoOpenRequests("closed")
 	}
 	p.simulation.pendingCloses = append(p.simulation.pendingCloses, p.disconnect)
 	return nil
 }
 
-// checkNothingOwed ends the test if a request of the connection is open that was not cancelled. The argument says what
-// the program did to the connection.
-func (p *clientPeer) checkNothingOwed(what string) {
+// checkNoOpenRequests ends the test if a request of the connection is open that was not cancelled. The failure message
+// names action, which is what the program did to the connection.
+func (p *clientPeer) checkNoOpenRequests(action string) {
 	for seq, request := range p.open {
 		if !request.cancelled {
-			p.simulation.failf("connection %s while request %d has no answer", what, seq)
+			p.simulation.failf("connection %s while request %d has no answer", action, seq)
 		}
 	}
 }
@@ -192,8 +193,8 @@
 	p.session.Closed()
 }
 
-// data delivers bytes from the client to the program, unless the connection has ended.
-func (p *clientPeer) data(text string) {
+// send delivers bytes from the client to the program, unless the connection has ended.
+func (p *clientPeer) send(text string) {
 	if !p.disconnected {
 		_ = p.session.Data([]byte(text)) // always nil: the server itself closes a connection with malformed data
 	}
--- a/cmd/shaleyard/simulation_steps_test.go
+++ b/cmd/shaleyard/simulation_steps_test.go
@@ -15,8 +15,8 @@
 
 var errRefused = errors.New("refused")
 
-// drawOne returns one of values at random.
-func drawOne[T any](s *simulation, values ...T) T { return values[s.rng.IntN(len(values))] }
+// pickOne returns one of values at random.
+func pickOne[T any](s *simulation, values ...T) T { return values[s.rng.IntN(len(values))] }
 
 // step performs one action that the random generator chooses: of a client, of a cache, of the discovery service or of
 // the process, or the passing of time.
@@ -41,18 +41,18 @@
 	case draw < 30:
 		s.record("a client sends malformed data")
 		client.malformed = true
-		client.data("\xff\xff\xff\xff" + strings.Repeat("j", s.rng.IntN(3000)))
+		client.send("\xff\xff\xff\xff" + strings.Repeat("j", s.rng.IntN(3000)))
 	case draw < 31:
-		client.data(nettest.Frame(1, "heartbeat", 1000, []byte{2, 0, 1, 0}))
-	case draw < 45 && len(s.dials) > 0:
+		client.send(nettest.Frame(1, "heartbeat", 1000, []byte{2, 0, 1, 0}))
+	case draw < 45 && len(s.pendingDials) > 0:
 		s.completeDial()
 	case draw < 72 && hasCache:
 		s.respond(cache)
 	case draw < 75:
-		name := drawOne(s, "c1", "c2", "c3", "p1")
-		s.updateEndpoint(name, drawOne(s, routing.Draining, routing.Gone, routing.Ready, routing.Ready), 0)
+		name := pickOne(s, "c1", "c2", "c3", "p1")
+		s.updateEndpoint(name, pickOne(s, routing.Draining, routing.Gone, routing.Ready, routing.Ready), 0)
 	case draw < 76:
-		s.updateEndpoint(drawOne(s, "c1", "c2", "c3", "p1"), routing.Ready, s.clock)
+		s.updateEndpoint(pickOne(s, "c1", "c2", "c3", "p1"), routing.Ready, s.clock)
 	case draw < 77:
 		s.director.Purge(director.Purge{ObjectKey: uint64(1 + s.rng.IntN(20)), IssuedAt: s.clock})
 	case draw < 78 && !s.suspended:
@@ -65,7 +65,7 @@
 	case draw < 84:
 		client.Buffered = 5 - client.Buffered
 	case len(s.pendingCloses) > 0 && draw < 92:
-		s.carryOutClose()
+		s.runPendingClose()
 	default:
 		s.advance(time.Duration(s.rng.IntN(40)) * time.Millisecond)
 	}
@@ -87,7 +87,7 @@
 func (s *simulation) submit(client *clientPeer) {
 	s.lastRef++
 	client.seq++
-	ref, class := fmt.Sprintf("%016x", s.lastRef), drawOne(s, "read", "read", "pay", "keyed")
+	ref, class := fmt.Sprintf("%016x", s.lastRef), pickOne(s, "read", "read", "pay", "keyed")
 	timeoutMS := 100 + s.rng.IntN(1900)
 	request := &simulatedRequest{
 		outstanding: map[*cachePeer]routing.Time{},
@@ -111,10 +111,10 @@
 	frame := nettest.SubmitFrame(client.seq, body, "service", class, "ref", ref, "allow", fmt.Sprint(timeoutMS),
 		"lookup", object, "chunk", "0", "tag", "0", "room", "50", "known", "tag1", "replay", "key"+ref)
 	if cut := s.rng.IntN(8 * len(frame)); cut < len(frame) {
-		client.data(frame[:cut])
+		client.send(frame[:cut])
 		frame = frame[cut:]
 	}
-	client.data(frame)
+	client.send(frame)
 }
 
 // revoke lets a client revoke one of its open requests, if it has one. Unless the server no longer reads messages on
@@ -123,7 +123,7 @@
 	for seq, request := range client.open {
 		s.record("revoke %d", seq)
 		request.cancelled = request.cancelled || !client.malformed && !client.halfClosed
-		client.data(nettest.Frame(4, "revoke", 99, binary.BigEndian.AppendUint32([]byte{8, 0, 1}, uint32(seq))))
+		client.send(nettest.Frame(4, "revoke", 99, binary.BigEndian.AppendUint32([]byte{8, 0, 1}, uint32(seq))))
 		if request.cancelled {
 			delete(client.open, seq)
 		}
@@ -133,9 +133,9 @@
 
 // completeDial ends one of the pending dials with success, a refusal or a reset.
 func (s *simulation) completeDial() {
-	i := s.rng.IntN(len(s.dials))
-	cache := s.dials[i]
-	s.dials = append(s.dials[:i], s.dials[i+1:]...)
+	i := s.rng.IntN(len(s.pendingDials))
+	cache := s.pendingDials[i]
+	s.pendingDials = append(s.pendingDials[:i], s.pendingDials[i+1:]...)
 	draw := s.rng.IntN(10)
 	switch {
 	case draw < 7:
@@ -167,8 +167,8 @@
 	case cache.unsent != "":
 		s.endPartialAnswer(cache)
 	case len(cache.answered) > 0 && s.rng.IntN(8) == 0:
-		ref := drawOne(s, cache.answered...)
-		s.sendAnswer(cache, ref, drawOne(s, "BUSY", "MISS", "OK"), "n=HIT", "copy", func() {})
+		ref := pickOne(s, cache.answered...)
+		s.sendAnswer(cache, ref, pickOne(s, "BUSY", "MISS", "OK"), "n=HIT", "copy", func() {})
 	case len(cache.pending) == 0 || s.rng.IntN(25) == 0:
 		s.record("%s resets", cache.name)
 		cache.disconnect()
--- a/cmd/shaleyard/simulation_test.go
+++ b/cmd/shaleyard/simulation_test.go
@@ -44,7 +44,7 @@
 	downstream *downstream.Server
 	buffers    *buffer.Pool
 
-	dials            []*cachePeer
+	pendingDials     []*cachePeer
 	cachePeers       []*cachePeer
 	clientPeers      []*clientPeer
 	pendingCloses    []func() // Close calls whose effect, as in the event loop, comes later
@@ -219,7 +219,8 @@
 
 // Dial implements eventloop.Dialer. completeDial opens the connection later or lets the dial fail.
 func (s *simulation) Dial(address string, _ time.Duration, stream eventloop.Stream) {
-	s.dials = append(s.dials, &cachePeer{simulation: s, name: strings.TrimPrefix(address, "at-"), stream: stream})
+	s.pendingDials = append(s.pendingDials,
+		&cachePeer{simulation: s, name: strings.TrimPrefix(address, "at-"), stream: stream})
 }
 
 // updateEndpoint delivers an update of one endpoint to the director, as from the discovery service. The first letter of
@@ -304,12 +305,12 @@
 func (s *simulation) finish() {
 	s.downstream.StartGracefulClose()
 	for range 100 {
-		for _, cache := range s.dials {
+		for _, cache := range s.pendingDials {
 			cache.stream.Failed(errRefused)
 		}
-		s.dials = nil
+		s.pendingDials = nil
 		for len(s.pendingCloses) > 0 {
-			s.carryOutClose()
+			s.runPendingClose()
 		}
 		s.advance(50 * time.Millisecond)
 		s.downstream.StartGracefulClose()
@@ -319,8 +320,8 @@
 	}
 }
 
-// carryOutClose carries out the oldest pending close.
-func (s *simulation) carryOutClose() {
+// runPendingClose carries out the oldest pending close.
+func (s *simulation) runPendingClose() {
 	carryOut := s.pendingCloses[0]
 	s.pendingCloses = s.pendingCloses[1:]
 	carryOut()
