--- a/cmd/shaleyard/faults_test.go
+++ b/cmd/shaleyard/faults_test.go
@@ -85,9 +85,9 @@
 	defer kill.Stop()
 	time.Sleep(300 * time.Millisecond)
 	load.serverStopping.Store(true)
-	proc.waitForLog(`"to":"ended"`) // the process was not killed before it had ended its work
+	proc.waitForLog(`"to":"ended"`) // the process has ended its work before SIGKILL
 	proc.skipLog()
-	_ = proc.Wait() // SIGKILL may still hit the exit: stopAndCheck fails if a request was lost
+	_ = proc.Wait() // SIGKILL may still come before the exit: stopAndCheck fails if a request was lost by that
 	load.stopAndCheck()
 }
 
--- a/cmd/shaleyard/harness_test.go
+++ b/cmd/shaleyard/harness_test.go
@@ -121,13 +121,14 @@
 		"tag", "17", "room", "412.5"}
 }
 
-// withTimeout replaces the client's timeout in fields that requestFields has returned, and returns the fields.
+// withTimeout sets the client's timeout, in milliseconds, in fields that requestFields has returned, and returns the
+// fields.
 func withTimeout(fields []string, milliseconds string) []string {
 	fields[slices.Index(fields, "allow")+1] = milliseconds
 	return fields
 }
 
-// References of requests.
+// ref1, ref2 and ref3 are references for requests of tests.
 const ref1, ref2, ref3 = "9b1f03aa5c7e2d41", "9b1f03aa5c7e2d42", "9b1f03aa5c7e2d43"
 
 // wantReply reports a test error if got differs from want.
--- a/cmd/shaleyard/load_test.go
+++ b/cmd/shaleyard/load_test.go
@@ -26,10 +26,10 @@
 	t              *testing.T
 	address        string
 	stopped        atomic.Bool
-	serverStopping atomic.Bool // set when the server stops accepting: clients open no further connections
+	serverStopping atomic.Bool // set before the server may refuse connections: clients open no further ones
 	running        sync.WaitGroup
 	answered       atomic.Int64
-	retried        atomic.Int64 // requests sent again because they raced with the close of their connection
+	retried        atomic.Int64 // requests that raced with the end of their connection, see loadClient.request
 	lastRef        atomic.Uint64
 
 	mu       sync.Mutex
@@ -91,7 +91,7 @@
 	conn    net.Conn // nil while the client is not connected
 	reader  *bufio.Reader
 	seq     int32 // sequence number of the latest request on the connection
-	retries int   // of the current request
+	retries int   // number of races with the end of a connection since the last answer
 }
 
 func (c *loadClient) writesSlowly() bool       { return c.index%3 == 1 }
@@ -140,9 +140,9 @@
 	}
 }
 
-// request sends a request and waits for its answer. If the request raced with the close of a connection that had
-// carried earlier requests, the next call sends a request on a new connection; only one such race in a row is accepted.
-// Otherwise request returns false if there was no answer, and records the failure.
+// request sends a request and waits for its answer. It records a failure and returns false if there is no answer. One
+// case is not a failure: a connection that has carried earlier requests ends within idleCloseRace of the request, as an
+// idle connection may. The client then sends a new request on a new connection, which must be answered.
 func (c *loadClient) request() bool {
 	c.seq++
 	sent, err := c.send()
--- a/cmd/shaleyard/operator_test.go
+++ b/cmd/shaleyard/operator_test.go
@@ -87,20 +87,20 @@
 	if err != nil {
 		return 0
 	}
-	caller := http.Client{Timeout: operatorCallTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
-	answer, err := caller.Do(request)
+	httpClient := http.Client{Timeout: operatorCallTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
+	response, err := httpClient.Do(request)
 	if err != nil {
 		return 0
 	}
-	answer.Body.Close()
-	return answer.StatusCode
+	response.Body.Close()
+	return response.StatusCode
 }
 
 // waitReady calls the health check, as a load balancer does, until the answer equals ready. The test ends if the answer
 // still differs after limit.
 func (p *operatedProcess) waitReady(limit time.Duration, ready bool) {
 	p.process.t.Helper()
-	for begun := time.Now(); time.Since(begun) < limit; {
+	for start := time.Now(); time.Since(start) < limit; {
 		status := p.status(http.MethodGet, "/healthcheck")
 		answered, saidReady := status != 0, status < 300
 		if answered && saidReady == ready {
@@ -129,7 +129,7 @@
 	drained := time.Now()
 	for range 2 { // a second drain call has no effect
 		if !proc.call(http.MethodPut, "/healthcheck/fail") {
-			t.Fatal("the drain was refused")
+			t.Fatal("PUT /healthcheck/fail: drain refused, want it accepted")
 		}
 	}
 	if proc.call(http.MethodGet, "/healthcheck") {
@@ -155,7 +155,7 @@
 	}
 
 	if !proc.call(http.MethodPut, "/healthcheck/ok") {
-		t.Fatal("the drain was not cancelled")
+		t.Fatal("PUT /healthcheck/ok: cancellation of the drain refused, want it accepted")
 	}
 	proc.waitReady(readyAfterResume, true)
 	resumed := proc.connect()
@@ -255,20 +255,20 @@
 			env := newHarness(t)
 			proc := launchOperated(t, buildWithSteppedClock(t, step), env, env.configJSON(256))
 			env.discovery.Accept().ReadLine()
-			begun := time.Now()
+			start := time.Now()
 			client := nettest.Dial(t, proc.address)
 			client.Submit(1, "", withTimeout(requestFields("repayment", ref1), "2500")...)
 			env.cache.Accept().ReadCommand() // never answered
 			if reply := client.ReadReply(); reply.Field != 2 {
 				t.Errorf("reply %+v, want request 1 failed (field 2)", reply)
 			}
-			if took := time.Since(begun); took < 2400*time.Millisecond || took > 3*time.Second {
+			if took := time.Since(start); took < 2400*time.Millisecond || took > 3*time.Second {
 				t.Errorf("request failed after %v, want about 2.5 s", took)
 			}
-			begun = proc.drain()
+			start = proc.drain()
 			client.ReadUntilEOF()
 			client.Close()
-			if took := time.Since(begun); took < 300*time.Millisecond || took > 2*time.Second {
+			if took := time.Since(start); took < 300*time.Millisecond || took > 2*time.Second {
 				t.Errorf("idle client connection was closed %v after the drain, want about 0.5 s", took)
 			}
 			proc.cancelDrain()
@@ -276,9 +276,9 @@
 			proc.writeConfig(env.configJSON(256))
 			proc.signal(syscall.SIGHUP)
 			env.discovery.Accept().ReadLine()
-			begun = time.Now()
+			start = time.Now()
 			proc.stopGracefully()
-			if took := time.Since(begun); took > 2*time.Second {
+			if took := time.Since(start); took > 2*time.Second {
 				t.Errorf("stop took %v, want about 0.7 s", took)
 			}
 		})
--- a/cmd/shaleyard/patchedbuild_test.go
+++ b/cmd/shaleyard/patchedbuild_test.go
@@ -44,11 +44,11 @@
 	}
 	folder := t.TempDir()
 	changed, overlay := filepath.Join(folder, filepath.Base(original)), filepath.Join(folder, "overlay.json")
-	replace, err := json.Marshal(map[string]any{"Replace": map[string]string{original: changed}})
+	overlayJSON, err := json.Marshal(map[string]any{"Replace": map[string]string{original: changed}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	for name, content := range map[string][]byte{changed: []byte(change(string(text))), overlay: replace} {
+	for name, content := range map[string][]byte{changed: []byte(change(string(text))), overlay: overlayJSON} {
 		if err := os.WriteFile(name, content, 0o600); err != nil {
 			t.Fatal(err)
 		}
@@ -56,8 +56,8 @@
 	return build(t, folder, "-overlay="+overlay)
 }
 
-// buildWithModule builds the program with a changed copy of one module that it depends on. The keys of change are paths
-// inside the module; each value returns the changed text of its file. It returns the path of the binary.
+// buildWithModule builds the program with a changed copy of one module that it depends on. The keys of changes are
+// paths inside the module; each value returns the changed text of its file. It returns the path of the binary.
 func buildWithModule(t *testing.T, module string, changes map[string]func(text string) string) (program string) {
 	t.Helper()
 	folder := t.TempDir()
@@ -96,9 +96,9 @@
 func build(t *testing.T, folder, option string) (program string) {
 	t.Helper()
 	program = filepath.Join(folder, "shaleyard")
-	run := exec.Command("go", "build", option, "-o", program, ".")
-	run.Env = append(os.Environ(), "CGO_ENABLED=0")
-	if out, err := run.CombinedOutput(); err != nil {
+	cmd := exec.Command("go", "build", option, "-o", program, ".")
+	cmd.Env = append(os.Environ(), "CGO_ENABLED=0")
+	if out, err := cmd.CombinedOutput(); err != nil {
 		t.Fatalf("build: %v\n%s", err, out)
 	}
 	return program
--- a/cmd/shaleyard/process_test.go
+++ b/cmd/shaleyard/process_test.go
@@ -42,10 +42,10 @@
 
 // newProcess writes the configuration file and prepares the command for the program without starting it, so that a test
 // can first change the environment and the inherited descriptors.
-func newProcess(t *testing.T, program string, text []byte, descriptors int) *process {
+func newProcess(t *testing.T, program string, config []byte, descriptors int) *process {
 	t.Helper()
 	child := &process{Cmd: exec.Command(program), t: t, configFile: filepath.Join(t.TempDir(), "config.json")}
-	child.writeConfig(text)
+	child.writeConfig(config)
 	child.Env = append(
 		os.Environ(),
 		fmt.Sprintf("%s=%d", descriptorLimitEnv, descriptors),
@@ -79,18 +79,18 @@
 
 // startProcess starts the program with a configuration and a limit on descriptors, and waits until the program accepts
 // clients.
-func startProcess(t *testing.T, text []byte, descriptors int) *process {
+func startProcess(t *testing.T, config []byte, descriptors int) *process {
 	t.Helper()
-	child := newProcess(t, os.Args[0], text, descriptors)
+	child := newProcess(t, os.Args[0], config, descriptors)
 	child.launch()
 	child.waitListening()
 	return child
 }
 
 // writeConfig replaces the content of the configuration file. The program reads it at its start and on SIGHUP.
-func (p *process) writeConfig(text []byte) {
+func (p *process) writeConfig(config []byte) {
 	p.t.Helper()
-	if err := os.WriteFile(p.configFile, text, 0o600); err != nil {
+	if err := os.WriteFile(p.configFile, config, 0o600); err != nil {
 		p.t.Fatal(err)
 	}
 }
--- a/cmd/shaleyard/requests_test.go
+++ b/cmd/shaleyard/requests_test.go
@@ -24,8 +24,8 @@
 	return strings.Join(kept, ",")
 }
 
-// A client must get the complete body of an answer, also one of 240 kB, and the fields of the answer to a request whose
-// copy at the client is still valid.
+// A client must get the complete body of an answer, here 240 kB. If the client's own copy is still valid, which the
+// cache reports by SAME, the client must get an empty body and the field valid=1.
 func TestClientGetsCompleteAnswer(t *testing.T) {
 	env := startProgram(t)
 	client := env.dial()
@@ -37,7 +37,7 @@
 	}
 	want := []string{"REQ", ref1, "sort=media,asset=7f3a9c21e0b4d655,slice=3,up=o,store=1,do=share,inm=tag1", ""}
 	if diff := cmp.Diff(want, got); diff != "" {
-		t.Error(diff)
+		t.Errorf("command mismatch (-want +got):\n%s", diff)
 	}
 	body := strings.Repeat("0123456789abcdef", 15_000)
 	cacheConn.WriteArray(ref1, "OK", "n=HIT,rev=tag2,since=1764576000000,l=active:3", body)
@@ -50,8 +50,8 @@
 }
 
 // A director that has just started must not accept more requests than it may be able to answer. It admits 16 of a flood
-// of requests and rejects the others at once, each with a different time after which to retry (cooldown), so that the
-// clients do not all return at the same time. Once the 16 are answered it admits up to twice as many.
+// of requests and rejects the others at once. Each rejection has a retry time of its own (field cooldown), so that the
+// clients do not all return at the same time. Once the 16 requests are answered, the director admits twice as many.
 func TestAdmissionAfterStartGrowsWithAnswers(t *testing.T) {
 	env := startWithLimits(t, 1024, io.Discard, func(limits *config.Limits) { limits.MaxConnsPerEndpoint = 1 })
 	flood := func(client *nettest.Conn, from, count int) {
@@ -60,8 +60,8 @@
 		}
 	}
 	const admitted, count = 16, 30
-	one, two := env.dial(), env.dial()
-	flood(one, 1, count)
+	first, second := env.dial(), env.dial()
+	flood(first, 1, count)
 	retryAfters := map[string]bool{}
 	wantRejected := func(client *nettest.Conn, count int) {
 		t.Helper()
@@ -73,9 +73,9 @@
 			retryAfters[reply.Fields["cooldown"]] = true
 		}
 	}
-	wantRejected(one, count-admitted)
-	flood(two, 1, count)
-	wantRejected(two, count)
+	wantRejected(first, count-admitted)
+	flood(second, 1, count)
+	wantRejected(second, count)
 	if len(retryAfters) < 20 {
 		t.Errorf("got %d different cooldowns for %d rejections, want at least 20", len(retryAfters), 2*count-admitted)
 	}
@@ -86,18 +86,18 @@
 			cacheConn.WriteArray(cacheConn.ReadCommand()[1], "OK", "n=HIT,rev=t,since=1764576000000", "x")
 		}
 		for range count {
-			if reply := one.ReadReply(); !reply.Good {
+			if reply := first.ReadReply(); !reply.Good {
 				t.Fatalf("reply %+v, want an answer", reply)
 			}
 		}
 	}
 	serve(admitted)
-	flood(one, count+1, count)
+	flood(first, count+1, count)
 	serve(count)
 }
 
 // When a connection is reset after a repayment was written to it, the repayment may have run. It must neither be
-// retried, which could run it twice, nor rejected, which would let the client retry: it fails (field 2).
+// retried, which could run it twice, nor rejected, which would let the client retry: it fails (field 2 of the result).
 func TestRepaymentIsNotSentAgainAfterAReset(t *testing.T) {
 	env := startProgram(t)
 	client := env.dial()
@@ -117,24 +117,24 @@
 	env := startProgram(t)
 	client := env.dial()
 	client.Submit(1, "pay", requestFields("repayment", ref1)...)
-	pay := env.cache.Accept()
-	pay.ReadCommand()
+	payConn := env.cache.Accept()
+	payConn.ReadCommand()
 	client.Submit(2, "", requestFields("media", ref2)...)
-	malformed := env.cache.Accept()
-	malformed.ReadCommand()
-	malformed.Send("*4\r\n$noise")
-	malformed.ReadUntilClose()
+	malformedConn := env.cache.Accept()
+	malformedConn.ReadCommand()
+	malformedConn.Send("*4\r\n$noise")
+	malformedConn.ReadUntilClose()
 	client.Submit(3, "", requestFields("media", ref3)...)
 	cacheConn := env.cache.Accept()
 	if got := cacheConn.ReadCommand(); got[1] != ref3 {
 		t.Errorf("cache got request %s, want %s", got[1], ref3)
 	}
-	pay.WriteArray(ref1, "OK", "-", "paid")
+	payConn.WriteArray(ref1, "OK", "-", "paid")
 	env.wantReply(client.ReadReply(), nettest.Reply{Seq: 1, Body: "paid", Good: true})
 }
 
-// If all connections are refused, a repayment cannot have run. It must be rejected (field 1), which lets the client
-// retry, and not reported as failed.
+// If all connections are refused, a repayment cannot have run. It must be rejected (field 1 of the result), which lets
+// the client retry, and not reported as failed.
 func TestRepaymentThatNeverRanIsRejected(t *testing.T) {
 	env := startProgram(t)
 	env.cache.Close()
@@ -156,7 +156,7 @@
 	cacheConn.ReadCommand()
 	client.Revoke(1)
 	if diff := cmp.Diff([]string{"STOP", ref1}, cacheConn.ReadCommand()); diff != "" {
-		t.Error(diff)
+		t.Errorf("command mismatch (-want +got):\n%s", diff)
 	}
 	cacheConn.WriteArray(ref1, "OK", "n=HIT", "late")
 	client.Submit(2, "", requestFields("media", ref2)...)
@@ -174,6 +174,6 @@
 	cacheConn.ReadCommand()
 	client.Reset()
 	if diff := cmp.Diff([]string{"STOP", ref1}, cacheConn.ReadCommand()); diff != "" {
-		t.Error(diff)
+		t.Errorf("command mismatch (-want +got):\n%s", diff)
 	}
 }
--- a/cmd/shaleyard/simulation_steps_test.go
+++ b/cmd/shaleyard/simulation_steps_test.go
@@ -160,8 +160,8 @@
 	s.director.Suspend(zeroOrOne * time.Duration(s.rng.IntN(400)) * time.Millisecond)
 }
 
-// respond lets a cache act on a connection: it ends a partial answer, repeats an answer, resets the connection, or
-// answers a request.
+// respond lets a cache act on a connection: the cache ends a partial answer, sends a second answer to a request, resets
+// the connection, or answers a pending request.
 func (s *simulation) respond(cache *cachePeer) {
 	switch {
 	case cache.unsent != "":
@@ -226,9 +226,9 @@
 
 // sendAnswer sends an answer, or only its first part and leaves the rest for endPartialAnswer. onComplete is called
 // before the last byte is sent.
-func (s *simulation) sendAnswer(cache *cachePeer, ref, word, fields, body string, onComplete func()) {
-	s.record("%s answers %s %s", cache.name, ref, word)
-	text := respArray(ref, word, fields, body)
+func (s *simulation) sendAnswer(cache *cachePeer, ref, status, fields, body string, onComplete func()) {
+	s.record("%s answers %s %s", cache.name, ref, status)
+	text := respArray(ref, status, fields, body)
 	if cut := s.rng.IntN(12 * len(text)); cut < len(text) {
 		cache.send(text[:cut])
 		cache.unsent, cache.onComplete = text[cut:], onComplete
--- a/cmd/shaleyard/simulation_test.go
+++ b/cmd/shaleyard/simulation_test.go
@@ -81,8 +81,8 @@
 	}
 }
 
-// simulationSettings returns settings with one class per kind of idempotency: read may be repeated at any time, pay
-// never, and keyed within dedupWindow.
+// simulationSettings returns settings with one class per kind of idempotency. A request of class read may be retried at
+// any time, one of class pay only if it cannot have run, and one of class keyed only within dedupWindow.
 func simulationSettings() *routing.Settings {
 	class := func(name, idempotency string, dedupWindow time.Duration) routing.Class {
 		return routing.Class{Name: name, LatencyObjective: 300 * time.Millisecond, Timeout: 2 * time.Second,
@@ -110,7 +110,7 @@
 	}
 }
 
-// simulationLimits returns limits that are low enough for a simulation to reach them.
+// simulationLimits returns the limits for the simulated client side, director and cache side.
 func simulationLimits() *config.Limits {
 	return &config.Limits{
 		MaxOpenRequests:    200,
@@ -254,8 +254,8 @@
 }
 
 // advance moves the clock forward by duration in steps of 1 ms, with due timers run at each step. It then checks that
-// no request of a connected client is past its deadline without an answer. While the director is suspended, advance
-// neither runs timers nor checks answers.
+// no request of a connected client is past its deadline without an answer, unless the request is cancelled. While the
+// director is suspended, advance neither runs timers nor checks answers.
 func (s *simulation) advance(duration time.Duration) {
 	for end := s.clock + duration; s.clock < end; {
 		s.clock += time.Millisecond
--- a/cmd/shaleyard/upgrade_test.go
+++ b/cmd/shaleyard/upgrade_test.go
@@ -13,9 +13,10 @@
 const (
 	// readyAfterStart is the maximum time from the start of a process beside another one until the new one is ready.
 	readyAfterStart = 6 * time.Second
-	// idleCloseRace is the maximum time from sending a request until the connection ends for which clients send again.
+	// idleCloseRace is the maximum time from the end of a request's transmission until the end of its connection for
+	// which clients assume that the two have crossed, and send a request on a new connection.
 	idleCloseRace = 50 * time.Millisecond
-	// clientTimeout is the time after which a client gives up a request as lost.
+	// clientTimeout is the time after which a client gives up waiting for an answer.
 	clientTimeout = 10 * time.Second
 )
 
@@ -103,7 +104,7 @@
 	next := listener.startProcess()
 	next.waitReady(readyAfterStart, true)
 	if !old.call("PUT", "/healthcheck/fail") {
-		t.Fatal("the drain was refused")
+		t.Fatal("PUT /healthcheck/fail: drain refused, want it accepted")
 	}
 	time.Sleep(drainLimit) // after this time the process holds no client connection
 	old.kill()
