--- a/cmd/shaleyard/shutdown_test.go
+++ b/cmd/shaleyard/shutdown_test.go
@@ -77,7 +77,7 @@
 	if reply := client.ReadReply(); reply.Seq != 2 || reply.Field != 1 {
 		t.Errorf("after the grace period: reply %+v, want request 2 rejected", reply)
 	}
-	late := env.dial() // the program still accepts connections while it is closing
+	late := env.dial() // a connection that the program accepts, or has yet to read, while it is closing
 	late.Submit(1, "", requestFields("media", ref2)...)
 	if reply := late.ReadReply(); reply.Seq != 1 || reply.Field != 1 {
 		t.Errorf("on a new connection: reply %+v, want request 1 rejected", reply)
@@ -95,8 +95,9 @@
 	}
 }
 
-// SIGTERM must stop the program at once, even if it arrives while a reload is blocked on reading its file and further
-// signals are queued. A shared queue of signals could be full then and lose SIGTERM, or delay it until the reload ends.
+// SIGTERM must begin the stop without delay, even if it arrives while a reload is blocked on reading its file and
+// further signals are queued. A queue that all signals share could be full then and lose SIGTERM, or delay it until the
+// reload ends.
 func TestStopDoesNotWaitForReloads(t *testing.T) {
 	env := startWithLimits(
 		t,
--- a/cmd/shaleyard/simulation_peers_test.go
+++ b/cmd/shaleyard/simulation_peers_test.go
@@ -90,8 +90,8 @@
 	}
 }
 
-// Close implements eventloop.Conn. It cancels the attempts on the connection; the program's stream learns of the close
-// later, by carryOutClose.
+// Close implements eventloop.Conn. It cancels the attempts on the connection. The program's stream is notified of the
+// close later, by runPendingClose.
 func (p *cachePeer) Close() error {
 	for _, request := range p.simulation.requests {
 		request.cancelAttempt(p)
@@ -154,15 +154,16 @@
 	return len(message), nil
 }
 
-// CloseWrite implements eventloop.Conn. No request that the client has not revoked may be open.
+// CloseWrite implements eventloop.Conn. It ends the test if the connection has an open request that was not cancelled.
 func (p *clientPeer) CloseWrite() error {
 	p.halfClosed = true
 	p.checkNoOpenRequests("half-closed")
 	return nil
 }
 
-// Close implements eventloop.Conn. The program's session learns of the close later, by carryOutClose. If the client is
-// connected and reads its answers, no request that it has not revoked may be open.
+// Close implements eventloop.Conn. The program's session is notified of the close later, by runPendingClose. Close ends
+// the test if the connection has an open request that was not cancelled, unless the client has disconnected or does not
+// read its answers, or the program has closed its half already.
 func (p *clientPeer) Close() error {
 	if !p.disconnected && !p.halfClosed && p.Buffered == 0 {
 		p.checkNoOpenRequests("closed")
