--- a/cmd/shaleyard/requests_test.go
+++ b/cmd/shaleyard/requests_test.go
@@ -12,7 +12,8 @@
 	"shaleyard/internal/nettest"
 )
 
-// withoutField drops a field, such as one that depends on the time, from the FIELDS of a request to a cache.
+// withoutField returns the comma-separated fields of a request to a cache without the field of the given name. Tests
+// use it to drop fields that depend on the time.
 func withoutField(fields, name string) string {
 	var kept []string
 	for field := range strings.SplitSeq(fields, ",") {
@@ -23,7 +24,9 @@
 	return strings.Join(kept, ",")
 }
 
-func TestAnswerReachesTheClientWhole(t *testing.T) {
+// A client must get the complete body of an answer, here 240 kB. If the client's own copy is still valid, which the
+// cache reports by SAME, the client must get an empty body and the field valid=1.
+func TestClientGetsCompleteAnswer(t *testing.T) {
 	env := startProgram(t)
 	client := env.dial()
 	client.Submit(1, "", append(requestFields("media", ref1), "known", "tag1")...)
@@ -34,7 +37,7 @@
 	}
 	want := []string{"REQ", ref1, "sort=media,asset=7f3a9c21e0b4d655,slice=3,up=o,store=1,do=share,inm=tag1", ""}
 	if diff := cmp.Diff(want, got); diff != "" {
-		t.Error(diff)
+		t.Errorf("command mismatch (-want +got):\n%s", diff)
 	}
 	body := strings.Repeat("0123456789abcdef", 15_000)
 	cacheConn.WriteArray(ref1, "OK", "n=HIT,rev=tag2,since=1764576000000,l=active:3", body)
@@ -46,9 +49,10 @@
 	env.wantReply(client.ReadReply(), nettest.Reply{Seq: 2, Good: true, Fields: map[string]string{"valid": "1"}})
 }
 
-// A flood meets a director that has just started: it admits as many requests as it can hope to answer, rejects the rest
-// at once with a Retry-After of its own for each, and admits twice as many when those are answered.
-func TestFloodAfterAStartIsLetInAsAnswersCome(t *testing.T) {
+// A director that has just started must not accept more requests than it may be able to answer. It admits 16 of a flood
+// of requests and rejects the others at once. Each rejection has a retry time of its own (field cooldown), so that the
+// clients do not all return at the same time. Once the 16 requests are answered, the director admits twice as many.
+func TestAdmissionAfterStartGrowsWithAnswers(t *testing.T) {
 	env := startWithLimits(t, 1024, io.Discard, func(limits *config.Limits) { limits.MaxConnsPerEndpoint = 1 })
 	flood := func(client *nettest.Conn, from, count int) {
 		for i := range count {
@@ -56,24 +60,24 @@
 		}
 	}
 	const admitted, count = 16, 30
-	one, two := env.dial(), env.dial()
-	flood(one, 1, count)
-	waits := map[string]bool{}
+	first, second := env.dial(), env.dial()
+	flood(first, 1, count)
+	retryAfters := map[string]bool{}
 	wantRejected := func(client *nettest.Conn, count int) {
 		t.Helper()
 		for range count {
 			reply := client.ReadReply()
 			if reply.Field != 1 || reply.Fields["cooldown"] == "" {
-				t.Fatalf("%+v, want a refusal that says when to come back", reply)
+				t.Fatalf("reply %+v, want a rejection with a cooldown", reply)
 			}
-			waits[reply.Fields["cooldown"]] = true
+			retryAfters[reply.Fields["cooldown"]] = true
 		}
 	}
-	wantRejected(one, count-admitted)
-	flood(two, 1, count)
-	wantRejected(two, count)
-	if len(waits) < 20 {
-		t.Errorf("%d different times to come back for %d clients", len(waits), 2*count-admitted)
+	wantRejected(first, count-admitted)
+	flood(second, 1, count)
+	wantRejected(second, count)
+	if len(retryAfters) < 20 {
+		t.Errorf("got %d different cooldowns for %d rejections, want at least 20", len(retryAfters), 2*count-admitted)
 	}
 	cacheConn := env.cache.Accept()
 	serve := func(count int) {
@@ -82,65 +86,69 @@
 			cacheConn.WriteArray(cacheConn.ReadCommand()[1], "OK", "n=HIT,rev=t,since=1764576000000", "x")
 		}
 		for range count {
-			if reply := one.ReadReply(); !reply.Good {
-				t.Fatalf("%+v, want an answer", reply)
+			if reply := first.ReadReply(); !reply.Good {
+				t.Fatalf("reply %+v, want an answer", reply)
 			}
 		}
 	}
 	serve(admitted)
-	flood(one, count+1, count)
+	flood(first, count+1, count)
 	serve(count)
 }
 
-// A reset after a repayment was written may have come after it ran: it must neither be retried nor rejected.
+// When a connection is reset after a repayment was written to it, the repayment may have run. It must neither be
+// retried, which could run it twice, nor rejected, which would let the client retry: it fails (field 2 of the result).
 func TestRepaymentIsNotSentAgainAfterAReset(t *testing.T) {
 	env := startProgram(t)
 	client := env.dial()
 	client.Submit(1, "pay", requestFields("repayment", ref1)...)
 	cacheConn := env.cache.Accept()
 	if got := cacheConn.ReadCommand(); got[3] != "pay" {
-		t.Errorf("body %q", got[3])
+		t.Errorf("body %q, want %q", got[3], "pay")
 	}
 	cacheConn.Reset()
 	env.wantReply(client.ReadReply(), nettest.Reply{Seq: 1, Field: 2})
 }
 
-// A malformed answer ends its connection, and with that all attempts on it: that must be one attempt, so that a
-// repayment does not fail with the answers of others. The cache itself is not blamed: it gets further attempts.
-func TestSpoiltAnswerEndsOneAttempt(t *testing.T) {
+// A malformed answer ends its connection and every attempt on the connection. An unanswered repayment must therefore
+// not share its connection with another request, or the malformed answer to the other request fails the repayment too.
+// The malformed answer does not count as a failure of the cache, which gets further attempts.
+func TestMalformedAnswerEndsOneAttempt(t *testing.T) {
 	env := startProgram(t)
 	client := env.dial()
 	client.Submit(1, "pay", requestFields("repayment", ref1)...)
-	pay := env.cache.Accept()
-	pay.ReadCommand()
+	payConn := env.cache.Accept()
+	payConn.ReadCommand()
 	client.Submit(2, "", requestFields("media", ref2)...)
-	spoilt := env.cache.Accept()
-	spoilt.ReadCommand()
-	spoilt.Send("*4\r\n$noise")
-	spoilt.ReadUntilClose()
+	malformedConn := env.cache.Accept()
+	malformedConn.ReadCommand()
+	malformedConn.Send("*4\r\n$noise")
+	malformedConn.ReadUntilClose()
 	client.Submit(3, "", requestFields("media", ref3)...)
 	cacheConn := env.cache.Accept()
 	if got := cacheConn.ReadCommand(); got[1] != ref3 {
-		t.Errorf("the cache was asked for %s, want %s", got[1], ref3)
+		t.Errorf("cache got request %s, want %s", got[1], ref3)
 	}
-	pay.WriteArray(ref1, "OK", "-", "paid")
+	payConn.WriteArray(ref1, "OK", "-", "paid")
 	env.wantReply(client.ReadReply(), nettest.Reply{Seq: 1, Body: "paid", Good: true})
 }
 
-// Refused connections prove that nothing ran: the repayment may be rejected, which lets the client retry.
-func TestRepaymentIsRefusedWhenItNeverRan(t *testing.T) {
+// If all connections are refused, a repayment cannot have run. It must be rejected (field 1 of the result), which lets
+// the client retry, and not reported as failed.
+func TestRepaymentThatNeverRanIsRejected(t *testing.T) {
 	env := startProgram(t)
 	env.cache.Close()
 	env.origin.Close()
 	client := env.dial()
 	client.Submit(1, "pay", requestFields("repayment", ref1)...)
 	if reply := client.ReadReply(); reply.Field != 1 {
-		t.Errorf("answer %+v, want a refusal", reply)
+		t.Errorf("reply %+v, want a rejection", reply)
 	}
 }
 
-// A revoked request cancels its attempts, and what its cache still answers goes to nobody.
-func TestRevokeStopsTheAttempt(t *testing.T) {
+// When a client revokes a request, the director must cancel the attempt at the cache, and must not forward the answer
+// that the cache still sends.
+func TestRevokeCancelsTheAttempt(t *testing.T) {
 	env := startProgram(t)
 	client := env.dial()
 	client.Submit(1, "", requestFields("media", ref1)...)
@@ -148,7 +156,7 @@
 	cacheConn.ReadCommand()
 	client.Revoke(1)
 	if diff := cmp.Diff([]string{"STOP", ref1}, cacheConn.ReadCommand()); diff != "" {
-		t.Error(diff)
+		t.Errorf("command mismatch (-want +got):\n%s", diff)
 	}
 	cacheConn.WriteArray(ref1, "OK", "n=HIT", "late")
 	client.Submit(2, "", requestFields("media", ref2)...)
@@ -157,7 +165,8 @@
 	env.wantReply(client.ReadReply(), nettest.Reply{Seq: 2, Body: "in time", Good: true})
 }
 
-func TestDeadClientEndsItsRequests(t *testing.T) {
+// When a client's connection is reset, the director must cancel the attempts of the client's open requests.
+func TestClientResetCancelsItsAttempts(t *testing.T) {
 	env := startProgram(t)
 	client := env.dial()
 	client.Submit(1, "", requestFields("media", ref1)...)
@@ -165,6 +174,6 @@
 	cacheConn.ReadCommand()
 	client.Reset()
 	if diff := cmp.Diff([]string{"STOP", ref1}, cacheConn.ReadCommand()); diff != "" {
-		t.Error(diff)
+		t.Errorf("command mismatch (-want +got):\n%s", diff)
 	}
 }
