--- a/internal/testbed/clientcodec.go
+++ b/internal/testbed/clientcodec.go
@@ -9,11 +9,11 @@
 	"time"
 )
 
-// Kinds of messages and fields in Thrift's binary protocol.
+// Message types and field types of the Thrift binary protocol.
 const (
-	thriftCallKind   = 1
-	thriftException  = 3
-	thriftOnewayKind = 4
+	thriftMessageCall      = 1
+	thriftMessageException = 3
+	thriftMessageOneway    = 4
 
 	thriftStop   = 0
 	thriftBool   = 2
@@ -22,12 +22,12 @@
 	thriftMap    = 13
 )
 
-// revokeSeq is the number of all cancellations, which are not answered.
+// revokeSeq is the sequence number of each revoke. It is a oneway call, so no reply repeats the number.
 const revokeSeq = 1 << 30
 
-// thriftCall builds a framed call in the strict binary protocol.
-func thriftCall(kind byte, name string, seq int32, args []byte) []byte {
-	buffer := []byte{0, 0, 0, 0, 0x80, 1, 0, kind}
+// thriftCall returns a framed message in the strict binary protocol: a call or a oneway call of the named method.
+func thriftCall(messageType byte, name string, seq int32, args []byte) []byte {
+	buffer := []byte{0, 0, 0, 0, 0x80, 1, 0, messageType}
 	buffer = appendString(buffer, name)
 	buffer = binary.BigEndian.AppendUint32(buffer, uint32(seq))
 	buffer = append(buffer, args...)
@@ -41,15 +41,16 @@
 }
 
 func heartbeatCall(seq int32) []byte {
-	return thriftCall(thriftCallKind, "heartbeat", seq, []byte{thriftBool, 0, 1, 0})
+	return thriftCall(thriftMessageCall, "heartbeat", seq, []byte{thriftBool, 0, 1, 0})
 }
 
 func revokeCall(seq int32) []byte {
 	args := binary.BigEndian.AppendUint32([]byte{thriftI32, 0, 1}, uint32(seq))
-	return thriftCall(thriftOnewayKind, "revoke", revokeSeq, args)
+	return thriftCall(thriftMessageOneway, "revoke", revokeSeq, args)
 }
 
-// submitArgs are the arguments of submit: fields, given as name and value in turn, and a body.
+// submitArgs returns the encoded arguments of submit: a map of fields, given as alternating names and values, and a
+// body.
 func submitArgs(body string, fields ...string) []byte {
 	buffer := []byte{thriftMap, 0, 1, thriftString, thriftString}
 	buffer = binary.BigEndian.AppendUint32(buffer, uint32(len(fields)/2))
@@ -62,7 +63,8 @@
 
 var errTruncated = errors.New("answer cut short")
 
-// replyReader reads a message; after an error it brings zeros.
+// replyReader decodes the parts of a message. It keeps the latest error; a read past the end of the message returns
+// zero bytes, and a string with an invalid length is empty.
 type replyReader struct {
 	buffer *bytes.Buffer
 	err    error
@@ -88,13 +90,14 @@
 	return string(r.take(n))
 }
 
-// readReply reads an answer, a refusal or a failure.
+// readReply decodes the frame of a reply: a result, one of the declared exceptions (rejection or failure), or a Thrift
+// exception, which counts as a failure. It returns the sequence number of the call and the decoded reply.
 func readReply(frame []byte) (seq int32, answer reply, err error) {
 	reader := &replyReader{buffer: bytes.NewBuffer(frame)}
-	kind := reader.take(4)[3]
+	messageType := reader.take(4)[3]
 	reader.text()
 	seq = int32(reader.number())
-	if kind == thriftException {
+	if messageType == thriftMessageException {
 		return seq, reply{outcome: outcomeFailed}, reader.err
 	}
 	reader.take(1)
@@ -113,7 +116,9 @@
 	return seq, answer, reader.err
 }
 
-// readField reads a field of an answer, a refusal or a failure.
+// readField decodes one field of a result or of a declared exception into answer: the body, the retry delay (map entry
+// "cooldown", in milliseconds), or the flag that a result carries about its own success. It returns an error if the
+// type of the field is unknown.
 func (r *replyReader) readField(fieldType byte, answer *reply) error {
 	switch fieldType {
 	case thriftString:
@@ -129,7 +134,7 @@
 		}
 	case thriftBool:
 		if r.take(1)[0] == 0 && answer.outcome == outcomeServed {
-			answer.outcome = outcomeNotGood
+			answer.outcome = outcomeNotOK
 		}
 	default:
 		return fmt.Errorf("field of type %d in an answer", fieldType)
--- a/internal/testbed/clientconn.go
+++ b/internal/testbed/clientconn.go
@@ -8,33 +8,34 @@
 	"time"
 )
 
-// Outcomes of a request, as its client saw them.
+// Outcomes of an attempt as the client observes them. The history records them.
 const (
-	outcomeServed    = "served"
-	outcomeRefused   = "refused"
-	outcomeFailed    = "failed"
-	outcomeNotGood   = "not good"  // an answer that says so of itself
-	outcomeLost      = "lost"      // the connection ended first
-	outcomeNone      = "none"      // no answer came in time
-	outcomeLeft      = "left"      // the client did not wait
-	outcomeUnreached = "unreached" // there was no connection
-	outcomeCorrupted = "spoilt"    // served with the wrong body
+	outcomeServed      = "served"
+	outcomeRefused     = "refused"
+	outcomeFailed      = "failed"
+	outcomeNotOK       = "not good"  // the answer reports its own failure
+	outcomeLost        = "lost"      // the connection ended before the answer
+	outcomeTimedOut    = "none"      // no answer before the timeout
+	outcomeAbandoned   = "left"      // the client cancelled or closed the connection
+	outcomeUnreachable = "unreached" // no connection to the director
+	outcomeCorrupted   = "spoilt"    // served, but with an unexpected body
 )
 
 const (
-	maxOpenRequests = 32      // on one connection (protocol page)
-	maxFrameBytes   = 1 << 20 // of an answer
-	clientDialLimit = time.Second
+	maxOpenRequests   = 32      // limit for one connection (client protocol)
+	maxFrameBytes     = 1 << 20 // limit for an answer
+	clientDialTimeout = time.Second
 )
 
-// reply is what came of one request.
+// reply is the outcome of one call. retryAfter is the delay that a rejection asks for; 0 means none.
 type reply struct {
 	outcome    string
 	retryAfter time.Duration
 	body       string
 }
 
-// clientConn is a client's connection to one director: calls by number, answers in any order.
+// clientConn is a client's connection to one director. It multiplexes calls by sequence number; answers may arrive in
+// any order.
 type clientConn struct {
 	*faultyConn
 	mu      sync.Mutex
@@ -44,7 +45,7 @@
 }
 
 func (t *Testbed) dialDirector(director int) (*clientConn, error) {
-	conn, err := net.DialTimeout("tcp", t.directors[director].addr(), clientDialLimit)
+	conn, err := net.DialTimeout("tcp", t.directors[director].addr(), clientDialTimeout)
 	if err != nil {
 		return nil, err
 	}
@@ -53,7 +54,8 @@
 	return c, nil
 }
 
-// readReplies hands answers to those that wait for them, until the connection ends.
+// readReplies delivers each answer to the caller that waits for it. When the connection ends, all pending calls get
+// outcomeLost.
 func (c *clientConn) readReplies(testbed *Testbed) {
 	for c.handleReply(testbed) {
 	}
@@ -68,7 +70,8 @@
 	}
 }
 
-// handleReply reads one answer; false: the connection has ended, or has brought something that can't be used.
+// handleReply reads one answer and delivers it to its caller. An answer to no pending call is recorded as "stray". It
+// returns false if the connection has ended or the answer is invalid.
 func (c *clientConn) handleReply(testbed *Testbed) bool {
 	frame, err := readFrame(c.Conn)
 	if err != nil {
@@ -91,7 +94,8 @@
 	return true
 }
 
-// readFrame reads a message behind its length.
+// readFrame reads a message that is prefixed with its length (32 bits, big-endian). It fails if the message is longer
+// than maxFrameBytes.
 func readFrame(r io.Reader) ([]byte, error) {
 	var size [4]byte
 	if _, err := io.ReadFull(r, size[:]); err != nil {
@@ -106,7 +110,8 @@
 	return frame, err
 }
 
-// call writes a call and returns where its answer comes; nil: this connection takes no more.
+// call sends the message that build returns and returns a channel that receives the answer. The channel is nil if the
+// connection is closed or has maxOpenRequests open requests.
 func (c *clientConn) call(build func(seq int32) []byte) (answer chan reply, seq int32) {
 	c.mu.Lock()
 	if c.closed || len(c.pending) >= maxOpenRequests {
@@ -124,13 +129,13 @@
 	return answer, seq
 }
 
-// cancel gives a request up: no answer is owed from now on, and one that is on its way already is dropped.
+// cancel revokes a pending request. An answer that arrives afterwards is dropped.
 func (c *clientConn) cancel(seq int32) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.pending[seq] == nil {
 		return
 	}
-	c.pending[seq] = make(chan reply, 1) // nobody takes a late answer
+	c.pending[seq] = make(chan reply, 1) // receives a late answer, which nobody reads
 	_, _ = c.Write(revokeCall(seq))
 }
--- a/internal/testbed/fills.go
+++ b/internal/testbed/fills.go
@@ -2,13 +2,13 @@
 
 import "time"
 
-// fillTimeout is for how long a fill waits for a source that says nothing.
+// fillTimeout is how long a fill waits for a source that does not respond.
 const fillTimeout = time.Second
 
-// Cache status words of the cache protocol.
+// Cache statuses of the cache protocol: where a cache got the object from, or why its fill failed.
 const (
 	statusHit        = "HIT"
-	statusMiss       = "MISS" // filled from a copy of the source
+	statusMiss       = "MISS" // filled from a copy that the source held
 	statusMissOrigin = "MISS_ORIGIN"
 	statusCollapsed  = "COLLAPSED"
 	statusNoFill     = "NO_FILL"
@@ -18,14 +18,15 @@
 	statusOriginErr  = "ORIGIN_ERR"
 )
 
-// lookupResult is what a server makes of a request.
+// lookupResult is the result of looking up an object on a server.
 type lookupResult struct {
-	word   string // of the answer
-	status string // cache status; empty: none
+	result string // result code of the answer
+	status string // cache status; empty if there is none
 	copy   cachedCopy
 }
 
-// fill is a fetch of an object under way; others may wait for it.
+// fill is a fetch of an object that is in progress. Other requests for the object may wait for it; done is closed when
+// the other fields are set.
 type fill struct {
 	done   chan struct{}
 	ok     bool
@@ -33,10 +34,12 @@
 	copy   cachedCopy
 }
 
-// lookUp finds the object here or fills it from the source that the request names.
+// lookUp answers a request from a cached copy, or fills the object from the source that the request names. The origin
+// serves every request itself, and a write is forwarded to the source. A request waits for a fill of the object that is
+// in progress if the server coalesces fills; it is rejected if all fill slots are in use.
 func (s *server) lookUp(request serverRequest) lookupResult {
 	if s.tier == originTier {
-		return s.runAtOrigin(request)
+		return s.serveFromOrigin(request)
 	}
 	if request.class == classRepayment {
 		return s.forwardWrite(request)
@@ -44,24 +47,24 @@
 	s.mu.Lock()
 	if held, ok := s.cached[request.key()]; ok && time.Since(held.since) < request.maxAge {
 		s.mu.Unlock()
-		return lookupResult{word: wordOK, status: statusHit, copy: held}
+		return lookupResult{result: resultOK, status: statusHit, copy: held}
 	}
-	underWay := s.fillsInFlight[request.key()]
-	if underWay != nil && s.spec.CoalescesFills && (request.mayCoalesce || s.tier == parentTier) {
+	inFlight := s.fillsInFlight[request.key()]
+	if inFlight != nil && s.spec.CoalescesFills && (request.mayCoalesce || s.tier == parentTier) {
 		s.mu.Unlock()
-		return underWay.await(request.maxAge)
+		return inFlight.await(request.maxAge)
 	}
 	source := s.testbed.serverNamed(request.source)
 	switch {
 	case source == nil:
 		s.mu.Unlock()
-		if underWay != nil {
-			return lookupResult{word: wordMiss, status: statusCollapsed}
+		if inFlight != nil {
+			return lookupResult{result: resultMiss, status: statusCollapsed}
 		}
-		return lookupResult{word: wordMiss}
+		return lookupResult{result: resultMiss}
 	case s.spec.FillSlots > 0 && s.activeFills >= s.spec.FillSlots:
 		s.mu.Unlock()
-		return lookupResult{word: wordBusy, status: statusNoFill}
+		return lookupResult{result: resultBusy, status: statusNoFill}
 	}
 	f := &fill{done: make(chan struct{})}
 	s.activeFills++
@@ -70,11 +73,11 @@
 	return s.runFill(f, source, request)
 }
 
-// forwardWrite passes a write on to the source.
+// forwardWrite forwards a write to the source that the request names.
 func (s *server) forwardWrite(request serverRequest) lookupResult {
 	source := s.testbed.serverNamed(request.source)
 	if source == nil {
-		return lookupResult{word: wordMiss}
+		return lookupResult{result: resultMiss}
 	}
 	s.testbed.history.record(
 		Event{Kind: "source", Who: source.name, Director: directorName(request.director), Ref: request.ref},
@@ -82,16 +85,18 @@
 	return source.lookUp(request)
 }
 
-// await waits for a fill under way.
+// await waits until the fill ends and returns its copy. The result is a miss if the fill failed or the copy has reached
+// maxAge.
 func (f *fill) await(maxAge time.Duration) lookupResult {
 	<-f.done
 	if !f.ok || time.Since(f.copy.since) >= maxAge {
-		return lookupResult{word: wordMiss, status: statusUpDown}
+		return lookupResult{result: resultMiss, status: statusUpDown}
 	}
-	return lookupResult{word: wordOK, status: statusCollapsed, copy: f.copy}
+	return lookupResult{result: resultOK, status: statusCollapsed, copy: f.copy}
 }
 
-// runFill fetches the object, keeps it where it is to be kept, and tells those who wait.
+// runFill fetches the object, stores the copy and wakes the requests that wait for the fill. A parent stores every
+// copy, a cache only if the request asks for it.
 func (s *server) runFill(f *fill, source *server, request serverRequest) lookupResult {
 	f.ok, f.status, f.copy = s.fetchFromSource(source, request)
 	s.mu.Lock()
@@ -104,14 +109,15 @@
 	close(f.done)
 	switch {
 	case f.ok:
-		return lookupResult{word: wordOK, status: f.status, copy: f.copy}
+		return lookupResult{result: resultOK, status: f.status, copy: f.copy}
 	case f.status == statusUpBusy:
-		return lookupResult{word: wordBusy, status: f.status}
+		return lookupResult{result: resultBusy, status: f.status}
 	}
-	return lookupResult{word: wordMiss, status: f.status}
+	return lookupResult{result: resultMiss, status: f.status}
 }
 
-// fetchFromSource asks the source, which counts it as work that reaches it.
+// fetchFromSource fetches the object from the source and returns the cache status of the fill. The fetch counts as work
+// that arrives at the source, which may make the source collapse.
 func (s *server) fetchFromSource(source *server, request serverRequest) (ok bool, status string, fetched cachedCopy) {
 	work := s.testbed.transferWork(request.object)
 	s.testbed.history.record(
@@ -140,8 +146,8 @@
 	return sourceStatus(source.tier, found)
 }
 
-// unavailableAsSource is the status of a fill for which the source can't be used; empty: it can. A silent one takes its
-// time.
+// unavailableAsSource returns the cache status of a fill that fails because the server is unavailable as its source, or
+// an empty string if the server is available. If the server is silent, it returns after fillTimeout.
 func (s *server) unavailableAsSource() string {
 	s.mu.Lock()
 	down, silent, busy := s.exited || s.collapsed || s.state == "gone", s.silent, s.busy
@@ -158,10 +164,11 @@
 	return ""
 }
 
-// sendToCache waits for what the way from a source takes. The bytes of a parent are passed on as they come, so that
-// only what a crowded link adds is waited for here.
+// sendToCache waits for the time that the transfer from this server, a source, to a cache takes. A cache streams the
+// bytes of a parent on as they arrive, so only the latency and the delay by a congested link are waited for here; the
+// transfer time at full rate is waited for when the cache answers.
 func (s *server) sendToCache(found lookupResult, work float64) {
-	if found.word != wordOK || s.tier != parentTier {
+	if found.result != resultOK || s.tier != parentTier {
 		time.Sleep(time.Duration(s.spec.LatencyMS * float64(time.Millisecond)))
 		return
 	}
@@ -170,30 +177,31 @@
 	s.update(func() { s.activeTransfers-- })
 }
 
-// sourceStatus is the cache status of a fill, by what the source found.
+// sourceStatus returns the outcome of a fill and its cache status, derived from the lookup result of its source.
 func sourceStatus(source tier, found lookupResult) (ok bool, status string, fetched cachedCopy) {
 	heldByParent := found.status == statusHit || found.status == statusCollapsed
 	fromCopy := source == cacheTier || (source == parentTier && heldByParent)
 	switch {
-	case found.word == wordOK && fromCopy:
+	case found.result == resultOK && fromCopy:
 		return true, statusMiss, found.copy
-	case found.word == wordOK:
+	case found.result == resultOK:
 		return true, statusMissOrigin, found.copy
 	case found.status == statusUpBusy || found.status == statusOriginErr:
 		return false, statusOriginErr, cachedCopy{}
-	case found.word == wordBusy:
+	case found.result == resultBusy:
 		return false, statusUpBusy, cachedCopy{}
 	}
 	return false, statusUpMiss, cachedCopy{}
 }
 
-// runAtOrigin runs a write, or gives an object out. The origin can do so many a second, and rejects more.
-func (s *server) runAtOrigin(request serverRequest) lookupResult {
+// serveFromOrigin executes a write or returns an object, after the origin's latency. It rejects requests above the
+// origin's rate limit.
+func (s *server) serveFromOrigin(request serverRequest) lookupResult {
 	history := s.testbed.history
 	now := time.Now()
 	if s.originBusy(now) {
 		history.record(Event{Kind: "origin", What: "busy", Object: request.object})
-		return lookupResult{word: wordBusy}
+		return lookupResult{result: resultBusy}
 	}
 	status := statusHit
 	if request.class == classRepayment {
@@ -203,10 +211,11 @@
 		history.record(Event{Kind: "origin", What: "fetch", Object: request.object})
 	}
 	time.Sleep(time.Duration(s.testbed.experiment.Origin.LatencyMS * float64(time.Millisecond)))
-	return lookupResult{word: wordOK, status: status, copy: cachedCopy{since: now}}
+	return lookupResult{result: resultOK, status: status, copy: cachedCopy{since: now}}
 }
 
-// originBusy counts a call of the origin, and reports whether it is one too many within a second.
+// originBusy counts a request to the origin and reports whether the requests of the last second, rejected ones
+// included, exceed the origin's rate limit.
 func (s *server) originBusy(now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/testbed/loadgenerator.go
+++ b/internal/testbed/loadgenerator.go
@@ -10,28 +10,28 @@
 )
 
 const (
-	clientTimeout = 2 * time.Second        // of a request, over all attempts
-	minTimeout    = 100 * time.Millisecond // an attempt with less is not made
-	answerMargin  = 500 * time.Millisecond // behind its time: whether an answer is in time is for the checker to say
-	maxGap        = time.Second            // between two requests: the rate may change meanwhile
+	clientTimeout     = 2 * time.Second        // for a request, over all its attempts
+	minAttemptTimeout = 100 * time.Millisecond // no attempt is made with less time left
+	lateAnswerGrace   = 500 * time.Millisecond // extra wait for an answer: the checker decides whether it is late
+	maxGap            = time.Second            // longest wait between two draws, as the rate may change during the wait
 
-	// closeRaceWindow is the time within which a request that meets its connection's close is sent again on a new one,
-	// once (protocol page).
+	// closeRaceWindow is the time after sending within which a lost connection counts as a race between the request and
+	// the director's close. The client protocol allows such a request to be sent once more, on a new connection.
 	closeRaceWindow = 50 * time.Millisecond
 
 	classMedia     = "media"
 	classRepayment = "repayment"
 )
 
-// loadGenerator is all clients. Their requests come at a rate, whatever becomes of earlier ones, and go to the
-// directors that are in rotation.
+// loadGenerator simulates all clients. It is an open-loop generator: requests arrive at a rate that does not depend on
+// the outcome of earlier ones. They go to the directors that are in rotation.
 type loadGenerator struct {
 	testbed     *Testbed
 	mu          sync.Mutex
 	rng         *rand.Rand
 	zipf        *rand.Zipf
-	connections map[int][]*clientConn // by director
-	factor      float64               // of the experiment's rate
+	connections map[int][]*clientConn // connection pools, by director
+	factor      float64               // multiplies the request rate of the experiment
 	lastRef     uint64
 	inFlight    sync.WaitGroup
 }
@@ -48,7 +48,7 @@
 	}
 }
 
-// run sends requests until the time is over, and waits until all are answered.
+// run starts requests until the given time, and returns when all of them have ended.
 func (g *loadGenerator) run(until time.Time) {
 	next := time.Now()
 	for {
@@ -67,7 +67,7 @@
 	g.inFlight.Wait()
 }
 
-// drawGap draws the time to the next request: they come as a Poisson process.
+// drawGap draws the time until the next request. Arrivals are a Poisson process, so the gaps are exponential.
 func (g *loadGenerator) drawGap() time.Duration {
 	const minRate = 1e-3
 	g.mu.Lock()
@@ -76,7 +76,8 @@
 	return time.Duration(g.rng.ExpFloat64() / max(rate, minRate) * float64(time.Second))
 }
 
-// startRequest draws a request and sends it, unless there is no director for it.
+// startRequest draws the branch, director, object and class of a request and starts it. If no director of the branch is
+// in rotation, it records "nowhere" and starts nothing.
 func (g *loadGenerator) startRequest() {
 	g.mu.Lock()
 	branch := g.rng.IntN(g.testbed.experiment.Branches)
@@ -94,8 +95,8 @@
 	g.inFlight.Go(func() { g.request(director, class, object) })
 }
 
-// pickDirector is a director of a branch that is in rotation; director 0 may get several times the mean. -1: there is
-// none. It is called with the lock held.
+// pickDirector draws a director of a branch among those that are in rotation, or returns -1 if it finds none. Director
+// 0 is drawn more often if the experiment sets a skew. The caller holds g.mu.
 func (g *loadGenerator) pickDirector(branch int) int {
 	testbed := g.testbed
 	count := len(testbed.directors)
@@ -112,19 +113,19 @@
 	return -1
 }
 
-// request is one first attempt and its retries, each under a ref of its own. A repayment is retried only after a
-// refusal, which proves that it never ran, or where no director was reached.
+// request makes the first attempt at a request and its retries, each with its own ref. A repayment is retried only if
+// the director rejected it, which proves that it was not executed, or if there was no connection to the director.
 func (g *loadGenerator) request(director int, class, object string) {
 	deadline := time.Now().Add(clientTimeout)
 	for number := range g.testbed.experiment.Clients.MaxAttempts {
 		timeout := time.Until(deadline)
-		if timeout < minTimeout {
+		if timeout < minAttemptTimeout {
 			return
 		}
 		a := g.newAttempt(director, class, object, timeout, number > 0)
 		answer := a.run()
-		reached := answer.outcome != outcomeUnreached
-		if answer.outcome == outcomeServed || answer.outcome == outcomeLeft ||
+		reached := answer.outcome != outcomeUnreachable
+		if answer.outcome == outcomeServed || answer.outcome == outcomeAbandoned ||
 			(class == classRepayment && reached && answer.outcome != outcomeRefused) {
 			return
 		}
@@ -133,22 +134,22 @@
 		if wait == 0 {
 			wait = time.Duration(20+g.rng.IntN(60)) * time.Millisecond
 		}
-		if other := g.pickDirector(g.testbed.branchOfDirector(director)); other >= 0 {
-			director = other
+		if next := g.pickDirector(g.testbed.branchOfDirector(director)); next >= 0 {
+			director = next
 		}
 		g.mu.Unlock()
 		time.Sleep(wait)
 	}
 }
 
-// setFactor changes the load.
+// setFactor sets the factor by which the request rate of the experiment is multiplied.
 func (g *loadGenerator) setFactor(factor float64) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.factor = factor
 }
 
-// clientAttempt is one attempt of a client at a request.
+// clientAttempt is one attempt of a client to have a request served.
 type clientAttempt struct {
 	generator *loadGenerator
 	director  int
@@ -158,9 +159,9 @@
 	timeout   time.Duration
 	retry     bool
 
-	leaves     bool // the client does not wait for the answer,
-	closes     bool // closes its connection in place of a cancellation,
-	leaveAfter time.Duration
+	abandons     bool // the client gives up after abandonAfter
+	closesConn   bool // a client that gives up closes its connection instead of cancelling the request
+	abandonAfter time.Duration
 
 	conn   *clientConn
 	answer chan reply
@@ -177,15 +178,15 @@
 	a := &clientAttempt{generator: g, director: director, class: class, object: object, timeout: timeout, retry: retry}
 	g.mu.Lock()
 	g.lastRef++
-	a.leaves, a.closes = g.rng.Float64() < clients.LeaveShare, g.lastRef%2 == 0
-	a.leaveAfter = time.Duration(2 * g.rng.Float64() * clients.LeaveAfterMS * float64(time.Millisecond))
+	a.abandons, a.closesConn = g.rng.Float64() < clients.LeaveShare, g.lastRef%2 == 0
+	a.abandonAfter = time.Duration(2 * g.rng.Float64() * clients.LeaveAfterMS * float64(time.Millisecond))
 	a.ref = fmt.Sprintf("%016x", g.lastRef<<16|uint64(g.rng.IntN(1<<16)))
 	g.mu.Unlock()
 	g.testbed.directorByRef.Store(a.ref, director)
 	return a
 }
 
-// run sends the request and waits for what comes of it.
+// run sends the request, waits for its outcome and records both.
 func (a *clientAttempt) run() reply {
 	testbed := a.generator.testbed
 	testbed.history.record(
@@ -203,20 +204,20 @@
 			Work:      testbed.transferWork(a.object),
 		},
 	)
-	if !a.send(a.leaves && a.closes) {
+	if !a.send(a.abandons && a.closesConn) {
 		testbed.history.record(
-			Event{Kind: "answer", Ref: a.ref, Director: directorName(a.director), What: outcomeUnreached},
+			Event{Kind: "answer", Ref: a.ref, Director: directorName(a.director), What: outcomeUnreachable},
 		)
-		return reply{outcome: outcomeUnreached}
+		return reply{outcome: outcomeUnreachable}
 	}
 	answer := a.await()
-	if answer.outcome != outcomeLeft {
+	if answer.outcome != outcomeAbandoned {
 		a.recordAnswer(answer)
 	}
 	return answer
 }
 
-// call builds the call of submit.
+// call returns the encoded submit call of the attempt. Its first argument is the sequence number of the call.
 func (a *clientAttempt) call(seq int32) []byte {
 	body := ""
 	if a.class == classRepayment {
@@ -225,12 +226,13 @@
 	size := strconv.FormatFloat(100*a.generator.testbed.objectSize(a.object), 'f', 1, 64)
 	args := submitArgs(body, "service", a.class, "ref", a.ref, "allow", strconv.FormatInt(a.timeout.Milliseconds(), 10),
 		"lookup", a.object, "chunk", "0", "tag", "0", "room", size)
-	return thriftCall(thriftCallKind, "submit", seq, args)
+	return thriftCall(thriftMessageCall, "submit", seq, args)
 }
 
-// send sends the call; false: no director was reached.
-func (a *clientAttempt) send(alone bool) bool {
-	conn, answer, seq := a.generator.send(a.director, alone, a.call)
+// send sends the call and reports whether there is a connection to the director. If dedicated is set, no other request
+// shares the connection.
+func (a *clientAttempt) send(dedicated bool) bool {
+	conn, answer, seq := a.generator.send(a.director, dedicated, a.call)
 	if answer == nil {
 		return false
 	}
@@ -238,15 +240,15 @@
 	return true
 }
 
-// await waits for the answer, or until the client gives up. A request that meets its connection's close is sent again,
-// once.
+// await waits for the answer, the timeout or the moment at which the client gives up. If the connection is lost within
+// closeRaceWindow, the request is sent once more on a new connection.
 func (a *clientAttempt) await() reply {
 	sent := time.Now()
-	timer := time.NewTimer(a.timeout + answerMargin)
+	timer := time.NewTimer(a.timeout + lateAnswerGrace)
 	defer timer.Stop()
-	var leave <-chan time.Time
-	if a.leaves {
-		leave = time.After(a.leaveAfter)
+	var abandoned <-chan time.Time
+	if a.abandons {
+		abandoned = time.After(a.abandonAfter)
 	}
 	mayResend := true
 	for {
@@ -257,31 +259,32 @@
 				continue
 			}
 			return answer
-		case <-leave:
-			a.leave()
-			return reply{outcome: outcomeLeft}
+		case <-abandoned:
+			a.abandon()
+			return reply{outcome: outcomeAbandoned}
 		case <-timer.C:
 			a.conn.cancel(a.seq)
-			return reply{outcome: outcomeNone}
+			return reply{outcome: outcomeTimedOut}
 		}
 	}
 }
 
-// leave closes the connection or cancels the request.
-func (a *clientAttempt) leave() {
+// abandon gives the request up: it cancels the request, or closes the connection if closesConn is set.
+func (a *clientAttempt) abandon() {
 	event := Event{Kind: "leave", Ref: a.ref, Director: directorName(a.director), What: "cancel"}
-	if a.closes {
+	if a.closesConn {
 		event.What = "close"
 	}
 	a.generator.testbed.history.record(event)
-	if a.closes {
+	if a.closesConn {
 		_ = a.conn.Close()
 	} else {
 		a.conn.cancel(a.seq)
 	}
 }
 
-// recordAnswer records the outcome. What was served must be the right object.
+// recordAnswer records the outcome of the attempt. An answer whose body is not that of the requested object is recorded
+// as outcomeCorrupted.
 func (a *clientAttempt) recordAnswer(answer reply) {
 	history := a.generator.testbed.history
 	event := Event{Kind: "answer", Ref: a.ref, Director: directorName(a.director), What: answer.outcome, Class: a.class,
@@ -296,24 +299,26 @@
 	history.record(event)
 }
 
-// copyTime is when the copy in a body left the origin, in Unix milliseconds.
+// copyTime returns the time at which the copy in a response body left the origin, in Unix milliseconds. ok is false if
+// the body holds no valid time.
 func copyTime(body string) (unixMS int64, ok bool) {
-	const timePart, parts = 2, 4
-	list := strings.SplitN(body, "/", parts)
-	if len(list) != parts {
+	const timeIndex, partCount = 2, 4
+	parts := strings.SplitN(body, "/", partCount)
+	if len(parts) != partCount {
 		return 0, false
 	}
-	unixMS, err := strconv.ParseInt(list[timePart], 10, 64)
+	unixMS, err := strconv.ParseInt(parts[timeIndex], 10, 64)
 	return unixMS, err == nil
 }
 
-// send calls on a connection that has room, or on a new one; alone: on one that nobody else uses.
-func (g *loadGenerator) send(director int, alone bool, build func(int32) []byte) (*clientConn, chan reply, int32) {
+// send sends a call to a director on a pooled connection with a free slot, or on a new connection. If dedicated is set,
+// it uses a new connection that does not join the pool. The returned channel is nil if the call was not sent.
+func (g *loadGenerator) send(director int, dedicated bool, build func(int32) []byte) (*clientConn, chan reply, int32) {
 	g.mu.Lock()
 	pool := g.connections[director]
 	g.mu.Unlock()
 	for _, conn := range pool {
-		if alone {
+		if dedicated {
 			break
 		}
 		if answer, seq := conn.call(build); answer != nil {
@@ -324,14 +329,14 @@
 	if err != nil {
 		return nil, nil, 0
 	}
-	if !alone {
+	if !dedicated {
 		g.addToPool(director, conn)
 	}
 	answer, seq := conn.call(build)
 	return conn, answer, seq
 }
 
-// addToPool adds a connection to those of a director, and drops those that are closed.
+// addToPool adds a connection to the pool of a director and removes the closed connections from that pool.
 func (g *loadGenerator) addToPool(director int, conn *clientConn) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/testbed/play.go
+++ b/internal/testbed/play.go
@@ -13,7 +13,7 @@
 	progressInterval  = time.Second
 )
 
-// play runs the load and the script.
+// play starts the directors and runs the load and the script of fault events until both have ended.
 func (t *Testbed) play(ctx context.Context, progress func(float64)) error {
 	if begin := t.experiment.Discovery.Begin; begin != "" && begin != modeWell {
 		t.discovery.setMode(begin, 1, 0)
@@ -36,7 +36,8 @@
 	return t.runScript(ctx, begin, loadDone, progress)
 }
 
-// recordPreamble records what the checker must know of the run.
+// recordPreamble records the parameters of the run that the checker needs: the capacity of the origin, the hub of each
+// branch, the number of directors and the time limits.
 func (t *Testbed) recordPreamble() {
 	experiment := t.experiment
 	t.history.record(Event{Kind: "capacity", Who: originName, Value: experiment.Origin.PerSecond})
@@ -48,20 +49,20 @@
 	)
 }
 
-// startFleet starts all directors, and waits until half of them are in rotation.
+// startFleet starts all directors and waits until all of them listen and half of them are in rotation.
 func (t *Testbed) startFleet(ctx context.Context) error {
-	everyone := make([]int, t.experiment.Directors)
-	for i := range everyone {
-		everyone[i] = i
+	allDirectors := make([]int, t.experiment.Directors)
+	for i := range allDirectors {
+		allDirectors[i] = i
 	}
-	if err := t.startDirectors(everyone, false); err != nil {
+	if err := t.startDirectors(allDirectors, false); err != nil {
 		return err
 	}
 	for _, p := range t.directors {
 		select {
 		case <-p.listening:
 		case <-p.exited:
-			return fmt.Errorf("%s ended at its start; its log is in %s", directorName(p.id), t.dir)
+			return fmt.Errorf("%s exited during startup; its log is in %s", directorName(p.id), t.dir)
 		case <-ctx.Done():
 			return context.Cause(ctx)
 		}
@@ -86,13 +87,14 @@
 	return count
 }
 
-// scriptedAction is something that is done at a time.
+// scriptedAction is an action that is scheduled for a point in time: a fault is injected or removed.
 type scriptedAction struct {
 	at time.Time
 	do func() error
 }
 
-// script lays out the fault events of the experiment, in order of time.
+// script returns the scheduled actions of all fault events, ordered by time. An event with a duration whose fault can
+// be removed has two actions; an event's random choices depend only on the seed and the event's index.
 func (t *Testbed) script(begin time.Time) []scriptedAction {
 	var script []scriptedAction
 	for i, event := range t.experiment.FaultEvents {
@@ -117,7 +119,9 @@
 	return script
 }
 
-// runScript carries the script out until it and the load have ended.
+// runScript runs the scheduled actions until both the script and the load have ended, and calls progress every
+// progressInterval. It returns early if ctx is done or an action fails; at the end it returns the first error of a
+// stand-in.
 func (t *Testbed) runScript(
 	ctx context.Context,
 	begin time.Time,
@@ -154,5 +158,5 @@
 	return t.err
 }
 
-// seconds is a duration given as a number of seconds.
+// seconds returns the duration of s seconds.
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/internal/testbed/process.go
+++ b/internal/testbed/process.go
@@ -16,31 +16,31 @@
 )
 
 const (
-	heartbeatRetry   = 20 * time.Millisecond  // until a director is ready
-	heartbeatPause   = 500 * time.Millisecond // from then on
-	heartbeatTimeout = 2 * time.Second
-	maxLogLine       = 1 << 20
+	readinessInterval = 20 * time.Millisecond  // between heartbeats while the director fails them
+	heartbeatInterval = 500 * time.Millisecond // between heartbeats while the director answers them
+	heartbeatTimeout  = 2 * time.Second
+	maxLogLine        = 1 << 20
 )
 
-// directorName is a director's name in configurations and histories.
+// directorName returns the name of a director in configurations, file names and histories.
 func directorName(i int) string { return fmt.Sprintf("d%d", i) }
 
-// process is one director: a real process of the program, started again under its name and address.
+// process is one director. Each start runs the program as a new process with the same name and address.
 type process struct {
 	testbed          *Testbed
 	id               int
-	discoveryAddress string // of the list service, for this director
+	discoveryAddress string // where this director reaches the list service
 
 	mu            sync.Mutex
-	address       string // where it listens; the same from its first start on
+	address       string // listen address; chosen at the first start, then fixed
 	cmd           *exec.Cmd
 	starts        int
-	started       time.Time
-	knownRevision int  // last list event in its last configuration
-	inRotation    bool // clients are sent there
-	stopped       bool
-	listening     chan struct{}
-	exited        chan struct{}
+	startedAt     time.Time
+	knownRevision int           // last list event in its most recent configuration
+	inRotation    bool          // the load balancer sends it requests
+	suspended     bool          // by SIGSTOP
+	listening     chan struct{} // closed when the log reports the listen address
+	exited        chan struct{} // closed when the process has exited
 }
 
 func (p *process) addr() string {
@@ -49,18 +49,19 @@
 	return p.address
 }
 
-// isInRotation reports whether clients are sent there.
+// isInRotation reports whether the load balancer sends requests to this director.
 func (p *process) isInRotation() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.inRotation
 }
 
-// directorNice is the priority of directors, below that of the testbed.
+// directorNice is the nice value of directors. It gives them a lower priority than the testbed.
 const directorNice = 5
 
-// starter starts processes on one thread, which lives as long as the testbed: a child is told to die with its parent
-// thread, so that none is left behind also when the testbed itself is killed.
+// starter starts all processes from one OS thread that lives as long as the testbed. The kernel kills a process when
+// the thread that started it ends (Pdeathsig), so no process survives the testbed, even if the testbed itself is
+// killed.
 type starter struct{ jobs chan func() }
 
 func newStarter() *starter {
@@ -81,24 +82,25 @@
 	if err := <-started; err != nil {
 		return err
 	}
-	// The testbed stands for the network and everybody else's machines: it must be on time when hundreds of directors
-	// start at once on a few cores. A process may always lower its own children's priority.
+	// The testbed simulates the network and all other machines, so it must keep its timing when hundreds of directors
+	// start at once on a few cores. Lowering the priority of a child needs no privileges.
 	err := syscall.Setpriority(syscall.PRIO_PROCESS, cmd.Process.Pid, directorNice)
 	if err != nil && !errors.Is(err, syscall.ESRCH) {
-		return fmt.Errorf("priority of a director: %w", err)
+		return fmt.Errorf("set priority of director process: %w", err)
 	}
 	return nil
 }
 
-// start runs the program. Its endpoint list is the present one, or for last the one it was started with before.
-func (p *process) start(last bool) error {
+// start starts the program unless it is running already. Its configuration holds the current endpoint list, or with
+// keepRevision the list of the previous start.
+func (p *process) start(keepRevision bool) error {
 	testbed := p.testbed
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.cmd != nil {
 		return nil
 	}
-	if !last || p.knownRevision == 0 {
+	if !keepRevision || p.knownRevision == 0 {
 		p.knownRevision = testbed.discovery.eventCount()
 	}
 	p.starts++
@@ -115,7 +117,7 @@
 	if err := testbed.starter.start(cmd); err != nil {
 		return err
 	}
-	p.cmd, p.started, p.stopped = cmd, time.Now(), false
+	p.cmd, p.startedAt, p.suspended = cmd, time.Now(), false
 	p.listening, p.exited = make(chan struct{}), make(chan struct{})
 	testbed.history.record(Event{Kind: "process", Who: directorName(p.id), What: "start", Number: p.knownRevision})
 	go p.followLog(cmd, bufio.NewScanner(log), p.listening, p.exited)
@@ -123,7 +125,7 @@
 	return nil
 }
 
-// writeConfiguration writes the file that EDGE_CONFIG names. It is called with the lock held.
+// writeConfiguration writes the configuration file that EDGE_CONFIG names and returns its path. The caller holds p.mu.
 func (p *process) writeConfiguration() (path string, err error) {
 	testbed := p.testbed
 	listen := p.address
@@ -148,32 +150,34 @@
 	return path, os.WriteFile(path, text, 0o600)
 }
 
-// followLog reads the log, keeps it, records what it says of sites, and learns where the process listens.
+// followLog reads the director's log until the process exits. It appends the log to a file, records changes of site
+// states, and closes listening once the log reports the listen address. After the exit it records the exit status and
+// closes exited.
 func (p *process) followLog(cmd *exec.Cmd, log *bufio.Scanner, listening, exited chan struct{}) {
 	testbed := p.testbed
 	log.Buffer(nil, maxLogLine)
 	path := filepath.Join(testbed.dir, directorName(p.id)+".log")
-	kept, err := os.OpenFile(path, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
+	logFile, err := os.OpenFile(path, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		testbed.fail(err)
 	}
-	listens := false
+	addressFound := false
 	for log.Scan() {
 		line := log.Text()
-		if kept != nil {
-			_, _ = fmt.Fprintln(kept, line)
+		if logFile != nil {
+			_, _ = fmt.Fprintln(logFile, line)
 		}
 		p.recordSiteState(line)
-		if address, ok := listenAddress(line); ok && !listens {
-			listens = true
+		if address, ok := listenAddress(line); ok && !addressFound {
+			addressFound = true
 			p.mu.Lock()
 			p.address = address
 			p.mu.Unlock()
 			close(listening)
 		}
 	}
-	if kept != nil {
-		_ = kept.Close()
+	if logFile != nil {
+		_ = logFile.Close()
 	}
 	status := "exit"
 	if err := cmd.Wait(); err != nil {
@@ -186,7 +190,8 @@
 	close(exited)
 }
 
-// recordSiteState records what a line of the log says of the health of sites (sitehealth.StateChange.String).
+// recordSiteState records the change of a site's health state that a log line reports, if it reports one. The format of
+// the message is that of sitehealth.StateChange.String.
 func (p *process) recordSiteState(line string) {
 	if strings.Contains(line, `"msg":"we are cut off: `) {
 		p.testbed.history.record(Event{Kind: "state", Who: directorName(p.id), What: "alone"})
@@ -198,7 +203,7 @@
 	}
 }
 
-// listenAddress finds the address in the line of the log that tells it.
+// listenAddress extracts the listen address from a log line. ok is false if the line does not report one.
 func listenAddress(line string) (address string, ok bool) {
 	_, rest, ok := strings.Cut(line, "listens on ")
 	address, _, _ = strings.Cut(rest, ": ")
@@ -206,8 +211,9 @@
 	return address, ok
 }
 
-// watchHeartbeats stands for the load balancer: it takes the director into rotation once a heartbeat is good, and
-// notices a dead one late.
+// watchHeartbeats simulates the load balancer: it adds the director to the rotation after a successful heartbeat and
+// removes it after a failed one, until the process exits. Detection takes up to heartbeatInterval plus
+// heartbeatTimeout.
 func (p *process) watchHeartbeats(listening, exited chan struct{}) {
 	select {
 	case <-listening:
@@ -215,19 +221,20 @@
 		return
 	}
 	for {
-		good := p.heartbeat()
+		healthy := p.heartbeat()
 		p.mu.Lock()
-		first := good && !p.inRotation
-		p.inRotation = good || (p.inRotation && p.stopped) // a stopped one is noticed no sooner than its clients notice
-		since := time.Since(p.started)
+		becameReady := healthy && !p.inRotation
+		// A suspended director stays in rotation, as a load balancer would not notice it before its clients do.
+		p.inRotation = healthy || (p.inRotation && p.suspended)
+		since := time.Since(p.startedAt)
 		p.mu.Unlock()
-		if first {
+		if becameReady {
 			ms := float64(since.Microseconds()) / 1000
 			p.testbed.history.record(Event{Kind: "ready", Who: directorName(p.id), Value: ms})
 		}
-		pause := heartbeatRetry
-		if good {
-			pause = heartbeatPause
+		pause := readinessInterval
+		if healthy {
+			pause = heartbeatInterval
 		}
 		select {
 		case <-exited:
@@ -255,7 +262,7 @@
 	}
 }
 
-// signal sends a signal by the process's id.
+// signal sends a signal to the director process, if it is running, and records it as what.
 func (p *process) signal(s syscall.Signal, what string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -264,17 +271,17 @@
 	}
 	switch s {
 	case syscall.SIGSTOP:
-		p.stopped = true
+		p.suspended = true
 	case syscall.SIGCONT:
-		p.stopped = false
+		p.suspended = false
 	}
 	p.testbed.history.record(Event{Kind: "process", Who: directorName(p.id), What: what})
 	if err := p.cmd.Process.Signal(s); err != nil {
-		p.testbed.fail(fmt.Errorf("signal %v to %s: %w", s, directorName(p.id), err))
+		p.testbed.fail(fmt.Errorf("send signal %v to %s: %w", s, directorName(p.id), err))
 	}
 }
 
-// kill ends what runs and waits until it is gone.
+// kill kills the director process, if it is running, and waits until it has exited.
 func (p *process) kill() {
 	p.mu.Lock()
 	exited := p.exited
--- a/internal/testbed/respcodec.go
+++ b/internal/testbed/respcodec.go
@@ -14,14 +14,14 @@
 	maxCommandWords = 4
 )
 
-// readCommand reads a RESP array of bulk strings.
+// readCommand reads a command: a RESP array of 2 to 4 bulk strings.
 func readCommand(r *bufio.Reader) ([]string, error) {
 	count, err := readLength(r, '*')
 	if err != nil {
 		return nil, err
 	}
 	if count < minCommandWords || count > maxCommandWords {
-		return nil, fmt.Errorf("command of %d words", count)
+		return nil, fmt.Errorf("command has %d words, want %d to %d", count, minCommandWords, maxCommandWords)
 	}
 	words := make([]string, count)
 	for i := range words {
@@ -38,15 +38,15 @@
 	return words, nil
 }
 
-// readLength reads a line of a mark and a number.
-func readLength(r *bufio.Reader, mark byte) (int, error) {
+// readLength reads a RESP length line: the type byte and a number between 0 and maxBulkBytes.
+func readLength(r *bufio.Reader, typeByte byte) (int, error) {
 	line, err := r.ReadString('\n')
 	if err != nil {
 		return 0, err
 	}
-	length, err := strconv.Atoi(strings.TrimSpace(strings.TrimPrefix(line, string(mark))))
-	if err != nil || line[0] != mark || length < 0 || length > maxBulkBytes {
-		return 0, fmt.Errorf("%.40q is no length", line)
+	length, err := strconv.Atoi(strings.TrimSpace(strings.TrimPrefix(line, string(typeByte))))
+	if err != nil || line[0] != typeByte || length < 0 || length > maxBulkBytes {
+		return 0, fmt.Errorf("invalid length line %.40q, want %q and a number up to %d", line, typeByte, maxBulkBytes)
 	}
 	return length, nil
 }
--- a/internal/testbed/server.go
+++ b/internal/testbed/server.go
@@ -13,7 +13,7 @@
 	"time"
 )
 
-// tier is what kind of server a stand-in is.
+// tier is the kind of a server: cache, parent or origin.
 type tier int
 
 const (
@@ -30,23 +30,24 @@
 func hubName(i int) string    { return fmt.Sprintf("hub-%d", i+1) }
 func branchName(i int) string { return fmt.Sprintf("branch-%d", i+1) }
 
-// Words of the cache protocol.
+// Result codes of the cache protocol.
 const (
-	wordOK   = "OK"
-	wordMiss = "MISS"
-	wordBusy = "BUSY"
+	resultOK   = "OK"
+	resultMiss = "MISS"
+	resultBusy = "BUSY"
 
 	unknownDirector = -1
 )
 
-// addressWait is for how long a server waits for the address of the one that it replaces.
-const addressWait = 2 * time.Second
+// addressReuseTimeout is how long a server waits for the address of the server that it replaces.
+const addressReuseTimeout = 2 * time.Second
 
-// cachedCopy is a copy that a server holds.
+// cachedCopy is a copy of an object in a cache. since is the time at which the copy left the origin.
 type cachedCopy struct{ since time.Time }
 
-// server is a cache, a parent or the origin. Its link carries weight transfers at full rate and is divided among more.
-// A cold server has a share of that which rises linearly; asked for more than it bears within a time, it collapses and
+// server is the stand-in for a cache, a parent or the origin. Its link carries spec.Weight transfers at full rate; more
+// transfers share the link. A cold server starts with a fraction of this capacity, which rises linearly to all of it.
+// If the work that arrives within a time window exceeds the cold server's current budget, the server collapses and
 // stays down.
 type server struct {
 	testbed *Testbed
@@ -60,21 +61,22 @@
 	listener        *net.TCPListener
 	state           string // ready, draining, gone
 	startedAt       time.Time
-	cold            bool // startedAt is a late start: the slow-start budget holds
-	silent          bool
-	busy            bool // rejects all requests
-	exited          bool // its process is gone
-	collapsed       bool
+	cold            bool // capacity ramps up from startedAt (slow start)
+	silent          bool // a fault: nothing is answered
+	busy            bool // a fault: all requests are rejected
+	exited          bool // the simulated process has ended
+	collapsed       bool // by overload while cold
 	activeTransfers int
 	activeFills     int
 	cached          map[string]cachedCopy
 	fillsInFlight   map[string]*fill
 	conns           map[net.Conn]bool
-	recentArrivals  []arrival   // within the fall window
-	recentCalls     []time.Time // of the origin, within a second
-	capacityFactor  float64     // of the origin
+	recentArrivals  []arrival   // of the last spec.FallMS
+	recentCalls     []time.Time // requests to the origin within the last second
+	capacityFactor  float64     // of the origin: multiplies its rate limit
 }
 
+// arrival is work that arrived at a server. The work is the transfer time at full rate, in seconds.
 type arrival struct {
 	at   time.Time
 	work float64
@@ -116,10 +118,10 @@
 	return standIn, nil
 }
 
-// listenWhenFree listens at an address. The old process's socket is closed once its accept has returned, which may be a
-// moment after it was told to.
+// listenWhenFree listens on an address and retries for addressReuseTimeout while the address is in use (EADDRINUSE).
+// The kernel frees the address of a closed listener only after a concurrent accept call has returned.
 func listenWhenFree(addr *net.TCPAddr) (*net.TCPListener, error) {
-	deadline := time.Now().Add(addressWait)
+	deadline := time.Now().Add(addressReuseTimeout)
 	for {
 		listener, err := net.ListenTCP("tcp", addr)
 		if !errors.Is(err, syscall.EADDRINUSE) || !time.Now().Before(deadline) {
@@ -151,27 +153,28 @@
 	}
 }
 
-// stop ends the process: its connections are reset, and new ones refused.
+// stop simulates the end of the server's process: open connections are reset, and new ones are refused. The first call
+// records the reason.
 func (s *server) stop(reason string) {
 	s.mu.Lock()
-	already := s.exited
+	alreadyExited := s.exited
 	s.exited = true
 	_ = s.listener.Close()
 	for conn := range s.conns {
 		resetConn(conn)
 	}
 	s.mu.Unlock()
-	if !already {
+	if !alreadyExited {
 		s.testbed.history.record(Event{Kind: "life", Who: s.name, What: reason, Site: s.zone})
 	}
 }
 
-// serverConn is a connection of a director to a server.
+// serverConn is a connection from a director to a server.
 type serverConn struct {
 	server    *server
 	conn      *faultyConn
-	write     sync.Mutex
-	cancelled sync.Map // by ref
+	writeMu   sync.Mutex
+	cancelled sync.Map // refs that the director has cancelled
 }
 
 func (s *server) serve(tcp net.Conn) {
@@ -192,7 +195,8 @@
 	}
 }
 
-// handle takes a command; false: it can't be used, and the connection ends.
+// handle processes one command of a director: HELO, REQ or STOP. A silent server or a faulty link drops the command. It
+// returns false if the command is invalid, and the caller then closes the connection.
 func (c *serverConn) handle(words []string) bool {
 	standIn := c.server
 	director, known := standIn.testbed.directorFor(words[1])
@@ -228,12 +232,12 @@
 	for _, word := range words {
 		fmt.Fprintf(&text, "$%d\r\n%s\r\n", len(word), word)
 	}
-	c.write.Lock()
-	defer c.write.Unlock()
+	c.writeMu.Lock()
+	defer c.writeMu.Unlock()
 	_, _ = io.WriteString(c.conn, text.String())
 }
 
-// serverRequest is a request as a server gets it.
+// serverRequest is a request of a director, decoded from a REQ command.
 type serverRequest struct {
 	ref      string
 	director int
@@ -242,14 +246,15 @@
 	class        string
 	object       string
 	part         string
-	source       string        // name of the server to fill from; empty: none
-	maxAge       time.Duration // of a copy
-	store        bool          // keep what is filled
-	mayCoalesce  bool
-	onlyIfCached bool // the source must not fetch from the origin
+	source       string        // name of the server to fill from; empty if there is none
+	maxAge       time.Duration // copies of this age or older are not served
+	store        bool          // cache the copy that a fill fetches
+	mayCoalesce  bool          // the request may wait for another request's fill
+	onlyIfCached bool          // the source must not fetch from the origin
 }
 
-const unlimited = time.Duration(1<<62 - 1)
+// unlimitedAge is the maxAge of a request that accepts copies of any age.
+const unlimitedAge = time.Duration(1<<62 - 1)
 
 func newServerRequest(director int, words []string) serverRequest {
 	fields := map[string]string{}
@@ -265,7 +270,7 @@
 		object:       fields["asset"],
 		part:         fields["slice"],
 		source:       fields["up"],
-		maxAge:       unlimited,
+		maxAge:       unlimitedAge,
 		store:        fields["store"] != "" && fields["store"] != "0",
 		mayCoalesce:  strings.Contains(fields["do"], "share"),
 		onlyIfCached: strings.Contains(fields["do"], "peek"),
@@ -278,7 +283,8 @@
 
 func (r serverRequest) key() string { return r.object + "/" + r.part }
 
-// handleRequest takes a request from its arrival to its answer.
+// handleRequest serves a request and writes the reply. It writes none if the server collapses under the request or the
+// director has cancelled it.
 func (c *serverConn) handleRequest(request serverRequest) {
 	standIn, history := c.server, c.server.testbed.history
 	work := standIn.testbed.transferWork(request.object)
@@ -293,15 +299,15 @@
 	if busy {
 		history.record(
 			Event{Kind: "done", Who: standIn.name, Director: directorName(request.director), Ref: request.ref,
-				What: wordBusy},
+				What: resultBusy},
 		)
-		c.writeReply(request.ref, wordBusy, "-", "")
+		c.writeReply(request.ref, resultBusy, "-", "")
 		return
 	}
 	arrived := time.Now()
 	found := standIn.lookUp(request)
 	waited := time.Since(arrived)
-	if found.word == wordOK {
+	if found.result == resultOK {
 		time.Sleep(standIn.reserveTransfer(work))
 		standIn.update(func() { standIn.activeTransfers-- })
 	}
@@ -309,27 +315,28 @@
 		return
 	}
 	event := Event{Kind: "done", Who: standIn.name, Director: directorName(request.director), Ref: request.ref,
-		What: found.word, Class: found.status}
+		What: found.result, Class: found.status}
 	tail, body := "-", ""
 	if found.status != "" {
 		tail = fmt.Sprintf("n=%s,fill=%d", found.status, waited.Milliseconds())
 	}
-	if found.word == wordOK {
+	if found.result == resultOK {
 		since := found.copy.since.UnixMilli()
 		tail = fmt.Sprintf("rev=1,since=%d,n=%s", since, found.status)
 		body = responseBody(request.object, request.part, since)
 		event.Since = history.sinceStart(since)
 	}
 	history.record(event)
-	c.writeReply(request.ref, found.word, tail, body)
+	c.writeReply(request.ref, found.result, tail, body)
 }
 
-// responseBody is what the client checks: the object, and when this copy left the origin.
+// responseBody returns the body of an answer, which the client verifies. It holds the object, the part, the time at
+// which the copy left the origin (Unix milliseconds) and padding.
 func responseBody(object, part string, since int64) string {
 	return fmt.Sprintf("%s/%s/%d/%s", object, part, since, strings.Repeat("x", 200))
 }
 
-// purge drops copies that are older than the purge.
+// purge removes the copies of an object that left the origin before the purge.
 func (s *server) purge(object string, at time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/testbed/server_test.go
+++ b/internal/testbed/server_test.go
@@ -7,7 +7,8 @@
 	"time"
 )
 
-// A server that takes the address of one that is just going waits until that is free.
+// A replacement server must retry while the old server's socket still holds the address. The address stays in use for a
+// moment after the old listener is closed; here it is closed 20 ms after the replacement starts.
 func TestReplacementWaitsForItsAddress(t *testing.T) {
 	history, err := newHistoryWriter(filepath.Join(t.TempDir(), "record.jsonl"))
 	if err != nil {
@@ -17,22 +18,23 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	tried := make(chan struct{})
-	time.AfterFunc(20*time.Millisecond, func() { old.Close(); close(tried) })
+	oldClosed := make(chan struct{})
+	time.AfterFunc(20*time.Millisecond, func() { old.Close(); close(oldClosed) })
 	testbed, addr := &Testbed{history: history}, old.Addr().(*net.TCPAddr)
 	standIn, err := testbed.newServer("s-1", branchName(0), cacheTier, ServerSpec{Weight: 1}, addr, true)
 	if err != nil {
 		t.Fatal(err)
 	}
-	<-tried
+	<-oldClosed
 	standIn.listener.Close()
 	if err := history.close(); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// A purge takes away copies from before it, also where it is heeded late; newer ones stay.
-func TestPurgeTakesOlderCopies(t *testing.T) {
+// A purge must remove the object's copies from before the purge and keep newer copies, which a server may fetch before
+// it processes a late purge. Copies of other objects stay.
+func TestPurgeRemovesOlderCopies(t *testing.T) {
 	at := time.Now()
 	standIn := &server{
 		cached: map[string]cachedCopy{"a/0": {since: at.Add(-time.Second)}, "a/1": {since: at.Add(time.Second)},
@@ -40,6 +42,6 @@
 	}
 	standIn.purge("a", at)
 	if _, old := standIn.cached["a/0"]; old || len(standIn.cached) != 2 {
-		t.Errorf("left: %v", standIn.cached)
+		t.Errorf("copies after the purge: %v, want a/1 and b/0", standIn.cached)
 	}
 }
--- a/internal/testbed/servercapacity.go
+++ b/internal/testbed/servercapacity.go
@@ -2,10 +2,12 @@
 
 import "time"
 
-// collapseTolerance is by how much a server bears more than its budget: the rule's own budget is the checker's.
+// collapseTolerance is the multiple of its budget at which a cold server collapses. The checker, not the server,
+// enforces the exact budget.
 const collapseTolerance = 1.5
 
-// reserveTransfer reserves the link for one answer, and returns how long that takes on it as full as it is now.
+// reserveTransfer adds one transfer to the link and returns the time that the transfer takes at the current load,
+// latency included. The caller decrements activeTransfers when the transfer ends.
 func (s *server) reserveTransfer(work float64) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -14,7 +16,7 @@
 	return time.Duration((work*slowdown + s.spec.LatencyMS/1000) * float64(time.Second))
 }
 
-// capacityShare is the share of its link that the server can give now. It is called with the lock held.
+// capacityShare returns the fraction of its link, up to 1, that the server can use now. The caller holds s.mu.
 func (s *server) capacityShare() float64 {
 	ramp := time.Duration(s.spec.RampMS * float64(time.Millisecond))
 	if !s.cold || ramp == 0 {
@@ -23,17 +25,20 @@
 	return min(1, s.spec.ColdFrom+(1-s.spec.ColdFrom)*float64(time.Since(s.startedAt))/float64(ramp))
 }
 
-// admitWork counts work that has arrived. A cold server that gets more than its multiple of what it can do now, over
-// the time of its fall, collapses; false: it has.
+// admitWork counts arrived work, in seconds of transfer at full rate, and reports whether the server has not collapsed.
+// A cold server collapses if the work within spec.FallMS exceeds spec.Multiple times what its current capacity can
+// carry in that time, multiplied by collapseTolerance.
 func (s *server) admitWork(work float64) bool {
-	collapsed, justNow := s.countWork(work)
-	if justNow {
+	collapsed, justCollapsed := s.countWork(work)
+	if justCollapsed {
 		s.stop("fell over")
 	}
 	return !collapsed
 }
 
-func (s *server) countWork(work float64) (collapsed, justNow bool) {
+// countWork adds arrived work to the window of a cold server. It returns whether the server has collapsed, and whether
+// this work made it collapse.
+func (s *server) countWork(work float64) (collapsed, justCollapsed bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.collapsed {
@@ -57,12 +62,12 @@
 	return s.collapsed, s.collapsed
 }
 
-// setCapacityFactor sets the share of its capacity that the origin has.
+// setCapacityFactor sets the factor by which the rate limit of the origin is multiplied.
 func (s *server) setCapacityFactor(factor float64) {
 	s.update(func() { s.capacityFactor = factor })
 }
 
-// update changes the server under its lock.
+// update calls f with s.mu held.
 func (s *server) update(f func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/testbed/settings.go
+++ b/internal/testbed/settings.go
@@ -2,10 +2,12 @@
 
 import "time"
 
-// purgeRetention is how long servers may keep a copy from before a purge (settings: familyInfo.purgeTakes).
+// purgeRetention is how long after a purge servers may still hold copies from before it. Directors receive it as the
+// setting familyInfo.purgeTakes.
 const purgeRetention = 6 * time.Second
 
-// directorSettings is what a director is told of the site. Times are nanoseconds.
+// directorSettings returns the settings section of a director's configuration, which describes the simulated sites and
+// services. Durations are in nanoseconds.
 func (t *Testbed) directorSettings(director int) map[string]any {
 	const ms = 1e6
 	experiment := t.experiment
@@ -58,7 +60,8 @@
 	}
 }
 
-// zoneSettings are the number of directors and the hub of each zone. Hubs are the first zones.
+// zoneSettings returns two slices indexed by zone: the number of directors in the zone, and the zone number of its hub.
+// The hubs are the first zones, the branches follow.
 func (t *Testbed) zoneSettings() (directorsByZone, hubByZone []int) {
 	experiment := t.experiment
 	zones := experiment.Hubs + experiment.Branches
--- a/internal/testbed/testbed.go
+++ b/internal/testbed/testbed.go
@@ -1,7 +1,8 @@
-// Package testbed starts a fleet of directors as processes of their own between stand-ins for everything that they talk
-// to (the list service, caches, parents, the origin, clients), injects faults between them by a script, and records all
-// that crosses the stand-ins in one history. internal/checker judges the history; it shares no code with this package
-// or with the program under test.
+// Package testbed runs experiments on real directors. It starts a fleet of directors as separate processes, together
+// with stand-ins for all their peers (the list service, caches, parents, the origin and clients). It injects faults
+// between them as an experiment's script says, and records everything that passes the stand-ins in one history.
+//
+// internal/checker judges the history. It shares no code with this package or with the program under test.
 package testbed
 
 import (
@@ -22,7 +23,7 @@
 
 const originName = "s-origin"
 
-// Groups of loopback addresses. Those of servers are numbered by their tier.
+// Groups of loopback addresses, for loopbackIP. The groups of the servers have the numbers of their tiers (0 to 2).
 const (
 	discoveryGroup = 3
 	directorGroup  = 4
@@ -32,37 +33,38 @@
 type Testbed struct {
 	experiment   *Experiment
 	binary       string
-	operatorFile string // of all directors
+	operatorFile string // operator's configuration file, shared by all directors
 	dir          string
 	history      *historyWriter
 	rng          *rand.Rand
-	subnet       byte // second byte of all addresses, so that two runs at once keep apart
+	subnet       byte // second byte of all addresses; it separates concurrent runs
 
 	starter       *starter
 	faults        *faultInjector
 	discovery     *discoveryService
 	directors     []*process
-	directorByRef sync.Map
+	directorByRef sync.Map // director of each attempt, by ref
 
 	mu          sync.Mutex
 	servers     map[string]*server
-	caches      []*server // as listed, in order
+	caches      []*server // in the order of the list
 	parents     []*server
 	origin      *server
-	serverCount int // names new servers
-	err         error
+	serverCount int   // servers started so far; the name of a new server contains it
+	err         error // first error of a stand-in
 	load        *loadGenerator
 }
 
-// Options say how an experiment is run.
+// Options holds the parameters of a run that are not part of the experiment.
 type Options struct {
-	Binary   string           // the program under test
-	Dir      string           // for the history and the logs; it must exist
-	Progress func(at float64) // called about each second, with the seconds of load; nil: none
+	Binary   string           // path of the program under test
+	Dir      string           // existing directory for the history, configurations and logs
+	Progress func(at float64) // called every second with the seconds since the load began; may be nil
 }
 
-// Run plays an experiment and leaves its history in Dir/record.jsonl. All processes are gone when it returns, also when
-// ctx ends it early or it panics.
+// Run runs an experiment and writes its history to Dir/record.jsonl. All processes that it started have exited when it
+// returns, even if ctx is cancelled or it panics. It returns an error if the experiment did not reach its end
+// or a stand-in failed.
 func Run(ctx context.Context, experiment *Experiment, options Options) (err error) {
 	testbed := &Testbed{
 		experiment: experiment,
@@ -99,8 +101,9 @@
 	return testbed.play(ctx, options.Progress)
 }
 
-// subnetOf is the second byte of a run's addresses. It follows from the run's folder, as runs side by side in one
-// process would share addresses otherwise: the port of what one takes down could be taken by another.
+// subnetOf returns the second byte of a run's loopback addresses, a hash of the run's folder and the process ID.
+// Without distinct addresses, a concurrent run could take over the port of a listener that this run has closed for a
+// while.
 func subnetOf(dir string) byte {
 	const first, count = 16, 200
 	hash := fnv.New32a()
@@ -108,12 +111,12 @@
 	return byte(first + hash.Sum32()%count)
 }
 
-// loopbackIP is an address on loopback: each group, and each member of it, has its own.
+// loopbackIP returns the loopback address of a member of an address group. Each member has its own address.
 func (t *Testbed) loopbackIP(group, member int) net.IP {
 	return net.IPv4(127, t.subnet, byte(group<<4|member>>8), byte(member))
 }
 
-// fail keeps the first error of a stand-in, which ends the run.
+// fail stores the first error of a stand-in. Run returns it once the script and the load have ended.
 func (t *Testbed) fail(err error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -128,6 +131,8 @@
 	return t.servers[name]
 }
 
+// directorFor returns the director to which the attempt with this ref was sent. known is false if there is no such
+// attempt.
 func (t *Testbed) directorFor(ref string) (id int, known bool) {
 	value, ok := t.directorByRef.Load(ref)
 	if !ok {
@@ -136,12 +141,13 @@
 	return value.(int), true
 }
 
-// branchOfDirector is the branch that a director serves.
+// branchOfDirector returns the index of the branch that a director serves.
 func (t *Testbed) branchOfDirector(director int) int {
 	return director % t.experiment.Branches
 }
 
-// addServer starts a server under a new name; addr nil: at an address of its own.
+// addServer starts a server with a new name. If addr is nil, the server gets a new address. The origin always has the
+// same name.
 func (t *Testbed) addServer(tier tier, zone string, spec ServerSpec, addr *net.TCPAddr, cold bool) (*server, error) {
 	t.mu.Lock()
 	t.serverCount++
@@ -164,7 +170,8 @@
 	return standIn, nil
 }
 
-// startStandIns starts the stand-ins; the directors are started by play.
+// startStandIns starts the list service and the servers, publishes the first list and opens the list service's address
+// of each director. The directors and the load start later, in play.
 func (t *Testbed) startStandIns() error {
 	experiment := t.experiment
 	t.discovery = newDiscoveryService(t)
@@ -208,7 +215,7 @@
 	return nil
 }
 
-// addServers starts a group of servers, spread over zones.
+// addServers starts spec.Count servers; zoneOf returns the zone of the i-th one.
 func (t *Testbed) addServers(tier tier, spec ServerSpec, zoneOf func(i int) string) ([]*server, error) {
 	var group []*server
 	for i := range spec.Count {
@@ -221,7 +228,8 @@
 	return group, nil
 }
 
-// warmUp has servers hold what they would have been asked for lately: the more wanted half of the objects.
+// warmUp puts the more popular half of the objects into the caches of a group of servers, as if clients had requested
+// these objects recently.
 func (t *Testbed) warmUp(group []*server) {
 	for _, standIn := range group {
 		for i := range t.experiment.Clients.Objects/2 + 1 {
@@ -230,7 +238,8 @@
 	}
 }
 
-// membersEvent is a line of the list service: a snapshot of all servers, or a change of some.
+// membersEvent returns an event of the list service as a JSON line: a snapshot, which lists all servers, or an update
+// of the listed servers.
 func membersEvent(revision int, snapshot bool, list ...*server) string {
 	text := ""
 	for i, standIn := range list {
@@ -261,8 +270,8 @@
 	)
 }
 
-// objectSize is how large an object is, as a multiple of the mean: lognormal, by its name alone, so that all agree on
-// it.
+// objectSize returns the size of an object as a multiple of the mean size. Sizes have a lognormal distribution and are
+// derived from the name of the object alone, so that clients and servers compute the same size.
 func (t *Testbed) objectSize(object string) float64 {
 	sigma := t.experiment.Clients.SizeSigma
 	if sigma == 0 {
@@ -274,23 +283,24 @@
 	return math.Exp(sigma*rng.NormFloat64() - sigma*sigma/2)
 }
 
-// transferWork is the time that a transfer of an object takes at full rate, in seconds.
+// transferWork returns the time that a transfer of an object takes at full rate, in seconds.
 func (t *Testbed) transferWork(object string) float64 {
 	return t.experiment.Clients.TransferMS / 1000 * t.objectSize(object)
 }
 
-// startDirectors starts directors all at once; last: with the endpoint list that each had before.
-func (t *Testbed) startDirectors(ids []int, last bool) error {
+// startDirectors starts directors in parallel. With keepRevision, each one gets the endpoint list of its previous start
+// instead of the current list.
+func (t *Testbed) startDirectors(ids []int, keepRevision bool) error {
 	var started sync.WaitGroup
 	errs := make([]error, len(ids))
 	for i, id := range ids {
-		started.Go(func() { errs[i] = t.directors[id].start(last) })
+		started.Go(func() { errs[i] = t.directors[id].start(keepRevision) })
 	}
 	started.Wait()
 	return errors.Join(errs...)
 }
 
-// restart starts directors with the list that they had, once their old processes are gone.
+// restart waits until the previous processes of the directors have exited, and starts them with their previous lists.
 func (t *Testbed) restart(ids []int) error {
 	for _, id := range ids {
 		p := t.directors[id]
@@ -302,23 +312,23 @@
 	return t.startDirectors(ids, true)
 }
 
-// recordLag records how late the testbed itself is: on a machine with too much to do neither it nor the directors can
-// keep their times, and the checker allows for what was seen here.
+// recordLag records by how much the testbed's own timers are late, until ctx is done. On an overloaded machine neither
+// the testbed nor the directors meet their deadlines, so the checker extends its limits according to the recorded lag.
 func (t *Testbed) recordLag(ctx context.Context) {
 	const (
-		step       = 20 * time.Millisecond
-		noticeable = 5 * time.Millisecond
+		interval       = 20 * time.Millisecond
+		minRecordedLag = 5 * time.Millisecond
 	)
 	for ctx.Err() == nil {
-		began := time.Now()
-		time.Sleep(step)
-		if late := time.Since(began) - step; late > noticeable {
+		start := time.Now()
+		time.Sleep(interval)
+		if late := time.Since(start) - interval; late > minRecordedLag {
 			t.history.record(Event{Kind: "lag", Value: float64(late.Microseconds()) / 1000})
 		}
 	}
 }
 
-// publishState has the list tell of a server's state.
+// publishState sets the state of a server and publishes it through the list service.
 func (t *Testbed) publishState(standIn *server, state string) {
 	standIn.mu.Lock()
 	standIn.state = state
@@ -327,7 +337,7 @@
 	t.discovery.publish(build, Event{Who: standIn.name, What: state})
 }
 
-// shutDown leaves nothing behind.
+// shutDown kills all directors and closes all listeners and connections of the stand-ins.
 func (t *Testbed) shutDown() {
 	var ended sync.WaitGroup
 	for _, p := range t.directors {
--- a/internal/testbed/testbed_test.go
+++ b/internal/testbed/testbed_test.go
@@ -13,7 +13,7 @@
 	"shaleyard/internal/checker"
 )
 
-// buildDirector builds the director once; each experiment starts it in numbers.
+// buildDirector builds the program under test and returns the path of its binary.
 func buildDirector(t *testing.T) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "shaleyard")
@@ -24,7 +24,7 @@
 	return path
 }
 
-// remainingProcesses are the processes whose configuration lies below a folder.
+// remainingProcesses returns the environ files (in /proc) of the running processes whose configuration is in dir.
 func remainingProcesses(t *testing.T, dir string) (pids []string) {
 	t.Helper()
 	all, err := filepath.Glob("/proc/[0-9]*/environ")
@@ -39,22 +39,22 @@
 	return pids
 }
 
-// Every experiment of the repository, with its own number of directors: whatever is broken between them, the
-// rules hold, its bounds are kept, and no process is left.
+// The checker must find no violation in the history of any experiment of the repository, run with the experiment's
+// own number of directors. The experiment's bounds must hold, and no process may survive the run.
 func TestExperimentsKeepTheRules(t *testing.T) {
 	files, err := filepath.Glob("../../experiments/*.toml")
 	if err != nil || len(files) < 22 {
-		t.Fatalf("%d experiments, %v", len(files), err)
+		t.Fatalf("found %d experiments, error %v, want at least 22", len(files), err)
 	}
 	binary := buildDirector(t)
-	// Three at a time: more, and a small machine keeps no times.
-	places := make(chan struct{}, 3)
+	// At most three run concurrently: with more, a small machine is overloaded and misses its deadlines.
+	slots := make(chan struct{}, 3)
 	t.Run("", func(t *testing.T) {
 		for _, file := range files {
 			t.Run(strings.TrimSuffix(filepath.Base(file), ".toml"), func(t *testing.T) {
 				t.Parallel()
-				places <- struct{}{}
-				defer func() { <-places }()
+				slots <- struct{}{}
+				defer func() { <-slots }()
 				experiment, err := LoadExperiment(file)
 				if err != nil {
 					t.Fatal(err)
@@ -76,61 +76,64 @@
 					t.Errorf("%s at %.0f ms, %s: %s", violation.Rule, violation.AtMS, violation.Who, violation.Detail)
 				}
 				if verdict.Metrics["requests"] < 100 {
-					t.Errorf("%v requests: nothing was shown", verdict.Metrics["requests"])
+					t.Errorf("got %v requests, want at least 100", verdict.Metrics["requests"])
 				}
 				if pids := remainingProcesses(t, dir); len(pids) > 0 {
-					t.Errorf("left behind: %v", pids)
+					t.Errorf("processes still running after the run: %v", pids)
 				}
 			})
 		}
 	})
 }
 
-// An experiment that is called off ends soon, and ends all that it has started.
-func TestCalledOffRunLeavesNothing(t *testing.T) {
+// A cancelled run must return within 20 s and leave none of its processes running. The experiment lasts 300 s and is
+// cancelled during its load.
+func TestCancelledRunLeavesNoProcesses(t *testing.T) {
 	experiment, err := ParseExperiment("story.toml", []byte("directors = 5\nseconds = 300.0\n"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	dir := t.TempDir()
 	ctx, cancel := context.WithCancel(context.Background())
-	begun := make(chan struct{}, 400)
+	loadRunning := make(chan struct{}, 400)
 	done := make(chan error, 1)
 	go func() {
 		done <- Run(ctx, experiment, Options{Binary: buildDirector(t), Dir: dir,
-			Progress: func(float64) { begun <- struct{}{} }})
+			Progress: func(float64) { loadRunning <- struct{}{} }})
 	}()
-	<-begun
+	<-loadRunning
 	if n := len(remainingProcesses(t, dir)); n != 5 {
-		t.Errorf("%d processes run, want 5", n)
+		t.Errorf("got %d running directors, want 5", n)
 	}
 	cancel()
 	select {
 	case err := <-done:
 		if err == nil {
-			t.Error("a run that was called off is no success")
+			t.Error("Run returned no error after its cancellation")
 		}
 	case <-time.After(20 * time.Second):
-		t.Fatal("goes on")
+		t.Fatal("Run did not return within 20 s of its cancellation")
 	}
 	if pids := remainingProcesses(t, dir); len(pids) > 0 {
-		t.Errorf("left behind: %v", pids)
+		t.Errorf("processes still running after the run: %v", pids)
 	}
 }
 
-// Runs side by side keep apart by their folders, also in one process.
-func TestRunsHaveAddressesOfTheirOwn(t *testing.T) {
+// Concurrent runs in one process must use distinct subnets, which are derived from their folders; otherwise one run
+// could take over a port of another.
+func TestConcurrentRunsUseDistinctSubnets(t *testing.T) {
 	seen := map[byte]bool{}
 	for i := range 40 {
 		seen[subnetOf(fmt.Sprintf("/tmp/run/%03d", i))] = true
 	}
-	if len(seen) < 30 { // of 200: chance leaves 36 in the mean
-		t.Errorf("%d networks for 40 runs", len(seen))
+	if len(seen) < 30 { // 40 draws from 200 subnets give 36 distinct ones on average
+		t.Errorf("got %d subnets for 40 runs, want at least 30", len(seen))
 	}
 }
 
-// A bad experiment is an error that names the file, the line and the key, before anything starts.
-func TestBadExperimentsAreNamed(t *testing.T) {
+// Parsing an invalid experiment must fail with an error that names the file, the line and the key, so that a run never
+// starts with invalid values.
+func TestInvalidExperimentErrorsNameTheKey(t *testing.T) {
 	for _, test := range []struct{ name, text, want string }{
 		{"unknown key", "directors = 4\nspeed = 3\n", "x.toml:2: speed: no such key"},
 		{"value out of range", "[clients]\nzipf = 0.5\n", "x.toml:2: clients.zipf: 0.5 is not within"},
@@ -157,17 +160,18 @@
 		t.Run(test.name, func(t *testing.T) {
 			_, err := ParseExperiment("x.toml", []byte(test.text))
 			if err == nil || !strings.Contains(err.Error(), test.want) {
-				t.Errorf("%q: error %v, want %q", test.text, err, test.want)
+				t.Errorf("ParseExperiment(%q): got error %v, want it to contain %q", test.text, err, test.want)
 			}
 		})
 	}
 }
 
+// readReply must not panic on any frame, and a frame that it accepts must have an outcome.
 func FuzzReadReply(f *testing.F) {
 	f.Add([]byte{0x80, 1, 0, 2, 0, 0, 0, 1, 'x', 0, 0, 0, 1, 12, 0, 0, 11, 0, 1, 0, 0, 0, 1, 'b', 2, 0, 3, 1, 0, 0})
 	f.Fuzz(func(t *testing.T, frame []byte) {
 		if _, r, err := readReply(frame); err == nil && r.outcome == "" {
-			t.Error("an answer without a meaning was taken")
+			t.Error("readReply returned neither an outcome nor an error")
 		}
 	})
 }
