--- a/internal/testbed/loadgenerator.go
+++ b/internal/testbed/loadgenerator.go
@@ -13,7 +13,7 @@
 	clientTimeout     = 2 * time.Second        // for a request, over all its attempts
 	minAttemptTimeout = 100 * time.Millisecond // no attempt is made with less time left
 	lateAnswerGrace   = 500 * time.Millisecond // extra wait for an answer: the checker decides whether it is late
-	maxGap            = time.Second            // longest wait between two draws, as the rate may change during the wait
+	maxGap            = time.Second            // longest wait; a longer gap is drawn again, as the rate may change
 
 	// closeRaceWindow is the time after sending within which a lost connection counts as a race between the request and
 	// the director's close. The client protocol allows such a request to be sent once more, on a new connection.
--- a/internal/testbed/play.go
+++ b/internal/testbed/play.go
@@ -36,8 +36,8 @@
 	return t.runScript(ctx, begin, loadDone, progress)
 }
 
-// recordPreamble records the parameters of the run that the checker needs: the capacity of the origin, the hub of each
-// branch, the number of directors and the time limits.
+// recordPreamble records the parameters of the run: the capacity of the origin and the hub of each branch, which the
+// checker reads, and the experiment's name, its number of directors and its time limits, which describe the run.
 func (t *Testbed) recordPreamble() {
 	experiment := t.experiment
 	t.history.record(Event{Kind: "capacity", Who: originName, Value: experiment.Origin.PerSecond})
