--- a/internal/director/api.go
+++ b/internal/director/api.go
@@ -15,8 +15,8 @@
 // Outcomes of a request.
 const (
 	Served   Outcome = iota
-	Rejected         // it had no effect or a repeat does no harm: the client can send it again
-	Failed           // it may have had an effect
+	Rejected         // the request had no effect, or a repeat does no harm: the client can send the request again
+	Failed           // the request may have had an effect
 )
 
 // Request is a request as the client side submits it. Ref, Service, Object, Part, IfNoneMatch and IdempotencyKey are
--- a/internal/director/requests.go
+++ b/internal/director/requests.go
@@ -21,10 +21,10 @@
 	acceptedAt    routing.Time
 	deadline      routing.Time // time by which the request must be answered
 	deadlineGuard timer.Timer
-	admitted      bool                  // passed admission control, which is notified of its outcome
+	admitted      bool                  // passed admission control, which is notified of the request's outcome
 	finished      bool                  // answered or cancelled
-	nextAttempt   int                   // number of its next attempt
-	inFlight      map[int]handle.Handle // attempts in flight by their numbers
+	nextAttempt   int                   // number of the request's next attempt
+	inFlight      map[int]handle.Handle // attempts in flight, by attempt number
 }
 
 // Submit accepts a request and returns the request's handle. The replier receives the response with the token, possibly
@@ -108,8 +108,8 @@
 }
 
 // checkAdmission reports whether admission control admits a request; if not, it also returns how long the client should
-// wait before a retry. Requests that must not be executed twice are always admitted, because they are the last to be
-// shed.
+// wait before a retry. Requests of classes that are not idempotent are always admitted, so that under overload only
+// idempotent requests are shed here.
 func (d *Director) checkAdmission(now routing.Time, request *openRequest) (wait time.Duration, ok bool) {
 	if d.admission == nil || !idempotent(d.settings.Classes[request.Class].Idempotency) {
 		return 0, true
@@ -144,8 +144,8 @@
 	d.postLastEvent(routing.RequestClosed{ID: uint32(requestHandle)}, request)
 }
 
-// ShortenDeadline moves the deadline of a request and of its attempts forward. It does nothing if the request's current
-// deadline is not later than the new one.
+// ShortenDeadline moves the deadline of a request and of its attempts to an earlier time. It does nothing if the given
+// deadline is not earlier than the request's current one.
 func (d *Director) ShortenDeadline(requestHandle handle.Handle, deadline routing.Time) {
 	request, ok := d.requests.Get(requestHandle)
 	if !ok || request.finished || request.deadline <= deadline {
--- a/internal/discovery/apply.go
+++ b/internal/discovery/apply.go
@@ -32,7 +32,7 @@
 		}
 	}
 	if w.revision > bootstrap.Revision {
-		return fmt.Errorf("known.n is %d, must be at least %d, the last revision of known.events",
+		return fmt.Errorf("known.n: %d, must be at least %d, the last revision of known.events",
 			bootstrap.Revision, w.revision)
 	}
 	w.revision = bootstrap.Revision
--- a/internal/failover/bruteforce_test.go
+++ b/internal/failover/bruteforce_test.go
@@ -5,10 +5,10 @@
 // fromOrigin takes the place of a hub's index when no hub is available and caches fill from the origin.
 const fromOrigin = -1
 
-// bruteForce searches all assignments of whole transfers to hubs or to rejection for the one of least cost.
+// bruteForce finds the cheapest of all assignments in which each whole transfer goes to a hub or is rejected.
 type bruteForce struct {
 	planner   *Planner
-	available []float64
+	available []float64 // by site: 0 if the site is lost, else 1
 	demands   []unitDemand
 	hubs      []int
 
@@ -25,7 +25,7 @@
 type unitDemand struct{ branch, class, units int }
 
 // bruteForceCost returns the least cost of all assignments at the usual load, and whether the cheapest assignment
-// rejects any work.
+// rejects any work. available holds, by site, 0 for each lost site and 1 for each other site.
 func bruteForceCost(p *Planner, available []float64) (cost float64, rejects bool) {
 	b := &bruteForce{planner: p, available: available, hubLeft: map[int]float64{}, ingressLeft: map[int]float64{}}
 	b.addSites()
@@ -79,7 +79,7 @@
 }
 
 // search tries all assignments of the remaining units of a demand to the hubs from hubIndex on, and of the demands
-// after it. cost and rejected are those of the current partial assignment.
+// after it. cost is the cost of the current partial assignment, and rejected is the number of units that it rejects.
 func (b *bruteForce) search(demandIndex, hubIndex, left int, cost float64, rejected int) {
 	if cost >= b.cost {
 		return
@@ -110,7 +110,8 @@
 	}
 }
 
-// reserve subtracts the amount from all capacities that it uses. A negative amount releases it.
+// reserve subtracts the amount from the remaining capacities of the hub, the branch's inbound link and the origin. A
+// negative amount is added to these capacities, which undoes an earlier reservation.
 func (b *bruteForce) reserve(branch, hub int, amount float64) {
 	b.hubLeft[hub] -= amount
 	b.ingressLeft[branch] -= amount
@@ -126,8 +127,8 @@
 	return hub == fromOrigin || hub == home || !b.planner.isForbidden(hub, b.available)
 }
 
-// unitCost returns the cost of a unit on a route. It doesn't call Planner.routeCost, so that the test checks that
-// method.
+// unitCost returns the cost of a unit that goes from a hub to a branch. It doesn't call Planner.routeCost, so that a
+// fault in that method makes the test fail.
 func (b *bruteForce) unitCost(branch, hub int) float64 {
 	p, topology := b.planner, b.planner.topology
 	home := topology.Sites[branch].HomeHub
@@ -136,7 +137,8 @@
 		return topology.TransitCost * p.meanValueDensity() * float64(len(b.hubs)-1)
 	case home == hub || home < 0:
 		return 0
-	case b.hubLeft[home] > 0 || topology.Sites[home].Capacity*b.available[home] > 0: // its own hub is available
+	case b.hubLeft[home] > 0 || topology.Sites[home].Capacity*b.available[home] > 0:
+		// The branch's own hub is available, so that fills from another hub cost more.
 		return 0.5*p.minValueDensity() + p.meanValueDensity()*topology.TransitCost*float64(
 			topology.ringDistance(home, hub),
 		)
--- a/internal/failover/fillflow.go
+++ b/internal/failover/fillflow.go
@@ -17,7 +17,7 @@
 type fillNetwork struct {
 	planner   *Planner
 	topology  *Topology
-	available []float64 // by site: 0 or 1
+	available []float64 // by site: 0 if the site is lost, else 1
 	load      float64   // multiple of the usual load
 
 	network         flowNetwork
@@ -29,7 +29,7 @@
 	noUsableHub     bool      // no hub has capacity, so caches fill from the origin directly
 
 	transitCost    float64 // cost of a unit per step along the ring
-	congestionCost float64 // additional cost of a unit for each of the congestionSteps of a takeover or a rejection
+	congestionCost float64 // rise of a unit's cost from one congestion step to the next, see addTakeover and addClass
 	pinReward      float64 // subtracted from the cost of each unit on a pinned route
 
 	classFlows  []classFlow
@@ -62,14 +62,16 @@
 type flowResult struct {
 	fillFlow    [][]float64 // by site indices of the branch and the hub, in transfers
 	servedShare [][]float64 // by branch and class: fraction of the requested work that is served
-	cost        float64     // value rejected per second, plus the costs of routes and steps, less pin rewards
+	cost        float64     // rejection costs, plus the costs of routes and congestion steps, less pin rewards
 	rejects     bool        // some work is rejected
 	pinOverload *pinError   // the first pin that exceeds the capacity of its hub; nil: none
 }
 
-// solveFlow assigns the fills of all branches to hubs at a load, given as a multiple of the usual load. The assignment
-// minimizes the value of the rejected work plus the costs of the routes, within the capacities of the hubs, the
-// branches' inbound links and the origin.
+// solveFlow assigns the fills of all branches to hubs at a load, given as a multiple of the usual load. available is
+// the result of Planner.availability: by site index, 0 for a lost site and 1 for any other. The assignment keeps within
+// the capacities of the hubs, the branches' inbound links and the origin. It minimizes flowResult.cost: the rejection
+// costs of the rejected work, plus the costs of the routes and of the congestion steps, less pinReward for each unit on
+// a pinned route. pinReward is so high that pinned routes are filled first.
 func (p *Planner) solveFlow(available []float64, load float64) *flowResult {
 	f := p.newFillNetwork(available, load)
 	for branch, site := range f.topology.Sites {
@@ -158,8 +160,12 @@
 	}
 }
 
-// applyPins reserves capacity at hubs for the fills that pins send there from a branch. It returns these fills and the
-// fraction of the branch's fills that no pin applies to. It sets pinOverload if a hub lacks the capacity.
+// applyPins applies the pins of a branch. A pin is an override by which operators send the fraction Share of the fills
+// of the branch From to the hub To while the site Lost is lost. It applies only while Lost is lost and To is available.
+// applyPins reserves the capacity for the pinned fills at the hub, or all of the hub's remaining capacity if that is
+// less. It returns the pinned fills and unpinnedShare, the fraction of the branch's fills that no pin applies to. The
+// whole Share of a pin is subtracted from unpinnedShare, even if the hub lacks capacity for it. pinOverload is set to
+// the first pin of the network whose hub lacks capacity.
 func (f *fillNetwork) applyPins(branch int, demand float64) (pinned []pinnedWork, unpinnedShare float64) {
 	topology := f.topology
 	unpinnedShare = 1.0
@@ -243,9 +249,11 @@
 	return sum
 }
 
-// addTakeover adds the routes to a hub that takes over fills from the branch's own hub. The cost rises with each step
-// that the hub takes over, so that hubs at the same distance share the fills in proportion to their capacities. The
-// last step is large enough for all fills.
+// addTakeover adds congestionSteps routes to a hub that takes over fills from the branch's own hub. Each route costs
+// congestionCost more than the one before, so that hubs at the same distance share the fills in proportion to their
+// capacities. The first half of the routes together has the capacity for the hub's proportional share of the unpinned
+// fills. The last route has the capacity for all unpinned fills. takeover is the total capacity of all hubs that may
+// take over fills, see takeoverCapacity.
 func (f *fillNetwork) addTakeover(branch, hub, linkEnd int, unpinned, takeover float64) {
 	step := unpinned * f.topology.Sites[hub].Capacity * f.available[hub] / takeover / (congestionSteps / 2)
 	for i := range congestionSteps {
@@ -321,8 +329,8 @@
 	result.servedShare[flow.branch][flow.class] = 1 - min(rejected, work)/max(demand, epsilon)
 }
 
-// limitUncacheable rejects a part of the uncacheable requests if they exceed the origin's capacity. The origin serves
-// them before fills, so only these requests count.
+// limitUncacheable rejects a part of the uncacheable requests if they alone exceed the origin's capacity. Fills are not
+// added to the load that is compared with this capacity, because the origin serves uncacheable requests before fills.
 func (f *fillNetwork) limitUncacheable(result *flowResult) {
 	topology := f.topology
 	work := topology.uncacheableDemand() * f.load
--- a/internal/failover/flownetwork.go
+++ b/internal/failover/flownetwork.go
@@ -79,7 +79,8 @@
 	}
 }
 
-// augment sends the largest possible flow along the path to the sink, and returns its amount.
+// augment sends the largest possible flow along the shortest path from the source to the sink, and returns the amount
+// of that flow. arcInto holds the last arc of the shortest path to each node, as shortestPaths sets it.
 func (n *flowNetwork) augment(arcInto []int) float64 {
 	amount := math.Inf(1)
 	for node := sinkNode; node != sourceNode; node = n.arcs[arcInto[node]].from {
--- a/internal/failover/local.go
+++ b/internal/failover/local.go
@@ -26,7 +26,8 @@
 // before the capacities of the sites are known; the error is an *OverrideError if an override is invalid.
 //
 // Whether pins fit the capacities is known later, at a call of Shares. If one doesn't fit, reportError is called once
-// for each change of the capacities, and Shares returns no shares: the director works as without a plan.
+// for each change of the capacities, and Shares returns no shares. As without a plan, the remaining hubs then share the
+// load of lost hubs evenly, and all fills are made.
 func NewLocalPlanner(settings *routing.Settings, overrides Overrides, reportError func(error)) (*LocalPlanner, error) {
 	l := &LocalPlanner{settings: settings, overrides: overrides, reportError: reportError}
 	placeholders := make([]float64, len(settings.Zones))
@@ -41,7 +42,8 @@
 	return l, err
 }
 
-// zoneEndpoints returns an endpoint for each zone, which has the capacity of all servers of the zone.
+// zoneEndpoints returns one endpoint for each zone, which stands for all servers of the zone and has their total
+// capacity. The endpoint is a cache if the zone has directors, and otherwise a parent, which makes the zone a hub.
 func (l *LocalPlanner) zoneEndpoints(capacities []float64) []routing.Endpoint {
 	tiers := &l.settings.Tiers
 	cacheKind := 0 // lowest Endpoint.Kind that is neither the parents' nor the origin's
@@ -59,8 +61,11 @@
 	return endpoints
 }
 
-// Shares is a sitehealth.PlanFunc. It returns the shares of the director's own branch while the given zones are lost.
-// They are empty if no planner can be made for the capacities, or if the director's zone is a hub or unknown.
+// Shares returns the failover shares of the director's own branch while the given zones are lost. It serves as a
+// sitehealth.PlanFunc. HubShares holds, by zone, the fraction of the branch's fills that goes to each hub. FillShares
+// holds, by class, the fraction of the fills that the plan doesn't reject; it is set only if Overrides.LimitFills is.
+// If the capacities differ from those of the last call, Shares first replaces the planner. The shares are empty if no
+// planner can be made for the capacities, or if the director's zone is a hub or unknown.
 func (l *LocalPlanner) Shares(lostZones []int, capacities []float64) sitehealth.FailoverShares {
 	if !slices.Equal(capacities, l.capacities) {
 		l.replan(capacities)
--- a/internal/failover/topology.go
+++ b/internal/failover/topology.go
@@ -18,8 +18,8 @@
 	"shaleyard/routing"
 )
 
-// Defaults for values that neither the settings nor the operators' overrides contain.
 const (
+	// Defaults for values that neither the settings nor the operators' overrides contain.
 	defaultLoad           = 0.6                    // fraction of the capacity of a branch's caches
 	defaultCacheHitRatio  = 0.7                    // see Topology.CacheHitRatio
 	defaultParentHitRatio = 0.6                    // see Topology.ParentHitRatio
@@ -27,10 +27,11 @@
 	// originHeadroom is the capacity of an origin of unknown size, as a multiple of its demand at the usual load.
 	originHeadroom = 1.5
 
-	// nonIdempotent is the routing.Class.Idempotency of requests that must not run twice (protocol page).
+	// nonIdempotent is the value of routing.Class.Idempotency for requests that must not run twice (protocol page).
 	nonIdempotent = "non_idempotent"
 
-	shareTolerance = 0.01 // largest deviation of the sum of the classes' shares from 1
+	// shareTolerance is the largest deviation from 1 that Topology.validate accepts for the sum of the classes' shares.
+	shareTolerance = 0.01
 )
 
 // Site is a branch or a hub. Its capacities are in transfers: the number of responses that can be sent concurrently,
--- a/internal/lifecycle/lifecycle.go
+++ b/internal/lifecycle/lifecycle.go
@@ -74,8 +74,8 @@
 	DrainNoticePeriod routing.Time
 	// DrainGracePeriod is the time for which requests are accepted on open connections during a drain.
 	DrainGracePeriod routing.Time
-	// DrainDeadline is the time by which connections are closed whose clients keep sending requests or read no
-	// responses.
+	// DrainDeadline is the time by which requests are answered whose clients keep sending requests, and from which
+	// connections are closed whose clients read no responses. DeadlineLimit.Deadline is computed from it.
 	DrainDeadline routing.Time
 	// StopGracePeriod is the time for which requests are accepted after the request for a stop.
 	StopGracePeriod routing.Time
@@ -229,8 +229,8 @@
 	ShortenDeadline     *DeadlineLimit // limits the deadlines of requests; nil: no limit
 }
 
-// DeadlineLimit limits the deadlines of all requests to Deadline, on those connections that have received a message
-// since ActiveSince.
+// DeadlineLimit limits the deadlines of requests during a drain. Each request on a connection that has received a
+// message at or after ActiveSince is answered by Deadline.
 type DeadlineLimit struct{ ActiveSince, Deadline routing.Time }
 
 // Policy returns the policy of the current state at the time now.
--- a/internal/lifecycle/lifecycle_test.go
+++ b/internal/lifecycle/lifecycle_test.go
@@ -73,7 +73,7 @@
 		if !m.draining && !m.stopping {
 			m.draining, m.requestedAt = true, now
 		}
-	case "drain cancelled":
+	case "drain cancelled": // has no effect once a stop was requested
 		m.draining = m.draining && m.stopping
 	case "stop":
 		if !m.stopping {
@@ -115,7 +115,8 @@
 		t.Fatalf("%s: policy %+v, want a ready process to accept requests and connections and keep idle ones",
 			history, policy)
 	case requested.stopping != (state >= Stopping):
-		t.Fatalf("%s: state %v, want a stopping state: %v", history, state, requested.stopping)
+		t.Fatalf("%s: got state %v with a stop requested = %v, want Stopping or later only after a stop request",
+			history, state, requested.stopping)
 	case drainOnly && elapsed >= testTimeouts.DrainNoticePeriod && policy.KeepIdleConnections:
 		t.Fatalf("%s: idle connections are kept after the notice period of a drain", history)
 	case drainOnly && elapsed >= testTimeouts.DrainGracePeriod && policy.AcceptRequests:
--- a/internal/overload/concurrency_limit.go
+++ b/internal/overload/concurrency_limit.go
@@ -33,10 +33,12 @@
 	return l.limit / exponentialDecay(now-l.updatedAt, limitTimeConstant)
 }
 
-// Full reports whether the limit leaves no room for a piece of work beside the work in flight. While the work in flight
-// is at most half the piece, a piece that exceeds the limit still passes at random, with the probability limit/work: if
-// one piece from each of hundreds of directors always passed, the server would get too many. The function draw returns
-// a random number between 0 and 1.
+// Full reports whether the limit leaves no room for a piece of work beside the work in flight. The limit is not full if
+// the piece and the work in flight together are at most the limit. Otherwise it is full if the work in flight is more
+// than half the piece. If less work is in flight, the piece passes with the probability min(1, limit/work). It passes
+// for certain if it alone is within the limit. A larger piece passes only at random: if one such piece from each of
+// hundreds of directors always passed, the server would get too many. The function draw returns a random number between
+// 0 and 1.
 func (l *ConcurrencyLimit) Full(now Time, inFlight, work float64, draw func() float64) bool {
 	limit := l.Value(now)
 	if inFlight+work <= limit {
@@ -46,8 +48,8 @@
 }
 
 // Decrease lowers the limit after work that was late or rejected. It reduces the limit, or ceiling if ceiling is lower,
-// by the fraction limitStep. The result is not reduced below fit, the work in flight that would have been done in time,
-// unless the limit was already below fit; and it is never below floor.
+// by the fraction limitStep, but not below fit, the work in flight that would have been done in time. A limit that is
+// already at most fit stays unchanged. In any case, a result below floor is raised to floor.
 func (l *ConcurrencyLimit) Decrease(now Time, ceiling, fit, floor float64) {
 	limit := l.Value(now)
 	l.limit = max(floor, min(limit, ceiling)*(1-limitStep), min(limit, fit))
--- a/internal/overload/idle_timeout.go
+++ b/internal/overload/idle_timeout.go
@@ -6,7 +6,10 @@
 )
 
 const (
-	idleTrustedFraction  = 0.75             // timeout after a lost request, as a fraction of its connection's idle time
+	// idleTrustedFraction is the fraction of an idle time that counts as safe. After a lost request, the timeout
+	// becomes this fraction of the connection's idle time. A reuse after more than this fraction of the timeout raises
+	// the timeout.
+	idleTrustedFraction  = 0.75
 	idleIncreaseFraction = 1.0 / 64         // fraction by which a reuse near the timeout raises the timeout
 	idleTimeConstant     = 20 * time.Second // the timeout grows by a factor of e in this time
 )
--- a/internal/overload/origin_shield.go
+++ b/internal/overload/origin_shield.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// These values are based on the simulator's join, herd and split days (docs/cold-start.md).
+// These values are based on three test scenarios of the simulator, the join, herd and split days (docs/cold-start.md).
 const (
 	minAdmitFraction           = 0.05  // lower bound of the admitted fraction: without fills there are no answers
 	referenceRecoveryPerSecond = 0.05  // growth per second without answers, in a fleet of referenceFleet
@@ -19,10 +19,10 @@
 // them observes it directly: parents, which may or may not hold an object, are in front of it. Each director gets few
 // answers of its own, and when hundreds of directors wait for the origin at once, answers are seconds late before the
 // first director notices. A single answer that the origin made late therefore lowers the fraction at once, and answers
-// in time raise it. If the first answer to an attempt sent after a late one is in time, the late answer was an outlier,
-// and all fills are admitted again. As a result, the shield stays open while fewer than about a quarter of the answers
-// are late: protecting an origin that serves most requests in time is not worth rejections. Without answers the
-// fraction recovers slowly with time.
+// in time raise it. If the first answer to an attempt that was sent after this decrease is in time, the late answer was
+// an outlier, and all fills are admitted again. As a result, the shield stays open while fewer than about a quarter of
+// the answers are late: protecting an origin that serves most requests in time is not worth rejections. Without answers
+// the fraction recovers slowly with time.
 //
 // The shield limits a fraction and not the concurrency, because a director with one such fill in flight every other
 // second would never reach a concurrency limit.
@@ -32,8 +32,10 @@
 	admitFraction     float64 // as of updatedAt
 	updatedAt         Time
 	decreasedAt       Time // time of the last decrease; attempts sent before it waited in the queue that caused it
-	// confirmed is set if the last decrease found the fraction already below 1. One late answer may be an outlier; a
-	// second one before the fraction has recovered indicates a queue.
+	// confirmed is true if a second late answer came before the fraction was back at 1. A single late answer may be an
+	// outlier, but two of them indicate a queue at the origin. While confirmed is false, one answer in time restores
+	// the fraction to 1. While it is true, an answer in time only multiplies the fraction by increaseFactor. confirmed
+	// becomes false when an answer in time brings the fraction to 1.
 	confirmed       bool
 	decreaseLatency time.Duration // latency of the late answer that caused the last decrease
 }
@@ -77,7 +79,8 @@
 	s.increase(fraction)
 }
 
-// decrease lowers the fraction after a late answer with the given latency.
+// decrease lowers the fraction after a late answer with the given latency. The argument fraction is the fraction before
+// the decrease.
 func (s *OriginShield) decrease(now Time, fraction float64, latency time.Duration) {
 	s.confirmed = fraction < 1
 	s.admitFraction = max(minAdmitFraction, fraction*s.decreaseFactor)
@@ -86,7 +89,7 @@
 }
 
 // increase raises the fraction after an answer in time: to 1 if no second late answer has confirmed the first one,
-// otherwise by increaseFactor.
+// otherwise by increaseFactor. The argument fraction is the fraction before the increase.
 func (s *OriginShield) increase(fraction float64) {
 	if !s.confirmed {
 		s.admitFraction = 1
--- a/internal/overload/statistics.go
+++ b/internal/overload/statistics.go
@@ -29,8 +29,8 @@
 }
 
 // FailureStreak counts consecutive failures. A failure more than observationLifetime after the one before starts a new
-// streak, so that three failures minutes apart do not form one. The zero value is an empty streak; the owner assigns it
-// after a success.
+// streak, so that three failures minutes apart do not form one. The zero value is an empty streak. The owner of a
+// streak assigns the zero value to it after a success.
 type FailureStreak struct {
 	count       int
 	lastFailure Time
--- a/internal/sitehealth/monitor.go
+++ b/internal/sitehealth/monitor.go
@@ -11,10 +11,10 @@
 	probeInterval = 500 * time.Millisecond // time between two probes of a server while our branch is unavailable
 
 	popularUses   = 2   // uses at which an object counts as popular
-	unpopularCost = 4.0 // admission cost of a request for an object that is not popular
+	unpopularCost = 4.0 // AdmissionCost of a request for an object that is not popular
 
-	originSlowBelow   = 0.5 // share of the fills that go on to the origin, below which it counts as slow
-	originHealthyFrom = 1.0 // share at which it counts as healthy again
+	originSlowBelow   = 0.5 // share of the fills that may go on to the origin, below which the origin counts as slow
+	originHealthyFrom = 1.0 // share from which the origin counts as healthy again
 )
 
 // selfZone is the zone number that stands for the director itself in calls of recordChange.
@@ -83,7 +83,7 @@
 }
 
 // Tick updates the states of all sites and calls report for each change since the last call of Tick. It is meant to be
-// called about twenty times per second. originShare is the share of the fills that go on to the origin.
+// called about twenty times per second. originShare is the share of the fills that may go on to the origin.
 func (m *Monitor) Tick(now Time, originShare float64, report func(StateChange)) {
 	m.evaluateOrigin(originShare)
 	m.detectIsolation(now)
@@ -99,7 +99,9 @@
 	m.changes = m.changes[:0]
 }
 
-// evaluateOrigin changes the state of the origin between Healthy and Slow.
+// evaluateOrigin updates the state of the origin. originShare is the share of the fills that may go on to the origin.
+// If this share falls below originSlowBelow, the origin becomes Slow. Once the share is at least originHealthyFrom, the
+// origin becomes Healthy again.
 func (m *Monitor) evaluateOrigin(originShare float64) {
 	switch {
 	case m.originState == Healthy && originShare < originSlowBelow:
@@ -142,9 +144,10 @@
 	return m.isolated || m.sites[m.config.OwnZone].state.unavailable()
 }
 
-// AdmissionCost returns the multiple of a request's work for which the slow-start budget of a cache of our branch must
-// have room. While the branch recovers, requests for objects that are not popular have a cost above 1, so that the
-// budget has room for popular objects. Uncacheable requests, which run at the origin, always have a cost of 1.
+// AdmissionCost returns the factor by which the caller multiplies a request's work when it checks whether the
+// slow-start budget of a cache of our branch has room for the request. uses is the number of requests for the object so
+// far. While the branch recovers, the factor is unpopularCost for objects with fewer than popularUses uses, so that the
+// budget has room for popular objects. Otherwise, and for uncacheable requests, which run at the origin, it is 1.
 func (m *Monitor) AdmissionCost(uses int, uncacheable bool) float64 {
 	if uses < popularUses && !uncacheable && m.sites[m.config.OwnZone].state == Recovering {
 		return unpopularCost
@@ -162,9 +165,9 @@
 	return math.MaxInt64
 }
 
-// NextProbeIn returns the shortest time for which a lost site will remain lost: until the next probe, or until a
-// response starts its recovery. A rejected client has no reason to retry earlier. The result is 0 for a site that is
-// not lost.
+// NextProbeIn returns the time after which a client that was rejected because a site is lost should retry at the
+// earliest. This is the rest of the site's holdoff, before which no response starts a recovery, and at least
+// probeInterval/2. The result is 0 for a site that is not lost.
 func (m *Monitor) NextProbeIn(now Time, zone int) time.Duration {
 	site := &m.sites[zone]
 	if !site.state.unavailable() {
--- a/internal/sitehealth/transitions.go
+++ b/internal/sitehealth/transitions.go
@@ -7,8 +7,8 @@
 
 const (
 	// A site is lost if at least minFailedServers of its servers, and at least failedServersShare of its ready servers
-	// plus failedServersMargin, have failed without a response of any server in between. It is also lost if all ready
-	// servers have.
+	// plus failedServersMargin, have failed without a response of any server in between. It is also lost if all of its
+	// ready servers have failed, or if it has no ready server.
 	minFailedServers    = 2.0  // in servers
 	failedServersShare  = 0.5  // share of the ready servers
 	failedServersMargin = 0.25 // in servers
@@ -18,7 +18,7 @@
 	remoteHoldoff    = 500 * time.Millisecond // time after a loss before a response starts a recovery
 	ownBranchHoldoff = 100 * time.Millisecond // for our own branch: waiting moves no load, just rejects requests
 	maxHoldoff       = 8 * time.Second        // upper bound of the holdoff, which each relapse doubles
-	relapseResetTime = 20 * time.Second       // available time after which a loss starts with the initial holdoff
+	relapseResetTime = 20 * time.Second       // time since the last transition that resets the holdoff, see markLost
 
 	recoveryResponses = 8 // responses that a recovery needs; time alone never ends a recovery
 
@@ -125,8 +125,8 @@
 	return Lost
 }
 
-// markLost moves a site to a lost state. A site that stayed in its previous state for longer than relapseResetTime
-// starts with the initial holdoff again.
+// markLost moves a site to a lost state. If the site's last transition was more than relapseResetTime ago, the holdoff
+// starts at its initial value again. Otherwise a longer holdoff from an earlier loss is kept.
 func (m *Monitor) markLost(now Time, zone int, state State, evidence string) {
 	site := &m.sites[zone]
 	if now-site.since > relapseResetTime {
@@ -136,8 +136,8 @@
 	m.transition(now, zone, state, evidence)
 }
 
-// hasRecovered reports whether a recovering site has sent recoveryResponses responses and, if servers of it started
-// anew, may get its whole load.
+// hasRecovered reports whether the recovery of a site is complete: its servers have sent recoveryResponses responses
+// since the recovery began and, if any of its servers was restarted, recoveryShare has reached 1.
 func (m *Monitor) hasRecovered(now Time, recovering *site) bool {
 	if recovering.responses < recoveryResponses {
 		return false
--- a/routing/actions.go
+++ b/routing/actions.go
@@ -8,10 +8,12 @@
 
 // Forward sends an attempt to a host that needs no source, such as the origin.
 type Forward struct {
-	ID      uint32
+	ID      uint32 // ID of the request
 	Host    Host
 	Timeout time.Duration // 0: until the request's deadline
-	// IdempotencyWindowEnd is the time after which the attempt must no longer be written; 0: no bound.
+	// IdempotencyWindowEnd is the time from which the caller must not send the attempt to the server any more:
+	// the attempt would repeat an earlier attempt outside the window in which the server recognises repeats.
+	// 0: no bound.
 	IdempotencyWindowEnd Time
 }
 
@@ -28,7 +30,7 @@
 
 // Fetch sends an attempt to a cache and names the source from which the cache fills a miss.
 type Fetch struct {
-	ID     uint32
+	ID     uint32 // ID of the request
 	Host   Host
 	Source Host // same as Host: the cache answers with a cached copy or a miss, without a fill
 	// RetentionRank is a hint to the cache how valuable the object is, from 0 to 2: the number of recent
@@ -37,26 +39,26 @@
 	Flags         FetchFlags
 	Timeout       time.Duration // 0: until the request's deadline
 	MaxAge        time.Duration // maximum age of an acceptable copy; 0: the class's freshness lifetime
-	// IdempotencyWindowEnd is the time after which the attempt must no longer be written; 0: no bound.
+	// IdempotencyWindowEnd is the time from which the attempt must not be sent any more, as in Forward.
 	IdempotencyWindowEnd Time
 }
 
 // Cancel cancels an attempt. The caller still has to deliver the Outcome of the attempt.
 type Cancel struct {
-	ID      uint32
-	Attempt int
+	ID      uint32 // ID of the request
+	Attempt int    // number of the attempt within its request, from 0
 }
 
 // Reject ends a request with a rejection, after which the client may safely retry the request.
 type Reject struct {
-	ID         uint32
+	ID         uint32        // ID of the request
 	RetryAfter time.Duration // time after which the client should retry; 0: not specified
 	Reason     Reason
 }
 
 // Fail ends a request with a failure, which leaves open whether the request has been executed.
 type Fail struct {
-	ID     uint32
+	ID     uint32 // ID of the request
 	Reason Reason
 }
 
--- a/routing/ejection.go
+++ b/routing/ejection.go
@@ -22,8 +22,11 @@
 	return attempt.source
 }
 
-// eject ejects a server until a half-open probe is answered. The time to the next probe doubles with each
-// failed probe. The origin is never ejected, because no other server can replace it.
+// eject ejects a server until a half-open probe is answered, and cancels the attempts that cancelRetriable
+// selects. The first probe is allowed after initialEjection. Each failed probe doubles the time to the next
+// one, up to maxEjection and, while the director's branch is unavailable, up to the shorter
+// sitehealth.Monitor.ProbeInterval. A failure before the next probe is allowed has no effect. The origin is
+// never ejected, because no other server can replace it.
 func (r *Router) eject(server *serverState, cause string) {
 	if server.tier == originTier {
 		return
@@ -34,7 +37,7 @@
 	if !server.ejected {
 		server.ejected = true
 		server.ejectedAt = r.now
-		server.ejectionBackoff = initialEjection / 2
+		server.ejectionBackoff = initialEjection / 2 // doubled below
 		inFlight := len(server.asTarget.inFlight)
 		r.logf("eject server %x: %s, %d attempts in flight", uint64(server.Host), cause, inFlight)
 	}
@@ -43,7 +46,9 @@
 	r.cancelRetriable(server)
 }
 
-// cancelRetriable cancels the attempts in flight at a server whose requests may be retried at another server.
+// cancelRetriable cancels the attempts in flight that have the server as target or source and whose requests
+// may be retried: the class of the request is read-like, the request has attempts left, and its answer is not
+// being streamed.
 func (r *Router) cancelRetriable(server *serverState) {
 	for _, attempt := range slices.Concat(server.asTarget.inFlight, server.asSource.inFlight) {
 		request := r.requests[attempt.requestID]
--- a/routing/endpoint.go
+++ b/routing/endpoint.go
@@ -37,9 +37,12 @@
 	Zone    int // index of Settings.Zones
 	Kind    int // index of Settings.Kinds
 	State   State
-	Started Time    // start of its current incarnation; 0: long ago
-	Weight  float64 // capacity in simultaneous transfers, depending on Settings.WeightMode
-	Cell    int     // deduplication cell, see DedupScopeCell
+	Started Time // start of the server's current incarnation; 0: long ago
+	// Weight is the capacity of the server in simultaneous transfers, if Settings.WeightMode is
+	// WeightModeNominal or WeightModeRough. With any other mode, the Router takes the capacity of the server as
+	// unknown and uses Weight only for the failover of lost sites.
+	Weight float64
+	Cell   int // deduplication cell, see DedupScopeCell
 }
 
 // UpdateKind is the meaning of the entries of an EndpointUpdate.
--- a/routing/endpoints.go
+++ b/routing/endpoints.go
@@ -100,8 +100,8 @@
 	}
 }
 
-// regroupServers sorts all servers by address, removes those that are gone, and rebuilds localCaches and
-// upstreams from those that are ready.
+// regroupServers sorts all servers by address, and removes the servers that are no longer listed and have no
+// attempts in flight. It then rebuilds localCaches and upstreams from the servers that are listed as ready.
 func (r *Router) regroupServers() {
 	slices.SortFunc(r.orderedServers, func(a, b *serverState) int { return cmp.Compare(a.Host, b.Host) })
 	r.orderedServers = slices.DeleteFunc(r.orderedServers, r.dropIfGone)
--- a/routing/events.go
+++ b/routing/events.go
@@ -31,15 +31,15 @@
 // ShortenDeadline moves the deadline of a request to an earlier time. A deadline later than the present one
 // is ignored.
 type ShortenDeadline struct {
-	ID       uint32
+	ID       uint32 // ID of the request
 	Deadline Time
 }
 
 // StreamStarted reports that a streamed answer to the client has begun. The Router makes no further attempt
 // for the request.
 type StreamStarted struct {
-	ID      uint32
-	Attempt int
+	ID      uint32 // ID of the request
+	Attempt int    // number of the attempt within its request, from 0
 	Host    Host
 	Elapsed time.Duration
 }
@@ -58,7 +58,7 @@
 }
 
 // RequestClosed reports that the caller has closed a request, for example because the client has left. The
-// Router forgets the request.
+// Router forgets the request with this ID.
 type RequestClosed struct{ ID uint32 }
 
 // TimerFired reports that the timer of an earlier SetTimer with this token is due.
--- a/routing/limits_test.go
+++ b/routing/limits_test.go
@@ -28,8 +28,9 @@
 	env.assertNoViolation()
 }
 
-// Fills that hang, for example because of a slow origin, must count on the limit of their source and must not keep hits
-// from the cache.
+// A likely fill counts as work in flight at its source, not at the cache. Fills that hang, for example because the
+// origin is slow, must therefore not make a cache look full. A cache that is at its concurrency limit must still
+// receive likely hits, but no new fills.
 func TestHangingFillsDoNotBlockHits(t *testing.T) {
 	env := newSimpleEnv(t, func(settings *Settings) { settings.Tiers.BypassAllowed = false })
 	env.submitObject(1, 42, classBig)
@@ -59,8 +60,8 @@
 }
 
 // A timeout must lower the limit of the server that does not respond: the source if the cache answers other attempts,
-// else the cache. When the origin stops for seconds, fills that were taken for hits time out. If these timeouts lowered
-// the limits of healthy caches, hits would be rejected.
+// else the cache. When the origin stops for seconds, attempts time out that the router expected to be hits but that
+// became fills. If these timeouts lowered the limits of healthy caches, hits would be rejected.
 func TestTimeoutLowersLimitOfUnresponsiveServer(t *testing.T) {
 	for name, cacheResponds := range map[string]bool{"cache responds": true, "cache does not respond": false} {
 		t.Run(name, func(t *testing.T) {
--- a/routing/reason.go
+++ b/routing/reason.go
@@ -10,9 +10,9 @@
 	ReasonAttemptsExhausted           // the request has had SiteLimits.MaxAttempts attempts
 	ReasonMayHaveExecuted             // an earlier attempt may have executed, and must not be repeated
 	ReasonSiteLost                    // the director's site is lost, or the director is cut off
-	ReasonNoServerInTime              // no server accepted it within half its latency objective
+	ReasonNoServerInTime              // no server accepted the request within half its latency objective
 	ReasonRetryBudgetExhausted        // too many attempts fail: the retry budget is empty
-	ReasonOriginShielded              // only the origin can serve it, and the origin is overloaded
+	ReasonOriginShielded              // only the origin can serve the request, and the origin is overloaded
 )
 
 // reasonTexts holds the texts of Reason.String, for logs and tests. The flight recorder has its own names for
--- a/routing/result.go
+++ b/routing/result.go
@@ -7,7 +7,7 @@
 const (
 	OK       Result = iota
 	Errored         // the server answered with an error
-	Rejected        // the server did not execute it, or its source rejected the fill or was unreachable
+	Rejected        // the server did not execute the attempt, or its source rejected the fill or was unreachable
 	TimedOut
 	ConnectFailed
 	Reset                   // the connection broke while the attempt was in flight
--- a/routing/settings.go
+++ b/routing/settings.go
@@ -31,8 +31,9 @@
 	FillStatusReportedOff = "off"
 )
 
-// Values of Settings.WeightMode. Endpoint.Weight is a server's capacity with WeightModeNominal and
-// WeightModeRough only. Any other value is treated as WeightModeOff.
+// Values of Settings.WeightMode. With WeightModeNominal and WeightModeRough, the Router takes Endpoint.Weight
+// as the capacity of a server. Any other value is treated as WeightModeOff: the capacity of a server counts as
+// unknown, and only the failover of lost sites uses the weights.
 const (
 	WeightModeOff     = "off"
 	WeightModeNominal = "nominal"
@@ -169,7 +170,7 @@
 	Quantum       time.Duration      `json:"quantum"`
 	DiscoveryMode string             `json:"registryMode"` // automatic or DiscoverySubscribe
 	LoadReport    LoadReportSettings `json:"report"`
-	WeightMode    string             `json:"weights"` // one of the WeightMode constants, or live
+	WeightMode    string             `json:"weights"` // WeightMode constant; others, such as live, count as Off
 	Zone          int                `json:"zone"`    // zone of this director, an index of Zones
 	Zones         []string           `json:"dcs"`     // names of the zones
 }
--- a/routing/state.go
+++ b/routing/state.go
@@ -35,7 +35,7 @@
 	purges            map[purgeKey]purgeRecord
 
 	classes                 []classStats
-	longestObjective        float64       // of all classes, seconds; slow start assumes transfers as long
+	longestObjective        float64       // of all classes, seconds; minimum transfer time in startWarmingUp
 	baselineLogLatencyRatio float64       // logLatencyRatio at the end of the fastest third of local caches
 	originFillWait          overload.Mean // wait of fills by the origin for the first byte, seconds
 
@@ -148,7 +148,7 @@
 	minSourceTier     tier           // lowest tier that may be the source; a miss or rejection raises it
 	avoidTargets      []*serverState // targets at which an attempt has failed
 	triedOnlyIfCached bool           // a cached copy was the last resort, or a cache reported a fill in progress
-	onlyIfCachedCount int            // overload.MaxProbes after a miss without a fill in progress, else 0
+	onlyIfCachedCount int            // 0, or overload.MaxProbes after a miss with no fill in progress: no more probes
 	shieldDecided     bool           // shielded has been decided
 	shielded          bool           // no fill from the origin
 	askedPeers        bool           // a location query has been sent
--- a/routing/validate_test.go
+++ b/routing/validate_test.go
@@ -115,8 +115,9 @@
 	return nil
 }
 
-// lastKey returns the last key of a path, without an index: the key that the error for a value at this path must
-// contain.
+// lastKey returns the last key of a path, which the error for a value at this path must contain. In a list of plain
+// values, this is the key before the index: a path such as familyInfo.passOn[1] gives passOn. In the list "services",
+// the key follows the index: services[0].aim gives aim.
 func lastKey(path string) string {
 	if i := strings.IndexByte(path, '['); i >= 0 && !strings.HasPrefix(path, "services") {
 		path = path[:i]
