--- a/internal/director/director.go
+++ b/internal/director/director.go
@@ -4,8 +4,8 @@
 // Any number of protocols can therefore share the decisions of one router.
 //
 // Requests and attempts are identified by generational handles, so that a late result for a removed attempt can't be
-// taken for the result of another. Every request has a deadline, which the router enforces. If the router fails to
-// enforce it, a guard timer ends the request.
+// taken for the result of another attempt. Every request has a deadline, which the router enforces. If the router fails
+// to enforce it, a guard timer ends the request.
 //
 // All code of this package runs on the event loop. Nothing is safe for concurrent use.
 package director
--- a/internal/failover/plan.go
+++ b/internal/failover/plan.go
@@ -26,8 +26,8 @@
 	RejectionStart float64 `json:"refusing_starts_at_load"`
 	// NeverRejects is set if nothing is rejected even at maxLoadSearched times the usual load.
 	NeverRejects bool `json:"refusing_never_starts"`
-	// RecoveryTime is the time from the restart of the lost sites, with empty caches, until slow start lets them take
-	// their usual load again. It is that of the slowest site.
+	// RecoveryTime is the time from the restart of the lost sites, with empty caches, until slow start lets all of them
+	// take their usual load again, even the slowest.
 	RecoveryTime time.Duration `json:"return_ns"`
 	Unmet        []string      `json:"cannot"`       // one sentence for each demand that can't be met
 	ValueServed  float64       `json:"worth_served"` // fraction of the requested value that is served at the usual load
--- a/internal/failover/planner_test.go
+++ b/internal/failover/planner_test.go
@@ -86,7 +86,7 @@
 		}
 	}
 	p := newTestPlanner(t, topology, Overrides{})
-	p.congestionCost = 0 // it only breaks ties, and whole transfers can't be split evenly
+	p.congestionCost = 0 // it only breaks ties, and brute force can't split whole transfers evenly
 	available := p.availability(nil)
 	for _, i := range c.lost {
 		available[i] = 0
--- a/internal/lifecycle/lifecycle.go
+++ b/internal/lifecycle/lifecycle.go
@@ -19,8 +19,8 @@
 	Starting State = iota // waiting for the endpoint list
 	Ready                 // the load balancer may send clients to this process
 	Draining              // operators have requested a drain: clients are moved to other processes
-	Drained               // no client is left; the process runs on until it is stopped or the drain is cancelled
-	Stopping              // a stop was requested; requests are accepted, as the load balancer learns of it late
+	Drained               // no client is left; the process runs on until a stop is requested or the drain is cancelled
+	Stopping              // a stop was requested; requests are accepted, as the load balancer learns of the stop late
 	Closing               // no request is accepted; a connection is closed once all its requests are answered
 	Ended                 // no request and no connection is left, or the stop deadline has passed
 )
@@ -208,9 +208,9 @@
 	return m.state
 }
 
-// advanceClosing ends the process at the stop deadline, or once nothing is in flight. The latter happens strictly after
-// the grace period, so that everything that clients sent within the grace period has been read. The caller holds the
-// lock.
+// advanceClosing ends the process at the stop deadline, or earlier if nothing is in flight. The earlier end is strictly
+// after the grace period, so that everything that clients sent within the grace period has been read. The caller holds
+// the lock.
 func (m *Machine) advanceClosing(now, elapsed routing.Time, inFlight int) {
 	switch {
 	case elapsed >= m.timeouts.StopDeadline:
--- a/internal/lifecycle/lifecycle_test.go
+++ b/internal/lifecycle/lifecycle_test.go
@@ -59,7 +59,8 @@
 	}
 }
 
-// model records the requests made to a process, from which checkPolicy derives the expected policy. It has no states.
+// model records the requests made to a process, from which checkPolicy derives the expected policy. Unlike a Machine,
+// it has no states.
 type model struct {
 	discoveryReady, draining, stopping bool
 	requestedAt                        routing.Time
--- a/internal/overload/connect_limiter.go
+++ b/internal/overload/connect_limiter.go
@@ -13,11 +13,11 @@
 )
 
 // ConnectLimiter decides whether a director may open a new connection to one peer. A peer does not announce how many
-// connections it accepts; dials that fail while other connections are established reveal it. All directors share the
-// connections that the peer accepts. Each director therefore keeps the connections it has, probes for one more from
-// time to time, at random times of its own, and lets attempts share connections meanwhile. Until a dial has failed, the
-// only limit on established connections is the caller's own, because sharing has a price: when a shared connection
-// breaks, all attempts on it are lost at once.
+// connections it accepts; dials that fail while other connections are established reveal the number. All directors
+// share the connections that the peer accepts. Each director therefore keeps the connections it has, probes for one
+// more from time to time, at random times of its own, and lets attempts share connections meanwhile. Until a dial has
+// failed, the only limit on established connections is the caller's own, because sharing has a price: when a shared
+// connection breaks, all attempts on it are lost at once.
 //
 // The first connection to a peer is always allowed. The router decides whether a peer without a connection is used at
 // all, and it probes failed servers at an interval of its own.
--- a/internal/overload/origin_shield.go
+++ b/internal/overload/origin_shield.go
@@ -31,7 +31,7 @@
 	recoveryPerSecond float64 // growth of the fraction in a second without answers
 	admitFraction     float64 // as of updatedAt
 	updatedAt         Time
-	decreasedAt       Time // time of the last decrease; attempts sent before it waited in the queue that caused it
+	decreasedAt       Time // time of the last decrease; earlier attempts waited in the queue that caused the decrease
 	// confirmed is true if a second late answer came before the fraction was back at 1. A single late answer may be an
 	// outlier, but two of them indicate a queue at the origin. While confirmed is false, one answer in time restores
 	// the fraction to 1. While it is true, an answer in time only multiplies the fraction by increaseFactor. confirmed
--- a/internal/sitehealth/monitor.go
+++ b/internal/sitehealth/monitor.go
@@ -42,7 +42,7 @@
 type Options struct {
 	// Plan, if set, decides how the other hubs share the load of a lost hub. Otherwise they share it evenly.
 	Plan PlanFunc
-	// DiscoveryStale, if set, reports whether the director receives no events from the discovery service either.
+	// DiscoveryStale, if set, reports whether the director receives no events from the discovery service.
 	DiscoveryStale func() bool
 	// ShiftRate, if positive, is the largest share of a hub's traffic that moves within a second, away from the hub or
 	// back to it. Otherwise the traffic of a lost hub moves at once, limited only by the origin shield, and returns at
@@ -166,8 +166,8 @@
 }
 
 // NextProbeIn returns the time after which a client that was rejected because a site is lost should retry at the
-// earliest. This is the rest of the site's holdoff, before which no response starts a recovery, and at least
-// probeInterval/2. The result is 0 for a site that is not lost.
+// earliest. This is the rest of the site's holdoff, in which no recovery starts, but at least probeInterval/2. The
+// result is 0 for a site that is not lost.
 func (m *Monitor) NextProbeIn(now Time, zone int) time.Duration {
 	site := &m.sites[zone]
 	if !site.state.unavailable() {
--- a/internal/sitehealth/shares.go
+++ b/internal/sitehealth/shares.go
@@ -9,8 +9,8 @@
 
 // updateWeightFactors computes the weight factor of each zone, which determines the share of our branch's fills that
 // the parents of the zone attract. The factor of the own hub is the share of its load that the hub may get now. The
-// other hubs divide the rest, as the plan decides; while there is no rest, their factor is 0. Objects are placed by a
-// hash that depends on the weights, so that a change moves only the objects that have to move.
+// other hubs divide the rest in the shares of the plan; their factor is 0 while the own hub gets its whole load.
+// Objects are placed by a hash that depends on the weights, so that a change moves only the objects that have to move.
 func (m *Monitor) updateWeightFactors(now Time) {
 	hub := m.config.HubZone
 	ownShare := m.CapacityShare(now, hub)
@@ -70,8 +70,9 @@
 	return m.weightFactors[zone]
 }
 
-// FillShare returns the share of a class's fills that may go on to the origin. The plan limits it, and while our hub is
-// lost also ShiftRate: the objects of the hub move to other hubs, which hold none of them yet and have to fill them.
+// FillShare returns the share of a class's fills that may go on to the origin. FillShares of the plan limits this
+// share. While our hub is lost, ShiftRate limits it as well: the objects of the hub move to other hubs, which hold none
+// of them yet and have to fill them.
 func (m *Monitor) FillShare(now Time, class int) float64 {
 	share := 1.0
 	if class < len(m.shares.FillShares) {
@@ -86,7 +87,7 @@
 
 // CapacityShare returns the share of its usual load, from 0 to 1, that a site may get now. A recovering site gets the
 // share of its servers that are ready and have not refused a connection lately, but at least initialRecoveryShare. If
-// some of its servers started anew, recoveryShare limits that share further.
+// servers of the site started during the loss or the recovery, recoveryShare limits that share further.
 func (m *Monitor) CapacityShare(now Time, zone int) float64 {
 	if zone < 0 || zone >= len(m.sites) {
 		return 0
--- a/internal/sitehealth/site.go
+++ b/internal/sitehealth/site.go
@@ -15,7 +15,7 @@
 
 	lastResponse Time          // latest response of any of its servers
 	responses    int           // number of responses since the last transition
-	holdoff      time.Duration // time after a loss before a response starts a recovery; doubled by a relapse
+	holdoff      time.Duration // time after a loss in which no recovery starts; doubled by a relapse
 
 	everReady bool    // the site has had a ready server
 	restarted bool    // servers started during the loss or recovery; they are cold, and their load returns gradually
--- a/internal/sitehealth/state.go
+++ b/internal/sitehealth/state.go
@@ -24,7 +24,7 @@
 	Lost              // connections to its servers fail, or the endpoint list has no ready server left
 	Unreachable       // its servers send no responses to this director, though they may be serving others
 	Recovering        // a server has answered or started after a loss; the load of the site returns
-	Relapsed          // it was lost again while recovering; the next recovery starts after twice the holdoff
+	Relapsed          // the site was lost again while recovering; the next recovery starts after twice the holdoff
 	Slow              // used for the origin only: its fills are late, and a part of the fills is not sent to it
 )
 
--- a/internal/sitehealth/transitions.go
+++ b/internal/sitehealth/transitions.go
@@ -15,7 +15,7 @@
 	roundingTolerance   = 1e-9 // tolerance, in servers, of sums of fractions
 
 	minStateTime     = time.Second            // shortest time in Degraded before the site may become healthy again
-	remoteHoldoff    = 500 * time.Millisecond // time after a loss before a response starts a recovery
+	remoteHoldoff    = 500 * time.Millisecond // time after a loss in which no recovery starts
 	ownBranchHoldoff = 100 * time.Millisecond // for our own branch: waiting moves no load, just rejects requests
 	maxHoldoff       = 8 * time.Second        // upper bound of the holdoff, which each relapse doubles
 	relapseResetTime = 20 * time.Second       // time since the last transition that resets the holdoff, see markLost
@@ -137,7 +137,8 @@
 }
 
 // hasRecovered reports whether the recovery of a site is complete: its servers have sent recoveryResponses responses
-// since the recovery began and, if any of its servers was restarted, recoveryShare has reached 1.
+// since the recovery began and, if servers of the site started during the loss or the recovery, recoveryShare has
+// reached 1.
 func (m *Monitor) hasRecovered(now Time, recovering *site) bool {
 	if recovering.responses < recoveryResponses {
 		return false
--- a/routing/hedging_test.go
+++ b/routing/hedging_test.go
@@ -84,7 +84,7 @@
 	return request
 }
 
-// attributedLoad returns the load of the server and role on which a request's first attempt counts.
+// attributedLoad returns the load of the server and role whose work in flight includes a request's first attempt.
 func attributedLoad(request *requestState) *roleLoad {
 	_, load := attributedTo(request.attempts[0])
 	return load
