--- a/cmd/testbed/main.go
+++ b/cmd/testbed/main.go
@@ -1,5 +1,5 @@
-// Command testbed starts directors as processes of their own between stand-ins, injects faults between them by a
-// script, and judges the recorded history. docs/testbed.md tells how to use it.
+// Command testbed runs directors as separate processes against stand-ins for their peers, injects the faults that an
+// experiment file schedules, and checks the recorded history. docs/testbed.md describes its use.
 package main
 
 import (
@@ -22,7 +22,7 @@
 const (
 	exitPass       = 0
 	exitViolations = 1
-	exitUsage      = 2 // not usable as called
+	exitUsage      = 2 // invalid arguments or files, or a run that failed
 )
 
 type cli struct {
@@ -33,16 +33,19 @@
 
 func main() { os.Exit(run(os.Args[1:], os.Stdout, os.Stderr)) }
 
-// exitCode is what kong panics with to end the program, as after --help.
+// exitCode is the value of the panic by which kong's exit function leaves the parser, for instance after --help. run
+// recovers it and returns it as the exit status.
 type exitCode int
 
-func run(args []string, out, errs io.Writer) (status int) {
+// run parses the arguments, runs the command and returns the exit status. It prints errors other than errViolations to
+// stderr.
+func run(args []string, stdout, stderr io.Writer) (status int) {
 	var commands cli
 	parser, err := kong.New(&commands, kong.Name("testbed"),
 		kong.Description("Plays experiments on a fleet of directors, and judges them."),
-		kong.Writers(out, errs), kong.Exit(func(status int) { panic(exitCode(status)) }))
+		kong.Writers(stdout, stderr), kong.Exit(func(status int) { panic(exitCode(status)) }))
 	if err != nil {
-		fmt.Fprintln(errs, "testbed:", err)
+		fmt.Fprintln(stderr, "testbed:", err)
 		return exitUsage
 	}
 	defer func() {
@@ -58,29 +61,29 @@
 	}()
 	ctx, err := parser.Parse(args)
 	if err == nil {
-		err = ctx.Run(&console{out: out})
+		err = ctx.Run(&console{out: stdout})
 	}
 	switch {
 	case errors.Is(err, errViolations):
 		return exitViolations
 	case err != nil:
-		fmt.Fprintln(errs, "testbed:", err)
+		fmt.Fprintln(stderr, "testbed:", err)
 		return exitUsage
 	}
 	return exitPass
 }
 
-// errViolations says that a rule or a bound was broken; the verdict has been printed.
-var errViolations = errors.New("a rule or a bound is broken")
+// errViolations reports that the history violates a rule or a metric violates a bound. The report has been printed.
+var errViolations = errors.New("a rule or a bound was violated")
 
-// console is where commands print to.
+// console holds the writer that commands print their results to.
 type console struct{ out io.Writer }
 
 type listCommand struct {
 	Folder string `arg:"" name:"folder" optional:"" default:"experiments" type:"existingdir"`
 }
 
-// Run lists the experiments; one that can't be read is an error.
+// Run prints one line per experiment of the folder. An invalid experiment or an empty folder is an error.
 func (c *listCommand) Run(o *console) error {
 	folder := cmp.Or(c.Folder, "experiments")
 	files, err := filepath.Glob(filepath.Join(folder, "*.toml"))
@@ -106,7 +109,7 @@
 	History string `arg:"" name:"record" type:"existingfile"`
 }
 
-// Run judges a history.
+// Run checks a recorded history and prints the report. It returns errViolations if the history violates a rule.
 func (c *checkCommand) Run(o *console) error {
 	verdict, err := checkHistory(c.History)
 	if err != nil {
@@ -116,12 +119,13 @@
 	return result.finish(o.out)
 }
 
+// checkHistory reads and checks the history in a file.
 func checkHistory(path string) (*checker.Verdict, error) {
 	file, err := os.Open(path)
 	if err != nil {
 		return nil, err
 	}
-	defer func() { _ = file.Close() }() // it was only read
+	defer func() { _ = file.Close() }() // opened for reading only, so an error of Close loses no data
 	verdict, err := checker.Check(file)
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
--- a/cmd/testbed/run.go
+++ b/cmd/testbed/run.go
@@ -18,22 +18,24 @@
 
 const (
 	maxDirectors = 400
-	maxLoad      = 100
+	maxLoad      = 100 // multiple of the experiment's load
 
 	maxPrintedViolations = 20
 )
 
 type runCommand struct {
 	File      string  `arg:"" name:"file" help:"The experiment." type:"existingfile"`
-	Seed      *uint64 `name:"seed" help:"In place of the file's."`
-	Directors int     `name:"directors" help:"In place of the file's."`
-	Load      float64 `name:"load" default:"1" help:"Multiple of the load; more than a machine can play shows nothing."`
-	Binary    string  `name:"binary" help:"The program." default:"bin/shaleyard"`
-	Baseline  string  `name:"baseline" help:"Another build, which plays the same seed in turn." type:"existingfile"`
-	Out       string  `name:"out" help:"Folder for record.jsonl, result.json and the directors' logs; made if need be."`
+	Seed      *uint64 `name:"seed" help:"Random seed; overrides the experiment's."`
+	Directors int     `name:"directors" help:"Number of directors; load and capacities scale with it."`
+	Load      float64 `name:"load" default:"1" help:"Load factor; a run that overloads the machine proves nothing."`
+	Binary    string  `name:"binary" help:"Director program to run." default:"bin/shaleyard"`
+	Baseline  string  `name:"baseline" help:"Another build, run afterwards with the same seed." type:"existingfile"`
+	Out       string  `name:"out" help:"Folder for record.jsonl, result.json and logs of directors; made if missing."`
 }
 
-// Run plays the experiment, and the baseline after it.
+// Run plays the experiment, then plays it with the baseline if there is one. It writes result.json and prints the
+// report. It returns errViolations if a rule or a bound was violated. Without an output folder it uses a temporary
+// one, which it removes.
 func (c *runCommand) Run(o *console) error {
 	experiment, err := c.experiment()
 	if err != nil {
@@ -72,14 +74,15 @@
 	}
 	result.Violations = append([]checker.Violation{}, verdict.Violations...)
 	result.Violations = append(result.Violations, experiment.CheckBounds(result.Metrics, result.Baseline)...)
-	result.judge()
+	result.setVerdict()
 	if err := result.write(filepath.Join(out, "result.json")); err != nil {
 		return err
 	}
 	return result.finish(o.out)
 }
 
-// experiment is that of the file, with what the options put in place of its values.
+// experiment loads the experiment file and applies the options that override its values. An error about an option names
+// it.
 func (c *runCommand) experiment() (*testbed.Experiment, error) {
 	experiment, err := testbed.LoadExperiment(c.File)
 	if err != nil {
@@ -95,7 +98,7 @@
 		experiment.Scale(c.Directors)
 	}
 	if !(c.Load > 0 && c.Load <= maxLoad) {
-		return nil, fmt.Errorf("--load: %v is not within 0 and %d", c.Load, maxLoad)
+		return nil, fmt.Errorf("--load: %v is not greater than 0 and at most %d", c.Load, maxLoad)
 	}
 	experiment.Clients.PerSecond *= c.Load
 	if _, err := os.Stat(c.Binary); err != nil {
@@ -104,7 +107,7 @@
 	return experiment, nil
 }
 
-// playExperiment runs an experiment with a build and checks its history.
+// playExperiment runs an experiment with a director binary, writing its files to dir, and checks its history.
 func playExperiment(
 	ctx context.Context, experiment *testbed.Experiment, binary, dir string, logger *zap.Logger,
 ) (*checker.Verdict, error) {
@@ -126,7 +129,7 @@
 	return checkHistory(filepath.Join(dir, "record.jsonl"))
 }
 
-// report is what result.json holds.
+// report is the result of a run or a check. result.json holds it.
 type report struct {
 	Experiment string              `json:"experiment"`
 	Seed       uint64              `json:"seed"`
@@ -137,13 +140,15 @@
 	Baseline   map[string]float64  `json:"baseline,omitempty"`
 }
 
-func (r *report) judge() {
+// setVerdict sets the verdict to fail if there are violations, otherwise to pass.
+func (r *report) setVerdict() {
 	r.Verdict = "pass"
 	if len(r.Violations) > 0 {
 		r.Verdict = "fail"
 	}
 }
 
+// write writes the report to a file as indented JSON.
 func (r *report) write(path string) error {
 	text, err := json.MarshalIndent(r, "", "  ")
 	if err != nil {
@@ -152,9 +157,9 @@
 	return os.WriteFile(path, append(text, '\n'), 0o644)
 }
 
-// finish prints the report; the error is errViolations, if there are any.
+// finish sets the verdict, prints the report and returns errViolations if there are violations.
 func (r *report) finish(w io.Writer) error {
-	r.judge()
+	r.setVerdict()
 	r.print(w)
 	if len(r.Violations) > 0 {
 		return errViolations
@@ -162,6 +167,7 @@
 	return nil
 }
 
+// print writes the report as text: a summary line, all metrics, and the first maxPrintedViolations violations.
 func (r *report) print(w io.Writer) {
 	fmt.Fprintf(w, "%s, seed %d, %d directors: %s\n", r.Experiment, r.Seed, r.Directors, r.Verdict)
 	for _, name := range checker.MetricNames {
--- a/internal/testbed/discovery.go
+++ b/internal/testbed/discovery.go
@@ -9,38 +9,41 @@
 	"time"
 )
 
-// Modes of the list service.
+// Modes of the discovery service. Histories hold them, and list.begin in an experiment names one of the first four.
 const (
-	modeWell  = "well"
-	modeDown  = "down"  // refuses connections
-	modeHang  = "hang"  // accepts, and says nothing
-	modeHalf  = "half"  // breaks off within the list
-	modeOlder = "older" // has forgotten the latest events
-	modeSlow  = "slow"
+	modeWell       = "well"
+	modeDown       = "down"  // refuses connections
+	modeHang       = "hang"  // accepts connections but never writes to them
+	modeTruncated  = "half"  // writes the first half of the endpoint list, then closes the connection
+	modeRolledBack = "older" // no longer has the latest events
+	modeSlow       = "slow"  // never set: the action list-slow keeps modeWell and lowers the capacity factor
 )
 
-// discoveryService is the stand-in for the list service: one server that takes calls in turn, and then holds a stream
-// for each. Each director reaches it at an address of its own, so that it is known who calls.
+// discoveryService is the stand-in for the discovery service that every director watches. It is one server with a fixed
+// capacity: it serves calls one at a time, in order of arrival, and then keeps an event stream open on each call's
+// connection. It listens on a separate address for each director, which identifies the caller of each connection.
 type discoveryService struct {
 	testbed  *Testbed
-	callTime time.Duration // that a call occupies the server at full capacity
-	maxQueue int
+	callTime time.Duration // server time that one call takes at full capacity
+	maxQueue int           // calls that may wait; further calls are reset
 
 	mu              sync.Mutex
-	cond            *sync.Cond // streams wait on it
+	cond            *sync.Cond // signals stream writers that there may be something to write
 	mode            string
-	capacityFactor  float64
-	forgottenEvents int
-	events          []string // the first with the whole list
+	capacityFactor  float64  // share of the full call rate
+	forgottenEvents int      // number of latest events that are missing in modeRolledBack
+	events          []string // one line each; the first holds the whole endpoint list, and event i has revision i+1
 	closed          bool
-	waiting         int
-	nextFree        time.Time // when the server is free again
+	queuedCalls     int
+	nextFree        time.Time // when the server has served all queued calls
 	listeners       map[int]*net.TCPListener
 	streams         map[net.Conn]bool
-	flaps           map[int]*flap // by director: how its streams end
-	streamCount     map[int]int   // streams that a director has had
+	flaps           map[int]*flap // flap that ends a director's streams, by director
+	streamCount     map[int]int   // number of streams opened so far, by director
 }
 
+// newDiscoveryService returns a discovery service with the capacity that the experiment sets. By default it serves one
+// call of every director in 1.5 s, and its queue holds the calls of one second.
 func newDiscoveryService(testbed *Testbed) *discoveryService {
 	rate := testbed.experiment.Discovery.CallsPerSecond
 	if rate == 0 {
@@ -64,7 +67,7 @@
 	return service
 }
 
-// listen opens the service's address for a director.
+// listen opens the listener for a director's calls and returns its address.
 func (s *discoveryService) listen(director int) (string, error) {
 	listener, err := net.ListenTCP("tcp", &net.TCPAddr{IP: s.testbed.loopbackIP(3, director)})
 	if err != nil {
@@ -77,6 +80,7 @@
 	return listener.Addr().String(), nil
 }
 
+// accept serves each connection of a director on a goroutine of its own until the listener is closed.
 func (s *discoveryService) accept(director int, listener *net.TCPListener) {
 	for {
 		conn, err := listener.AcceptTCP()
@@ -87,8 +91,9 @@
 	}
 }
 
-// setMode changes how the service behaves. Going down closes its listeners, so that calls are refused; all streams
-// break where it goes down or loses what it had.
+// setMode changes how the service behaves and records the change. modeDown closes the listeners, so that the kernel
+// refuses connections; leaving modeDown opens them again. All modes but modeWell and modeSlow also reset all open
+// streams. forgottenEvents counts in modeRolledBack only.
 func (s *discoveryService) setMode(mode string, capacityFactor float64, forgottenEvents int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -97,7 +102,7 @@
 	s.testbed.history.record(Event{Kind: "list", What: mode, Value: capacityFactor})
 	if previous == modeDown && mode != modeDown {
 		if err := s.reopen(); err != nil {
-			s.testbed.fail(fmt.Errorf("list service: %w", err))
+			s.testbed.fail(fmt.Errorf("reopen the discovery service's listeners: %w", err))
 			return
 		}
 	}
@@ -112,7 +117,7 @@
 	s.cond.Broadcast()
 }
 
-// reopen listens again at the addresses that were closed.
+// reopen listens again on the addresses whose listeners setMode closed. The caller holds the lock.
 func (s *discoveryService) reopen() error {
 	for director, closed := range s.listeners {
 		listener, err := net.ListenTCP("tcp", closed.Addr().(*net.TCPAddr))
@@ -125,13 +130,14 @@
 	return nil
 }
 
+// resetStreams resets the connections of all queued calls and open streams. The caller holds the lock.
 func (s *discoveryService) resetStreams() {
 	for conn := range s.streams {
 		resetConn(conn)
 	}
 }
 
-// breakStreams resets all streams, once.
+// breakStreams resets all streams once and records it. The service accepts the directors' next calls as before.
 func (s *discoveryService) breakStreams() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -139,7 +145,9 @@
 	s.resetStreams()
 }
 
-// publish adds a list event, of which directors count as notified from now on.
+// publish appends an event under the next revision, which build renders as a line, and wakes the streams that write it.
+// It records the event in the history. If the service is not in modeWell, the record's What gets the suffix " unheard":
+// the checker then counts a director as notified when the event is written to it, not when it is published.
 func (s *discoveryService) publish(build func(revision int) string, event Event) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -153,22 +161,24 @@
 	s.cond.Broadcast()
 }
 
-// lastRevision is the number of the last event that the service has now. It is called with the lock held.
+// lastRevision returns the revision of the latest event that the service has: in modeRolledBack it lacks the
+// forgottenEvents latest ones, but keeps the first. The caller holds the lock.
 func (s *discoveryService) lastRevision() int {
-	if s.mode == modeOlder {
+	if s.mode == modeRolledBack {
 		return max(1, len(s.events)-s.forgottenEvents)
 	}
 	return len(s.events)
 }
 
-// eventCount is the number of events that were published.
+// eventCount returns the number of events published so far, regardless of the mode.
 func (s *discoveryService) eventCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.events)
 }
 
-// knownEvents is what a configuration holds: the events up to one; 0: all.
+// knownEvents returns the events up to and including a revision in the JSON form that a director's configuration has;
+// revision 0 means all events.
 func (s *discoveryService) knownEvents(revision int) json.RawMessage {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -178,13 +188,14 @@
 	return json.RawMessage(fmt.Sprintf(`{"n":%d,"events":[%s]}`, revision, strings.Join(s.events[:revision], ",")))
 }
 
-// wakeStreams has all streams check whether there is something to do.
+// wakeStreams wakes all stream writers, which then check whether a write or the end of their stream is due.
 func (s *discoveryService) wakeStreams() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.cond.Broadcast()
 }
 
+// close closes all listeners and connections and ends all stream writers.
 func (s *discoveryService) close() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/testbed/discovery_test.go
+++ b/internal/testbed/discovery_test.go
@@ -14,8 +14,9 @@
 	"time"
 )
 
-// newFlappingService is a list service for one director, with one event, that ends streams as they start.
-func newFlappingService(t *testing.T, what string) (*discoveryService, *flap, string) {
+// newFlappingService returns a discovery service with one director and one event, its flap, and its address for the
+// director. The flap ends each stream at its start, in the way that endMode names.
+func newFlappingService(t *testing.T, endMode string) (*discoveryService, *flap, string) {
 	t.Helper()
 	dir := t.TempDir()
 	history, err := newHistoryWriter(filepath.Join(dir, "record.jsonl"))
@@ -35,7 +36,7 @@
 		}
 	})
 	service.publish(func(n int) string { return fmt.Sprintf(`{"n":%d,"event":"the first"}`, n) }, Event{What: "list"})
-	f := &flap{modes: []string{what}}
+	f := &flap{modes: []string{endMode}}
 	service.startFlap([]int{0}, f)
 	address, err := service.listen(0)
 	if err != nil {
@@ -44,6 +45,7 @@
 	return service, f, address
 }
 
+// subscribe opens a connection to the service and subscribes from revision 0. Reads fail after 10 s.
 func subscribe(t *testing.T, address string) net.Conn {
 	t.Helper()
 	conn, err := net.Dial("tcp", address)
@@ -60,8 +62,8 @@
 	return conn
 }
 
-// recordedEvents are the events of a kind that have been recorded.
-func recordedEvents(t *testing.T, history *historyWriter, kind string) (list []Event) {
+// recordedEvents returns the events of a kind that have been recorded so far.
+func recordedEvents(t *testing.T, history *historyWriter, kind string) (events []Event) {
 	t.Helper()
 	history.mu.Lock()
 	err := history.buffer.Flush()
@@ -73,95 +75,103 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for l := range strings.Lines(string(text)) {
+	for line := range strings.Lines(string(text)) {
 		var event Event
-		if err := json.Unmarshal([]byte(l), &event); err != nil {
+		if err := json.Unmarshal([]byte(line), &event); err != nil {
 			t.Fatal(err)
 		}
 		if event.Kind == kind {
-			list = append(list, event)
+			events = append(events, event)
 		}
 	}
-	return list
+	return events
 }
 
-// awaitStreamEnd waits until the end of a stream has been recorded.
+// awaitStreamEnd waits until one end of a stream has been recorded, and checks that it is the end of d0's stream before
+// its first event, in the way that what names.
 func awaitStreamEnd(t *testing.T, service *discoveryService, what string) {
 	t.Helper()
 	for until := time.Now().Add(10 * time.Second); time.Now().Before(until); time.Sleep(time.Millisecond) {
 		if ends := recordedEvents(t, service.testbed.history, "stream"); len(ends) == 1 {
 			if ends[0].What != what || ends[0].Number != 1 || ends[0].Director != "d0" {
-				t.Errorf("recorded %+v", ends[0])
+				t.Errorf("got recorded event %+v, want what %q, number 1, director d0", ends[0], what)
 			}
 			return
 		}
 	}
-	t.Fatal("no end of the stream was recorded")
+	t.Fatal("got no recorded end of the stream within 10 s")
 }
 
-// A stream that breaks ends with a reset, one that breaks in an event with half of it; neither counts as told.
-func TestYoungStreamBreaks(t *testing.T) {
+// A flap ends a stream with a reset (break), or with half an event and a close (half). If the service recorded the
+// event as delivered ("told") in either case, the checker would take the director as notified of an event that it
+// didn't get.
+func TestStreamEndsWithResetOrTruncation(t *testing.T) {
 	service, _, address := newFlappingService(t, "break")
 	conn := subscribe(t, address)
 	if n, err := conn.Read(make([]byte, 100)); n != 0 || !errors.Is(err, syscall.ECONNRESET) {
-		t.Errorf("read %d bytes, %v", n, err)
+		t.Errorf("got %d bytes, error %v, want 0 bytes, %v", n, err, syscall.ECONNRESET)
 	}
 	awaitStreamEnd(t, service, "break")
 
-	h, _, address := newFlappingService(t, "half")
+	truncating, _, address := newFlappingService(t, "half")
 	text, err := bufio.NewReader(subscribe(t, address)).ReadString('\n')
 	if want := `{"n":1,"event`; text != want || err == nil {
-		t.Errorf("read %q, %v, want %q and the end", text, err, want)
+		t.Errorf("got %q, error %v, want %q and an error at the end of the stream", text, err, want)
 	}
-	awaitStreamEnd(t, h, "half")
-	for _, x := range []*discoveryService{service, h} {
-		if told := recordedEvents(t, x.testbed.history, "told"); len(told) > 0 {
-			t.Errorf("recorded as told: %+v", told)
+	awaitStreamEnd(t, truncating, "half")
+	for _, flapping := range []*discoveryService{service, truncating} {
+		if delivered := recordedEvents(t, flapping.testbed.history, "told"); len(delivered) > 0 {
+			t.Errorf("got events recorded as delivered %+v, want none", delivered)
 		}
 	}
 }
 
-// A stream that has fallen silent brings nothing and stays open; what is told then counts as told with the next call.
-func TestYoungStreamFallsSilent(t *testing.T) {
+// A flap makes a stream silent: the stream stays open, and nothing more is written to it. Events that are published
+// then must be written to, and recorded as delivered on, only the stream of the director's next call. Otherwise the
+// checker would take the director as notified too early.
+func TestSilentStreamStaysOpen(t *testing.T) {
 	service, flap, address := newFlappingService(t, "silent")
 	conn := subscribe(t, address)
 	awaitStreamEnd(t, service, "silent")
 	service.publish(func(n int) string { return fmt.Sprintf(`{"n":%d,"event":"the second"}`, n) }, Event{What: "purge"})
 	service.stopFlap([]int{0}, flap)
-	r := bufio.NewReader(subscribe(t, address))
+	reader := bufio.NewReader(subscribe(t, address))
 	for _, want := range []string{"the first", "the second"} {
-		if line, err := r.ReadString('\n'); err != nil || !strings.Contains(line, want) {
-			t.Fatalf("read %q, %v, want %s", line, err, want)
+		if line, err := reader.ReadString('\n'); err != nil || !strings.Contains(line, want) {
+			t.Fatalf("got line %q, error %v, want one with %q", line, err, want)
 		}
 	}
-	// The old stream is still open, and nothing has come on it.
+	// The silent stream is still open, and nothing has been written to it.
 	if err := conn.SetReadDeadline(time.Now().Add(20 * time.Millisecond)); err != nil {
 		t.Fatal(err)
 	}
 	if n, err := conn.Read(make([]byte, 100)); n != 0 || !errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Errorf("read %d bytes, %v", n, err)
+		t.Errorf("got %d bytes, error %v, want 0 bytes, %v", n, err, os.ErrDeadlineExceeded)
 	}
-	var told []Event
+	var delivered []Event
 	until := time.Now().Add(10 * time.Second)
-	for ; len(told) < 2 && time.Now().Before(until); time.Sleep(time.Millisecond) {
-		told = recordedEvents(t, service.testbed.history, "told")
+	for ; len(delivered) < 2 && time.Now().Before(until); time.Sleep(time.Millisecond) {
+		delivered = recordedEvents(t, service.testbed.history, "told")
 	}
 	calls := recordedEvents(t, service.testbed.history, "call")
-	if len(told) != 2 || len(calls) != 2 || told[0].AtMS < calls[1].AtMS {
-		t.Errorf("told %+v, calls %+v: want both told after the second call", told, calls)
+	if len(delivered) != 2 || len(calls) != 2 || delivered[0].AtMS < calls[1].AtMS {
+		t.Errorf("got delivered events %+v, calls %+v, want two events delivered after the second of two calls",
+			delivered, calls)
 	}
 }
 
-// How a director's streams end hangs on the seed, its number and their order alone, and differs between all of these.
+// The way and the age at which a flap ends a stream depend on nothing but the seed, the director's number and the
+// stream's number. They must differ between these, and be the same whenever they are drawn again: otherwise a run
+// couldn't be repeated by its seed, or all streams would end at once.
 func TestEndsOfStreamsAreDrawnBySeed(t *testing.T) {
 	begin := time.Now()
-	seen := map[time.Duration]bool{}
-	kinds := map[string]bool{}
+	ages := map[time.Duration]bool{}
+	modes := map[string]bool{}
 	for seed := range uint64(3) {
 		f := &flap{
 			seed:   seed,
 			begin:  begin,
-			modes:  []string{endBreak, endHalf, endSilent},
+			modes:  []string{endReset, endTruncated, endSilent},
 			minAge: time.Second,
 			maxAge: 3 * time.Second,
 		}
@@ -170,16 +180,18 @@
 				end := f.drawEnd(director, nth, begin.Add(time.Minute))
 				age := end.at.Sub(begin) - time.Minute
 				if age < time.Second || age > 3*time.Second || end != f.drawEnd(director, nth, begin.Add(time.Minute)) {
-					t.Errorf("seed %d, director %d, stream %d: %+v", seed, director, nth, end)
+					t.Errorf("seed %d, director %d, stream %d: got end %+v at age %v, "+
+						"want an age between 1s and 3s and the same end when drawn again", seed, director, nth, end, age)
 				}
 				if early := f.drawEnd(director, nth, begin.Add(-time.Minute)); early.at != begin.Add(age) {
-					t.Errorf("a stream that was up before the flap ends at %v, not %v after its begin", early.at, age)
+					t.Errorf("stream opened before the flap: got end at %v, want %v (%v after the flap's begin)",
+						early.at, begin.Add(age), age)
 				}
-				seen[age], kinds[end.mode] = true, true
+				ages[age], modes[end.mode] = true, true
 			}
 		}
 	}
-	if len(seen) != 60 || len(kinds) != 3 {
-		t.Errorf("%d ages for 60 streams, ends %v", len(seen), kinds)
+	if len(ages) != 60 || len(modes) != 3 {
+		t.Errorf("got %d different ages of 60 streams, ends %v, want 60 and all 3 ends", len(ages), modes)
 	}
 }
--- a/internal/testbed/discoverystream.go
+++ b/internal/testbed/discoverystream.go
@@ -10,24 +10,26 @@
 )
 
 const (
-	// resetDelay is for how long a stream that is about to be reset says nothing: a reset takes away what has arrived
-	// and was not read yet, and what has been recorded as told must have been read.
+	// resetDelay is the pause without writes before a flap resets a stream. A reset discards data that the director has
+	// received but not read yet, and events that the history records as delivered ("told") must have been read.
 	resetDelay = 10 * time.Millisecond
 
-	halfCloseDelay   = 20 * time.Millisecond // after half a list, before the connection is closed
-	heartbeatEvery   = time.Second
-	heartbeatDue     = 900 * time.Millisecond // since the last line
-	minCapacityShare = 1e-3
+	truncatedCloseDelay = 20 * time.Millisecond // between writing half of the endpoint list and the close
+	heartbeatInterval   = time.Second
+	heartbeatIdle       = 900 * time.Millisecond // time without a write after which a heartbeat is written
+	minCapacityFactor   = 1e-3
 )
 
-// Ways in which a flap ends a stream.
+// Ways in which a flap ends a stream, as experiments and histories name them.
 const (
-	endBreak  = "break"  // a reset
-	endHalf   = "half"   // half of an event, and a close
-	endSilent = "silent" // it stays open, and nothing comes
+	endReset     = "break"  // the connection is reset
+	endTruncated = "half"   // the first half of an event is written, then the connection is closed
+	endSilent    = "silent" // the connection stays open, and nothing more is written
 )
 
-// serveCall serves one call: it waits for its turn, is answered and becomes a stream.
+// serveCall serves one call of a director. It reads the subscription, waits in the queue, writes the director's event
+// stream and records how the call went. In modeHang it writes nothing until the director closes the connection, in
+// modeTruncated it writes half of the endpoint list, and with a full queue it resets the connection.
 func (s *discoveryService) serveCall(director int, tcp *net.TCPConn) {
 	defer func() { _ = tcp.Close() }()
 	recordCall := func(what string, waited time.Duration) {
@@ -36,8 +38,8 @@
 	}
 	conn := s.testbed.faults.wrap(tcp, "list", director)
 	line, err := bufio.NewReader(tcp).ReadString('\n')
-	var last int
-	if _, scanErr := fmt.Sscanf(line, "SUB %d", &last); err != nil || scanErr != nil {
+	var lastKnown int
+	if _, scanErr := fmt.Sscanf(line, "SUB %d", &lastKnown); err != nil || scanErr != nil {
 		recordCall("hung up", 0)
 		return
 	}
@@ -50,68 +52,70 @@
 		s.awaitClose(tcp)
 		return
 	}
-	if s.waiting >= s.maxQueue {
+	if s.queuedCalls >= s.maxQueue {
 		s.mu.Unlock()
 		recordCall("turned away", 0)
 		resetConn(tcp)
 		return
 	}
-	wait := s.queueCall()
+	wait := s.enqueueCall()
 	s.streams[tcp] = true
 	s.mu.Unlock()
 
 	called := time.Now()
-	gone := make(chan struct{})
+	disconnected := make(chan struct{})
 	go func() {
 		s.awaitClose(tcp)
-		close(gone)
+		close(disconnected)
 	}()
-	if !s.awaitTurn(wait, gone) {
+	if !s.awaitTurn(wait, disconnected) {
 		recordCall("timed out", time.Since(called))
 		return
 	}
-	if mode == modeHalf {
+	if mode == modeTruncated {
 		s.mu.Lock()
 		list := s.events[0]
 		s.mu.Unlock()
 		_, _ = fmt.Fprint(conn, list[:len(list)/2])
 		recordCall("half", wait)
-		time.Sleep(halfCloseDelay)
+		time.Sleep(truncatedCloseDelay)
 		return
 	}
 	recordCall("served", wait)
-	s.serveStream(director, conn, last, gone)
+	s.serveStream(director, conn, lastKnown, disconnected)
 }
 
-// queueCall takes a call into the queue and returns how long it waits. It is called with the lock held.
-func (s *discoveryService) queueCall() time.Duration {
-	s.waiting++
+// enqueueCall adds a call to the queue and returns the time until the call has been served. The caller holds the lock.
+func (s *discoveryService) enqueueCall() time.Duration {
+	s.queuedCalls++
 	now := time.Now()
 	if s.nextFree.Before(now) {
 		s.nextFree = now
 	}
-	s.nextFree = s.nextFree.Add(time.Duration(float64(s.callTime) / max(s.capacityFactor, minCapacityShare)))
+	s.nextFree = s.nextFree.Add(time.Duration(float64(s.callTime) / max(s.capacityFactor, minCapacityFactor)))
 	return s.nextFree.Sub(now)
 }
 
-// awaitTurn waits until a queued call is served; false: the director has hung up. Its turn is lost all the same: the
-// service does not see that nobody waits.
-func (s *discoveryService) awaitTurn(wait time.Duration, gone chan struct{}) bool {
+// awaitTurn waits until a queued call has been served. It returns false if the director disconnects before that. The
+// call of a disconnected director still takes its server time, because the service does not notice that its caller has
+// gone.
+func (s *discoveryService) awaitTurn(wait time.Duration, disconnected chan struct{}) bool {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	served := true
 	select {
 	case <-timer.C:
-	case <-gone:
+	case <-disconnected:
 		served = false
 	}
 	s.mu.Lock()
-	s.waiting--
+	s.queuedCalls--
 	s.mu.Unlock()
 	return served
 }
 
-// awaitClose reads until the other side ends the connection.
+// awaitClose reads and discards what arrives on a connection until reading fails, then removes the connection from the
+// open streams and wakes the stream writers.
 func (s *discoveryService) awaitClose(conn net.Conn) {
 	var buffer [64]byte
 	for {
@@ -125,50 +129,54 @@
 	s.mu.Unlock()
 }
 
-// stream is a stream to a director, written by one goroutine.
+// stream is an event stream to a director. One goroutine, the stream's writer, writes it.
 type stream struct {
-	service  *discoveryService
-	director int
-	number   int // of the director's streams
-	conn     *faultyConn
-	gone     chan struct{} // closed when the director has hung up
+	service      *discoveryService
+	director     int
+	number       int // among the director's streams, from 1
+	conn         *faultyConn
+	disconnected chan struct{} // closed when the director has closed the connection
 
-	opened    time.Time
-	last      int // revision that was written last
-	lastWrite time.Time
-	flap      *flap // that end was drawn from; nil: none
-	end       streamEnd
-	endTimers []*time.Timer // wake the writer when end is due
+	opened      time.Time
+	lastWritten int       // revision of the latest event written, or known to the director when it called
+	lastWrite   time.Time // of events or a heartbeat
+	flap        *flap     // that end was drawn from; nil: none
+	end         streamEnd
+	endTimers   []*time.Timer // wake the writer when end is due
 }
 
-// serveStream writes all that is new, and each second the last revision, until the director hangs up or a flap ends it.
-func (s *discoveryService) serveStream(director int, conn *faultyConn, last int, gone chan struct{}) {
-	st := &stream{service: s, director: director, conn: conn, gone: gone, opened: time.Now(), last: last}
+// serveStream writes all events after lastKnown as they are published, and between them a heartbeat with the last
+// revision about once a second. It returns when the director disconnects or opens a newer stream, when a flap ends the
+// stream, or when the service closes.
+func (s *discoveryService) serveStream(director int, conn *faultyConn, lastKnown int, disconnected chan struct{}) {
+	st := &stream{service: s, director: director, conn: conn, disconnected: disconnected, opened: time.Now(),
+		lastWritten: lastKnown}
 	s.mu.Lock()
 	s.streamCount[director]++
 	st.number = s.streamCount[director]
 	s.mu.Unlock()
 	done := make(chan struct{})
 	defer close(done)
-	go st.wakeRegularly(done)
+	go st.wakeWriter(done)
 	defer st.stopTimers()
 	for st.writeNext() {
 	}
 }
 
-// wakeRegularly wakes the writer for its heartbeats, and when the director has hung up.
-func (st *stream) wakeRegularly(done chan struct{}) {
-	heartbeat := time.NewTicker(heartbeatEvery)
+// wakeWriter wakes the writer once per heartbeat interval and when the director has disconnected. It returns when the
+// director has disconnected or done is closed.
+func (st *stream) wakeWriter(done chan struct{}) {
+	heartbeat := time.NewTicker(heartbeatInterval)
 	defer heartbeat.Stop()
 	for {
 		select {
 		case <-heartbeat.C:
-		case <-st.gone:
+		case <-st.disconnected:
 		case <-done:
 			return
 		}
 		st.service.cond.Broadcast()
-		if st.hungUp() {
+		if st.isDisconnected() {
 			return
 		}
 	}
@@ -180,16 +188,18 @@
 	}
 }
 
-func (st *stream) hungUp() bool {
+// isDisconnected reports whether the director has closed the connection.
+func (st *stream) isDisconnected() bool {
 	select {
-	case <-st.gone:
+	case <-st.disconnected:
 		return true
 	default:
 		return false
 	}
 }
 
-// writeNext waits until there is something to write and writes it; false: the stream has ended.
+// writeNext waits until events, a heartbeat or the stream's end are due. It writes the events or the heartbeat and
+// records each event as delivered ("told"). It returns false when the stream has ended.
 func (st *stream) writeNext() bool {
 	service := st.service
 	service.mu.Lock()
@@ -197,37 +207,39 @@
 		service.mu.Unlock()
 		return false
 	}
-	replaced := st.number != service.streamCount[st.director] // the director has called again
+	replaced := st.number != service.streamCount[st.director] // the director has opened a newer stream
 	if service.closed || replaced {
 		service.mu.Unlock()
 		return false
 	}
-	if st.end.due() && (st.end.mode != endHalf || service.lastRevision() > st.last) {
-		st.finish()
+	if st.end.due() && (st.end.mode != endTruncated || service.lastRevision() > st.lastWritten) {
+		st.endByFlap()
 		return false
 	}
-	before, head := st.last, service.lastRevision()
-	text := fmt.Sprintf("%d\n", head)
-	if head > before {
-		text = strings.Join(service.events[before:head], "\n") + "\n"
-		st.last = head
+	before, latest := st.lastWritten, service.lastRevision()
+	text := fmt.Sprintf("%d\n", latest)
+	if latest > before {
+		text = strings.Join(service.events[before:latest], "\n") + "\n"
+		st.lastWritten = latest
 	}
 	service.mu.Unlock()
 	if _, err := st.conn.Write([]byte(text)); err != nil {
 		return false
 	}
 	st.lastWrite = time.Now()
-	for revision := before + 1; revision <= head; revision++ {
+	for revision := before + 1; revision <= latest; revision++ {
 		service.testbed.history.record(Event{Kind: "told", Director: directorName(st.director), Number: revision})
 	}
 	return true
 }
 
-// awaitWork waits, with the service's lock held, until there is something to do; false: the director has hung up.
+// awaitWork waits until new events, a heartbeat or the stream's end are due, or the service is closed. It returns false
+// if the director has disconnected. When a flap of the director's streams has started or stopped, it draws the stream's
+// end anew. The caller holds the service's lock, which awaitWork releases while it waits.
 func (st *stream) awaitWork() bool {
 	service := st.service
 	for {
-		if st.hungUp() {
+		if st.isDisconnected() {
 			return false
 		}
 		if flap := service.flaps[st.director]; flap != st.flap {
@@ -236,46 +248,49 @@
 				st.endTimers = append(st.endTimers, time.AfterFunc(time.Until(st.end.at), service.wakeStreams))
 			}
 		}
-		ends := st.end.due() && st.end.mode != endHalf
-		if service.closed || service.lastRevision() > st.last || ends || time.Since(st.lastWrite) >= heartbeatDue {
+		ends := st.end.due() && st.end.mode != endTruncated
+		if service.closed || service.lastRevision() > st.lastWritten || ends ||
+			time.Since(st.lastWrite) >= heartbeatIdle {
 			return true
 		}
 		service.cond.Wait()
 	}
 }
 
-// finish ends the stream as its flap says. It is called with the service's lock held, and releases it.
-func (st *stream) finish() {
+// endByFlap ends the stream in the way that was drawn from its flap, and records this. The caller holds the service's
+// lock, which endByFlap releases. With endSilent it returns only when the director disconnects.
+func (st *stream) endByFlap() {
 	service := st.service
 	half := ""
-	if st.end.mode == endHalf {
-		event := service.events[st.last]
+	if st.end.mode == endTruncated {
+		event := service.events[st.lastWritten]
 		half = event[:len(event)/2]
 	}
 	age := float64(time.Since(st.opened).Microseconds()) / 1000
 	service.testbed.history.record(Event{Kind: "stream", Director: directorName(st.director), What: st.end.mode,
-		Number: st.last + 1, Value: age})
+		Number: st.lastWritten + 1, Value: age})
 	service.mu.Unlock()
 	switch st.end.mode {
-	case endHalf:
+	case endTruncated:
 		_, _ = st.conn.Write([]byte(half))
-	case endBreak:
+	case endReset:
 		time.Sleep(resetDelay)
 		resetConn(st.conn.Conn)
 	case endSilent:
-		<-st.gone
+		<-st.disconnected
 	}
 }
 
-// flap ends streams of the list service while they are young, again and again.
+// flap ends each stream of the directors that it applies to after a random age, in a random way. The directors call
+// again, and the flap ends their next streams too, until it is stopped.
 type flap struct {
 	seed           uint64
 	begin          time.Time
-	modes          []string // drawn evenly
+	modes          []string // ways of ending a stream, drawn with equal probability
 	minAge, maxAge time.Duration
 }
 
-// streamEnd is how and when a stream ends; the zero value: not by a flap.
+// streamEnd is how and when a flap ends a stream. The zero value means that no flap ends it.
 type streamEnd struct {
 	mode string
 	at   time.Time
@@ -283,8 +298,9 @@
 
 func (e streamEnd) due() bool { return e.mode != "" && !time.Now().Before(e.at) }
 
-// drawEnd draws the end of a director's nth stream, by the seed and these numbers alone. The age counts from its start,
-// or from the flap's begin where it was up by then. Half an event ends it as the first event comes after that.
+// drawEnd returns the end of a director's nth stream. It depends on the flap's seed, the director and nth alone, apart
+// from the start of the stream's age: when the stream was opened, or the flap's begin if that is later. A stream with
+// endTruncated ends at the first event that is due at or after this age. A nil flap ends no stream.
 func (f *flap) drawEnd(director, nth int, opened time.Time) streamEnd {
 	if f == nil {
 		return streamEnd{}
@@ -298,7 +314,7 @@
 	return streamEnd{mode: mode, at: opened.Add(age)}
 }
 
-// startFlap ends the streams of directors from now on.
+// startFlap applies a flap to the open and future streams of directors, from now on.
 func (s *discoveryService) startFlap(directors []int, f *flap) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -309,7 +325,8 @@
 	s.cond.Broadcast()
 }
 
-// stopFlap leaves the streams alone that a flap would have ended.
+// stopFlap stops a flap for directors: their streams that it has not ended yet stay open. A director to which another
+// flap has been applied since keeps that one.
 func (s *discoveryService) stopFlap(directors []int, f *flap) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/testbed/experiment.go
+++ b/internal/testbed/experiment.go
@@ -10,16 +10,17 @@
 	"shaleyard/internal/strictconfig"
 )
 
-// Experiment is a script: a fleet, what it stands between, which faults are injected when, and which bounds must hold.
+// Experiment is one experiment file: the fleet of directors, the stand-ins around it, the faults that are injected and
+// their times, and the bounds on the run's metrics.
 type Experiment struct {
 	Name      string  `toml:"name"`
 	About     string  `toml:"about"`
 	Directors int     `toml:"directors"`
-	Branches  int     `toml:"branches"` // directors, caches and clients are spread over them
-	Hubs      int     `toml:"hubs"`     // parents are spread over them; each branch is attached to one
-	Seconds   float64 `toml:"seconds"`  // of load; the run ends when all is answered, some seconds later
+	Branches  int     `toml:"branches"` // number of branches; directors, caches and clients are spread over them
+	Hubs      int     `toml:"hubs"`     // number of hubs; parents are spread over them, and each branch has one hub
+	Seconds   float64 `toml:"seconds"`  // duration of the load; the run ends seconds later, with the last answer
 	Seed      uint64  `toml:"seed"`
-	Sockets   int     `toml:"sockets"` // descriptors that a director may hold
+	Sockets   int     `toml:"sockets"` // limit on a director's open file descriptors
 
 	Discovery   DiscoverySpec `toml:"list"`
 	Caches      ServerSpec    `toml:"caches"`
@@ -30,83 +31,88 @@
 	Bounds      []Bound       `toml:"bound"`
 }
 
-// DiscoverySpec is the list service: one server of fixed capacity for all directors.
+// DiscoverySpec configures the discovery service: one server of fixed capacity that all directors call.
 type DiscoverySpec struct {
-	CallsPerSecond float64 `toml:"calls_per_second"` // 0: as many as there are directors in 1.5 s
-	Queue          int     `toml:"queue"`            // calls that wait; further ones are rejected. 0: a second's worth
-	// its mode as the directors start: well (or empty), down, hang, half
+	CallsPerSecond float64 `toml:"calls_per_second"` // capacity; 0: one call per director in 1.5 s
+	Queue          int     `toml:"queue"`            // calls that may wait, others are reset; 0: those of one second
+	// Begin is the service's mode when the directors start: well (or empty), down, hang or half.
 	Begin string `toml:"begin"`
 }
 
-// ServerSpec is a group of caches or parents.
+// ServerSpec configures the group of caches or the group of parents.
 type ServerSpec struct {
-	Count          int     `toml:"count"`
-	Weight         float64 `toml:"weight"`     // transfers at full rate that the link carries
-	MaxConns       int     `toml:"conns"`      // connections accepted; 0: any number
-	FillSlots      int     `toml:"fill_slots"` // fills at once; 0: any number
-	ColdFrom       float64 `toml:"cold_from"`  // fraction of its capacity that a cold server starts with
-	RampMS         float64 `toml:"ramp_ms"`    // until it has all of it
-	FallMS         float64 `toml:"fall_ms"`    // window over which work counts for its collapse
-	Multiple       float64 `toml:"multiple"`   // of its present capacity at which it collapses
-	LatencyMS      float64 `toml:"latency_ms"`
-	Cold           bool    `toml:"cold"`  // starts with the run, empty; otherwise it has been up for long
-	CoalescesFills bool    `toml:"joins"` // requests may join a fill under way
+	Count     int     `toml:"count"`
+	Weight    float64 `toml:"weight"`     // concurrent transfers that the server's link carries at full rate
+	MaxConns  int     `toml:"conns"`      // limit on open connections; 0: no limit
+	FillSlots int     `toml:"fill_slots"` // limit on concurrent fills; 0: no limit
+	ColdFrom  float64 `toml:"cold_from"`  // fraction of its capacity that a cold server starts with
+	RampMS    float64 `toml:"ramp_ms"`    // time in which a cold server's capacity rises to the full one
+	FallMS    float64 `toml:"fall_ms"`    // window in which arriving work is compared with a cold server's capacity
+	Multiple  float64 `toml:"multiple"`   // of a cold server's present capacity; more work collapses the server
+	LatencyMS float64 `toml:"latency_ms"`
+	// Cold makes the servers start empty and at ColdFrom of their capacity. Otherwise they start at full capacity and,
+	// if neither group is cold, with copies of the more popular half of the objects.
+	Cold           bool `toml:"cold"`
+	CoalescesFills bool `toml:"joins"` // a request may wait for a fill of the same object that is in progress
 }
 
-// OriginSpec is the origin, which holds all objects.
+// OriginSpec configures the origin, which holds all objects.
 type OriginSpec struct {
-	PerSecond float64 `toml:"per_second"` // fetches that it can do; further ones are rejected
+	PerSecond float64 `toml:"per_second"` // limit on calls within a second; calls above it are rejected
 	LatencyMS float64 `toml:"latency_ms"`
 }
 
-// ClientSpec is the load of all clients together.
+// ClientSpec configures the load that all clients generate together.
 type ClientSpec struct {
-	PerSecond   float64 `toml:"per_second"`
-	Objects     int     `toml:"objects"`
-	Zipf        float64 `toml:"zipf"`
-	Repayments  float64 `toml:"repayments"` // share of requests
-	MaxAttempts int     `toml:"tries"`      // at one request by its client
-	Skew        float64 `toml:"skew"`       // multiple of the mean load that director 0 gets; 0: the mean
-	TransferMS  float64 `toml:"transfer_ms"`
-	// share of requests whose client closes its connection or cancels, by turns
+	PerSecond   float64 `toml:"per_second"`  // mean rate of requests
+	Objects     int     `toml:"objects"`     // number of different objects
+	Zipf        float64 `toml:"zipf"`        // exponent of the objects' popularity
+	Repayments  float64 `toml:"repayments"`  // share of requests that are repayments
+	MaxAttempts int     `toml:"tries"`       // a client's attempts at one request, the first included
+	Skew        float64 `toml:"skew"`        // multiple of the mean load that director 0 gets; 0: the mean
+	TransferMS  float64 `toml:"transfer_ms"` // time to transfer an object of mean size at full rate
+	// LeaveShare is the share of attempts that the client gives up early: one half by closing the connection, the other
+	// half by cancelling the request.
 	LeaveShare   float64 `toml:"leave"`
-	LeaveAfterMS float64 `toml:"leave_ms"`   // on average, if it has no answer by then
-	SizeSigma    float64 `toml:"size_sigma"` // of the logarithm of objects' sizes; 0: all have the mean
+	LeaveAfterMS float64 `toml:"leave_ms"`   // mean time after which the client gives up an attempt without an answer
+	SizeSigma    float64 `toml:"size_sigma"` // standard deviation of the logarithm of object sizes; 0: all are equal
 }
 
-// FaultEvent is a fault that is injected at a time, and taken back after some seconds where it can be.
+// FaultEvent is a fault that is injected at a time of the run and, if it has a duration and can be undone, undone after
+// it.
 type FaultEvent struct {
-	At              float64 `toml:"at"` // seconds of load
-	Action          string  `toml:"do"`
-	Share           float64 `toml:"share"`  // of the directors or servers that are drawn for it by the seed; 0: all
-	Duration        float64 `toml:"for"`    // seconds; 0: for good
-	Factor          float64 `toml:"factor"` // of capacity, or of load
-	ForgottenEvents int     `toml:"back"`   // events that the list service forgets
-	ReplaceOver     float64 `toml:"over"`   // seconds over which the servers are replaced in turn
-	DelayMS         float64 `toml:"delay_ms"`
-	Link            string  `toml:"link"`  // list, caches, parents or clients: between those and the drawn directors
-	Site            string  `toml:"site"`  // branch-1 or hub-1 and so on: only its directors or servers
-	ListDelay       float64 `toml:"late"`  // seconds by which the list tells of a site late
-	OnlyDirector    int     `toml:"only"`  // the one director that it is done to, counted from 1; 0: the share
-	Count           int     `toml:"count"` // connections to each director; purges within the duration
-	RetainCopies    float64 `toml:"keep"`  // seconds for which servers keep copies from before a purge; 0: 2
-	// Of list-flap: how streams end (break, half, silent), drawn evenly, and the ages in seconds between which they do.
+	At              float64 `toml:"at"`       // seconds since the start of the load
+	Action          string  `toml:"do"`       // a key of faultTargets
+	Share           float64 `toml:"share"`    // share of the directors or servers affected, drawn by the seed; 0: all
+	Duration        float64 `toml:"for"`      // seconds; 0: the fault is never undone
+	Factor          float64 `toml:"factor"`   // multiple of the normal capacity or load; 0: 1
+	ForgottenEvents int     `toml:"back"`     // latest events that the discovery service loses with list-older; 0: 1
+	ReplaceOver     float64 `toml:"over"`     // seconds over which the replacements of the servers are spread
+	DelayMS         float64 `toml:"delay_ms"` // added to each message on a link (delay), or between two bytes (drip)
+	Link            string  `toml:"link"`     // list, caches, parents or clients: their links to the affected directors
+	Site            string  `toml:"site"`     // a branch-N or hub-N: affects only directors or servers of this site
+	ListDelay       float64 `toml:"late"`     // seconds by which discovery publishes the kill and return of servers late
+	OnlyDirector    int     `toml:"only"`     // number of the only director affected, from 1; 0: share applies
+	Count           int     `toml:"count"`    // idle connections to each director, or purges within the duration
+	RetainCopies    float64 `toml:"keep"`     // seconds for which servers keep copies from before a purge; 0: 2
+	// StreamEnds is how list-flap ends streams: any of break, half and silent, drawn with equal probability. A stream
+	// ends at an age between MinStreamAge and MaxStreamAge seconds.
 	StreamEnds   []string `toml:"ends"`
 	MinStreamAge float64  `toml:"age_from"`
 	MaxStreamAge float64  `toml:"age_to"`
 }
 
-// Bound limits a metric.
+// Bound is a limit on a metric of the run.
 type Bound struct {
 	Metric string   `toml:"figure"`
 	Max    *float64 `toml:"most"`
 	Min    *float64 `toml:"least"`
-	// BaselineTimes limits the metric by a multiple of the baseline's, where one was played: as maximum, or with a
-	// minus sign as minimum.
+	// BaselineTimes limits the metric by a multiple of the baseline run's value, if there is a baseline run. A positive
+	// BaselineTimes sets a maximum; a negative one sets a minimum of its absolute value times the baseline's.
 	BaselineTimes float64 `toml:"baseline_times"`
 }
 
-// What faults are injected into.
+// Kinds of targets that fault events affect.
 const (
 	targetDirectors = "directors"
 	targetList      = "list"
@@ -115,10 +121,10 @@
 	targetOrigin    = "origin"
 	targetSite      = "site"
 	targetLink      = "link"
-	targetNone      = ""
+	targetNone      = "" // purge and burst, which draw no target
 )
 
-// faultTargets are the actions of fault events, and what each is done to.
+// faultTargets holds the target that each action of a fault event affects. Its keys are all known actions.
 var faultTargets = map[string]string{
 	"idle":            targetDirectors,
 	"kill":            targetDirectors,
@@ -153,7 +159,7 @@
 	"drip":            targetLink,
 }
 
-// LoadExperiment reads an experiment. An error names the file, the line and the key.
+// LoadExperiment reads and checks an experiment file. An error about its content names the file, the line and the key.
 func LoadExperiment(path string) (*Experiment, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -162,19 +168,21 @@
 	return ParseExperiment(path, text)
 }
 
-// ParseExperiment checks the text of an experiment; the name of its file is for errors.
+// ParseExperiment parses and checks the text of an experiment file. The experiment's default name is the base name of
+// file without .toml. An error names file, the line and the key.
 func ParseExperiment(file string, text []byte) (*Experiment, error) {
 	experiment := defaultExperiment()
 	experiment.Name = strings.TrimSuffix(filepath.Base(file), ".toml")
 	if err := strictconfig.Decode(file, text, experiment); err != nil {
 		return nil, err
 	}
-	if invalid := experiment.firstInvalid(); invalid != nil {
+	if invalid := experiment.validate(); invalid != nil {
 		return nil, fmt.Errorf("%s:%d: %w", file, strictconfig.FindLine(text, invalid.key), invalid)
 	}
 	return experiment, nil
 }
 
+// defaultExperiment returns the values of all keys that an experiment file doesn't set.
 func defaultExperiment() *Experiment {
 	return &Experiment{
 		Directors: 24,
@@ -193,7 +201,7 @@
 	}
 }
 
-// siteNames are the names of all sites: hubs, then branches.
+// siteNames returns the names of all sites: the hubs, then the branches.
 func (x *Experiment) siteNames() []string {
 	names := make([]string, 0, x.Hubs+x.Branches)
 	for i := range x.Hubs {
@@ -205,7 +213,8 @@
 	return names
 }
 
-// Scale plays the experiment with another number of directors: the load, and what the servers bear, go with it.
+// Scale changes the number of directors. It scales the load and the capacities of the discovery service, the caches,
+// the parents and the origin by the same factor.
 func (x *Experiment) Scale(directors int) {
 	factor := float64(directors) / float64(x.Directors)
 	x.Directors = directors
@@ -219,7 +228,8 @@
 	}
 }
 
-// CheckBounds holds metrics against the experiment's bounds; those that need a baseline count only where there is one.
+// CheckBounds returns the violations of the experiment's bounds by the metrics. If baseline is nil, it skips the limits
+// that refer to a baseline.
 func (x *Experiment) CheckBounds(metrics, baseline map[string]float64) []checker.Violation {
 	var violations []checker.Violation
 	for _, bound := range x.Bounds {
@@ -230,7 +240,7 @@
 	return violations
 }
 
-// violations says how a value breaks the bound. The baseline may be nil.
+// violations returns a description of each limit of the bound that value breaks. The baseline may be nil.
 func (b Bound) violations(value float64, baseline map[string]float64) []string {
 	var details []string
 	if b.Max != nil && value > *b.Max {
--- a/internal/testbed/faultactions.go
+++ b/internal/testbed/faultactions.go
@@ -11,31 +11,32 @@
 )
 
 const (
-	defaultRetention = 2 * time.Second // of copies from before a purge
-	popularObjects   = 8               // that purges are drawn from
-	maxDrainTime     = 300 * time.Millisecond
+	defaultRetention = 2 * time.Second        // for which servers keep copies from before a purge
+	popularObjects   = 8                      // number of most popular objects from which purged ones are drawn
+	maxDrainTime     = 300 * time.Millisecond // between draining a server and replacing it
 )
 
-// action injects a fault or takes it back.
+// action injects a fault or undoes it.
 type action = func() error
 
-// always is an action that can't fail.
-func always(f func()) action {
+// noError returns an action that runs f and never fails.
+func noError(f func()) action {
 	return func() error {
 		f()
 		return nil
 	}
 }
 
-// faultActions are what a fault event does, and what takes it back; nil: nothing does.
+// faultActions returns the actions that inject a fault event's fault and undo it. undo is nil if the fault can't be
+// undone. rng draws the affected targets and objects.
 func (t *Testbed) faultActions(event FaultEvent, rng *rand.Rand) (inject, undo action) {
 	switch faultTargets[event.Action] {
 	case targetSite:
 		return t.siteFaultActions(event, rng)
 	case targetDirectors:
-		return t.directorActions(event, t.targetDirectors(event, rng))
+		return t.directorActions(event, t.selectDirectors(event, rng))
 	case targetLink:
-		return t.linkActions(event, t.targetDirectors(event, rng))
+		return t.linkActions(event, t.selectDirectors(event, rng))
 	case targetList:
 		return t.listActions(event)
 	case targetCaches, targetParents:
@@ -44,17 +45,18 @@
 	return t.otherActions(event, rng)
 }
 
-// targetDirectors are the directors that an event is done to.
-func (t *Testbed) targetDirectors(event FaultEvent, rng *rand.Rand) []int {
+// selectDirectors returns the numbers of the directors that an event affects: the only one that it names, or those that
+// drawDirectors draws.
+func (t *Testbed) selectDirectors(event FaultEvent, rng *rand.Rand) []int {
 	if event.OnlyDirector > 0 {
 		return []int{event.OnlyDirector - 1}
 	}
-	return t.pickDirectors(rng, event)
+	return t.drawDirectors(rng, event)
 }
 
-// pickDirectors draws a share of the directors, or of those of a site: of a hub, those whose branches are attached to
-// it.
-func (t *Testbed) pickDirectors(rng *rand.Rand, event FaultEvent) []int {
+// drawDirectors draws the event's share of all directors or, if the event has a site, of the site's directors. The
+// directors of a hub are those whose branch is attached to the hub.
+func (t *Testbed) drawDirectors(rng *rand.Rand, event FaultEvent) []int {
 	var candidates []int
 	for i := range t.experiment.Directors {
 		branch := t.branchOfDirector(i)
@@ -62,15 +64,16 @@
 			candidates = append(candidates, i)
 		}
 	}
-	ids := pickShare(rng, len(candidates), event.Share)
+	ids := drawShare(rng, len(candidates), event.Share)
 	for i, k := range ids {
 		ids[i] = candidates[k]
 	}
 	return ids
 }
 
-// pickShare draws a share of n, by the seed of its event; a share of 0 means all.
-func pickShare(rng *rand.Rand, n int, share float64) []int {
+// drawShare draws a share of the numbers from 0 to n-1, at least one, and returns them in ascending order. A share of 0
+// means all.
+func drawShare(rng *rand.Rand, n int, share float64) []int {
 	if share == 0 {
 		share = 1
 	}
@@ -79,9 +82,12 @@
 	return ids
 }
 
+// directorActions returns the actions on directors: idle connections, signals, restarts and flaps of their streams.
+// undo starts killed and terminated directors again, continues stopped ones, closes the connections and stops the
+// flap.
 func (t *Testbed) directorActions(event FaultEvent, ids []int) (inject, undo action) {
 	signal := func(s syscall.Signal, what string) action {
-		return always(func() {
+		return noError(func() {
 			for _, id := range ids {
 				t.directors[id].signal(s, what)
 			}
@@ -90,9 +96,9 @@
 	restart := func() error { return t.restart(ids) }
 	switch event.Action {
 	case "idle":
-		var held []net.Conn
-		return always(func() { held = t.openIdleConns(ids, event.Count) }), always(func() {
-			for _, conn := range held {
+		var conns []net.Conn
+		return noError(func() { conns = t.openIdleConns(ids, event.Count) }), noError(func() {
+			for _, conn := range conns {
 				_ = conn.Close()
 			}
 		})
@@ -113,37 +119,42 @@
 		minAge: seconds(event.MinStreamAge),
 		maxAge: seconds(event.MaxStreamAge),
 	}
-	return always(func() { t.discovery.startFlap(ids, f) }), always(func() { t.discovery.stopFlap(ids, f) })
+	return noError(func() { t.discovery.startFlap(ids, f) }), noError(func() { t.discovery.stopFlap(ids, f) })
 }
 
-// openIdleConns opens connections to directors that say nothing, and leaves them so. One that is rejected stays away.
+// openIdleConns opens count connections to each director and returns them. Nothing is sent on them. A connection that
+// can't be opened within a second is not retried.
 func (t *Testbed) openIdleConns(ids []int, count int) []net.Conn {
-	var held []net.Conn
+	var conns []net.Conn
 	for _, id := range ids {
 		for range count {
 			if conn, err := net.DialTimeout("tcp", t.directors[id].addr(), time.Second); err == nil {
-				held = append(held, conn)
+				conns = append(conns, conn)
 			}
 		}
 	}
-	return held
+	return conns
 }
 
+// linkActions returns the actions that put a fault on an event's link to the directors and remove it. Both record it.
 func (t *Testbed) linkActions(event FaultEvent, ids []int) (inject, undo action) {
-	set := func(what string, new fault) action {
-		return always(func() {
+	set := func(what string, newFault fault) action {
+		return noError(func() {
 			t.history.record(Event{Kind: "link", Who: event.Link, What: what, Number: len(ids)})
-			t.faults.set(event.Link, ids, new)
+			t.faults.set(event.Link, ids, newFault)
 		})
 	}
 	delay := time.Duration(event.DelayMS * float64(time.Millisecond))
 	return set(event.Action, fault{kind: event.Action, delay: delay}), set("well", fault{})
 }
 
+// listActions returns the actions on the discovery service: changes of its mode or capacity, and resets of all streams,
+// which have no undo. An undo action sets modeWell; after a time in modeDown, modeHang or modeTruncated, the service
+// comes back with the event's factor as its capacity.
 func (t *Testbed) listActions(event FaultEvent) (inject, undo action) {
 	factor := factorOf(event)
 	setMode := func(mode string, factor float64, forgotten int) action {
-		return always(func() { t.discovery.setMode(mode, factor, forgotten) })
+		return noError(func() { t.discovery.setMode(mode, factor, forgotten) })
 	}
 	switch event.Action {
 	case "list-well", "list-slow":
@@ -151,55 +162,59 @@
 	case "list-down", "list-hang", "list-half":
 		return setMode(strings.TrimPrefix(event.Action, "list-"), 1, 0), setMode(modeWell, factor, 0)
 	case "list-older":
-		return setMode(modeOlder, 1, max(event.ForgottenEvents, 1)), setMode(modeWell, 1, 0)
+		return setMode(modeRolledBack, 1, max(event.ForgottenEvents, 1)), setMode(modeWell, 1, 0)
 	}
-	return always(t.discovery.breakStreams), nil
+	return noError(t.discovery.breakStreams), nil
 }
 
+// serverActions returns the actions on a drawn share of the caches, or of the parents with replace-parents. Only
+// silence-caches has an undo action.
 func (t *Testbed) serverActions(event FaultEvent, rng *rand.Rand) (inject, undo action) {
-	drawnCaches := func() []*server { return t.cachesAt(pickShare(rng, len(t.caches), event.Share)) }
+	drawCaches := func() []*server { return t.cachesAt(drawShare(rng, len(t.caches), event.Share)) }
 	switch event.Action {
 	case "replace", "replace-parents":
 		return func() error { return t.replaceServers(event, rng) }, nil
 	case "drain":
-		return always(func() {
-			for _, cache := range drawnCaches() {
+		return noError(func() {
+			for _, cache := range drawCaches() {
 				t.publishState(cache, "draining")
 			}
 		}), nil
 	case "kill-caches":
-		return always(func() {
-			for _, cache := range drawnCaches() {
+		return noError(func() {
+			for _, cache := range drawCaches() {
 				cache.stop("down")
 			}
 		}), nil
 	}
-	drawn := pickShare(rng, len(t.caches), event.Share)
-	var silenced []*server // released are those that were silenced, also where they have been replaced
+	drawn := drawShare(rng, len(t.caches), event.Share)
+	// The undo action applies to the servers that were silenced, even if others have replaced them in the group.
+	var silenced []*server
 	setSilent := func(silent bool) {
 		for _, cache := range silenced {
 			cache.update(func() { cache.silent = silent })
 		}
 	}
-	return always(func() {
+	return noError(func() {
 		silenced = t.cachesAt(drawn)
 		setSilent(true)
-	}), always(func() { setSilent(false) })
+	}), noError(func() { setSilent(false) })
 }
 
-// otherActions are those that are done to nothing that is drawn, or to the origin.
+// otherActions returns the actions that draw no directors, links or servers: origin-slow, burst (a change of the load)
+// and purge, which has no undo action.
 func (t *Testbed) otherActions(event FaultEvent, rng *rand.Rand) (inject, undo action) {
 	factor := factorOf(event)
 	switch event.Action {
 	case "origin-slow":
-		return always(func() { t.origin.setCapacityFactor(factor) }), always(func() { t.origin.setCapacityFactor(1) })
+		return noError(func() { t.origin.setCapacityFactor(factor) }), noError(func() { t.origin.setCapacityFactor(1) })
 	case "burst":
-		return always(func() { t.load.setFactor(factor) }), always(func() { t.load.setFactor(1) })
+		return noError(func() { t.load.setFactor(factor) }), noError(func() { t.load.setFactor(1) })
 	}
-	return always(func() { t.purgeRepeatedly(event, rng) }), nil
+	return noError(func() { t.purgeRepeatedly(event, rng) }), nil
 }
 
-// factorOf is an event's factor, of capacity or of load; 1 unless set.
+// factorOf returns an event's factor of the capacity or the load, 1 if the event sets none.
 func factorOf(event FaultEvent) float64 {
 	if event.Factor == 0 {
 		return 1
@@ -207,7 +222,8 @@
 	return event.Factor
 }
 
-// purgeRepeatedly purges popular objects, as many as the event says, spread over its duration.
+// purgeRepeatedly schedules the event's count of purges (at least one) evenly over its duration. Each purges an object
+// drawn from the most popular ones.
 func (t *Testbed) purgeRepeatedly(event FaultEvent, rng *rand.Rand) {
 	retention := seconds(event.RetainCopies)
 	if retention == 0 {
@@ -215,13 +231,15 @@
 	}
 	count := max(event.Count, 1)
 	gap := seconds(event.Duration / float64(count))
-	for i := range count { // drawn now: the same objects every time
+	for i := range count {
+		// Drawn before the timers run, so that each run with the same seed purges the same objects in the same order.
 		object := fmt.Sprintf("%016x", 1+rng.IntN(popularObjects))
 		time.AfterFunc(time.Duration(i)*gap, func() { t.purge(object, retention) })
 	}
 }
 
-// purge purges an object. Caches drop it after the retention; until then the directors' decisions must hold.
+// purge publishes the purge of an object. The caches and parents drop their older copies only after the retention.
+// Until then, directors must prevent by themselves that clients get such a copy.
 func (t *Testbed) purge(object string, retention time.Duration) {
 	at := time.Now()
 	t.discovery.publish(func(revision int) string {
@@ -229,62 +247,64 @@
 	}, Event{Object: object, What: "purge", Since: t.history.sinceStart(at.UnixMilli())})
 	time.AfterFunc(retention, func() {
 		t.mu.Lock()
-		all := slices.Concat(t.caches, t.parents)
+		servers := slices.Concat(t.caches, t.parents)
 		t.mu.Unlock()
-		for _, standIn := range all {
+		for _, standIn := range servers {
 			standIn.purge(object, at)
 		}
 	})
 }
 
-// cachesAt are the caches that are now in these places of the list.
-func (t *Testbed) cachesAt(places []int) []*server {
+// cachesAt returns the caches that are at these indexes of the group of caches now.
+func (t *Testbed) cachesAt(indexes []int) []*server {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	caches := make([]*server, 0, len(places))
-	for _, i := range places {
+	caches := make([]*server, 0, len(indexes))
+	for _, i := range indexes {
 		caches = append(caches, t.caches[i])
 	}
 	return caches
 }
 
-// replaceServers drains servers in turn, ends each, and starts a cold one in its place: every other one at the old
-// address.
+// replaceServers schedules the replacement of a drawn share of the caches or parents, one after another over the time
+// that the event sets. Each server is published as draining, then stopped and replaced by a cold one. Every second
+// replacement has the old server's address, the others a new one.
 func (t *Testbed) replaceServers(event FaultEvent, rng *rand.Rand) error {
 	group, spec := &t.caches, t.experiment.Caches
 	if event.Action == "replace-parents" {
 		group, spec = &t.parents, t.experiment.Parents
 	}
-	places := pickShare(rng, len(*group), event.Share)
-	gap := seconds(event.ReplaceOver / float64(len(places)))
+	indexes := drawShare(rng, len(*group), event.Share)
+	gap := seconds(event.ReplaceOver / float64(len(indexes)))
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for k, place := range places {
-		old := (*group)[place]
+	for k, index := range indexes {
+		old := (*group)[index]
 		keepAddress := k%2 == 0
 		time.AfterFunc(time.Duration(k)*gap, func() {
 			t.publishState(old, "draining")
-			time.AfterFunc(min(gap, maxDrainTime), func() { t.replaceServer(old, group, place, spec, keepAddress) })
+			time.AfterFunc(min(gap, maxDrainTime), func() { t.replaceServer(old, group, index, spec, keepAddress) })
 		})
 	}
 	return nil
 }
 
-// replaceServer ends a server and starts a cold one in its place of the group.
-func (t *Testbed) replaceServer(old *server, group *[]*server, place int, spec ServerSpec, keepAddress bool) {
+// replaceServer stops a server, publishes it as gone, starts a cold one at its index of the group and publishes that as
+// ready. An error of the start ends the run.
+func (t *Testbed) replaceServer(old *server, group *[]*server, index int, spec ServerSpec, keepAddress bool) {
 	old.stop("down")
 	t.publishState(old, "gone")
 	var addr *net.TCPAddr
 	if keepAddress {
 		addr = old.addr
 	}
-	fresh, err := t.addServer(old.tier, old.zone, spec, addr, true)
+	replacement, err := t.addServer(old.tier, old.zone, spec, addr, true)
 	if err != nil {
 		t.fail(fmt.Errorf("replace %s: %w", old.name, err))
 		return
 	}
 	t.mu.Lock()
-	(*group)[place] = fresh
+	(*group)[index] = replacement
 	t.mu.Unlock()
-	t.publishState(fresh, "ready")
+	t.publishState(replacement, "ready")
 }
--- a/internal/testbed/history.go
+++ b/internal/testbed/history.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// Event is one line of a history. Which fields are set depends on the kind (docs/testbed.md lists them); times are
-// milliseconds from the begin of the run.
+// Event is one line of a history. The kind determines which fields are set; docs/testbed.md lists them. Times are in
+// milliseconds since the start of the run.
 type Event struct {
 	AtMS      float64 `json:"ms"`
 	Kind      string  `json:"kind"`
@@ -30,7 +30,7 @@
 	Site      string  `json:"site,omitempty"`
 	Conns     int     `json:"conns,omitempty"`
 
-	// Of kind "life": what a server can bear.
+	// Capacity of a server, set with kind "life".
 	Weight   float64 `json:"weight,omitempty"`
 	ColdFrom float64 `json:"cold_from,omitempty"`
 	Ramp     float64 `json:"ramp,omitempty"`
@@ -38,16 +38,18 @@
 	Multiple float64 `json:"multiple,omitempty"`
 }
 
-// historyWriter takes events from all stand-ins, in the order in which they happen.
+// historyWriter writes the history's file. It stamps events from all stand-ins with their time and writes them in the
+// order of the calls of record.
 type historyWriter struct {
 	started time.Time
 	mu      sync.Mutex
 	file    *os.File
 	buffer  *bufio.Writer
 	encoder *json.Encoder
-	err     error // the first
+	err     error // first error of encoding or writing
 }
 
+// newHistoryWriter creates the history's file. The history's times count from this call.
 func newHistoryWriter(path string) (*historyWriter, error) {
 	file, err := os.Create(path)
 	if err != nil {
@@ -57,17 +59,18 @@
 	return &historyWriter{started: time.Now(), file: file, buffer: buffer, encoder: json.NewEncoder(buffer)}, nil
 }
 
-// elapsedMS is the time since the start.
+// elapsedMS returns the time since the start of the history, in milliseconds.
 func (w *historyWriter) elapsedMS() float64 {
 	return float64(time.Since(w.started).Microseconds()) / 1000
 }
 
-// sinceStart is a time on the wire, in Unix milliseconds, as the history has it.
+// sinceStart converts a time in Unix milliseconds, as it is on the wire, to milliseconds since the start of the
+// history.
 func (w *historyWriter) sinceStart(unixMS int64) float64 {
 	return float64(unixMS - w.started.UnixMilli())
 }
 
-// record adds an event, which happens now.
+// record writes an event with the present time. close returns an error of the write.
 func (w *historyWriter) record(event Event) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -75,7 +78,7 @@
 	w.err = cmp.Or(w.err, w.encoder.Encode(event))
 }
 
-// close returns the first error of all that was written.
+// close flushes and closes the file. It returns the first error of all writes, the flush and the close.
 func (w *historyWriter) close() error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/testbed/validate.go
+++ b/internal/testbed/validate.go
@@ -8,47 +8,47 @@
 	"shaleyard/internal/checker"
 )
 
-// keyError says which key of an experiment has a value that can't be used.
+// keyError is the error for a key of an experiment whose value is invalid.
 type keyError struct{ key, reason string }
 
-// Error is the key and the reason.
+// Error returns the key and the reason.
 func (e *keyError) Error() string { return e.key + ": " + e.reason }
 
-// valueRange is the range of a key's values, bounds included.
+// valueRange is the value that a key has and the range of its valid values, bounds included.
 type valueRange struct {
 	key              string
 	value, low, high float64
 }
 
-// firstInvalid finds the first key whose value can't be used; nil: none.
-func (x *Experiment) firstInvalid() *keyError {
+// validate returns an error for one key with an invalid value, or nil if all values are valid.
+func (x *Experiment) validate() *keyError {
 	ranges := x.ranges()
 	for i, event := range x.FaultEvents {
-		if invalid := x.invalidAction(i, event); invalid != nil {
+		if invalid := x.validateAction(i, event); invalid != nil {
 			return invalid
 		}
 		ranges = append(ranges, x.eventRanges(i, event)...)
-		if invalid := invalidStreamEnds(i, event); invalid != nil {
+		if invalid := validateStreamEnds(i, event); invalid != nil {
 			return invalid
 		}
 	}
-	for _, key := range ranges {
-		if !(key.value >= key.low && key.value <= key.high) {
-			return &keyError{key.key, fmt.Sprintf("%v is not within %v and %v", key.value, key.low, key.high)}
+	for _, r := range ranges {
+		if !(r.value >= r.low && r.value <= r.high) { // also true of NaN
+			return &keyError{r.key, fmt.Sprintf("%v is not within %v and %v", r.value, r.low, r.high)}
 		}
 	}
-	if begin := x.Discovery.Begin; !slices.Contains([]string{"", modeWell, modeDown, modeHang, modeHalf}, begin) {
-		return &keyError{"list.begin", fmt.Sprintf("%q is no state of the service", begin)}
+	if begin := x.Discovery.Begin; !slices.Contains([]string{"", modeWell, modeDown, modeHang, modeTruncated}, begin) {
+		return &keyError{"list.begin", fmt.Sprintf("%q is not a mode that the service can start in", begin)}
 	}
 	for i, bound := range x.Bounds {
 		if !slices.Contains(checker.MetricNames, bound.Metric) {
-			return &keyError{fmt.Sprintf("bound[%d].figure", i), fmt.Sprintf("%q is no figure", bound.Metric)}
+			return &keyError{fmt.Sprintf("bound[%d].figure", i), fmt.Sprintf("%q is not a known figure", bound.Metric)}
 		}
 	}
 	return nil
 }
 
-// ranges are those of all keys but the fault events'.
+// ranges returns the ranges of the numeric keys outside the fault events and the bounds.
 func (x *Experiment) ranges() []valueRange {
 	ranges := []valueRange{
 		{"directors", float64(x.Directors), 1, 400},
@@ -74,6 +74,7 @@
 	return slices.Concat(ranges, x.Caches.ranges("caches"), x.Parents.ranges("parents"))
 }
 
+// ranges returns the ranges of the keys of a group of servers; table is the group's table in the file.
 func (s ServerSpec) ranges(table string) []valueRange {
 	return []valueRange{
 		{table + ".count", float64(s.Count), 1, 200},
@@ -88,9 +89,10 @@
 	}
 }
 
-// eventKey is the key of a field of the i-th fault event.
+// eventKey returns the full key of a field of the fault event with index i.
 func eventKey(i int, field string) string { return fmt.Sprintf("step[%d].%s", i, field) }
 
+// eventRanges returns the ranges of the numeric keys of the fault event with index i.
 func (x *Experiment) eventRanges(i int, event FaultEvent) []valueRange {
 	return []valueRange{
 		{eventKey(i, "late"), event.ListDelay, 0, 60},
@@ -109,34 +111,37 @@
 	}
 }
 
-// invalidAction finds a fault event whose action, link or site can't be used.
-func (x *Experiment) invalidAction(i int, event FaultEvent) *keyError {
+// validateAction returns an error if the action of the fault event with index i is unknown, or if its link or site is
+// missing, unknown or not valid for the action.
+func (x *Experiment) validateAction(i int, event FaultEvent) *keyError {
 	target, known := faultTargets[event.Action]
 	if !known {
-		return &keyError{eventKey(i, "do"), fmt.Sprintf("%q is nothing that can be done", event.Action)}
+		return &keyError{eventKey(i, "do"), fmt.Sprintf("%q is not a known action", event.Action)}
 	}
 	if target == targetLink && !slices.Contains([]string{"list", "caches", "parents", "clients"}, event.Link) {
-		return &keyError{eventKey(i, "link"), fmt.Sprintf("%q is no link", event.Link)}
+		return &keyError{eventKey(i, "link"), fmt.Sprintf("%q is not a known link", event.Link)}
 	}
 	sites := x.siteNames()
 	switch {
 	case target == targetSite && event.Site == "":
 		return &keyError{eventKey(i, "do"), fmt.Sprintf("%s needs a site", event.Action)}
 	case event.Site != "" && !slices.Contains(sites, event.Site):
-		return &keyError{eventKey(i, "site"), fmt.Sprintf("%q is none of %s", event.Site, strings.Join(sites, ", "))}
+		return &keyError{eventKey(i, "site"), fmt.Sprintf("%q is not one of %s", event.Site, strings.Join(sites, ", "))}
 	case event.Site != "" && target != targetSite && target != targetDirectors && target != targetLink:
-		return &keyError{eventKey(i, "site"), fmt.Sprintf("%s is not done to a site", event.Action)}
+		return &keyError{eventKey(i, "site"), fmt.Sprintf("%s does not accept a site", event.Action)}
 	}
 	return nil
 }
 
-func invalidStreamEnds(i int, event FaultEvent) *keyError {
+// validateStreamEnds returns an error if the fault event with index i is a list-flap without ends or age_to, or if it
+// has an unknown end.
+func validateStreamEnds(i int, event FaultEvent) *keyError {
 	if event.Action == "list-flap" && (len(event.StreamEnds) == 0 || event.MaxStreamAge == 0) {
-		return &keyError{eventKey(i, "do"), "list-flap needs ends and age_to"}
+		return &keyError{eventKey(i, "do"), "list-flap needs the keys ends and age_to"}
 	}
 	for _, end := range event.StreamEnds {
-		if !slices.Contains([]string{endBreak, endHalf, endSilent}, end) {
-			return &keyError{eventKey(i, "ends"), fmt.Sprintf("%q is no end of a stream", end)}
+		if !slices.Contains([]string{endReset, endTruncated, endSilent}, end) {
+			return &keyError{eventKey(i, "ends"), fmt.Sprintf("%q is not a known way to end a stream", end)}
 		}
 	}
 	return nil
