--- a/cmd/testbed/main_test.go
+++ b/cmd/testbed/main_test.go
@@ -23,8 +23,7 @@
 	return path
 }
 
-// Scripts rely on the exit status and the text of errors. Each command line must have its status, and print the text
-// that names what is wrong.
+// Guards against a wrong exit status, and against an error that doesn't name the file, key or option that is invalid.
 func TestExitStatus(t *testing.T) {
 	passing := writeFile(t, "good.jsonl", `{"ms":1,"kind":"meta"}`+"\n")
 	failing := writeFile(t, "bad.jsonl", `{"ms":1,"kind":"run","ref":"p"}`+"\n"+`{"ms":2,"kind":"run","ref":"p"}`+"\n")
@@ -135,7 +134,7 @@
 		if err := testbed.Process.Signal(signal); err != nil {
 			t.Fatal(err)
 		}
-		_ = testbed.Wait() // fails as the process was signalled; its status is checked below
+		_ = testbed.Wait() // an error is expected after either signal; the status is checked below
 		if got := testbed.ProcessState.ExitCode(); signal == syscall.SIGINT && got != exitUsage {
 			t.Errorf("after SIGINT: got status %d, want %d", got, exitUsage)
 		}
--- a/internal/testbed/discovery_test.go
+++ b/internal/testbed/discovery_test.go
@@ -181,7 +181,7 @@
 				age := end.at.Sub(begin) - time.Minute
 				if age < time.Second || age > 3*time.Second || end != f.drawEnd(director, nth, begin.Add(time.Minute)) {
 					t.Errorf("seed %d, director %d, stream %d: got end %+v at age %v, "+
-						"want an age between 1s and 3s and the same end when drawn again", seed, director, nth, end, age)
+						"want an age between 1s and 3s, the same end when drawn again", seed, director, nth, end, age)
 				}
 				if early := f.drawEnd(director, nth, begin.Add(-time.Minute)); early.at != begin.Add(age) {
 					t.Errorf("stream opened before the flap: got end at %v, want %v (%v after the flap's begin)",
--- a/internal/testbed/experiment.go
+++ b/internal/testbed/experiment.go
@@ -91,8 +91,8 @@
 	DelayMS         float64 `toml:"delay_ms"` // added to each message on a link (delay), or between two bytes (drip)
 	Link            string  `toml:"link"`     // list, caches, parents or clients: their links to the affected directors
 	Site            string  `toml:"site"`     // a branch-N or hub-N: affects only directors or servers of this site
-	ListDelay       float64 `toml:"late"`     // seconds by which discovery publishes the kill and return of servers late
-	OnlyDirector    int     `toml:"only"`     // number of the only director affected, from 1; 0: share applies
+	ListDelay       float64 `toml:"late"`     // seconds until discovery publishes that servers were killed or are back
+	OnlyDirector    int     `toml:"only"`     // number of the only affected director, from 1; 0: Share applies
 	Count           int     `toml:"count"`    // idle connections to each director, or purges within the duration
 	RetainCopies    float64 `toml:"keep"`     // seconds for which servers keep copies from before a purge; 0: 2
 	// StreamEnds is how list-flap ends streams: any of break, half and silent, drawn with equal probability. A stream
--- a/internal/testbed/faultactions.go
+++ b/internal/testbed/faultactions.go
@@ -13,7 +13,7 @@
 const (
 	defaultRetention = 2 * time.Second        // for which servers keep copies from before a purge
 	popularObjects   = 8                      // number of most popular objects from which purged ones are drawn
-	maxDrainTime     = 300 * time.Millisecond // between draining a server and replacing it
+	maxDrainTime     = 300 * time.Millisecond // between publishing a server as draining and stopping it
 )
 
 // action injects a fault or undoes it.
@@ -83,8 +83,8 @@
 }
 
 // directorActions returns the actions on directors: idle connections, signals, restarts and flaps of their streams.
-// undo starts killed and terminated directors again, continues stopped ones, closes the connections and stops the
-// flap.
+// undo starts killed and terminated directors again, continues stopped ones, closes the connections or stops the flap;
+// start and cont have no undo action.
 func (t *Testbed) directorActions(event FaultEvent, ids []int) (inject, undo action) {
 	signal := func(s syscall.Signal, what string) action {
 		return noError(func() {
@@ -148,9 +148,9 @@
 	return set(event.Action, fault{kind: event.Action, delay: delay}), set("well", fault{})
 }
 
-// listActions returns the actions on the discovery service: changes of its mode or capacity, and resets of all streams,
-// which have no undo. An undo action sets modeWell; after a time in modeDown, modeHang or modeTruncated, the service
-// comes back with the event's factor as its capacity.
+// listActions returns the actions on the discovery service: changes of its mode or capacity, and a reset of all
+// streams, which has no undo action. The others are undone by setting modeWell: with the event's factor as the
+// capacity after modeDown, modeHang and modeTruncated, otherwise with the full capacity.
 func (t *Testbed) listActions(event FaultEvent) (inject, undo action) {
 	factor := factorOf(event)
 	setMode := func(mode string, factor float64, forgotten int) action {
--- a/internal/testbed/faultinjector.go
+++ b/internal/testbed/faultinjector.go
@@ -10,7 +10,7 @@
 // Kinds of link faults. Experiments name them as actions.
 const (
 	faultNone    = ""
-	faultCut     = "cut"     // open connections are reset, and later ones at their first read or write
+	faultCut     = "cut"     // open connections are reset at once, others when a message is read or written
 	faultSilence = "silence" // data is discarded in both directions
 	faultOneWay  = "one-way" // data that the testbed writes to the director is discarded
 	faultDelay   = "delay"   // each message is delayed
@@ -84,7 +84,7 @@
 	director int // guarded by injector.mu
 }
 
-// wrap returns conn as a connection of a link, which forget removes from the injector.
+// wrap returns conn as a connection that is subject to a link's faults, and adds it to the injector until forget.
 func (i *faultInjector) wrap(conn net.Conn, link string, director int) *faultyConn {
 	wrapped := &faultyConn{Conn: conn, injector: i, link: link, director: director}
 	i.mu.Lock()
