--- a/internal/testbed/process.go
+++ b/internal/testbed/process.go
@@ -17,7 +17,7 @@
 
 const (
 	readinessInterval = 20 * time.Millisecond  // between heartbeats while the director fails them
-	heartbeatInterval = 500 * time.Millisecond // between heartbeats while the director answers them
+	livenessInterval  = 500 * time.Millisecond // between heartbeats while the director answers them
 	heartbeatTimeout  = 2 * time.Second
 	maxLogLine        = 1 << 20
 )
@@ -212,7 +212,7 @@
 }
 
 // watchHeartbeats simulates the load balancer: it adds the director to the rotation after a successful heartbeat and
-// removes it after a failed one, until the process exits. Detection takes up to heartbeatInterval plus
+// removes it after a failed one, until the process exits. Detection takes up to livenessInterval plus
 // heartbeatTimeout.
 func (p *process) watchHeartbeats(listening, exited chan struct{}) {
 	select {
@@ -234,7 +234,7 @@
 		}
 		pause := readinessInterval
 		if healthy {
-			pause = heartbeatInterval
+			pause = livenessInterval
 		}
 		select {
 		case <-exited:
