--- a/cmd/simhost/golden_actions_test.go
+++ b/cmd/simhost/golden_actions_test.go
@@ -1,107 +1,107 @@
 package main
 
 // perform has the world react to one action.
-func (w *world) perform(a replyAction) {
-	r := w.router(a.instance)
+func (sim *simulation) handleAction(a replyAction) {
+	r := sim.router(a.instance)
 	switch a.code {
 	case actionFetch:
-		w.performFetch(r, a)
+		sim.handleFetch(r, a)
 	case actionForward:
 		q, timeout := r.requests[a.requestID()], a.nanoseconds()
-		target := w.byHost[a.host()]
-		w.startAttempt(r, q, fetchOrder{target: target, source: target, timeout: timeout})
+		target := sim.byHost[a.host()]
+		sim.startAttempt(r, q, attemptParams{target: target, source: target, timeout: timeout})
 	case actionSetTimer:
-		token, at := a.unsigned(8), a.nanoseconds()
+		token, at := a.takeUint(8), a.nanoseconds()
 		incarnation := r.incarnation
-		w.at(max(at, w.now+1), func() {
+		sim.scheduleAt(max(at, sim.now+1), func() {
 			if r.incarnation == incarnation {
-				w.batch.add(eventTimer, r.instance, token)
+				sim.batch.add(eventTimer, r.instance, token)
 			}
 		})
 	case actionCancel:
-		w.performCancel(r, a)
-	case actionRefuse:
+		sim.handleCancel(r, a)
+	case actionReject:
 		q, retryAfter := r.requests[a.requestID()], a.nanoseconds()
 		if q != nil {
 			q.ended = true
-			w.askAgain(r, q, retryAfter)
+			sim.retryRejected(r, q, retryAfter)
 		}
 	case actionFail:
 		if q := r.requests[a.requestID()]; q != nil {
 			q.ended = true
 		}
 	case actionPeerMessage:
-		w.performPeerMessage(r, a)
+		sim.handlePeerMessage(r, a)
 	case actionProbe:
-		w.performProbe(r, w.byHost[a.host()])
+		sim.handleProbe(r, sim.byHost[a.host()])
 	case actionSubscribe:
-		w.performSubscribe(r)
-	case actionSnapshot:
-		w.after(5*millisecond, func() { w.tellList(listFull, w.servers) })
+		sim.handleSubscribe(r)
+	case actionPollEndpoints:
+		sim.scheduleAfter(5*millisecond, func() { sim.sendUpdate(updateFull, sim.servers) })
 	case actionCrash:
-		w.fail("instance %d has crashed at %d: %s", a.instance, w.now, a.text())
+		sim.fail("instance %d has crashed at %d: %s", a.instance, sim.now, a.text())
 	}
 }
 
 // fetchOrder is what a router asks of the world with an attempt.
-type fetchOrder struct {
-	target, source *worldServer // the same: no fill
-	switches       uint8
+type attemptParams struct {
+	target, source *simServer // the same: no fill
+	flags          uint8
 	timeout        int64
 	maxAge         int64
 }
 
-func (w *world) performFetch(r *worldRouter, a replyAction) {
+func (sim *simulation) handleFetch(r *simRouter, a replyAction) {
 	q := r.requests[a.requestID()]
-	order := fetchOrder{switches: uint8(a.unsigned(1)), timeout: a.nanoseconds()}
-	a.unsigned(1) // the retention rank
-	order.source = w.byHost[a.host()]
-	order.target = w.byHost[a.host()]
-	order.maxAge = a.nanoseconds()
-	w.startAttempt(r, q, order)
+	params := attemptParams{flags: uint8(a.takeUint(1)), timeout: a.nanoseconds()}
+	a.takeUint(1) // the retention rank
+	params.source = sim.byHost[a.host()]
+	params.target = sim.byHost[a.host()]
+	params.maxAge = a.nanoseconds()
+	sim.startAttempt(r, q, params)
 }
 
 // startAttempt begins an attempt. Its request may have ended in the same batch, or its router have been replaced.
-func (w *world) startAttempt(r *worldRouter, q *worldRequest, order fetchOrder) {
-	if order.target == nil || order.source == nil {
-		w.fail("instance %d sends to a host that is unknown", r.instance)
+func (sim *simulation) startAttempt(r *simRouter, q *simRequest, params attemptParams) {
+	if params.target == nil || params.source == nil {
+		sim.fail("instance %d sends to a host that is unknown", r.instance)
 		return
 	}
 	if q == nil {
 		return
 	}
-	attempt := &worldAttempt{target: order.target, source: order.source, sent: w.now, open: true}
+	attempt := &simAttempt{target: params.target, source: params.source, sentAt: sim.now, open: true}
 	number := len(q.attempts)
 	q.attempts = append(q.attempts, attempt)
-	answer := w.answerOf(q, order)
-	limit := q.giveUpAt - w.now
-	if order.timeout > 0 {
-		limit = min(limit, order.timeout)
+	outcome := sim.outcomeOf(q, params)
+	limit := q.deadline - sim.now
+	if params.timeout > 0 {
+		limit = min(limit, params.timeout)
 	}
-	if answer.after >= limit {
-		answer = worldAnswer{result: resultTimedOut, after: limit}
+	if outcome.elapsed >= limit {
+		outcome = simOutcome{result: resultTimedOut, elapsed: limit}
 	}
-	order.target.inFlight++
-	if order.source != order.target {
-		order.source.inFlight++
+	params.target.inFlight++
+	if params.source != params.target {
+		params.source.inFlight++
 	}
-	if w.family.options.streams && answer.result == resultOK && q.class < 2 {
-		w.after(answer.after/2, func() { w.startStream(r, q, number) })
+	if sim.variant.options.streaming && outcome.result == resultOK && q.class < 2 {
+		sim.scheduleAfter(outcome.elapsed/2, func() { sim.startStream(r, q, number) })
 	}
-	w.after(answer.after, func() { w.endAttempt(r, q, number, answer) })
+	sim.scheduleAfter(outcome.elapsed, func() { sim.endAttempt(r, q, number, outcome) })
 }
 
-func (w *world) startStream(r *worldRouter, q *worldRequest, number int) {
+func (sim *simulation) startStream(r *simRouter, q *simRequest, number int) {
 	attempt := q.attempts[number]
-	if q.ended || q.started || !attempt.open || r.requests[q.id] != q {
+	if q.ended || q.streaming || !attempt.open || r.requests[q.id] != q {
 		return
 	}
-	q.started = true
-	w.batch.add(eventStarted, r.instance, q.id, uint16(number), attempt.target.host, w.now-attempt.sent)
+	q.streaming = true
+	sim.batch.add(eventStreamStarted, r.instance, q.id, uint16(number), attempt.target.host, sim.now-attempt.sentAt)
 }
 
 // endAttempt tells the router how an attempt has ended, once.
-func (w *world) endAttempt(r *worldRouter, q *worldRequest, number int, answer worldAnswer) {
+func (sim *simulation) endAttempt(r *simRouter, q *simRequest, number int, outcome simOutcome) {
 	attempt := q.attempts[number]
 	if !attempt.open {
 		return
@@ -114,205 +114,207 @@
 	if r.requests[q.id] != q {
 		return // the router has been started anew since
 	}
-	if answer.result == resultOK {
-		w.keepCopies(q, attempt, answer)
+	if outcome.result == resultOK {
+		sim.storeCopies(q, attempt, outcome)
 	}
-	if answer.result == resultOK || q.started {
+	if outcome.result == resultOK || q.streaming {
 		q.ended = true
 	}
 	settled := uint8(0)
 	if q.ended {
 		settled = 1
 	}
-	note := answer.note
-	if w.notes == "off" || (w.notes == "hit" && note > noteJoined) {
-		note = noteNone
+	fillStatus := outcome.fillStatus
+	if sim.fillStatusReported == "off" || (sim.fillStatusReported == "hit" && fillStatus > fillStatusCoalesced) {
+		fillStatus = fillStatusUnknown
 	}
-	w.batch.add(eventAnswer, r.instance, q.id, uint16(number), attempt.target.host, uint16(answer.result),
-		w.now-attempt.sent, settled, uint32(note), answer.waited, w.loadReport(attempt.target))
+	sim.batch.add(eventOutcome, r.instance, q.id, uint16(number), attempt.target.host, uint16(outcome.result),
+		sim.now-attempt.sentAt, settled, uint32(fillStatus), outcome.sourceWait, sim.loadReport(attempt.target))
 }
 
 // keepCopies has caches keep what has gone through them.
-func (w *world) keepCopies(q *worldRequest, attempt *worldAttempt, answer worldAnswer) {
-	if worldClasses[q.class].write || attempt.target.kind == kindOrigin {
+func (sim *simulation) storeCopies(q *simRequest, attempt *simAttempt, outcome simOutcome) {
+	if simClasses[q.class].write || attempt.target.kind == kindOrigin {
 		return
 	}
-	if answer.note == noteFilled || answer.note == noteFilledByOrigin || answer.note == noteJoined {
-		attempt.target.copies[q.key] = w.now
-		attempt.source.copies[q.key] = w.now
+	if outcome.fillStatus == fillStatusFilled || outcome.fillStatus == fillStatusFilledByOrigin || outcome.fillStatus == fillStatusCoalesced {
+		attempt.target.copies[q.key] = sim.now
+		attempt.source.copies[q.key] = sim.now
 	}
 }
 
 // loadReport is a server's report in its wire form.
-func (w *world) loadReport(s *worldServer) []byte {
-	report := []byte{uint8(w.family.options.reportFields)}
-	for i := range w.family.options.reportFields {
+func (sim *simulation) loadReport(s *simServer) []byte {
+	report := []byte{uint8(sim.variant.options.loadReportFields)}
+	for i := range sim.variant.options.loadReportFields {
 		report = appendFields(report, float32(s.inFlight)/float32(8*(i+1)))
 	}
 	return report
 }
 
-func (w *world) performCancel(r *worldRouter, a replyAction) {
+func (sim *simulation) handleCancel(r *simRouter, a replyAction) {
 	q := r.requests[a.requestID()]
-	number := int(a.unsigned(2))
+	number := int(a.takeUint(2))
 	if q == nil {
 		return
 	}
-	answer := worldAnswer{result: resultCancelled}
-	if w.percent(15) {
-		answer.result = resultAbandoned
+	outcome := simOutcome{result: resultCancelled}
+	if sim.chance(15) {
+		outcome.result = resultAbandoned
 	}
-	if w.percent(10) {
+	if sim.chance(10) {
 		return // it is overtaken by the answer
 	}
-	w.after(w.between(millisecond, 5*millisecond), func() { w.endAttempt(r, q, number, answer) })
+	sim.scheduleAfter(sim.randomBetween(millisecond, 5*millisecond), func() { sim.endAttempt(r, q, number, outcome) })
 }
 
 // askAgain is what some clients do that were refused.
-func (w *world) askAgain(r *worldRouter, q *worldRequest, retryAfter int64) {
-	if !w.percent(30) {
+func (sim *simulation) retryRejected(r *simRouter, q *simRequest, retryAfter int64) {
+	if !sim.chance(30) {
 		return
 	}
-	again := &worldRequest{class: q.class, key: q.key, group: q.group, sizeKB: q.sizeKB}
-	again.giveUpAt = worldClasses[q.class].deadline / 2
-	w.after(retryAfter+w.between(millisecond, 300*millisecond), func() { w.ask(r, again, flagRepeat) })
+	retry := &simRequest{class: q.class, key: q.key, group: q.group, sizeKB: q.sizeKB}
+	retry.deadline = simClasses[q.class].deadline / 2
+	sim.scheduleAfter(retryAfter+sim.randomBetween(millisecond, 300*millisecond), func() { sim.submit(r, retry, flagClientRetry) })
 }
 
-func (w *world) performPeerMessage(from *worldRouter, a replyAction) {
-	to := uint32(a.unsigned(4))
+func (sim *simulation) handlePeerMessage(from *simRouter, a replyAction) {
+	to := uint32(a.takeUint(4))
 	text := append([]byte(nil), a.text()...)
-	if w.percent(4) {
+	if sim.chance(4) {
 		text = text[:len(text)-1] // damaged on its way
 	}
-	for _, r := range w.routers {
-		if r == from || (to != everyPeer && to != r.number) || w.percent(5) {
+	for _, r := range sim.routers {
+		if r == from || (to != allPeers && to != r.peerNumber) || sim.chance(5) {
 			continue
 		}
-		w.after(w.between(millisecond, 8*millisecond), func() {
-			w.batch.add(eventPeerMessage, r.instance, from.number, uint16(len(text)), text)
+		sim.scheduleAfter(sim.randomBetween(millisecond, 8*millisecond), func() {
+			sim.batch.add(eventPeerMessage, r.instance, from.peerNumber, uint16(len(text)), text)
 		})
 	}
 }
 
-func (w *world) performProbe(r *worldRouter, s *worldServer) {
+func (sim *simulation) handleProbe(r *simRouter, s *simServer) {
 	result := resultOK
-	if s.health == serverDead {
+	if s.health == serverDown {
 		result = resultConnectFailed
 	}
-	took := w.between(millisecond, 20*millisecond)
-	w.after(took, func() {
-		w.batch.add(eventProbeResult, r.instance, took, uint16(result), s.host, w.loadReport(s))
+	took := sim.randomBetween(millisecond, 20*millisecond)
+	sim.scheduleAfter(took, func() {
+		sim.batch.add(eventProbeResult, r.instance, took, uint16(result), s.host, sim.loadReport(s))
 	})
 }
 
 // performSubscribe gives a router the list, or fails.
-func (w *world) performSubscribe(r *worldRouter) {
-	w.after(w.between(2*millisecond, 30*millisecond), func() {
-		if w.percent(20) {
-			w.batch.add(eventMembers, r.instance, uint8(listFailed), uint64(0), uint16(0))
+func (sim *simulation) handleSubscribe(r *simRouter) {
+	sim.scheduleAfter(sim.randomBetween(2*millisecond, 30*millisecond), func() {
+		if sim.chance(20) {
+			sim.batch.add(eventEndpointUpdate, r.instance, uint8(updateFailed), uint64(0), uint16(0))
 			return
 		}
-		w.fillBank(w.servers)
-		w.batch.add(eventMembers, r.instance, uint8(listFull), w.version, uint16(1))
+		sim.sendEndpointList(sim.servers)
+		sim.batch.add(eventEndpointUpdate, r.instance, uint8(updateFull), sim.listVersion, uint16(1))
 	})
 }
 
 // worldAnswer is how an attempt would end, were it let run.
-type worldAnswer struct {
-	result, note  int
-	after, waited int64
+type simOutcome struct {
+	result, fillStatus  int
+	elapsed, sourceWait int64
 }
 
 // answerOf works out the answer to an attempt from the state of its servers.
-func (w *world) answerOf(q *worldRequest, order fetchOrder) worldAnswer {
-	target := order.target
-	way := w.between(millisecond, 5*millisecond)
+func (sim *simulation) outcomeOf(q *simRequest, params attemptParams) simOutcome {
+	target := params.target
+	networkDelay := sim.randomBetween(millisecond, 5*millisecond)
 	switch {
-	case w.percent(w.lossy):
-		return worldAnswer{result: resultTimedOut, after: q.giveUpAt}
-	case target.health == serverDead:
-		return worldAnswer{result: resultConnectFailed, after: way}
-	case target.health == serverSilent:
-		return worldAnswer{result: resultTimedOut, after: w.patience(q)}
-	case target.health == serverRefusing, target.inFlight >= w.capable:
-		return worldAnswer{result: resultRefused, after: way}
-	case target.health == serverErring, w.percent(1):
-		return worldAnswer{result: resultErrored, after: way * 3}
+	case sim.chance(sim.lossPercent):
+		return simOutcome{result: resultTimedOut, elapsed: q.deadline}
+	case target.health == serverDown:
+		return simOutcome{result: resultConnectFailed, elapsed: networkDelay}
+	case target.health == serverUnresponsive:
+		return simOutcome{result: resultTimedOut, elapsed: sim.unresponsiveTimeout(q)}
+	case target.health == serverRejecting, target.inFlight >= sim.serverCapacity:
+		return simOutcome{result: resultRejected, elapsed: networkDelay}
+	case target.health == serverErroring, sim.chance(1):
+		return simOutcome{result: resultErrored, elapsed: networkDelay * 3}
 	case target.health == serverResetting:
-		return worldAnswer{result: resultReset, after: way * 2}
+		return simOutcome{result: resultReset, elapsed: networkDelay * 2}
 	}
-	sending := w.sendingTime(q, target)
+	transfer := sim.transferTime(q, target)
 	if target.kind == kindOrigin {
-		return worldAnswer{result: resultOK, after: way + 30*millisecond + sending}
+		return simOutcome{result: resultOK, elapsed: networkDelay + 30*millisecond + transfer}
 	}
-	if made, held := w.heldCopy(target, q); held && w.youngEnough(made, order.maxAge) {
-		note := noteHit
-		if order.switches&fetchRenew != 0 && w.now-made > 3*second {
-			note = noteStale
+	if storedAt, found := sim.cachedCopy(target, q); found && sim.freshEnough(storedAt, params.maxAge) {
+		fillStatus := fillStatusHit
+		if params.flags&fetchStaleWhileRevalidate != 0 && sim.now-storedAt > 3*second {
+			fillStatus = fillStatusStale
 		}
-		return worldAnswer{result: resultOK, note: note, after: way + sending}
+		return simOutcome{result: resultOK, fillStatus: fillStatus, elapsed: networkDelay + transfer}
 	}
-	if order.source == target {
-		note := noteNone
-		if w.percent(20) {
-			note = noteJoined
+	if params.source == target {
+		fillStatus := fillStatusUnknown
+		if sim.chance(20) {
+			fillStatus = fillStatusCoalesced
 		}
-		return worldAnswer{result: resultMiss, note: note, after: way}
+		return simOutcome{result: resultMiss, fillStatus: fillStatus, elapsed: networkDelay}
 	}
-	if w.percent(3) {
-		return worldAnswer{result: resultRefused, note: noteNoFillSlot, after: way}
+	if sim.chance(3) {
+		return simOutcome{result: resultRejected, fillStatus: fillStatusNoFillSlot, elapsed: networkDelay}
 	}
-	return w.fillAnswer(q, order, way, sending)
+	return sim.fillOutcome(q, params, networkDelay, transfer)
 }
 
 // fillAnswer is the answer of a cache that has to ask its source.
-func (w *world) fillAnswer(q *worldRequest, order fetchOrder, way, sending int64) worldAnswer {
-	source := order.source
-	_, held := w.heldCopy(source, q)
-	wait := way + w.between(2*millisecond, 30*millisecond)*source.slowness
+func (sim *simulation) fillOutcome(q *simRequest, params attemptParams, networkDelay, transfer int64) simOutcome {
+	source := params.source
+	_, found := sim.cachedCopy(source, q)
+	wait := networkDelay + sim.randomBetween(2*millisecond, 30*millisecond)*source.slowdown
 	switch {
-	case source.health == serverDead:
-		waited := w.between(millisecond, 400*millisecond)
-		return worldAnswer{result: resultRefused, note: noteSourceUnreached, after: way + waited, waited: waited}
-	case source.health == serverSilent:
-		return worldAnswer{result: resultTimedOut, after: w.patience(q)}
-	case source.health == serverRefusing, source.inFlight >= 2*w.capable:
-		return worldAnswer{result: resultRefused, note: noteSourceRefused, after: wait, waited: wait}
-	case !held && order.switches&fetchOnlyHeldBySource != 0:
-		return worldAnswer{result: resultMiss, note: noteSourceLacks, after: wait, waited: wait}
-	case held && source.kind != kindOrigin:
-		return worldAnswer{result: resultOK, note: noteFilled, after: wait + sending, waited: wait}
-	}
-	origin := w.servers[0]
-	wait += w.between(20*millisecond, 60*millisecond) * origin.slowness
-	if w.failing && w.percent(60) {
-		return worldAnswer{result: resultErrored, note: noteOriginFailed, after: wait, waited: wait}
-	}
-	if w.percent(5) {
-		return worldAnswer{result: resultOK, note: noteJoined, after: wait + sending, waited: wait}
-	}
-	return worldAnswer{result: resultOK, note: noteFilledByOrigin, after: wait + sending, waited: wait}
+	case source.health == serverDown:
+		sourceWait := sim.randomBetween(millisecond, 400*millisecond)
+		return simOutcome{result: resultRejected, fillStatus: fillStatusSourceUnreachable, elapsed: networkDelay + sourceWait, sourceWait: sourceWait}
+	case source.health == serverUnresponsive:
+		return simOutcome{result: resultTimedOut, elapsed: sim.unresponsiveTimeout(q)}
+	case source.health == serverRejecting, source.inFlight >= 2*sim.serverCapacity:
+		return simOutcome{result: resultRejected, fillStatus: fillStatusSourceRejected, elapsed: wait, sourceWait: wait}
+	case !found && params.flags&fetchOnlyIfCached != 0:
+		return simOutcome{result: resultMiss, fillStatus: fillStatusSourceMiss, elapsed: wait, sourceWait: wait}
+	case found && source.kind != kindOrigin:
+		return simOutcome{result: resultOK, fillStatus: fillStatusFilled, elapsed: wait + transfer, sourceWait: wait}
+	}
+	origin := sim.servers[0]
+	wait += sim.randomBetween(20*millisecond, 60*millisecond) * origin.slowdown
+	if sim.originFailing && sim.chance(60) {
+		return simOutcome{result: resultErrored, fillStatus: fillStatusOriginFailed, elapsed: wait, sourceWait: wait}
+	}
+	if sim.chance(5) {
+		return simOutcome{result: resultOK, fillStatus: fillStatusCoalesced, elapsed: wait + transfer, sourceWait: wait}
+	}
+	return simOutcome{result: resultOK, fillStatus: fillStatusFilledByOrigin, elapsed: wait + transfer, sourceWait: wait}
 }
 
 // patience is how long somebody on the way waits for a server that is silent: as long as the client, or less.
-func (w *world) patience(q *worldRequest) int64 {
-	if w.percent(50) {
-		return q.giveUpAt
+func (sim *simulation) unresponsiveTimeout(q *simRequest) int64 {
+	if sim.chance(50) {
+		return q.deadline
 	}
-	return w.between(200*millisecond, 900*millisecond)
+	return sim.randomBetween(200*millisecond, 900*millisecond)
 }
 
 // sendingTime grows with the size, with what else the server is sending, and by chance.
-func (w *world) sendingTime(q *worldRequest, s *worldServer) int64 {
+func (sim *simulation) transferTime(q *simRequest, s *simServer) int64 {
 	alone := q.sizeKB * 250 * microsecond
 	shared := alone * int64(6+s.inFlight) / 6
-	return shared * w.between(80, 130) / 100 * s.slowness
+	return shared * sim.randomBetween(80, 130) / 100 * s.slowdown
 }
 
 // heldCopy is when the copy that a server holds was made.
-func (w *world) heldCopy(s *worldServer, q *worldRequest) (made int64, held bool) {
-	made, held = s.copies[q.key]
-	return made, held && made > w.purged[q.key.object] && made > w.cleared[q.group]
+func (sim *simulation) cachedCopy(s *simServer, q *simRequest) (storedAt int64, found bool) {
+	storedAt, found = s.copies[q.key]
+	return storedAt, found && storedAt > sim.objectPurgedAt[q.key.object] && storedAt > sim.groupPurgedAt[q.group]
 }
 
-func (w *world) youngEnough(made, maxAge int64) bool { return maxAge == 0 || w.now-made <= maxAge }
+func (sim *simulation) freshEnough(storedAt, maxAge int64) bool {
+	return maxAge == 0 || sim.now-storedAt <= maxAge
+}
--- a/cmd/simhost/golden_faults_test.go
+++ b/cmd/simhost/golden_faults_test.go
@@ -1,66 +1,68 @@
 package main
 
 // worldFault is a kind of disturbance. It begins when it is called and sees to its own end.
-type worldFault struct {
+type simFault struct {
 	name  string
-	begin func(w *world)
+	begin func(w *simulation)
 }
 
 // worldFaults lists all kinds. It is a function, as the faults refer to the world's methods.
-func worldFaults() []worldFault {
-	return []worldFault{
-		{"crash", func(w *world) { w.crash(w.anyCache()) }},
-		{"hang", func(w *world) { w.afflict(serverSilent, w.anyCache()) }},
-		{"refuse", func(w *world) { w.afflict(serverRefusing, w.anyCache()) }},
-		{"err", func(w *world) { w.afflict(serverErring, w.anyCache()) }},
-		{"reset", func(w *world) { w.afflict(serverResetting, w.anyCache()) }},
-		{"slow", func(w *world) { w.slowDown(w.anyCache(), 3+w.random.Int64N(6)) }},
-		{"origin-slow", func(w *world) { w.slowDown(w.servers[0], 4+w.random.Int64N(8)) }},
-		{"origin-fails", (*world).failOrigin},
-		{"lose-answers", (*world).loseAnswers},
-		{"drain", func(w *world) { w.drain(w.anyCache()) }},
-		{"newcomer", (*world).addNewcomer},
-		{"burst", (*world).burst},
-		{"purge", (*world).purgeObjects},
-		{"purge-group", (*world).purgeGroup},
-		{"relist", (*world).relist},
-		{"fail-list", (*world).failList},
-		{"restart-router", (*world).restartRouter},
-		{"restart-zone", func(w *world) { w.crash(w.inZone(zoneHubA + w.random.IntN(3))...) }},
-		{"delist-zone", func(w *world) { w.drain(w.inZone(zoneHubA + w.random.IntN(3))...) }},
-		{"lose-hub", func(w *world) { w.loseSite(w.inZone(zoneHubA + w.random.IntN(2))) }},
-		{"lose-hubs", func(w *world) { w.loseSite(append(w.inZone(zoneHubA), w.inZone(zoneHubB)...)) }},
-		{"lose-own-site", func(w *world) { w.loseSite(w.inZone(zoneHere)) }},
-		{"silence-all", func(w *world) { w.afflict(serverSilent, w.servers...) }},
-		{"probe-unasked", func(w *world) { w.performProbe(w.routers[0], w.anyCache()) }},
+func simFaults() []simFault {
+	return []simFault{
+		{"crash", func(sim *simulation) { sim.crashServers(sim.randomCache()) }},
+		{"hang", func(sim *simulation) { sim.setHealthTemporarily(serverUnresponsive, sim.randomCache()) }},
+		{"refuse", func(sim *simulation) { sim.setHealthTemporarily(serverRejecting, sim.randomCache()) }},
+		{"err", func(sim *simulation) { sim.setHealthTemporarily(serverErroring, sim.randomCache()) }},
+		{"reset", func(sim *simulation) { sim.setHealthTemporarily(serverResetting, sim.randomCache()) }},
+		{"slow", func(sim *simulation) { sim.slowDown(sim.randomCache(), 3+sim.random.Int64N(6)) }},
+		{"origin-slow", func(sim *simulation) { sim.slowDown(sim.servers[0], 4+sim.random.Int64N(8)) }},
+		{"origin-fails", (*simulation).failOrigin},
+		{"lose-answers", (*simulation).loseResponses},
+		{"drain", func(sim *simulation) { sim.drainServers(sim.randomCache()) }},
+		{"newcomer", (*simulation).addEdge},
+		{"burst", (*simulation).sendBurst},
+		{"purge", (*simulation).purgeObjects},
+		{"purge-group", (*simulation).purgeGroup},
+		{"relist", (*simulation).resendList},
+		{"fail-list", (*simulation).failListCall},
+		{"restart-router", (*simulation).restartRouter},
+		{"restart-zone", func(sim *simulation) { sim.crashServers(sim.cachesInZone(zoneHubA + sim.random.IntN(3))...) }},
+		{"delist-zone", func(sim *simulation) { sim.drainServers(sim.cachesInZone(zoneHubA + sim.random.IntN(3))...) }},
+		{"lose-hub", func(sim *simulation) { sim.failSite(sim.cachesInZone(zoneHubA + sim.random.IntN(2))) }},
+		{"lose-hubs", func(sim *simulation) { sim.failSite(append(sim.cachesInZone(zoneHubA), sim.cachesInZone(zoneHubB)...)) }},
+		{"lose-own-site", func(sim *simulation) { sim.failSite(sim.cachesInZone(zoneEdgeA)) }},
+		{"silence-all", func(sim *simulation) { sim.setHealthTemporarily(serverUnresponsive, sim.servers...) }},
+		{"probe-unasked", func(sim *simulation) { sim.handleProbe(sim.routers[0], sim.randomCache()) }},
 	}
 }
 
 // planFaults draws when which faults begin.
-func (w *world) planFaults() {
-	var kinds []worldFault
-	for _, fault := range worldFaults() {
-		if len(w.family.faults) == 0 {
+func (sim *simulation) scheduleFaults() {
+	var kinds []simFault
+	for _, fault := range simFaults() {
+		if len(sim.variant.faults) == 0 {
 			kinds = append(kinds, fault)
 		}
-		for _, name := range w.family.faults {
+		for _, name := range sim.variant.faults {
 			if name == fault.name {
 				kinds = append(kinds, fault)
 			}
 		}
 	}
-	for range 3 + w.random.IntN(4) {
-		fault := kinds[w.random.IntN(len(kinds))]
-		w.at(w.between(worldStart+second/2, w.end), func() { fault.begin(w) })
+	for range 3 + sim.random.IntN(4) {
+		fault := kinds[sim.random.IntN(len(kinds))]
+		sim.scheduleAt(sim.randomBetween(simStart+second/2, sim.endTime), func() { fault.begin(sim) })
 	}
 }
 
 // anyCache is an edge or a parent.
-func (w *world) anyCache() *worldServer { return w.servers[1+w.random.IntN(len(w.servers)-1)] }
+func (sim *simulation) randomCache() *simServer {
+	return sim.servers[1+sim.random.IntN(len(sim.servers)-1)]
+}
 
 // inZone lists a zone's servers but for the origin.
-func (w *world) inZone(zone int) (servers []*worldServer) {
-	for _, s := range w.servers[1:] {
+func (sim *simulation) cachesInZone(zone int) (servers []*simServer) {
+	for _, s := range sim.servers[1:] {
 		if s.zone == zone {
 			servers = append(servers, s)
 		}
@@ -69,149 +71,149 @@
 }
 
 // afflict changes the health of servers for a while.
-func (w *world) afflict(health serverHealth, servers ...*worldServer) {
+func (sim *simulation) setHealthTemporarily(health serverHealth, servers ...*simServer) {
 	for _, s := range servers {
 		s.health = health
 	}
-	w.after(w.between(second/2, 4*second), func() {
+	sim.scheduleAfter(sim.randomBetween(second/2, 4*second), func() {
 		for _, s := range servers {
-			s.health = serverWell
+			s.health = serverHealthy
 		}
 	})
 }
 
 // crash stops servers; they come back empty, with a new start time.
-func (w *world) crash(servers ...*worldServer) {
-	told := w.percent(50)
+func (sim *simulation) crashServers(servers ...*simServer) {
+	announced := sim.chance(50)
 	for _, s := range servers {
-		s.health = serverDead
-		if told {
-			s.state = memberGone
+		s.health = serverDown
+		if announced {
+			s.state = stateRemoved
 		}
 	}
-	if told {
-		w.tellListLater(servers...)
+	if announced {
+		sim.sendUpdateLater(servers...)
 	}
-	w.after(w.between(second/2, 4*second), func() { w.startAnew(servers) })
+	sim.scheduleAfter(sim.randomBetween(second/2, 4*second), func() { sim.restartServers(servers) })
 }
 
-func (w *world) startAnew(servers []*worldServer) {
+func (sim *simulation) restartServers(servers []*simServer) {
 	for _, s := range servers {
-		s.health, s.state, s.started = serverWell, memberReady, w.now
+		s.health, s.state, s.startedAt = serverHealthy, stateReady, sim.now
 		clear(s.copies)
 	}
-	w.tellListLater(servers...)
+	sim.sendUpdateLater(servers...)
 }
 
 // loseSite has servers of a site fail together, in one of the ways in which sites fail.
-func (w *world) loseSite(servers []*worldServer) {
-	switch w.random.IntN(4) {
+func (sim *simulation) failSite(servers []*simServer) {
+	switch sim.random.IntN(4) {
 	case 0:
-		w.crash(servers...)
+		sim.crashServers(servers...)
 	case 1:
-		w.drain(servers...)
+		sim.drainServers(servers...)
 	case 2:
-		w.afflict(serverSilent, servers...)
+		sim.setHealthTemporarily(serverUnresponsive, servers...)
 	default:
-		w.afflict(serverDead, servers...)
+		sim.setHealthTemporarily(serverDown, servers...)
 	}
 }
 
-func (w *world) slowDown(s *worldServer, times int64) {
-	s.slowness = times
-	w.after(w.between(second, 5*second), func() { s.slowness = 1 })
+func (sim *simulation) slowDown(s *simServer, factor int64) {
+	s.slowdown = factor
+	sim.scheduleAfter(sim.randomBetween(second, 5*second), func() { s.slowdown = 1 })
 }
 
-func (w *world) failOrigin() {
-	w.failing = true
-	w.after(w.between(second/2, 3*second), func() { w.failing = false })
+func (sim *simulation) failOrigin() {
+	sim.originFailing = true
+	sim.scheduleAfter(sim.randomBetween(second/2, 3*second), func() { sim.originFailing = false })
 }
 
-func (w *world) loseAnswers() {
-	w.lossy = 15
-	w.after(w.between(second, 3*second), func() { w.lossy = 0 })
+func (sim *simulation) loseResponses() {
+	sim.lossPercent = 15
+	sim.scheduleAfter(sim.randomBetween(second, 3*second), func() { sim.lossPercent = 0 })
 }
 
 // drain has discovery take servers out step by step, and bring them back.
-func (w *world) drain(servers ...*worldServer) {
+func (sim *simulation) drainServers(servers ...*simServer) {
 	for _, s := range servers {
-		s.state = memberDraining
+		s.state = stateDraining
 	}
-	w.tellListLater(servers...)
-	w.after(w.between(1600*millisecond, 2*second), func() {
+	sim.sendUpdateLater(servers...)
+	sim.scheduleAfter(sim.randomBetween(1600*millisecond, 2*second), func() {
 		for _, s := range servers {
-			s.state, s.health = memberGone, serverDead
+			s.state, s.health = stateRemoved, serverDown
 		}
-		w.tellListLater(servers...)
+		sim.sendUpdateLater(servers...)
 	})
-	w.after(w.between(3*second, 5*second), func() { w.startAnew(servers) })
+	sim.scheduleAfter(sim.randomBetween(3*second, 5*second), func() { sim.restartServers(servers) })
 }
 
-func (w *world) addNewcomer() {
-	edge := &worldServer{host: hostFirstEdge + hostAddress(100+len(w.servers))*hostStep, zone: zoneHere, weight: 6,
-		started: w.now}
-	w.addServer(edge)
-	w.tellListLater(edge)
+func (sim *simulation) addEdge() {
+	edge := &simServer{host: hostFirstEdge + hostAddress(100+len(sim.servers))*hostStride, zone: zoneEdgeA, weight: 6,
+		startedAt: sim.now}
+	sim.addServer(edge)
+	sim.sendUpdateLater(edge)
 }
 
-func (w *world) burst() {
-	for _, r := range w.routers {
+func (sim *simulation) sendBurst() {
+	for _, r := range sim.routers {
 		for range 40 {
-			w.after(w.between(millisecond, second/2), func() { w.ask(r, w.newRequest(), 0) })
+			sim.scheduleAfter(sim.randomBetween(millisecond, second/2), func() { sim.submit(r, sim.randomRequest(), 0) })
 		}
 	}
 }
 
 // purgeObjects purges a few objects, some of them a while ago.
-func (w *world) purgeObjects() {
+func (sim *simulation) purgeObjects() {
 	for range 3 {
-		q := w.newRequest()
-		w.purged[q.key.object] = w.now
-		w.tellPurge(uint16(q.group), q.key.object)
+		q := sim.randomRequest()
+		sim.objectPurgedAt[q.key.object] = sim.now
+		sim.sendPurge(uint16(q.group), q.key.object)
 	}
 }
 
-func (w *world) purgeGroup() {
-	group := w.random.IntN(purgeGroups)
-	w.cleared[group] = w.now
-	w.tellPurge(uint16(group), 0)
+func (sim *simulation) purgeGroup() {
+	group := sim.random.IntN(purgeGroupCount)
+	sim.groupPurgedAt[group] = sim.now
+	sim.sendPurge(uint16(group), 0)
 }
 
-func (w *world) tellPurge(group uint16, object uint64) {
-	made := w.now
-	w.after(w.between(millisecond, second), func() {
-		for _, r := range w.routers {
-			w.batch.add(eventPurge, r.instance, w.now-made, group, object)
+func (sim *simulation) sendPurge(group uint16, object uint64) {
+	purgedAt := sim.now
+	sim.scheduleAfter(sim.randomBetween(millisecond, second), func() {
+		for _, r := range sim.routers {
+			sim.batch.add(eventPurge, r.instance, sim.now-purgedAt, group, object)
 		}
 	})
 }
 
 // relist tells the whole list anew, at times as a cached one.
-func (w *world) relist() {
-	kind := uint8(listFull)
-	if w.percent(50) {
-		kind = listCached
+func (sim *simulation) resendList() {
+	kind := uint8(updateFull)
+	if sim.chance(50) {
+		kind = updateCached
 	}
-	var listed []*worldServer
-	for _, s := range w.servers {
-		if s.state != memberGone {
+	var listed []*simServer
+	for _, s := range sim.servers {
+		if s.state != stateRemoved {
 			listed = append(listed, s)
 		}
 	}
-	w.tellList(kind, listed)
+	sim.sendUpdate(kind, listed)
 }
 
-func (w *world) failList() {
-	for _, r := range w.routers {
-		w.batch.add(eventMembers, r.instance, uint8(listFailed), uint64(0), uint16(0))
+func (sim *simulation) failListCall() {
+	for _, r := range sim.routers {
+		sim.batch.add(eventEndpointUpdate, r.instance, uint8(updateFailed), uint64(0), uint16(0))
 	}
 }
 
 // restartRouter replaces a router by one that knows nothing; its requests are lost.
-func (w *world) restartRouter() {
-	r := w.routers[w.random.IntN(len(w.routers))]
-	w.batch.add(eventKilled, r.instance)
-	w.bear(r)
-	w.fillBank(w.servers)
-	w.batch.add(eventMembers, r.instance, uint8(listFull), w.version, uint16(1))
+func (sim *simulation) restartRouter() {
+	r := sim.routers[sim.random.IntN(len(sim.routers))]
+	sim.batch.add(eventStopInstance, r.instance)
+	sim.startRouter(r)
+	sim.sendEndpointList(sim.servers)
+	sim.batch.add(eventEndpointUpdate, r.instance, uint8(updateFull), sim.listVersion, uint16(1))
 }
--- a/cmd/simhost/golden_test.go
+++ b/cmd/simhost/golden_test.go
@@ -20,10 +20,10 @@
 var updateGolden = flag.Bool("update", false, "write testdata/golden/router.txt")
 
 const (
-	goldenFile       = "testdata/golden/router.txt"
-	seedsPerFamily   = 10
-	mostDifferences  = 10 // sequences that a failure prints
-	baseSettingsText = `{
+	goldenFile             = "testdata/golden/router.txt"
+	seedsPerVariant        = 10
+	maxReportedDifferences = 10 // sequences that a failure prints
+	baseSettingsText       = `{
 	"balancers": 3, "quantum": 2000000, "registryMode": "automatic", "weights": "nominal", "zone": 2, "me": 0,
 	"dcs": ["hub-a", "hub-b", "here", "there"], "kinds": ["edge", "parent", "origin"],
 	"services": [
@@ -58,14 +58,14 @@
 }
 
 // goldenFamily is a set of sequences with like settings.
-type goldenFamily struct {
+type goldenVariant struct {
 	name      string
 	overrides []override
 	faults    []string // drawn from for each sequence; empty: all kinds
-	options   worldOptions
+	options   simOptions
 }
 
-var goldenFamilies = []goldenFamily{
+var goldenVariants = []goldenVariant{
 	{name: "plain"},
 	{name: "calm", faults: []string{"burst", "relist"}},
 	{name: "notes-hit", overrides: []override{{"familyInfo.notesGiven", "hit"}}},
@@ -78,47 +78,47 @@
 	{name: "retry-after", overrides: []override{{"ceilings.retryAfter", true}},
 		faults: []string{"refuse", "burst", "lose-own-site", "origin-fails"}},
 	{name: "peers", overrides: []override{{"ceilings.peerMessages", true}, {"familyInfo.lateral", "any"}},
-		faults: []string{"lose-hubs", "lose-hubs", "purge", "crash"}, options: worldOptions{peerZones: true}},
+		faults: []string{"lose-hubs", "lose-hubs", "purge", "crash"}, options: simOptions{routersInTwoZones: true}},
 	{name: "peers-of-one-zone", overrides: []override{{"ceilings.peerMessages", true}, {"familyInfo.lateral", "any"}},
 		faults: []string{"lose-hubs", "restart-router", "crash"}},
 	{name: "lateral-off", overrides: []override{{"familyInfo.lateral", "off"}}},
 	{name: "lateral-any", overrides: []override{{"familyInfo.lateral", "any"}}},
 	{name: "reports-inline", overrides: []override{{"report.via", "inline"},
-		{"report.fields", []string{"load", "queue", "pace", "hits"}}}, options: worldOptions{reportFields: 4}},
+		{"report.fields", []string{"load", "queue", "pace", "hits"}}}, options: simOptions{loadReportFields: 4}},
 	{name: "reports-on-probe", overrides: []override{{"report.via", "on_probe"}, {"ceilings.probes", true},
-		{"report.fields", []string{"load"}}}, options: worldOptions{reportFields: 1}},
-	{name: "weights-rough", overrides: []override{{"weights", "rough"}}, options: worldOptions{unevenWeights: true}},
-	{name: "weights-live", overrides: []override{{"weights", "live"}}, options: worldOptions{unevenWeights: true}},
+		{"report.fields", []string{"load"}}}, options: simOptions{loadReportFields: 1}},
+	{name: "weights-rough", overrides: []override{{"weights", "rough"}}, options: simOptions{unevenWeights: true}},
+	{name: "weights-live", overrides: []override{{"weights", "live"}}, options: simOptions{unevenWeights: true}},
 	{name: "weights-off", overrides: []override{{"weights", "off"}}},
 	{name: "separate-fills", overrides: []override{{"familyInfo.mergesFills", false}}},
 	{name: "separate-fills-crowded", overrides: []override{{"familyInfo.mergesFills", false}},
 		faults:  []string{"origin-slow", "origin-fails", "burst", "purge", "newcomer"},
-		options: worldOptions{crowded: true}},
+		options: simOptions{lowCapacity: true}},
 	{name: "no-parents", overrides: []override{{"familyInfo.secondTierKind", -1}},
-		options: worldOptions{withoutParents: true}},
+		options: simOptions{withoutParents: true}},
 	{name: "no-parents-peers", overrides: []override{{"familyInfo.secondTierKind", -1}, {"ceilings.peerMessages", true},
-		{"familyInfo.lateral", "any"}}, options: worldOptions{withoutParents: true, peerZones: true}},
+		{"familyInfo.lateral", "any"}}, options: simOptions{withoutParents: true, routersInTwoZones: true}},
 	{name: "no-bypass", overrides: []override{{"familyInfo.bypassAllowed", false}}},
 	{name: "one-attempt", overrides: []override{{"ceilings.maxAttempts", 1}}},
 	{name: "two-attempts", overrides: []override{{"ceilings.maxAttempts", 2}, {"ceilings.retryAfter", true}}},
 	{name: "cold", faults: []string{"newcomer", "newcomer", "crash", "restart-zone", "burst"},
-		options: worldOptions{coldStart: true}},
+		options: simOptions{coldStart: true}},
 	{name: "cold-unsized", overrides: []override{{"weights", "off"}},
-		faults: []string{"newcomer", "newcomer", "crash", "restart-zone"}, options: worldOptions{coldStart: true}},
+		faults: []string{"newcomer", "newcomer", "crash", "restart-zone"}, options: simOptions{coldStart: true}},
 	{name: "purges", faults: []string{"purge", "purge-group", "purge", "purge-group", "crash"}},
 	{name: "sites-lost", faults: []string{"lose-hubs", "lose-hub", "lose-own-site", "restart-zone", "delist-zone"}},
 	{name: "cut-off", overrides: []override{{"ceilings.retryAfter", true}},
 		faults: []string{"silence-all", "lose-own-site"}},
-	{name: "origin", faults: []string{"origin-slow", "origin-fails", "burst"}, options: worldOptions{crowded: true}},
+	{name: "origin", faults: []string{"origin-slow", "origin-fails", "burst"}, options: simOptions{lowCapacity: true}},
 	{name: "stale", overrides: []override{{"familyInfo.classFresh", []int64{2e9, 3e9, 0, 0, 0, 0}},
 		{"familyInfo.staleFor", []int64{6e9, 9e9, 0, 0, 0, 0}}},
-		faults: []string{"origin-slow", "origin-fails", "purge", "burst"}, options: worldOptions{crowded: true}},
-	{name: "crowded", faults: []string{"burst", "refuse", "slow", "burst"}, options: worldOptions{crowded: true}},
+		faults: []string{"origin-slow", "origin-fails", "purge", "burst"}, options: simOptions{lowCapacity: true}},
+	{name: "crowded", faults: []string{"burst", "refuse", "slow", "burst"}, options: simOptions{lowCapacity: true}},
 	{name: "subscribed", overrides: []override{{"registryMode", "subscribe"}},
 		faults: []string{"fail-list", "relist", "drain", "crash"}},
 	{name: "sizes-untold", overrides: []override{{"familyInfo.flowKbPerS", 0}}},
 	{name: "streaming", overrides: []override{{"services.0.streaming", true}, {"services.1.streaming", true}},
-		options: worldOptions{streams: true}},
+		options: simOptions{streaming: true}},
 	{name: "lists-left-out", overrides: []override{{"familyInfo.classFresh", nil}, {"familyInfo.staleFor", nil},
 		{"familyInfo.staleEarns", nil}, {"familyInfo.passOn", nil}, {"familyInfo.hubByZone", nil},
 		{"familyInfo.feedKbPerS", nil}}},
@@ -128,11 +128,11 @@
 		{"balancers", 4}}},
 	{name: "all-allowed", overrides: []override{{"ceilings.secondCopies", true}, {"ceilings.retryAfter", true},
 		{"ceilings.peerMessages", true}, {"familyInfo.lateral", "any"}, {"report.via", "inline"},
-		{"report.fields", []string{"load", "queue"}}}, options: worldOptions{reportFields: 2, peerZones: true}},
+		{"report.fields", []string{"load", "queue"}}}, options: simOptions{loadReportFields: 2, routersInTwoZones: true}},
 }
 
 // badSettings are refused at the start of an instance.
-var badSettings = []struct {
+var invalidSettings = []struct {
 	name      string
 	overrides []override
 }{
@@ -199,28 +199,28 @@
 }
 
 func goldenSequences() (sequences []goldenSequence) {
-	for familyIndex, family := range goldenFamilies {
-		for n := range seedsPerFamily {
-			seed := uint64(1000*(familyIndex+1) + n)
+	for variantIndex, variant := range goldenVariants {
+		for n := range seedsPerVariant {
+			seed := uint64(1000*(variantIndex+1) + n)
 			sequences = append(sequences, goldenSequence{
-				name: fmt.Sprintf("%s/%d", family.name, n),
-				play: func() (replyDigest, error) { return playWorld(family, seed) },
+				name: fmt.Sprintf("%s/%d", variant.name, n),
+				play: func() (replyDigest, error) { return playSimulation(variant, seed) },
 			})
 		}
 	}
-	for _, bad := range badSettings {
+	for _, invalid := range invalidSettings {
 		sequences = append(sequences, goldenSequence{
-			name: "settings/" + bad.name,
-			play: func() (replyDigest, error) { return playBadSettings(bad.overrides) },
+			name: "settings/" + invalid.name,
+			play: func() (replyDigest, error) { return playInvalidSettings(invalid.overrides) },
 		})
 	}
 	return sequences
 }
 
 func TestGoldenRouter(t *testing.T) {
-	began := time.Now()
+	start := time.Now()
 	got := playAll(t, goldenSequences())
-	t.Logf("%d sequences in %v", len(got), time.Since(began).Round(time.Millisecond))
+	t.Logf("%d sequences in %v", len(got), time.Since(start).Round(time.Millisecond))
 	if *updateGolden {
 		if err := os.WriteFile(goldenFile, []byte(strings.Join(got, "\n")+"\n"), 0o644); err != nil {
 			t.Fatal(err)
@@ -240,7 +240,7 @@
 		if got[i] == want[i] {
 			continue
 		}
-		if differences++; differences <= mostDifferences {
+		if differences++; differences <= maxReportedDifferences {
 			t.Errorf("got  %s\nwant %s", got[i], want[i])
 		}
 	}
--- a/cmd/simhost/golden_wire_test.go
+++ b/cmd/simhost/golden_wire_test.go
@@ -13,71 +13,71 @@
 // Codes of the simulator's protocol, as its pages give them. They stand here a second time on purpose: the golden test
 // must notice when the program's own change.
 const (
-	eventRequest     = 16
-	eventAnswer      = 17
-	eventStarted     = 18
-	eventExpired     = 19
-	eventTimer       = 20
-	eventMembers     = 21
-	eventKilled      = 22
-	eventPeerMessage = 23
-	eventMemberBank  = 24
-	eventPurge       = 25
-	eventProbeResult = 26
-	eventBorn        = 27
+	eventRequest        = 16
+	eventOutcome        = 17
+	eventStreamStarted  = 18
+	eventRequestClosed  = 19
+	eventTimer          = 20
+	eventEndpointUpdate = 21
+	eventStopInstance   = 22
+	eventPeerMessage    = 23
+	eventEndpointList   = 24
+	eventPurge          = 25
+	eventProbeResult    = 26
+	eventStartInstance  = 27
 
-	actionForward     = 16
-	actionSetTimer    = 17
-	actionSnapshot    = 18
-	actionLog         = 19
-	actionCancel      = 20
-	actionFetch       = 21
-	actionSubscribe   = 22
-	actionFail        = 23
-	actionProbe       = 24
-	actionPeerMessage = 25
-	actionCrash       = 26
-	actionCloseIdle   = 27
-	actionRefuse      = 28
+	actionForward       = 16
+	actionSetTimer      = 17
+	actionPollEndpoints = 18
+	actionLog           = 19
+	actionCancel        = 20
+	actionFetch         = 21
+	actionSubscribe     = 22
+	actionFail          = 23
+	actionProbe         = 24
+	actionPeerMessage   = 25
+	actionCrash         = 26
+	actionCloseIdle     = 27
+	actionReject        = 28
 
 	resultOK            = 100
 	resultMiss          = 101
 	resultErrored       = 301
-	resultRefused       = 302
+	resultRejected      = 302
 	resultTimedOut      = 303
 	resultConnectFailed = 304
 	resultReset         = 305
 	resultCancelled     = 306
 	resultAbandoned     = 307
 
-	noteNone            = 0
-	noteHit             = 1
-	noteFilled          = 2
-	noteFilledByOrigin  = 3
-	noteJoined          = 4
-	noteStale           = 5
-	noteSourceRefused   = 6
-	noteSourceUnreached = 7
-	noteSourceLacks     = 8
-	noteNoFillSlot      = 9
-	noteOriginFailed    = 10
+	fillStatusUnknown           = 0
+	fillStatusHit               = 1
+	fillStatusFilled            = 2
+	fillStatusFilledByOrigin    = 3
+	fillStatusCoalesced         = 4
+	fillStatusStale             = 5
+	fillStatusSourceRejected    = 6
+	fillStatusSourceUnreachable = 7
+	fillStatusSourceMiss        = 8
+	fillStatusNoFillSlot        = 9
+	fillStatusOriginFailed      = 10
 
-	listChanges = 0
-	listFull    = 1
-	listCached  = 2
-	listFailed  = 3
+	updateDelta  = 0
+	updateFull   = 1
+	updateCached = 2
+	updateFailed = 3
 
-	memberDraining = 0
-	memberGone     = 1
-	memberReady    = 2
+	stateDraining = 0
+	stateRemoved  = 1
+	stateReady    = 2
 
-	flagRepeat = 2
-	flagWrite  = 4
+	flagClientRetry = 2
+	flagWrite       = 4
 
-	fetchOnlyHeldBySource = 2
-	fetchRenew            = 8
+	fetchOnlyIfCached         = 2
+	fetchStaleWhileRevalidate = 8
 
-	everyPeer = math.MaxUint32
+	allPeers = math.MaxUint32
 )
 
 // hostAddress is an address and port, six bytes on the wire.
@@ -126,7 +126,7 @@
 }
 
 // take returns the batch's bytes and starts the next one.
-func (b *batchBuilder) take(number uint32, clock int64) []byte {
+func (b *batchBuilder) finish(number uint32, clock int64) []byte {
 	batch := appendFields(nil, number, b.count, uint32(len(b.body)), clock, b.body)
 	b.body, b.count = b.body[:0], 0
 	return batch
@@ -140,7 +140,7 @@
 }
 
 // unsigned takes a number of some bytes off the body.
-func (a *replyAction) unsigned(size int) (v uint64) {
+func (a *replyAction) takeUint(size int) (v uint64) {
 	for _, octet := range a.body[:size] {
 		v = v<<8 | uint64(octet)
 	}
@@ -148,11 +148,11 @@
 	return v
 }
 
-func (a *replyAction) requestID() uint32    { return uint32(a.unsigned(4)) }
-func (a *replyAction) nanoseconds() int64   { return int64(a.unsigned(8)) }
-func (a *replyAction) host() hostAddress    { return hostAddress(a.unsigned(6)) }
-func (a *replyAction) text() []byte         { return a.body[2 : 2+a.unsignedAt(0)] }
-func (a *replyAction) unsignedAt(i int) int { return int(binary.BigEndian.Uint16(a.body[i:])) }
+func (a *replyAction) requestID() uint32  { return uint32(a.takeUint(4)) }
+func (a *replyAction) nanoseconds() int64 { return int64(a.takeUint(8)) }
+func (a *replyAction) host() hostAddress  { return hostAddress(a.takeUint(6)) }
+func (a *replyAction) text() []byte       { return a.body[2 : 2+a.uint16At(0)] }
+func (a *replyAction) uint16At(i int) int { return int(binary.BigEndian.Uint16(a.body[i:])) }
 
 // replyDigest sums up all replies of a sequence.
 type replyDigest struct {
@@ -170,29 +170,29 @@
 }
 
 // add takes in one action. Of texts meant for people only the place counts.
-func (d *replyDigest) add(a replyAction, whole []byte) {
+func (d *replyDigest) add(action replyAction, record []byte) {
 	d.actions++
-	switch a.code {
+	switch action.code {
 	case actionLog:
 		d.logs++
 	case actionCrash:
 		d.crashes++
 	default:
-		d.hash.Write(whole)
+		d.hash.Write(record)
 		return
 	}
-	d.hash.Write(appendFields(nil, a.code, a.instance))
+	d.hash.Write(appendFields(nil, action.code, action.instance))
 }
 
 // routerProcess is a running serve.
-type routerProcess struct {
-	input  *io.PipeWriter
-	output *io.PipeReader
-	number uint32
-	digest replyDigest
+type simhostClient struct {
+	input     *io.PipeWriter
+	output    *io.PipeReader
+	lastBatch uint32
+	digest    replyDigest
 }
 
-func startRouterProcess() *routerProcess {
+func startSimhost() *simhostClient {
 	inputReader, inputWriter := io.Pipe()
 	outputReader, outputWriter := io.Pipe()
 	go func() {
@@ -200,13 +200,13 @@
 		inputReader.CloseWithError(errors.New("serve has returned"))
 		outputWriter.CloseWithError(err)
 	}()
-	return &routerProcess{input: inputWriter, output: outputReader, digest: newReplyDigest()}
+	return &simhostClient{input: inputWriter, output: outputReader, digest: newReplyDigest()}
 }
 
 // stop ends the input and waits for serve to return.
-func (p *routerProcess) stop() error {
-	p.input.Close()
-	rest, err := io.ReadAll(p.output)
+func (c *simhostClient) stop() error {
+	c.input.Close()
+	rest, err := io.ReadAll(c.output)
 	if err == nil && len(rest) > 0 {
 		err = fmt.Errorf("%d bytes behind the last reply", len(rest))
 	}
@@ -214,28 +214,28 @@
 }
 
 // exchange sends a batch and returns the actions of its reply.
-func (p *routerProcess) exchange(b *batchBuilder, clock int64) ([]replyAction, error) {
-	p.number++
-	if _, err := p.input.Write(b.take(p.number, clock)); err != nil {
+func (c *simhostClient) exchange(b *batchBuilder, clock int64) ([]replyAction, error) {
+	c.lastBatch++
+	if _, err := c.input.Write(b.finish(c.lastBatch, clock)); err != nil {
 		return nil, err
 	}
 	var header [8]byte
-	if _, err := io.ReadFull(p.output, header[:]); err != nil {
-		return nil, fmt.Errorf("header of reply %d: %w", p.number, err)
+	if _, err := io.ReadFull(c.output, header[:]); err != nil {
+		return nil, fmt.Errorf("header of reply %d: %w", c.lastBatch, err)
 	}
-	if number := binary.BigEndian.Uint32(header[:]); number != p.number {
-		return nil, fmt.Errorf("reply %d to batch %d", number, p.number)
+	if number := binary.BigEndian.Uint32(header[:]); number != c.lastBatch {
+		return nil, fmt.Errorf("reply %d to batch %d", number, c.lastBatch)
 	}
 	body := make([]byte, binary.BigEndian.Uint32(header[4:]))
-	if _, err := io.ReadFull(p.output, body); err != nil {
-		return nil, fmt.Errorf("reply %d: %w", p.number, err)
+	if _, err := io.ReadFull(c.output, body); err != nil {
+		return nil, fmt.Errorf("reply %d: %w", c.lastBatch, err)
 	}
-	p.digest.hash.Write(header[:4])
+	c.digest.hash.Write(header[:4])
 	var actions []replyAction
 	for len(body) > 0 {
 		end := 5 + int(binary.BigEndian.Uint32(body[1:]))
 		action := replyAction{code: body[0], instance: binary.BigEndian.Uint16(body[5:]), body: body[7:end]}
-		p.digest.add(action, body[:end])
+		c.digest.add(action, body[:end])
 		actions = append(actions, action)
 		body = body[end:]
 	}
@@ -243,17 +243,17 @@
 }
 
 // playBadSettings starts an instance with settings that can't work, and gives it a timer.
-func playBadSettings(overrides []override) (replyDigest, error) {
-	process := startRouterProcess()
+func playInvalidSettings(overrides []override) (replyDigest, error) {
+	client := startSimhost()
 	var batch batchBuilder
 	text := newSettingsDocument(overrides).text()
-	batch.add(eventBorn, uint16(7), uint64(1), uint32(len(text)), text)
+	batch.add(eventStartInstance, uint16(7), uint64(1), uint32(len(text)), text)
 	batch.add(eventTimer, uint16(7), uint64(0))
-	if _, err := process.exchange(&batch, 1e9); err != nil {
-		return process.digest, err
+	if _, err := client.exchange(&batch, 1e9); err != nil {
+		return client.digest, err
 	}
-	if process.digest.crashes != 1 {
-		return process.digest, errors.New("the settings were taken")
+	if client.digest.crashes != 1 {
+		return client.digest, errors.New("the settings were taken")
 	}
-	return process.digest, process.stop()
+	return client.digest, client.stop()
 }
--- a/internal/simwire/codes.go
+++ b/internal/simwire/codes.go
@@ -6,35 +6,35 @@
 
 // Codes of events.
 const (
-	eventRequest       = 16
-	eventOutcome       = 17
-	eventStarted       = 18
-	eventExpired       = 19
-	eventTimer         = 20
-	eventMembers       = 21
-	eventStopInstance  = 22
-	eventPeerMessage   = 23
-	eventMemberBank    = 24
-	eventPurge         = 25
-	eventProbeResult   = 26
-	eventStartInstance = 27
+	eventRequest        = 16
+	eventOutcome        = 17
+	eventStreamStarted  = 18
+	eventRequestClosed  = 19
+	eventTimer          = 20
+	eventEndpointUpdate = 21
+	eventStopInstance   = 22
+	eventPeerMessage    = 23
+	eventEndpointList   = 24
+	eventPurge          = 25
+	eventProbeResult    = 26
+	eventStartInstance  = 27
 )
 
 // Codes of actions.
 const (
-	actionForward     = 16
-	actionSetTimer    = 17
-	actionSnapshot    = 18
-	actionLog         = 19
-	actionCancel      = 20
-	actionFetch       = 21
-	actionSubscribe   = 22
-	actionFail        = 23
-	actionProbe       = 24
-	actionPeerMessage = 25
-	actionCrash       = 26
-	actionCloseIdle   = 27
-	actionReject      = 28
+	actionForward       = 16
+	actionSetTimer      = 17
+	actionPollEndpoints = 18
+	actionLog           = 19
+	actionCancel        = 20
+	actionFetch         = 21
+	actionSubscribe     = 22
+	actionFail          = 23
+	actionProbe         = 24
+	actionPeerMessage   = 25
+	actionCrash         = 26
+	actionCloseIdle     = 27
+	actionReject        = 28
 )
 
 // Flags of a request.
@@ -48,8 +48,8 @@
 	batchHeaderBytes  = 20
 	recordHeaderBytes = 5 // code, length
 	replyHeaderBytes  = 8 // number, length
-	memberBytes       = 24
-	bankCount         = 16
+	endpointBytes     = 24
+	endpointListCount = 16
 	maxBatchBytes     = 1 << 30
 	maxTextBytes      = 1<<16 - 1
 )
--- a/internal/simwire/fields.go
+++ b/internal/simwire/fields.go
@@ -69,21 +69,21 @@
 }
 
 // members decodes a list of servers.
-func (d *fieldDecoder) members() []routing.Endpoint {
+func (d *fieldDecoder) endpoints() []routing.Endpoint {
 	count := int(d.u32())
-	if d.err != nil || count > len(d.rest)/memberBytes {
+	if d.err != nil || count > len(d.rest)/endpointBytes {
 		d.fail("list is cut short")
 		return nil
 	}
-	members := make([]routing.Endpoint, count)
-	for i := range members {
-		members[i] = d.member()
+	endpoints := make([]routing.Endpoint, count)
+	for i := range endpoints {
+		endpoints[i] = d.endpoint()
 	}
-	return members
+	return endpoints
 }
 
-func (d *fieldDecoder) member() routing.Endpoint {
-	member := routing.Endpoint{
+func (d *fieldDecoder) endpoint() routing.Endpoint {
+	endpoint := routing.Endpoint{
 		Host:    d.host(),
 		Zone:    int(d.u16()),
 		Kind:    int(d.u8()),
@@ -92,8 +92,8 @@
 		Weight:  d.f32(),
 		Cell:    int(d.u16()),
 	}
-	if member.State > routing.Ready {
-		d.fail("member state %d", member.State)
+	if endpoint.State > routing.Ready {
+		d.fail("member state %d", endpoint.State)
 	}
-	return member
+	return endpoint
 }
--- a/internal/simwire/reader.go
+++ b/internal/simwire/reader.go
@@ -34,9 +34,9 @@
 
 // Reader reads batches.
 type Reader struct {
-	input       io.Reader
-	buffer      []byte
-	memberBanks [bankCount][]routing.Endpoint // lists of members that later records refer to
+	input         io.Reader
+	buffer        []byte
+	endpointLists [endpointListCount][]routing.Endpoint // lists of members that later records refer to
 }
 
 // NewReader returns a Reader of an input.
@@ -115,8 +115,8 @@
 	}
 	end := recordHeaderBytes + size
 	fields := &fieldDecoder{rest: body[recordHeaderBytes:end]}
-	if code == eventMemberBank {
-		r.decodeMemberBank(fields)
+	if code == eventEndpointList {
+		r.decodeEndpointList(fields)
 	} else {
 		batch.Records = append(batch.Records, r.decodeRecord(code, fields))
 	}
@@ -127,14 +127,14 @@
 }
 
 // decodeMemberBank fills a bank. It is no event of an instance.
-func (r *Reader) decodeMemberBank(fields *fieldDecoder) {
-	bank := fields.u16()
-	members := fields.members()
-	if bank >= bankCount {
-		fields.fail("bank %d", bank)
+func (r *Reader) decodeEndpointList(fields *fieldDecoder) {
+	index := fields.u16()
+	endpoints := fields.endpoints()
+	if index >= endpointListCount {
+		fields.fail("bank %d", index)
 		return
 	}
-	r.memberBanks[bank] = members
+	r.endpointLists[index] = endpoints
 }
 
 func (r *Reader) decodeRecord(code byte, fields *fieldDecoder) Record {
@@ -145,15 +145,15 @@
 		event = decodeStartInstance(fields)
 	case eventStopInstance:
 		event = StopInstance{}
-	case eventMembers:
-		event = r.decodeMembers(fields)
+	case eventEndpointUpdate:
+		event = r.decodeEndpointUpdate(fields)
 	case eventRequest:
 		event = decodeRequest(fields)
-	case eventStarted:
-		event = decodeStarted(fields)
+	case eventStreamStarted:
+		event = decodeStreamStarted(fields)
 	case eventOutcome:
 		event = decodeOutcome(fields)
-	case eventExpired:
+	case eventRequestClosed:
 		event = routing.RequestClosed{ID: fields.u32()}
 	case eventTimer:
 		event = routing.TimerFired{Token: fields.u64()}
@@ -176,15 +176,15 @@
 }
 
 // decodeMembers decodes news of the list of servers. A call that failed refers to no bank.
-func (r *Reader) decodeMembers(fields *fieldDecoder) routing.EndpointUpdate {
+func (r *Reader) decodeEndpointUpdate(fields *fieldDecoder) routing.EndpointUpdate {
 	update := routing.EndpointUpdate{Kind: routing.UpdateKind(fields.u8()), Version: fields.u64()}
-	bank := fields.u16()
+	listIndex := fields.u16()
 	failed := update.Kind == routing.UpdateFailed
 	switch {
-	case update.Kind > routing.UpdateFailed, bank >= bankCount && !failed:
-		fields.fail("list kind %d, bank %d", update.Kind, bank)
+	case update.Kind > routing.UpdateFailed, listIndex >= endpointListCount && !failed:
+		fields.fail("list kind %d, bank %d", update.Kind, listIndex)
 	case !failed:
-		update.Endpoints = r.memberBanks[bank]
+		update.Endpoints = r.endpointLists[listIndex]
 	}
 	return update
 }
@@ -206,7 +206,7 @@
 	return request
 }
 
-func decodeStarted(fields *fieldDecoder) routing.StreamStarted {
+func decodeStreamStarted(fields *fieldDecoder) routing.StreamStarted {
 	return routing.StreamStarted{
 		ID:      fields.u32(),
 		Attempt: int(fields.u16()),
--- a/internal/simwire/reply.go
+++ b/internal/simwire/reply.go
@@ -69,7 +69,7 @@
 		r.boolean(a.Enabled)
 		return actionSubscribe, true
 	case routing.PollEndpoints:
-		return actionSnapshot, true
+		return actionPollEndpoints, true
 	case routing.Log:
 		r.text([]byte(a.Message))
 		return actionLog, true
--- a/internal/simwire/simwire_test.go
+++ b/internal/simwire/simwire_test.go
@@ -22,7 +22,7 @@
 }
 
 // batchBytes is batch 12 with so many records, given in hex.
-func batchBytes(t testing.TB, count int, records string) []byte {
+func buildBatch(t testing.TB, count int, records string) []byte {
 	t.Helper()
 	body := decodeHex(t, records)
 	batch := make([]byte, 0, batchHeaderBytes+len(body))
@@ -115,7 +115,7 @@
 			{3, StartInstance{Seed: 9, Settings: []byte("{}")}}}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			batch, err := decodeFirst(batchBytes(t, tc.count, tc.hex))
+			batch, err := decodeFirst(buildBatch(t, tc.count, tc.hex))
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -179,7 +179,7 @@
 func decodeFirst(input []byte) (*Batch, error) { return NewReader(bytes.NewReader(input)).Next() }
 
 func TestCutShort(t *testing.T) {
-	whole := batchBytes(t, 1, "14 0000000a 0003 000000000000004d")
+	whole := buildBatch(t, 1, "14 0000000a 0003 000000000000004d")
 	for n := 1; n < len(whole); n++ {
 		if _, err := decodeFirst(whole[:n]); err == nil || errors.Is(err, io.EOF) {
 			t.Errorf("%d of %d bytes: error %v", n, len(whole), err)
@@ -207,7 +207,7 @@
 		{"list of unknown kind", 1, "15 0000000d 0003 07 0000000000000029 0000"},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			if _, err := decodeFirst(batchBytes(t, tc.count, tc.records)); err == nil {
+			if _, err := decodeFirst(buildBatch(t, tc.count, tc.records)); err == nil {
 				t.Error("no error")
 			}
 		})
@@ -216,9 +216,9 @@
 
 // FuzzReader feeds arbitrary bytes: every batch decodes or errs, and reading ends.
 func FuzzReader(f *testing.F) {
-	f.Add(batchBytes(f, 1, "14 0000000a 0003 000000000000004d"))
-	f.Add(batchBytes(f, 1, "18 00000006 0001 00000000"))
-	f.Add(batchBytes(f, 1, "19 00000014 0003 000000000510ff40 000b 0000007c55d20a01"))
+	f.Add(buildBatch(f, 1, "14 0000000a 0003 000000000000004d"))
+	f.Add(buildBatch(f, 1, "18 00000006 0001 00000000"))
+	f.Add(buildBatch(f, 1, "19 00000014 0003 000000000510ff40 000b 0000007c55d20a01"))
 	f.Fuzz(func(t *testing.T, input []byte) {
 		if len(input) > batchHeaderBytes && input[8] != 0 {
 			return // a huge length is only a long read
