--- a/cmd/simhost/golden_actions_test.go
+++ b/cmd/simhost/golden_actions_test.go
@@ -120,16 +120,16 @@
 	if outcome.result == resultOK || q.streaming {
 		q.ended = true
 	}
-	settled := uint8(0)
+	requestDone := uint8(0)
 	if q.ended {
-		settled = 1
+		requestDone = 1
 	}
 	fillStatus := outcome.fillStatus
 	if sim.fillStatusReported == "off" || (sim.fillStatusReported == "hit" && fillStatus > fillStatusCoalesced) {
 		fillStatus = fillStatusUnknown
 	}
 	sim.batch.add(eventOutcome, r.instance, q.id, uint16(number), attempt.target.host, uint16(outcome.result),
-		sim.now-attempt.sentAt, settled, uint32(fillStatus), outcome.sourceWait, sim.loadReport(attempt.target))
+		sim.now-attempt.sentAt, requestDone, uint32(fillStatus), outcome.sourceWait, sim.loadReport(attempt.target))
 }
 
 // keepCopies has caches keep what has gone through them.
--- a/cmd/simhost/golden_faults_test.go
+++ b/cmd/simhost/golden_faults_test.go
@@ -38,19 +38,19 @@
 
 // planFaults draws when which faults begin.
 func (sim *simulation) scheduleFaults() {
-	var kinds []simFault
+	var candidates []simFault
 	for _, fault := range simFaults() {
 		if len(sim.variant.faults) == 0 {
-			kinds = append(kinds, fault)
+			candidates = append(candidates, fault)
 		}
 		for _, name := range sim.variant.faults {
 			if name == fault.name {
-				kinds = append(kinds, fault)
+				candidates = append(candidates, fault)
 			}
 		}
 	}
 	for range 3 + sim.random.IntN(4) {
-		fault := kinds[sim.random.IntN(len(kinds))]
+		fault := candidates[sim.random.IntN(len(candidates))]
 		sim.scheduleAt(sim.randomBetween(simStart+second/2, sim.endTime), func() { fault.begin(sim) })
 	}
 }
--- a/cmd/simhost/main_test.go
+++ b/cmd/simhost/main_test.go
@@ -30,33 +30,33 @@
 }
 
 // actionCodes lists the codes of the actions in a reply.
-func actionCodes(t *testing.T, reply []byte) (list []byte) {
+func actionCodes(t *testing.T, reply []byte) (codes []byte) {
 	t.Helper()
 	actions := reply[8:]
 	for len(actions) > 0 {
-		list = append(list, actions[0])
+		codes = append(codes, actions[0])
 		size := binary.BigEndian.Uint32(actions[1:])
 		actions = actions[5+size:]
 	}
-	return list
+	return codes
 }
 
 func TestServe(t *testing.T) {
-	list := encodeRecord(21, uint16(3), uint8(2), uint64(1), uint16(0))
-	pool := encodeRecord(24, uint16(0), uint32(0))
-	ask := encodeRecord(16, uint16(3), uint32(9), uint16(0), uint16(0), uint64(5), uint64(9e9), make([]byte, 14))
+	update := encodeRecord(21, uint16(3), uint8(2), uint64(1), uint16(0))
+	endpointList := encodeRecord(24, uint16(0), uint32(0))
+	request := encodeRecord(16, uint16(3), uint32(9), uint16(0), uint16(0), uint64(5), uint64(9e9), make([]byte, 14))
 	for _, tc := range []struct {
 		name string
 		in   []byte
 		want []byte
 	}{
 		{"empty batch", encodeBatch(), nil},
-		{"a router starts its timer", encodeBatch(startRecord(3, validSettings), pool, list), []byte{17}},
-		{"no host: the request is held", encodeBatch(startRecord(3, validSettings), pool, list, ask), []byte{17, 17}},
+		{"a router starts its timer", encodeBatch(startRecord(3, validSettings), endpointList, update), []byte{17}},
+		{"no host: the request is held", encodeBatch(startRecord(3, validSettings), endpointList, update, request), []byte{17, 17}},
 		{"settings that are no JSON", encodeBatch(startRecord(3, "{")), []byte{26}},
 		{"settings that cannot work", encodeBatch(startRecord(3, "{}")), []byte{26}},
-		{"stopped and started again in one batch", encodeBatch(startRecord(3, validSettings), pool, list,
-			encodeRecord(22, uint16(3)), list, startRecord(3, validSettings), list), []byte{17, 17}},
+		{"stopped and started again in one batch", encodeBatch(startRecord(3, validSettings), endpointList, update,
+			encodeRecord(22, uint16(3)), update, startRecord(3, validSettings), update), []byte{17, 17}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			var out bytes.Buffer
--- a/internal/simwire/codes.go
+++ b/internal/simwire/codes.go
@@ -1,10 +1,11 @@
-// Package simwire is the codec of the simulator's protocol: batches of events in, replies of actions out. Numbers are
-// big-endian and unpadded. It decides nothing.
+// Package simwire implements the simulator's binary protocol: it decodes batches of events and encodes replies with
+// the actions of the routers. Integers are big-endian, and fields follow each other without padding. The package makes
+// no routing decisions.
 package simwire
 
 import "shaleyard/routing"
 
-// Codes of events.
+// Event codes. A record of an event starts with one of them.
 const (
 	eventRequest        = 16
 	eventOutcome        = 17
@@ -20,7 +21,7 @@
 	eventStartInstance  = 27
 )
 
-// Codes of actions.
+// Action codes. A record of an action starts with one of them.
 const (
 	actionForward       = 16
 	actionSetTimer      = 17
@@ -37,24 +38,24 @@
 	actionReject        = 28
 )
 
-// Flags of a request.
+// Bits of the flags field of a request.
 const (
 	flagClientRetry = 2
 	flagWrite       = 4
 )
 
-// Sizes and bounds of the protocol, in bytes unless named otherwise.
+// Sizes and limits of the protocol, in bytes unless the name says otherwise.
 const (
 	batchHeaderBytes  = 20
-	recordHeaderBytes = 5 // code, length
-	replyHeaderBytes  = 8 // number, length
+	recordHeaderBytes = 5 // code, length of the fields
+	replyHeaderBytes  = 8 // batch number, length of the records
 	endpointBytes     = 24
 	endpointListCount = 16
 	maxBatchBytes     = 1 << 30
 	maxTextBytes      = 1<<16 - 1
 )
 
-// resultsByCode are the results of attempts and probes.
+// resultsByCode maps the protocol's result codes of attempts and probes to routing results.
 var resultsByCode = map[uint16]routing.Result{
 	100: routing.OK,
 	101: routing.Miss,
--- a/internal/simwire/fields.go
+++ b/internal/simwire/fields.go
@@ -7,23 +7,23 @@
 	"shaleyard/routing"
 )
 
-// fieldDecoder takes fields off a record. After the first error all fields are zero.
+// fieldDecoder decodes the fields of one record in order. After the first error it returns zero values.
 type fieldDecoder struct {
 	rest []byte
 	err  error
 }
 
-// fail keeps the first error.
+// fail records an error. Errors after the first are ignored.
 func (d *fieldDecoder) fail(format string, args ...any) {
 	if d.err == nil {
 		d.err = fmt.Errorf(format, args...)
 	}
 }
 
-// take takes bytes off the record. They are valid as long as the record's.
+// take returns the next size bytes of the record, and nil when fewer are left. The slice shares the record's memory.
 func (d *fieldDecoder) take(size int) []byte {
 	if d.err != nil || size > len(d.rest) {
-		d.fail("fields are cut short")
+		d.fail("truncated fields: need %d bytes, have %d", size, len(d.rest))
 		return nil
 	}
 	field := d.rest[:size]
@@ -31,6 +31,7 @@
 	return field
 }
 
+// uint decodes a big-endian unsigned integer of size bytes, at most 8.
 func (d *fieldDecoder) uint(size int) (v uint64) {
 	for _, octet := range d.take(size) {
 		v = v<<8 | uint64(octet)
@@ -46,7 +47,7 @@
 func (d *fieldDecoder) time() routing.Time { return routing.Time(d.uint(8)) }
 func (d *fieldDecoder) host() routing.Host { return routing.Host(d.uint(6)) }
 
-// loadReport decodes a load report: a count, and as many figures; nil: none.
+// loadReport decodes a load report: a count and that many float32 values. It returns nil for a count of 0.
 func (d *fieldDecoder) loadReport() []float32 {
 	count := int(d.u8())
 	if count == 0 || d.err != nil {
@@ -59,20 +60,21 @@
 	return report
 }
 
+// result decodes the code of an attempt's or a probe's result, and fails on a code that is not in resultsByCode.
 func (d *fieldDecoder) result() routing.Result {
 	code := d.u16()
 	result, known := resultsByCode[code]
 	if !known {
-		d.fail("unknown result %d", code)
+		d.fail("unknown result code %d", code)
 	}
 	return result
 }
 
-// members decodes a list of servers.
+// endpoints decodes an endpoint list: a count and that many endpoints.
 func (d *fieldDecoder) endpoints() []routing.Endpoint {
 	count := int(d.u32())
 	if d.err != nil || count > len(d.rest)/endpointBytes {
-		d.fail("list is cut short")
+		d.fail("truncated endpoint list: %d endpoints in %d bytes", count, len(d.rest))
 		return nil
 	}
 	endpoints := make([]routing.Endpoint, count)
@@ -82,6 +84,7 @@
 	return endpoints
 }
 
+// endpoint decodes one endpoint, and fails on an unknown state.
 func (d *fieldDecoder) endpoint() routing.Endpoint {
 	endpoint := routing.Endpoint{
 		Host:    d.host(),
@@ -93,7 +96,7 @@
 		Cell:    int(d.u16()),
 	}
 	if endpoint.State > routing.Ready {
-		d.fail("member state %d", endpoint.State)
+		d.fail("invalid endpoint state %d", endpoint.State)
 	}
 	return endpoint
 }
--- a/internal/simwire/reader.go
+++ b/internal/simwire/reader.go
@@ -10,46 +10,48 @@
 	"shaleyard/routing"
 )
 
-// StartInstance starts an instance: its seed and its settings as JSON.
+// StartInstance is the event that starts an instance. Seed seeds the random numbers of its router, and Settings holds
+// the router's settings as JSON.
 type StartInstance struct {
 	Seed     uint64
 	Settings []byte
 }
 
-// StopInstance ends an instance without notice.
+// StopInstance is the event that stops an instance at once, as in a crash: its router gets no event.
 type StopInstance struct{}
 
-// Record is an event for one instance.
+// Record is an event with the number of the instance that it is for.
 type Record struct {
 	Instance uint16
-	Event    any // a routing event, StartInstance or StopInstance
+	Event    any // an event of package routing, StartInstance or StopInstance
 }
 
-// Batch is one batch of events. Clock is the time at all of them.
+// Batch is a batch of events that all happen at the time Clock. The reply to it carries the same Number.
 type Batch struct {
 	Number  uint32
 	Clock   routing.Time
 	Records []Record
 }
 
-// Reader reads batches.
+// Reader decodes batches from an input stream.
 type Reader struct {
 	input         io.Reader
 	buffer        []byte
-	endpointLists [endpointListCount][]routing.Endpoint // lists of members that later records refer to
+	endpointLists [endpointListCount][]routing.Endpoint // by the index that endpoint updates refer to
 }
 
-// NewReader returns a Reader of an input.
+// NewReader returns a Reader that decodes batches from the input.
 func NewReader(input io.Reader) *Reader { return &Reader{input: input} }
 
-// batchHeader is what precedes the records of a batch.
+// batchHeader is the fixed-size header in front of the records of a batch.
 type batchHeader struct {
 	number, records, bytes uint32
 	clock                  routing.Time
 }
 
-// Next returns the next batch, or io.EOF at a clean end. References to member banks are resolved in the order of the
-// records.
+// Next returns the next batch. It returns io.EOF when the input ends between two batches, and another error for a
+// truncated or malformed batch. An endpoint update refers to an endpoint list by its index, and gets the list that was
+// the last one stored under the index before the update.
 func (r *Reader) Next() (*Batch, error) {
 	header, err := r.readHeader()
 	if err != nil {
@@ -67,18 +69,19 @@
 		}
 	}
 	if len(body) != 0 {
-		return nil, fmt.Errorf("batch %d: %d bytes behind the last record", header.number, len(body))
+		return nil, fmt.Errorf("batch %d: %d unexpected bytes after the last record", header.number, len(body))
 	}
 	return batch, nil
 }
 
+// readHeader reads the next batch's header. It returns io.EOF when the input ends before the header's first byte.
 func (r *Reader) readHeader() (header batchHeader, err error) {
 	var b [batchHeaderBytes]byte
 	if _, err := io.ReadFull(r.input, b[:]); err != nil {
 		if errors.Is(err, io.EOF) {
 			return header, io.EOF
 		}
-		return header, fmt.Errorf("batch header: %w", err)
+		return header, fmt.Errorf("read batch header: %w", err)
 	}
 	header = batchHeader{
 		number:  binary.BigEndian.Uint32(b[0:]),
@@ -87,31 +90,33 @@
 		clock:   routing.Time(binary.BigEndian.Uint64(b[12:])),
 	}
 	if header.bytes > maxBatchBytes || uint64(header.records)*recordHeaderBytes > uint64(header.bytes) {
-		return header, fmt.Errorf("batch %d: %d records in %d bytes", header.number, header.records, header.bytes)
+		return header, fmt.Errorf("batch %d: invalid header: %d records in %d bytes", header.number, header.records, header.bytes)
 	}
 	return header, nil
 }
 
-// readBody reads a batch's records. The slice is valid until the next call.
+// readBody reads the encoded records of a batch. The slice is valid until the next call. The error is never io.EOF,
+// which would stand for a clean end of the input.
 func (r *Reader) readBody(header batchHeader) ([]byte, error) {
 	if uint32(cap(r.buffer)) < header.bytes {
 		r.buffer = make([]byte, header.bytes)
 	}
 	body := r.buffer[:header.bytes]
 	if _, err := io.ReadFull(r.input, body); err != nil {
-		return nil, fmt.Errorf("batch %d: %w", header.number, io.ErrUnexpectedEOF)
+		return nil, fmt.Errorf("batch %d: read records: %w", header.number, io.ErrUnexpectedEOF)
 	}
 	return body, nil
 }
 
-// appendRecord decodes the first record of the body into the batch, and returns the rest of the body.
+// appendRecord decodes the first record of the body and returns the rest of the body. It appends an event to the batch;
+// an endpoint list is stored in the Reader instead.
 func (r *Reader) appendRecord(batch *Batch, body []byte) (rest []byte, err error) {
 	if len(body) < recordHeaderBytes {
-		return nil, errors.New("cut short")
+		return nil, errors.New("truncated record header")
 	}
 	code, size := body[0], binary.BigEndian.Uint32(body[1:])
 	if uint64(size) > uint64(len(body)-recordHeaderBytes) {
-		return nil, fmt.Errorf("code %d: cut short", code)
+		return nil, fmt.Errorf("code %d: truncated record", code)
 	}
 	end := recordHeaderBytes + size
 	fields := &fieldDecoder{rest: body[recordHeaderBytes:end]}
@@ -126,17 +131,19 @@
 	return body[end:], nil
 }
 
-// decodeMemberBank fills a bank. It is no event of an instance.
+// decodeEndpointList stores an endpoint list under its index, for the endpoint updates after it. The record is not an
+// event and names no instance.
 func (r *Reader) decodeEndpointList(fields *fieldDecoder) {
 	index := fields.u16()
 	endpoints := fields.endpoints()
 	if index >= endpointListCount {
-		fields.fail("bank %d", index)
+		fields.fail("invalid endpoint list index %d", index)
 		return
 	}
 	r.endpointLists[index] = endpoints
 }
 
+// decodeRecord decodes a record that holds an event: the number of its instance and the event's fields.
 func (r *Reader) decodeRecord(code byte, fields *fieldDecoder) Record {
 	instance := fields.u16()
 	var event any
@@ -164,7 +171,7 @@
 	case eventPurge:
 		event = routing.Purge{Age: fields.time(), Group: int(fields.u16()), Object: fields.u64()}
 	default:
-		fields.fail("unknown code")
+		fields.fail("unknown event code")
 	}
 	return Record{Instance: instance, Event: event}
 }
@@ -175,14 +182,15 @@
 	return StartInstance{Seed: seed, Settings: bytes.Clone(fields.take(size))}
 }
 
-// decodeMembers decodes news of the list of servers. A call that failed refers to no bank.
+// decodeEndpointUpdate decodes an endpoint update with the endpoint list that it refers to. An update that reports a
+// failed call to discovery has no endpoints, and its list index is ignored.
 func (r *Reader) decodeEndpointUpdate(fields *fieldDecoder) routing.EndpointUpdate {
 	update := routing.EndpointUpdate{Kind: routing.UpdateKind(fields.u8()), Version: fields.u64()}
 	listIndex := fields.u16()
 	failed := update.Kind == routing.UpdateFailed
 	switch {
 	case update.Kind > routing.UpdateFailed, listIndex >= endpointListCount && !failed:
-		fields.fail("list kind %d, bank %d", update.Kind, listIndex)
+		fields.fail("invalid endpoint update: kind %d, list index %d", update.Kind, listIndex)
 	case !failed:
 		update.Endpoints = r.endpointLists[listIndex]
 	}
--- a/internal/simwire/reply.go
+++ b/internal/simwire/reply.go
@@ -7,25 +7,27 @@
 	"shaleyard/routing"
 )
 
-// Crash reports that an instance's decision code has failed, or that its settings can't work.
+// Crash is the action that reports a panic of an instance's router, or settings that are invalid.
 type Crash struct{ Text string }
 
-// Reply collects the actions that answer one batch.
+// Reply encodes the actions that answer one batch of events. Call Reset before the first Append.
 type Reply struct{ buffer []byte }
 
-// Reset starts the reply to the batch of that number.
+// Reset discards the buffered reply and starts the reply to the batch with the given number.
 func (r *Reply) Reset(number uint32) {
 	r.buffer = binary.BigEndian.AppendUint32(r.buffer[:0], number)
-	r.buffer = binary.BigEndian.AppendUint32(r.buffer, 0) // the length, see Bytes
+	r.buffer = binary.BigEndian.AppendUint32(r.buffer, 0) // the length, which Bytes fills in
 }
 
-// Bytes completes the header and returns the reply; it is valid until the next Reset.
+// Bytes writes the length into the header and returns the encoded reply. The slice is valid until the next Reset or
+// Append.
 func (r *Reply) Bytes() []byte {
 	binary.BigEndian.PutUint32(r.buffer[4:], uint32(len(r.buffer)-replyHeaderBytes))
 	return r.buffer
 }
 
-// Append adds an action of an instance: a routing action or a Crash.
+// Append encodes an action of an instance: an action of package routing or a Crash. It returns an error for any other
+// type.
 func (r *Reply) Append(instance uint16, action any) error {
 	start := len(r.buffer)
 	r.buffer = append(r.buffer, make([]byte, recordHeaderBytes)...)
@@ -41,7 +43,8 @@
 	return nil
 }
 
-// appendAction appends the fields of an action, and returns its code.
+// appendAction encodes the fields of an action and returns the action's code. known is false for a type that the
+// protocol does not have.
 func (r *Reply) appendAction(action any) (code byte, known bool) {
 	switch a := action.(type) {
 	case routing.Forward:
@@ -128,7 +131,7 @@
 func (r *Reply) u64(v uint64)        { r.buffer = binary.BigEndian.AppendUint64(r.buffer, v) }
 func (r *Reply) time(t routing.Time) { r.u64(uint64(t)) }
 
-// host appends an address: four bytes and a port.
+// host appends an IPv4 address and a port, in 4 and 2 bytes.
 func (r *Reply) host(h routing.Host) {
 	r.u16(uint16(h >> 32))
 	r.u32(uint32(h))
@@ -142,7 +145,7 @@
 	r.u8(0)
 }
 
-// text appends a text with its length; what is beyond maxTextBytes is cut off.
+// text appends the length of a text in 2 bytes and the text, which it truncates to maxTextBytes.
 func (r *Reply) text(text []byte) {
 	text = text[:min(len(text), maxTextBytes)]
 	r.u16(uint16(len(text)))
--- a/internal/simwire/simwire_test.go
+++ b/internal/simwire/simwire_test.go
@@ -12,6 +12,7 @@
 	"shaleyard/routing"
 )
 
+// decodeHex decodes hex digits, which white space may separate.
 func decodeHex(t testing.TB, digits string) []byte {
 	t.Helper()
 	decoded, err := hex.DecodeString(strings.Join(strings.Fields(digits), ""))
@@ -21,7 +22,8 @@
 	return decoded
 }
 
-// batchBytes is batch 12 with so many records, given in hex.
+// buildBatch returns the encoded batch 12 at batchClock. Its header gives count as the number of records, which records
+// holds in hex.
 func buildBatch(t testing.TB, count int, records string) []byte {
 	t.Helper()
 	body := decodeHex(t, records)
@@ -70,7 +72,7 @@
 		want      []Record
 	}{
 		{"empty", "", 0, []Record{}},
-		{"inbound, wake, expired", `
+		{"request, timer, request closed", `
 			10 00000028 0003 5d3a91c4 0000 0000 91f03b7c55d20a64 0000000203b6db90 44200000 41300000 40400000 0001
 			14 0000000a 0003 000000000000004d
 			13 00000006 0005 0e6f2b19`, 3, []Record{
@@ -78,7 +80,7 @@
 				Group: 11, Part: 3}},
 			{3, routing.TimerFired{Token: 77}},
 			{5, routing.RequestClosed{ID: 0x0e6f2b19}}}},
-		{"list", `
+		{"endpoint list and update", `
 			18 00000036 0000 00000002
 			0a124a07 138b 0000 00 02 0000000000000000 3f800000 0000
 			0a9011f2 13b4 0001 00 02 000000016b969d00 3fc00000 0000
@@ -86,7 +88,7 @@
 			{3, routing.EndpointUpdate{Kind: routing.UpdateCached, Version: 41, Endpoints: []routing.Endpoint{
 				{Host: hostA, State: routing.Ready, Weight: 1},
 				{Host: hostB, Zone: 1, State: routing.Ready, Started: 0x16b969d00, Weight: 1.5}}}}}},
-		{"a bank is used anew within the batch", `
+		{"endpoint list is replaced within a batch", `
 			18 0000001e 0001 00000001 0a124a07 138b 0000 00 02 0000000000000000 3f800000 0000
 			15 0000000d 0003 01 0000000000000029 0001
 			18 00000006 0001 00000000
@@ -94,19 +96,19 @@
 			{3, routing.EndpointUpdate{Kind: routing.UpdateFull, Version: 41, Endpoints: []routing.Endpoint{
 				{Host: hostA, State: routing.Ready, Weight: 1}}}},
 			{4, routing.EndpointUpdate{Kind: routing.UpdateFull, Version: 41, Endpoints: []routing.Endpoint{}}}}},
-		{"answer", `11 00000036 0003 5d3a91c4 0000 0a124a07 138b 0064 00000000011a49a0 01 00000002 00000000008f6ec0
+		{"outcome", `11 00000036 0003 5d3a91c4 0000 0a124a07 138b 0064 00000000011a49a0 01 00000002 00000000008f6ec0
 			04 3f1eb85240e000003fa000003ecccccd`, 1, []Record{
 			{3, routing.Outcome{ID: 0x5d3a91c4, Host: hostA, Result: routing.OK, Elapsed: 18500000, RequestDone: true,
 				FillStatus: routing.FillStatusFilled, SourceWait: 9400000, LoadReport: []float32{0.62, 7, 1.25,
 					0.4}}}}},
-		{"purge, crash, first", `
+		{"purge, stop instance, stream started", `
 			19 00000014 0003 000000000510ff40 000b 0000007c55d20a01
 			16 00000002 0003
 			12 00000016 0003 00000001 0002 0a124a07 138b 0000000000000005`, 3, []Record{
 			{3, routing.Purge{Age: 85000000, Group: 11, Object: 0x7c55d20a01}},
 			{3, StopInstance{}},
 			{3, routing.StreamStarted{ID: 1, Attempt: 2, Host: hostA, Elapsed: 5}}}},
-		{"status, datagram, born", `
+		{"probe result, peer message, start instance", `
 			1a 00000017 0003 0000000000000005 0130 0a124a07 138b 01 3f800000
 			17 00000009 0003 00000002 0001 68
 			1b 00000010 0003 0000000000000009 00000002 7b7d`, 3, []Record{
@@ -120,7 +122,7 @@
 				t.Fatal(err)
 			}
 			if batch.Number != 12 || batch.Clock != batchClock {
-				t.Errorf("header %d, %d", batch.Number, batch.Clock)
+				t.Errorf("got batch %d at %d, want 12 at %d", batch.Number, batch.Clock, batchClock)
 			}
 			if !reflect.DeepEqual(batch.Records, tc.want) {
 				t.Errorf("got  %+v\nwant %+v", batch.Records, tc.want)
@@ -171,22 +173,23 @@
 	}
 	var reply Reply
 	if err := reply.Append(3, 7); err == nil {
-		t.Error("an unknown action was encoded")
+		t.Error("Append of an int: got no error, want one")
 	}
 }
 
-// decodeFirst decodes the first batch of an input.
+// decodeFirst returns the first batch of an input.
 func decodeFirst(input []byte) (*Batch, error) { return NewReader(bytes.NewReader(input)).Next() }
 
-func TestCutShort(t *testing.T) {
+// TestTruncatedBatch guards against taking a truncated batch for a clean end of the input: only an empty input gives io.EOF.
+func TestTruncatedBatch(t *testing.T) {
 	whole := buildBatch(t, 1, "14 0000000a 0003 000000000000004d")
 	for n := 1; n < len(whole); n++ {
 		if _, err := decodeFirst(whole[:n]); err == nil || errors.Is(err, io.EOF) {
-			t.Errorf("%d of %d bytes: error %v", n, len(whole), err)
+			t.Errorf("%d of %d bytes: got error %v, want one that is not io.EOF", n, len(whole), err)
 		}
 	}
 	if _, err := decodeFirst(nil); !errors.Is(err, io.EOF) {
-		t.Errorf("clean end: %v", err)
+		t.Errorf("empty input: got error %v, want io.EOF", err)
 	}
 }
 
@@ -197,31 +200,32 @@
 		records string
 	}{
 		{"unknown code", 1, "63 00000002 0003"},
-		{"short fields", 1, "14 00000004 0003 0000"},
-		{"record past the end", 1, "14 000000ff 0003"},
-		{"bytes left over", 0, "14 00000002 0003"},
-		{"unknown result", 1, "1a 00000013 0003 0000000000000005 0001 0a124a07 138b 00"},
-		{"bank out of range", 1, "18 00000006 0010 00000000"},
-		{"list longer than it", 1, "18 00000006 0001 00000009"},
-		{"text longer than it", 1, "17 00000008 0003 00000002 0009"},
-		{"list of unknown kind", 1, "15 0000000d 0003 07 0000000000000029 0000"},
+		{"truncated fields", 1, "14 00000004 0003 0000"},
+		{"record is longer than the batch", 1, "14 000000ff 0003"},
+		{"bytes after the last record", 0, "14 00000002 0003"},
+		{"unknown result code", 1, "1a 00000013 0003 0000000000000005 0001 0a124a07 138b 00"},
+		{"endpoint list index out of range", 1, "18 00000006 0010 00000000"},
+		{"endpoint list is longer than its record", 1, "18 00000006 0001 00000009"},
+		{"text is longer than its record", 1, "17 00000008 0003 00000002 0009"},
+		{"endpoint update of unknown kind", 1, "15 0000000d 0003 07 0000000000000029 0000"},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			if _, err := decodeFirst(buildBatch(t, tc.count, tc.records)); err == nil {
-				t.Error("no error")
+				t.Error("got no error, want one")
 			}
 		})
 	}
 }
 
-// FuzzReader feeds arbitrary bytes: every batch decodes or errs, and reading ends.
+// FuzzReader reads arbitrary bytes. It guards against a panic, and against a Reader that returns batches without
+// consuming input: an input holds no more batches than fit into it with their headers.
 func FuzzReader(f *testing.F) {
 	f.Add(buildBatch(f, 1, "14 0000000a 0003 000000000000004d"))
 	f.Add(buildBatch(f, 1, "18 00000006 0001 00000000"))
 	f.Add(buildBatch(f, 1, "19 00000014 0003 000000000510ff40 000b 0000007c55d20a01"))
 	f.Fuzz(func(t *testing.T, input []byte) {
 		if len(input) > batchHeaderBytes && input[8] != 0 {
-			return // a huge length is only a long read
+			return // a length of 16 MiB or more only makes the Reader allocate and read more
 		}
 		reader := NewReader(bytes.NewReader(input))
 		for range len(input)/batchHeaderBytes + 1 {
@@ -229,6 +233,6 @@
 				return
 			}
 		}
-		t.Fatal("more batches than headers")
+		t.Fatalf("got more batches than fit into %d bytes", len(input))
 	})
 }
