--- a/cmd/simhost/golden_actions_test.go
+++ b/cmd/simhost/golden_actions_test.go
@@ -1,6 +1,7 @@
 package main
 
-// perform has the world react to one action.
+// handleAction simulates the effects of an action: it schedules the events that servers, clients and discovery send to
+// the routers in response.
 func (sim *simulation) handleAction(a replyAction) {
 	r := sim.router(a.instance)
 	switch a.code {
@@ -39,18 +40,19 @@
 	case actionPollEndpoints:
 		sim.scheduleAfter(5*millisecond, func() { sim.sendUpdate(updateFull, sim.servers) })
 	case actionCrash:
-		sim.fail("instance %d has crashed at %d: %s", a.instance, sim.now, a.text())
+		sim.fail("instance %d crashed at %d ns: %s", a.instance, sim.now, a.text())
 	}
 }
 
-// fetchOrder is what a router asks of the world with an attempt.
+// attemptParams holds the fields of a fetch or forward action that determine the outcome of the attempt.
 type attemptParams struct {
-	target, source *simServer // the same: no fill
-	flags          uint8
-	timeout        int64
-	maxAge         int64
+	target, source *simServer // the same server: the target does not fill a miss
+	flags          uint8      // the fetch flags
+	timeout        int64      // 0: until the request's deadline
+	maxAge         int64      // of a cached copy; 0: any age
 }
 
+// handleFetch starts the attempt that a fetch action describes.
 func (sim *simulation) handleFetch(r *simRouter, a replyAction) {
 	q := r.requests[a.requestID()]
 	params := attemptParams{flags: uint8(a.takeUint(1)), timeout: a.nanoseconds()}
@@ -61,10 +63,12 @@
 	sim.startAttempt(r, q, params)
 }
 
-// startAttempt begins an attempt. Its request may have ended in the same batch, or its router have been replaced.
+// startAttempt starts an attempt and schedules its end, which is at the latest at the attempt's timeout and the
+// request's deadline. q is nil, and no attempt starts, when the router was restarted in the batch that its action
+// answers. If the request ended in the same batch, the attempt starts all the same.
 func (sim *simulation) startAttempt(r *simRouter, q *simRequest, params attemptParams) {
 	if params.target == nil || params.source == nil {
-		sim.fail("instance %d sends to a host that is unknown", r.instance)
+		sim.fail("instance %d sent an attempt to an unknown host", r.instance)
 		return
 	}
 	if q == nil {
@@ -91,6 +95,8 @@
 	sim.scheduleAfter(outcome.elapsed, func() { sim.endAttempt(r, q, number, outcome) })
 }
 
+// startStream notifies the router that an attempt's answer has begun to stream, unless the attempt or the request has
+// ended or another attempt streams already.
 func (sim *simulation) startStream(r *simRouter, q *simRequest, number int) {
 	attempt := q.attempts[number]
 	if q.ended || q.streaming || !attempt.open || r.requests[q.id] != q {
@@ -100,7 +106,8 @@
 	sim.batch.add(eventStreamStarted, r.instance, q.id, uint16(number), attempt.target.host, sim.now-attempt.sentAt)
 }
 
-// endAttempt tells the router how an attempt has ended, once.
+// endAttempt ends an attempt and sends its outcome to the router. It does nothing if the attempt has ended already, and
+// sends nothing if the router was restarted since the attempt began.
 func (sim *simulation) endAttempt(r *simRouter, q *simRequest, number int, outcome simOutcome) {
 	attempt := q.attempts[number]
 	if !attempt.open {
@@ -112,7 +119,7 @@
 		attempt.source.inFlight--
 	}
 	if r.requests[q.id] != q {
-		return // the router has been started anew since
+		return // the router was restarted after the attempt started
 	}
 	if outcome.result == resultOK {
 		sim.storeCopies(q, attempt, outcome)
@@ -132,18 +139,20 @@
 		sim.now-attempt.sentAt, requestDone, uint32(fillStatus), outcome.sourceWait, sim.loadReport(attempt.target))
 }
 
-// keepCopies has caches keep what has gone through them.
+// storeCopies stores a copy of a filled or coalesced answer in the attempt's target and source. Answers to writes and
+// answers of the origin are not stored.
 func (sim *simulation) storeCopies(q *simRequest, attempt *simAttempt, outcome simOutcome) {
 	if simClasses[q.class].write || attempt.target.kind == kindOrigin {
 		return
 	}
-	if outcome.fillStatus == fillStatusFilled || outcome.fillStatus == fillStatusFilledByOrigin || outcome.fillStatus == fillStatusCoalesced {
+	if outcome.fillStatus == fillStatusFilled || outcome.fillStatus == fillStatusFilledByOrigin ||
+		outcome.fillStatus == fillStatusCoalesced {
 		attempt.target.copies[q.key] = sim.now
 		attempt.source.copies[q.key] = sim.now
 	}
 }
 
-// loadReport is a server's report in its wire form.
+// loadReport returns a server's load report in its wire format, with the number of fields that the variant sets.
 func (sim *simulation) loadReport(s *simServer) []byte {
 	report := []byte{uint8(sim.variant.options.loadReportFields)}
 	for i := range sim.variant.options.loadReportFields {
@@ -152,6 +161,8 @@
 	return report
 }
 
+// handleCancel ends the cancelled attempt after 1 to 5 ms: as abandoned in 15% of the cases, else as cancelled. 10% of
+// the cancel actions are ignored, as if they crossed with the answer.
 func (sim *simulation) handleCancel(r *simRouter, a replyAction) {
 	q := r.requests[a.requestID()]
 	number := int(a.takeUint(2))
@@ -163,26 +174,31 @@
 		outcome.result = resultAbandoned
 	}
 	if sim.chance(10) {
-		return // it is overtaken by the answer
+		return // the cancel action crosses with the answer
 	}
 	sim.scheduleAfter(sim.randomBetween(millisecond, 5*millisecond), func() { sim.endAttempt(r, q, number, outcome) })
 }
 
-// askAgain is what some clients do that were refused.
+// retryRejected has 30% of the rejected clients send their request again, after retryAfter and a random delay of 1 to
+// 300 ms. The retry has half of the class's deadline.
 func (sim *simulation) retryRejected(r *simRouter, q *simRequest, retryAfter int64) {
 	if !sim.chance(30) {
 		return
 	}
 	retry := &simRequest{class: q.class, key: q.key, group: q.group, sizeKB: q.sizeKB}
 	retry.deadline = simClasses[q.class].deadline / 2
-	sim.scheduleAfter(retryAfter+sim.randomBetween(millisecond, 300*millisecond), func() { sim.submit(r, retry, flagClientRetry) })
+	sim.scheduleAfter(retryAfter+sim.randomBetween(millisecond, 300*millisecond), func() {
+		sim.submit(r, retry, flagClientRetry)
+	})
 }
 
+// handlePeerMessage delivers a message to the addressed peers after 1 to 8 ms. 4% of the messages are truncated by a
+// byte, and 5% of the deliveries are lost.
 func (sim *simulation) handlePeerMessage(from *simRouter, a replyAction) {
 	to := uint32(a.takeUint(4))
 	text := append([]byte(nil), a.text()...)
 	if sim.chance(4) {
-		text = text[:len(text)-1] // damaged on its way
+		text = text[:len(text)-1] // truncated in transit
 	}
 	for _, r := range sim.routers {
 		if r == from || (to != allPeers && to != r.peerNumber) || sim.chance(5) {
@@ -194,6 +210,7 @@
 	}
 }
 
+// handleProbe sends a probe result to the router after 1 to 20 ms. The probe fails only if the server is down.
 func (sim *simulation) handleProbe(r *simRouter, s *simServer) {
 	result := resultOK
 	if s.health == serverDown {
@@ -205,7 +222,7 @@
 	})
 }
 
-// performSubscribe gives a router the list, or fails.
+// handleSubscribe sends the full endpoint list to a router after 2 to 30 ms; 20% of the calls fail.
 func (sim *simulation) handleSubscribe(r *simRouter) {
 	sim.scheduleAfter(sim.randomBetween(2*millisecond, 30*millisecond), func() {
 		if sim.chance(20) {
@@ -217,13 +234,15 @@
 	})
 }
 
-// worldAnswer is how an attempt would end, were it let run.
+// simOutcome is the outcome of an attempt that is neither cancelled nor timed out before.
 type simOutcome struct {
-	result, fillStatus  int
-	elapsed, sourceWait int64
+	result, fillStatus int
+	elapsed            int64 // from the start of the attempt to its end
+	sourceWait         int64 // the part of elapsed that the target waits for its source
 }
 
-// answerOf works out the answer to an attempt from the state of its servers.
+// outcomeOf returns the outcome of an attempt: a failure that follows from the target's health or is drawn at random,
+// an answer from the target's cached copy or from the origin, a miss, or the outcome of a fill.
 func (sim *simulation) outcomeOf(q *simRequest, params attemptParams) simOutcome {
 	target := params.target
 	networkDelay := sim.randomBetween(millisecond, 5*millisecond)
@@ -265,7 +284,8 @@
 	return sim.fillOutcome(q, params, networkDelay, transfer)
 }
 
-// fillAnswer is the answer of a cache that has to ask its source.
+// fillOutcome returns the outcome of an attempt whose target has no copy and requests the object from its source. A
+// source without a copy requests it from the origin.
 func (sim *simulation) fillOutcome(q *simRequest, params attemptParams, networkDelay, transfer int64) simOutcome {
 	source := params.source
 	_, found := sim.cachedCopy(source, q)
@@ -273,7 +293,8 @@
 	switch {
 	case source.health == serverDown:
 		sourceWait := sim.randomBetween(millisecond, 400*millisecond)
-		return simOutcome{result: resultRejected, fillStatus: fillStatusSourceUnreachable, elapsed: networkDelay + sourceWait, sourceWait: sourceWait}
+		return simOutcome{result: resultRejected, fillStatus: fillStatusSourceUnreachable,
+			elapsed: networkDelay + sourceWait, sourceWait: sourceWait}
 	case source.health == serverUnresponsive:
 		return simOutcome{result: resultTimedOut, elapsed: sim.unresponsiveTimeout(q)}
 	case source.health == serverRejecting, source.inFlight >= 2*sim.serverCapacity:
@@ -294,7 +315,9 @@
 	return simOutcome{result: resultOK, fillStatus: fillStatusFilledByOrigin, elapsed: wait + transfer, sourceWait: wait}
 }
 
-// patience is how long somebody on the way waits for a server that is silent: as long as the client, or less.
+// unresponsiveTimeout returns how long an attempt at an unresponsive server lasts. Half of the attempts get 200 to
+// 900 ms, a timeout of some server on the path. The others get the request's deadline, a time rather than a duration,
+// which startAttempt limits to the time that is left until it.
 func (sim *simulation) unresponsiveTimeout(q *simRequest) int64 {
 	if sim.chance(50) {
 		return q.deadline
@@ -302,19 +325,23 @@
 	return sim.randomBetween(200*millisecond, 900*millisecond)
 }
 
-// sendingTime grows with the size, with what else the server is sending, and by chance.
+// transferTime returns how long a server sends the answer. The time is proportional to the answer's size and the
+// server's slowdown, grows with the number of requests in flight at the server, and is multiplied by a random factor of
+// 0.8 to 1.3.
 func (sim *simulation) transferTime(q *simRequest, s *simServer) int64 {
 	alone := q.sizeKB * 250 * microsecond
 	shared := alone * int64(6+s.inFlight) / 6
 	return shared * sim.randomBetween(80, 130) / 100 * s.slowdown
 }
 
-// heldCopy is when the copy that a server holds was made.
+// cachedCopy returns when a server stored its copy of the requested object, and whether it has a copy that no later
+// purge has invalidated.
 func (sim *simulation) cachedCopy(s *simServer, q *simRequest) (storedAt int64, found bool) {
 	storedAt, found = s.copies[q.key]
 	return storedAt, found && storedAt > sim.objectPurgedAt[q.key.object] && storedAt > sim.groupPurgedAt[q.group]
 }
 
+// freshEnough reports whether a copy is at most maxAge old. A maxAge of 0 allows any age.
 func (sim *simulation) freshEnough(storedAt, maxAge int64) bool {
 	return maxAge == 0 || sim.now-storedAt <= maxAge
 }
--- a/cmd/simhost/golden_test.go
+++ b/cmd/simhost/golden_test.go
@@ -13,16 +13,17 @@
 	"time"
 )
 
-// The golden test plays seeded event sequences through serve, in the bytes of the simulator's protocol alone, and
-// compares a hash of each sequence's replies with testdata/golden/router.txt. A change that leaves the decisions alone
-// leaves every hash alone. Texts of log actions are counted but not hashed, as they may change.
+// The golden test runs seeded simulations against serve and exchanges only encoded batches and replies with it. It
+// compares a hash of each simulation's replies with testdata/golden/router.txt, so it fails when a change alters a
+// routing decision or the wire format. The texts of log and crash actions may change: these actions are counted, and
+// only their code, instance and position are hashed.
 
 var updateGolden = flag.Bool("update", false, "write testdata/golden/router.txt")
 
 const (
 	goldenFile             = "testdata/golden/router.txt"
 	seedsPerVariant        = 10
-	maxReportedDifferences = 10 // sequences that a failure prints
+	maxReportedDifferences = 10 // differing sequences that a failed test prints
 	baseSettingsText       = `{
 	"balancers": 3, "quantum": 2000000, "registryMode": "automatic", "weights": "nominal", "zone": 2, "me": 0,
 	"dcs": ["hub-a", "hub-b", "here", "there"], "kinds": ["edge", "parent", "origin"],
@@ -51,17 +52,18 @@
 		"fall": 1000000000, "graceToAnswer": 8000000, "tipMultiple": 3}}`
 )
 
-// override sets one key of the settings, named by its path.
+// override replaces the value at a path in the settings, such as "services.1.aim". The value nil deletes the key.
 type override struct {
 	path  string
 	value any
 }
 
-// goldenFamily is a set of sequences with like settings.
+// goldenVariant describes sequences that differ in their seed alone. They share their settings, the kinds of faults
+// that may occur and the options of the simulation.
 type goldenVariant struct {
 	name      string
 	overrides []override
-	faults    []string // drawn from for each sequence; empty: all kinds
+	faults    []string // names of simFaults to draw from, repeated to weight them; empty: all faults
 	options   simOptions
 }
 
@@ -131,7 +133,7 @@
 		{"report.fields", []string{"load", "queue"}}}, options: simOptions{loadReportFields: 2, routersInTwoZones: true}},
 }
 
-// badSettings are refused at the start of an instance.
+// invalidSettings lists settings with which an instance must not start.
 var invalidSettings = []struct {
 	name      string
 	overrides []override
@@ -150,9 +152,10 @@
 	{"name-not-text", []override{{"weights", 7}}},
 }
 
-// settingsDocument is settings text that overrides can be laid over.
+// settingsDocument is a decoded settings object to which overrides can be applied.
 type settingsDocument map[string]any
 
+// newSettingsDocument returns the base settings with the overrides applied.
 func newSettingsDocument(overrides []override) settingsDocument {
 	var document settingsDocument
 	if err := json.Unmarshal([]byte(baseSettingsText), &document); err != nil {
@@ -164,6 +167,7 @@
 	return document
 }
 
+// set applies an override. A path element after an array is a one-digit index.
 func (d settingsDocument) set(o override) {
 	keys := strings.Split(o.path, ".")
 	var at any = map[string]any(d)
@@ -184,6 +188,7 @@
 	object[last] = o.value
 }
 
+// text returns the settings as JSON.
 func (d settingsDocument) text() []byte {
 	text, err := json.Marshal(d)
 	if err != nil {
@@ -192,12 +197,13 @@
 	return text
 }
 
-// goldenSequence is one line of the golden file.
+// goldenSequence is one line of the golden file. play plays the sequence and returns the digest of its replies.
 type goldenSequence struct {
 	name string
 	play func() (replyDigest, error)
 }
 
+// goldenSequences returns all sequences in the order of the golden file.
 func goldenSequences() (sequences []goldenSequence) {
 	for variantIndex, variant := range goldenVariants {
 		for n := range seedsPerVariant {
@@ -217,6 +223,8 @@
 	return sequences
 }
 
+// TestGoldenRouter guards against unintended changes of routing decisions: a refactoring must leave the replies to
+// every sequence as the golden file has them. With -update it writes the golden file instead.
 func TestGoldenRouter(t *testing.T) {
 	start := time.Now()
 	got := playAll(t, goldenSequences())
@@ -233,7 +241,7 @@
 	}
 	want := strings.Split(strings.TrimSuffix(string(text), "\n"), "\n")
 	if len(got) != len(want) {
-		t.Errorf("%d sequences, the file has %d", len(got), len(want))
+		t.Errorf("got %d sequences, want %d as in %s", len(got), len(want), goldenFile)
 	}
 	differences := 0
 	for i := range min(len(got), len(want)) {
@@ -249,7 +257,8 @@
 	}
 }
 
-// playAll plays the sequences, several at once, and returns their lines in order.
+// playAll plays the sequences, up to 4 at a time, and returns their lines of the golden file in order. It fails the
+// test if a sequence can't be played to its end.
 func playAll(t *testing.T, sequences []goldenSequence) []string {
 	t.Helper()
 	lines := make([]string, len(sequences))
@@ -280,6 +289,8 @@
 	return lines
 }
 
+// TestGoldenNamesAreUnique guards against two sequences of the same name, which a failure of TestGoldenRouter could not
+// tell apart.
 func TestGoldenNamesAreUnique(t *testing.T) {
 	sequences := goldenSequences()
 	names := make([]string, 0, len(sequences))
@@ -288,6 +299,6 @@
 	}
 	slices.Sort(names)
 	if unique := slices.Compact(slices.Clone(names)); len(unique) != len(names) {
-		t.Errorf("%d names, %d of them different", len(names), len(unique))
+		t.Errorf("got %d unique names among %d, want all unique", len(unique), len(names))
 	}
 }
--- a/cmd/simhost/golden_wire_test.go
+++ b/cmd/simhost/golden_wire_test.go
@@ -10,8 +10,8 @@
 	"math"
 )
 
-// Codes of the simulator's protocol, as its pages give them. They stand here a second time on purpose: the golden test
-// must notice when the program's own change.
+// Codes of the simulator's protocol, as its documentation specifies them. They are defined here a second time, instead
+// of taken from package simwire, so that the golden test fails when a code in simwire changes.
 const (
 	eventRequest        = 16
 	eventOutcome        = 17
@@ -80,10 +80,10 @@
 	allPeers = math.MaxUint32
 )
 
-// hostAddress is an address and port, six bytes on the wire.
+// hostAddress is an IPv4 address and a port: 6 bytes on the wire.
 type hostAddress uint64
 
-// appendFields appends values in their wire form.
+// appendFields appends the values in their wire format. It panics on a type that has none.
 func appendFields(b []byte, fields ...any) []byte {
 	for _, field := range fields {
 		switch v := field.(type) {
@@ -105,18 +105,19 @@
 		case []byte:
 			b = append(b, v...)
 		default:
-			panic(fmt.Sprintf("no wire form for %T", field))
+			panic(fmt.Sprintf("no wire format for type %T", field))
 		}
 	}
 	return b
 }
 
-// batchBuilder collects the records of one batch.
+// batchBuilder encodes the records of a batch.
 type batchBuilder struct {
 	body  []byte
 	count uint32
 }
 
+// add appends a record with the given code and fields.
 func (b *batchBuilder) add(code byte, fields ...any) {
 	start := len(b.body)
 	b.body = append(b.body, code, 0, 0, 0, 0)
@@ -125,21 +126,22 @@
 	b.count++
 }
 
-// take returns the batch's bytes and starts the next one.
+// finish returns the encoded batch, header included, and empties the builder for the next batch.
 func (b *batchBuilder) finish(number uint32, clock int64) []byte {
 	batch := appendFields(nil, number, b.count, uint32(len(b.body)), clock, b.body)
 	b.body, b.count = b.body[:0], 0
 	return batch
 }
 
-// replyAction is one action of a reply. Its body begins behind the instance.
+// replyAction is one action of a reply. Its body holds the fields after the instance; the methods that decode a field,
+// other than text and uint16At, remove it from the body.
 type replyAction struct {
 	code     byte
 	instance uint16
 	body     []byte
 }
 
-// unsigned takes a number of some bytes off the body.
+// takeUint removes a big-endian unsigned integer of size bytes from the body and returns it.
 func (a *replyAction) takeUint(size int) (v uint64) {
 	for _, octet := range a.body[:size] {
 		v = v<<8 | uint64(octet)
@@ -154,7 +156,7 @@
 func (a *replyAction) text() []byte       { return a.body[2 : 2+a.uint16At(0)] }
 func (a *replyAction) uint16At(i int) int { return int(binary.BigEndian.Uint16(a.body[i:])) }
 
-// replyDigest sums up all replies of a sequence.
+// replyDigest holds a hash over all replies of a sequence, and counts their actions.
 type replyDigest struct {
 	actions, logs, crashes int
 	hash                   hash.Hash
@@ -164,12 +166,13 @@
 
 func (d replyDigest) String() string {
 	if d.hash == nil {
-		return "not played"
+		return "no replies"
 	}
 	return fmt.Sprintf("actions=%d logs=%d crashes=%d sha256=%x", d.actions, d.logs, d.crashes, d.hash.Sum(nil)[:12])
 }
 
-// add takes in one action. Of texts meant for people only the place counts.
+// add counts an action and hashes its record. Of a log or crash action it hashes the code and the instance but not the
+// text, which may be reworded without a change of behavior.
 func (d *replyDigest) add(action replyAction, record []byte) {
 	d.actions++
 	switch action.code {
@@ -184,7 +187,7 @@
 	d.hash.Write(appendFields(nil, action.code, action.instance))
 }
 
-// routerProcess is a running serve.
+// simhostClient exchanges batches and replies with a serve that runs in a goroutine. It keeps a digest of the replies.
 type simhostClient struct {
 	input     *io.PipeWriter
 	output    *io.PipeReader
@@ -192,28 +195,31 @@
 	digest    replyDigest
 }
 
+// startSimhost starts serve in a goroutine and returns the client that is connected to it.
 func startSimhost() *simhostClient {
 	inputReader, inputWriter := io.Pipe()
 	outputReader, outputWriter := io.Pipe()
 	go func() {
 		err := serve(inputReader, outputWriter)
-		inputReader.CloseWithError(errors.New("serve has returned"))
+		inputReader.CloseWithError(errors.New("serve returned"))
 		outputWriter.CloseWithError(err)
 	}()
 	return &simhostClient{input: inputWriter, output: outputReader, digest: newReplyDigest()}
 }
 
-// stop ends the input and waits for serve to return.
+// stop closes the input and waits until serve returns. It returns serve's error, or an error if serve wrote more than
+// the replies that exchange has read.
 func (c *simhostClient) stop() error {
 	c.input.Close()
 	rest, err := io.ReadAll(c.output)
 	if err == nil && len(rest) > 0 {
-		err = fmt.Errorf("%d bytes behind the last reply", len(rest))
+		err = fmt.Errorf("%d unexpected bytes after the last reply", len(rest))
 	}
 	return err
 }
 
-// exchange sends a batch and returns the actions of its reply.
+// exchange sends the batch, empties the builder and returns the actions of the reply. The reply's batch number and
+// actions enter the digest.
 func (c *simhostClient) exchange(b *batchBuilder, clock int64) ([]replyAction, error) {
 	c.lastBatch++
 	if _, err := c.input.Write(b.finish(c.lastBatch, clock)); err != nil {
@@ -221,14 +227,14 @@
 	}
 	var header [8]byte
 	if _, err := io.ReadFull(c.output, header[:]); err != nil {
-		return nil, fmt.Errorf("header of reply %d: %w", c.lastBatch, err)
+		return nil, fmt.Errorf("read header of reply %d: %w", c.lastBatch, err)
 	}
 	if number := binary.BigEndian.Uint32(header[:]); number != c.lastBatch {
-		return nil, fmt.Errorf("reply %d to batch %d", number, c.lastBatch)
+		return nil, fmt.Errorf("got reply to batch %d, want batch %d", number, c.lastBatch)
 	}
 	body := make([]byte, binary.BigEndian.Uint32(header[4:]))
 	if _, err := io.ReadFull(c.output, body); err != nil {
-		return nil, fmt.Errorf("reply %d: %w", c.lastBatch, err)
+		return nil, fmt.Errorf("read reply %d: %w", c.lastBatch, err)
 	}
 	c.digest.hash.Write(header[:4])
 	var actions []replyAction
@@ -242,7 +248,8 @@
 	return actions, nil
 }
 
-// playBadSettings starts an instance with settings that can't work, and gives it a timer.
+// playInvalidSettings starts an instance with invalid settings and then sends it a timer event, which serve has to
+// ignore. It returns an error unless the reply holds exactly one crash action.
 func playInvalidSettings(overrides []override) (replyDigest, error) {
 	client := startSimhost()
 	var batch batchBuilder
@@ -253,7 +260,7 @@
 		return client.digest, err
 	}
 	if client.digest.crashes != 1 {
-		return client.digest, errors.New("the settings were taken")
+		return client.digest, fmt.Errorf("got %d crash actions for invalid settings, want 1", client.digest.crashes)
 	}
 	return client.digest, client.stop()
 }
--- a/cmd/simhost/golden_world_test.go
+++ b/cmd/simhost/golden_world_test.go
@@ -6,7 +6,7 @@
 	"math/rand/v2"
 )
 
-// Times of the world are nanoseconds, as on the wire.
+// Times of the simulation in nanoseconds, as on the wire.
 const (
 	microsecond = int64(1000)
 	millisecond = 1000 * microsecond
@@ -16,12 +16,12 @@
 	simQuantum = 2 * millisecond
 )
 
-// Zones, kinds and hosts of the world's site, as the settings have them.
+// Zones and kinds, as indexes of "dcs" and "kinds" in baseSettingsText, and addresses of the simulated servers.
 const (
 	zoneHubA  = 0
 	zoneHubB  = 1
-	zoneEdgeA = 2
-	zoneEdgeB = 3
+	zoneEdgeA = 2 // "here" in the settings
+	zoneEdgeB = 3 // "there" in the settings
 
 	kindEdge   = 0
 	kindParent = 1
@@ -30,21 +30,21 @@
 	hostOrigin      = hostAddress(0x0a0000011388)
 	hostFirstParent = hostAddress(0x0a0100011388)
 	hostFirstEdge   = hostAddress(0x0a0200011388)
-	hostStride      = hostAddress(0x10000) // between addresses with the same port
+	hostStride      = hostAddress(0x10000) // between the addresses of two servers on the same port
 )
 
-// worldOptions are what families differ by apart from settings and faults.
+// simOptions holds the options of a simulation, in which variants differ besides settings and faults.
 type simOptions struct {
-	routersInTwoZones bool // the second router serves the other zone
+	routersInTwoZones bool // the second router is in zone B instead of zone A
 	withoutParents    bool
 	unevenWeights     bool
-	lowCapacity       bool // servers hold few requests at once
-	coldStart         bool // some edges have started just before the sequence
+	lowCapacity       bool // a server has room for 8 requests in flight instead of 60
+	coldStart         bool // some edges started less than 10 seconds before the sequence
 	streaming         bool
 	loadReportFields  int
 }
 
-// worldClass is what the world needs to know of a class of requests.
+// simClass holds the properties of a request class that the simulation needs.
 type simClass struct {
 	deadline int64
 	write    bool
@@ -53,75 +53,77 @@
 var simClasses = []simClass{{deadline: 4 * second}, {deadline: 2 * second}, {deadline: 2 * second},
 	{deadline: 2 * second, write: true}, {deadline: 1500 * millisecond}, {deadline: 1500 * millisecond}}
 
-// serverHealth is how a server treats what is sent to it.
+// serverHealth determines how a server responds to attempts.
 type serverHealth int
 
 const (
-	serverHealthy serverHealth = iota
-	serverDown                 // its machine refuses connections
-	serverUnresponsive
+	serverHealthy      serverHealth = iota
+	serverDown                      // refuses connections
+	serverUnresponsive              // accepts attempts but never responds
 	serverRejecting
-	serverErroring
-	serverResetting
+	serverErroring  // answers with an error
+	serverResetting // resets the connection
 )
 
+// objectKey identifies a part of an object.
 type objectKey struct {
 	object uint64
 	part   int
 }
 
-// worldServer is a cache, a parent or the origin.
+// simServer is a simulated edge, parent or origin server.
 type simServer struct {
 	host      hostAddress
 	zone      int
 	kind      int
-	state     uint8
+	state     uint8 // in the endpoint list
 	startedAt int64
 	weight    float32
 	cell      uint16
 	health    serverHealth
-	slowdown  int64 // times that its answers take longer
+	slowdown  int64 // factor on its response times
 	inFlight  int
-	copies    map[objectKey]int64 // when each was made
+	copies    map[objectKey]int64 // time at which each was stored
 }
 
-// worldAttempt is one attempt of a request.
+// simAttempt is one attempt of a request. It is open until its outcome is sent to the router.
 type simAttempt struct {
 	target, source *simServer
 	sentAt         int64
 	open           bool
 }
 
-// worldRequest is a request that a router owes, or owed, an answer.
+// simRequest is a request that was submitted to a router, or will be.
 type simRequest struct {
 	id        uint32
 	class     int
 	key       objectKey
 	group     int
 	sizeKB    int64
-	deadline  int64
+	deadline  int64 // a time; before submit, the duration from submit to it
 	attempts  []*simAttempt
-	streaming bool // its answer is being streamed
+	streaming bool // an attempt has begun to stream the answer
 	ended     bool
 }
 
-// worldRouter is one instance under test.
+// simRouter is one router instance under test.
 type simRouter struct {
 	instance    uint16
 	zone        int
-	peerNumber  uint32 // among its peers
+	peerNumber  uint32 // its number among the directors, "me" in the settings
 	settings    []byte
 	requests    map[uint32]*simRequest
 	lastID      uint32
-	incarnation int // counts restarts
+	incarnation int // number of starts; a timer of an earlier incarnation does not fire
 }
 
-// scheduled is something that happens at its time.
+// scheduledEvent is a function that runs at a time. Events of the same time run in the order of scheduling.
 type scheduledEvent struct {
-	at, order int64
+	at, order int64 // the time, and the order of scheduling
 	run       func()
 }
 
+// eventQueue is a heap of scheduled events, the earliest first.
 type eventQueue []scheduledEvent
 
 func (s eventQueue) Len() int      { return len(s) }
@@ -139,7 +141,8 @@
 	return last
 }
 
-// world plays clients, servers, discovery and time around the routers of one sequence.
+// simulation simulates clients, servers, discovery and the clock for the routers of one sequence. Its random numbers
+// depend on the seed alone.
 type simulation struct {
 	variant            goldenVariant
 	random             *rand.Rand
@@ -150,21 +153,21 @@
 	queue              eventQueue
 	scheduledCount     int64
 	routers            []*simRouter
-	servers            []*simServer // the origin is the first
+	servers            []*simServer // the origin is servers[0]
 	byHost             map[hostAddress]*simServer
 	listVersion        uint64
-	objectPurgedAt     map[uint64]int64 // objects, when last
+	objectPurgedAt     map[uint64]int64 // time of each object's last purge
 	groupPurgedAt      [purgeGroupCount]int64
-	serverCapacity     int // requests that a server holds at once
+	serverCapacity     int // attempts in flight at which a server rejects further ones; fills: at twice as many
 	fillStatusReported string
-	originFailing      bool // the origin fails fills
-	lossPercent        int  // percent of answers that are lost
+	originFailing      bool // the origin fails most fills
+	lossPercent        int  // percentage of attempts whose response is lost
 	err                error
 }
 
 const purgeGroupCount = 7
 
-// playWorld plays one sequence to its end.
+// playSimulation plays one sequence to its end and returns the digest of the replies.
 func playSimulation(variant goldenVariant, seed uint64) (replyDigest, error) {
 	sim := &simulation{variant: variant, random: rand.New(rand.NewPCG(seed, 0x601d)), simhost: startSimhost(),
 		now: simStart, byHost: map[hostAddress]*simServer{}, objectPurgedAt: map[uint64]int64{}, serverCapacity: 60}
@@ -184,6 +187,7 @@
 	return sim.simhost.digest, err
 }
 
+// buildServers adds the origin, 4 parents unless the variant has none, 3 to 7 edges in zone A and 3 edges in zone B.
 func (sim *simulation) buildServers() {
 	sim.addServer(&simServer{host: hostOrigin, zone: zoneHubA, kind: kindOrigin, weight: 40})
 	if !sim.variant.options.withoutParents {
@@ -209,12 +213,14 @@
 	}
 }
 
+// addServer adds a server that is ready and has no cached copies.
 func (sim *simulation) addServer(s *simServer) {
 	s.state, s.slowdown, s.copies = stateReady, 1, map[objectKey]int64{}
 	sim.servers = append(sim.servers, s)
 	sim.byHost[s.host] = s
 }
 
+// startRouters starts two routers and sends them the full endpoint list.
 func (sim *simulation) startRouters() {
 	for i := range 2 {
 		router := &simRouter{instance: uint16(3 + i), zone: zoneEdgeA, peerNumber: uint32(i)}
@@ -232,14 +238,14 @@
 	sim.sendUpdate(updateFull, sim.servers)
 }
 
-// bear starts a router that knows nothing.
+// startRouter starts or restarts a router without state.
 func (sim *simulation) startRouter(r *simRouter) {
 	r.requests = map[uint32]*simRequest{}
 	r.incarnation++
 	sim.batch.add(eventStartInstance, r.instance, sim.random.Uint64(), uint32(len(r.settings)), r.settings)
 }
 
-// tellList tells all routers of servers.
+// sendUpdate sends all routers an endpoint update of the given kind with the servers.
 func (sim *simulation) sendUpdate(kind uint8, servers []*simServer) {
 	sim.sendEndpointList(servers)
 	for _, r := range sim.routers {
@@ -247,6 +253,7 @@
 	}
 }
 
+// sendEndpointList sends the servers as an endpoint list of a new version, for endpoint updates in the same batch.
 func (sim *simulation) sendEndpointList(servers []*simServer) {
 	sim.listVersion++
 	var members []byte
@@ -256,27 +263,33 @@
 	sim.batch.add(eventEndpointList, uint16(1), uint32(len(servers)), members)
 }
 
-// tellListLater tells of servers as they are after the delay of discovery.
+// sendUpdateLater sends all routers the changed servers after the delay of discovery, 0.1 to 1.5 seconds, in the state
+// that the servers have then.
 func (sim *simulation) sendUpdateLater(servers ...*simServer) {
-	sim.scheduleAfter(sim.randomBetween(100*millisecond, 1500*millisecond), func() { sim.sendUpdate(updateDelta, servers) })
+	sim.scheduleAfter(sim.randomBetween(100*millisecond, 1500*millisecond), func() {
+		sim.sendUpdate(updateDelta, servers)
+	})
 }
 
-// between draws a number from low up to, but not including, high.
+// randomBetween returns a random number of at least low and below high.
 func (sim *simulation) randomBetween(low, high int64) int64 { return low + sim.random.Int64N(high-low) }
 
-// percent is true in so many cases of a hundred.
+// chance returns true with a probability of n percent.
 func (sim *simulation) chance(n int) bool { return sim.random.IntN(100) < n }
 
+// scheduleAfter schedules a function to run after a delay, at least 1 ns from now.
 func (sim *simulation) scheduleAfter(delay int64, run func()) {
 	sim.scheduleAt(sim.now+max(delay, 1), run)
 }
 
+// scheduleAt schedules a function to run at a time.
 func (sim *simulation) scheduleAt(at int64, run func()) {
 	sim.scheduledCount++
 	heap.Push(&sim.queue, scheduledEvent{at, sim.scheduledCount, run})
 }
 
-// run delivers what falls due, in batches a quantum apart, until the end.
+// run runs the simulation until its end time. It sends the events of each quantum as a batch and handles the actions of
+// the reply before the clock advances; quanta without events send no batch.
 func (sim *simulation) run() error {
 	for sim.now < sim.endTime && sim.err == nil {
 		actions, err := sim.simhost.exchange(&sim.batch, sim.now)
@@ -293,7 +306,8 @@
 	return sim.err
 }
 
-// advance moves to the next quantum in which something is due.
+// advance moves the clock by at least a quantum, to the next multiple of the quantum at which a scheduled event is due,
+// and runs all events that are due by then. Without scheduled events it moves the clock to the end time.
 func (sim *simulation) advance() {
 	next := sim.now + simQuantum
 	if len(sim.queue) == 0 {
@@ -307,6 +321,7 @@
 	}
 }
 
+// scheduleRequests schedules count random requests for each router, at random times of the sequence.
 func (sim *simulation) scheduleRequests(count int) {
 	for _, r := range sim.routers {
 		for range count {
@@ -315,6 +330,8 @@
 	}
 }
 
+// randomRequest returns a request for a random object of at most 120, some of which are requested far more often. Its
+// deadline is that of its class, or a third of it in 10% of the cases.
 func (sim *simulation) randomRequest() *simRequest {
 	popularity := uint64(sim.random.IntN(1 + sim.random.IntN(120)))
 	class := sim.random.IntN(len(simClasses))
@@ -330,7 +347,8 @@
 	return q
 }
 
-// ask hands a request to a router. Until then giveUpAt holds how long the client waits.
+// submit sends a request to a router and schedules its close at the deadline, or before it in 5% of the cases. It turns
+// the request's deadline from a duration into a time. 10% of the requests do not report the size of the answer.
 func (sim *simulation) submit(r *simRouter, q *simRequest, flags uint16) {
 	r.lastID++
 	q.id = r.lastID
@@ -345,7 +363,7 @@
 	}
 	class := uint16(q.class)
 	if sim.chance(1) {
-		class = 99 // of an unknown class
+		class = 99 // a class that the settings do not have
 	}
 	sim.batch.add(eventRequest, r.instance, q.id, class, uint16(sim.random.IntN(3)), q.key.object, q.deadline,
 		reportedSizeKB, float32(q.group), float32(q.key.part), flags)
@@ -356,7 +374,7 @@
 	sim.scheduleAt(closeAt, func() { sim.closeRequest(r, q) })
 }
 
-// expire ends a request whose client has left.
+// closeRequest ends a request that is still open, as its client has disconnected or its deadline has passed.
 func (sim *simulation) closeRequest(r *simRouter, q *simRequest) {
 	if q.ended || r.requests[q.id] != q {
 		return
@@ -365,11 +383,12 @@
 	sim.batch.add(eventRequestClosed, r.instance, q.id)
 }
 
-// fail stops the sequence.
+// fail ends the sequence with an error. Errors after the first are ignored.
 func (sim *simulation) fail(format string, args ...any) {
 	if sim.err == nil {
 		sim.err = fmt.Errorf(format, args...)
 	}
 }
 
+// router returns the router with the given instance number; the first has 3.
 func (sim *simulation) router(instance uint16) *simRouter { return sim.routers[instance-3] }
--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -1,5 +1,6 @@
-// Command simhost runs many routers for the simulator: it decodes the events that it reads, hands each to its
-// instance's router and writes the encoded actions. It decides nothing.
+// Command simhost runs many routers in one process for the simulator. It reads batches of events from standard input,
+// passes each event to the router of its instance and writes the resulting actions to standard output. All routing
+// decisions are made by package routing.
 package main
 
 import (
@@ -16,7 +17,7 @@
 	"shaleyard/routing"
 )
 
-// inputBufferBytes is room for a batch of ordinary size.
+// inputBufferBytes is the size of the input buffer, which holds a batch of usual size.
 const inputBufferBytes = 1 << 20
 
 func main() {
@@ -26,10 +27,11 @@
 	}
 }
 
-// instances are the routers that run now, by the number of their instance.
+// instances holds the running routers by instance number.
 type instances map[uint16]*routing.Router
 
-// serve answers batches until the input ends.
+// serve reads batches and writes a reply to each until the input ends. It returns nil at a clean end, and an error when
+// the input is malformed or a reply can't be written.
 func serve(in io.Reader, out io.Writer) error {
 	batches := simwire.NewReader(bufio.NewReaderSize(in, inputBufferBytes))
 	running := instances{}
@@ -56,7 +58,9 @@
 	}
 }
 
-// handle gives one event to its instance. A panic of the router becomes a Crash, as the other instances go on.
+// handle passes an event to the router of its instance and returns the router's actions; an event for an instance that
+// does not run is ignored. If the router panics, handle recovers and returns a Crash, as the other instances have to
+// keep running.
 func (i instances) handle(now routing.Time, record simwire.Record) (actions []routing.Action) {
 	defer func() {
 		if cause := recover(); cause != nil {
@@ -77,7 +81,8 @@
 	return router.Handle(now, record.Event)
 }
 
-// start starts an instance. Settings that can't work become a Crash.
+// start starts an instance, in place of one that runs under the same number. If the settings are invalid, it returns a
+// Crash and starts nothing.
 func (i instances) start(number uint16, event simwire.StartInstance) []routing.Action {
 	router, err := newRouter(event)
 	if err != nil {
@@ -87,12 +92,13 @@
 	return nil
 }
 
-// newRouter makes a router that plans for lost sites as a director does without an operators' file. Where the settings
-// give no topology to plan for, it goes on without a plan.
+// newRouter returns a router with the failover plan for lost sites that a director has when its operators configure no
+// overrides. If the settings describe no topology that can be planned for, the router runs without a plan; that is no
+// error.
 func newRouter(event simwire.StartInstance) (*routing.Router, error) {
 	var settings routing.Settings
 	if err := json.Unmarshal(event.Settings, &settings); err != nil {
-		return nil, fmt.Errorf("settings: %w", err)
+		return nil, fmt.Errorf("decode settings: %w", err)
 	}
 	router, err := routing.New(settings, event.Seed)
 	if err != nil {
--- a/cmd/simhost/main_test.go
+++ b/cmd/simhost/main_test.go
@@ -9,14 +9,16 @@
 const validSettings = `{"services":[{"aim":500000000,"deadline":4000000000,"effect":"read_like"}],"dcs":["a"],
 	"ceilings":{"maxAttempts":3},"familyInfo":{"masterKind":2,"secondTierKind":1},"unknownKey":[1]}`
 
+// encodeRecord returns a record with big-endian fields.
 func encodeRecord(code byte, fields ...any) []byte {
 	var body bytes.Buffer
 	for _, field := range fields {
-		_ = binary.Write(&body, binary.BigEndian, field) // a Buffer takes all
+		_ = binary.Write(&body, binary.BigEndian, field) // a bytes.Buffer returns no write errors
 	}
 	return append(binary.BigEndian.AppendUint32([]byte{code}, uint32(body.Len())), body.Bytes()...)
 }
 
+// encodeBatch returns batch 5 with the records, at the time 7e9 ns.
 func encodeBatch(records ...[]byte) []byte {
 	body := bytes.Join(records, nil)
 	header := binary.BigEndian.AppendUint32([]byte{0, 0, 0, 5}, uint32(len(records)))
@@ -25,11 +27,12 @@
 	return append(header, body...)
 }
 
+// startRecord returns a record that starts an instance.
 func startRecord(instance uint16, settings string) []byte {
 	return encodeRecord(27, instance, uint64(1), uint32(len(settings)), []byte(settings))
 }
 
-// actionCodes lists the codes of the actions in a reply.
+// actionCodes returns the codes of the actions in a reply, in order.
 func actionCodes(t *testing.T, reply []byte) (codes []byte) {
 	t.Helper()
 	actions := reply[8:]
@@ -51,11 +54,14 @@
 		want []byte
 	}{
 		{"empty batch", encodeBatch(), nil},
-		{"a router starts its timer", encodeBatch(startRecord(3, validSettings), endpointList, update), []byte{17}},
-		{"no host: the request is held", encodeBatch(startRecord(3, validSettings), endpointList, update, request), []byte{17, 17}},
-		{"settings that are no JSON", encodeBatch(startRecord(3, "{")), []byte{26}},
-		{"settings that cannot work", encodeBatch(startRecord(3, "{}")), []byte{26}},
-		{"stopped and started again in one batch", encodeBatch(startRecord(3, validSettings), endpointList, update,
+		{"router sets a timer after its first endpoint update",
+			encodeBatch(startRecord(3, validSettings), endpointList, update), []byte{17}},
+		{"request waits while no endpoint is known",
+			encodeBatch(startRecord(3, validSettings), endpointList, update, request), []byte{17, 17}},
+		{"settings are not JSON", encodeBatch(startRecord(3, "{")), []byte{26}},
+		{"settings are invalid", encodeBatch(startRecord(3, "{}")), []byte{26}},
+		{"instance is stopped and started again in one batch", encodeBatch(
+			startRecord(3, validSettings), endpointList, update,
 			encodeRecord(22, uint16(3)), update, startRecord(3, validSettings), update), []byte{17, 17}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
@@ -64,7 +70,7 @@
 				t.Fatal(err)
 			}
 			if got := actionCodes(t, out.Bytes()); !bytes.Equal(got, tc.want) {
-				t.Errorf("actions %v, want %v", got, tc.want)
+				t.Errorf("got action codes %v, want %v", got, tc.want)
 			}
 		})
 	}
@@ -75,13 +81,13 @@
 		name string
 		in   []byte
 	}{
-		{"header cut short", encodeBatch()[:7]},
-		{"unknown code", encodeBatch(encodeRecord(99, uint16(1)))},
-		{"fields cut short", encodeBatch(encodeRecord(20, uint16(1)))},
+		{"truncated batch header", encodeBatch()[:7]},
+		{"unknown event code", encodeBatch(encodeRecord(99, uint16(1)))},
+		{"truncated fields", encodeBatch(encodeRecord(20, uint16(1)))},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			if err := serve(bytes.NewReader(tc.in), &bytes.Buffer{}); err == nil {
-				t.Errorf("%x: no error", tc.in)
+				t.Errorf("input %x: got no error, want one", tc.in)
 			}
 		})
 	}
--- a/examples/toy/cache.go
+++ b/examples/toy/cache.go
@@ -10,30 +10,33 @@
 	"time"
 )
 
-// Words that say how a request ended, and how the object was found where it was served.
+// Results of a request, and statuses that say where the cache or the origin found a served object.
 const (
 	resultOK   = "OK"
 	resultMiss = "MISS"
 
-	statusHit    = "HIT"
-	statusFilled = "MISS_ORIGIN"
+	statusHit    = "HIT"         // served from the cache, or by the origin itself
+	statusFilled = "MISS_ORIGIN" // filled from the origin
 )
 
-// objectServer answers the director's requests for objects, as a cache or as the origin. Objects have no content
-// of their own: an answer's body describes the request.
+// objectServer is a cache or the origin. It answers the director's requests for objects. Objects have no content: the
+// body of an answer describes the request.
 type objectServer struct {
-	name     string // as log lines name it
-	isOrigin bool   // it has all objects
+	name     string // in log lines
+	isOrigin bool   // the origin has all objects and caches nothing
 
 	mu     sync.Mutex
-	cached map[string]bool // the parts of objects that a cache has, as "object/part"
+	cached map[string]bool // parts of objects in the cache, with keys of the form "object/part"
 }
 
+// newCache returns an empty cache.
 func newCache() *objectServer { return &objectServer{name: "cache", cached: map[string]bool{}} }
 
+// newOrigin returns an origin, which has all objects.
 func newOrigin() *objectServer { return &objectServer{name: "origin", isOrigin: true} }
 
-// serve answers the commands of a connection in their order, until it ends.
+// serve answers the requests on a connection in order, until reading or writing fails. It returns the error, which wraps
+// io.EOF when the director closes the connection. Other commands are ignored.
 func (s *objectServer) serve(conn net.Conn) error {
 	reader := bufio.NewReader(conn)
 	for {
@@ -42,7 +45,7 @@
 			return err
 		}
 		if command[0] != "REQ" || len(command) != 4 {
-			continue // a STOP, which cancels a request, comes too late: each is answered at once
+			continue // a STOP, which cancels a request, always arrives after the answer
 		}
 		answer := s.answer(command[1], command[2], command[3])
 		if _, err := conn.Write(answer); err != nil {
@@ -51,7 +54,7 @@
 	}
 }
 
-// answer returns the encoded answer to a request: its id, result, fields and body.
+// answer handles a request, logs it and returns the encoded answer: the request's id, its result, fields and a body.
 func (s *objectServer) answer(id, requestFields, requestBody string) []byte {
 	fields := parseFields(requestFields)
 	result, status := s.lookUp(fields)
@@ -74,9 +77,9 @@
 	return fields
 }
 
-// lookUp returns the result of a request and, where it is served, how the object was found. A cache that lacks
-// the object serves it only if the request names an upstream to fill it from, and caches it if the request asks
-// for that. The fill itself is not played: no connection is made to the upstream.
+// lookUp returns the result of a request and the status of a served object; the status of a miss is empty. A cache
+// without the object serves it only if the request names an upstream to fill it from, and then caches it if the request
+// asks for it to be cached. The fill is not carried out: the cache does not connect to the upstream.
 func (s *objectServer) lookUp(fields map[string]string) (result, status string) {
 	if s.isOrigin {
 		return resultOK, statusHit
@@ -96,8 +99,8 @@
 	return resultOK, statusFilled
 }
 
-// isCacheable reports whether the answer to a request is to be cached: a repayment's never is, others' are where
-// the request gives them a retention rank over 0.
+// isCacheable reports whether the answer to a request is to be cached. The answer to a repayment never is; any other
+// answer is cached if the request gives it a retention rank above 0.
 func isCacheable(fields map[string]string) bool {
 	rank := fields["store"]
 	return fields["sort"] != "repayment" && rank != "" && rank != "0"
--- a/examples/toy/client.go
+++ b/examples/toy/client.go
@@ -8,16 +8,17 @@
 	"time"
 )
 
-// Answers of the director that are no success.
+// Errors that the director answers a request with.
 var (
-	errRefused = errors.New("refused: trying again is harmless")
-	errFailed  = errors.New("failed")
+	errRejected = errors.New("request rejected: it had no effect and is safe to retry")
+	errFailed   = errors.New("request failed: it may have had an effect")
 )
 
-// repaymentObject stands for the account in a repayment. The toy knows no accounts, so any object will do.
+// repaymentObject is the object id, 16 hex digits, that a repayment carries in place of its account. The toy has no
+// accounts, so any id is valid.
 const repaymentObject = "0000000000000001"
 
-// request is what the client asks the director for.
+// request is a request of the client to the director.
 type request struct {
 	service string
 	timeout time.Duration
@@ -25,17 +26,19 @@
 	body    string
 }
 
-// newObjectRequest returns a request for an object.
+// newObjectRequest returns a request for an object, with a timeout of 5 seconds.
 func newObjectRequest(object string) request {
 	return request{service: "media", timeout: 5 * time.Second, object: object}
 }
 
-// newRepayment returns a repayment, which must not run twice.
+// newRepayment returns a request that submits a repayment, with a timeout of 3 seconds. A repayment must not be
+// executed twice.
 func newRepayment(payment string) request {
 	return request{service: "repayment", timeout: 3 * time.Second, object: repaymentObject, body: payment}
 }
 
-// send sends a request to the director over a connection of its own and returns the body of the answer.
+// send sends a request to the director over a new connection and returns the body of the answer. It returns errRejected
+// or errFailed if the director rejects or fails the request.
 func send(director string, req request) ([]byte, error) {
 	conn, err := net.Dial("tcp", director)
 	if err != nil {
--- a/examples/toy/discovery.go
+++ b/examples/toy/discovery.go
@@ -11,16 +11,16 @@
 	"time"
 )
 
-// heartbeatInterval is the time between two messages of the discovery service.
+// heartbeatInterval is the time between two heartbeats of the discovery service.
 const heartbeatInterval = time.Second
 
-// serveEndpointList is the discovery service. A watcher subscribes with the revision of the endpoint list that it
-// has; as the list never changes here, the service only repeats this revision as a heartbeat, until the
-// connection ends and a write fails.
+// serveEndpointList serves a watcher's connection to the discovery service. The watcher subscribes with the revision of
+// the endpoint list that it has. The toy's endpoint list never changes, so the service only sends this revision as a
+// heartbeat, until the watcher closes the connection and a write fails.
 func serveEndpointList(conn net.Conn) error {
 	line, err := bufio.NewReader(conn).ReadString('\n')
 	if errors.Is(err, io.EOF) {
-		return nil // the watcher has left without a subscription
+		return nil // the watcher closed the connection before it subscribed
 	}
 	if err != nil {
 		return err
@@ -42,7 +42,7 @@
 	digits := strings.TrimSpace(strings.TrimPrefix(line, "SUB "))
 	revision, err := strconv.Atoi(digits)
 	if err != nil {
-		return 0, fmt.Errorf("%q is not a subscription", line)
+		return 0, fmt.Errorf("invalid subscription %q, want \"SUB REVISION\"", line)
 	}
 	return revision, nil
 }
--- a/examples/toy/main.go
+++ b/examples/toy/main.go
@@ -1,8 +1,8 @@
-// Command toy stands in for the fleet around one shaleyard, so that the program can be tried on one machine: it
-// serves a cache, an origin and a discovery service on the addresses of examples/config.json. With -get or -pay
-// it is a client instead, which sends one request, prints the answer and exits.
+// Command toy simulates the fleet around one shaleyard director, so that the director can be tried out on one machine.
+// It runs a cache, an origin and a discovery service on the addresses of examples/config.json. With -get or -pay it
+// runs as a client instead: it sends one request to the director, prints the answer and exits.
 //
-// It is a demonstration: what it has cached stays in memory without a bound, and it has no timeouts.
+// It is a demonstration: its cache grows without bound, and its connections have no timeouts.
 package main
 
 import (
@@ -15,10 +15,10 @@
 func main() {
 	cache := flag.String("cache", "127.0.0.1:8081", "address of the cache")
 	origin := flag.String("origin", "127.0.0.1:8082", "address of the origin")
-	feed := flag.String("feed", "127.0.0.1:2379", "address of the control feed")
+	feed := flag.String("feed", "127.0.0.1:2379", "address of the discovery service")
 	director := flag.String("director", "127.0.0.1:8080", "address of the director, for -get and -pay")
-	get := flag.String("get", "", "ask the director for this object (16 hex digits) and end")
-	pay := flag.String("pay", "", "send the director this repayment and end")
+	get := flag.String("get", "", "request this object (16 hex digits) from the director, print the answer and exit")
+	pay := flag.String("pay", "", "submit this repayment to the director, print the answer and exit")
 	flag.Parse()
 
 	var err error
@@ -39,7 +39,7 @@
 	}
 }
 
-// printAnswer sends the director a request and prints the body of its answer.
+// printAnswer sends a request to the director and prints the body of the answer.
 func printAnswer(director string, req request) error {
 	body, err := send(director, req)
 	if err != nil {
@@ -49,28 +49,28 @@
 	return nil
 }
 
-// service is one of the servers that the program runs.
+// service is a TCP server that the program runs.
 type service struct {
-	name    string               // as log lines name it
+	name    string               // in log lines
 	address string               // host and port to listen on
-	serve   func(net.Conn) error // serves a connection until it ends; the caller closes it
+	serve   func(net.Conn) error // serves one connection; the caller closes it
 }
 
-// serveAll runs all services until one can't listen or accept any more, and returns the error.
+// serveAll runs all services until one of them fails to listen or to accept a connection, and returns that error.
 func serveAll(services []service) error {
-	ended := make(chan error)
+	errs := make(chan error)
 	for _, s := range services {
 		listener, err := net.Listen("tcp", s.address)
 		if err != nil {
 			return err
 		}
-		log.Printf("%s on %s", s.name, listener.Addr())
-		go func() { ended <- s.acceptAll(listener) }()
+		log.Printf("%s: listening on %s", s.name, listener.Addr())
+		go func() { errs <- s.acceptAll(listener) }()
 	}
-	return <-ended
+	return <-errs
 }
 
-// acceptAll serves each connection in a goroutine of its own. It returns the error that ends the listener.
+// acceptAll accepts connections and serves each of them in a new goroutine. It returns the first error of the listener.
 func (s service) acceptAll(listener net.Listener) error {
 	for {
 		conn, err := listener.Accept()
@@ -81,7 +81,7 @@
 	}
 }
 
-// serveConn serves a connection until it ends, and logs why.
+// serveConn serves a connection, logs the error that ended it and closes it.
 func (s service) serveConn(conn net.Conn) {
 	defer conn.Close()
 	if err := s.serve(conn); err != nil {
--- a/examples/toy/resp.go
+++ b/examples/toy/resp.go
@@ -9,16 +9,16 @@
 	"strings"
 )
 
-// The protocol between director and caches is RESP, the Redis serialization protocol; only arrays of bulk strings
-// are used.
+// The director and the caches communicate in RESP, the Redis serialization protocol, of which they use only arrays of
+// bulk strings.
 
-// maxLength bounds the words of an array and the bytes of a word.
+// maxLength is the maximum number of bulk strings in an array, and the maximum size of a bulk string in bytes.
 const maxLength = 1 << 20
 
-// lineEnd follows each length and each word.
+// lineEnd terminates each length and each bulk string.
 const lineEnd = "\r\n"
 
-// encodeArray encodes words as an array of bulk strings.
+// encodeArray returns the words encoded as an array of bulk strings.
 func encodeArray(words ...string) []byte {
 	array := fmt.Appendf(nil, "*%d%s", len(words), lineEnd)
 	for _, word := range words {
@@ -27,14 +27,14 @@
 	return array
 }
 
-// readCommand reads an array of at least one bulk string.
+// readCommand reads a command, an array of at least one bulk string, and returns its words.
 func readCommand(reader *bufio.Reader) ([]string, error) {
 	count, err := readLength(reader, "*")
 	if err != nil {
-		return nil, fmt.Errorf("no command: %w", err)
+		return nil, fmt.Errorf("read command: %w", err)
 	}
 	if count == 0 {
-		return nil, errors.New("no command: the array is empty")
+		return nil, errors.New("invalid command: empty array")
 	}
 	words := make([]string, count)
 	for i := range words {
@@ -46,7 +46,7 @@
 	return words, nil
 }
 
-// readWord reads a bulk string.
+// readWord reads a bulk string of at most maxLength bytes.
 func readWord(reader *bufio.Reader) (string, error) {
 	size, err := readLength(reader, "$")
 	if err != nil {
@@ -59,7 +59,7 @@
 	return string(content[:size]), nil
 }
 
-// readLength reads a line that holds a prefix and a length.
+// readLength reads a line that holds the prefix and a length. It returns an error for a length above maxLength.
 func readLength(reader *bufio.Reader, prefix string) (int, error) {
 	line, err := reader.ReadString('\n')
 	if err != nil {
@@ -67,7 +67,7 @@
 	}
 	length, err := strconv.Atoi(strings.TrimSpace(strings.TrimPrefix(line, prefix)))
 	if err != nil || length < 0 || length > maxLength {
-		return 0, fmt.Errorf("%q is not a length", line)
+		return 0, fmt.Errorf("invalid length %q, want %s and a number of at most %d", line, prefix, maxLength)
 	}
 	return length, nil
 }
--- a/internal/simwire/reader.go
+++ b/internal/simwire/reader.go
@@ -90,7 +90,8 @@
 		clock:   routing.Time(binary.BigEndian.Uint64(b[12:])),
 	}
 	if header.bytes > maxBatchBytes || uint64(header.records)*recordHeaderBytes > uint64(header.bytes) {
-		return header, fmt.Errorf("batch %d: invalid header: %d records in %d bytes", header.number, header.records, header.bytes)
+		return header, fmt.Errorf("batch %d: invalid header: %d records in %d bytes",
+			header.number, header.records, header.bytes)
 	}
 	return header, nil
 }
--- a/internal/simwire/simwire_test.go
+++ b/internal/simwire/simwire_test.go
@@ -180,7 +180,8 @@
 // decodeFirst returns the first batch of an input.
 func decodeFirst(input []byte) (*Batch, error) { return NewReader(bytes.NewReader(input)).Next() }
 
-// TestTruncatedBatch guards against taking a truncated batch for a clean end of the input: only an empty input gives io.EOF.
+// TestTruncatedBatch guards against taking a truncated batch for a clean end of the input. Only an empty input gives
+// io.EOF.
 func TestTruncatedBatch(t *testing.T) {
 	whole := buildBatch(t, 1, "14 0000000a 0003 000000000000004d")
 	for n := 1; n < len(whole); n++ {
