--- a/cmd/simhost/golden_actions_test.go
+++ b/cmd/simhost/golden_actions_test.go
@@ -63,9 +63,9 @@
 	sim.startAttempt(r, q, params)
 }
 
-// startAttempt starts an attempt and schedules its end, which is at the latest at the attempt's timeout and the
-// request's deadline. q is nil, and no attempt starts, when the router was restarted in the batch that its action
-// answers. If the request ended in the same batch, the attempt starts all the same.
+// startAttempt starts an attempt and schedules its end. The attempt times out at its timeout or at the request's
+// deadline, whichever is earlier. q is nil, and no attempt starts, when the router was restarted in the batch that its
+// action answers. An attempt for a request that ended in that batch starts all the same.
 func (sim *simulation) startAttempt(r *simRouter, q *simRequest, params attemptParams) {
 	if params.target == nil || params.source == nil {
 		sim.fail("instance %d sent an attempt to an unknown host", r.instance)
@@ -131,7 +131,7 @@
 	if q.ended {
 		requestDone = 1
 	}
-	fillStatus := outcome.fillStatus
+	fillStatus := outcome.fillStatus // sent if the settings say that answers with this status report it
 	if sim.fillStatusReported == "off" || (sim.fillStatusReported == "hit" && fillStatus > fillStatusCoalesced) {
 		fillStatus = fillStatusUnknown
 	}
@@ -216,13 +216,14 @@
 	if s.health == serverDown {
 		result = resultConnectFailed
 	}
-	took := sim.randomBetween(millisecond, 20*millisecond)
-	sim.scheduleAfter(took, func() {
-		sim.batch.add(eventProbeResult, r.instance, took, uint16(result), s.host, sim.loadReport(s))
+	elapsed := sim.randomBetween(millisecond, 20*millisecond)
+	sim.scheduleAfter(elapsed, func() {
+		sim.batch.add(eventProbeResult, r.instance, elapsed, uint16(result), s.host, sim.loadReport(s))
 	})
 }
 
-// handleSubscribe sends the full endpoint list to a router after 2 to 30 ms; 20% of the calls fail.
+// handleSubscribe responds to a router's subscription after 2 to 30 ms: with the full endpoint list, or in 20% of the
+// cases with a failed call.
 func (sim *simulation) handleSubscribe(r *simRouter) {
 	sim.scheduleAfter(sim.randomBetween(2*millisecond, 30*millisecond), func() {
 		if sim.chance(20) {
@@ -234,7 +235,7 @@
 	})
 }
 
-// simOutcome is the outcome of an attempt that is neither cancelled nor timed out before.
+// simOutcome is the outcome that an attempt has unless it is cancelled or times out first.
 type simOutcome struct {
 	result, fillStatus int
 	elapsed            int64 // from the start of the attempt to its end
@@ -288,7 +289,7 @@
 // source without a copy requests it from the origin.
 func (sim *simulation) fillOutcome(q *simRequest, params attemptParams, networkDelay, transfer int64) simOutcome {
 	source := params.source
-	_, found := sim.cachedCopy(source, q)
+	_, sourceHasCopy := sim.cachedCopy(source, q)
 	wait := networkDelay + sim.randomBetween(2*millisecond, 30*millisecond)*source.slowdown
 	switch {
 	case source.health == serverDown:
@@ -299,9 +300,9 @@
 		return simOutcome{result: resultTimedOut, elapsed: sim.unresponsiveTimeout(q)}
 	case source.health == serverRejecting, source.inFlight >= 2*sim.serverCapacity:
 		return simOutcome{result: resultRejected, fillStatus: fillStatusSourceRejected, elapsed: wait, sourceWait: wait}
-	case !found && params.flags&fetchOnlyIfCached != 0:
+	case !sourceHasCopy && params.flags&fetchOnlyIfCached != 0:
 		return simOutcome{result: resultMiss, fillStatus: fillStatusSourceMiss, elapsed: wait, sourceWait: wait}
-	case found && source.kind != kindOrigin:
+	case sourceHasCopy && source.kind != kindOrigin:
 		return simOutcome{result: resultOK, fillStatus: fillStatusFilled, elapsed: wait + transfer, sourceWait: wait}
 	}
 	origin := sim.servers[0]
@@ -312,12 +313,13 @@
 	if sim.chance(5) {
 		return simOutcome{result: resultOK, fillStatus: fillStatusCoalesced, elapsed: wait + transfer, sourceWait: wait}
 	}
-	return simOutcome{result: resultOK, fillStatus: fillStatusFilledByOrigin, elapsed: wait + transfer, sourceWait: wait}
+	return simOutcome{result: resultOK, fillStatus: fillStatusFilledByOrigin,
+		elapsed: wait + transfer, sourceWait: wait}
 }
 
-// unresponsiveTimeout returns how long an attempt at an unresponsive server lasts. Half of the attempts get 200 to
-// 900 ms, a timeout of some server on the path. The others get the request's deadline, a time rather than a duration,
-// which startAttempt limits to the time that is left until it.
+// unresponsiveTimeout returns how long an attempt at an unresponsive server lasts. Half of the attempts last 200 to
+// 900 ms, until a timeout of some server on the path. For the others it returns the time of the request's deadline,
+// which is longer than any duration; startAttempt shortens it to the time that remains until the deadline.
 func (sim *simulation) unresponsiveTimeout(q *simRequest) int64 {
 	if sim.chance(50) {
 		return q.deadline
@@ -329,9 +331,9 @@
 // server's slowdown, grows with the number of requests in flight at the server, and is multiplied by a random factor of
 // 0.8 to 1.3.
 func (sim *simulation) transferTime(q *simRequest, s *simServer) int64 {
-	alone := q.sizeKB * 250 * microsecond
-	shared := alone * int64(6+s.inFlight) / 6
-	return shared * sim.randomBetween(80, 130) / 100 * s.slowdown
+	unloaded := q.sizeKB * 250 * microsecond
+	loaded := unloaded * int64(6+s.inFlight) / 6
+	return loaded * sim.randomBetween(80, 130) / 100 * s.slowdown
 }
 
 // cachedCopy returns when a server stored its copy of the requested object, and whether it has a copy that no later
--- a/cmd/simhost/golden_faults_test.go
+++ b/cmd/simhost/golden_faults_test.go
@@ -3,7 +3,7 @@
 // simFault is a kind of fault or of change in the fleet. begin starts the fault and schedules its end, if it has one.
 type simFault struct {
 	name  string
-	begin func(w *simulation)
+	begin func(sim *simulation)
 }
 
 // simFaults returns all kinds of faults. It is a function because a variable would make the initialization of the
@@ -27,7 +27,9 @@
 		{"relist", (*simulation).resendList},
 		{"fail-list", (*simulation).failListCall},
 		{"restart-router", (*simulation).restartRouter},
-		{"restart-zone", func(sim *simulation) { sim.crashServers(sim.cachesInZone(zoneHubA + sim.random.IntN(3))...) }},
+		{"restart-zone", func(sim *simulation) {
+			sim.crashServers(sim.cachesInZone(zoneHubA + sim.random.IntN(3))...)
+		}},
 		{"delist-zone", func(sim *simulation) { sim.drainServers(sim.cachesInZone(zoneHubA + sim.random.IntN(3))...) }},
 		{"lose-hub", func(sim *simulation) { sim.failSite(sim.cachesInZone(zoneHubA + sim.random.IntN(2))) }},
 		{"lose-hubs", func(sim *simulation) {
@@ -172,7 +174,9 @@
 func (sim *simulation) sendBurst() {
 	for _, r := range sim.routers {
 		for range 40 {
-			sim.scheduleAfter(sim.randomBetween(millisecond, second/2), func() { sim.submit(r, sim.randomRequest(), 0) })
+			sim.scheduleAfter(sim.randomBetween(millisecond, second/2), func() {
+				sim.submit(r, sim.randomRequest(), 0)
+			})
 		}
 	}
 }
--- a/cmd/simhost/golden_test.go
+++ b/cmd/simhost/golden_test.go
@@ -130,7 +130,8 @@
 		{"balancers", 4}}},
 	{name: "all-allowed", overrides: []override{{"ceilings.secondCopies", true}, {"ceilings.retryAfter", true},
 		{"ceilings.peerMessages", true}, {"familyInfo.lateral", "any"}, {"report.via", "inline"},
-		{"report.fields", []string{"load", "queue"}}}, options: simOptions{loadReportFields: 2, routersInTwoZones: true}},
+		{"report.fields", []string{"load", "queue"}}},
+		options: simOptions{loadReportFields: 2, routersInTwoZones: true}},
 }
 
 // invalidSettings lists settings with which an instance must not start.
--- a/cmd/simhost/golden_world_test.go
+++ b/cmd/simhost/golden_world_test.go
@@ -12,8 +12,8 @@
 	millisecond = 1000 * microsecond
 	second      = 1000 * millisecond
 
-	simStart   = 100 * second
-	simQuantum = 2 * millisecond
+	simStart   = 100 * second // clock at the start of a sequence
+	simQuantum = 2 * millisecond // shortest time between two batches
 )
 
 // Zones and kinds, as indexes of "dcs" and "kinds" in baseSettingsText, and addresses of the simulated servers.
@@ -256,11 +256,11 @@
 // sendEndpointList sends the servers as an endpoint list of a new version, for endpoint updates in the same batch.
 func (sim *simulation) sendEndpointList(servers []*simServer) {
 	sim.listVersion++
-	var members []byte
+	var endpoints []byte
 	for _, s := range servers {
-		members = appendFields(members, s.host, uint16(s.zone), uint8(s.kind), s.state, s.startedAt, s.weight, s.cell)
+		endpoints = appendFields(endpoints, s.host, uint16(s.zone), uint8(s.kind), s.state, s.startedAt, s.weight, s.cell)
 	}
-	sim.batch.add(eventEndpointList, uint16(1), uint32(len(servers)), members)
+	sim.batch.add(eventEndpointList, uint16(1), uint32(len(servers)), endpoints)
 }
 
 // sendUpdateLater sends all routers the changed servers after the delay of discovery, 0.1 to 1.5 seconds, in the state
--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -98,7 +98,7 @@
 func newRouter(event simwire.StartInstance) (*routing.Router, error) {
 	var settings routing.Settings
 	if err := json.Unmarshal(event.Settings, &settings); err != nil {
-		return nil, fmt.Errorf("decode settings: %w", err)
+		return nil, fmt.Errorf("settings: %w", err) // the text is on the wire
 	}
 	router, err := routing.New(settings, event.Seed)
 	if err != nil {
--- a/examples/toy/cache.go
+++ b/examples/toy/cache.go
@@ -35,8 +35,8 @@
 // newOrigin returns an origin, which has all objects.
 func newOrigin() *objectServer { return &objectServer{name: "origin", isOrigin: true} }
 
-// serve answers the requests on a connection in order, until reading or writing fails. It returns the error, which wraps
-// io.EOF when the director closes the connection. Other commands are ignored.
+// serve answers the requests on a connection in order, until reading or writing fails. It returns the error, which
+// wraps io.EOF when the director closes the connection. Commands other than requests are ignored.
 func (s *objectServer) serve(conn net.Conn) error {
 	reader := bufio.NewReader(conn)
 	for {
--- a/internal/simwire/reader.go
+++ b/internal/simwire/reader.go
@@ -37,7 +37,7 @@
 type Reader struct {
 	input         io.Reader
 	buffer        []byte
-	endpointLists [endpointListCount][]routing.Endpoint // by the index that endpoint updates refer to
+	endpointLists [endpointListCount][]routing.Endpoint // by index; endpoint updates refer to the index
 }
 
 // NewReader returns a Reader that decodes batches from the input.
@@ -50,8 +50,8 @@
 }
 
 // Next returns the next batch. It returns io.EOF when the input ends between two batches, and another error for a
-// truncated or malformed batch. An endpoint update refers to an endpoint list by its index, and gets the list that was
-// the last one stored under the index before the update.
+// truncated or malformed batch. An endpoint update refers to an endpoint list by the index of the list. Next replaces
+// the index by the list that the last record before the update stored under it.
 func (r *Reader) Next() (*Batch, error) {
 	header, err := r.readHeader()
 	if err != nil {
