--- a/cmd/simhost/golden_world_test.go
+++ b/cmd/simhost/golden_world_test.go
@@ -12,7 +12,7 @@
 	millisecond = 1000 * microsecond
 	second      = 1000 * millisecond
 
-	simStart   = 100 * second // clock at the start of a sequence
+	simStart   = 100 * second    // clock at the start of a sequence
 	simQuantum = 2 * millisecond // shortest time between two batches
 )
 
@@ -258,7 +258,8 @@
 	sim.listVersion++
 	var endpoints []byte
 	for _, s := range servers {
-		endpoints = appendFields(endpoints, s.host, uint16(s.zone), uint8(s.kind), s.state, s.startedAt, s.weight, s.cell)
+		endpoints = appendFields(endpoints, s.host, uint16(s.zone), uint8(s.kind), s.state, s.startedAt,
+			s.weight, s.cell)
 	}
 	sim.batch.add(eventEndpointList, uint16(1), uint32(len(servers)), endpoints)
 }
--- a/examples/toy/thrift.go
+++ b/examples/toy/thrift.go
@@ -89,7 +89,7 @@
 	// The result and the body in it are fields, each with a header of its own.
 	const bodyStart = messageHeaderSize + fieldHeaderSize + fieldHeaderSize
 	if len(answer) < bodyStart+lengthSize {
-		return nil, fmt.Errorf("truncated answer of %d bytes: %q", len(answer), answer)
+		return nil, fmt.Errorf("answer of %d bytes is too short: %q", len(answer), answer)
 	}
 	result := answer[messageHeaderSize:]
 	if messageType := answer[3]; messageType == messageException {
