--- a/cmd/simhost/golden_test.go
+++ b/cmd/simhost/golden_test.go
@@ -13,17 +13,18 @@
 	"time"
 )
 
-// The golden test plays seeded event sequences through serve, in the bytes of the simulator's protocol alone, and
-// compares a hash of each sequence's replies with testdata/golden/router.txt. A change that leaves the decisions alone
-// leaves every hash alone. Texts of log actions are counted but not hashed, as they may change.
+// The golden test runs seeded simulations against serve and exchanges only encoded batches and replies with it. It
+// compares a hash of each simulation's replies with testdata/golden/router.txt, so it fails when a change alters a
+// routing decision or the wire format. The texts of log and crash actions may change: these actions are counted, and
+// only their code, instance and position are hashed.
 
 var updateGolden = flag.Bool("update", false, "write testdata/golden/router.txt")
 
 const (
-	goldenFile       = "testdata/golden/router.txt"
-	seedsPerFamily   = 10
-	mostDifferences  = 10 // sequences that a failure prints
-	baseSettingsText = `{
+	goldenFile             = "testdata/golden/router.txt"
+	seedsPerVariant        = 10
+	maxReportedDifferences = 10 // differing sequences that a failed test prints
+	baseSettingsText       = `{
 	"balancers": 3, "quantum": 2000000, "registryMode": "automatic", "weights": "nominal", "zone": 2, "me": 0,
 	"dcs": ["hub-a", "hub-b", "here", "there"], "kinds": ["edge", "parent", "origin"],
 	"services": [
@@ -51,21 +52,22 @@
 		"fall": 1000000000, "graceToAnswer": 8000000, "tipMultiple": 3}}`
 )
 
-// override sets one key of the settings, named by its path.
+// override replaces the value at a path in the settings, such as "services.1.aim". The value nil deletes the key.
 type override struct {
 	path  string
 	value any
 }
 
-// goldenFamily is a set of sequences with like settings.
-type goldenFamily struct {
+// goldenVariant describes sequences that differ in their seed alone. They share their settings, the kinds of faults
+// that may occur and the options of the simulation.
+type goldenVariant struct {
 	name      string
 	overrides []override
-	faults    []string // drawn from for each sequence; empty: all kinds
-	options   worldOptions
+	faults    []string // names of simFaults to draw from, repeated to weight them; empty: all faults
+	options   simOptions
 }
 
-var goldenFamilies = []goldenFamily{
+var goldenVariants = []goldenVariant{
 	{name: "plain"},
 	{name: "calm", faults: []string{"burst", "relist"}},
 	{name: "notes-hit", overrides: []override{{"familyInfo.notesGiven", "hit"}}},
@@ -78,47 +80,47 @@
 	{name: "retry-after", overrides: []override{{"ceilings.retryAfter", true}},
 		faults: []string{"refuse", "burst", "lose-own-site", "origin-fails"}},
 	{name: "peers", overrides: []override{{"ceilings.peerMessages", true}, {"familyInfo.lateral", "any"}},
-		faults: []string{"lose-hubs", "lose-hubs", "purge", "crash"}, options: worldOptions{peerZones: true}},
+		faults: []string{"lose-hubs", "lose-hubs", "purge", "crash"}, options: simOptions{routersInTwoZones: true}},
 	{name: "peers-of-one-zone", overrides: []override{{"ceilings.peerMessages", true}, {"familyInfo.lateral", "any"}},
 		faults: []string{"lose-hubs", "restart-router", "crash"}},
 	{name: "lateral-off", overrides: []override{{"familyInfo.lateral", "off"}}},
 	{name: "lateral-any", overrides: []override{{"familyInfo.lateral", "any"}}},
 	{name: "reports-inline", overrides: []override{{"report.via", "inline"},
-		{"report.fields", []string{"load", "queue", "pace", "hits"}}}, options: worldOptions{reportFields: 4}},
+		{"report.fields", []string{"load", "queue", "pace", "hits"}}}, options: simOptions{loadReportFields: 4}},
 	{name: "reports-on-probe", overrides: []override{{"report.via", "on_probe"}, {"ceilings.probes", true},
-		{"report.fields", []string{"load"}}}, options: worldOptions{reportFields: 1}},
-	{name: "weights-rough", overrides: []override{{"weights", "rough"}}, options: worldOptions{unevenWeights: true}},
-	{name: "weights-live", overrides: []override{{"weights", "live"}}, options: worldOptions{unevenWeights: true}},
+		{"report.fields", []string{"load"}}}, options: simOptions{loadReportFields: 1}},
+	{name: "weights-rough", overrides: []override{{"weights", "rough"}}, options: simOptions{unevenWeights: true}},
+	{name: "weights-live", overrides: []override{{"weights", "live"}}, options: simOptions{unevenWeights: true}},
 	{name: "weights-off", overrides: []override{{"weights", "off"}}},
 	{name: "separate-fills", overrides: []override{{"familyInfo.mergesFills", false}}},
 	{name: "separate-fills-crowded", overrides: []override{{"familyInfo.mergesFills", false}},
 		faults:  []string{"origin-slow", "origin-fails", "burst", "purge", "newcomer"},
-		options: worldOptions{crowded: true}},
+		options: simOptions{lowCapacity: true}},
 	{name: "no-parents", overrides: []override{{"familyInfo.secondTierKind", -1}},
-		options: worldOptions{withoutParents: true}},
+		options: simOptions{withoutParents: true}},
 	{name: "no-parents-peers", overrides: []override{{"familyInfo.secondTierKind", -1}, {"ceilings.peerMessages", true},
-		{"familyInfo.lateral", "any"}}, options: worldOptions{withoutParents: true, peerZones: true}},
+		{"familyInfo.lateral", "any"}}, options: simOptions{withoutParents: true, routersInTwoZones: true}},
 	{name: "no-bypass", overrides: []override{{"familyInfo.bypassAllowed", false}}},
 	{name: "one-attempt", overrides: []override{{"ceilings.maxAttempts", 1}}},
 	{name: "two-attempts", overrides: []override{{"ceilings.maxAttempts", 2}, {"ceilings.retryAfter", true}}},
 	{name: "cold", faults: []string{"newcomer", "newcomer", "crash", "restart-zone", "burst"},
-		options: worldOptions{coldStart: true}},
+		options: simOptions{coldStart: true}},
 	{name: "cold-unsized", overrides: []override{{"weights", "off"}},
-		faults: []string{"newcomer", "newcomer", "crash", "restart-zone"}, options: worldOptions{coldStart: true}},
+		faults: []string{"newcomer", "newcomer", "crash", "restart-zone"}, options: simOptions{coldStart: true}},
 	{name: "purges", faults: []string{"purge", "purge-group", "purge", "purge-group", "crash"}},
 	{name: "sites-lost", faults: []string{"lose-hubs", "lose-hub", "lose-own-site", "restart-zone", "delist-zone"}},
 	{name: "cut-off", overrides: []override{{"ceilings.retryAfter", true}},
 		faults: []string{"silence-all", "lose-own-site"}},
-	{name: "origin", faults: []string{"origin-slow", "origin-fails", "burst"}, options: worldOptions{crowded: true}},
+	{name: "origin", faults: []string{"origin-slow", "origin-fails", "burst"}, options: simOptions{lowCapacity: true}},
 	{name: "stale", overrides: []override{{"familyInfo.classFresh", []int64{2e9, 3e9, 0, 0, 0, 0}},
 		{"familyInfo.staleFor", []int64{6e9, 9e9, 0, 0, 0, 0}}},
-		faults: []string{"origin-slow", "origin-fails", "purge", "burst"}, options: worldOptions{crowded: true}},
-	{name: "crowded", faults: []string{"burst", "refuse", "slow", "burst"}, options: worldOptions{crowded: true}},
+		faults: []string{"origin-slow", "origin-fails", "purge", "burst"}, options: simOptions{lowCapacity: true}},
+	{name: "crowded", faults: []string{"burst", "refuse", "slow", "burst"}, options: simOptions{lowCapacity: true}},
 	{name: "subscribed", overrides: []override{{"registryMode", "subscribe"}},
 		faults: []string{"fail-list", "relist", "drain", "crash"}},
 	{name: "sizes-untold", overrides: []override{{"familyInfo.flowKbPerS", 0}}},
 	{name: "streaming", overrides: []override{{"services.0.streaming", true}, {"services.1.streaming", true}},
-		options: worldOptions{streams: true}},
+		options: simOptions{streaming: true}},
 	{name: "lists-left-out", overrides: []override{{"familyInfo.classFresh", nil}, {"familyInfo.staleFor", nil},
 		{"familyInfo.staleEarns", nil}, {"familyInfo.passOn", nil}, {"familyInfo.hubByZone", nil},
 		{"familyInfo.feedKbPerS", nil}}},
@@ -128,11 +130,12 @@
 		{"balancers", 4}}},
 	{name: "all-allowed", overrides: []override{{"ceilings.secondCopies", true}, {"ceilings.retryAfter", true},
 		{"ceilings.peerMessages", true}, {"familyInfo.lateral", "any"}, {"report.via", "inline"},
-		{"report.fields", []string{"load", "queue"}}}, options: worldOptions{reportFields: 2, peerZones: true}},
+		{"report.fields", []string{"load", "queue"}}},
+		options: simOptions{loadReportFields: 2, routersInTwoZones: true}},
 }
 
-// badSettings are refused at the start of an instance.
-var badSettings = []struct {
+// invalidSettings lists settings with which an instance must not start.
+var invalidSettings = []struct {
 	name      string
 	overrides []override
 }{
@@ -150,9 +153,10 @@
 	{"name-not-text", []override{{"weights", 7}}},
 }
 
-// settingsDocument is settings text that overrides can be laid over.
+// settingsDocument is a decoded settings object to which overrides can be applied.
 type settingsDocument map[string]any
 
+// newSettingsDocument returns the base settings with the overrides applied.
 func newSettingsDocument(overrides []override) settingsDocument {
 	var document settingsDocument
 	if err := json.Unmarshal([]byte(baseSettingsText), &document); err != nil {
@@ -164,6 +168,7 @@
 	return document
 }
 
+// set applies an override. A path element after an array is a one-digit index.
 func (d settingsDocument) set(o override) {
 	keys := strings.Split(o.path, ".")
 	var at any = map[string]any(d)
@@ -184,6 +189,7 @@
 	object[last] = o.value
 }
 
+// text returns the settings as JSON.
 func (d settingsDocument) text() []byte {
 	text, err := json.Marshal(d)
 	if err != nil {
@@ -192,35 +198,38 @@
 	return text
 }
 
-// goldenSequence is one line of the golden file.
+// goldenSequence is one line of the golden file. play plays the sequence and returns the digest of its replies.
 type goldenSequence struct {
 	name string
 	play func() (replyDigest, error)
 }
 
+// goldenSequences returns all sequences in the order of the golden file.
 func goldenSequences() (sequences []goldenSequence) {
-	for familyIndex, family := range goldenFamilies {
-		for n := range seedsPerFamily {
-			seed := uint64(1000*(familyIndex+1) + n)
+	for variantIndex, variant := range goldenVariants {
+		for n := range seedsPerVariant {
+			seed := uint64(1000*(variantIndex+1) + n)
 			sequences = append(sequences, goldenSequence{
-				name: fmt.Sprintf("%s/%d", family.name, n),
-				play: func() (replyDigest, error) { return playWorld(family, seed) },
+				name: fmt.Sprintf("%s/%d", variant.name, n),
+				play: func() (replyDigest, error) { return playSimulation(variant, seed) },
 			})
 		}
 	}
-	for _, bad := range badSettings {
+	for _, invalid := range invalidSettings {
 		sequences = append(sequences, goldenSequence{
-			name: "settings/" + bad.name,
-			play: func() (replyDigest, error) { return playBadSettings(bad.overrides) },
+			name: "settings/" + invalid.name,
+			play: func() (replyDigest, error) { return playInvalidSettings(invalid.overrides) },
 		})
 	}
 	return sequences
 }
 
+// TestGoldenRouter guards against unintended changes of routing decisions: a refactoring must leave the replies to
+// every sequence as the golden file has them. With -update it writes the golden file instead.
 func TestGoldenRouter(t *testing.T) {
-	began := time.Now()
+	start := time.Now()
 	got := playAll(t, goldenSequences())
-	t.Logf("%d sequences in %v", len(got), time.Since(began).Round(time.Millisecond))
+	t.Logf("%d sequences in %v", len(got), time.Since(start).Round(time.Millisecond))
 	if *updateGolden {
 		if err := os.WriteFile(goldenFile, []byte(strings.Join(got, "\n")+"\n"), 0o644); err != nil {
 			t.Fatal(err)
@@ -233,14 +242,14 @@
 	}
 	want := strings.Split(strings.TrimSuffix(string(text), "\n"), "\n")
 	if len(got) != len(want) {
-		t.Errorf("%d sequences, the file has %d", len(got), len(want))
+		t.Errorf("got %d sequences, want %d as in %s", len(got), len(want), goldenFile)
 	}
 	differences := 0
 	for i := range min(len(got), len(want)) {
 		if got[i] == want[i] {
 			continue
 		}
-		if differences++; differences <= mostDifferences {
+		if differences++; differences <= maxReportedDifferences {
 			t.Errorf("got  %s\nwant %s", got[i], want[i])
 		}
 	}
@@ -249,7 +258,8 @@
 	}
 }
 
-// playAll plays the sequences, several at once, and returns their lines in order.
+// playAll plays the sequences, up to 4 at a time, and returns their lines of the golden file in order. It fails the
+// test if a sequence can't be played to its end.
 func playAll(t *testing.T, sequences []goldenSequence) []string {
 	t.Helper()
 	lines := make([]string, len(sequences))
@@ -280,6 +290,8 @@
 	return lines
 }
 
+// TestGoldenNamesAreUnique guards against two sequences of the same name, which a failure of TestGoldenRouter could not
+// tell apart.
 func TestGoldenNamesAreUnique(t *testing.T) {
 	sequences := goldenSequences()
 	names := make([]string, 0, len(sequences))
@@ -288,6 +300,6 @@
 	}
 	slices.Sort(names)
 	if unique := slices.Compact(slices.Clone(names)); len(unique) != len(names) {
-		t.Errorf("%d names, %d of them different", len(names), len(unique))
+		t.Errorf("got %d unique names among %d, want all unique", len(unique), len(names))
 	}
 }
