--- a/internal/buffer/chain.go
+++ b/internal/buffer/chain.go
@@ -14,8 +14,9 @@
 // Len returns the number of bytes in the chain.
 func (c *Chain) Len() int { return c.length }
 
-// Append copies data to the end of the chain. It returns ErrExhausted if the pool has no buffer left: a part of data
-// may then be in the chain already, and the caller must release the chain without further use.
+// Append copies data to the end of the chain. It returns ErrExhausted if the pool has no buffer left. The chain then
+// remains valid, but holds only as much of data as fitted into the buffers that were available; its length before and
+// after the call tells how much. A caller that needs the data whole must release the chain.
 func (c *Chain) Append(data []byte) error {
 	for len(data) > 0 {
 		last := len(c.buffers) - 1
--- a/internal/downstream/connection.go
+++ b/internal/downstream/connection.go
@@ -38,10 +38,13 @@
 	openRequests map[int32]handle.Handle // by sequence number; nil until the first request
 	timeout      timer.Timer
 
-	lastActivity    routing.Time // when the connection was accepted, or the last message was received or answered
-	lastMessage     routing.Time // when the last message was complete
-	messageStarted  routing.Time // first byte of the expected message, or the accept before the first one; 0: none
-	receivedMessage bool         // at least one message was complete
+	lastActivity routing.Time // when the connection was accepted, or the last message was received or answered
+	lastMessage  routing.Time // when the last message was complete
+	// messageStarted is the time from which the message timeout counts: when the first byte of the message that is
+	// being received arrived or, until the connection's first message is complete, when the connection was accepted.
+	// It is 0 between two messages, and once the connection has stopped reading requests.
+	messageStarted  routing.Time
+	receivedMessage bool // at least one message was complete
 
 	discardedBytes int          // received and discarded since the connection stopped reading requests
 	unreadOutput   int          // bytes of unread output at the last call of ShortenDeadlines
@@ -87,7 +90,8 @@
 	c.server.record(event, reason)
 }
 
-// discardFrame discards a partly received message and resets the time limit of the expected one.
+// discardFrame discards a partly received frame: it releases the buffers, and forgets the length prefix and the length.
+// It also clears messageStarted, so that no message timeout applies until the next message begins.
 func (c *Connection) discardFrame() {
 	c.partialFrame.Release()
 	c.messageStarted = 0
--- a/internal/downstream/frames.go
+++ b/internal/downstream/frames.go
@@ -33,8 +33,9 @@
 	return nil
 }
 
-// discardData counts and discards data received after the connection has stopped reading requests. It closes the
-// connection once more than Limits.MaxLingerBytes have been discarded.
+// discardData counts, records and discards data received after the connection has stopped reading requests. It closes
+// the connection once more than Limits.MaxLingerBytes have been discarded. In spite of the names of its two reasons, it
+// also applies before the half-close, while the connection is draining.
 func (c *Connection) discardData(data []byte) {
 	c.server.Counters.DroppedBytes += uint64(len(data))
 	c.discardedBytes += len(data)
@@ -118,8 +119,9 @@
 	return data[n:], c.handleMessage(c.joinFrame())
 }
 
-// joinFrame copies a complete frame from the pool's buffers into the server's frameBuffer, releases the former, and
-// returns the copy, which is valid until the next call.
+// joinFrame copies a complete frame from the pool's buffers into the server's frameBuffer, releases the pool's buffers,
+// and returns the copy. All connections of the server share frameBuffer, so the copy is valid until the next call of
+// joinFrame on any of them.
 func (c *Connection) joinFrame() []byte {
 	frame := c.server.frameBuffer[:0]
 	for _, segment := range c.partialFrame.Segments(nil) {
--- a/internal/downstream/requests_test.go
+++ b/internal/downstream/requests_test.go
@@ -103,8 +103,10 @@
 	}
 }
 
-// All encodings that the protocol allows must be accepted, however the stream is split into reads: struct fields in any
-// order, missing or unknown, a oneway method sent as a call, empty maps without types, several messages in one segment.
+// No encoding that the protocol allows may count as a malformed message (BadMessage) or end the connection, however the
+// stream is split into reads: struct fields in any order, missing or unknown, a oneway method sent as a call, empty
+// maps without types, several messages in one segment. Of the five submit messages, three are submitted. The other two,
+// one without arguments and one with an empty field map, lack the fields of a request and are counted as BadFields.
 func TestAllMessageEncodingsAreAccepted(t *testing.T) {
 	const call, oneway = 1, 4
 	whole := nettest.SubmitFrame(1, "body", submitFields(testRef)...)[4:]
--- a/internal/downstream/timeouts.go
+++ b/internal/downstream/timeouts.go
@@ -5,8 +5,9 @@
 	"shaleyard/routing"
 )
 
-// scheduleTimeout sets the timer to the connection's next timeout: the one of the expected message, or the idle
-// timeout.
+// scheduleTimeout sets the timer to the connection's next timeout: the message timeout or the idle timeout. The message
+// timeout applies from the accept until the connection's first message is complete, and later from the first byte of
+// each message until that message is complete.
 func (c *Connection) scheduleTimeout() {
 	c.server.timers.Schedule(&c.timeout, c.nextTimeout(), c.timeoutExpired)
 }
@@ -29,8 +30,9 @@
 	return due
 }
 
-// timeoutExpired ends the connection if the expected message is overdue, or if the connection was idle for
-// Limits.ClientIdleTimeout. Otherwise there was activity since the timer was set, and timeoutExpired sets it again.
+// timeoutExpired ends the connection if a message is not complete within Limits.MessageTimeout, or if the connection
+// was idle for Limits.ClientIdleTimeout. Otherwise there was activity since the timer was set, and timeoutExpired sets
+// it again.
 func (c *Connection) timeoutExpired() {
 	limits := c.server.limits
 	now := c.server.now()
--- a/internal/flightrecorder/event.go
+++ b/internal/flightrecorder/event.go
@@ -12,7 +12,7 @@
 // The kinds of events.
 const (
 	ConnOpened      Kind = iota // a client's connection was accepted
-	ConnClosing                 // the process began to close a client's connection, for Event.Reason
+	ConnClosing                 // a client's connection began to drain or linger, or input was dropped in these phases
 	ConnClosed                  // a client's connection is closed: no answer can reach the client any more
 	RequestAccepted             // a request was read and must be answered
 	RequestRejected             // a request was rejected before routing, for Event.Reason
--- a/internal/flightrecorder/reason.go
+++ b/internal/flightrecorder/reason.go
@@ -18,7 +18,7 @@
 	ReasonGracefulClose           // the process is being drained or stopped
 	ReasonLingerTimeout           // the client did not close its half within the linger timeout
 	ReasonTooManyLingering        // too many connections linger, and this one is the oldest
-	ReasonTooMuchAfterHalfClose   // the client sent too much after our half-close
+	ReasonTooMuchAfterHalfClose   // too much input was discarded, while draining or after our half-close
 	ReasonAnswerNotRead           // the client did not read the last answer
 	ReasonOutboundLimitExceeded   // the client left too much output unread
 	ReasonWriteFailed
@@ -26,7 +26,7 @@
 
 	// Reason for which data of a connection is dropped. The connection does not end; Event.Count is the number of
 	// bytes.
-	ReasonDroppedAfterHalfClose // the data arrived after our half-close
+	ReasonDroppedAfterHalfClose // the data arrived while the connection was draining, or after our half-close
 
 	// Reasons for which requests are rejected before they reach the director.
 	ReasonBuffersExhausted    // the buffer pool has no buffer left
--- a/internal/flightrecorder/recorder.go
+++ b/internal/flightrecorder/recorder.go
@@ -6,7 +6,7 @@
 // events.
 type Recorder struct {
 	ring  []Event
-	next  int    // index of the oldest event once the ring is full, which the next event replaces
+	next  int    // index that Record overwrites next: that of the oldest event once the ring is full; 0 before
 	total uint64 // number of events ever recorded
 }
 
--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -23,7 +23,8 @@
 
 // Send starts an attempt at host, on a connection of the endpoint's pool or on a new one. It reports the result to the
 // CompletionHandler, during the call or later, unless the attempt is cancelled first. The result is ConnectFailed if
-// host is not a known endpoint, and Abandoned if the limit on file descriptors allows no connection.
+// host is not a known endpoint. It is Abandoned if the limit on file descriptors allows no connection, or if the
+// request's idempotency window has ended before the request is written.
 func (p *Pools) Send(attemptID handle.Handle, host routing.Host, request director.UpstreamRequest) {
 	endpoint := p.endpoints[host]
 	if endpoint == nil {
@@ -88,8 +89,9 @@
 	return true
 }
 
-// SuspendWrites delays the writing of requests until ResumeWrites is called. The director calls it after the process
-// was paused: cancellations of the waiting attempts may be among the input that has not been read yet.
+// SuspendWrites delays the writing of requests until ResumeWrites is called. The director calls it after a pause of the
+// process, while input that clients sent during the pause is still unread: this input may cancel the requests of
+// waiting attempts, and a cancelled request must not be written.
 func (p *Pools) SuspendWrites() { p.writesSuspended = true }
 
 // ResumeWrites ends the suspension by SuspendWrites and writes the requests that are pending on open connections.
--- a/internal/upstream/attempt_test.go
+++ b/internal/upstream/attempt_test.go
@@ -94,8 +94,9 @@
 	h.wantResults(t, map[handle.Handle]routing.Result{1: routing.OK})
 }
 
-// While writes are suspended, cancellations of the attempts may be among the unread input. Neither a dial that succeeds
-// nor the reassignment after a dial that fails may write a request then.
+// Writes are suspended after a pause of the process until the director has read the input that its clients sent during
+// the pause, because that input may cancel requests. Until ResumeWrites is called, no request may be written: neither
+// when a dial succeeds, nor when a dial fails and its attempts are reassigned to an open connection.
 func TestNoRequestIsWrittenWhileSuspended(t *testing.T) {
 	h := newHarness()
 	h.pools.limits.MaxConnsPerEndpoint = 2
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -41,8 +41,10 @@
 	// added: requests that were cancelled after they were written, or that got a response other than OK.
 	lateResponseIDs map[string]routing.Time
 
-	openedAt       routing.Time
-	awaitingSince  routing.Time // since when it has received nothing although a response is due; 0 if none is due
+	openedAt routing.Time
+	// awaitingSince is the start of the current wait for a response: the time of the last input or, if no response was
+	// due then, the time at which the next request was written. It is 0 if no response is due.
+	awaitingSince  routing.Time
 	lastUsedAt     routing.Time // when an attempt was last assigned
 	idleSince      routing.Time // when it was opened or last became free of attempts
 	idleTimer      timer.Timer
@@ -50,8 +52,10 @@
 	responses      int  // number of responses that answered an attempt
 }
 
-// transition moves the connection to a later phase; a call with an earlier phase has no effect. On the move to closed
-// it releases the connection's resources. The phase changes only in transition.
+// transition moves the connection to a later phase; a call with the current phase or an earlier one has no effect. On
+// the move to closed it cancels the idle timer, removes the connection from the table of connections and from its
+// endpoint's pool, and releases the parser's buffers. The caller closes the socket and ends the attempts in flight. The
+// phase changes only in transition.
 func (c *conn) transition(to connPhase) {
 	if to <= c.phase {
 		return
@@ -113,7 +117,7 @@
 		}
 	}
 	if len(c.lateResponseIDs) >= limit {
-		c.transition(draining) // without the ID on record, a late response could be taken for a later attempt's
+		c.transition(draining) // a late response whose ID is not recorded could be taken for a later attempt's response
 		return
 	}
 	c.lateResponseIDs[requestID] = now
--- a/internal/upstream/conn_test.go
+++ b/internal/upstream/conn_test.go
@@ -33,8 +33,9 @@
 	}
 }
 
-// The endpoint list may report a restart after connections to the new process were opened. They must stay open: closing
-// them would fail the payments that are in flight on them.
+// The endpoint list may report a restart only after connections to the new process were opened. UpdateEndpoint must
+// then close neither the connection that was opened after the restart nor the one that is still being dialled: both
+// lead to the new process, and closing them would end their attempts in flight.
 func TestLateRestartUpdateKeepsNewConnections(t *testing.T) {
 	h := newHarness()
 	h.send(1, "r1")
@@ -42,7 +43,7 @@
 	h.send(3, "r3") // on a second connection, still being opened when the update comes
 	h.now += time.Second
 	socket := h.open(0)
-	h.pools.UpdateEndpoint(1, "c1", "a", h.now-time.Second/2)
+	h.pools.UpdateEndpoint(1, "c1", "a", h.now-time.Second/2) // restarted before the connection was opened
 	if socket.Closed {
 		t.Error("connection to the new process: got closed, want open")
 	}
--- a/internal/upstream/endpoint.go
+++ b/internal/upstream/endpoint.go
@@ -25,9 +25,10 @@
 	nextLogAt routing.Time // earliest time of the next log line about this endpoint
 }
 
-// UpdateEndpoint adds an endpoint, or applies its new address or process start time. It closes the connections to the
-// endpoint's previous address or process: that process is gone, and if its machine vanished, no close or reset would
-// ever arrive on them.
+// UpdateEndpoint adds an endpoint, or applies its new address or process start time. If the address has changed, it
+// closes all connections to the old address. If only the start time has changed, it closes the connections that were
+// opened before the restart, because the process that they lead to has ended. Without this, a connection to a machine
+// that vanished would stay open: no close or reset would ever arrive on it.
 func (p *Pools) UpdateEndpoint(host routing.Host, name, address string, startedAt routing.Time) {
 	known := p.endpoints[host]
 	if known == nil {
@@ -54,7 +55,7 @@
 }
 
 // restartEndpoint applies a new address or process start time to an endpoint, resets what was learned from the previous
-// process, and closes the connections that lead to it.
+// process, and closes the connections to the previous process or address.
 func (p *Pools) restartEndpoint(endpoint *endpoint, address string, startedAt routing.Time) {
 	moved := endpoint.address != address
 	endpoint.address = address
@@ -110,7 +111,8 @@
 	return count
 }
 
-// numEstablished returns the number of the endpoint's connections that are open.
+// numEstablished returns the number of the endpoint's connections that are not being dialled: the ready and the
+// draining ones.
 func (e *endpoint) numEstablished() int {
 	return len(e.conns) - e.numConnecting()
 }
--- a/internal/upstream/golden_response_test.go
+++ b/internal/upstream/golden_response_test.go
@@ -13,15 +13,17 @@
 	"shaleyard/internal/nettest"
 )
 
-// goldenStreams returns streams that an endpoint may send over a connection with two attempts in flight: r1, whose
-// client has the copy tag1, and r2, whose client has no copy.
+// goldenStreams returns the input streams of the test: well-formed ones, ones with invalid responses, and malformed or
+// truncated ones. Each is sent by an endpoint on a connection with two attempts in flight: request r1 was sent with
+// IfNoneMatch = tag1, the version tag of the client's copy, and request r2 without IfNoneMatch.
 func goldenStreams() []string {
 	streams := wellFormedStreams()
 	streams = append(streams, invalidResponseStreams()...)
 	return append(streams, malformedStreams()...)
 }
 
-// wellFormedStreams returns streams with each status and each fill status, for a client with a copy and one without.
+// wellFormedStreams returns streams of well-formed responses to r1 and r2: with each status and each fill status, with
+// unusual fields, and with several responses or unknown request IDs in one stream.
 func wellFormedStreams() (streams []string) {
 	const rest = ",fill=12.5,l=inflight:7;queue:2;util:0.61;latency_ms:8.5;qps:100;eps:0.25;x1:3" +
 		",rev=tag1,since=1764576000123"
