--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -40,8 +40,9 @@
 	})
 }
 
-// A backlog of missed events arrives at one moment, so the age of each event follows from the timestamps alone. This
-// also holds if the local wall clock was off by an hour at the start.
+// A backlog of missed events arrives at one moment, so only the ages of the events relative to the newest one are
+// known. PeerClock must keep these differences also if the clocks differ by an hour. The newest event, which is 100 ms
+// old, gets the age 0, and the ages of the others are 100 ms too small.
 func TestBacklogStampsKeepRelativeAges(t *testing.T) {
 	now := routing.Time(1_764_576_000*time.Second) + time.Hour
 	var peer PeerClock
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -53,7 +53,7 @@
 	InheritedFD int // descriptor of an inherited listening socket; 0 if there is none
 }
 
-// Bootstrap is the state of the list service that the configuration holds: the revision, and the events up to it.
+// Bootstrap is the state of the discovery service that the configuration holds: the revision, and the events up to it.
 type Bootstrap struct {
 	Revision uint64            `json:"n"`
 	Events   []json.RawMessage `json:"events"`
--- a/internal/config/derive.go
+++ b/internal/config/derive.go
@@ -8,10 +8,10 @@
 )
 
 const (
-	// heartbeatInterval is the time between two heartbeats of the list service, as the protocol page specifies.
+	// heartbeatInterval is the time between two heartbeats of the discovery service, as the protocol page specifies.
 	heartbeatInterval = time.Second
-	// reservedDescriptors is the number of descriptors reserved for the listener, pollers, the watch on the list
-	// service, standard streams, and connections between their accept and their close.
+	// reservedDescriptors is the number of descriptors reserved for the listener, pollers, the watch on the
+	// discovery service, standard streams, and connections between their accept and their close.
 	reservedDescriptors = 20
 	// longestStopTimeout is the largest part of the longest request timeout that counts towards the time from SIGTERM
 	// to SIGKILL, as the protocol page specifies.
--- a/internal/config/limits.go
+++ b/internal/config/limits.go
@@ -10,16 +10,18 @@
 
 	// Clients.
 
-	MaxClientConns      int           // open client connections
-	MaxRequestsPerConn  int           // open requests on one connection
-	MaxFrameBytes       int           // length of one Thrift frame
-	MaxRequestBodyBytes int           // length of a request's body
-	MaxRequestFields    int           // entries of a request's field map
-	ClientBacklogBytes  int           // output that one client may leave unread
-	TotalBacklogBytes   int           // output that all clients together may leave unread
-	MessageTimeout      time.Duration // for a connection's first message, and from the first to the last byte of any
-	ClientKeepAlive     time.Duration // idle time after which clients close or abandon a connection
-	ClientIdleTimeout   time.Duration // idle time after which the program closes a client's connection
+	MaxClientConns      int // open client connections
+	MaxRequestsPerConn  int // open requests on one connection
+	MaxFrameBytes       int // length of one Thrift frame
+	MaxRequestBodyBytes int // length of a request's body
+	MaxRequestFields    int // entries of a request's field map
+	ClientBacklogBytes  int // output that one client may leave unread
+	TotalBacklogBytes   int // output that all clients together may leave unread
+	// MessageTimeout is the time within which a client must send a whole message: from the accept for the first message
+	// of a connection, and from the first byte for each further one.
+	MessageTimeout    time.Duration
+	ClientKeepAlive   time.Duration // idle time after which clients close or abandon a connection
+	ClientIdleTimeout time.Duration // idle time after which the program closes a client's connection
 	// LingerTimeout is how long input is read after our half of a connection is closed, until the client closes its
 	// half.
 	LingerTimeout time.Duration
@@ -35,7 +37,9 @@
 
 	// Upstream: caches, parents and the origin.
 
-	MaxUpstreamConns int // descriptors that dialled connections may hold
+	// MaxUpstreamConns is the number of file descriptors that upstream connections may hold: two for each one that is
+	// being dialled, and one for each open one.
+	MaxUpstreamConns int
 	// MaxReplacementDials is the number of descriptors, in addition to MaxUpstreamConns, for dials that replace idle
 	// connections, until those connections are closed.
 	MaxReplacementDials int
@@ -54,7 +58,7 @@
 	MaxAnswerBodyBytes     int           // length of an answer's body
 	MaxAnswerFieldBytes    int           // length of an answer's fields
 
-	// Discovery: the watch on the list service.
+	// Discovery: the watch on the discovery service.
 
 	MaxWatchLineBytes   int           // length of one line
 	WatchSilenceTimeout time.Duration // time without a line after which the service is called again
@@ -63,9 +67,10 @@
 	WatchCallTime    time.Duration
 	DrainApplyWithin time.Duration // from when the service has a drain until the drain must be applied
 	PurgeApplyWithin time.Duration // from when the service has a purge until the purge must be applied
-	// InitialJitterWindow is the time over which the fleet's first calls are spread. Requests are accepted only once
-	// this director has reached the service, or InitialListTimeout has passed. If InitialJitterWindow is 0, the calls
-	// are spread over PurgeApplyWithin, and requests are accepted before.
+	// InitialJitterWindow is the time over which the fleet spreads its first calls to the discovery service. If it is
+	// 0, the calls are spread over at most four fifths of PurgeApplyWithin, and the director accepts requests from its
+	// start. Otherwise the director accepts requests only once it has reached the service, or InitialListTimeout has
+	// passed.
 	InitialJitterWindow time.Duration
 	MaxEventDelay       time.Duration // after which an event of the service counts as known even if it did not arrive
 	InitialListTimeout  time.Duration // longest time for which readiness waits for the first list
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -20,7 +20,7 @@
 	Failover failover.Overrides `toml:"plan"` // plan for the loss of whole sites
 }
 
-// OperatorDiscovery holds the times of the watch on the list service, in milliseconds. Each overrides the field of
+// OperatorDiscovery holds the times of the watch on the discovery service, in milliseconds. Each overrides the field of
 // Limits that timeSettings gives for its key; 0 leaves the default.
 type OperatorDiscovery struct {
 	DrainApplyWithinMS    float64 `toml:"heed_ms"`
@@ -98,9 +98,10 @@
 	return keyErrorf("log.level", "%q is none of debug, info, warn, error", o.Log.Level)
 }
 
-// checkDiscoveryTimes checks times of the list service that depend on one another. A call must take less time than a
-// drain has to be applied, as the fleet's calls are spread over the rest of that time. An event must not count as known
-// before a drain has to be applied.
+// checkDiscoveryTimes checks the times of the watch on the discovery service that depend on one another. WatchCallTime
+// must be less than DrainApplyWithin, because the fleet's calls are spread over the difference. MaxEventDelay must not
+// be less than DrainApplyWithin: an event that did not arrive must not count as known before a drain that was published
+// at the same time must be applied.
 func (o *OperatorFile) checkDiscoveryTimes() error {
 	limits := Limits{}
 	limits.setDiscoveryDefaults()
--- a/internal/discovery/apply.go
+++ b/internal/discovery/apply.go
@@ -157,9 +157,9 @@
 	return endpoints, nil
 }
 
-// applyEndpoints passes an update to the sink. During a resync after the service restarted its revisions, the service's
-// list may be older than the known one. Such an older list is passed on as a partial update, so that endpoints that are
-// missing from it are not removed.
+// applyEndpoints passes an update to the sink. During a resync, after the service began again at revision 1, the list
+// that it sends may be older than the last list that the director received. An older list is passed on as a partial
+// update, so that endpoints that are missing from it are not removed.
 func (w *Watcher) applyEndpoints(update *endpointUpdate, endpoints []director.Endpoint) {
 	full := update.Snapshot || w.revision == 0
 	if w.resyncing && update.Version < w.listVersion {
@@ -181,8 +181,8 @@
 	w.sink.UpdateEndpoints(full, update.Version, kept)
 }
 
-// retainDrain prevents a resync from undoing a drain: the list that the service sends after it restarted its revisions
-// may be older than the drain. An entry that is ready in this list, but is known as draining or gone, keeps the known
+// retainDrain prevents a resync from undoing a drain: the list that the service sends after it began again at revision
+// 1 may be older than the drain. An entry that is ready in this list, but is known as draining or gone, keeps the known
 // state unless the endpoint has been restarted since. retainDrain reports whether the entry must be passed to the sink;
 // an endpoint that stays gone need not be.
 func (w *Watcher) retainDrain(entry *director.Endpoint) bool {
@@ -212,8 +212,8 @@
 }
 
 // startTime returns when an endpoint was started, on the local clock, or 0 if that was long ago. The time of one start
-// is converted once and then reused, even if the estimated offset of the service's clock changes: a different time
-// would mean a new incarnation of the endpoint.
+// is converted once and then reused, even if the estimated offset of the service's clock changes, because a different
+// time would mean that the endpoint has restarted.
 func (w *Watcher) startTime(entry *endpoint) routing.Time {
 	if entry.SinceMS == 0 {
 		return 0
@@ -245,10 +245,12 @@
 	return nil
 }
 
-// heartbeat handles a line with only the service's latest revision. A revision after the last applied one is an error,
-// because events are missing. A revision before it means that the service lags or was restored from a backup, so that
-// its next events may differ from those after the last applied event; this is counted once until the service catches
-// up.
+// heartbeat handles a line with only the service's latest revision. Heartbeats in the configuration, and those during a
+// full resync, are ignored. A revision after the last applied one is an error, because events are missing. A revision
+// before it means that the service lags or was restored from a backup, so that its next events may differ from those
+// after the last applied event. This is counted once per watch, until the service catches up: in Counters, and in
+// watchesBehind, the number of consecutive such watches. From maxWatchesBehind on, the next subscription requests all
+// events.
 func (w *Watcher) heartbeat(revision uint64, source *watch) error {
 	if source == nil || source.fullResync {
 		return nil
--- a/internal/discovery/backoff.go
+++ b/internal/discovery/backoff.go
@@ -49,7 +49,8 @@
 	backoffFactor = 2.0
 	// maxDoublings bounds the exponent of the backoff window, which reaches its maximum length well before.
 	maxDoublings = 16
-	// goldenRatioConjugate is the fraction of the window by which the director's slot moves with each broken watch.
+	// goldenRatioConjugate is the fraction of the window by which the director's slot moves with each increment of
+	// Backoff.breaks, so that no director always has the last slot.
 	goldenRatioConjugate = 0.6180339887498949
 )
 
@@ -67,9 +68,10 @@
 //   - An overloaded service can't serve all directors within ApplyWithin. Its events count as notified after
 //     NotifiedAfter, so the wait is at most NotifiedAfter less CallDuration.
 //
-// A flapping service, which alternately serves and breaks watches, is called again as soon as after the loss of a
-// healthy watch, because the events that were cut off are due equally soon. This ends when the call budget (a token
-// bucket) is nearly spent. docs/lifecycles.md has the worst cases.
+// A flapping service alternately serves and breaks watches. The wait after each of its breaks is within the return
+// window, as after the loss of a healthy watch, because the time within which the missed events must be applied is the
+// same. When the call budget (a token bucket) is nearly spent, the waits become longer. docs/lifecycles.md has the
+// worst cases.
 type Backoff struct {
 	rng    *rand.Rand
 	config BackoffConfig
@@ -81,7 +83,7 @@
 	maxWait           time.Duration // longest wait of all
 
 	tokens        float64      // tokens in the bucket at refilledAt; each call takes one
-	refilledAt    routing.Time // time of the latest call, or of the next call if it is scheduled
+	refilledAt    routing.Time // time for which tokens is valid: of the latest call, or of the next one if scheduled
 	failures      int          // consecutive calls or watches that ended, without a stable watch between them
 	unservedCalls int          // consecutive calls that were refused or timed out, without a usable line between them
 	unusableEnds  int          // consecutive EndUnusable ends, without a usable line between them
@@ -118,10 +120,11 @@
 	return b.takeToken(now, b.slot(now, b.startWindow))
 }
 
-// RedirectCall returns the time of the first call to another service that a new configuration names. All directors
-// receive the new configuration at once, so the call is in this director's slot of the return window. Events that only
-// the new service has are due as soon as after a broken watch, although the current watch stays up until that call
-// succeeds.
+// RedirectCall returns the time of the first call to another service that a new configuration names, and resets all
+// counts of failures. All directors receive the new configuration at once, so the call is in this director's slot of
+// the return window. A longer window is not possible, although the watch of the old service stays up until the call
+// succeeds: events that only the new service has must be applied within the same time as events that are missed after
+// a broken watch.
 func (b *Backoff) RedirectCall(now routing.Time) routing.Time {
 	b.breaks++
 	b.failures = 0
@@ -204,10 +207,10 @@
 }
 
 // waitAfterShortWatch returns the wait after a watch that was usable for less than minStableTime. The watch had
-// received usable lines, so the service is up and not overloaded, and the events that the break cut off are due as soon
-// as after a stable watch. The watch is therefore replaced within the return window if it is the first failure in a row
-// or if two or more tokens are left. Otherwise the wait is random, at least half of maxWaitWhileDown, and takeToken
-// extends it if no token is left.
+// received usable lines, so the service is up and not overloaded, and the missed events must be applied within the same
+// time as after a stable watch. The watch is therefore replaced within the return window if it is the first failure in
+// a row or if two or more tokens are left. Otherwise the wait is random, at least half of maxWaitWhileDown, and
+// takeToken extends it if no token is left.
 func (b *Backoff) waitAfterShortWatch(now routing.Time) time.Duration {
 	if b.failures == 1 {
 		b.breaks++
@@ -236,7 +239,7 @@
 // other without gaps, and each director has its own slot in each window. Calls that become due on all directors at
 // about the same time are therefore evenly spread, however long each process takes to start or to detect the loss. The
 // time within the slot is random, so that two directors with the same index do not always collide. The slot moves with
-// each break, by the golden ratio, so that no director is always the last.
+// each ended usable watch and each redirect, by the golden ratio, so that no director always has the last slot.
 func (b *Backoff) slot(now routing.Time, window time.Duration) time.Duration {
 	if window <= 0 {
 		return 0
--- a/internal/discovery/counters.go
+++ b/internal/discovery/counters.go
@@ -15,7 +15,7 @@
 	SkippedEndpoints uint64 // endpoints whose zone or kind is not in the settings
 	WatchEnds        EndCounts
 	RevisionBehind   uint64 // times that the service's revision fell behind the last applied event
-	FullResyncs      uint64 // requests for all events, after the service restarted its revisions
+	FullResyncs      uint64 // requests for all events, after the service began again at revision 1
 	RetainedDrains   uint64 // endpoints kept draining or gone although an older list has them as ready
 }
 
--- a/internal/discovery/deadline_checker_test.go
+++ b/internal/discovery/deadline_checker_test.go
@@ -21,8 +21,8 @@
 type interpretation int
 
 const (
-	// sinceLastFault counts a purge as notified 2 s after a break or 4 s after a stop. A further fault before that time
-	// restarts it.
+	// sinceLastFault counts a purge as notified 2 s after a break or 4 s after a stop. A further fault that occurs
+	// before the purge counts as notified restarts the 2 s or 4 s.
 	sinceLastFault interpretation = iota
 	// sinceFirstFault counts a purge as notified 2 s or 4 s after the first fault since all events were applied.
 	sinceFirstFault
@@ -32,7 +32,7 @@
 	// sincePublication counts a purge as notified 7 s after it was published, independently of faults.
 	sincePublication
 
-	interpretationCount
+	interpretationCount // number of interpretations; the length of arrays that are indexed by interpretation
 )
 
 // String returns the name of the interpretation in the output of the tests. docs/lifecycles.md calls the four
@@ -101,9 +101,9 @@
 }
 
 // historyUntil returns the current sequence, followed by the application of a purge.
-func (c *deadlineChecker) historyUntil(now routing.Time, missed missedPurge, rule interpretation) []historyEntry {
+func (c *deadlineChecker) historyUntil(now routing.Time, missed missedPurge, interp interpretation) []historyEntry {
 	text := fmt.Sprintf("applies the purge published at %.3f, notified at %.3f",
-		missed.published.Seconds(), missed.notified[rule].Seconds())
+		missed.published.Seconds(), missed.notified[interp].Seconds())
 	return append(c.history[:len(c.history):len(c.history)], historyEntry{at: now, text: text})
 }
 
@@ -147,19 +147,19 @@
 func (c *deadlineChecker) recordApplied(now routing.Time, applyWithin time.Duration) {
 	missed := c.missed[0]
 	c.missed = c.missed[1:]
-	for rule := range interpretationCount {
-		lateBy := now - missed.notified[rule] - applyWithin - applySlack
-		worst := &c.worst[rule]
+	for interp := range interpretationCount {
+		lateBy := now - missed.notified[interp] - applyWithin - applySlack
+		worst := &c.worst[interp]
 		if lateBy > worst.lateBy {
 			worst.lateBy = lateBy
-			worst.sequence = c.historyUntil(now, missed, rule)
+			worst.sequence = c.historyUntil(now, missed, interp)
 		}
 		if lateBy <= 0 {
 			continue
 		}
 		worst.breaches++
 		if worst.shortest == nil || len(c.history)+1 < len(worst.shortest) {
-			worst.shortest = c.historyUntil(now, missed, rule)
+			worst.shortest = c.historyUntil(now, missed, interp)
 		}
 	}
 }
--- a/internal/discovery/doc.go
+++ b/internal/discovery/doc.go
@@ -1,4 +1,4 @@
-// Package discovery watches the discovery service (the list service), which announces a director's endpoints (caches,
+// Package discovery watches the discovery service, which announces a director's endpoints (caches,
 // parents, origin) and the purges of cached objects.
 //
 // A watch is a TCP connection on which the director requests all events after a revision ("SUB n") and the service
--- a/internal/discovery/flapping_service_test.go
+++ b/internal/discovery/flapping_service_test.go
@@ -137,8 +137,8 @@
 	for i := range s.settings.probabilities {
 		s.settings.probabilities[i] = []float64{0.05, 0.3, 0.6, 0.95}[s.rng.IntN(4)]
 	}
-	for rule := range s.checker.worst {
-		s.checker.worst[rule].lateBy = -never
+	for interp := range s.checker.worst {
+		s.checker.worst[interp].lateBy = -never
 	}
 	bounds := []time.Duration{20 * time.Millisecond, 300 * time.Millisecond, 1200 * time.Millisecond, 3 * time.Second}
 	s.settings.maxLifetime = bounds[s.rng.IntN(4)]
--- a/internal/discovery/flapping_test.go
+++ b/internal/discovery/flapping_test.go
@@ -5,11 +5,19 @@
 	"time"
 )
 
-// worstCaseBound returns, for each interpretation, the longest time by which a purge may miss its deadline. A purge is
-// due 0.5 s plus applySlack after it counts as notified. The parameters are times until all missed events are sent:
-// lost from the first fault, last from the last fault, and requested from the first subscription if its replay fails
-// (else 0). allowed and lastAllowed are the times after the first and the last fault at which events count as notified:
-// 2 s for a break, 4 s for a stop.
+// worstCaseBound returns the longest time by which a purge may miss its deadline, for each of the interpretations of
+// the rule on when a purge counts as notified. The deadline is 0.5 s plus applySlack after that time. A negative bound
+// means that no purge misses its deadline.
+//
+// Three parameters are the times until the service has sent all missed events:
+//   - lost: from the first fault.
+//   - last: from the last fault.
+//   - requested: from the first subscription, if its replay fails; 0 otherwise.
+//
+// Two parameters are the times after which purges that a fault cut off count as notified, 2 s for a break and 4 s for a
+// stop:
+//   - allowed: after the first fault.
+//   - lastAllowed: after the last fault.
 func worstCaseBound(lost, allowed, last, lastAllowed, requested time.Duration) [interpretationCount]time.Duration {
 	const applyWithin = 500*time.Millisecond + applySlack
 	bound := [interpretationCount]time.Duration{
@@ -18,8 +26,8 @@
 		untilNextRequest: max(requested, last-lastAllowed),
 		sincePublication: lost - notifiedAtLatest,
 	}
-	for rule := range bound {
-		bound[rule] -= applyWithin
+	for interp := range bound {
+		bound[interp] -= applyWithin
 	}
 	return bound
 }
@@ -31,11 +39,12 @@
 	longestWait    = 7 * time.Second         // longest time from a call that timed out to the next one
 	silenceTime    = 1300 * time.Millisecond // SilenceTimeout
 	dialTimeout    = time.Second             // ConnectTimeout
-	dialTime       = 2 * time.Millisecond    // twice the time of a successful dial
+	dialTime       = 2 * time.Millisecond    // twice the time of a dial that is not slow, which is 1 ms
 	slowDial       = 500 * time.Millisecond  // additional time of a slow dial
 )
 
-// breakBound returns the worst case of breaks with a number of consecutive interrupted replays between them.
+// breakBound returns the longest time by which a purge may miss its deadline, for each interpretation, if up-to-date
+// watches break and up to interruptedReplays consecutive replays are interrupted after each break.
 func breakBound(interruptedReplays time.Duration) [interpretationCount]time.Duration {
 	const call = waitWhileDown + dialTime
 	return worstCaseBound(
@@ -44,16 +53,20 @@
 		interruptedReplays*call)
 }
 
-// failureBound returns the worst case of failed or slow dials after a break, where lost is the time from the break
-// until all missed events are sent.
+// failureBound returns the longest time by which a purge may miss its deadline, for each interpretation, if dials after
+// a break fail or are slow. lost is the time from the break until the service has sent all missed events.
 func failureBound(lost time.Duration) [interpretationCount]time.Duration {
 	return worstCaseBound(lost, notifiedAfterBreak, lost, notifiedAfterBreak, 0)
 }
 
-// stallBound returns the worst case of stalled replays. The first fault is a break: after a stop, it takes longer by
-// silenceTime until all missed events are sent, but the events count as notified even later than that. The
-// interpretation sincePublication does not have this allowance, so its bound is longer by silenceTime. last is the time
-// from the last fault less its allowance.
+// stallBound returns the longest time by which a purge may miss its deadline, for each interpretation, if replays
+// stall. lost and requested are as for worstCaseBound. last is the time from the last fault until the service has sent
+// all missed events, less the time after which purges that this fault cut off count as notified.
+//
+// The first fault is either a break or a stop. A stop delays the missed events by a further silenceTime (1.3 s), but
+// the purges also count as notified 2 s later than after a break, so lost is the time from a break. Under
+// sincePublication a purge does not count as notified later after a stop than after a break, so its bound is longer by
+// silenceTime.
 func stallBound(lost, last, requested time.Duration) [interpretationCount]time.Duration {
 	bound := worstCaseBound(lost, notifiedAfterBreak, last, 0, requested)
 	bound[sincePublication] += silenceTime
@@ -118,8 +131,8 @@
 	t.Helper()
 	const seeds = 12
 	var all [interpretationCount]worstCase
-	for rule := range all {
-		all[rule].lateBy = -never
+	for interp := range all {
+		all[interp].lateBy = -never
 	}
 	for _, directors := range []int{1, 12, 300} {
 		for seed := range uint64(max(1, class.seedFactor)) * seeds {
@@ -129,8 +142,8 @@
 				t.Errorf("%s, %d directors, seed %d: got %d purges that are not applied 9 s after the recovery, want 0",
 					class.name, directors, seed, missed)
 			}
-			for rule := range all {
-				all[rule].merge(service.checker.worst[rule])
+			for interp := range all {
+				all[interp].merge(service.checker.worst[interp])
 			}
 		}
 	}
@@ -153,20 +166,20 @@
 			allowances[sinceLastFault] = notifiedAfterStop
 			allowances[sinceFirstFault] = notifiedAfterStop
 		}
-		for rule := range interpretationCount {
-			worst, bound := all[rule], class.bound[rule]
+		for interp := range interpretationCount {
+			worst, bound := all[interp], class.bound[interp]
 			t.Logf("%-34s %-6v worst %7.3f s, calculated %7.3f s, %d late",
-				class.name, rule, worst.lateBy.Seconds(), bound.Seconds(), worst.breaches)
+				class.name, interp, worst.lateBy.Seconds(), bound.Seconds(), worst.breaches)
 			if worst.lateBy > bound {
 				t.Errorf("%s, interpretation %v: got a purge late by %v, want at most %v:%s\nshortest:%s",
-					class.name, rule, worst.lateBy, bound, formatHistory(worst.sequence), formatHistory(worst.shortest))
+					class.name, interp, worst.lateBy, bound, formatHistory(worst.sequence), formatHistory(worst.shortest))
 			}
 			// The tolerance is relative to the time from the fault until all events are sent, as lateness may be near
 			// 0.
-			lost := bound + allowances[rule] + 500*time.Millisecond + applySlack
+			lost := bound + allowances[interp] + 500*time.Millisecond + applySlack
 			if bound-worst.lateBy > lost/3+5*time.Millisecond {
 				t.Errorf("%s, interpretation %v: got at most %v late, want close to %v: the runs miss some sequences",
-					class.name, rule, worst.lateBy, bound)
+					class.name, interp, worst.lateBy, bound)
 			}
 		}
 	}
--- a/internal/discovery/random_sequences_test.go
+++ b/internal/discovery/random_sequences_test.go
@@ -112,7 +112,7 @@
 		s.send(to, purgeLine(to.next-1), false) // repeated
 	case action < 35 && to.next < s.events:
 		s.send(to, purgeLine(to.next+1), false) // after a gap
-	case action < 36 && s.behind < maxWatchesBehind-1: // more in a row count as restarted revisions
+	case action < 36 && s.behind < maxWatchesBehind-1: // more in a row lead to a request for all events
 		s.behind++
 		s.send(to, heartbeatLine(max(0, to.next-3)), false)
 	case action < 37:
--- a/internal/discovery/resync_test.go
+++ b/internal/discovery/resync_test.go
@@ -9,8 +9,9 @@
 )
 
 // A service that returns with a revision before the last applied event has time to catch up. If it stays behind, it has
-// restarted its revisions, and all events are requested. Its list may then be older than the known one: it must not
-// make a draining endpoint ready again, unless the endpoint has been restarted.
+// begun again at revision 1, and all events are requested. Its list may then be older than the last list that the
+// director received: the older list must not make a draining endpoint ready again, unless that endpoint has been
+// restarted.
 func TestOlderListDoesNotUndoADrain(t *testing.T) {
 	h := startedHarness(t, 1)
 	h.open()
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -48,8 +48,9 @@
 	}
 }
 
-// subscribe requests all events after the last applied one, or all events if maxWatchesBehind watches show that the
-// service has restarted its revisions.
+// subscribe requests the events after the last applied one. If the service's revision was before the last applied event
+// on maxWatchesBehind consecutive watches, the service has begun again at revision 1, and subscribe requests all
+// events.
 func (w *watch) subscribe() error {
 	watcher := w.watcher
 	from := watcher.revision
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -13,10 +13,11 @@
 	"shaleyard/routing"
 )
 
-// maxWatchesBehind is the number of consecutive watches whose revision was before the last applied event after which
-// the service counts as having restarted its revisions. Each watch has WatchSilenceTimeout to catch up. Together with
-// the waits after EndUnusable between them, this takes well over the time after which events count as notified. Waiting
-// that long loses no event, and a lagging replica is not mistaken for a service that restarted its revisions.
+// maxWatchesBehind is the number of consecutive watches with a service revision before the last applied event after
+// which the service counts as having begun again at revision 1. Each watch has WatchSilenceTimeout to catch up.
+// Together with the waits after EndUnusable between them, this takes well over the time after which events count as
+// notified. Waiting that long loses no event, and a lagging replica is not mistaken for a service that began again at
+// revision 1.
 const maxWatchesBehind = 5
 
 // Sink receives the endpoint updates and purges of a Watcher. The director implements it.
@@ -65,7 +66,7 @@
 	endpoints      map[string]endpointState // latest known states, by name of the endpoint
 	serviceClock   clock.PeerClock          // offset of the service's clock, estimated from the timestamps of purges
 	watchesBehind  int                      // consecutive watches with a service revision before the last applied event
-	resyncing      bool                     // the service restarted its revisions, and its latest is not reached yet
+	resyncing      bool                     // the service began again at revision 1; its latest one is not reached yet
 	everConnected  bool                     // a watch has been opened since the start
 	lastUsableLine routing.Time             // when the last usable line was received; 0: none yet
 
--- a/internal/eventloop/handler.go
+++ b/internal/eventloop/handler.go
@@ -9,7 +9,8 @@
 	"github.com/panjf2000/gnet/v2"
 )
 
-// idleTickInterval is the time between two calls of OnTick after the first one, which registers the wakeup socket.
+// idleTickInterval is the time between two calls of OnTick after the first one. gnet requires an interval, but only the
+// first call has work to do, which is to register the wakeup socket. The interval is therefore very long.
 const idleTickInterval = 24 * time.Hour
 
 // wakeupContext is the context value of the wakeup socket, by which OnOpen recognizes it.
@@ -59,9 +60,10 @@
 	}))
 }
 
-// openWakeupSocket returns a UDP socket on loopback, connected to the address of another socket that is closed again.
-// Nothing is ever sent on it. It is not a pair of Unix sockets because the process may be confined to IPv4 sockets, TCP
-// and UDP.
+// openWakeupSocket returns the wakeup socket: a UDP socket on loopback, connected to the address of another socket that
+// is closed again. Nothing is ever sent on the wakeup socket: it exists only because gnet gives access to its EventLoop
+// through a connection. It is not one of a pair of Unix sockets because the process may be confined to IPv4 sockets,
+// TCP and UDP.
 func openWakeupSocket() (net.Conn, error) {
 	peer, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
--- a/internal/eventloop/timers.go
+++ b/internal/eventloop/timers.go
@@ -6,7 +6,7 @@
 	"shaleyard/routing"
 )
 
-// settleDivisor divides the length of a pause: timers are delayed after the pause by the quotient, at most SettleTime.
+// settleDivisor determines the delay of timers after a pause: a tenth of the length of the pause, at most SettleTime.
 const settleDivisor = 10
 
 // CheckForPause checks whether the process was paused since the event that is being handled began, and handles such a
@@ -14,8 +14,9 @@
 func (l *Loop) CheckForPause() { l.checkForPause() }
 
 // checkForPause checks whether the loop was paused, between two events or during one. After a pause the state in memory
-// is out of date by the length of the pause, and newer events wait unread in the sockets, in no order. Timers are
-// therefore delayed by up to SettleTime, and Paused is called.
+// is out of date by the length of the pause, and the events that occurred meanwhile are unread in the sockets. The loop
+// reads them socket by socket, not in the order in which they occurred. Timers are therefore delayed by up to
+// SettleTime, and Paused is called.
 func (l *Loop) checkForPause() {
 	now := l.Now()
 	gap := now - l.lastCheck
