--- a/cmd/shaleyard/anyorder_test.go
+++ b/cmd/shaleyard/anyorder_test.go
@@ -14,7 +14,7 @@
 			sim.step()
 		}
 		sim.resume(false)
-		sim.drainClients()
+		sim.emptyClientOutput()
 		if seed%2 == 0 {
 			sim.shutDown()
 		}
@@ -22,7 +22,7 @@
 			sim.step()
 			sim.resume(false)
 		}
-		sim.drainClients()
+		sim.emptyClientOutput()
 		sim.finish()
 		checkNoResourcesLeft(sim)
 		served += sim.served
--- a/cmd/shaleyard/configuration_test.go
+++ b/cmd/shaleyard/configuration_test.go
@@ -59,10 +59,10 @@
 	child.writeConfig(env.configJSON(256))
 	child.signal(syscall.SIGHUP)
 	if got := env.discovery.Accept().ReadLine(); got != "SUB 2" {
-		t.Errorf("the new list service received %q, want %q", got, "SUB 2")
+		t.Errorf("the new discovery service received %q, want %q", got, "SUB 2")
 	}
 	if got := oldWatch.ReadUntilClose(); got != "" {
-		t.Errorf("the old list service received %q, want nothing", got)
+		t.Errorf("the old discovery service received %q, want nothing", got)
 	}
 	cacheConn.WriteArray(ref1, "OK", "n=HIT", "kept")
 	env.wantReply(client.ReadReply(), nettest.Reply{Seq: 1, Body: "kept", Good: true})
--- a/cmd/shaleyard/drain_test.go
+++ b/cmd/shaleyard/drain_test.go
@@ -16,7 +16,8 @@
 	"shaleyard/internal/nettest"
 )
 
-// counter has the process log its counters by SIGUSR1, and returns the counter with the name.
+// counter sends SIGUSR1 to the process, which then logs its counters, and returns the value of the named counter. The
+// name is downstream_conns or Answers.
 func (p *operatedProcess) counter(name string) int {
 	p.process.t.Helper()
 	p.signal(syscall.SIGUSR1)
@@ -174,8 +175,9 @@
 	}
 }
 
-// TestDrainClosesClientThatDoesNotRead checks that a drain closes the connection of a client that reads none of its
-// answers within the same time as other connections, although unsent answers wait on it.
+// TestDrainClosesClientThatDoesNotRead drains the process while a client reads none of its answers. The drain must
+// close that client's connection within drainLimit, as it closes any other, although answers for the client are still
+// buffered in the process.
 func TestDrainClosesClientThatDoesNotRead(t *testing.T) {
 	body := strings.Repeat("0123456789abcdef", 15_000)
 	cache := serveTCP(t, respondingCache(0, body))
@@ -198,11 +200,12 @@
 	proc.wantDrained(drainedAt)
 }
 
-// TestDrainDuringTheStart requests a drain while the process waits for the list service. The process must remain not
-// ready when that wait has timed out, and become ready only when the drain is cancelled.
+// TestDrainDuringTheStart requests a drain during the start, while the process waits for its first connection to the
+// discovery service, which is unreachable. Without a drain the process becomes ready after InitialListTimeout (2 s).
+// With the drain it must still not be ready after that time, and become ready only when the drain is cancelled.
 func TestDrainDuringTheStart(t *testing.T) {
 	env := newHarness(t)
-	env.discovery.Close() // makes the list service unreachable
+	env.discovery.Close() // makes the discovery service unreachable
 	proc := launchOperated(t, os.Args[0], env, env.configJSON(256))
 	if proc.call(http.MethodGet, "/healthcheck") {
 		t.Error("ready before the endpoint list was received or its wait timed out")
--- a/cmd/shaleyard/failures.go
+++ b/cmd/shaleyard/failures.go
@@ -13,8 +13,7 @@
 // failureLogInterval is the minimum time between two log lines for failures of the same kind.
 const failureLogInterval = time.Second
 
-// connectionFailures counts failed accepts and client connections closed for a protocol error. It logs both at a
-// limited rate.
+// connectionFailures counts failed accepts and connections closed for a protocol error. It logs both at a limited rate.
 type connectionFailures struct {
 	log *zap.Logger
 	now func() routing.Time
@@ -31,9 +30,10 @@
 	return &connectionFailures{log: log, now: now, acceptLogLimit: rate.Sometimes{Interval: failureLogInterval}}
 }
 
-// onConnectionRejected counts a client connection that is closed because of invalid input. It logs at most one such
-// connection per failureLogInterval, so that a client that sends invalid data can't make the event loop write a log
-// line for each message.
+// onConnectionRejected counts a connection that is closed because the input from a client, an upstream server or the
+// discovery service is invalid or could not be handled. It logs at most one such connection per failureLogInterval.
+// Otherwise a client that connects and sends invalid data again and again could make the event loop write a log line
+// for each of its connections.
 func (f *connectionFailures) onConnectionRejected(reason error) {
 	f.rejectedConns++
 	now := f.now()
--- a/cmd/shaleyard/faults_test.go
+++ b/cmd/shaleyard/faults_test.go
@@ -10,7 +10,8 @@
 	"shaleyard/internal/nettest"
 )
 
-// remainingTime returns the remaining time that an attempt states in its patience field, which is in milliseconds.
+// remainingTime returns the value of the patience field of a command that a cache received: the time, in milliseconds
+// on the wire, that the cache has left to respond.
 func remainingTime(t *testing.T, command []string) time.Duration {
 	t.Helper()
 	for field := range strings.SplitSeq(command[2], ",") {
@@ -26,12 +27,15 @@
 	return 0
 }
 
-// remainingTimeSlack is the time by which an attempt's patience may exceed the client's remaining time.
+// remainingTimeSlack is the time by which the patience field may exceed the time that is left until the client's
+// timeout. The test measures the time that is left only after it has read the command, and so somewhat later than the
+// director.
 const remainingTimeSlack = 150 * time.Millisecond
 
-// The patience of an attempt must not exceed the time that remains until the client's timeout, or the cache works for
-// a client that has given up. The test checks the first attempt, a retry after a connection reset that came 600 ms
-// later, and an attempt after the process was stopped for 1.5 s while the request waited unread in the socket.
+// The time that an attempt gives the cache in its patience field must not exceed the time that is left until the
+// client's timeout. Otherwise the cache works for a client that has given up. The test checks the first attempt, a
+// retry after a connection reset that came 600 ms later, and an attempt after the process was stopped for 1.5 s while
+// the request waited unread in the socket.
 func TestAttemptPatienceIsTheRemainingTime(t *testing.T) {
 	env := newHarness(t)
 	child := startProcess(t, env.configJSON(256), 256)
@@ -87,7 +91,7 @@
 	load.serverStopping.Store(true)
 	proc.waitForLog(`"to":"ended"`) // the process has ended its work before SIGKILL
 	proc.skipLog()
-	_ = proc.Wait() // SIGKILL may still come before the exit: stopAndCheck fails if a request was lost by that
+	_ = proc.Wait() // SIGKILL may come just before the process exits; stopAndCheck fails if it has lost a request
 	load.stopAndCheck()
 }
 
@@ -157,7 +161,7 @@
 }
 
 // The system may allow fewer descriptors than the configuration says. A connect that then fails with EMFILE must not
-// count as a failure of the server: no server is ejected, and the request waits and is served once descriptors are
+// count as a failure of the cache: no cache is ejected, and the request waits and is served once descriptors are
 // available again.
 func TestConnectsWithoutDescriptorsEjectNoServer(t *testing.T) {
 	env := newHarness(t)
--- a/cmd/shaleyard/harness_test.go
+++ b/cmd/shaleyard/harness_test.go
@@ -65,17 +65,17 @@
 }
 
 // startWithDescriptors is like startProgram, with a configuration that allows the given number of descriptors.
-func startWithDescriptors(t *testing.T, sockets int) *harness {
+func startWithDescriptors(t *testing.T, descriptors int) *harness {
 	t.Helper()
-	return startWithLimits(t, sockets, io.Discard, nil)
+	return startWithLimits(t, descriptors, io.Discard, nil)
 }
 
 // startWithLimits is like startWithDescriptors, writes the log to logTo and, unless change is nil, lets change modify
 // the limits that are derived from the configuration.
-func startWithLimits(t *testing.T, sockets int, logTo io.Writer, change func(*config.Limits)) *harness {
+func startWithLimits(t *testing.T, descriptors int, logTo io.Writer, change func(*config.Limits)) *harness {
 	t.Helper()
 	env := newHarness(t)
-	conf, err := config.Parse(env.configJSON(sockets), 1024)
+	conf, err := config.Parse(env.configJSON(descriptors), 1024)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -104,12 +104,12 @@
 }
 
 // configJSON returns a configuration that names the harness's servers and allows the given number of descriptors.
-func (h *harness) configJSON(sockets int) []byte {
+func (h *harness) configJSON(descriptors int) []byte {
 	known := membersEvent(1, true, endpointJSON("c1", h.cache.Addr(), "here", "edge", "ready"),
 		endpointJSON("o", h.origin.Addr(), "hub", "origin", "ready"))
 	return fmt.Appendf(nil, `{"name":"n1","listen":"127.0.0.1:0","feed":%q,"seed":"1",
 		"limits":{"cores":1,"memory_mb":192,"sockets":%d},"known":{"n":1,"events":[%s]},"settings":%s}`,
-		h.discovery.Addr(), sockets, known, settingsJSON)
+		h.discovery.Addr(), descriptors, known, settingsJSON)
 }
 
 // dial connects a client to the program in the test's process.
--- a/cmd/shaleyard/interface_test.go
+++ b/cmd/shaleyard/interface_test.go
@@ -359,8 +359,8 @@
 	}
 }
 
-// TestKeysOfDiscoveryEvents checks the keys of the list service's events, which known.events in the EDGE_CONFIG file
-// also holds: the error on a value of the wrong type names the key.
+// TestKeysOfDiscoveryEvents checks the keys of the discovery service's events, which known.events in the EDGE_CONFIG
+// file also holds: the error on a value of the wrong type names the key.
 func TestKeysOfDiscoveryEvents(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "config.json")
 	for key, event := range map[string]string{
--- a/cmd/shaleyard/lifecycle.go
+++ b/cmd/shaleyard/lifecycle.go
@@ -48,10 +48,10 @@
 		zap.Stringer("cause", change.Cause))
 }
 
-// onDiscoveryReady makes the process ready. It is called when the watch on the list service connects for the first
+// onDiscoveryReady makes the process ready. It is called when the watch on the discovery service connects for the first
 // time, and again when InitialListTimeout has passed since the start. The process is not ready earlier, because this
 // director counts as notified of all purges and drains that happened after the configuration was written. It must
-// request them first, although its turn to call the list service may come late in the fleet's jitter window.
+// request them first, although its turn to call the discovery service may come late in the fleet's jitter window.
 func (c *lifecycleController) onDiscoveryReady() {
 	c.machine.DiscoveryReady(c.program.now())
 	c.apply()
@@ -65,9 +65,9 @@
 
 // rejectUntil reports whether new requests are rejected, and returns the time before which a rejected client should not
 // retry. Requests are rejected after the grace period of a drain or a stop. With an initial jitter window they are also
-// rejected after the start until the list service was reached, for InitialListTimeout at most. In that case the retry
-// time follows this director's own turn to call the list service, so that the clients of the fleet don't all retry at
-// once.
+// rejected after the start until the discovery service was reached, for InitialListTimeout at most. In that case the
+// retry time follows this director's own turn to call the discovery service, so that the clients of the fleet don't all
+// retry at once.
 func (c *lifecycleController) rejectUntil() (until routing.Time, reject bool) {
 	limits, discovery, now := c.program.limits, c.program.discovery, c.program.now()
 	if !c.machine.Policy(now).AcceptRequests {
--- a/cmd/shaleyard/operator_test.go
+++ b/cmd/shaleyard/operator_test.go
@@ -114,8 +114,9 @@
 func (p *operatedProcess) connect() *nettest.Conn { return nettest.Dial(p.process.t, p.address) }
 
 // A drained director must report not ready at once, both by HTTP and by heartbeat, answer the requests that it has
-// accepted, and close every client connection within drainLimit: connections that are idle, that wait for an answer and
-// on which the client keeps sending. The process keeps running, and accepts requests again once the drain is cancelled.
+// accepted, and close every client connection within drainLimit. The test has one connection of each of three kinds: an
+// idle one, one that waits for an answer, and one on which the client keeps sending requests. The process keeps
+// running, and accepts requests again once the drain is cancelled.
 func TestOperatorDrainClosesClientConnections(t *testing.T) {
 	proc := startOperated(t)
 	idle, waiting, sending := proc.connect(), proc.connect(), proc.connect()
--- a/cmd/shaleyard/program.go
+++ b/cmd/shaleyard/program.go
@@ -166,8 +166,8 @@
 	return options
 }
 
-// newBackoff returns the backoff that schedules this director's calls of the list service. It takes the size of the
-// fleet and this director's index in it into account, to spread the calls of all directors.
+// newBackoff returns the backoff that schedules this director's calls of the discovery service. It takes the size of
+// the fleet and this director's index in it into account, to spread the calls of all directors.
 func (p *program) newBackoff() *discovery.Backoff {
 	settings := &p.config.Settings
 	return discovery.NewBackoff(discovery.BackoffConfig{
@@ -183,8 +183,8 @@
 	}, p.config.Seed)
 }
 
-// start starts the watch on the list service, applies the first lifecycle policy, and starts the periodic log of the
-// counters. The event loop calls it once, before it handles any event.
+// start starts the watch on the discovery service, applies the first lifecycle policy, and starts the periodic log of
+// the counters. The event loop calls it once, before it handles any event.
 func (p *program) start() {
 	now := p.now()
 	p.lifecycle.startedAt = now
--- a/cmd/shaleyard/simulation_test.go
+++ b/cmd/shaleyard/simulation_test.go
@@ -47,7 +47,7 @@
 	pendingDials     []*cachePeer
 	cachePeers       []*cachePeer
 	clientPeers      []*clientPeer
-	pendingCloses    []func() // Close calls whose effect, as in the event loop, comes later
+	pendingCloses    []func() // delayed effects of the program's Close calls on simulated connections, oldest first
 	requests         map[string]*simulatedRequest
 	endpointStates   map[string]routing.State
 	hedgingForbidden bool
@@ -284,8 +284,8 @@
 	s.timers.RunDue(s.clock)
 }
 
-// drainClients empties the outbound buffers of all client connections, as if the clients had read everything.
-func (s *simulation) drainClients() {
+// emptyClientOutput empties the outbound buffers of all client connections, as if the clients had read everything.
+func (s *simulation) emptyClientOutput() {
 	for _, client := range s.clientPeers {
 		client.Buffered = 0
 	}
@@ -300,8 +300,9 @@
 	}
 }
 
-// finish closes the downstream connections gracefully, lets all dials fail, carries out pending closes and advances the
-// clock by 5 s in total. It then disconnects the caches.
+// finish starts a graceful close of the downstream connections and advances the clock by 5 s, in steps of 50 ms. In each
+// step it lets all pending dials fail, carries out the pending closes, and calls StartGracefulClose again, because each
+// call closes only the connections that have no pending answer at that time. Afterwards it disconnects the caches.
 func (s *simulation) finish() {
 	s.downstream.StartGracefulClose()
 	for range 100 {
@@ -320,7 +321,8 @@
 	}
 }
 
-// runPendingClose carries out the oldest pending close.
+// runPendingClose carries out the delayed effect of the earliest call of Close that the program made on a simulated
+// connection: it ends the connection and notifies the program of that, as the event loop does some time after the call.
 func (s *simulation) runPendingClose() {
 	carryOut := s.pendingCloses[0]
 	s.pendingCloses = s.pendingCloses[1:]
--- a/cmd/shaleyard/site.go
+++ b/cmd/shaleyard/site.go
@@ -51,7 +51,7 @@
 }
 
 // bootstrapEndpoints returns the endpoints that result from the events of a bootstrap. It applies the events with a
-// discovery.Watcher, as a director does, but does not call the list service.
+// discovery.Watcher, as a director does, but does not call the discovery service.
 func bootstrapEndpoints(settings *routing.Settings, known config.Bootstrap) ([]routing.Endpoint, error) {
 	list := &endpointList{}
 	limits := &config.Limits{MaxMembers: maxSiteEndpoints}
--- a/internal/discovery/counters.go
+++ b/internal/discovery/counters.go
@@ -14,7 +14,7 @@
 	BadLines         uint64 // lines that are invalid, too long or out of sequence
 	SkippedEndpoints uint64 // endpoints whose zone or kind is not in the settings
 	WatchEnds        EndCounts
-	RevisionBehind   uint64 // times that the service's revision fell behind the last applied event
+	RevisionBehind   uint64 // watches on which the service's revision was before the last applied event
 	FullResyncs      uint64 // requests for all events, after the service began again at revision 1
 	RetainedDrains   uint64 // endpoints kept draining or gone although an older list has them as ready
 }
