--- a/cmd/shaleyard/simulation_test.go
+++ b/cmd/shaleyard/simulation_test.go
@@ -300,9 +300,9 @@
 	}
 }
 
-// finish starts a graceful close of the downstream connections and advances the clock by 5 s, in steps of 50 ms. In each
-// step it lets all pending dials fail, carries out the pending closes, and calls StartGracefulClose again, because each
-// call closes only the connections that have no pending answer at that time. Afterwards it disconnects the caches.
+// finish starts a graceful close of the downstream connections and advances the clock by 5 s, in steps of 50 ms. In
+// each step it lets all pending dials fail, carries out the pending closes, and calls StartGracefulClose again, because
+// each call closes only the connections that have no pending answer at that time. Afterwards it disconnects the caches.
 func (s *simulation) finish() {
 	s.downstream.StartGracefulClose()
 	for range 100 {
--- a/internal/discovery/doc.go
+++ b/internal/discovery/doc.go
@@ -1,5 +1,5 @@
-// Package discovery watches the discovery service, which announces a director's endpoints (caches,
-// parents, origin) and the purges of cached objects.
+// Package discovery watches the discovery service, which announces a director's endpoints (caches, parents, origin) and
+// the purges of cached objects.
 //
 // A watch is a TCP connection on which the director requests all events after a revision ("SUB n") and the service
 // sends numbered events, one JSON object per line. A line with only the latest revision is a heartbeat. A Watcher
--- a/internal/discovery/flapping_test.go
+++ b/internal/discovery/flapping_test.go
@@ -172,7 +172,8 @@
 				class.name, interp, worst.lateBy.Seconds(), bound.Seconds(), worst.breaches)
 			if worst.lateBy > bound {
 				t.Errorf("%s, interpretation %v: got a purge late by %v, want at most %v:%s\nshortest:%s",
-					class.name, interp, worst.lateBy, bound, formatHistory(worst.sequence), formatHistory(worst.shortest))
+					class.name, interp, worst.lateBy, bound,
+					formatHistory(worst.sequence), formatHistory(worst.shortest))
 			}
 			// The tolerance is relative to the time from the fault until all events are sent, as lateness may be near
 			// 0.
