--- a/cmd/shaleyard/interface_test.go
+++ b/cmd/shaleyard/interface_test.go
@@ -56,8 +56,8 @@
 }
 
 // typeKeys returns the keys from which a value of type typ is decoded, each with the kind of its value. The keys are
-// named by the struct tags of the format, such as json. A field without a tag is marked as such, because renaming the
-// field would change its key.
+// named by the struct tags of the format, such as json. A field without a tag is marked, because renaming the field
+// would change its key.
 func typeKeys(typ reflect.Type, format, path string) []string {
 	if typ == reflect.TypeFor[json.RawMessage]() {
 		return []string{path + " any"}
--- a/internal/discovery/backoff_test.go
+++ b/internal/discovery/backoff_test.go
@@ -339,7 +339,7 @@
 
 // An event that was published right after a call that timed out counts as notified NotifiedAfter later. For any number
 // of consecutive timeouts and any duration of the call, the next call is made early enough to complete before that
-// event is due.
+// event must be applied.
 func TestWaitAfterTimeoutLeavesTimeForNextCall(t *testing.T) {
 	for seed := range uint64(50) {
 		config := platformConfig(300, int(seed))
--- a/internal/discovery/flapping_service_test.go
+++ b/internal/discovery/flapping_service_test.go
@@ -339,7 +339,7 @@
 	s.timers.ScheduleFunc(s.now+time.Millisecond+s.randomUpTo(160*time.Millisecond), s.publish)
 }
 
-// run starts the watcher and runs the service, which flaps for one duration and is then healthy for the other.
+// run starts the watcher and runs the service: for the duration flapping with faults, then for healthy without any.
 func (s *flappingService) run(flapping, healthy time.Duration) {
 	s.watcher.Start()
 	s.timers.ScheduleFunc(s.watcher.DialTime()+time.Second, s.publish)
--- a/internal/eventloop/loop_test.go
+++ b/internal/eventloop/loop_test.go
@@ -104,8 +104,8 @@
 	}
 }
 
-// Guards against a program that ignores its inherited listening socket: it opens one of its own at the same address and
-// ends with "address already in use". The loop must accept on the inherited socket, and must leave that socket open to
+// A program that ignores its inherited listening socket opens another socket at the same address and ends with "address
+// already in use". The loop must accept on the inherited socket, and must leave that socket open to
 // other processes when the loop ends.
 func TestLoopAcceptsOnInheritedListener(t *testing.T) {
 	listener, fd := openInheritable(t)
--- a/internal/eventloop/timers.go
+++ b/internal/eventloop/timers.go
@@ -9,8 +9,8 @@
 // settleDivisor determines the delay of timers after a pause: a tenth of the length of the pause, at most SettleTime.
 const settleDivisor = 10
 
-// CheckForPause checks whether the process was paused since the event that is being handled began, and handles such a
-// pause. It is called on the loop.
+// CheckForPause checks whether the process was paused since the loop began to handle the current event. If it was,
+// CheckForPause delays the timers and calls Paused. It must be called on the loop.
 func (l *Loop) CheckForPause() { l.checkForPause() }
 
 // checkForPause checks whether the loop was paused, between two events or during one. After a pause the state in memory
