--- a/internal/eventloop/loop_test.go
+++ b/internal/eventloop/loop_test.go
@@ -105,8 +105,8 @@
 }
 
 // A program that ignores its inherited listening socket opens another socket at the same address and ends with "address
-// already in use". The loop must accept on the inherited socket, and must leave that socket open to
-// other processes when the loop ends.
+// already in use". The loop must accept on the inherited socket, and must leave that socket open to other processes
+// when the loop ends.
 func TestLoopAcceptsOnInheritedListener(t *testing.T) {
 	listener, fd := openInheritable(t)
 	address, conns := listener.Addr().String(), make(connChannel, 1)
