--- a/internal/discovery/flapping_service_test.go
+++ b/internal/discovery/flapping_service_test.go
@@ -137,8 +137,8 @@
 	for i := range s.settings.probabilities {
 		s.settings.probabilities[i] = []float64{0.05, 0.3, 0.6, 0.95}[s.rng.IntN(4)]
 	}
-	for rule := range s.checker.worst {
-		s.checker.worst[rule].lateBy = -never
+	for interp := range s.checker.worst {
+		s.checker.worst[interp].lateBy = -never
 	}
 	bounds := []time.Duration{20 * time.Millisecond, 300 * time.Millisecond, 1200 * time.Millisecond, 3 * time.Second}
 	s.settings.maxLifetime = bounds[s.rng.IntN(4)]
@@ -339,7 +339,7 @@
 	s.timers.ScheduleFunc(s.now+time.Millisecond+s.randomUpTo(160*time.Millisecond), s.publish)
 }
 
-// run starts the watcher and runs the service, which flaps for one duration and is then healthy for the other.
+// run starts the watcher and runs the service: for the duration flapping with faults, then for healthy without any.
 func (s *flappingService) run(flapping, healthy time.Duration) {
 	s.watcher.Start()
 	s.timers.ScheduleFunc(s.watcher.DialTime()+time.Second, s.publish)
