--- a/internal/checker/checker.go
+++ b/internal/checker/checker.go
@@ -1,6 +1,6 @@
-// Package checker judges the recorded history of a testbed run by the rules of the protocol page, and computes metrics
-// from it, in the manner of Jepsen's checkers. It knows the form of the history and nothing else: it shares no code
-// with the program under test, nor with the stand-ins that recorded the history.
+// Package checker checks the recorded history of a testbed run against the rules of the protocol page and computes
+// metrics from it, as Jepsen's checkers do. It depends only on the format of the history: it shares no code with the
+// program under test or with the testbed that recorded the history.
 package checker
 
 import (
@@ -12,18 +12,18 @@
 	"slices"
 )
 
-// Violation is one breach of a rule.
+// Violation is a single violation of a rule.
 type Violation struct {
 	Rule   string  `json:"rule"`
-	AtMS   float64 `json:"at_ms"` // since the begin of the run
-	Who    string  `json:"who"`   // the director or server; for a bound the metric
+	AtMS   float64 `json:"at_ms"` // milliseconds since the start of the run
+	Who    string  `json:"who"`   // the director or server; for a violated bound, the metric
 	Detail string  `json:"detail"`
 }
 
 // Verdict is the result of checking a history.
 type Verdict struct {
-	Violations []Violation        // in order of time
-	Metrics    map[string]float64 // by the names in MetricNames
+	Violations []Violation        // sorted by time
+	Metrics    map[string]float64 // by the names that MetricNames lists
 }
 
 func (v *Verdict) addViolation(rule string, atMS float64, who, format string, args ...any) {
@@ -31,10 +31,12 @@
 	v.Violations = append(v.Violations, Violation{Rule: rule, AtMS: atMS, Who: who, Detail: detail})
 }
 
-// maxLineBytes bounds a line of a history.
+// maxLineBytes is the maximum length of a line of a history, in bytes.
 const maxLineBytes = 1 << 20
 
-// Check reads a history, one JSON object a line, and judges it. An error names the line that can't be read.
+// Check reads a history from r, one JSON object per line, checks it against all rules and computes the metrics. It
+// returns an error that names the line if a line is not a JSON event or has no kind, and the scanner's error if reading
+// fails or a line exceeds maxLineBytes.
 func Check(r io.Reader) (*Verdict, error) {
 	events, err := readEvents(r)
 	if err != nil {
@@ -58,6 +60,7 @@
 	return verdict, nil
 }
 
+// readEvents parses a history. It returns the errors that Check describes.
 func readEvents(r io.Reader) ([]event, error) {
 	scanner := bufio.NewScanner(r)
 	scanner.Buffer(nil, maxLineBytes)
--- a/internal/checker/coldbudget.go
+++ b/internal/checker/coldbudget.go
@@ -2,17 +2,20 @@
 
 import "strings"
 
-const coldBudgetLimit = 1.0 // of a server's budget, that the attempts of all directors together may use
+// coldBudgetLimit is the fraction of a cold server's budget that the attempts of all directors together may use.
+const coldBudgetLimit = 1.0
 
-// coldServer is a server that has just started.
+// coldServer is a server that has started and whose capacity is still ramping up.
 type coldServer struct {
 	start    event
-	recent   []event // attempts within its overload window
-	violated bool
+	recent   []event // attempts within the overload window, the last start.Fall milliseconds
+	violated bool    // a violation was reported for this start
 }
 
-// checkColdBudgets: a server that has just started gets no more from all directors together than it bears. It returns
-// the worst share of a budget that any window held.
+// checkColdBudgets reports a violation if all directors together send a cold server more work within its overload window
+// than its reduced capacity allows, unless more than a third of that work came from directors that were not yet notified
+// of the server's start. Each start of a server is reported at most once. The result is the largest fraction of a budget
+// that was used in any window, including windows without a violation.
 func (h *history) checkColdBudgets(verdict *Verdict) (worst float64) {
 	cold := map[string]*coldServer{}
 	ready := h.readyEvents()
@@ -34,7 +37,7 @@
 				continue
 			}
 			server.add(ev)
-			work, notifiedWork := h.workAt(server, ready)
+			work, notifiedWork := h.windowWork(server, ready)
 			used := work / (start.Multiple * start.Weight * fraction * start.Fall / 1000)
 			worst = max(worst, used)
 			if used > coldBudgetLimit && notifiedWork >= work*2/3 && !server.violated {
@@ -47,7 +50,7 @@
 	return worst
 }
 
-// add takes an attempt into the window, and drops those that have left it.
+// add appends an attempt to the overload window and drops the attempts that are older than the window.
 func (s *coldServer) add(attempt event) {
 	s.recent = append(s.recent, attempt)
 	for attempt.AtMS-s.recent[0].AtMS > s.start.Fall {
@@ -55,7 +58,7 @@
 	}
 }
 
-// readyEvents are the latest list events that call a server ready, by server.
+// readyEvents returns the latest endpoint list event that marks each server as ready, by server name.
 func (h *history) readyEvents() map[string]event {
 	ready := map[string]event{}
 	for _, ev := range h.listEvents {
@@ -66,13 +69,13 @@
 	return ready
 }
 
-// workAt sums up the work in a server's window, and the part of it that came from directors that were notified of its
-// start.
-func (h *history) workAt(server *coldServer, ready map[string]event) (work, notifiedWork float64) {
-	news, listed := ready[server.start.Who]
+// windowWork returns the total work in a server's overload window, and the part of it sent by directors that were
+// notified of the server's start. All work counts as notified if no event lists the server as ready.
+func (h *history) windowWork(server *coldServer, ready map[string]event) (work, notifiedWork float64) {
+	listEvent, listed := ready[server.start.Who]
 	for _, attempt := range server.recent {
 		work += attempt.Work
-		if !listed || h.notifiedAt(attempt.Director, news) <= attempt.AtMS {
+		if !listed || h.notifiedAt(attempt.Director, listEvent) <= attempt.AtMS {
 			notifiedWork += attempt.Work
 		}
 	}
--- a/internal/checker/detection.go
+++ b/internal/checker/detection.go
@@ -2,28 +2,29 @@
 
 import "slices"
 
-// detectionTime is the time after which a director that has to do with a site that is lost whole knows it, for nineteen
-// in twenty. One that never does counts as undetectedMS, if it asked anybody there meanwhile.
+// detectionTime returns the 95th percentile of the time, in milliseconds, that directors take to detect the loss of a
+// whole site. It counts the directors that use the site and answered a request during the loss. A director that never
+// detects the loss counts as undetectedMS.
 func (h *history) detectionTime(losses []siteLoss) float64 {
-	sitesOf, times := h.sitesOfDirectors(), newHistogram()
+	sitesByDirector, times := h.sitesOfDirectors(), newHistogram()
 	for _, loss := range losses {
-		if loss.share < 1 || loss.fault == siteBusy { // servers that turn all requests away are there, and say so
+		if loss.share < 1 || loss.fault == siteBusy { // servers that reject all requests are still reachable
 			continue
 		}
-		for director, sites := range sitesOf {
+		for director, sites := range sitesByDirector {
 			if !slices.Contains(sites, loss.site) {
 				continue
 			}
-			if at, asked := h.detectedBy(director, loss); asked {
-				record(times, at)
+			if delay, answered := h.detectionDelay(director, loss); answered {
+				record(times, delay)
 			}
 		}
 	}
 	return float64(times.ValueAtQuantile(95))
 }
 
-// sitesOfDirectors are the sites that each director has to do with: its branch, by what it was asked, and the branch's
-// hub.
+// sitesOfDirectors returns the sites that each director uses: the branch whose clients send it requests, and the hub of
+// that branch.
 func (h *history) sitesOfDirectors() map[string][]string {
 	sites := map[string][]string{}
 	hubs := map[string]string{} // by branch
@@ -40,29 +41,30 @@
 	return sites
 }
 
-// detectedBy is the time from a loss until a director called the site lost, and whether the director was asked for
-// anything that it could answer meanwhile.
-func (h *history) detectedBy(director string, loss siteLoss) (after float64, asked bool) {
-	after = undetectedMS
-	known := false // since a loss just before
+// detectionDelay returns the time in milliseconds from a loss until a director reported the site as unavailable, and
+// whether the director answered a request during the loss. The delay is 0 if the director had reported the site before
+// the loss and its process was not replaced since, and undetectedMS if the director never reported the site.
+func (h *history) detectionDelay(director string, loss siteLoss) (delay float64, answered bool) {
+	delay = undetectedMS
+	alreadyUnavailable := false // since before this loss, for example because of an earlier loss
 	for _, ev := range h.events {
 		switch {
 		case ev.AtMS > loss.to:
 		case ev.Kind == kindState && ev.Who == director && ev.Site == loss.site:
 			unavailable := isUnavailableState(ev.What)
 			if ev.AtMS < loss.from {
-				known = unavailable
+				alreadyUnavailable = unavailable
 			} else if unavailable {
-				after = min(after, ev.AtMS-loss.from)
+				delay = min(delay, ev.AtMS-loss.from)
 			}
 		case ev.Kind == kindProcess && ev.Who == director:
-			known = false
+			alreadyUnavailable = false
 		case ev.AtMS >= loss.from && ev.Kind == kindAnswer && ev.Director == director:
-			asked = asked || (ev.What != "unreached" && ev.What != "lost")
+			answered = answered || (ev.What != "unreached" && ev.What != "lost")
 		}
 	}
-	if known {
-		after = 0
+	if alreadyUnavailable {
+		delay = 0
 	}
-	return after, asked
+	return delay, answered
 }
--- a/internal/checker/discoverymetrics.go
+++ b/internal/checker/discoverymetrics.go
@@ -3,21 +3,22 @@
 import "slices"
 
 const (
-	maxStartGap      = 500.0   // starts that are no further apart, one to the next, are one start of the fleet
-	minStartPeriod   = 1_500.0 // of first calls, over which their mean rate is taken
-	callBinWidth     = 100.0
-	startCallsPeriod = 3_000.0 // after its start, in which a director's calls belong to it
-	youngStreamAge   = 3_000.0
+	maxStartGap      = 500.0   // ms between consecutive process starts of one batch
+	minStartPeriod   = 1_500.0 // ms; shortest period over which the mean rate of first calls is computed
+	callBinWidth     = 100.0   // ms; bin of the call rate
+	startCallsPeriod = 3_000.0 // ms after a process start, in which a director's calls belong to that start
+	youngStreamAge   = 3_000.0 // ms; a stream that ends at a lower age counts in list_young_ends
 )
 
-// streamMetrics counts purges and the young streams that the testbed ended, and measures the longest time that a
-// director was without a stream after that, until a call was served, or the load was over.
+// streamMetrics counts purges and the streams that the testbed ended before youngStreamAge. It also measures the longest
+// time in milliseconds that a director was without a stream after the testbed had ended its stream. That time lasts
+// until the discovery service serves a call of the director or the load ends; it is not counted if the process ends.
 func (h *history) streamMetrics(metrics map[string]float64) {
-	deafSince := map[string]float64{} // by director
-	endDeafness := func(director string, at float64) {
-		if since, ok := deafSince[director]; ok {
+	disconnectedSince := map[string]float64{} // by director
+	endDisconnection := func(director string, at float64) {
+		if since, ok := disconnectedSince[director]; ok {
 			metrics["list_deaf_ms_max"] = max(metrics["list_deaf_ms_max"], at-since)
-			delete(deafSince, director)
+			delete(disconnectedSince, director)
 		}
 	}
 	for _, ev := range h.events {
@@ -28,21 +29,21 @@
 			if ev.Value < youngStreamAge {
 				metrics["list_young_ends"]++
 			}
-			deafSince[ev.Director] = ev.AtMS
+			disconnectedSince[ev.Director] = ev.AtMS
 		case ev.Kind == kindCall && ev.What == outcomeServed:
-			endDeafness(ev.Director, ev.AtMS)
+			endDisconnection(ev.Director, ev.AtMS)
 		case ev.Kind == kindProcess && ev.What == "gone":
-			delete(deafSince, ev.Who) // without a process nobody is deaf
+			delete(disconnectedSince, ev.Who) // a director without a process needs no stream
 		case ev.Kind == kindLoad && ev.What == "end":
-			for director := range deafSince {
-				endDeafness(director, ev.AtMS)
+			for director := range disconnectedSince {
+				endDisconnection(director, ev.AtMS)
 			}
 		}
 	}
 }
 
-// discoveryMetrics counts calls of the list service: how many a start takes, and how they crowd at the largest start of
-// the fleet.
+// discoveryMetrics counts the calls of the discovery service and their timeouts. It computes the mean number of calls per
+// process start and, for the largest batch of starts, the ratio of the peak rate of first calls to their mean rate.
 func (h *history) discoveryMetrics(metrics map[string]float64) {
 	var starts []event
 	calls := map[string][]float64{} // times, by director
@@ -55,30 +56,31 @@
 			if ev.What == "timed out" {
 				metrics["list_timeouts"]++
 			}
-			// The event is recorded when the call ends; it came so much sooner.
+			// A call is recorded when it ends; Value is its duration in milliseconds.
 			calls[ev.Director] = append(calls[ev.Director], ev.AtMS-ev.Value)
 		}
 	}
-	fleet := largestStart(starts)
+	largestBatch := largestStartBatch(starts)
 	var firstCalls []float64
-	callsInStarts := 0
+	startupCallCount := 0
 	for _, start := range starts {
-		inStart := slices.DeleteFunc(slices.Clone(calls[start.Who]), func(at float64) bool {
+		startupCalls := slices.DeleteFunc(slices.Clone(calls[start.Who]), func(at float64) bool {
 			return at < start.AtMS || at > start.AtMS+startCallsPeriod
 		})
-		callsInStarts += len(inStart)
-		if len(inStart) > 0 && slices.Contains(fleet, start) {
-			firstCalls = append(firstCalls, slices.Min(inStart))
+		startupCallCount += len(startupCalls)
+		if len(startupCalls) > 0 && slices.Contains(largestBatch, start) {
+			firstCalls = append(firstCalls, slices.Min(startupCalls))
 		}
 	}
-	metrics["list_calls_per_start"] = ratio(float64(callsInStarts), float64(len(starts)))
+	metrics["list_calls_per_start"] = ratio(float64(startupCallCount), float64(len(starts)))
 	if len(firstCalls) >= 2 {
 		metrics["list_peak_ratio"] = peakRatio(firstCalls)
 	}
 }
 
-// largestStart is the longest run of starts that follow each other closely.
-func largestStart(starts []event) []event {
+// largestStartBatch returns the longest sequence of process starts in which each start follows the previous one within
+// maxStartGap.
+func largestStartBatch(starts []event) []event {
 	var largest []event
 	for first := range starts {
 		end := first + 1
@@ -92,7 +94,8 @@
 	return largest
 }
 
-// peakRatio is the largest number of calls in a bin, over the mean of all bins.
+// peakRatio returns the largest number of calls in one bin, divided by the mean number per bin. The argument holds the
+// times of the calls in milliseconds; it must not be empty, and peakRatio sorts it.
 func peakRatio(calls []float64) float64 {
 	slices.Sort(calls)
 	period := max(minStartPeriod, calls[len(calls)-1]-calls[0])
--- a/internal/checker/golden_test.go
+++ b/internal/checker/golden_test.go
@@ -12,11 +12,11 @@
 	"testing"
 )
 
-var updateVerdicts = flag.Bool("update", false, "write the expected verdicts anew")
+var updateVerdicts = flag.Bool("update", false, "rewrite the expected verdict files")
 
-// TestVerdictsOnStoredHistories judges histories in the form that a run leaves on disk: one that a run has recorded,
-// one in which all is as it should be, and at least one for each kind of breach. The verdict beside each lists the
-// breaches, and every figure in full.
+// TestVerdictsOnStoredHistories guards against unintended changes of the rules and metrics. It checks histories in the
+// format that a run stores on disk: one recorded by a run, one without violations, and at least one for each kind of
+// violation. The verdict file beside each history lists the violations, and every metric in full precision.
 func TestVerdictsOnStoredHistories(t *testing.T) {
 	files, err := filepath.Glob(filepath.Join("testdata", "golden", "*.jsonl"))
 	if err != nil {
@@ -24,7 +24,7 @@
 	}
 	const histories = 18
 	if len(files) != histories {
-		t.Fatalf("%d histories, want %d", len(files), histories)
+		t.Fatalf("got %d histories, want %d", len(files), histories)
 	}
 	for _, path := range files {
 		t.Run(strings.TrimSuffix(filepath.Base(path), ".jsonl"), func(t *testing.T) {
@@ -47,7 +47,8 @@
 	}
 }
 
-// verdictText is the verdict on a stored history: a line for each breach, then one for each figure.
+// verdictText checks a stored history and returns the verdict as text: a line for each violation, then a line for each
+// metric.
 func verdictText(t *testing.T, path string) string {
 	t.Helper()
 	history, err := os.Open(path)
@@ -64,8 +65,8 @@
 		t.Fatal(err)
 	}
 	var text strings.Builder
-	for _, b := range verdict.Violations {
-		fmt.Fprintf(&text, "%s at %v ms, %s: %s\n", b.Rule, b.AtMS, b.Who, b.Detail)
+	for _, violation := range verdict.Violations {
+		fmt.Fprintf(&text, "%s at %v ms, %s: %s\n", violation.Rule, violation.AtMS, violation.Who, violation.Detail)
 	}
 	for _, name := range slices.Sorted(maps.Keys(verdict.Metrics)) {
 		fmt.Fprintf(&text, "%s %s\n", name, strconv.FormatFloat(verdict.Metrics[name], 'g', -1, 64))
--- a/internal/checker/history.go
+++ b/internal/checker/history.go
@@ -42,13 +42,14 @@
 )
 
 const (
-	classRepayment = "repayment" // non-idempotent requests
-	linkWell       = "well"      // an event that ends a fault of a link, or of the list service
+	classRepayment = "repayment" // class of the non-idempotent requests
+	faultCleared   = "well"      // event that ends a fault of a link or of the discovery service
 
-	forever = 1e15 // a time after every history
+	forever = 1e15 // ms; a time later than any event, for periods that have not ended
 )
 
-// event is a line of the history. Which fields are set depends on the kind. Times are milliseconds since the begin.
+// event is one line of a history. Which fields are set depends on the kind. Times are in milliseconds since the start of
+// the run.
 type event struct {
 	AtMS      float64 `json:"ms"`
 	Kind      string  `json:"kind"`
@@ -67,7 +68,7 @@
 	TimeoutMS float64 `json:"allow"`
 	Retry     bool    `json:"again"`
 
-	// Of kind life: what a server can bear.
+	// Set for kind life: the capacity of a server.
 	Weight   float64 `json:"weight"`
 	ColdFrom float64 `json:"cold_from"`
 	Ramp     float64 `json:"ramp"`
@@ -75,24 +76,25 @@
 	Multiple float64 `json:"multiple"`
 }
 
-// harmsLink reports whether a link event begins a fault by which answers may get lost.
-func (e event) harmsLink() bool {
-	return e.What != linkWell && e.What != "delay" && e.What != "drip"
+// startsLossyFault reports whether a link event begins a fault that can lose answers. Delayed links and links that
+// forward data in small pieces ("drip") lose none.
+func (e event) startsLossyFault() bool {
+	return e.What != faultCleared && e.What != "delay" && e.What != "drip"
 }
 
-// history is the events of a run, indexed by what the rules ask of them.
+// history holds the events of a run, indexed for the rules and metrics.
 type history struct {
 	events           []event
-	lags             []event            // how late the testbed itself was
-	processEvents    map[string][]event // by director: process and ready
-	answers          map[string]event   // by ref
-	departures       map[string]event   // by ref: clients that closed or cancelled
-	listEvents       []event            // changes of the endpoint list, and purges
-	deliveries       map[string][]event // by director: the list events written to it
-	discoveryEvents  map[string][]event // by director: calls of the list service, deliveries, and ends of streams
-	flapped          map[string]bool    // directors some of whose streams were ended by the testbed
-	serviceFaults    intervals          // of the list service, or of links to it
-	clientLinkFaults intervals
+	lags             []event            // delays of the testbed's own timers
+	processEvents    map[string][]event // by director: process and ready events
+	answers          map[string]event   // by ref: the first answer
+	departures       map[string]event   // by ref: clients that closed the connection or cancelled the request
+	listEvents       []event            // published changes of the endpoint list, and purges
+	deliveries       map[string][]event // by director: list events written to its stream
+	discoveryEvents  map[string][]event // by director: calls of the discovery service, deliveries, stream ends
+	flapped          map[string]bool    // directors with at least one stream that the testbed ended
+	serviceFaults    intervals          // faults of the discovery service or of the links to it
+	clientLinkFaults intervals          // faults of the links between clients and directors
 }
 
 func newHistory(events []event) *history {
@@ -107,7 +109,7 @@
 	}
 }
 
-// index sorts the events by kind. A second answer to a request is a violation.
+// index fills the indexes of the history from its events. It reports a violation for a second answer to a request.
 func (h *history) index(verdict *Verdict) {
 	for _, ev := range h.events {
 		switch ev.Kind {
@@ -137,6 +139,7 @@
 	}
 }
 
+// indexAnswer records the first answer to a request and reports a violation for any further answer.
 func (h *history) indexAnswer(ev event, verdict *Verdict) {
 	if first, ok := h.answers[ev.Ref]; ok {
 		verdict.addViolation("answer", ev.AtMS, ev.Director, "%s was answered %s and then %s",
@@ -146,18 +149,21 @@
 	h.answers[ev.Ref] = ev
 }
 
+// indexServiceState records a change of the discovery service's state. Only a healthy service with its full capacity,
+// which is a Value of 0 or 1, counts as free of faults.
 func (h *history) indexServiceState(ev event) {
-	if ev.What == "break" { // streams break once, and the service is well
+	if ev.What == "break" { // it resets the streams once and the service keeps working
 		return
 	}
 	const key = "service"
 	h.serviceFaults.end(key, ev.AtMS)
 	fullCapacity := ev.Value == 0 || ev.Value == 1
-	if ev.What != linkWell || !fullCapacity {
+	if ev.What != faultCleared || !fullCapacity {
 		h.serviceFaults.begin(key, ev.AtMS)
 	}
 }
 
+// indexLinkState records a change of the links to the discovery service or of the links of clients.
 func (h *history) indexLinkState(ev event) {
 	var faults *intervals
 	switch ev.Who {
@@ -169,19 +175,21 @@
 		return
 	}
 	faults.end(ev.Who, ev.AtMS)
-	if ev.harmsLink() {
+	if ev.startsLossyFault() {
 		faults.begin(ev.Who, ev.AtMS)
 	}
 }
 
-// intervals are spans of time in which something was wrong.
+// intervals holds the periods in which faults were active.
 type intervals struct {
 	list []interval
-	open map[string]int // index of an interval that has not ended, by what it is of
+	open map[string]int // by key: index in list of the interval that has not ended
 }
 
+// interval is a period in milliseconds since the start of the run.
 type interval struct{ from, to float64 }
 
+// begin opens an interval for key.
 func (s *intervals) begin(key string, at float64) {
 	if s.open == nil {
 		s.open = map[string]int{}
@@ -190,6 +198,7 @@
 	s.list = append(s.list, interval{from: at, to: forever})
 }
 
+// end closes the open interval of key, if there is one.
 func (s *intervals) end(key string, at float64) {
 	if i, ok := s.open[key]; ok {
 		s.list[i].to = at
@@ -197,36 +206,38 @@
 	}
 }
 
+// overlap reports whether any interval overlaps the period between from and to, both inclusive.
 func (s *intervals) overlap(from, to float64) bool {
 	return slices.ContainsFunc(s.list, func(i interval) bool { return i.from <= to && i.to >= from })
 }
 
-// lagAllowance is what a limit is longer by: a multiple of the testbed's own lateness about that time.
+// lagAllowance returns by how many milliseconds limits are extended between from and to: a multiple of the largest delay
+// of the testbed's own timers within margin of that period.
 func (h *history) lagAllowance(from, to float64) float64 {
 	const (
 		lagFactor = 3.0
 		margin    = 100.0
 	)
-	most := 0.0
+	maxLag := 0.0
 	for _, ev := range h.lags {
 		if ev.AtMS >= from-margin && ev.AtMS-ev.Value <= to+margin {
-			most = max(most, ev.Value)
+			maxLag = max(maxLag, ev.Value)
 		}
 	}
-	return lagFactor * most
+	return lagFactor * maxLag
 }
 
-// endMS is the time of the last event.
+// endMS returns the time of the last event in milliseconds. The history must not be empty.
 func (h *history) endMS() float64 { return h.events[len(h.events)-1].AtMS }
 
-// loadEnded reports whether the load had ended by a time, and the testbed is shutting everything down.
+// loadEnded reports whether the load had ended at a time. From then on the testbed shuts down all processes.
 func (h *history) loadEnded(at float64) bool {
 	return slices.ContainsFunc(h.events, func(ev event) bool {
 		return ev.Kind == kindLoad && ev.What == "end" && ev.AtMS <= at
 	})
 }
 
-// incarnationStart is when the process was started that a director was at a time.
+// incarnationStart returns the latest start of a director's process up to a time, or 0 if there was none.
 func (h *history) incarnationStart(director string, at float64) float64 {
 	start := 0.0
 	for _, ev := range h.processEvents[director] {
@@ -237,32 +248,33 @@
 	return start
 }
 
-// processState is what a director's process is at a point of the history.
+// processState is the state of a director's process at one point of the history.
 type processState struct {
 	up, stopped bool
-	leavesAt    float64 // when a graceful shutdown ends
+	shutdownEnd float64 // ms; requests that come later need no answer because of a graceful shutdown
 }
 
-// owesAnswers reports whether the process must answer requests that came at a time.
-func (s processState) owesAnswers(asked float64) bool {
-	return s.up && !s.stopped && asked <= s.leavesAt
+// mustAnswer reports whether the process must answer a request that came at requestedAt.
+func (s processState) mustAnswer(requestedAt float64) bool {
+	return s.up && !s.stopped && requestedAt <= s.shutdownEnd
 }
 
-// unavailable reports whether a director could not answer within a time: it was down, killed or stopped for a part of
-// it.
+// unavailable reports whether a director need not answer a request that came at from and is due at to, because its
+// process was down, ended unexpectedly, was killed or was suspended during a part of that period. During a graceful
+// shutdown, requests that come within shutdownGrace of SIGTERM must still be answered.
 func (h *history) unavailable(director string, from, to float64) bool {
-	state := processState{leavesAt: forever}
+	state := processState{shutdownEnd: forever}
 	for _, ev := range h.processEvents[director] {
 		if ev.AtMS > to {
 			break
 		}
 		within := ev.AtMS > from
-		if within && !state.owesAnswers(from) {
+		if within && !state.mustAnswer(from) {
 			return true
 		}
 		switch ev.What {
 		case "start":
-			state = processState{up: true, leavesAt: forever}
+			state = processState{up: true, shutdownEnd: forever}
 		case "stop":
 			state.stopped = true
 		case "cont":
@@ -271,9 +283,9 @@
 				return true
 			}
 		case "term":
-			state.leavesAt = ev.AtMS + shutdownGrace
+			state.shutdownEnd = ev.AtMS + shutdownGrace
 		case "kill", "gone":
-			if state.up && within && state.leavesAt == forever {
+			if state.up && within && state.shutdownEnd == forever {
 				return true
 			}
 			if ev.What == "gone" {
@@ -281,5 +293,5 @@
 			}
 		}
 	}
-	return !state.owesAnswers(from)
+	return !state.mustAnswer(from)
 }
--- a/internal/checker/metrics.go
+++ b/internal/checker/metrics.go
@@ -8,7 +8,7 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// MetricNames are the metrics that a verdict has.
+// MetricNames lists the names of all metrics of a verdict.
 var MetricNames = append(strings.Fields(`
 	list_peak_ratio list_calls_per_start list_timeouts list_calls cold_budget_worst origin_fetches_per_object
 	origin_busy ready_ms_p99 served_share served_share_all refused_share attempts_per_request attempts_after
@@ -16,14 +16,14 @@
 	list_young_ends list_deaf_ms_max`), siteMetricNames...)
 
 const (
-	initialPeriod = 20_000.0 // of the load, that served_share counts
-	settlingTime  = 5_000.0  // after the end of the last fault, from when on attempts_after counts
+	initialPeriod = 20_000.0 // ms after the start of the load that served_share covers
+	settlingTime  = 5_000.0  // ms after the last fault until attempts_after starts to count requests
 
-	maxHistogramMS     = 120_000
-	significantFigures = 3
+	maxHistogramMS     = 120_000 // longest time that a histogram records
+	significantFigures = 3       // precision of a histogram, in decimal digits
 )
 
-// metrics computes all metrics but those that come from checking a rule.
+// metrics computes all metrics except cold_budget_worst and old_copies, which Check takes from the rules' results.
 func (h *history) metrics() map[string]float64 {
 	metrics := map[string]float64{}
 	for _, name := range MetricNames {
@@ -31,31 +31,32 @@
 	}
 	h.discoveryMetrics(metrics)
 	h.streamMetrics(metrics)
-	asks := h.requestMetrics(metrics)
+	requests := h.requestMetrics(metrics)
 	h.serverMetrics(metrics)
 	h.processMetrics(metrics)
 	metrics["left"] = float64(len(h.departures))
-	metrics["large_share"] = h.largeReadsShare(asks)
+	metrics["large_share"] = h.largeReadsShare(requests)
 	h.siteMetrics(metrics)
 	metrics["bound_share"] = ratio(metrics["served_share_loss"], metrics["served_share_bound"])
-	metrics["attempts_after"] = h.attemptsAfterFaults(asks)
+	metrics["attempts_after"] = h.attemptsAfterFaults(requests)
 	return metrics
 }
 
-// newHistogram is one of milliseconds, from 1 to maxHistogramMS.
+// newHistogram returns a histogram of times from 1 to maxHistogramMS, in milliseconds.
 func newHistogram() *hdrhistogram.Histogram {
 	return hdrhistogram.New(1, maxHistogramMS, significantFigures)
 }
 
-// record adds a time to a histogram. A time beyond its range is left out.
+// record adds a time in milliseconds to a histogram. A time below 1 ms counts as 1 ms; a time above the histogram's range
+// is ignored.
 func record(histogram *hdrhistogram.Histogram, ms float64) {
 	_ = histogram.RecordValue(int64(max(1, ms)))
 }
 
-// requestMetrics counts requests and their outcomes. It returns the requests, by ref.
-func (h *history) requestMetrics(metrics map[string]float64) (asks map[string]event) {
-	asks = map[string]event{}
-	var first, firstServed, firstAll, servedAll, refused, attempts, requests float64
+// requestMetrics computes the metrics of requests, their outcomes and their attempts. It returns the requests by ref.
+func (h *history) requestMetrics(metrics map[string]float64) (requests map[string]event) {
+	requests = map[string]event{}
+	var initialFirstTries, initialServed, firstTries, served, refused, attemptCount, requestCount float64
 	begin, answerTimes := 0.0, newHistogram()
 	for _, ev := range h.events {
 		switch ev.Kind {
@@ -64,45 +65,45 @@
 				begin = ev.AtMS
 			}
 		case kindAsk:
-			asks[ev.Ref] = ev
-			requests++
+			requests[ev.Ref] = ev
+			requestCount++
 			if ev.Retry {
 				break
 			}
-			firstAll++
+			firstTries++
 			if ev.AtMS-begin <= initialPeriod {
-				first++
+				initialFirstTries++
 			}
 		case kindNowhere:
-			first++
-			firstAll++
+			initialFirstTries++
+			firstTries++
 		case kindAnswer:
-			ask := asks[ev.Ref]
+			request := requests[ev.Ref]
 			switch ev.What {
 			case outcomeServed:
-				servedAll++
-				record(answerTimes, ev.AtMS-ask.AtMS)
-				if ask.AtMS-begin <= initialPeriod {
-					firstServed++
+				served++
+				record(answerTimes, ev.AtMS-request.AtMS)
+				if request.AtMS-begin <= initialPeriod {
+					initialServed++
 				}
 			case outcomeRefused:
 				refused++
 			}
 		case kindReq:
-			attempts++
+			attemptCount++
 		}
 	}
-	metrics["requests"] = requests
-	metrics["served_share"] = min(1, ratio(firstServed, first))
-	metrics["served_share_all"] = min(1, ratio(servedAll, firstAll))
-	metrics["refused_share"] = ratio(refused, requests)
-	metrics["attempts_per_request"] = ratio(attempts, requests)
+	metrics["requests"] = requestCount
+	metrics["served_share"] = min(1, ratio(initialServed, initialFirstTries))
+	metrics["served_share_all"] = min(1, ratio(served, firstTries))
+	metrics["refused_share"] = ratio(refused, requestCount)
+	metrics["attempts_per_request"] = ratio(attemptCount, requestCount)
 	metrics["answer_ms_p50"] = float64(answerTimes.ValueAtQuantile(50))
 	metrics["answer_ms_p99"] = float64(answerTimes.ValueAtQuantile(99))
-	return asks
+	return requests
 }
 
-// serverMetrics counts what the origin and the caches met.
+// serverMetrics computes the metrics of the origin's fetches and rejections, and of connections that servers rejected.
 func (h *history) serverMetrics(metrics map[string]float64) {
 	fetches, objects := 0.0, map[string]bool{}
 	for _, ev := range h.events {
@@ -119,7 +120,8 @@
 	metrics["origin_fetches_per_object"] = ratio(fetches, float64(len(objects)))
 }
 
-// processMetrics measures how soon processes were ready, and how late the testbed was.
+// processMetrics measures the time from the start of a process until it is ready, and the largest delay of the testbed's
+// own timers.
 func (h *history) processMetrics(metrics map[string]float64) {
 	readyTimes := newHistogram()
 	for _, ev := range h.events {
@@ -133,52 +135,54 @@
 	metrics["ready_ms_p99"] = float64(readyTimes.ValueAtQuantile(99))
 }
 
-// largeReadsShare is the served share of the tenth of all reads that want the largest objects, over that of all reads.
-func (h *history) largeReadsShare(asks map[string]event) float64 {
+// largeReadsShare returns the served share of the tenth of all reads that ask for the largest objects, divided by the
+// served share of all reads. Requests whose client left do not count.
+func (h *history) largeReadsShare(requests map[string]event) float64 {
 	var reads []event
-	for ref, ask := range asks {
-		if _, left := h.departures[ref]; ask.Class != classRepayment && !left {
-			reads = append(reads, ask)
+	for ref, request := range requests {
+		if _, departed := h.departures[ref]; request.Class != classRepayment && !departed {
+			reads = append(reads, request)
 		}
 	}
 	slices.SortFunc(reads, func(a, b event) int {
 		return cmp.Or(cmp.Compare(b.Work, a.Work), cmp.Compare(a.Ref, b.Ref))
 	})
-	servedShare := func(asks []event) float64 {
+	servedShare := func(requests []event) float64 {
 		served := 0.0
-		for _, ask := range asks {
-			if h.answers[ask.Ref].What == outcomeServed {
+		for _, request := range requests {
+			if h.answers[request.Ref].What == outcomeServed {
 				served++
 			}
 		}
-		return ratio(served, float64(len(asks)))
+		return ratio(served, float64(len(requests)))
 	}
 	return ratio(servedShare(reads[:len(reads)/10]), servedShare(reads))
 }
 
-// attemptsAfterFaults is how many attempts a request takes once the last fault has been over for a while.
-func (h *history) attemptsAfterFaults(asks map[string]event) float64 {
-	lastFault, attempts, requests := 0.0, 0.0, 0.0
+// attemptsAfterFaults returns the mean number of attempts per request, over the requests that come at least settlingTime
+// after the last fault.
+func (h *history) attemptsAfterFaults(requests map[string]event) float64 {
+	lastFault, attemptCount, requestCount := 0.0, 0.0, 0.0
 	for _, ev := range h.events {
-		if ev.Kind == kindStep { // done and never undone, or undone
+		if ev.Kind == kindStep { // the end of a fault, or the start of a fault that never ends
 			lastFault = ev.AtMS
 		}
 	}
 	settled := lastFault + settlingTime
-	for _, ask := range asks {
-		if ask.AtMS >= settled {
-			requests++
+	for _, request := range requests {
+		if request.AtMS >= settled {
+			requestCount++
 		}
 	}
 	for _, ev := range h.events {
-		if ask, known := asks[ev.Ref]; known && ev.Kind == kindReq && ask.AtMS >= settled {
-			attempts++
+		if request, known := requests[ev.Ref]; known && ev.Kind == kindReq && request.AtMS >= settled {
+			attemptCount++
 		}
 	}
-	return ratio(attempts, requests)
+	return ratio(attemptCount, requestCount)
 }
 
-// ratio is a/b, or 0 where b is 0.
+// ratio returns a/b, or 0 if b is 0.
 func ratio(a, b float64) float64 {
 	if b == 0 {
 		return 0
--- a/internal/checker/notification.go
+++ b/internal/checker/notification.go
@@ -5,88 +5,91 @@
 	"strings"
 )
 
-// When a director counts as notified of an event of the list service, in milliseconds.
+// Limits in milliseconds after which a director counts as notified of an event of the discovery service, at the latest.
 const (
-	notifyLimit        = 7000.0 // after the event, whatever happens
-	notifyAfterBreak   = 2000.0 // after the service broke a stream off
-	notifyAfterSilence = 4000.0 // after the service stopped writing to a stream and left it open
-	inFlightWindow     = 100.0  // a stream that ends so soon after an event may not have delivered it any more
+	notifyLimit        = 7000.0 // after the event, in all cases
+	notifyAfterBreak   = 2000.0 // after the service reset the director's stream
+	notifyAfterSilence = 4000.0 // after the service stopped writing to the director's stream and left it open
+	inFlightWindow     = 100.0  // a stream that ends this soon after an event may not have delivered the event
 
-	streamEventsShown = 7 // of a director's latest stream events that a violation names
+	streamEventsShown = 7 // number of a director's latest stream events that a violation lists
 )
 
-// notifiedAt is when a director counts as notified of an event: at once, whether it is connected or not, if the service
-// is well from then on; otherwise when the event was written to it, or notifyLimit later. A director whose stream the
-// service has ended, while it is well otherwise, has the times of streamNotifiedAt.
-func (h *history) notifiedAt(director string, news event) float64 {
-	if strings.HasSuffix(news.What, "unheard") || h.serviceFaults.overlap(news.AtMS, news.AtMS+drainLimit) {
-		return h.deliveredAt(director, news)
+// notifiedAt returns the time from which a director counts as notified of a list event. If the discovery service or the
+// links to it are faulty at the event or within drainLimit after it, that is the time of deliveredAt. Without such a
+// fault, it is the time of streamNotifiedAt for a director with a stream that the testbed ended, and the time of the
+// event itself for any other director, connected or not.
+func (h *history) notifiedAt(director string, listEvent event) float64 {
+	if strings.HasSuffix(listEvent.What, "unheard") || h.serviceFaults.overlap(listEvent.AtMS, listEvent.AtMS+drainLimit) {
+		return h.deliveredAt(director, listEvent)
 	}
 	if h.flapped[director] {
-		return h.streamNotifiedAt(director, news)
+		return h.streamNotifiedAt(director, listEvent)
 	}
-	return news.AtMS
+	return listEvent.AtMS
 }
 
-// deliveredAt is when an event was written to a director, but at most notifyLimit after it.
-func (h *history) deliveredAt(director string, news event) float64 {
-	limit := news.AtMS + notifyLimit
+// deliveredAt returns when a list event, or a later list event in its place, was written to a director's stream, but at
+// most notifyLimit after the event.
+func (h *history) deliveredAt(director string, listEvent event) float64 {
+	limit := listEvent.AtMS + notifyLimit
 	for _, ev := range h.deliveries[director] {
-		if ev.Number >= news.Number && ev.AtMS >= news.AtMS {
+		if ev.Number >= listEvent.Number && ev.AtMS >= listEvent.AtMS {
 			return min(limit, ev.AtMS)
 		}
 	}
 	return limit
 }
 
-// streamNotifiedAt is when a director, some of whose streams the service has ended, counts as notified of an event: at
-// once, if it has a stream that works; otherwise a while after the end of its last stream, or when the event was
-// written to it after a call of its own, or notifyLimit after the event, whichever comes first.
-func (h *history) streamNotifiedAt(director string, news event) float64 {
-	limit := news.AtMS + notifyLimit
-	deaf, deadline := false, 0.0 // without a stream, and until when that excuses it
-	streamEnded := func(ev event) {
-		deaf, deadline = true, ev.AtMS+notifyAfterBreak
+// streamNotifiedAt returns when a director counts as notified of a list event if the testbed has ended some of the
+// director's streams. With a working stream, that is the time of the event. Without one, it is the earliest of three
+// times: the end of the grace period after its last stream ended (notifyAfterBreak or notifyAfterSilence), the delivery
+// of the event over a new stream, and notifyLimit after the event.
+func (h *history) streamNotifiedAt(director string, listEvent event) float64 {
+	limit := listEvent.AtMS + notifyLimit
+	disconnected, excusedUntil := false, 0.0 // without a stream, and the end of its grace period
+	streamEnded := func(ev event) {          // starts the grace period of the stream that ended
+		disconnected, excusedUntil = true, ev.AtMS+notifyAfterBreak
 		if ev.What == "silent" {
-			deadline = ev.AtMS + notifyAfterSilence
+			excusedUntil = ev.AtMS + notifyAfterSilence
 		}
 	}
 	for _, ev := range h.discoveryEvents[director] {
-		if ev.AtMS <= news.AtMS {
+		if ev.AtMS <= listEvent.AtMS {
 			switch {
 			case ev.Kind == kindCall && ev.What == outcomeServed:
-				deaf = false
+				disconnected = false
 			case ev.Kind == kindStream:
 				streamEnded(ev)
 			}
 			continue
 		}
-		if deaf && ev.AtMS >= deadline {
-			break // it counted as notified before this
+		if disconnected && ev.AtMS >= excusedUntil {
+			break // the grace period ended before this event
 		}
 		switch {
-		case ev.Kind == kindTold && ev.Number >= news.Number && deaf:
+		case ev.Kind == kindTold && ev.Number >= listEvent.Number && disconnected:
 			return min(ev.AtMS, limit)
-		case ev.Kind == kindTold && ev.Number >= news.Number:
-			return news.AtMS
-		case ev.Kind == kindStream && ev.Number <= news.Number && (deaf || ev.AtMS <= news.AtMS+inFlightWindow):
-			streamEnded(ev) // without having delivered the event
+		case ev.Kind == kindTold && ev.Number >= listEvent.Number:
+			return listEvent.AtMS
+		case ev.Kind == kindStream && ev.Number <= listEvent.Number && (disconnected || ev.AtMS <= listEvent.AtMS+inFlightWindow):
+			streamEnded(ev) // the stream ended before it delivered the list event
 		}
 	}
-	if !deaf {
-		return news.AtMS
+	if !disconnected {
+		return listEvent.AtMS
 	}
-	return min(max(deadline, news.AtMS), limit)
+	return min(max(excusedUntil, listEvent.AtMS), limit)
 }
 
-// describeStreams tells of the latest calls of a director, and how its streams ended, up to a time. It is empty for a
-// director none of whose streams was ended.
+// describeStreams returns a description of a director's latest calls and stream ends up to a time, for the detail of a
+// violation. It returns an empty string if the testbed ended none of the director's streams.
 func (h *history) describeStreams(director string, at float64) string {
 	if !h.flapped[director] {
 		return ""
 	}
 	var parts []string
-	since, up := 0.0, false // the last end or begin of a stream
+	since, connected := 0.0, false // time of the latest start or end of a stream, and whether it was a start
 	for _, ev := range h.discoveryEvents[director] {
 		if ev.AtMS > at {
 			break
@@ -99,20 +102,21 @@
 				continue
 			}
 			parts = append(parts, part)
-			since, up = ev.AtMS, true
+			since, connected = ev.AtMS, true
 		case kindStream:
 			parts = append(parts, fmt.Sprintf("up %.2f s, %s", ev.Value/1000, describeStreamEnd(ev)))
-			since, up = ev.AtMS, false
+			since, connected = ev.AtMS, false
 		}
 	}
 	last := "without a stream for"
-	if up {
+	if connected {
 		last = "up for"
 	}
 	parts = append(parts, fmt.Sprintf("%s %.2f s", last, (at-since)/1000))
 	return "; streams: " + strings.Join(parts[max(0, len(parts)-streamEventsShown):], "; ")
 }
 
+// describeStreamEnd returns how the testbed ended a stream, or an empty string for an unknown way.
 func describeStreamEnd(ev event) string {
 	switch ev.What {
 	case "break":
--- a/internal/checker/rules.go
+++ b/internal/checker/rules.go
@@ -2,20 +2,21 @@
 
 import "strings"
 
-// Limits of the rules, in milliseconds (protocol page). On sockets every limit is longer by slack.
+// Limits of the rules, in milliseconds (protocol page).
 const (
-	slack         = 50.0
-	drainLimit    = 2000.0  // after notification, for the last new request to a draining server
-	purgeLimit    = 500.0   // after notification, for the last request that may be answered from an old copy
-	startupLimit  = 10000.0 // within which nine in ten processes are ready
-	shutdownGrace = 700.0   // after SIGTERM, within which requests are still owed an answer
+	slack         = 50.0    // extension of the answer, drain and purge limits, for delays of real sockets
+	drainLimit    = 2000.0  // after notification: the last new request to a draining server
+	purgeLimit    = 500.0   // after notification: the last request that may be answered from an old copy
+	startupLimit  = 10000.0 // after the start: nine in ten processes are ready
+	shutdownGrace = 700.0   // after SIGTERM: the last request that must still be answered
 
-	departureGrace    = 100.0 // after its client has gone, within which an attempt of a request may still begin
-	departureLate     = 300.0 // after which a request that waited until then is not sent at all
-	allowedDepartures = 2     // late attempts that are let pass
+	departureGrace    = 100.0 // after a client left: the last attempt for its request that is not late
+	departureLate     = 300.0 // after a client left: any later attempt for its request counts as sent on regardless
+	allowedDepartures = 2     // number of late attempts that are tolerated
 )
 
-// checkAnswers: each request gets exactly one final answer, in time.
+// checkAnswers reports a violation for each request without a valid answer in time, and for each answer that belongs to
+// no open call.
 func (h *history) checkAnswers(verdict *Verdict) {
 	for _, ev := range h.events {
 		switch ev.Kind {
@@ -27,28 +28,31 @@
 	}
 }
 
-func (h *history) checkAnswer(ask event, verdict *Verdict) {
-	limit := ask.TimeoutMS + slack + h.lagAllowance(ask.AtMS, ask.AtMS+ask.TimeoutMS+slack)
-	deadline := ask.AtMS + limit
-	if h.unavailable(ask.Director, ask.AtMS, deadline) || h.clientLinkFaults.overlap(ask.AtMS, deadline) {
+// checkAnswer checks the first answer to a request. No answer is required if the director was unavailable, the links of
+// clients were faulty, or the client left before the deadline.
+func (h *history) checkAnswer(request event, verdict *Verdict) {
+	limit := request.TimeoutMS + slack + h.lagAllowance(request.AtMS, request.AtMS+request.TimeoutMS+slack)
+	deadline := request.AtMS + limit
+	if h.unavailable(request.Director, request.AtMS, deadline) || h.clientLinkFaults.overlap(request.AtMS, deadline) {
 		return
 	}
-	if departure, left := h.departures[ask.Ref]; left && departure.AtMS <= deadline {
-		return // none is owed
+	if departure, departed := h.departures[request.Ref]; departed && departure.AtMS <= deadline {
+		return // the client no longer expects an answer
 	}
-	answer, answered := h.answers[ask.Ref]
+	answer, answered := h.answers[request.Ref]
 	switch {
 	case !answered:
-		verdict.addViolation("answer", ask.AtMS, ask.Director, "%s was never answered", ask.Ref)
+		verdict.addViolation("answer", request.AtMS, request.Director, "%s was never answered", request.Ref)
 	case answer.What != outcomeServed && answer.What != outcomeRefused && answer.What != outcomeFailed:
-		verdict.addViolation("answer", ask.AtMS, ask.Director, "%s: %s", ask.Ref, answer.What)
-	case answer.AtMS-ask.AtMS > limit:
-		verdict.addViolation("answer", ask.AtMS, ask.Director, "%s was answered after %.0f ms of %.0f",
-			ask.Ref, answer.AtMS-ask.AtMS, ask.TimeoutMS)
+		verdict.addViolation("answer", request.AtMS, request.Director, "%s: %s", request.Ref, answer.What)
+	case answer.AtMS-request.AtMS > limit:
+		verdict.addViolation("answer", request.AtMS, request.Director, "%s was answered after %.0f ms of %.0f",
+			request.Ref, answer.AtMS-request.AtMS, request.TimeoutMS)
 	}
 }
 
-// checkRepayments: a non-idempotent request runs at most once, and if it was refused it did not run.
+// checkRepayments reports a violation for each non-idempotent request that ran more than once, or that ran although it
+// was refused.
 func (h *history) checkRepayments(verdict *Verdict) {
 	runs := map[string]int{}
 	for _, ev := range h.events {
@@ -65,12 +69,13 @@
 	}
 }
 
-// checkDrains: past drainLimit nothing new goes to a server that is draining or gone, as target or as source.
+// checkDrains reports a violation for each request to a server, as target or as source, that a director sends later than
+// drainLimit after it was notified that the server is draining or gone.
 func (h *history) checkDrains(verdict *Verdict) {
 	drained := map[string]event{}
 	for _, ev := range h.listEvents {
-		leaves := strings.HasPrefix(ev.What, "draining") || strings.HasPrefix(ev.What, "gone")
-		if _, known := drained[ev.Who]; leaves && !known {
+		leaving := strings.HasPrefix(ev.What, "draining") || strings.HasPrefix(ev.What, "gone")
+		if _, known := drained[ev.Who]; leaving && !known {
 			drained[ev.Who] = ev
 		}
 	}
@@ -78,30 +83,31 @@
 		if ev.Kind != kindReq && ev.Kind != kindSource {
 			continue
 		}
-		news, known := drained[ev.Who]
-		if !known || ev.AtMS < news.AtMS {
+		listEvent, known := drained[ev.Who]
+		if !known || ev.AtMS < listEvent.AtMS {
 			continue
 		}
-		notified := max(h.notifiedAt(ev.Director, news), h.incarnationStart(ev.Director, ev.AtMS))
-		if over := ev.AtMS - notified - drainLimit - slack; over > h.lagAllowance(ev.AtMS-drainLimit, ev.AtMS) {
+		notified := max(h.notifiedAt(ev.Director, listEvent), h.incarnationStart(ev.Director, ev.AtMS))
+		if excess := ev.AtMS - notified - drainLimit - slack; excess > h.lagAllowance(ev.AtMS-drainLimit, ev.AtMS) {
 			verdict.addViolation("drain", ev.AtMS, ev.Director, "%s went to %s %.0f ms after it was told (%s)%s",
 				ev.Ref, ev.Who, ev.AtMS-notified, ev.Kind, h.describeStreams(ev.Director, ev.AtMS))
 		}
 	}
 }
 
-// checkPurges: no attempt made later than purgeLimit after a purge was notified may be answered from an older copy. It
-// returns how many attempts made after a purge, notified or not, were answered from an older copy.
+// checkPurges reports a violation for each attempt that is answered from a copy older than a purge, although the attempt
+// was made later than purgeLimit after the director was notified of the purge. It returns the number of attempts made
+// after a purge, notified or not, that were answered from an older copy.
 func (h *history) checkPurges(verdict *Verdict) (staleCopies int) {
-	type attempt struct{ ref, server string }
-	requests := map[attempt]event{} // the latest of each
-	objects := map[string]string{}  // by ref
+	type attemptKey struct{ ref, server string }
+	attempts := map[attemptKey]event{} // the latest attempt of a request at a server
+	objects := map[string]string{}     // by ref
 	for _, ev := range h.events {
 		switch {
 		case ev.Kind == kindReq:
-			requests[attempt{ev.Ref, ev.Who}], objects[ev.Ref] = ev, ev.Object
+			attempts[attemptKey{ev.Ref, ev.Who}], objects[ev.Ref] = ev, ev.Object
 		case ev.Kind == kindDone && ev.What == "OK":
-			if h.checkCopy(ev, requests[attempt{ev.Ref, ev.Who}], objects[ev.Ref], verdict) {
+			if h.checkCopy(ev, attempts[attemptKey{ev.Ref, ev.Who}], objects[ev.Ref], verdict) {
 				staleCopies++
 			}
 		}
@@ -109,57 +115,58 @@
 	return staleCopies
 }
 
-// checkCopy holds one answer of a server against all purges of its object. It reports whether the copy was older than a
-// purge that came before the request.
-func (h *history) checkCopy(done, request event, object string, verdict *Verdict) (stale bool) {
-	for _, news := range h.listEvents {
-		if news.Object == "" || news.Object != object || done.Since >= news.Since {
+// checkCopy compares the age of the copy in one answer of a server with all purges of the object, and reports violations
+// as checkPurges describes. The result reports whether the copy is older than a purge that came before the attempt.
+func (h *history) checkCopy(done, attempt event, object string, verdict *Verdict) (stale bool) {
+	for _, listEvent := range h.listEvents {
+		if listEvent.Object == "" || listEvent.Object != object || done.Since >= listEvent.Since {
 			continue
 		}
-		if request.AtMS > news.AtMS {
+		if attempt.AtMS > listEvent.AtMS {
 			stale = true
 		}
-		notified := max(h.notifiedAt(done.Director, news), h.incarnationStart(done.Director, request.AtMS))
-		over := request.AtMS - notified - purgeLimit - slack
-		if over > h.lagAllowance(request.AtMS-purgeLimit, request.AtMS) {
-			verdict.addViolation("purge", request.AtMS, done.Director,
+		notified := max(h.notifiedAt(done.Director, listEvent), h.incarnationStart(done.Director, attempt.AtMS))
+		excess := attempt.AtMS - notified - purgeLimit - slack
+		if excess > h.lagAllowance(attempt.AtMS-purgeLimit, attempt.AtMS) {
+			verdict.addViolation("purge", attempt.AtMS, done.Director,
 				"%s got a copy of %s from %.0f ms before its purge, asked for %.0f ms after that was told%s",
-				done.Ref, news.Object, news.Since-done.Since, request.AtMS-notified,
-				h.describeStreams(done.Director, request.AtMS))
+				done.Ref, listEvent.Object, listEvent.Since-done.Since, attempt.AtMS-notified,
+				h.describeStreams(done.Director, attempt.AtMS))
 		}
 	}
 	return stale
 }
 
-// checkDepartures: nothing is begun for a client that has gone. A few cases are let pass, as a director may have been
-// stopped with the decision made; but of the requests that waited as their clients left, a quarter at most is sent on
-// later.
+// checkDepartures reports a violation for each attempt that starts later than departureGrace after its client left. The
+// first allowedDepartures of them are tolerated, because a director may be suspended between the decision for an attempt
+// and the attempt. A further violation is reported if, of the requests without an attempt before their client left, more
+// than a quarter and more than allowedDepartures/2 are sent later than departureLate after that.
 func (h *history) checkDepartures(verdict *Verdict) {
-	var late []event
-	begun, sentLate := map[string]bool{}, map[string]bool{} // by ref
+	var lateAttempts []event
+	attemptedBefore, sentLate := map[string]bool{}, map[string]bool{} // by ref
 	for _, ev := range h.events {
-		departure, left := h.departures[ev.Ref]
-		if ev.Kind != kindReq || !left {
+		departure, departed := h.departures[ev.Ref]
+		if ev.Kind != kindReq || !departed {
 			continue
 		}
 		if ev.AtMS <= departure.AtMS {
-			begun[ev.Ref] = true
+			attemptedBefore[ev.Ref] = true
 		}
 		after, allowance := ev.AtMS-departure.AtMS, h.lagAllowance(departure.AtMS, ev.AtMS)
 		if after > departureGrace+allowance {
-			late = append(late, ev)
+			lateAttempts = append(lateAttempts, ev)
 		}
 		if after > departureLate+allowance {
 			sentLate[ev.Ref] = true
 		}
 	}
-	for _, ev := range late[min(len(late), allowedDepartures):] {
+	for _, ev := range lateAttempts[min(len(lateAttempts), allowedDepartures):] {
 		verdict.addViolation("left", ev.AtMS, ev.Director, "%s was begun %.0f ms after its client had gone", ev.Ref,
 			ev.AtMS-h.departures[ev.Ref].AtMS)
 	}
 	waited, sent := 0, 0
 	for ref := range h.departures {
-		if begun[ref] {
+		if attemptedBefore[ref] {
 			continue
 		}
 		waited++
@@ -179,7 +186,9 @@
 	}
 }
 
-// checkStartups: nine in ten processes that are started, and neither ended nor stopped meanwhile, are ready in time.
+// checkStartups reports a violation if more than one in ten processes is not ready within startupLimit of its start. It
+// leaves out processes that another process event, such as a kill or stop, precedes their readiness, and processes that
+// start less than startupLimit before the end of the history.
 func (h *history) checkStartups(verdict *Verdict) {
 	started, late, who := 0, 0, ""
 	end := h.endMS()
@@ -200,7 +209,7 @@
 				started++
 				late++
 				who = max(who, name)
-			} // else it was ended, or stopped, before it could be ready
+			} // otherwise the process was ended or suspended before it was ready
 		}
 	}
 	if late*10 > started {
@@ -209,7 +218,8 @@
 	}
 }
 
-// checkProtocol: no director sends what can't be used, or ends without having been told to.
+// checkProtocol reports a violation for each message of a director that is invalid, and for each process that ends during
+// the load without a signal of the testbed.
 func (h *history) checkProtocol(verdict *Verdict) {
 	for _, ev := range h.events {
 		if ev.Kind == kindFault {
@@ -217,15 +227,15 @@
 		}
 	}
 	for who, events := range h.processEvents {
-		told := false // to end
+		shutdownRequested := false // by a signal of the testbed
 		for _, ev := range events {
 			switch ev.What {
 			case "kill", "term":
-				told = true
+				shutdownRequested = true
 			case "start":
-				told = false
+				shutdownRequested = false
 			case "gone":
-				if !told && ev.AtMS < h.endMS() && !h.loadEnded(ev.AtMS) {
+				if !shutdownRequested && ev.AtMS < h.endMS() && !h.loadEnded(ev.AtMS) {
 					verdict.addViolation("crash", ev.AtMS, who, "ended unasked: %s", ev.Class)
 				}
 			}
--- a/internal/checker/rules_test.go
+++ b/internal/checker/rules_test.go
@@ -33,12 +33,12 @@
 }
 
 // checkWith judges the clean history with some lines more, in order of time, and without those that hold a text.
-func checkWith(t *testing.T, without string, more ...string) *Verdict {
+func checkWith(t *testing.T, omit string, events ...string) *Verdict {
 	t.Helper()
 	lines := slices.DeleteFunc(slices.Clone(cleanHistory), func(line string) bool {
-		return without != "" && strings.Contains(line, without)
+		return omit != "" && strings.Contains(line, omit)
 	})
-	lines = append(lines, more...)
+	lines = append(lines, events...)
 	at := func(line string) (ms float64) {
 		if _, err := fmt.Sscanf(line, `{"ms":%f`, &ms); err != nil {
 			t.Fatalf("%s: %v", line, err)
@@ -63,12 +63,12 @@
 	lateAnswer           = `{"ms":3030,"kind":"answer","ref":"r2","director":"d0","what":"served","since":900}`
 )
 
-func askEvent(ms int, ref string) string {
+func requestEvent(ms int, ref string) string {
 	const format = `{"ms":%d,"kind":"ask","ref":%q,"director":"d0","class":"media","object":"o1","allow":1000}`
 	return fmt.Sprintf(format, ms, ref)
 }
 
-func requestEvent(ms int, ref string) string {
+func attemptEvent(ms int, ref string) string {
 	const format = `{"ms":%d,"kind":"req","who":"c1","director":"d0","ref":%q,"object":"o1","work":0.02}`
 	return fmt.Sprintf(format, ms, ref)
 }
@@ -87,14 +87,14 @@
 
 // Each rule broken, and its nearest neighbour that keeps it.
 func TestRules(t *testing.T) {
-	crowd := func(n int) (lines []string) {
+	fillsFromTwoDirectors := func(n int) (lines []string) {
 		for i := range n {
 			const format = `{"ms":%d,"kind":"source","who":"c2","director":"d%d","ref":"x","work":0.1}`
 			lines = append(lines, fmt.Sprintf(format, 500+i, i%2))
 		}
 		return lines
 	}
-	each := func(n int, work float64) (lines []string) {
+	attemptsFromDistinctDirectors := func(n int, work float64) (lines []string) {
 		for i := range n {
 			const format = `{"ms":%d,"kind":"req","who":"c2","director":"d%d","ref":"x","work":%v}`
 			lines = append(lines, fmt.Sprintf(format, 500+i, 10+i, work))
@@ -107,24 +107,24 @@
 		rule          string // "": all is kept
 	}{
 		{"as it should be", "", nil, ""},
-		{"never answered", "", []string{askEvent(200, "r2")}, "answer"},
-		{"lost", "", []string{askEvent(200, "r2"), answerEvent(300, "r2", "lost")}, "answer"},
-		{"spoilt", "", []string{askEvent(200, "r2"), answerEvent(300, "r2", "spoilt")}, "answer"},
-		{"late", "", []string{askEvent(200, "r2"), answerEvent(1260, "r2", "failed")}, "answer"},
-		{"just in time", "", []string{askEvent(200, "r2"), answerEvent(1240, "r2", "failed")}, ""},
-		{"late on a machine that lags", "", []string{askEvent(200, "r2"), `{"ms":1200,"kind":"lag","value":20}`,
+		{"never answered", "", []string{requestEvent(200, "r2")}, "answer"},
+		{"lost", "", []string{requestEvent(200, "r2"), answerEvent(300, "r2", "lost")}, "answer"},
+		{"spoilt", "", []string{requestEvent(200, "r2"), answerEvent(300, "r2", "spoilt")}, "answer"},
+		{"late", "", []string{requestEvent(200, "r2"), answerEvent(1260, "r2", "failed")}, "answer"},
+		{"just in time", "", []string{requestEvent(200, "r2"), answerEvent(1240, "r2", "failed")}, ""},
+		{"late on a machine that lags", "", []string{requestEvent(200, "r2"), `{"ms":1200,"kind":"lag","value":20}`,
 			answerEvent(1300, "r2", "failed")}, ""},
 		{"twice", "", []string{answerEvent(300, "r1", "refused")}, "answer"},
 		{"a stray answer", "", []string{`{"ms":300,"kind":"stray","who":"d0","n":3}`}, "answer"},
-		{"lost with its director", "", []string{askEvent(200, "r2"), processEvent(250, "d0", "kill"),
+		{"lost with its director", "", []string{requestEvent(200, "r2"), processEvent(250, "d0", "kill"),
 			answerEvent(260, "r2", "lost"),
 			`{"ms":265,"kind":"process","who":"d0","what":"gone","class":"killed"}`}, ""},
-		{"lost by a planned stop", "", []string{askEvent(200, "r2"), processEvent(150, "d0", "term"),
+		{"lost by a planned stop", "", []string{requestEvent(200, "r2"), processEvent(150, "d0", "term"),
 			answerEvent(260, "r2", "lost")}, "answer"},
-		{"taken long after a planned stop", "", []string{askEvent(2200, "r2"),
+		{"taken long after a planned stop", "", []string{requestEvent(2200, "r2"),
 			processEvent(1400, "d0", "term"),
 			answerEvent(2260, "r2", "lost")}, ""},
-		{"late from a stopped one", "", []string{askEvent(200, "r2"), processEvent(300, "d0", "stop"),
+		{"late from a stopped one", "", []string{requestEvent(200, "r2"), processEvent(300, "d0", "stop"),
 			processEvent(5300, "d0", "cont"),
 			answerEvent(5400, "r2", "failed")}, ""},
 		{"ran twice", "", []string{`{"ms":155,"kind":"run","who":"s-origin","ref":"p1"}`}, "repayment"},
@@ -132,59 +132,59 @@
 			[]string{`{"ms":160,"kind":"answer","ref":"p1","director":"d1","what":"refused"}`}, "repayment"},
 		{"ran and failed", `"served","since":150`,
 			[]string{`{"ms":160,"kind":"answer","ref":"p1","director":"d1","what":"failed"}`}, ""},
-		{"to a draining cache", "", []string{drainEvent, requestEvent(3100, "r2")}, "drain"},
-		{"soon to a draining cache", "", []string{drainEvent, requestEvent(3040, "r2")}, ""},
+		{"to a draining cache", "", []string{drainEvent, attemptEvent(3100, "r2")}, "drain"},
+		{"soon to a draining cache", "", []string{drainEvent, attemptEvent(3040, "r2")}, ""},
 		{"filled from a draining cache", "",
 			[]string{drainEvent, `{"ms":3100,"kind":"source","who":"c1","director":"d0","ref":"r1"}`}, "drain"},
 		{"the drain was not told yet", "", []string{`{"ms":900,"kind":"list","what":"down","value":1}`,
-			`{"ms":1000,"kind":"news","who":"c1","what":"draining unheard","n":2}`, requestEvent(3100, "r2")}, ""},
+			`{"ms":1000,"kind":"news","who":"c1","what":"draining unheard","n":2}`, attemptEvent(3100, "r2")}, ""},
 		{"told late, and heeded later still", "", []string{`{"ms":900,"kind":"list","what":"down","value":1}`,
 			`{"ms":1000,"kind":"news","who":"c1","what":"draining unheard","n":2}`,
-			`{"ms":2000,"kind":"told","director":"d0","n":2}`, requestEvent(4100, "r2")}, "drain"},
+			`{"ms":2000,"kind":"told","director":"d0","n":2}`, attemptEvent(4100, "r2")}, "drain"},
 		{"counts as told after 7 s", "", []string{`{"ms":900,"kind":"list","what":"down","value":1}`,
 			`{"ms":1000,"kind":"news","who":"c1","what":"draining unheard","n":2}`,
 			`{"ms":10100,"kind":"req","who":"c1","director":"d0","ref":"r1","work":0.02}`}, "drain"},
 		{"started with the drain", "",
-			[]string{drainEvent, `{"ms":3000,"kind":"process","who":"d0","what":"start","n":1}`, requestEvent(3100,
+			[]string{drainEvent, `{"ms":3000,"kind":"process","who":"d0","what":"start","n":1}`, attemptEvent(3100,
 				"r2")}, ""},
-		{"a cold cache pushed over by two", "", crowd(120), "cold"},
-		{"a cold cache that bears it", "", crowd(90), ""},
+		{"a cold cache pushed over by two", "", fillsFromTwoDirectors(120), "cold"},
+		{"a cold cache that bears it", "", fillsFromTwoDirectors(90), ""},
 		{"a cold cache pushed over by who was not told", "",
-			append(crowd(120), `{"ms":900,"kind":"news","who":"c2","what":"ready","n":2}`), ""},
+			append(fillsFromTwoDirectors(120), `{"ms":900,"kind":"news","who":"c2","what":"ready","n":2}`), ""},
 		{"an older copy than the purge", "",
-			[]string{purgeEvent, askEvent(3000, "r2"), requestEvent(3001, "r2"), staleAnswerFromCache,
+			[]string{purgeEvent, requestEvent(3000, "r2"), attemptEvent(3001, "r2"), staleAnswerFromCache,
 				lateAnswer}, "purge"},
 		{"the purge was just told", "",
 			[]string{`{"ms":2600,"kind":"news","what":"purge","object":"o1","since":2600,"n":2}`,
-				askEvent(3000, "r2"), requestEvent(3001, "r2"), staleAnswerFromCache, lateAnswer}, ""},
+				requestEvent(3000, "r2"), attemptEvent(3001, "r2"), staleAnswerFromCache, lateAnswer}, ""},
 		{"a copy since the purge", "",
-			[]string{purgeEvent, askEvent(3000, "r2"), requestEvent(3001, "r2"),
+			[]string{purgeEvent, requestEvent(3000, "r2"), attemptEvent(3001, "r2"),
 				strings.Replace(staleAnswerFromCache, "900", "1001", 1), lateAnswer}, ""},
 		{"begun after its client had gone, three times", "",
-			[]string{askEvent(200, "r2"), departure, requestEvent(361, "r2"), requestEvent(370, "r2"),
-				requestEvent(380, "r2")},
+			[]string{requestEvent(200, "r2"), departure, attemptEvent(361, "r2"), attemptEvent(370, "r2"),
+				attemptEvent(380, "r2")},
 			"left"},
 		{"begun after its client had gone, twice", "",
-			append([]string{askEvent(200, "r2"), departure}, requestEvent(361, "r2"), requestEvent(370, "r2")), ""},
+			append([]string{requestEvent(200, "r2"), departure}, attemptEvent(361, "r2"), attemptEvent(370, "r2")), ""},
 		{"begun just after its client had gone", "",
-			[]string{askEvent(200, "r2"), departure, requestEvent(320, "r2"), requestEvent(340, "r2"),
-				requestEvent(349, "r2")},
+			[]string{requestEvent(200, "r2"), departure, attemptEvent(320, "r2"), attemptEvent(340, "r2"),
+				attemptEvent(349, "r2")},
 			""},
 		{"sent on though their clients left as they waited", "",
-			[]string{askEvent(200, "r2"), departure, requestEvent(600, "r2"), askEvent(200, "r3"), thirdDeparture,
-				requestEvent(600, "r3")}, "left"},
+			[]string{requestEvent(200, "r2"), departure, attemptEvent(600, "r2"), requestEvent(200, "r3"), thirdDeparture,
+				attemptEvent(600, "r3")}, "left"},
 		{"one of them sent on", "",
-			[]string{askEvent(200, "r2"), departure, requestEvent(600, "r2"), askEvent(200, "r3"), thirdDeparture}, ""},
+			[]string{requestEvent(200, "r2"), departure, attemptEvent(600, "r2"), requestEvent(200, "r3"), thirdDeparture}, ""},
 		{"the client of one that is out leaves", "",
-			[]string{askEvent(200, "r2"), requestEvent(210, "r2"), departure}, ""},
+			[]string{requestEvent(200, "r2"), attemptEvent(210, "r2"), departure}, ""},
 		{"not ready in time", "",
 			[]string{processEvent(100, "d2", "start"), readyEvent(10200, "d2", 10100), lastEvent}, "ready"},
 		{"never ready", "", []string{processEvent(100, "d2", "start"), lastEvent}, "ready"},
 		{"ready in time", "", []string{processEvent(100, "d2", "start"), readyEvent(9900, "d2", 9800), lastEvent}, ""},
 		{"killed before it was ready", "",
 			[]string{processEvent(100, "d2", "start"), processEvent(5000, "d2", "kill"), lastEvent}, ""},
-		{"thirty directors with one call each", "", each(30, 0.4), "cold"},
-		{"twenty directors with one call each", "", each(20, 0.4), ""},
+		{"thirty directors with one call each", "", attemptsFromDistinctDirectors(30, 0.4), "cold"},
+		{"twenty directors with one call each", "", attemptsFromDistinctDirectors(20, 0.4), ""},
 		{"a crash", "", []string{`{"ms":4000,"kind":"process","who":"d1","what":"gone","class":"status 2"}`}, "crash"},
 		{"bad words", "", []string{`{"ms":4000,"kind":"fault","who":"c1","what":"can't use"}`}, "protocol"},
 	} {
@@ -205,7 +205,7 @@
 	}
 }
 
-func TestMetricsOfCalls(t *testing.T) {
+func TestDiscoveryCallMetrics(t *testing.T) {
 	var more []string
 	for i := range 20 { // twenty directors that start together and call within 100 ms, half of them twice
 		more = append(more, fmt.Sprintf(`{"ms":%d,"kind":"process","who":"e%d","what":"start"}`, 2000+i, i),
@@ -233,16 +233,16 @@
 }
 
 // Only requests that are asked 5 s after the end of the last trouble count, with all their attempts.
-func TestAttemptsAfterAFault(t *testing.T) {
+func TestAttemptsAfterFaults(t *testing.T) {
 	more := []string{
 		`{"ms":2000,"kind":"step","who":"origin-slow","what":"done"}`,
 		`{"ms":4000,"kind":"step","who":"origin-slow","what":"undone"}`,
 	}
 	for i, at := range []int{8990, 9000, 9500, 9600} {
 		ref := fmt.Sprintf("a%d", i)
-		more = append(more, askEvent(at, ref), answerEvent(at+50, ref, "refused"))
+		more = append(more, requestEvent(at, ref), answerEvent(at+50, ref, "refused"))
 		for range 4 - i {
-			more = append(more, requestEvent(at+10, ref))
+			more = append(more, attemptEvent(at+10, ref))
 		}
 	}
 	if got := checkWith(t, "", more...).Metrics["attempts_after"]; got != 2 {
@@ -251,17 +251,17 @@
 }
 
 // The share of the largest tenth is held against that of all reads; who left, and repayments, don't count.
-func TestShareOfTheLargest(t *testing.T) {
+func TestLargeReadsShare(t *testing.T) {
 	const reads = 39
 	more := make([]string, 0, 2*reads+2)
-	more = append(more, askEvent(200, "r2"), departure)
+	more = append(more, requestEvent(200, "r2"), departure)
 	for i := range reads { // with r1 40 reads, four of which are the largest
 		ref := fmt.Sprintf("b%02d", i)
 		what := "served"
 		if i >= 37 || i%2 == 0 { // of the four largest (35 to 38), one is served
 			what = "refused"
 		}
-		ask := strings.Replace(askEvent(300, ref), `"allow"`, fmt.Sprintf(`"work":%d,"allow"`, 1+i), 1)
+		ask := strings.Replace(requestEvent(300, ref), `"allow"`, fmt.Sprintf(`"work":%d,"allow"`, 1+i), 1)
 		more = append(more, ask, answerEvent(310, ref, what))
 	}
 	metrics := checkWith(t, "", more...).Metrics
--- a/internal/checker/sitemetrics.go
+++ b/internal/checker/sitemetrics.go
@@ -7,20 +7,20 @@
 	"strings"
 )
 
-// siteMetricNames are the metrics of the loss of whole sites.
+// siteMetricNames lists the names of the metrics that measure the loss of whole sites.
 var siteMetricNames = strings.Fields(`
 	served_share_loss served_share_bound survivor_peak detect_ms_p95 false_alarms moves_per_event return_ms_90
 	repayments_refused_share others_refused_share repayments_refused_excess bound_share cut_off_told`)
 
 const (
-	siteBinWidth   = 500.0    // for shares over time
-	peakWindow     = 1_000.0  // over which a survivor's work is summed
-	baselinePeriod = 3_000.0  // ahead of the first loss, for what was served then
-	alarmGrace     = 6_000.0  // after a site is back, in which calling it lost is no false alarm
-	undetectedMS   = 10_000.0 // that a loss counts for which a director never noticed
+	siteBinWidth   = 500.0    // ms; bin for shares over time
+	peakWindow     = 1_000.0  // ms; window over which the work of a server is summed
+	baselinePeriod = 3_000.0  // ms before the first loss, over which the normal served share is measured
+	alarmGrace     = 6_000.0  // ms after a site has recovered, in which reporting it as lost is no false alarm
+	undetectedMS   = 10_000.0 // detection time that counts for a director that never detects a loss
 )
 
-// What the testbed does to a site, and what directors call a site.
+// Actions of the testbed on a site, and states that directors report.
 const (
 	siteKilled = "site-kill"
 	siteBusy   = "site-busy"
@@ -30,25 +30,25 @@
 	stateIsolated   = "alone"
 )
 
-// isUnavailableState reports whether a director that calls a site so sends nothing there.
+// isUnavailableState reports whether a director sends no requests to a site that it reports in the named state.
 func isUnavailableState(name string) bool {
 	return name == "lost" || name == "cut off" || name == "relapsed"
 }
 
-// siteLoss is one loss of a site, from the fault until it was back.
+// siteLoss is one loss of a site, from the fault until the site has recovered.
 type siteLoss struct {
-	site     string // empty: all sites of a director whose links are faulty
-	fault    string
-	share    float64 // of its servers
-	from, to float64
+	site     string  // empty for a fault of the links to all caches
+	fault    string  // the testbed's action, or the kind of link fault
+	share    float64 // share of the site's servers that is lost, from 0 to 1
+	from, to float64 // ms; to is forever for a loss that does not end
 }
 
-// covers reports whether a director may call a site lost at a time because of this loss.
+// covers reports whether the loss justifies that a director reports a site as unavailable at a time.
 func (l siteLoss) covers(site string, at float64) bool {
 	return (l.site == site || l.site == "") && at >= l.from && at <= l.to+alarmGrace
 }
 
-// siteLosses are the losses of sites that the testbed has caused.
+// siteLosses returns the losses of sites that the testbed caused, in order of their start.
 func (h *history) siteLosses() []siteLoss {
 	var losses []siteLoss
 	for _, ev := range h.events {
@@ -69,7 +69,7 @@
 	return losses
 }
 
-// siteMetrics measures how the loss of sites was borne.
+// siteMetrics computes the metrics of the loss of sites. Without a loss, only the metrics of alarmMetrics are set.
 func (h *history) siteMetrics(metrics map[string]float64) {
 	losses := h.siteLosses()
 	h.alarmMetrics(metrics, losses)
@@ -93,45 +93,48 @@
 	metrics["return_ms_90"] = h.recoveryTime(from, to, end)
 }
 
-// outcomesDuring counts what was asked within a period: what was served, and what was refused by class.
+// outcomesDuring computes the served share of the requests that come within a period, and the refused shares of
+// repayments and of all other requests.
 func (h *history) outcomesDuring(metrics map[string]float64, from, to float64) {
-	asks := map[string]event{}
-	var first, served, repayments, others, repaymentsRefused, othersRefused float64
+	requests := map[string]event{}
+	var firstTries, served, repayments, others, repaymentsRefused, othersRefused float64
 	for _, ev := range h.events {
 		within := ev.AtMS >= from && ev.AtMS < to
 		switch {
 		case ev.Kind == kindNowhere && within:
-			first++
+			firstTries++
 		case ev.Kind == kindAsk && within:
-			asks[ev.Ref] = ev
+			requests[ev.Ref] = ev
 			if ev.Class == classRepayment {
 				repayments++
 			} else {
 				others++
 			}
 			if !ev.Retry {
-				first++
+				firstTries++
 			}
 		case ev.Kind == kindAnswer:
-			ask, known := asks[ev.Ref]
+			request, known := requests[ev.Ref]
 			switch {
 			case !known:
 			case ev.What == outcomeServed:
 				served++
-			case ev.What == outcomeRefused && ask.Class == classRepayment:
+			case ev.What == outcomeRefused && request.Class == classRepayment:
 				repaymentsRefused++
 			case ev.What == outcomeRefused:
 				othersRefused++
 			}
 		}
 	}
-	metrics["served_share_loss"] = min(1, ratio(served, first))
+	metrics["served_share_loss"] = min(1, ratio(served, firstTries))
 	metrics["repayments_refused_share"] = ratio(repaymentsRefused, repayments)
 	metrics["others_refused_share"] = ratio(othersRefused, others)
 	metrics["repayments_refused_excess"] = metrics["repayments_refused_share"] - metrics["others_refused_share"]
 }
 
-// survivorPeak is the busiest second of any server of a site that is not lost just then, over its capacity.
+// survivorPeak returns the largest load of any server in one peakWindow, as a multiple of the server's capacity. It
+// counts the work that a server gets during the loss of another site but not of its own. Each loss extends to alarmGrace
+// after its end.
 func (h *history) survivorPeak(losses []siteLoss) float64 {
 	capacities := h.capacities()
 	type key struct {
@@ -161,46 +164,49 @@
 	return peak
 }
 
-// recoveryTime is the time from the last return until nine tenths of the share that was served before the loss is
-// served again, in two bins one after the other.
+// recoveryTime returns the time in milliseconds from the end of the losses, to, until the served share is at least nine
+// tenths of the share in the baselinePeriod before the first loss, from, in two consecutive bins. If that never happens,
+// it returns the time from to until end.
 func (h *history) recoveryTime(from, to, end float64) float64 {
-	wanted := 0.9 * h.servedShare(max(0, from-baselinePeriod), from)
+	threshold := 0.9 * h.servedShare(max(0, from-baselinePeriod), from)
 	for at := to; at+2*siteBinWidth <= end; at += siteBinWidth {
-		if h.servedShare(at, at+siteBinWidth) >= wanted && h.servedShare(at+siteBinWidth, at+2*siteBinWidth) >= wanted {
+		if h.servedShare(at, at+siteBinWidth) >= threshold && h.servedShare(at+siteBinWidth, at+2*siteBinWidth) >= threshold {
 			return at - to
 		}
 	}
 	return max(0, end-to)
 }
 
-// servedShare is the share of the first attempts of clients within a period that was served; 1 where there were none.
+// servedShare returns the served share of the first tries of clients within a period, without the clients' retries. It
+// returns 1 if there were none.
 func (h *history) servedShare(from, to float64) float64 {
-	asks := map[string]bool{}
-	var first, served float64
+	requests := map[string]bool{}
+	var firstTries, served float64
 	for _, ev := range h.events {
 		switch {
 		case (ev.Kind == kindAsk || ev.Kind == kindNowhere) && ev.AtMS >= from && ev.AtMS < to:
-			asks[ev.Ref] = ev.Kind == kindAsk
+			requests[ev.Ref] = ev.Kind == kindAsk
 			if !ev.Retry {
-				first++
+				firstTries++
 			}
-		case ev.Kind == kindAnswer && ev.What == outcomeServed && asks[ev.Ref]:
+		case ev.Kind == kindAnswer && ev.What == outcomeServed && requests[ev.Ref]:
 			served++
 		}
 	}
-	if first == 0 {
+	if firstTries == 0 {
 		return 1
 	}
-	return min(1, served/first)
+	return min(1, served/firstTries)
 }
 
-// servableShare is the part of the first attempts in a period that could be served by someone who knows the true
-// capacities: each branch by its own caches, as those of others are a fault, and repayments of all branches by the
-// origin too. It is a linear program with one constraint that branches share, so that its optimum is found by serving
-// reads first, which need no more than the branch, and then repayments with what is left of both.
+// servableShare returns the upper bound of the served share of the clients' first tries in a period, given the true
+// capacities. Each branch is served by its own caches only, because a request to the caches of another branch is an
+// error. Repayments also use capacity of the origin, which all branches share. The bound is a linear program whose only
+// shared constraint is the origin, so serving reads first, which use the branch's capacity alone, and then repayments
+// with the remaining capacity of the branch and the origin is optimal.
 func (h *history) servableShare(from, to float64) float64 {
 	demand := h.demandDuring(from, to)
-	if demand.work == 0 || demand.asked == 0 {
+	if demand.maxWork == 0 || demand.requests == 0 {
 		return 0
 	}
 	capacities, losses := h.capacities(), h.siteLosses()
@@ -209,55 +215,56 @@
 		middle := from + (float64(bin)+0.5)*siteBinWidth
 		originLeft := demand.originPerSecond * siteBinWidth / 1000
 		for _, branch := range demand.branches {
-			room := branchCapacity(capacities, losses, branch, middle) / demand.work * siteBinWidth / 1000
+			servable := branchCapacity(capacities, losses, branch, middle) / demand.maxWork * siteBinWidth / 1000
 			key := branchBin{branch, bin}
-			reads := min(demand.reads[key], room)
-			writes := min(demand.writes[key], room-reads, originLeft)
-			originLeft -= writes
-			served += reads + writes
+			reads := min(demand.reads[key], servable)
+			repayments := min(demand.repayments[key], servable-reads, originLeft)
+			originLeft -= repayments
+			served += reads + repayments
 		}
 	}
-	return served / demand.asked
+	return served / demand.requests
 }
 
-// branchBin is a branch in a part of a period.
+// branchBin identifies one bin of a period for one branch.
 type branchBin struct {
 	branch string
 	bin    int
 }
 
-// branchDemand is what the clients of all branches ask for in a period.
+// branchDemand is the demand of the clients of all branches in a period, without their retries.
 type branchDemand struct {
-	work            float64 // of the largest request
-	asked           float64
-	originPerSecond float64
-	branches        []string // in the order of their first request
-	reads, writes   map[branchBin]float64
+	maxWork           float64 // work of the largest attempt
+	requests          float64
+	originPerSecond   float64
+	branches          []string // in the order of their first request
+	reads, repayments map[branchBin]float64
 }
 
+// demandDuring returns the demand between from and to.
 func (h *history) demandDuring(from, to float64) branchDemand {
 	demand := branchDemand{
 		originPerSecond: math.Inf(1),
 		reads:           map[branchBin]float64{},
-		writes:          map[branchBin]float64{},
+		repayments:      map[branchBin]float64{},
 	}
 	for _, ev := range h.events {
 		switch ev.Kind {
 		case kindCapacity:
 			demand.originPerSecond = ev.Value
 		case kindReq:
-			demand.work = max(demand.work, ev.Work)
+			demand.maxWork = max(demand.maxWork, ev.Work)
 		case kindAsk, kindNowhere:
 			if ev.Retry || ev.AtMS < from || ev.AtMS >= to {
 				continue
 			}
 			key := branchBin{ev.Site, int((ev.AtMS - from) / siteBinWidth)}
 			if ev.Class == classRepayment {
-				demand.writes[key]++
+				demand.repayments[key]++
 			} else {
 				demand.reads[key]++
 			}
-			demand.asked++
+			demand.requests++
 			if !slices.Contains(demand.branches, ev.Site) {
 				demand.branches = append(demand.branches, ev.Site)
 			}
@@ -266,7 +273,7 @@
 	return demand
 }
 
-// branchCapacity is what the caches of a branch can do at a time, in transfers.
+// branchCapacity returns the capacity of a branch's caches at a time, in concurrent transfers.
 func branchCapacity(capacities map[string]capacity, losses []siteLoss, branch string, at float64) float64 {
 	sum := 0.0
 	for _, server := range capacities {
@@ -275,7 +282,7 @@
 		}
 	}
 	for _, loss := range losses {
-		// The end of a killed process is among the events of its server.
+		// A killed server has an event of its own, which ends its capacity.
 		if loss.site == branch && at >= loss.from && at < loss.to && loss.fault != siteKilled {
 			sum *= 1 - loss.share
 		}
@@ -283,13 +290,13 @@
 	return sum
 }
 
-// capacity is what a server can do over time, in transfers.
+// capacity is the capacity of a server between its start and its end, in concurrent transfers.
 type capacity struct {
 	from, until float64
 	start       event
 }
 
-// at is the capacity at a time; 0 while the server is down.
+// at returns the capacity at a time, which ramps up after the start. It is 0 while the server is down.
 func (c capacity) at(ms float64) float64 {
 	if ms < c.from || ms >= c.until {
 		return 0
@@ -300,7 +307,7 @@
 	return c.start.Weight * min(1, c.start.ColdFrom+(1-c.start.ColdFrom)*(ms-c.from)/c.start.Ramp)
 }
 
-// capacities are those of all servers, by name.
+// capacities returns the capacities of all servers by name. A server that started again has those of its latest start.
 func (h *history) capacities() map[string]capacity {
 	all := map[string]capacity{}
 	for _, ev := range h.events {
@@ -317,13 +324,14 @@
 	return all
 }
 
-// alarmMetrics counts sites that were called lost and were not, how often a director moves load for each loss, and the
-// directors that called themselves isolated.
+// alarmMetrics counts false alarms, which are reports of a site as unavailable without a loss that covers it. It also
+// computes how often directors move load per loss that they detect, and counts the directors that reported themselves as
+// isolated from the sites.
 func (h *history) alarmMetrics(metrics map[string]float64, losses []siteLoss) {
 	losses = slices.Concat(losses, h.linkLosses())
-	// To call a site lost of which half or more is there is a false alarm, too.
+	// Reporting a site as lost while at least half of its servers are available is a false alarm as well.
 	losses = slices.DeleteFunc(losses, func(loss siteLoss) bool { return loss.share <= 0.5 })
-	moves, noticed := 0.0, 0.0
+	loadMoves, detected := 0.0, 0.0
 	seen, isolated := map[string]bool{}, map[string]bool{}
 	for _, ev := range h.events {
 		if ev.Kind != kindState {
@@ -339,30 +347,31 @@
 			metrics["false_alarms"]++
 		}
 		if unavailable || ev.What == stateRecovering {
-			moves++
+			loadMoves++
 		}
 		for i, loss := range losses {
 			key := ev.Who + " " + ev.Site + " " + strconv.Itoa(i)
 			if unavailable && loss.covers(ev.Site, ev.AtMS) && !seen[key] {
 				seen[key] = true
-				noticed++
+				detected++
 			}
 		}
 	}
-	metrics["moves_per_event"] = ratio(moves, noticed)
+	metrics["moves_per_event"] = ratio(loadMoves, detected)
 	metrics["cut_off_told"] = float64(len(isolated))
 }
 
-// linkLosses are faults of the links to caches: a site that a director can't reach is as good as lost to it.
+// linkLosses returns the faults of the links to caches that can lose answers, as losses of all sites, because a director
+// cannot reach the sites behind faulty links.
 func (h *history) linkLosses() []siteLoss {
 	var losses []siteLoss
 	for _, ev := range h.events {
-		if ev.Kind != kindLink || ev.Who != "caches" || !ev.harmsLink() {
+		if ev.Kind != kindLink || ev.Who != "caches" || !ev.startsLossyFault() {
 			continue
 		}
 		loss := siteLoss{fault: ev.What, share: 1, from: ev.AtMS, to: forever}
 		for _, later := range h.events {
-			if later.Kind == kindLink && later.Who == ev.Who && later.What == linkWell && later.AtMS > ev.AtMS {
+			if later.Kind == kindLink && later.Who == ev.Who && later.What == faultCleared && later.AtMS > ev.AtMS {
 				loss.to = later.AtMS
 				break
 			}
--- a/internal/checker/sitemetrics_test.go
+++ b/internal/checker/sitemetrics_test.go
@@ -58,23 +58,23 @@
 	return verdict.Metrics
 }
 
-func wantMetrics(t *testing.T, metrics map[string]float64, figures map[string]float64) {
+func wantMetrics(t *testing.T, metrics map[string]float64, want map[string]float64) {
 	t.Helper()
-	for name, x := range figures {
-		if math.Abs(metrics[name]-x) > 1e-6 {
-			t.Errorf("%s: %v, want %v", name, metrics[name], x)
+	for name, wantValue := range want {
+		if math.Abs(metrics[name]-wantValue) > 1e-6 {
+			t.Errorf("%s: %v, want %v", name, metrics[name], wantValue)
 		}
 	}
 }
 
-func TestMetricsOfALostSite(t *testing.T) {
-	lost := func(ms float64, branch string) string {
+func TestSiteLossMetrics(t *testing.T) {
+	refusedDuringLoss := func(ms float64, branch string) string {
 		if branch == "b1" && ms >= 2000 && ms < 6700 {
 			return "refused"
 		}
 		return "served"
 	}
-	metrics := metricsOf(t, siteLossHistory(lost,
+	metrics := metricsOf(t, siteLossHistory(refusedDuringLoss,
 		`{"ms":2300,"kind":"state","who":"d0","site":"b1","what":"lost"}`,
 		`{"ms":6100,"kind":"state","who":"d0","site":"b1","what":"returning"}`,
 		`{"ms":7500,"kind":"state","who":"d1","site":"b2","what":"cut off"}`))
@@ -85,41 +85,41 @@
 		t.Errorf("detected after %v", metrics["detect_ms_p95"])
 	}
 	// Of a site of which half is there, the same is a false alarm.
-	half := strings.Replace(siteLossHistory(lost, `{"ms":2300,"kind":"state","who":"d0","site":"b1","what":"lost"}`),
+	half := strings.Replace(siteLossHistory(refusedDuringLoss, `{"ms":2300,"kind":"state","who":"d0","site":"b1","what":"lost"}`),
 		`"what":"site-kill","value":1`, `"what":"site-kill","value":0.5`, 1)
 	wantMetrics(t, metricsOf(t, half), map[string]float64{"false_alarms": 1, "moves_per_event": 0, "detect_ms_p95": 0})
 	// Nobody notices, and the survivor's cache gets far more than it can do within a second.
-	crowd := make([]string, 0, 300)
+	overload := make([]string, 0, 300)
 	for i := range 300 {
-		crowd = append(
-			crowd,
+		overload = append(
+			overload,
 			fmt.Sprintf(`{"ms":%v,"kind":"source","who":"p1","director":"d1","ref":"x","work":0.05}`, 3000+i),
 		)
 	}
-	metrics = metricsOf(t, siteLossHistory(lost, crowd...))
+	metrics = metricsOf(t, siteLossHistory(refusedDuringLoss, overload...))
 	if metrics["survivor_peak"] < 14.9 || metrics["survivor_peak"] > 15.1 ||
 		metrics["detect_ms_p95"] < undetectedMS*0.99 {
 		t.Errorf("peak %v, detected after %v", metrics["survivor_peak"], metrics["detect_ms_p95"])
 	}
-	// A loss without an end counts to the end, and what is never served again never returns.
-	never := strings.ReplaceAll(siteLossHistory(func(ms float64, branch string) string {
+	// A loss without an end counts to the end, and what is endless served again endless returns.
+	endless := strings.ReplaceAll(siteLossHistory(func(ms float64, branch string) string {
 		if ms >= 2000 {
 			return "refused"
 		}
 		return "served"
 	}), `"kind":"site","who":"b1","what":"back"`, `"kind":"none"`)
-	wantMetrics(t, metricsOf(t, never), map[string]float64{"served_share_loss": 0, "bound_share": 0,
+	wantMetrics(t, metricsOf(t, endless), map[string]float64{"served_share_loss": 0, "bound_share": 0,
 		"repayments_refused_excess": 0})
 }
 
 // The origin bounds what all branches' repayments can get, and a cold cache bears less.
-func TestBoundKnowsTheOriginAndTheCold(t *testing.T) {
-	all := func(float64, string) string { return "served" }
+func TestServableShareBound(t *testing.T) {
+	allServed := func(float64, string) string { return "served" }
 	// Of 20 repayments a second, 10 come from the branch that is there.
-	slow := strings.Replace(siteLossHistory(all), `"value":100}`, `"value":5}`, 1)
-	wantMetrics(t, metricsOf(t, slow), map[string]float64{"served_share_bound": (0.5 + 0.25) / 2})
+	slowOrigin := strings.Replace(siteLossHistory(allServed), `"value":100}`, `"value":5}`, 1)
+	wantMetrics(t, metricsOf(t, slowOrigin), map[string]float64{"served_share_bound": (0.5 + 0.25) / 2})
 	const up = `"what":"up","site":"b2","weight":`
-	cold := strings.Replace(siteLossHistory(all), up+`10`, up+`1,"cold_from":0.25,"ramp":1000000`, 1)
+	cold := strings.Replace(siteLossHistory(allServed), up+`10`, up+`1,"cold_from":0.25,"ramp":1000000`, 1)
 	bound := metricsOf(t, cold)["served_share_bound"]
 	if bound < 0.12 || bound > 0.14 { // 5 of 20 a second, and nothing from the other
 		t.Errorf("bound %v", bound)
@@ -127,8 +127,8 @@
 }
 
 // Without a loss nothing is said of one; a director that can't reach its caches may call them lost.
-func TestNoLossNoSiteMetrics(t *testing.T) {
-	plain := strings.Join([]string{
+func TestLinkFaultMetricsWithoutSiteLoss(t *testing.T) {
+	linkFault := strings.Join([]string{
 		`{"ms":0,"kind":"load","what":"begin"}`,
 		`{"ms":100,"kind":"link","who":"caches","what":"one-way"}`,
 		`{"ms":200,"kind":"state","who":"d0","site":"b1","what":"cut off"}`,
@@ -139,7 +139,7 @@
 	}, "\n")
 	wantMetrics(
 		t,
-		metricsOf(t, plain),
+		metricsOf(t, linkFault),
 		map[string]float64{"false_alarms": 1, "served_share_loss": 0, "detect_ms_p95": 0,
 			"cut_off_told": 1},
 	)
--- a/internal/nettest/nettest.go
+++ b/internal/nettest/nettest.go
@@ -69,12 +69,12 @@
 // newConn wraps a connection, which is closed when the test ends.
 func newConn(t testing.TB, conn net.Conn) *Conn {
 	t.Helper()
-	wrapped := &Conn{t: t, conn: conn, reader: bufio.NewReader(conn)}
-	t.Cleanup(wrapped.Close)
+	c := &Conn{t: t, conn: conn, reader: bufio.NewReader(conn)}
+	t.Cleanup(c.Close)
 	if err := conn.SetDeadline(time.Now().Add(stepTimeout)); err != nil {
 		t.Fatalf("set the deadline of the connection: %v", err)
 	}
-	return wrapped
+	return c
 }
 
 // Dial connects to the program at an address of the form host:port.
--- a/internal/nettest/resp.go
+++ b/internal/nettest/resp.go
@@ -18,13 +18,13 @@
 // ReadCommand reads a RESP array of bulk strings.
 func (c *Conn) ReadCommand() []string {
 	c.t.Helper()
-	words := make([]string, c.readLength("array", respArrayPrefix))
-	for i := range words {
+	elements := make([]string, c.readLength("array", respArrayPrefix))
+	for i := range elements {
 		size := c.readLength("bulk string", respBulkPrefix)
 		content := c.readBytes(size + len(respLineEnd))
-		words[i] = string(content[:size])
+		elements[i] = string(content[:size])
 	}
-	return words
+	return elements
 }
 
 // readLength reads the line that begins an array or a bulk string and returns the length that it gives.
@@ -38,11 +38,11 @@
 }
 
 // WriteArray writes a RESP array of bulk strings.
-func (c *Conn) WriteArray(words ...string) {
+func (c *Conn) WriteArray(elements ...string) {
 	c.t.Helper()
 	var array strings.Builder
-	fmt.Fprintf(&array, "%s%d%s", respArrayPrefix, len(words), respLineEnd)
-	for _, word := range words {
+	fmt.Fprintf(&array, "%s%d%s", respArrayPrefix, len(elements), respLineEnd)
+	for _, word := range elements {
 		fmt.Fprintf(&array, "%s%d%s%s%s", respBulkPrefix, len(word), respLineEnd, word, respLineEnd)
 	}
 	c.Send(array.String())
