--- a/internal/checker/detection.go
+++ b/internal/checker/detection.go
@@ -42,11 +42,12 @@
 }
 
 // detectionDelay returns the time in milliseconds from a loss until a director reported the site as unavailable, and
-// whether the director answered a request during the loss. The delay is 0 if the director had reported the site before
-// the loss and its process was not replaced since, and undetectedMS if the director never reported the site.
+// whether the director answered a request during the loss. The delay is 0 if the director's latest report of the site
+// before the loss was unavailable and no event of the director's process followed until the end of the loss. The delay
+// is at most undetectedMS, which also stands for a director that never reported the site.
 func (h *history) detectionDelay(director string, loss siteLoss) (delay float64, answered bool) {
 	delay = undetectedMS
-	alreadyUnavailable := false // since before this loss, for example because of an earlier loss
+	alreadyUnavailable := false // the director's report before this loss, for example because of an earlier loss
 	for _, ev := range h.events {
 		switch {
 		case ev.AtMS > loss.to:
--- a/internal/checker/discoverymetrics.go
+++ b/internal/checker/discoverymetrics.go
@@ -94,8 +94,9 @@
 	return largest
 }
 
-// peakRatio returns the largest number of calls in one bin, divided by the mean number per bin. The argument holds the
-// times of the calls in milliseconds; it must not be empty, and peakRatio sorts it.
+// peakRatio returns the largest number of calls in one bin, divided by the mean number per bin over the period of the
+// calls, which counts as at least minStartPeriod. The argument holds the times of the calls in milliseconds. It must not
+// be empty, and peakRatio sorts it.
 func peakRatio(calls []float64) float64 {
 	slices.Sort(calls)
 	period := max(minStartPeriod, calls[len(calls)-1]-calls[0])
--- a/internal/checker/history.go
+++ b/internal/checker/history.go
@@ -92,7 +92,7 @@
 	listEvents       []event            // published changes of the endpoint list, and purges
 	deliveries       map[string][]event // by director: list events written to its stream
 	discoveryEvents  map[string][]event // by director: calls of the discovery service, deliveries, stream ends
-	flapped          map[string]bool    // directors with at least one stream that the testbed ended
+	streamsEnded     map[string]bool    // directors with at least one stream that the testbed ended
 	serviceFaults    intervals          // faults of the discovery service or of the links to it
 	clientLinkFaults intervals          // faults of the links between clients and directors
 }
@@ -105,7 +105,7 @@
 		departures:      map[string]event{},
 		deliveries:      map[string][]event{},
 		discoveryEvents: map[string][]event{},
-		flapped:         map[string]bool{},
+		streamsEnded:    map[string]bool{},
 	}
 }
 
@@ -130,7 +130,7 @@
 			h.discoveryEvents[ev.Director] = append(h.discoveryEvents[ev.Director], ev)
 		case kindStream:
 			h.discoveryEvents[ev.Director] = append(h.discoveryEvents[ev.Director], ev)
-			h.flapped[ev.Director] = true
+			h.streamsEnded[ev.Director] = true
 		case kindList:
 			h.indexServiceState(ev)
 		case kindLink:
--- a/internal/checker/metrics.go
+++ b/internal/checker/metrics.go
@@ -16,7 +16,7 @@
 	list_young_ends list_deaf_ms_max`), siteMetricNames...)
 
 const (
-	initialPeriod = 20_000.0 // ms after the start of the load that served_share covers
+	initialPeriod = 20_000.0 // ms after the start of the load whose requests served_share counts
 	settlingTime  = 5_000.0  // ms after the last fault until attempts_after starts to count requests
 
 	maxHistogramMS     = 120_000 // longest time that a histogram records
@@ -53,7 +53,9 @@
 	_ = histogram.RecordValue(int64(max(1, ms)))
 }
 
-// requestMetrics computes the metrics of requests, their outcomes and their attempts. It returns the requests by ref.
+// requestMetrics computes the metrics of requests, their outcomes and their attempts. Served shares divide all served
+// requests, including clients' retries, by the clients' first tries, and are at most 1. requestMetrics returns the
+// requests by ref.
 func (h *history) requestMetrics(metrics map[string]float64) (requests map[string]event) {
 	requests = map[string]event{}
 	var initialFirstTries, initialServed, firstTries, served, refused, attemptCount, requestCount float64
--- a/internal/checker/notification.go
+++ b/internal/checker/notification.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// Limits in milliseconds after which a director counts as notified of an event of the discovery service, at the latest.
+// Times in milliseconds after which a director counts as notified of an event of the discovery service at the latest.
 const (
 	notifyLimit        = 7000.0 // after the event, in all cases
 	notifyAfterBreak   = 2000.0 // after the service reset the director's stream
@@ -15,15 +15,16 @@
 	streamEventsShown = 7 // number of a director's latest stream events that a violation lists
 )
 
-// notifiedAt returns the time from which a director counts as notified of a list event. If the discovery service or the
-// links to it are faulty at the event or within drainLimit after it, that is the time of deliveredAt. Without such a
-// fault, it is the time of streamNotifiedAt for a director with a stream that the testbed ended, and the time of the
-// event itself for any other director, connected or not.
+// notifiedAt returns the time from which a director counts as notified of a list event, which is a published change of
+// the endpoint list or a purge. If the discovery service or the links to it are faulty at the event or within drainLimit
+// after it, notifiedAt returns the result of deliveredAt. Without such a fault, it returns the result of streamNotifiedAt
+// for a director with a stream that the testbed ended, and the time of the event for any other director, connected or
+// not.
 func (h *history) notifiedAt(director string, listEvent event) float64 {
 	if strings.HasSuffix(listEvent.What, "unheard") || h.serviceFaults.overlap(listEvent.AtMS, listEvent.AtMS+drainLimit) {
 		return h.deliveredAt(director, listEvent)
 	}
-	if h.flapped[director] {
+	if h.streamsEnded[director] {
 		return h.streamNotifiedAt(director, listEvent)
 	}
 	return listEvent.AtMS
@@ -85,7 +86,7 @@
 // describeStreams returns a description of a director's latest calls and stream ends up to a time, for the detail of a
 // violation. It returns an empty string if the testbed ended none of the director's streams.
 func (h *history) describeStreams(director string, at float64) string {
-	if !h.flapped[director] {
+	if !h.streamsEnded[director] {
 		return ""
 	}
 	var parts []string
--- a/internal/checker/rules.go
+++ b/internal/checker/rules.go
@@ -28,8 +28,9 @@
 	}
 }
 
-// checkAnswer checks the first answer to a request. No answer is required if the director was unavailable, the links of
-// clients were faulty, or the client left before the deadline.
+// checkAnswer reports a violation if the first answer to a request is missing, late or invalid. No answer is required if
+// the director was unavailable, the links between clients and directors lost data, or the client left before the
+// deadline.
 func (h *history) checkAnswer(request event, verdict *Verdict) {
 	limit := request.TimeoutMS + slack + h.lagAllowance(request.AtMS, request.AtMS+request.TimeoutMS+slack)
 	deadline := request.AtMS + limit
@@ -69,8 +70,8 @@
 	}
 }
 
-// checkDrains reports a violation for each request to a server, as target or as source, that a director sends later than
-// drainLimit after it was notified that the server is draining or gone.
+// checkDrains reports a violation for each use of a server, as target of an attempt or as source of a fill, that a
+// director requests later than drainLimit after the director was notified that the server is draining or gone.
 func (h *history) checkDrains(verdict *Verdict) {
 	drained := map[string]event{}
 	for _, ev := range h.listEvents {
@@ -138,9 +139,10 @@
 }
 
 // checkDepartures reports a violation for each attempt that starts later than departureGrace after its client left. The
-// first allowedDepartures of them are tolerated, because a director may be suspended between the decision for an attempt
-// and the attempt. A further violation is reported if, of the requests without an attempt before their client left, more
-// than a quarter and more than allowedDepartures/2 are sent later than departureLate after that.
+// first allowedDepartures of these attempts are tolerated, because a director may be suspended between the decision for an
+// attempt and the attempt. checkDepartures also reports a violation if, of the requests without an attempt before their
+// client left, more than a quarter and more than allowedDepartures/2 get an attempt later than departureLate after their
+// client left.
 func (h *history) checkDepartures(verdict *Verdict) {
 	var lateAttempts []event
 	attemptedBefore, sentLate := map[string]bool{}, map[string]bool{} // by ref
@@ -187,8 +189,8 @@
 }
 
 // checkStartups reports a violation if more than one in ten processes is not ready within startupLimit of its start. It
-// leaves out processes that another process event, such as a kill or stop, precedes their readiness, and processes that
-// start less than startupLimit before the end of the history.
+// leaves out processes that were ended or suspended before they were ready and within startupLimit, and processes that
+// started less than startupLimit before the end of the history.
 func (h *history) checkStartups(verdict *Verdict) {
 	started, late, who := 0, 0, ""
 	end := h.endMS()
--- a/internal/checker/rules_test.go
+++ b/internal/checker/rules_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// cleanHistory is a record in which everything is as it should be.
+// cleanHistory is a history without violations.
 var cleanHistory = []string{
 	`{"ms":1,"kind":"meta","what":"story","n":2}`,
 	`{"ms":2,"kind":"life","who":"c1","what":"up","class":"edge","weight":10}`,
@@ -32,7 +32,8 @@
 	`{"ms":9010,"kind":"process","who":"d1","what":"gone","class":"killed"}`,
 }
 
-// checkWith judges the clean history with some lines more, in order of time, and without those that hold a text.
+// checkWith checks cleanHistory without the lines that contain omit, if omit is not empty, and with further events. It
+// sorts the lines by time.
 func checkWith(t *testing.T, omit string, events ...string) *Verdict {
 	t.Helper()
 	lines := slices.DeleteFunc(slices.Clone(cleanHistory), func(line string) bool {
@@ -63,29 +64,35 @@
 	lateAnswer           = `{"ms":3030,"kind":"answer","ref":"r2","director":"d0","what":"served","since":900}`
 )
 
+// requestEvent returns the history line for a client's request to d0.
 func requestEvent(ms int, ref string) string {
 	const format = `{"ms":%d,"kind":"ask","ref":%q,"director":"d0","class":"media","object":"o1","allow":1000}`
 	return fmt.Sprintf(format, ms, ref)
 }
 
+// attemptEvent returns the history line for an attempt of d0 at the cache c1.
 func attemptEvent(ms int, ref string) string {
 	const format = `{"ms":%d,"kind":"req","who":"c1","director":"d0","ref":%q,"object":"o1","work":0.02}`
 	return fmt.Sprintf(format, ms, ref)
 }
 
+// answerEvent returns the history line for an answer of d0 to its client.
 func answerEvent(ms int, ref, what string) string {
 	return fmt.Sprintf(`{"ms":%d,"kind":"answer","ref":%q,"director":"d0","what":%q}`, ms, ref, what)
 }
 
+// processEvent returns the history line for a start or signal of a director's process.
 func processEvent(ms int, who, what string) string {
 	return fmt.Sprintf(`{"ms":%d,"kind":"process","who":%q,"what":%q}`, ms, who, what)
 }
 
+// readyEvent returns the history line for a director that became ready after the given milliseconds.
 func readyEvent(ms int, who string, after int) string {
 	return fmt.Sprintf(`{"ms":%d,"kind":"ready","who":%q,"value":%d}`, ms, who, after)
 }
 
-// Each rule broken, and its nearest neighbour that keeps it.
+// TestRules guards against rules that miss a violation or report one where there is none. For each rule it checks
+// histories that violate the rule, and similar histories that just comply with it.
 func TestRules(t *testing.T) {
 	fillsFromTwoDirectors := func(n int) (lines []string) {
 		for i := range n {
@@ -102,29 +109,29 @@
 		return lines
 	}
 	for _, test := range []struct {
-		name, without string
-		more          []string
-		rule          string // "": all is kept
+		name, omit string
+		events     []string
+		rule       string // rule of the expected violation; empty for none
 	}{
-		{"as it should be", "", nil, ""},
-		{"never answered", "", []string{requestEvent(200, "r2")}, "answer"},
-		{"lost", "", []string{requestEvent(200, "r2"), answerEvent(300, "r2", "lost")}, "answer"},
-		{"spoilt", "", []string{requestEvent(200, "r2"), answerEvent(300, "r2", "spoilt")}, "answer"},
-		{"late", "", []string{requestEvent(200, "r2"), answerEvent(1260, "r2", "failed")}, "answer"},
-		{"just in time", "", []string{requestEvent(200, "r2"), answerEvent(1240, "r2", "failed")}, ""},
-		{"late on a machine that lags", "", []string{requestEvent(200, "r2"), `{"ms":1200,"kind":"lag","value":20}`,
+		{"no violations", "", nil, ""},
+		{"no answer", "", []string{requestEvent(200, "r2")}, "answer"},
+		{"lost answer", "", []string{requestEvent(200, "r2"), answerEvent(300, "r2", "lost")}, "answer"},
+		{"corrupt answer", "", []string{requestEvent(200, "r2"), answerEvent(300, "r2", "spoilt")}, "answer"},
+		{"late answer", "", []string{requestEvent(200, "r2"), answerEvent(1260, "r2", "failed")}, "answer"},
+		{"answer just within the limit", "", []string{requestEvent(200, "r2"), answerEvent(1240, "r2", "failed")}, ""},
+		{"late answer within the lag allowance", "", []string{requestEvent(200, "r2"), `{"ms":1200,"kind":"lag","value":20}`,
 			answerEvent(1300, "r2", "failed")}, ""},
-		{"twice", "", []string{answerEvent(300, "r1", "refused")}, "answer"},
-		{"a stray answer", "", []string{`{"ms":300,"kind":"stray","who":"d0","n":3}`}, "answer"},
-		{"lost with its director", "", []string{requestEvent(200, "r2"), processEvent(250, "d0", "kill"),
+		{"answered twice", "", []string{answerEvent(300, "r1", "refused")}, "answer"},
+		{"answer without an open call", "", []string{`{"ms":300,"kind":"stray","who":"d0","n":3}`}, "answer"},
+		{"lost answer of a killed director", "", []string{requestEvent(200, "r2"), processEvent(250, "d0", "kill"),
 			answerEvent(260, "r2", "lost"),
 			`{"ms":265,"kind":"process","who":"d0","what":"gone","class":"killed"}`}, ""},
-		{"lost by a planned stop", "", []string{requestEvent(200, "r2"), processEvent(150, "d0", "term"),
+		{"lost answer in a graceful shutdown", "", []string{requestEvent(200, "r2"), processEvent(150, "d0", "term"),
 			answerEvent(260, "r2", "lost")}, "answer"},
-		{"taken long after a planned stop", "", []string{requestEvent(2200, "r2"),
+		{"request after the shutdown grace", "", []string{requestEvent(2200, "r2"),
 			processEvent(1400, "d0", "term"),
 			answerEvent(2260, "r2", "lost")}, ""},
-		{"late from a stopped one", "", []string{requestEvent(200, "r2"), processEvent(300, "d0", "stop"),
+		{"late answer of a suspended director", "", []string{requestEvent(200, "r2"), processEvent(300, "d0", "stop"),
 			processEvent(5300, "d0", "cont"),
 			answerEvent(5400, "r2", "failed")}, ""},
 		{"ran twice", "", []string{`{"ms":155,"kind":"run","who":"s-origin","ref":"p1"}`}, "repayment"},
@@ -132,50 +139,50 @@
 			[]string{`{"ms":160,"kind":"answer","ref":"p1","director":"d1","what":"refused"}`}, "repayment"},
 		{"ran and failed", `"served","since":150`,
 			[]string{`{"ms":160,"kind":"answer","ref":"p1","director":"d1","what":"failed"}`}, ""},
-		{"to a draining cache", "", []string{drainEvent, attemptEvent(3100, "r2")}, "drain"},
-		{"soon to a draining cache", "", []string{drainEvent, attemptEvent(3040, "r2")}, ""},
-		{"filled from a draining cache", "",
+		{"request to a draining cache", "", []string{drainEvent, attemptEvent(3100, "r2")}, "drain"},
+		{"request to a draining cache within the limit", "", []string{drainEvent, attemptEvent(3040, "r2")}, ""},
+		{"fill from a draining cache", "",
 			[]string{drainEvent, `{"ms":3100,"kind":"source","who":"c1","director":"d0","ref":"r1"}`}, "drain"},
-		{"the drain was not told yet", "", []string{`{"ms":900,"kind":"list","what":"down","value":1}`,
+		{"drain not delivered yet", "", []string{`{"ms":900,"kind":"list","what":"down","value":1}`,
 			`{"ms":1000,"kind":"news","who":"c1","what":"draining unheard","n":2}`, attemptEvent(3100, "r2")}, ""},
-		{"told late, and heeded later still", "", []string{`{"ms":900,"kind":"list","what":"down","value":1}`,
+		{"drain delivered late, request past the limit", "", []string{`{"ms":900,"kind":"list","what":"down","value":1}`,
 			`{"ms":1000,"kind":"news","who":"c1","what":"draining unheard","n":2}`,
 			`{"ms":2000,"kind":"told","director":"d0","n":2}`, attemptEvent(4100, "r2")}, "drain"},
-		{"counts as told after 7 s", "", []string{`{"ms":900,"kind":"list","what":"down","value":1}`,
+		{"drain counts as notified after 7 s", "", []string{`{"ms":900,"kind":"list","what":"down","value":1}`,
 			`{"ms":1000,"kind":"news","who":"c1","what":"draining unheard","n":2}`,
 			`{"ms":10100,"kind":"req","who":"c1","director":"d0","ref":"r1","work":0.02}`}, "drain"},
-		{"started with the drain", "",
+		{"process started after the drain", "",
 			[]string{drainEvent, `{"ms":3000,"kind":"process","who":"d0","what":"start","n":1}`, attemptEvent(3100,
 				"r2")}, ""},
-		{"a cold cache pushed over by two", "", fillsFromTwoDirectors(120), "cold"},
-		{"a cold cache that bears it", "", fillsFromTwoDirectors(90), ""},
-		{"a cold cache pushed over by who was not told", "",
+		{"cold cache overloaded by two directors", "", fillsFromTwoDirectors(120), "cold"},
+		{"cold cache within its budget", "", fillsFromTwoDirectors(90), ""},
+		{"cold cache overloaded by directors not yet notified", "",
 			append(fillsFromTwoDirectors(120), `{"ms":900,"kind":"news","who":"c2","what":"ready","n":2}`), ""},
-		{"an older copy than the purge", "",
+		{"copy older than the purge", "",
 			[]string{purgeEvent, requestEvent(3000, "r2"), attemptEvent(3001, "r2"), staleAnswerFromCache,
 				lateAnswer}, "purge"},
-		{"the purge was just told", "",
+		{"purge just notified", "",
 			[]string{`{"ms":2600,"kind":"news","what":"purge","object":"o1","since":2600,"n":2}`,
 				requestEvent(3000, "r2"), attemptEvent(3001, "r2"), staleAnswerFromCache, lateAnswer}, ""},
-		{"a copy since the purge", "",
+		{"copy newer than the purge", "",
 			[]string{purgeEvent, requestEvent(3000, "r2"), attemptEvent(3001, "r2"),
 				strings.Replace(staleAnswerFromCache, "900", "1001", 1), lateAnswer}, ""},
-		{"begun after its client had gone, three times", "",
+		{"three attempts after the client left", "",
 			[]string{requestEvent(200, "r2"), departure, attemptEvent(361, "r2"), attemptEvent(370, "r2"),
 				attemptEvent(380, "r2")},
 			"left"},
-		{"begun after its client had gone, twice", "",
+		{"two attempts after the client left", "",
 			append([]string{requestEvent(200, "r2"), departure}, attemptEvent(361, "r2"), attemptEvent(370, "r2")), ""},
-		{"begun just after its client had gone", "",
+		{"attempts within the grace after the client left", "",
 			[]string{requestEvent(200, "r2"), departure, attemptEvent(320, "r2"), attemptEvent(340, "r2"),
 				attemptEvent(349, "r2")},
 			""},
-		{"sent on though their clients left as they waited", "",
+		{"two waiting requests sent after their clients left", "",
 			[]string{requestEvent(200, "r2"), departure, attemptEvent(600, "r2"), requestEvent(200, "r3"), thirdDeparture,
 				attemptEvent(600, "r3")}, "left"},
-		{"one of them sent on", "",
+		{"one waiting request sent after its client left", "",
 			[]string{requestEvent(200, "r2"), departure, attemptEvent(600, "r2"), requestEvent(200, "r3"), thirdDeparture}, ""},
-		{"the client of one that is out leaves", "",
+		{"client leaves during an attempt", "",
 			[]string{requestEvent(200, "r2"), attemptEvent(210, "r2"), departure}, ""},
 		{"not ready in time", "",
 			[]string{processEvent(100, "d2", "start"), readyEvent(10200, "d2", 10100), lastEvent}, "ready"},
@@ -183,13 +190,13 @@
 		{"ready in time", "", []string{processEvent(100, "d2", "start"), readyEvent(9900, "d2", 9800), lastEvent}, ""},
 		{"killed before it was ready", "",
 			[]string{processEvent(100, "d2", "start"), processEvent(5000, "d2", "kill"), lastEvent}, ""},
-		{"thirty directors with one call each", "", attemptsFromDistinctDirectors(30, 0.4), "cold"},
-		{"twenty directors with one call each", "", attemptsFromDistinctDirectors(20, 0.4), ""},
-		{"a crash", "", []string{`{"ms":4000,"kind":"process","who":"d1","what":"gone","class":"status 2"}`}, "crash"},
-		{"bad words", "", []string{`{"ms":4000,"kind":"fault","who":"c1","what":"can't use"}`}, "protocol"},
+		{"cold cache overloaded by thirty directors with one attempt each", "", attemptsFromDistinctDirectors(30, 0.4), "cold"},
+		{"cold cache within its budget with twenty directors", "", attemptsFromDistinctDirectors(20, 0.4), ""},
+		{"crash", "", []string{`{"ms":4000,"kind":"process","who":"d1","what":"gone","class":"status 2"}`}, "crash"},
+		{"invalid message", "", []string{`{"ms":4000,"kind":"fault","who":"c1","what":"can't use"}`}, "protocol"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			verdict := checkWith(t, test.without, test.more...)
+			verdict := checkWith(t, test.omit, test.events...)
 			var rules []string
 			for _, violation := range verdict.Violations {
 				rules = append(rules, violation.Rule)
@@ -199,15 +206,17 @@
 				want = []string{test.rule}
 			}
 			if !slices.Equal(rules, want) {
-				t.Errorf("violations %+v, want %q", verdict.Violations, test.rule)
+				t.Errorf("got violations %+v, want rules %q", verdict.Violations, want)
 			}
 		})
 	}
 }
 
+// TestDiscoveryCallMetrics checks the metrics of calls of the discovery service, with a batch of directors whose first
+// calls come at almost the same time and time out.
 func TestDiscoveryCallMetrics(t *testing.T) {
 	var more []string
-	for i := range 20 { // twenty directors that start together and call within 100 ms, half of them twice
+	for i := range 20 { // 20 directors start in one batch and call within 100 ms, half of them twice
 		more = append(more, fmt.Sprintf(`{"ms":%d,"kind":"process","who":"e%d","what":"start"}`, 2000+i, i),
 			fmt.Sprintf(`{"ms":%d,"kind":"call","director":"e%d","what":"timed out","value":100}`, 2200+i, i))
 		if i%2 == 0 {
@@ -218,21 +227,22 @@
 		}
 	}
 	metrics := checkWith(t, "", more...).Metrics
-	if metrics["list_peak_ratio"] < 14 || metrics["list_peak_ratio"] > 16 { // all 20 in one of 15 bins
-		t.Errorf("peak ratio %v, want about 15", metrics["list_peak_ratio"])
+	if metrics["list_peak_ratio"] < 14 || metrics["list_peak_ratio"] > 16 { // all 20 calls fall into one of 15 bins
+		t.Errorf("list_peak_ratio: got %v, want 14 to 16", metrics["list_peak_ratio"])
 	}
 	if got, want := metrics["list_calls_per_start"], 32.0/22; got != want {
-		t.Errorf("%v calls a start, want %v", got, want)
+		t.Errorf("list_calls_per_start: got %v, want %v", got, want)
 	}
 	if metrics["list_timeouts"] != 20 {
-		t.Errorf("%v time-outs, want 20", metrics["list_timeouts"])
+		t.Errorf("list_timeouts: got %v, want 20", metrics["list_timeouts"])
 	}
 	if metrics["served_share"] != 1 || metrics["requests"] != 2 {
-		t.Errorf("served %v of %v", metrics["served_share"], metrics["requests"])
+		t.Errorf("got served_share %v of %v requests, want 1 of 2", metrics["served_share"], metrics["requests"])
 	}
 }
 
-// Only requests that are asked 5 s after the end of the last trouble count, with all their attempts.
+// TestAttemptsAfterFaults checks that attempts_after covers only the requests that come at least 5 s after the end of the
+// last fault, and counts all their attempts.
 func TestAttemptsAfterFaults(t *testing.T) {
 	more := []string{
 		`{"ms":2000,"kind":"step","who":"origin-slow","what":"done"}`,
@@ -246,19 +256,20 @@
 		}
 	}
 	if got := checkWith(t, "", more...).Metrics["attempts_after"]; got != 2 {
-		t.Errorf("%v attempts for a request, want (3+2+1)/3", got)
+		t.Errorf("attempts_after: got %v, want (3+2+1)/3 = 2", got)
 	}
 }
 
-// The share of the largest tenth is held against that of all reads; who left, and repayments, don't count.
+// TestLargeReadsShare checks that large_share is the served share of the largest tenth of the reads, divided by the
+// served share of all reads, and that repayments and requests whose client left do not count.
 func TestLargeReadsShare(t *testing.T) {
 	const reads = 39
 	more := make([]string, 0, 2*reads+2)
 	more = append(more, requestEvent(200, "r2"), departure)
-	for i := range reads { // with r1 40 reads, four of which are the largest
+	for i := range reads { // 40 reads including r1, so the largest tenth are four
 		ref := fmt.Sprintf("b%02d", i)
 		what := "served"
-		if i >= 37 || i%2 == 0 { // of the four largest (35 to 38), one is served
+		if i >= 37 || i%2 == 0 { // one of the four largest (35 to 38) is served
 			what = "refused"
 		}
 		ask := strings.Replace(requestEvent(300, ref), `"allow"`, fmt.Sprintf(`"work":%d,"allow"`, 1+i), 1)
@@ -266,17 +277,17 @@
 	}
 	metrics := checkWith(t, "", more...).Metrics
 	if got, want := metrics["large_share"], (1.0/4)/(19.0/40); got != want {
-		t.Errorf("share of the largest %v, want %v", got, want)
+		t.Errorf("large_share: got %v, want %v", got, want)
 	}
 	if metrics["left"] != 1 {
-		t.Errorf("%v left, want 1", metrics["left"])
+		t.Errorf("left: got %v, want 1", metrics["left"])
 	}
 }
 
 func TestInvalidHistoryIsAnError(t *testing.T) {
 	for _, text := range []string{"{", "{}", `{"ms":"x"}`} {
 		if _, err := Check(strings.NewReader(text)); err == nil || !strings.Contains(err.Error(), "line 1") {
-			t.Errorf("%s: error %v", text, err)
+			t.Errorf("Check(%q): got error %v, want one that names line 1", text, err)
 		}
 	}
 }
--- a/internal/checker/sitemetrics.go
+++ b/internal/checker/sitemetrics.go
@@ -93,8 +93,8 @@
 	metrics["return_ms_90"] = h.recoveryTime(from, to, end)
 }
 
-// outcomesDuring computes the served share of the requests that come within a period, and the refused shares of
-// repayments and of all other requests.
+// outcomesDuring computes the served share of the requests that come within a period, as servedShare does, and the
+// refused shares of repayments and of all other requests.
 func (h *history) outcomesDuring(metrics map[string]float64, from, to float64) {
 	requests := map[string]event{}
 	var firstTries, served, repayments, others, repaymentsRefused, othersRefused float64
@@ -164,9 +164,10 @@
 	return peak
 }
 
-// recoveryTime returns the time in milliseconds from the end of the losses, to, until the served share is at least nine
-// tenths of the share in the baselinePeriod before the first loss, from, in two consecutive bins. If that never happens,
-// it returns the time from to until end.
+// recoveryTime returns the time in milliseconds from the end of the last loss until the served share recovers. The served
+// share has recovered when it is, in two consecutive bins, at least nine tenths of the share in the baselinePeriod before
+// the first loss. The losses last between the times from and to. If the share never recovers, recoveryTime returns the
+// time between to and end.
 func (h *history) recoveryTime(from, to, end float64) float64 {
 	threshold := 0.9 * h.servedShare(max(0, from-baselinePeriod), from)
 	for at := to; at+2*siteBinWidth <= end; at += siteBinWidth {
@@ -177,8 +178,8 @@
 	return max(0, end-to)
 }
 
-// servedShare returns the served share of the first tries of clients within a period, without the clients' retries. It
-// returns 1 if there were none.
+// servedShare returns the number of requests within a period that were served, including clients' retries, divided by the
+// number of the clients' first tries in the period. The result is at most 1, and is 1 if there were no first tries.
 func (h *history) servedShare(from, to float64) float64 {
 	requests := map[string]bool{}
 	var firstTries, served float64
@@ -234,11 +235,11 @@
 
 // branchDemand is the demand of the clients of all branches in a period, without their retries.
 type branchDemand struct {
-	maxWork           float64 // work of the largest attempt
-	requests          float64
-	originPerSecond   float64
-	branches          []string // in the order of their first request
-	reads, repayments map[branchBin]float64
+	maxWork           float64               // work of the largest attempt
+	requests          float64               // number of requests
+	originPerSecond   float64               // capacity of the origin, in requests per second
+	branches          []string              // in the order of their first request
+	reads, repayments map[branchBin]float64 // number of requests
 }
 
 // demandDuring returns the demand between from and to.
@@ -282,7 +283,7 @@
 		}
 	}
 	for _, loss := range losses {
-		// A killed server has an event of its own, which ends its capacity.
+		// The life event of a killed server ends its capacity, so the loss does not count a second time.
 		if loss.site == branch && at >= loss.from && at < loss.to && loss.fault != siteKilled {
 			sum *= 1 - loss.share
 		}
@@ -292,8 +293,8 @@
 
 // capacity is the capacity of a server between its start and its end, in concurrent transfers.
 type capacity struct {
-	from, until float64
-	start       event
+	from, until float64 // ms since the start of the run
+	start       event   // the life event of the start, which holds the weight and the ramp
 }
 
 // at returns the capacity at a time, which ramps up after the start. It is 0 while the server is down.
--- a/internal/checker/sitemetrics_test.go
+++ b/internal/checker/sitemetrics_test.go
@@ -7,9 +7,9 @@
 	"testing"
 )
 
-// siteLossHistory builds the record of two branches with a cache each (10 transfers of 50 ms, so 200 requests a
-// second), a hub and one director a branch. Branch b1 is lost from 2 s to 6 s; each branch is asked for two things
-// every 100 ms.
+// siteLossHistory returns a history of two branches, each with one director and one cache (10 concurrent transfers of
+// 50 ms, so 200 requests per second), and a hub. Branch b1 is lost from 2 s to 6 s. Each branch gets one media request
+// and one repayment every 100 ms for 10 s, whose outcome is the result of served.
 func siteLossHistory(served func(ms float64, branch string) string, more ...string) string {
 	const (
 		ask     = `{"ms":%v,"kind":"ask","ref":"r%d","director":"d%d","site":%q,"class":%q,"allow":2000}`
@@ -49,6 +49,7 @@
 	return strings.Join(lines, "\n")
 }
 
+// metricsOf checks a history and returns its metrics.
 func metricsOf(t *testing.T, text string) map[string]float64 {
 	t.Helper()
 	verdict, err := Check(strings.NewReader(text))
@@ -58,15 +59,18 @@
 	return verdict.Metrics
 }
 
+// wantMetrics reports an error for each metric that differs from its wanted value by more than 1e-6.
 func wantMetrics(t *testing.T, metrics map[string]float64, want map[string]float64) {
 	t.Helper()
 	for name, wantValue := range want {
 		if math.Abs(metrics[name]-wantValue) > 1e-6 {
-			t.Errorf("%s: %v, want %v", name, metrics[name], wantValue)
+			t.Errorf("%s: got %v, want %v", name, metrics[name], wantValue)
 		}
 	}
 }
 
+// TestSiteLossMetrics checks the metrics of a lost site: one that is detected, one that half of the servers survive, one
+// that no director detects while a survivor is overloaded, and one that never ends.
 func TestSiteLossMetrics(t *testing.T) {
 	refusedDuringLoss := func(ms float64, branch string) string {
 		if branch == "b1" && ms >= 2000 && ms < 6700 {
@@ -82,13 +86,13 @@
 		"false_alarms":             1,
 		"repayments_refused_share": 0.5, "others_refused_share": 0.5, "return_ms_90": 1000, "moves_per_event": 3})
 	if metrics["detect_ms_p95"] < 299 || metrics["detect_ms_p95"] > 301 {
-		t.Errorf("detected after %v", metrics["detect_ms_p95"])
+		t.Errorf("detect_ms_p95: got %v, want 299 to 301", metrics["detect_ms_p95"])
 	}
-	// Of a site of which half is there, the same is a false alarm.
+	// The same report is a false alarm if half of the site's servers are available.
 	half := strings.Replace(siteLossHistory(refusedDuringLoss, `{"ms":2300,"kind":"state","who":"d0","site":"b1","what":"lost"}`),
 		`"what":"site-kill","value":1`, `"what":"site-kill","value":0.5`, 1)
 	wantMetrics(t, metricsOf(t, half), map[string]float64{"false_alarms": 1, "moves_per_event": 0, "detect_ms_p95": 0})
-	// Nobody notices, and the survivor's cache gets far more than it can do within a second.
+	// No director detects the loss, and the hub's cache gets 15 times its capacity within a second.
 	overload := make([]string, 0, 300)
 	for i := range 300 {
 		overload = append(
@@ -99,9 +103,9 @@
 	metrics = metricsOf(t, siteLossHistory(refusedDuringLoss, overload...))
 	if metrics["survivor_peak"] < 14.9 || metrics["survivor_peak"] > 15.1 ||
 		metrics["detect_ms_p95"] < undetectedMS*0.99 {
-		t.Errorf("peak %v, detected after %v", metrics["survivor_peak"], metrics["detect_ms_p95"])
+		t.Errorf("got survivor_peak %v and detect_ms_p95 %v, want 14.9 to 15.1 and at least 99%% of undetectedMS", metrics["survivor_peak"], metrics["detect_ms_p95"])
 	}
-	// A loss without an end counts to the end, and what is endless served again endless returns.
+	// A loss that never ends lasts until the end of the load, and the served share never recovers.
 	endless := strings.ReplaceAll(siteLossHistory(func(ms float64, branch string) string {
 		if ms >= 2000 {
 			return "refused"
@@ -112,21 +116,23 @@
 		"repayments_refused_excess": 0})
 }
 
-// The origin bounds what all branches' repayments can get, and a cold cache bears less.
+// TestServableShareBound checks that the bound of the served share takes into account that the origin limits the
+// repayments of all branches, and that a cold cache has a reduced capacity.
 func TestServableShareBound(t *testing.T) {
 	allServed := func(float64, string) string { return "served" }
-	// Of 20 repayments a second, 10 come from the branch that is there.
+	// 10 of the 20 repayments per second come from the available branch, and the origin serves 5 per second.
 	slowOrigin := strings.Replace(siteLossHistory(allServed), `"value":100}`, `"value":5}`, 1)
 	wantMetrics(t, metricsOf(t, slowOrigin), map[string]float64{"served_share_bound": (0.5 + 0.25) / 2})
 	const up = `"what":"up","site":"b2","weight":`
 	cold := strings.Replace(siteLossHistory(allServed), up+`10`, up+`1,"cold_from":0.25,"ramp":1000000`, 1)
 	bound := metricsOf(t, cold)["served_share_bound"]
-	if bound < 0.12 || bound > 0.14 { // 5 of 20 a second, and nothing from the other
-		t.Errorf("bound %v", bound)
+	if bound < 0.12 || bound > 0.14 { // 5 of 20 requests per second in b2, none in b1
+		t.Errorf("served_share_bound: got %v, want 0.12 to 0.14", bound)
 	}
 }
 
-// Without a loss nothing is said of one; a director that can't reach its caches may call them lost.
+// TestLinkFaultMetricsWithoutSiteLoss checks that a history without a site loss has no loss metrics, and that a director
+// which reports a site as lost during a fault of the links to its caches raises no false alarm.
 func TestLinkFaultMetricsWithoutSiteLoss(t *testing.T) {
 	linkFault := strings.Join([]string{
 		`{"ms":0,"kind":"load","what":"begin"}`,
--- a/internal/nettest/fakeconn.go
+++ b/internal/nettest/fakeconn.go
@@ -3,7 +3,7 @@
 import "strings"
 
 // FakeConn is a connection without a socket, for tests that call the program's connection handlers directly. It
-// implements eventloop.Conn: it records what is written, and each write succeeds in full. It is not safe for
+// implements eventloop.Conn. It records all data written, and each write succeeds in full. It is not safe for
 // concurrent use.
 type FakeConn struct {
 	Written     strings.Builder // everything written so far
--- a/internal/nettest/nettest.go
+++ b/internal/nettest/nettest.go
@@ -1,9 +1,9 @@
-// Package nettest is what the tests of the client, cache and discovery sides share: scripted peers on loopback
-// sockets, which a test drives step by step, and a connection without a socket. A step that fails or hangs ends
-// the test.
+// Package nettest provides helpers for the tests of the client, cache and discovery protocols: scripted peers on
+// loopback sockets, which a test drives step by step, and a fake connection without a socket. A step that fails or
+// times out ends the test.
 //
-// The Thrift and RESP codecs in this package are written independently of those of the program, and import
-// nothing from it, so that the two check each other.
+// The Thrift and RESP codecs in this package are independent of the program's codecs and import nothing from the
+// program, so that an error in one codec does not go unnoticed in the other.
 package nettest
 
 import (
@@ -16,8 +16,8 @@
 	"time"
 )
 
-// stepTimeout bounds the wait for a connection and the life of each connection. It only ends a test that hangs:
-// no test passes or fails by how long a step takes within it.
+// stepTimeout limits the wait for a connection and the lifetime of each connection. It only ends tests that hang: no
+// test result depends on how long a step takes within stepTimeout.
 const stepTimeout = 20 * time.Second
 
 // Server is the listener of a scripted peer.
@@ -43,14 +43,14 @@
 
 // Close closes the listener, so that later connection attempts are refused. It may be called more than once.
 func (s *Server) Close() {
-	_ = s.listener.Close() // it fails only where the listener is closed already
+	_ = s.listener.Close() // Close fails only if the listener is closed already
 }
 
 // Accept waits for the next connection and returns it.
 func (s *Server) Accept() *Conn {
 	s.t.Helper()
 	if err := s.listener.SetDeadline(time.Now().Add(stepTimeout)); err != nil {
-		s.t.Fatalf("accept: %v", err)
+		s.t.Fatalf("set the accept deadline: %v", err)
 	}
 	conn, err := s.listener.Accept()
 	if err != nil {
@@ -66,7 +66,7 @@
 	reader *bufio.Reader
 }
 
-// newConn wraps a connection, which is closed when the test ends.
+// newConn wraps conn, limits its lifetime to stepTimeout and closes it when the test ends.
 func newConn(t testing.TB, conn net.Conn) *Conn {
 	t.Helper()
 	c := &Conn{t: t, conn: conn, reader: bufio.NewReader(conn)}
@@ -87,7 +87,7 @@
 	return newConn(t, conn)
 }
 
-// Send writes text as it is.
+// Send writes text to the connection unchanged.
 func (c *Conn) Send(text string) {
 	c.t.Helper()
 	if _, err := io.WriteString(c.conn, text); err != nil {
@@ -95,14 +95,14 @@
 	}
 }
 
-// TrySend writes text as it is and reports whether the connection accepted it.
+// TrySend writes text to the connection unchanged and reports whether the write succeeded.
 func (c *Conn) TrySend(text string) bool {
 	_, err := io.WriteString(c.conn, text)
 	return err == nil
 }
 
-// SetReadBuffer sets the size in bytes of the socket's receive buffer, which bounds what the system accepts
-// before the test reads it.
+// SetReadBuffer sets the size in bytes of the socket's receive buffer, which limits how much data the operating system
+// accepts before the test reads it.
 func (c *Conn) SetReadBuffer(bytes int) {
 	c.t.Helper()
 	if err := c.conn.(*net.TCPConn).SetReadBuffer(bytes); err != nil {
@@ -110,7 +110,7 @@
 	}
 }
 
-// Reset closes the connection so that the other side sees a TCP reset.
+// Reset closes the connection with a TCP reset instead of an orderly close.
 func (c *Conn) Reset() {
 	c.t.Helper()
 	if err := c.conn.(*net.TCPConn).SetLinger(0); err != nil {
@@ -121,37 +121,37 @@
 
 // Close closes the connection. It may be called more than once.
 func (c *Conn) Close() {
-	_ = c.conn.Close() // it fails only where the connection is closed already
+	_ = c.conn.Close() // Close fails only if the connection is closed already
 }
 
-// ReadUntilClose waits until the other side has closed or reset the connection and returns what came before.
+// ReadUntilClose reads until the other side closes or resets the connection, and returns the data read.
 func (c *Conn) ReadUntilClose() string {
 	c.t.Helper()
 	content, err := io.ReadAll(c.reader)
 	var netErr net.Error
 	if errors.As(err, &netErr) && netErr.Timeout() {
-		c.t.Fatal("the connection is still open")
+		c.t.Fatal("timeout: the other side did not close the connection")
 	}
 	return string(content)
 }
 
-// ReadUntilEOF waits until the other side has closed its half of the connection in good order and returns what
-// came before. A reset, which may have discarded a reply, ends the test.
+// ReadUntilEOF reads until the other side closes its half of the connection in order, and returns the data read. A reset
+// ends the test, because it may have discarded a reply.
 func (c *Conn) ReadUntilEOF() string {
 	c.t.Helper()
 	content, err := io.ReadAll(c.reader)
 	if err != nil {
-		c.t.Fatalf("end of the connection: %v", err)
+		c.t.Fatalf("read until EOF: %v", err)
 	}
 	return string(content)
 }
 
-// ReadLine reads a line and returns it without its end.
+// ReadLine reads a line and returns it without the trailing line feed and carriage returns.
 func (c *Conn) ReadLine() string {
 	c.t.Helper()
 	line, err := c.reader.ReadString('\n')
 	if err != nil {
-		c.t.Fatalf("line: %v", err)
+		c.t.Fatalf("read line: %v", err)
 	}
 	return strings.TrimRight(line, "\r\n")
 }
@@ -161,7 +161,7 @@
 	c.t.Helper()
 	content := make([]byte, size)
 	if _, err := io.ReadFull(c.reader, content); err != nil {
-		c.t.Fatalf("read: %v", err)
+		c.t.Fatalf("read %d bytes: %v", size, err)
 	}
 	return content
 }
--- a/internal/nettest/resp.go
+++ b/internal/nettest/resp.go
@@ -6,8 +6,8 @@
 	"strings"
 )
 
-// This file holds the cache side's protocol: RESP, the Redis serialization protocol, of which only arrays of
-// bulk strings are used.
+// This file implements the protocol between the program and the caches: RESP, the Redis serialization protocol, limited
+// to arrays of bulk strings.
 
 const (
 	respArrayPrefix = "*"
@@ -15,7 +15,7 @@
 	respLineEnd     = "\r\n"
 )
 
-// ReadCommand reads a RESP array of bulk strings.
+// ReadCommand reads a RESP array of bulk strings and returns the strings.
 func (c *Conn) ReadCommand() []string {
 	c.t.Helper()
 	elements := make([]string, c.readLength("array", respArrayPrefix))
@@ -27,12 +27,13 @@
 	return elements
 }
 
-// readLength reads the line that begins an array or a bulk string and returns the length that it gives.
+// readLength reads the header line of an array or a bulk string and returns the length in the header. The argument what
+// names the type in failure messages.
 func (c *Conn) readLength(what, prefix string) int {
 	c.t.Helper()
 	length, err := strconv.Atoi(strings.TrimPrefix(c.ReadLine(), prefix))
 	if err != nil {
-		c.t.Fatalf("%s: %v", what, err)
+		c.t.Fatalf("invalid length of the RESP %s: %v", what, err)
 	}
 	return length
 }
--- a/internal/nettest/thrift.go
+++ b/internal/nettest/thrift.go
@@ -5,11 +5,11 @@
 	"testing"
 )
 
-// This file holds the client side's protocol: Apache Thrift's strict binary protocol over the framed transport
-// (thrift-binary-protocol.md and thrift-rpc.md of the Thrift specification), with the three methods of the
-// service: submit, revoke and heartbeat.
+// This file implements the protocol between clients and the program: Apache Thrift's strict binary protocol over the
+// framed transport (thrift-binary-protocol.md and thrift-rpc.md of the Thrift specification), with the three methods of
+// the service: submit, revoke and heartbeat.
 
-// Message types, the last byte of the four that begin a message.
+// Message types, which a message holds in the last byte of its first four bytes.
 const (
 	messageCall      byte = 1
 	messageException byte = 3
@@ -25,11 +25,11 @@
 	typeMap    byte = 13
 )
 
-// revokeSeq is the sequence number of each revoke. It is a oneway call, so no reply repeats the number.
+// revokeSeq is the sequence number of all revoke calls. They are oneway calls, so no reply repeats the number.
 const revokeSeq = 99
 
-// Frame returns a framed message. The message type kind is 1 for a call or 4 for a oneway call; args holds the
-// encoded fields of the argument struct without the stop that ends them.
+// Frame returns a framed message. The message type kind is 1 for a call or 4 for a oneway call. The argument args holds
+// the encoded fields of the argument struct without the terminating stop field.
 func Frame(kind byte, name string, seq int32, args []byte) string {
 	message := []byte{0x80, 1, 0, kind}
 	message = appendString(message, name)
@@ -41,11 +41,11 @@
 	return string(append(frame, message...))
 }
 
-// SubmitFrame returns a call of submit with a body and with request fields, which are given as name and value in
-// turn.
+// SubmitFrame returns the framed message of a submit call with a body and request fields. The argument fields holds
+// alternating names and values.
 func SubmitFrame(seq int32, body string, fields ...string) string {
 	args := appendFieldHeader(nil, typeMap, 1)
-	args = append(args, typeString, typeString) // of the map's keys and values
+	args = append(args, typeString, typeString) // types of the map's keys and values
 	args = appendInt32(args, int32(len(fields)/2))
 	for _, text := range fields {
 		args = appendString(args, text)
@@ -55,6 +55,7 @@
 	return Frame(messageCall, "submit", seq, args)
 }
 
+// appendFieldHeader appends the type and the id that precede a field's value.
 func appendFieldHeader(b []byte, fieldType byte, id int16) []byte {
 	b = append(b, fieldType)
 	return binary.BigEndian.AppendUint16(b, uint16(id))
@@ -64,18 +65,19 @@
 	return binary.BigEndian.AppendUint32(b, uint32(value))
 }
 
+// appendString appends a string with its length as a 32-bit prefix.
 func appendString(b []byte, text string) []byte {
 	b = appendInt32(b, int32(len(text)))
 	return append(b, text...)
 }
 
-// Submit sends a call of submit, as SubmitFrame builds it. It does not wait for the reply.
+// Submit sends the submit call that SubmitFrame returns. It does not wait for the reply.
 func (c *Conn) Submit(seq int32, body string, fields ...string) {
 	c.t.Helper()
 	c.Send(SubmitFrame(seq, body, fields...))
 }
 
-// Revoke cancels the request that was submitted with the sequence number seq.
+// Revoke sends a call that cancels the request submitted with the sequence number seq.
 func (c *Conn) Revoke(seq int32) {
 	c.t.Helper()
 	args := appendFieldHeader(nil, typeI32, 1)
@@ -83,7 +85,8 @@
 	c.Send(Frame(messageOneway, "revoke", revokeSeq, args))
 }
 
-// Heartbeat asks whether the program is ready and returns the next message, which tells it in Good.
+// Heartbeat sends a heartbeat call and returns the next message. The message's Good field reports whether the program is
+// ready.
 func (c *Conn) Heartbeat(seq int32) Reply {
 	c.t.Helper()
 	args := appendFieldHeader(nil, typeBool, 1)
@@ -94,12 +97,12 @@
 
 // Reply is a decoded message from the program.
 type Reply struct {
-	Seq         int32             // sequence number of the call that it answers
-	Application bool              // an application exception; none of the fields below is set then
-	Field       int16             // field id in the result struct: 0 an Answer, 1 refused, 2 failed
-	Body        string            // of an Answer
-	Fields      map[string]string // string map of an Answer or a declared exception; nil where it has no entry
-	Good        bool              // the boolean of an Answer; in that of heartbeat: the program is ready
+	Seq         int32             // sequence number of the call that the message answers
+	Application bool              // whether it is an application exception; the fields below are not set then
+	Field       int16             // field id in the result struct: 0 for an Answer, 1 for refused, 2 for failed
+	Body        string            // body of an Answer
+	Fields      map[string]string // string map of an Answer or a declared exception; nil if it has no entries
+	Good        bool              // boolean of an Answer; for a heartbeat, whether the program is ready
 }
 
 // ReadReply reads and decodes the next message.
@@ -110,8 +113,8 @@
 	return decoder.reply()
 }
 
-// TryReadReply reads and decodes the next message. It returns false if the other side has ended the connection
-// instead of sending one.
+// TryReadReply reads and decodes the next message. It returns false if the other side closed the connection instead of
+// sending a message.
 func (c *Conn) TryReadReply() (Reply, bool) {
 	c.t.Helper()
 	if _, err := c.reader.Peek(1); err != nil {
@@ -120,7 +123,7 @@
 	return c.ReadReply(), true
 }
 
-// replyDecoder takes values off the beginning of a message. A message that is malformed ends the test.
+// replyDecoder decodes a message from its first byte to its last. A malformed message ends the test.
 type replyDecoder struct {
 	t    testing.TB
 	rest []byte
@@ -130,7 +133,7 @@
 func (d *replyDecoder) reply() Reply {
 	d.t.Helper()
 	version := d.take(4)
-	d.text() // the name of the method, which the sequence number tells already
+	d.text() // the name of the method, which the sequence number identifies as well
 	reply := Reply{Seq: int32(d.int32())}
 	if version[3] == messageException {
 		reply.Application = true
@@ -140,13 +143,13 @@
 	reply.Field = int16(binary.BigEndian.Uint16(d.take(2)))
 	d.resultFields(&reply)
 	if d.take(1)[0] != typeStop || len(d.rest) != 0 {
-		d.t.Fatalf("%d bytes behind the answer", len(d.rest))
+		d.t.Fatalf("invalid end of the result struct, with %d bytes left", len(d.rest))
 	}
 	return reply
 }
 
-// resultFields decodes the fields of an Answer or of a declared exception, up to their stop. Each type occurs at
-// most once in these structs, so the type alone tells which field it is.
+// resultFields decodes the fields of an Answer or of a declared exception, up to the stop field. Each type occurs at most
+// once in these structs, so the type alone identifies the field.
 func (d *replyDecoder) resultFields(reply *Reply) {
 	d.t.Helper()
 	for {
@@ -163,12 +166,12 @@
 		case typeBool:
 			reply.Good = d.take(1)[0] == 1
 		default:
-			d.t.Fatalf("field of type %d in an answer", fieldType)
+			d.t.Fatalf("unexpected field type %d in the result struct", fieldType)
 		}
 	}
 }
 
-// mapEntries decodes a map from string to string into the reply's Fields, which stay nil for an empty map.
+// mapEntries decodes a map from string to string into reply.Fields, which stays nil for an empty map.
 func (d *replyDecoder) mapEntries(reply *Reply) {
 	d.t.Helper()
 	d.take(2) // the types of keys and values
@@ -181,6 +184,7 @@
 	}
 }
 
+// text decodes a string.
 func (d *replyDecoder) text() string {
 	d.t.Helper()
 	size := d.int32()
@@ -196,7 +200,7 @@
 func (d *replyDecoder) take(size int) []byte {
 	d.t.Helper()
 	if size < 0 || size > len(d.rest) {
-		d.t.Fatalf("message cut short")
+		d.t.Fatalf("truncated message: need %d bytes, have %d", size, len(d.rest))
 	}
 	taken := d.rest[:size]
 	d.rest = d.rest[size:]
