--- a/internal/checker/coldbudget.go
+++ b/internal/checker/coldbudget.go
@@ -12,10 +12,10 @@
 	violated bool    // a violation was reported for this start
 }
 
-// checkColdBudgets reports a violation if all directors together send a cold server more work within its overload window
-// than its reduced capacity allows, unless more than a third of that work came from directors that were not yet notified
-// of the server's start. Each start of a server is reported at most once. The result is the largest fraction of a budget
-// that was used in any window, including windows without a violation.
+// checkColdBudgets reports a violation if all directors together send a cold server more work within its overload
+// window than its reduced capacity allows, unless more than a third of that work came from directors that were not yet
+// notified of the server's start. Each start of a server is reported at most once. The result is the largest fraction
+// of a budget that was used in any window, including windows without a violation.
 func (h *history) checkColdBudgets(verdict *Verdict) (worst float64) {
 	cold := map[string]*coldServer{}
 	ready := h.readyEvents()
--- a/internal/checker/discoverymetrics.go
+++ b/internal/checker/discoverymetrics.go
@@ -10,9 +10,10 @@
 	youngStreamAge   = 3_000.0 // ms; a stream that ends at a lower age counts in list_young_ends
 )
 
-// streamMetrics counts purges and the streams that the testbed ended before youngStreamAge. It also measures the longest
-// time in milliseconds that a director was without a stream after the testbed had ended its stream. That time lasts
-// until the discovery service serves a call of the director or the load ends; it is not counted if the process ends.
+// streamMetrics counts purges and the streams that the testbed ended before youngStreamAge. It also measures the
+// longest time in milliseconds that a director was without a stream after the testbed had ended its stream. That time
+// lasts until the discovery service serves a call of the director or the load ends; it is not counted if the process
+// ends.
 func (h *history) streamMetrics(metrics map[string]float64) {
 	disconnectedSince := map[string]float64{} // by director
 	endDisconnection := func(director string, at float64) {
@@ -42,8 +43,9 @@
 	}
 }
 
-// discoveryMetrics counts the calls of the discovery service and their timeouts. It computes the mean number of calls per
-// process start and, for the largest batch of starts, the ratio of the peak rate of first calls to their mean rate.
+// discoveryMetrics counts the calls of the discovery service and their timeouts. It computes the mean number of calls
+// per process start and, for the largest batch of starts, the ratio of the peak rate of first calls to their mean
+// rate.
 func (h *history) discoveryMetrics(metrics map[string]float64) {
 	var starts []event
 	calls := map[string][]float64{} // times, by director
@@ -95,8 +97,8 @@
 }
 
 // peakRatio returns the largest number of calls in one bin, divided by the mean number per bin over the period of the
-// calls, which counts as at least minStartPeriod. The argument holds the times of the calls in milliseconds. It must not
-// be empty, and peakRatio sorts it.
+// calls, which counts as at least minStartPeriod. The argument holds the times of the calls in milliseconds. It must
+// not be empty, and peakRatio sorts it.
 func peakRatio(calls []float64) float64 {
 	slices.Sort(calls)
 	period := max(minStartPeriod, calls[len(calls)-1]-calls[0])
--- a/internal/checker/history.go
+++ b/internal/checker/history.go
@@ -48,8 +48,8 @@
 	forever = 1e15 // ms; a time later than any event, for periods that have not ended
 )
 
-// event is one line of a history. Which fields are set depends on the kind. Times are in milliseconds since the start of
-// the run.
+// event is one line of a history. Which fields are set depends on the kind. Times are in milliseconds since the start
+// of the run.
 type event struct {
 	AtMS      float64 `json:"ms"`
 	Kind      string  `json:"kind"`
@@ -76,8 +76,8 @@
 	Multiple float64 `json:"multiple"`
 }
 
-// startsLossyFault reports whether a link event begins a fault that can lose answers. Delayed links and links that
-// forward data in small pieces ("drip") lose none.
+// startsLossyFault reports whether a link event begins a fault that can lose answers. Links that delay data or forward
+// it one byte at a time ("drip") lose none.
 func (e event) startsLossyFault() bool {
 	return e.What != faultCleared && e.What != "delay" && e.What != "drip"
 }
@@ -149,10 +149,10 @@
 	h.answers[ev.Ref] = ev
 }
 
-// indexServiceState records a change of the discovery service's state. Only a healthy service with its full capacity,
-// which is a Value of 0 or 1, counts as free of faults.
+// indexServiceState records a change of the discovery service's state. The service counts as faulty unless it is
+// healthy and has its full capacity. Value is the capacity factor, where 0 stands for a factor that is not set.
 func (h *history) indexServiceState(ev event) {
-	if ev.What == "break" { // it resets the streams once and the service keeps working
+	if ev.What == "break" { // a break resets the streams once, and the service keeps working
 		return
 	}
 	const key = "service"
@@ -163,7 +163,8 @@
 	}
 }
 
-// indexLinkState records a change of the links to the discovery service or of the links of clients.
+// indexLinkState records a change of the links between directors and the discovery service, or between clients and
+// directors.
 func (h *history) indexLinkState(ev event) {
 	var faults *intervals
 	switch ev.Who {
@@ -211,8 +212,8 @@
 	return slices.ContainsFunc(s.list, func(i interval) bool { return i.from <= to && i.to >= from })
 }
 
-// lagAllowance returns by how many milliseconds limits are extended between from and to: a multiple of the largest delay
-// of the testbed's own timers within margin of that period.
+// lagAllowance returns by how many milliseconds a limit between from and to is extended: a multiple of the largest
+// delay of the testbed's own timers within margin of that period.
 func (h *history) lagAllowance(from, to float64) float64 {
 	const (
 		lagFactor = 3.0
--- a/internal/checker/metrics.go
+++ b/internal/checker/metrics.go
@@ -47,8 +47,8 @@
 	return hdrhistogram.New(1, maxHistogramMS, significantFigures)
 }
 
-// record adds a time in milliseconds to a histogram. A time below 1 ms counts as 1 ms; a time above the histogram's range
-// is ignored.
+// record adds a time in milliseconds to a histogram. A time below 1 ms counts as 1 ms; a time above the histogram's
+// range is ignored.
 func record(histogram *hdrhistogram.Histogram, ms float64) {
 	_ = histogram.RecordValue(int64(max(1, ms)))
 }
@@ -122,8 +122,8 @@
 	metrics["origin_fetches_per_object"] = ratio(fetches, float64(len(objects)))
 }
 
-// processMetrics measures the time from the start of a process until it is ready, and the largest delay of the testbed's
-// own timers.
+// processMetrics measures the time from the start of a process until it is ready, and the largest delay of the
+// testbed's own timers.
 func (h *history) processMetrics(metrics map[string]float64) {
 	readyTimes := newHistogram()
 	for _, ev := range h.events {
@@ -161,8 +161,8 @@
 	return ratio(servedShare(reads[:len(reads)/10]), servedShare(reads))
 }
 
-// attemptsAfterFaults returns the mean number of attempts per request, over the requests that come at least settlingTime
-// after the last fault.
+// attemptsAfterFaults returns the mean number of attempts per request, over the requests that come at least
+// settlingTime after the last fault.
 func (h *history) attemptsAfterFaults(requests map[string]event) float64 {
 	lastFault, attemptCount, requestCount := 0.0, 0.0, 0.0
 	for _, ev := range h.events {
--- a/internal/checker/notification.go
+++ b/internal/checker/notification.go
@@ -16,12 +16,13 @@
 )
 
 // notifiedAt returns the time from which a director counts as notified of a list event, which is a published change of
-// the endpoint list or a purge. If the discovery service or the links to it are faulty at the event or within drainLimit
-// after it, notifiedAt returns the result of deliveredAt. Without such a fault, it returns the result of streamNotifiedAt
-// for a director with a stream that the testbed ended, and the time of the event for any other director, connected or
-// not.
+// the endpoint list or a purge. If the discovery service or the links to it are faulty at the event or within
+// drainLimit after it, notifiedAt returns the result of deliveredAt. Without such a fault, it returns the result of
+// streamNotifiedAt for a director with a stream that the testbed ended, and the time of the event for any other
+// director, connected or not.
 func (h *history) notifiedAt(director string, listEvent event) float64 {
-	if strings.HasSuffix(listEvent.What, "unheard") || h.serviceFaults.overlap(listEvent.AtMS, listEvent.AtMS+drainLimit) {
+	if strings.HasSuffix(listEvent.What, "unheard") ||
+		h.serviceFaults.overlap(listEvent.AtMS, listEvent.AtMS+drainLimit) {
 		return h.deliveredAt(director, listEvent)
 	}
 	if h.streamsEnded[director] {
@@ -48,11 +49,11 @@
 // of the event over a new stream, and notifyLimit after the event.
 func (h *history) streamNotifiedAt(director string, listEvent event) float64 {
 	limit := listEvent.AtMS + notifyLimit
-	disconnected, excusedUntil := false, 0.0 // without a stream, and the end of its grace period
-	streamEnded := func(ev event) {          // starts the grace period of the stream that ended
-		disconnected, excusedUntil = true, ev.AtMS+notifyAfterBreak
+	disconnected, graceEnd := false, 0.0 // without a stream, and the end of its grace period
+	streamEnded := func(ev event) {      // starts the grace period of the stream that ended
+		disconnected, graceEnd = true, ev.AtMS+notifyAfterBreak
 		if ev.What == "silent" {
-			excusedUntil = ev.AtMS + notifyAfterSilence
+			graceEnd = ev.AtMS + notifyAfterSilence
 		}
 	}
 	for _, ev := range h.discoveryEvents[director] {
@@ -65,7 +66,7 @@
 			}
 			continue
 		}
-		if disconnected && ev.AtMS >= excusedUntil {
+		if disconnected && ev.AtMS >= graceEnd {
 			break // the grace period ended before this event
 		}
 		switch {
@@ -73,14 +74,15 @@
 			return min(ev.AtMS, limit)
 		case ev.Kind == kindTold && ev.Number >= listEvent.Number:
 			return listEvent.AtMS
-		case ev.Kind == kindStream && ev.Number <= listEvent.Number && (disconnected || ev.AtMS <= listEvent.AtMS+inFlightWindow):
+		case ev.Kind == kindStream && ev.Number <= listEvent.Number &&
+			(disconnected || ev.AtMS <= listEvent.AtMS+inFlightWindow):
 			streamEnded(ev) // the stream ended before it delivered the list event
 		}
 	}
 	if !disconnected {
 		return listEvent.AtMS
 	}
-	return min(max(excusedUntil, listEvent.AtMS), limit)
+	return min(max(graceEnd, listEvent.AtMS), limit)
 }
 
 // describeStreams returns a description of a director's latest calls and stream ends up to a time, for the detail of a
--- a/internal/checker/notification_test.go
+++ b/internal/checker/notification_test.go
@@ -48,18 +48,24 @@
 	}
 }
 
-// TestNotificationAfterEndedStreams guards against a wrong notification time for a director whose streams the discovery
-// service ends. Each case checks an attempt just within and one just past the limit that follows from the expected time.
-// If the checker's time is too early, the first attempt is a violation; if it is too late, the second is none. The
-// violation's detail must hold the time since the notification.
+// TestNotificationAfterEndedStreams guards against a wrong notification time for a director whose streams the
+// discovery service ends. Each case checks an attempt just within and one just past the limit that follows from the
+// expected time. If the checker's time is too early, the first attempt is a violation; if it is too late, the second
+// is none. The violation's detail must hold the time since the notification.
 func TestNotificationAfterEndedStreams(t *testing.T) {
 	for _, test := range []struct {
 		name       string
 		notifiedAt int // ms; when the director counts as notified of the purge
 		events     []string
 	}{
-		{"2 s after a break", 7000, []string{streamEndEvent(5000, "d0", "break", 2, 4960), purgeEventAt(5100, 2)}},
-		{"4 s after a silent end", 9000, []string{streamEndEvent(5000, "d0", "silent", 2, 4960), purgeEventAt(5100, 2)}},
+		{"2 s after a break", 7000, []string{
+			streamEndEvent(5000, "d0", "break", 2, 4960),
+			purgeEventAt(5100, 2),
+		}},
+		{"4 s after a silent end", 9000, []string{
+			streamEndEvent(5000, "d0", "silent", 2, 4960),
+			purgeEventAt(5100, 2),
+		}},
 		{"delivered by a new call after a break", 5610, []string{
 			streamEndEvent(5000, "d0", "break", 2, 4960),
 			purgeEventAt(5100, 2),
@@ -91,7 +97,10 @@
 			callEvent(11000, "served"),
 			streamEndEvent(11001, "d0", "silent", 2, 1),
 		}},
-		{"a partial event does not notify", 7101, []string{purgeEventAt(5100, 2), streamEndEvent(5101, "d0", "half", 2, 5061)}},
+		{"a partial event does not notify", 7101, []string{
+			purgeEventAt(5100, 2),
+			streamEndEvent(5101, "d0", "half", 2, 5061),
+		}},
 		{"a partial event after a new call", 8001, []string{
 			streamEndEvent(5000, "d0", "break", 2, 4960),
 			purgeEventAt(5100, 2),
@@ -146,7 +155,8 @@
 	}
 }
 
-// TestDrainAfterEndedStream checks that a drain, like a purge, counts as notified 2 s after the director's stream broke.
+// TestDrainAfterEndedStream checks that a drain, like a purge, counts as notified 2 s after the director's stream
+// broke.
 func TestDrainAfterEndedStream(t *testing.T) {
 	more := []string{
 		streamEndEvent(5000, "d0", "break", 2, 4960),
--- a/internal/checker/rules.go
+++ b/internal/checker/rules.go
@@ -28,8 +28,8 @@
 	}
 }
 
-// checkAnswer reports a violation if the first answer to a request is missing, late or invalid. No answer is required if
-// the director was unavailable, the links between clients and directors lost data, or the client left before the
+// checkAnswer reports a violation if the first answer to a request is missing, late or invalid. No answer is required
+// if the director was unavailable, the links between clients and directors lost data, or the client left before the
 // deadline.
 func (h *history) checkAnswer(request event, verdict *Verdict) {
 	limit := request.TimeoutMS + slack + h.lagAllowance(request.AtMS, request.AtMS+request.TimeoutMS+slack)
@@ -96,9 +96,9 @@
 	}
 }
 
-// checkPurges reports a violation for each attempt that is answered from a copy older than a purge, although the attempt
-// was made later than purgeLimit after the director was notified of the purge. It returns the number of attempts made
-// after a purge, notified or not, that were answered from an older copy.
+// checkPurges reports a violation for each attempt that is answered from a copy older than a purge, although the
+// attempt was made later than purgeLimit after the director was notified of the purge. It returns the number of
+// attempts made after a purge, notified or not, that were answered from an older copy.
 func (h *history) checkPurges(verdict *Verdict) (staleCopies int) {
 	type attemptKey struct{ ref, server string }
 	attempts := map[attemptKey]event{} // the latest attempt of a request at a server
@@ -116,8 +116,9 @@
 	return staleCopies
 }
 
-// checkCopy compares the age of the copy in one answer of a server with all purges of the object, and reports violations
-// as checkPurges describes. The result reports whether the copy is older than a purge that came before the attempt.
+// checkCopy compares the age of the copy in one answer of a server with all purges of the object, and reports
+// violations as checkPurges describes. The result reports whether the copy is older than a purge that came before the
+// attempt.
 func (h *history) checkCopy(done, attempt event, object string, verdict *Verdict) (stale bool) {
 	for _, listEvent := range h.listEvents {
 		if listEvent.Object == "" || listEvent.Object != object || done.Since >= listEvent.Since {
@@ -138,11 +139,11 @@
 	return stale
 }
 
-// checkDepartures reports a violation for each attempt that starts later than departureGrace after its client left. The
-// first allowedDepartures of these attempts are tolerated, because a director may be suspended between the decision for an
-// attempt and the attempt. checkDepartures also reports a violation if, of the requests without an attempt before their
-// client left, more than a quarter and more than allowedDepartures/2 get an attempt later than departureLate after their
-// client left.
+// checkDepartures reports a violation for each attempt that starts later than departureGrace after its client left.
+// The first allowedDepartures of these attempts are tolerated, because a director may be suspended between the
+// decision for an attempt and the attempt. checkDepartures also reports a violation if, of the requests without an
+// attempt before their client left, more than a quarter and more than allowedDepartures/2 get an attempt later than
+// departureLate after their client left.
 func (h *history) checkDepartures(verdict *Verdict) {
 	var lateAttempts []event
 	attemptedBefore, sentLate := map[string]bool{}, map[string]bool{} // by ref
@@ -220,8 +221,8 @@
 	}
 }
 
-// checkProtocol reports a violation for each message of a director that is invalid, and for each process that ends during
-// the load without a signal of the testbed.
+// checkProtocol reports a violation for each message of a director that is invalid, and for each process that ends
+// during the load without a signal of the testbed.
 func (h *history) checkProtocol(verdict *Verdict) {
 	for _, ev := range h.events {
 		if ev.Kind == kindFault {
--- a/internal/checker/rules_test.go
+++ b/internal/checker/rules_test.go
@@ -59,7 +59,7 @@
 	purgeEvent           = `{"ms":1000,"kind":"news","what":"purge","object":"o1","since":1000,"n":2}`
 	staleAnswerFromCache = `{"ms":3021,"kind":"done","who":"c1","director":"d0","ref":"r2","what":"OK","since":900}`
 	departure            = `{"ms":250,"kind":"leave","ref":"r2","director":"d0","what":"close"}`
-	thirdDeparture       = `{"ms":250,"kind":"leave","ref":"r3","director":"d0","what":"cancel"}`
+	departureOfR3        = `{"ms":250,"kind":"leave","ref":"r3","director":"d0","what":"cancel"}`
 	lastEvent            = `{"ms":20000,"kind":"lag","value":0}`
 	lateAnswer           = `{"ms":3030,"kind":"answer","ref":"r2","director":"d0","what":"served","since":900}`
 )
@@ -119,7 +119,8 @@
 		{"corrupt answer", "", []string{requestEvent(200, "r2"), answerEvent(300, "r2", "spoilt")}, "answer"},
 		{"late answer", "", []string{requestEvent(200, "r2"), answerEvent(1260, "r2", "failed")}, "answer"},
 		{"answer just within the limit", "", []string{requestEvent(200, "r2"), answerEvent(1240, "r2", "failed")}, ""},
-		{"late answer within the lag allowance", "", []string{requestEvent(200, "r2"), `{"ms":1200,"kind":"lag","value":20}`,
+		{"late answer within the lag allowance", "", []string{requestEvent(200, "r2"),
+			`{"ms":1200,"kind":"lag","value":20}`,
 			answerEvent(1300, "r2", "failed")}, ""},
 		{"answered twice", "", []string{answerEvent(300, "r1", "refused")}, "answer"},
 		{"answer without an open call", "", []string{`{"ms":300,"kind":"stray","who":"d0","n":3}`}, "answer"},
@@ -145,7 +146,8 @@
 			[]string{drainEvent, `{"ms":3100,"kind":"source","who":"c1","director":"d0","ref":"r1"}`}, "drain"},
 		{"drain not delivered yet", "", []string{`{"ms":900,"kind":"list","what":"down","value":1}`,
 			`{"ms":1000,"kind":"news","who":"c1","what":"draining unheard","n":2}`, attemptEvent(3100, "r2")}, ""},
-		{"drain delivered late, request past the limit", "", []string{`{"ms":900,"kind":"list","what":"down","value":1}`,
+		{"drain delivered late, request past the limit", "", []string{
+			`{"ms":900,"kind":"list","what":"down","value":1}`,
 			`{"ms":1000,"kind":"news","who":"c1","what":"draining unheard","n":2}`,
 			`{"ms":2000,"kind":"told","director":"d0","n":2}`, attemptEvent(4100, "r2")}, "drain"},
 		{"drain counts as notified after 7 s", "", []string{`{"ms":900,"kind":"list","what":"down","value":1}`,
@@ -178,10 +180,11 @@
 				attemptEvent(349, "r2")},
 			""},
 		{"two waiting requests sent after their clients left", "",
-			[]string{requestEvent(200, "r2"), departure, attemptEvent(600, "r2"), requestEvent(200, "r3"), thirdDeparture,
-				attemptEvent(600, "r3")}, "left"},
+			[]string{requestEvent(200, "r2"), departure, attemptEvent(600, "r2"), requestEvent(200, "r3"),
+				departureOfR3, attemptEvent(600, "r3")}, "left"},
 		{"one waiting request sent after its client left", "",
-			[]string{requestEvent(200, "r2"), departure, attemptEvent(600, "r2"), requestEvent(200, "r3"), thirdDeparture}, ""},
+			[]string{requestEvent(200, "r2"), departure, attemptEvent(600, "r2"), requestEvent(200, "r3"),
+				departureOfR3}, ""},
 		{"client leaves during an attempt", "",
 			[]string{requestEvent(200, "r2"), attemptEvent(210, "r2"), departure}, ""},
 		{"not ready in time", "",
@@ -190,7 +193,8 @@
 		{"ready in time", "", []string{processEvent(100, "d2", "start"), readyEvent(9900, "d2", 9800), lastEvent}, ""},
 		{"killed before it was ready", "",
 			[]string{processEvent(100, "d2", "start"), processEvent(5000, "d2", "kill"), lastEvent}, ""},
-		{"cold cache overloaded by thirty directors with one attempt each", "", attemptsFromDistinctDirectors(30, 0.4), "cold"},
+		{"cold cache overloaded by thirty directors with one attempt each", "",
+			attemptsFromDistinctDirectors(30, 0.4), "cold"},
 		{"cold cache within its budget with twenty directors", "", attemptsFromDistinctDirectors(20, 0.4), ""},
 		{"crash", "", []string{`{"ms":4000,"kind":"process","who":"d1","what":"gone","class":"status 2"}`}, "crash"},
 		{"invalid message", "", []string{`{"ms":4000,"kind":"fault","who":"c1","what":"can't use"}`}, "protocol"},
@@ -241,8 +245,8 @@
 	}
 }
 
-// TestAttemptsAfterFaults checks that attempts_after covers only the requests that come at least 5 s after the end of the
-// last fault, and counts all their attempts.
+// TestAttemptsAfterFaults checks that attempts_after covers only the requests that come at least 5 s after the end of
+// the last fault, and counts all their attempts.
 func TestAttemptsAfterFaults(t *testing.T) {
 	more := []string{
 		`{"ms":2000,"kind":"step","who":"origin-slow","what":"done"}`,
--- a/internal/checker/sitemetrics.go
+++ b/internal/checker/sitemetrics.go
@@ -133,8 +133,8 @@
 }
 
 // survivorPeak returns the largest load of any server in one peakWindow, as a multiple of the server's capacity. It
-// counts the work that a server gets during the loss of another site but not of its own. Each loss extends to alarmGrace
-// after its end.
+// counts the work that a server gets during the loss of another site but not of its own. Each loss extends to
+// alarmGrace after its end.
 func (h *history) survivorPeak(losses []siteLoss) float64 {
 	capacities := h.capacities()
 	type key struct {
@@ -164,22 +164,24 @@
 	return peak
 }
 
-// recoveryTime returns the time in milliseconds from the end of the last loss until the served share recovers. The served
-// share has recovered when it is, in two consecutive bins, at least nine tenths of the share in the baselinePeriod before
-// the first loss. The losses last between the times from and to. If the share never recovers, recoveryTime returns the
-// time between to and end.
+// recoveryTime returns the time in milliseconds from the end of the last loss until the served share recovers. The
+// served share has recovered when it is, in two consecutive bins, at least nine tenths of the share in the
+// baselinePeriod before the first loss. The losses last between the times from and to. If the share never recovers,
+// recoveryTime returns the time between to and end.
 func (h *history) recoveryTime(from, to, end float64) float64 {
 	threshold := 0.9 * h.servedShare(max(0, from-baselinePeriod), from)
 	for at := to; at+2*siteBinWidth <= end; at += siteBinWidth {
-		if h.servedShare(at, at+siteBinWidth) >= threshold && h.servedShare(at+siteBinWidth, at+2*siteBinWidth) >= threshold {
+		if h.servedShare(at, at+siteBinWidth) >= threshold &&
+			h.servedShare(at+siteBinWidth, at+2*siteBinWidth) >= threshold {
 			return at - to
 		}
 	}
 	return max(0, end-to)
 }
 
-// servedShare returns the number of requests within a period that were served, including clients' retries, divided by the
-// number of the clients' first tries in the period. The result is at most 1, and is 1 if there were no first tries.
+// servedShare returns the number of requests within a period that were served, including clients' retries, divided by
+// the number of the clients' first tries in the period. The result is at most 1, and is 1 if there were no first
+// tries.
 func (h *history) servedShare(from, to float64) float64 {
 	requests := map[string]bool{}
 	var firstTries, served float64
@@ -326,8 +328,8 @@
 }
 
 // alarmMetrics counts false alarms, which are reports of a site as unavailable without a loss that covers it. It also
-// computes how often directors move load per loss that they detect, and counts the directors that reported themselves as
-// isolated from the sites.
+// computes how often directors move load per loss that they detect, and counts the directors that reported themselves
+// as isolated from the sites.
 func (h *history) alarmMetrics(metrics map[string]float64, losses []siteLoss) {
 	losses = slices.Concat(losses, h.linkLosses())
 	// Reporting a site as lost while at least half of its servers are available is a false alarm as well.
@@ -362,8 +364,8 @@
 	metrics["cut_off_told"] = float64(len(isolated))
 }
 
-// linkLosses returns the faults of the links to caches that can lose answers, as losses of all sites, because a director
-// cannot reach the sites behind faulty links.
+// linkLosses returns the faults of the links to caches that can lose answers, as losses of all sites, because a
+// director cannot reach the sites behind faulty links.
 func (h *history) linkLosses() []siteLoss {
 	var losses []siteLoss
 	for _, ev := range h.events {
--- a/internal/checker/sitemetrics_test.go
+++ b/internal/checker/sitemetrics_test.go
@@ -69,8 +69,8 @@
 	}
 }
 
-// TestSiteLossMetrics checks the metrics of a lost site: one that is detected, one that half of the servers survive, one
-// that no director detects while a survivor is overloaded, and one that never ends.
+// TestSiteLossMetrics checks the metrics of a lost site: one that is detected, one that half of the servers survive,
+// one that no director detects while a survivor is overloaded, and one that never ends.
 func TestSiteLossMetrics(t *testing.T) {
 	refusedDuringLoss := func(ms float64, branch string) string {
 		if branch == "b1" && ms >= 2000 && ms < 6700 {
@@ -89,7 +89,8 @@
 		t.Errorf("detect_ms_p95: got %v, want 299 to 301", metrics["detect_ms_p95"])
 	}
 	// The same report is a false alarm if half of the site's servers are available.
-	half := strings.Replace(siteLossHistory(refusedDuringLoss, `{"ms":2300,"kind":"state","who":"d0","site":"b1","what":"lost"}`),
+	half := strings.Replace(
+		siteLossHistory(refusedDuringLoss, `{"ms":2300,"kind":"state","who":"d0","site":"b1","what":"lost"}`),
 		`"what":"site-kill","value":1`, `"what":"site-kill","value":0.5`, 1)
 	wantMetrics(t, metricsOf(t, half), map[string]float64{"false_alarms": 1, "moves_per_event": 0, "detect_ms_p95": 0})
 	// No director detects the loss, and the hub's cache gets 15 times its capacity within a second.
@@ -103,7 +104,8 @@
 	metrics = metricsOf(t, siteLossHistory(refusedDuringLoss, overload...))
 	if metrics["survivor_peak"] < 14.9 || metrics["survivor_peak"] > 15.1 ||
 		metrics["detect_ms_p95"] < undetectedMS*0.99 {
-		t.Errorf("got survivor_peak %v and detect_ms_p95 %v, want 14.9 to 15.1 and at least 99%% of undetectedMS", metrics["survivor_peak"], metrics["detect_ms_p95"])
+		t.Errorf("got survivor_peak %v and detect_ms_p95 %v, want 14.9 to 15.1 and at least 99%% of undetectedMS",
+			metrics["survivor_peak"], metrics["detect_ms_p95"])
 	}
 	// A loss that never ends lasts until the end of the load, and the served share never recovers.
 	endless := strings.ReplaceAll(siteLossHistory(func(ms float64, branch string) string {
@@ -131,8 +133,8 @@
 	}
 }
 
-// TestLinkFaultMetricsWithoutSiteLoss checks that a history without a site loss has no loss metrics, and that a director
-// which reports a site as lost during a fault of the links to its caches raises no false alarm.
+// TestLinkFaultMetricsWithoutSiteLoss checks that a history without a site loss has no loss metrics, and that a
+// director which reports a site as lost during a fault of the links to its caches raises no false alarm.
 func TestLinkFaultMetricsWithoutSiteLoss(t *testing.T) {
 	linkFault := strings.Join([]string{
 		`{"ms":0,"kind":"load","what":"begin"}`,
--- a/internal/nettest/nettest.go
+++ b/internal/nettest/nettest.go
@@ -1,9 +1,9 @@
-// Package nettest provides helpers for the tests of the client, cache and discovery protocols: scripted peers on
-// loopback sockets, which a test drives step by step, and a fake connection without a socket. A step that fails or
-// times out ends the test.
+// Package nettest provides helpers for the tests of the client, cache and discovery protocols: scripted peers
+// on loopback sockets, which a test drives step by step, and a fake connection without a socket. A step that
+// fails or times out ends the test.
 //
-// The Thrift and RESP codecs in this package are independent of the program's codecs and import nothing from the
-// program, so that an error in one codec does not go unnoticed in the other.
+// The Thrift and RESP codecs in this package are independent of the program's codecs and import nothing from
+// the program, so that an error in one codec does not go unnoticed in the other.
 package nettest
 
 import (
@@ -16,8 +16,8 @@
 	"time"
 )
 
-// stepTimeout limits the wait for a connection and the lifetime of each connection. It only ends tests that hang: no
-// test result depends on how long a step takes within stepTimeout.
+// stepTimeout limits the wait for a connection and the lifetime of each connection. It only ends tests that
+// hang: no test result depends on how long a step takes within stepTimeout.
 const stepTimeout = 20 * time.Second
 
 // Server is the listener of a scripted peer.
@@ -101,8 +101,8 @@
 	return err == nil
 }
 
-// SetReadBuffer sets the size in bytes of the socket's receive buffer, which limits how much data the operating system
-// accepts before the test reads it.
+// SetReadBuffer sets the size in bytes of the socket's receive buffer, which limits how much data the operating
+// system accepts before the test reads it.
 func (c *Conn) SetReadBuffer(bytes int) {
 	c.t.Helper()
 	if err := c.conn.(*net.TCPConn).SetReadBuffer(bytes); err != nil {
@@ -135,8 +135,8 @@
 	return string(content)
 }
 
-// ReadUntilEOF reads until the other side closes its half of the connection in order, and returns the data read. A reset
-// ends the test, because it may have discarded a reply.
+// ReadUntilEOF reads until the other side closes its half of the connection in order, and returns the data
+// read. A reset ends the test, because it may have discarded a reply.
 func (c *Conn) ReadUntilEOF() string {
 	c.t.Helper()
 	content, err := io.ReadAll(c.reader)
--- a/internal/nettest/resp.go
+++ b/internal/nettest/resp.go
@@ -6,8 +6,8 @@
 	"strings"
 )
 
-// This file implements the protocol between the program and the caches: RESP, the Redis serialization protocol, limited
-// to arrays of bulk strings.
+// This file implements the protocol between the program and the caches: RESP, the Redis serialization protocol,
+// limited to arrays of bulk strings.
 
 const (
 	respArrayPrefix = "*"
@@ -27,8 +27,8 @@
 	return elements
 }
 
-// readLength reads the header line of an array or a bulk string and returns the length in the header. The argument what
-// names the type in failure messages.
+// readLength reads the header line of an array or a bulk string and returns the length in the header. The
+// argument what names the type in failure messages.
 func (c *Conn) readLength(what, prefix string) int {
 	c.t.Helper()
 	length, err := strconv.Atoi(strings.TrimPrefix(c.ReadLine(), prefix))
@@ -43,8 +43,8 @@
 	c.t.Helper()
 	var array strings.Builder
 	fmt.Fprintf(&array, "%s%d%s", respArrayPrefix, len(elements), respLineEnd)
-	for _, word := range elements {
-		fmt.Fprintf(&array, "%s%d%s%s%s", respBulkPrefix, len(word), respLineEnd, word, respLineEnd)
+	for _, element := range elements {
+		fmt.Fprintf(&array, "%s%d%s%s%s", respBulkPrefix, len(element), respLineEnd, element, respLineEnd)
 	}
 	c.Send(array.String())
 }
--- a/internal/nettest/thrift.go
+++ b/internal/nettest/thrift.go
@@ -5,9 +5,9 @@
 	"testing"
 )
 
-// This file implements the protocol between clients and the program: Apache Thrift's strict binary protocol over the
-// framed transport (thrift-binary-protocol.md and thrift-rpc.md of the Thrift specification), with the three methods of
-// the service: submit, revoke and heartbeat.
+// This file implements the protocol between clients and the program: Apache Thrift's strict binary protocol
+// over the framed transport (thrift-binary-protocol.md and thrift-rpc.md of the Thrift specification), with the
+// three methods of the service: submit, revoke and heartbeat.
 
 // Message types, which a message holds in the last byte of its first four bytes.
 const (
@@ -28,8 +28,8 @@
 // revokeSeq is the sequence number of all revoke calls. They are oneway calls, so no reply repeats the number.
 const revokeSeq = 99
 
-// Frame returns a framed message. The message type kind is 1 for a call or 4 for a oneway call. The argument args holds
-// the encoded fields of the argument struct without the terminating stop field.
+// Frame returns a framed message. The message type kind is 1 for a call or 4 for a oneway call. The argument
+// args holds the encoded fields of the argument struct without the terminating stop field.
 func Frame(kind byte, name string, seq int32, args []byte) string {
 	message := []byte{0x80, 1, 0, kind}
 	message = appendString(message, name)
@@ -41,8 +41,8 @@
 	return string(append(frame, message...))
 }
 
-// SubmitFrame returns the framed message of a submit call with a body and request fields. The argument fields holds
-// alternating names and values.
+// SubmitFrame returns the framed message of a submit call with a body and request fields. The argument fields
+// holds alternating names and values.
 func SubmitFrame(seq int32, body string, fields ...string) string {
 	args := appendFieldHeader(nil, typeMap, 1)
 	args = append(args, typeString, typeString) // types of the map's keys and values
@@ -85,8 +85,8 @@
 	c.Send(Frame(messageOneway, "revoke", revokeSeq, args))
 }
 
-// Heartbeat sends a heartbeat call and returns the next message. The message's Good field reports whether the program is
-// ready.
+// Heartbeat sends a heartbeat call and returns the next message. The message's Good field reports whether the
+// program is ready.
 func (c *Conn) Heartbeat(seq int32) Reply {
 	c.t.Helper()
 	args := appendFieldHeader(nil, typeBool, 1)
@@ -98,7 +98,7 @@
 // Reply is a decoded message from the program.
 type Reply struct {
 	Seq         int32             // sequence number of the call that the message answers
-	Application bool              // whether it is an application exception; the fields below are not set then
+	Application bool              // whether it is an application exception, for which the fields below are not set
 	Field       int16             // field id in the result struct: 0 for an Answer, 1 for refused, 2 for failed
 	Body        string            // body of an Answer
 	Fields      map[string]string // string map of an Answer or a declared exception; nil if it has no entries
@@ -113,8 +113,8 @@
 	return decoder.reply()
 }
 
-// TryReadReply reads and decodes the next message. It returns false if the other side closed the connection instead of
-// sending a message.
+// TryReadReply reads and decodes the next message. It returns false if the other side closed the connection
+// instead of sending a message.
 func (c *Conn) TryReadReply() (Reply, bool) {
 	c.t.Helper()
 	if _, err := c.reader.Peek(1); err != nil {
@@ -148,8 +148,8 @@
 	return reply
 }
 
-// resultFields decodes the fields of an Answer or of a declared exception, up to the stop field. Each type occurs at most
-// once in these structs, so the type alone identifies the field.
+// resultFields decodes the fields of an Answer or of a declared exception, up to the stop field. Each type
+// occurs at most once in these structs, so the type alone identifies the field.
 func (d *replyDecoder) resultFields(reply *Reply) {
 	d.t.Helper()
 	for {
