--- a/internal/director/api.go
+++ b/internal/director/api.go
@@ -106,7 +106,7 @@
 type Endpoint struct {
 	Name             string
 	Address          string
-	StartedUnixMilli int64 // Started in Unix milliseconds of the list service's clock; 0: not reported
+	StartedUnixMilli int64 // Started in Unix milliseconds of the discovery service's clock; 0: not reported
 	routing.Endpoint       // its Host is set by Director.UpdateEndpoints
 }
 
@@ -114,6 +114,6 @@
 type Purge struct {
 	ObjectKey      uint64
 	Group          int
-	RemoteIssuedAt routing.Time // time of the purge by the list service's clock
+	RemoteIssuedAt routing.Time // time of the purge by the discovery service's clock
 	IssuedAt       routing.Time // time of the purge by this process's clock
 }
--- a/internal/failover/flownetwork.go
+++ b/internal/failover/flownetwork.go
@@ -14,8 +14,8 @@
 
 // flowNetwork is a minimum-cost maximum-flow problem. Its first node is the source and its second node the sink. Arcs
 // are examined in the order in which they were added, so that equal networks have equal results on all directors.
-// Networks have some tens of arcs, for which successive shortest paths with Bellman-Ford are fast enough (Ahuja,
-// Magnanti, Orlin: Network Flows, section 9.7).
+// Networks have up to some hundreds of arcs, for which successive shortest paths with Bellman-Ford are fast enough
+// (Ahuja, Magnanti, Orlin: Network Flows, section 9.7).
 type flowNetwork struct {
 	nodes int
 	arcs  []arc // each is followed by its reverse arc
--- a/internal/failover/plan.go
+++ b/internal/failover/plan.go
@@ -97,9 +97,15 @@
 	return plan
 }
 
-// unmetDemands returns a sentence for each demand that can't be met. First come the branches whose clients nobody may
-// answer, that have no caches, or whose fills no hub can serve; then the classes of which a branch rejects a part at
-// the usual load.
+// unmetDemands returns a sentence for each demand that can't be met. Branches come first, each with the first of these
+// causes that applies:
+//
+//   - The branch is lost and BypassAllowed is false. Neither parents nor the origin may answer its clients then, and
+//     caches of other branches never may, so all requests of its clients are rejected.
+//   - The branch has no caches.
+//   - The branch needs fills, and no hub that is available has capacity to serve them.
+//
+// The classes of which a branch rejects a part at the usual load follow.
 func (p *Planner) unmetDemands(available []float64, usualFlow *flowResult) []string {
 	var list []string
 	topology, usableHubs := p.topology, p.usableHubCount(available)
--- a/internal/overload/origin_shield.go
+++ b/internal/overload/origin_shield.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// These values are based on three test scenarios of the simulator, the join, herd and split days (docs/cold-start.md).
+// These values are based on three test scenarios of the simulator. docs/cold-start.md describes the scenarios and calls
+// them the join, herd and split days.
 const (
 	minAdmitFraction           = 0.05  // lower bound of the admitted fraction: without fills there are no answers
 	referenceRecoveryPerSecond = 0.05  // growth per second without answers, in a fleet of referenceFleet
@@ -19,13 +20,13 @@
 // them observes it directly: parents, which may or may not hold an object, are in front of it. Each director gets few
 // answers of its own, and when hundreds of directors wait for the origin at once, answers are seconds late before the
 // first director notices. A single answer that the origin made late therefore lowers the fraction at once, and answers
-// in time raise it. If the first answer to an attempt that was sent after this decrease is in time, the late answer was
-// an outlier, and all fills are admitted again. As a result, the shield stays open while fewer than about a quarter of
-// the answers are late: protecting an origin that serves most requests in time is not worth rejections. Without answers
-// the fraction recovers slowly with time.
+// in time raise it. If the fraction was 1 before the decrease, and the first answer to an attempt that was sent after
+// the decrease is in time, the late answer counts as an outlier, and all fills are admitted again. As a result, the
+// shield stays open while fewer than about a quarter of the answers are late: protecting an origin that serves most
+// requests in time is not worth rejections. Without answers the fraction recovers slowly with time.
 //
-// The shield limits a fraction and not the concurrency, because a director with one such fill in flight every other
-// second would never reach a concurrency limit.
+// The shield limits a fraction and not the concurrency: a director sends a fill to the origin only about every two
+// seconds, so it would never reach a concurrency limit, but a random choice of the fills takes effect.
 type OriginShield struct {
 	decreaseFactor    float64 // factor that a late answer applies to the fraction
 	recoveryPerSecond float64 // growth of the fraction in a second without answers
--- a/internal/sitehealth/monitor_test.go
+++ b/internal/sitehealth/monitor_test.go
@@ -165,7 +165,7 @@
 }
 
 // TestMinLostTimeAppliesToOtherSites guards against MinLostTime being ignored for another site, or applied to our own
-// branch, whose clients it would only reject for longer.
+// branch, where it would only prolong the time in which clients are rejected.
 func TestMinLostTimeAppliesToOtherSites(t *testing.T) {
 	f := newFleet(t)
 	f.monitor.MinLostTime = 3 * time.Second
@@ -221,21 +221,23 @@
 		t.Errorf("after the isolation: got own branch %v and hub share %v, want %v and 1 (changes %q)",
 			f.state(2), f.monitor.CapacityShare(f.now, 0), Healthy, f.changes)
 	}
-	// One site times out while another one refuses or answers: the director is not isolated.
-	for _, sign := range []string{"e0 answers", "e0 refuses"} {
+	// Two sites time out, our hub (w0) and the caches of our branch, while a third site, the other hub (e0), answers or
+	// refuses connections: at the end of the script the director is not isolated, and our branch is unreachable.
+	for _, otherHubStep := range []string{"e0 answers", "e0 refuses"} {
 		branchSilent := stepsFor("silent", "c0", "c1", "c2", "c3", "c4", "c0", "c1")
 		f := newFleet(t)
-		f.runScript("w0 silent, c0 silent, 500, " + sign + ", " + branchSilent + ", 1200, " + sign + ", 100")
+		f.runScript("w0 silent, c0 silent, 500, " + otherHubStep + ", " + branchSilent + ", 1200, " + otherHubStep + ", 100")
 		if f.monitor.Isolated() || f.state(2) != Unreachable {
 			t.Errorf("%s: got isolated %v and own branch %v, want false and %v",
-				sign, f.monitor.Isolated(), f.state(2), Unreachable)
+				otherHubStep, f.monitor.Isolated(), f.state(2), Unreachable)
 		}
 	}
 }
 
 // TestWeightFactorsFollowThePlan guards against load that jumps or gets lost when a hub is lost or returns: the plan
-// distributes the load of a lost hub, the load returns to new servers gradually, and the shares of all hubs always add
-// up to 1.
+// distributes the load of a lost hub, and the load returns to restarted servers gradually. During the second recovery,
+// while the other hub has a share, the shares of both hubs must add up to 1. The test divides the factor of the other
+// hub by 0.8, the sum of the hub shares of its fake plan.
 func TestWeightFactorsFollowThePlan(t *testing.T) {
 	f := newFleet(t)
 	planCalls := 0
--- a/internal/sitehealth/shares.go
+++ b/internal/sitehealth/shares.go
@@ -33,8 +33,9 @@
 	}
 }
 
-// refreshShares calls the plan if its arguments have changed since its last call. It does not call the plan at each
-// tick, because a plan takes far longer than a tick may take.
+// refreshShares calls the plan once for each loss of our hub, and again when the set of lost zones or a capacity
+// changes before the hub has its whole load again. It does not call the plan at each tick, because a plan takes far
+// longer than a tick may take. It must be called only while our hub gets less than its whole load.
 func (m *Monitor) refreshShares() {
 	if m.Plan == nil {
 		return
@@ -42,7 +43,8 @@
 	current := m.sharesCurrent
 	for zone := range m.sites {
 		site := &m.sites[zone]
-		// Our hub also counts as lost while it recovers: the share that it does not get yet goes to the same hubs.
+		// Our hub also counts as lost while it recovers: the share of its load that it does not get yet stays with the
+		// hubs that took over its fills when it was lost.
 		lost := site.state.unavailable() || zone == m.config.HubZone
 		current = current && lost == site.plannedLost && site.capacity == site.plannedCapacity
 		site.plannedLost, site.plannedCapacity = lost, site.capacity
--- a/internal/sitehealth/transitions.go
+++ b/internal/sitehealth/transitions.go
@@ -14,11 +14,13 @@
 	failedServersMargin = 0.25 // in servers
 	roundingTolerance   = 1e-9 // tolerance, in servers, of sums of fractions
 
-	minStateTime     = time.Second            // shortest time in Degraded before the site may become healthy again
-	remoteHoldoff    = 500 * time.Millisecond // time after a loss in which no recovery starts
-	ownBranchHoldoff = 100 * time.Millisecond // for our own branch: waiting moves no load, just rejects requests
-	maxHoldoff       = 8 * time.Second        // upper bound of the holdoff, which each relapse doubles
-	relapseResetTime = 20 * time.Second       // time since the last transition that resets the holdoff, see markLost
+	minStateTime  = time.Second            // shortest time in Degraded before the site may become healthy again
+	remoteHoldoff = 500 * time.Millisecond // time after a loss in which no recovery starts
+	// ownBranchHoldoff replaces remoteHoldoff for our own branch. It is shorter because no other site can take the load
+	// of our own branch: a longer holdoff only causes more rejections.
+	ownBranchHoldoff = 100 * time.Millisecond
+	maxHoldoff       = 8 * time.Second  // upper bound of the holdoff, which each relapse doubles
+	relapseResetTime = 20 * time.Second // time since the last transition that resets the holdoff, see markLost
 
 	recoveryResponses = 8 // responses that a recovery needs; time alone never ends a recovery
 
--- a/internal/testbed/process.go
+++ b/internal/testbed/process.go
@@ -29,7 +29,7 @@
 type process struct {
 	testbed          *Testbed
 	id               int
-	discoveryAddress string // where this director reaches the list service
+	discoveryAddress string // where this director reaches the discovery service
 
 	mu            sync.Mutex
 	address       string // listen address; chosen at the first start, then fixed
--- a/internal/testbed/testbed.go
+++ b/internal/testbed/testbed.go
@@ -1,6 +1,6 @@
 // Package testbed runs experiments on real directors. It starts a fleet of directors as separate processes, together
-// with stand-ins for all their peers (the list service, caches, parents, the origin and clients). It injects faults
-// between them as an experiment's script says, and records everything that passes the stand-ins in one history.
+// with stand-ins for all their peers (the discovery service, caches, parents, the origin and clients). It injects
+// faults between them as an experiment's script says, and records everything that passes the stand-ins in one history.
 //
 // internal/checker judges the history. It shares no code with this package or with the program under test.
 package testbed
@@ -170,8 +170,8 @@
 	return standIn, nil
 }
 
-// startStandIns starts the list service and the servers, publishes the first list and opens the list service's address
-// of each director. The directors and the load start later, in play.
+// startStandIns starts the discovery service and the servers, publishes the first list and opens the discovery
+// service's address for each director. The directors and the load start later, in play.
 func (t *Testbed) startStandIns() error {
 	experiment := t.experiment
 	t.discovery = newDiscoveryService(t)
@@ -238,8 +238,8 @@
 	}
 }
 
-// membersEvent returns an event of the list service as a JSON line: a snapshot, which lists all servers, or an update
-// of the listed servers.
+// membersEvent returns an event of the discovery service as a JSON line: a snapshot, which lists all servers, or an
+// update of the listed servers.
 func membersEvent(revision int, snapshot bool, list ...*server) string {
 	text := ""
 	for i, standIn := range list {
@@ -328,7 +328,7 @@
 	}
 }
 
-// publishState sets the state of a server and publishes it through the list service.
+// publishState sets the state of a server and publishes it through the discovery service.
 func (t *Testbed) publishState(standIn *server, state string) {
 	standIn.mu.Lock()
 	standIn.state = state
--- a/routing/doc.go
+++ b/routing/doc.go
@@ -16,8 +16,8 @@
 //
 // Servers form three tiers. The edge caches of the director's own zone are the usual targets of requests. On
 // a miss, a cache fills from the source that the director names with the request: another cache that holds a
-// copy (a sibling), a parent in a hub, or the origin. Where the site allows it, a request may bypass the
-// caches and go to a parent or to the origin directly.
+// copy (a sibling), a parent in a hub, or the origin. Where the deployment allows it, a request may
+// bypass the caches and go to a parent or to the origin directly.
 //
 // # Processing of a request
 //
--- a/routing/ejection_test.go
+++ b/routing/ejection_test.go
@@ -60,8 +60,8 @@
 }
 
 // An overloaded parent lets fills time out. Ejecting the parent moves its load to the next parent, and the overload can
-// spread from parent to parent through the whole site. A failure therefore ejects a source at once only if it comes
-// within fastFailureThreshold. Slower failures eject the source only at the third in a row (slowFailureLimit).
+// spread from parent to parent through the whole deployment. A failure therefore ejects a source at once only if it
+// comes within fastFailureThreshold. Slower failures eject the source only at the third in a row (slowFailureLimit).
 func TestSlowFailuresDoNotEjectAtOnce(t *testing.T) {
 	for _, tc := range []struct {
 		name     string
--- a/routing/ending.go
+++ b/routing/ending.go
@@ -32,10 +32,11 @@
 	return !slices.ContainsFunc(request.attempts, mayHaveExecuted)
 }
 
-// retryAfter returns the time after which the client of a rejected request should retry, or 0 if the site
-// does not allow such a hint. The time is random, to spread the retries: it lies between a base time and twice
-// that base, and is at most SiteLimits.MaxRetryAfter. The base is minPostponement or, while the director's own
-// site is lost, NextProbeIn of that site if that is longer; it is at most 3/4 of MaxRetryAfter.
+// retryAfter returns the time after which the client of a rejected request should retry, or 0 if the
+// deployment does not allow such a hint. The time is random, to spread the retries: it lies between a base time
+// and twice that base, and is at most SiteLimits.MaxRetryAfter. The base is minPostponement, or the time until
+// the next probe of the director's own branch if that branch is lost and this time is longer. The base is at
+// most 3/4 of MaxRetryAfter.
 func (r *Router) retryAfter() time.Duration {
 	limits := &r.settings.SiteLimits
 	if !limits.RetryAfterAllowed {
@@ -59,8 +60,8 @@
 	}
 }
 
-// cancelAttempt emits a Cancel for an attempt that is in flight, at most once and only if the site allows
-// cancellation.
+// cancelAttempt emits a Cancel for an attempt that is in flight, at most once and only if the
+// deployment allows cancellation.
 func (r *Router) cancelAttempt(attempt *attemptState) {
 	if !r.settings.SiteLimits.CancelAllowed || !attempt.inFlight || attempt.cancelRequested {
 		return
--- a/routing/env_test.go
+++ b/routing/env_test.go
@@ -27,8 +27,8 @@
 	kindOrigin = 2
 )
 
-// testSettings returns the settings of a small fictional site: a hub, two zones with caches, an origin, and a class for
-// each kind of idempotency.
+// testSettings returns the settings of a small fictional deployment: a hub, two zones with caches, an origin, and a
+// class for each kind of idempotency.
 func testSettings() Settings {
 	return Settings{
 		Directors: 2, Quantum: 2 * ms, DiscoveryMode: "automatic", WeightMode: WeightModeNominal, Zone: 1,
@@ -134,7 +134,7 @@
 }
 
 // testEnv simulates the clients, the servers and the clock around one router. It checks that the router keeps the
-// site's rules, as far as one director can observe them.
+// deployment's rules, as far as one director can observe them.
 type testEnv struct {
 	t                *testing.T
 	settings         Settings
@@ -150,7 +150,7 @@
 	fetches          []Fetch
 	actions          []Action
 	nextSequence     int
-	violation        string // first breach of the site's rules; empty: none
+	violation        string // first breach of the deployment's rules; empty: none
 }
 
 func newTestEnv(t *testing.T, settings Settings, seed uint64) *testEnv {
@@ -322,7 +322,7 @@
 	}
 }
 
-// executeAttempt checks one attempt against the site's rules and schedules its outcome.
+// executeAttempt checks one attempt against the deployment's rules and schedules its outcome.
 func (e *testEnv) executeAttempt(id uint32, host, source Host, timeout, maxAge time.Duration) {
 	request := e.requests[id]
 	e.checkAttempt(request, host, source)
@@ -359,8 +359,8 @@
 	return found
 }
 
-// violatef records the first breach of the site's rules and ignores later ones. Tests end with assertNoViolation, which
-// fails on a recorded breach.
+// violatef records the first breach of the deployment's rules and ignores later ones. Tests end with
+// assertNoViolation, which fails on a recorded breach.
 func (e *testEnv) violatef(format string, args ...any) {
 	if e.violation == "" {
 		e.violation = fmt.Sprintf(format, args...)
--- a/routing/limits.go
+++ b/routing/limits.go
@@ -38,9 +38,9 @@
 }
 
 // adjustLimit lowers the concurrency limit of the server and role that made an attempt late or rejected it,
-// and raises the limit after a timely answer. All late answers of one overload together lower the limit no
-// further than to a fraction of the load at which they would have been timely. The trade-off is that objects
-// which are large for their class look late.
+// and raises the limit after a timely answer. A late answer does not lower the limit below limitFitFraction of
+// the load at which the answer would have been timely (see lowerLimit), so many late answers of one overload
+// lower the limit no further than that. The drawback is that objects which are large for their class look late.
 func (r *Router) adjustLimit(attempt *attemptState, outcome Outcome) {
 	if attempt.halfOpenProbe {
 		return
@@ -65,7 +65,9 @@
 }
 
 // lowerLimit lowers the concurrency limit of a server in a role after an attempt that was late, rejected or
-// timed out.
+// timed out. It does not lower the limit below limitFitFraction * load * objective / elapsed, where load is the
+// larger of the work in flight at the send and now, objective is the latency objective of the attempt, and
+// elapsed is the time that the attempt took, at least the objective. minLimitTransfers is a further lower bound.
 func (r *Router) lowerLimit(server *serverState, load *roleLoad, attempt *attemptState, outcome Outcome) {
 	current := load.inFlightWork + attempt.work
 	ceiling := max(initialLimitTransfers*attempt.work/server.sharingDirectors, maxLimitLoadFactor*current)
--- a/routing/property_test.go
+++ b/routing/property_test.go
@@ -9,7 +9,7 @@
 )
 
 // TestRulesHold runs random sequences of valid events, one for each seed, under varied settings, and checks that the
-// router keeps the site's rules.
+// router keeps the deployment's rules.
 func TestRulesHold(t *testing.T) {
 	for seed := range uint64(60) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
--- a/routing/result.go
+++ b/routing/result.go
@@ -58,7 +58,7 @@
 	return r == Rejected || r == ConnectFailed || r == TimedOut
 }
 
-// FillStatus is how a cache obtained its answer, where the site reports it.
+// FillStatus is how a cache obtained its answer, where the deployment reports it.
 type FillStatus uint8
 
 // Fill statuses.
--- a/routing/retry_test.go
+++ b/routing/retry_test.go
@@ -29,9 +29,9 @@
 }
 
 // A cancelled attempt stays in flight until the cancellation reaches its cache, and a retry over another connection may
-// arrive there first. Two attempts would then be in flight at once, which breaks the rules of a site without hedging.
-// On such a site the retry must therefore wait, unless the attempt was answered or provably never executed. Where
-// hedging is allowed the retry is sent at once. After LocalResourcesExhausted a retry always waits.
+// arrive there first. Two attempts would then be in flight at once, which breaks the rules of a deployment without
+// hedging. In such a deployment the retry must therefore wait, unless the attempt was answered or provably never
+// executed. Where hedging is allowed the retry is sent at once. After LocalResourcesExhausted a retry always waits.
 func TestRetryDoesNotOvertakeTheCancellation(t *testing.T) {
 	for _, tc := range []struct {
 		hedging bool
--- a/routing/route_test.go
+++ b/routing/route_test.go
@@ -91,7 +91,7 @@
 }
 
 // When all local caches are at their concurrency limits or ejected, requests must go to a parent or to the origin
-// directly, if the site allows bypassing. Otherwise requests wait for slow caches although links and parents have
+// directly, if the deployment allows bypassing. Otherwise requests wait for slow caches although links and parents have
 // capacity.
 func TestFullCacheIsBypassed(t *testing.T) {
 	for _, allowed := range []bool{true, false} {
--- a/routing/rules_test.go
+++ b/routing/rules_test.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// This file checks that a router keeps the site's rules, as far as one director can observe them.
+// This file checks that a router keeps the deployment's rules, as far as one director can observe them.
 
 // notifiedPurge is a purge with the time at which the router was notified of it.
 type notifiedPurge struct {
--- a/routing/send.go
+++ b/routing/send.go
@@ -22,8 +22,8 @@
 	return true
 }
 
-// mayAttempt reports whether the state of the request, its idempotency and the limits of the site allow
-// an attempt at target.
+// mayAttempt reports whether the state of the request, its idempotency and the limits of the deployment
+// allow an attempt at target.
 func (r *Router) mayAttempt(request *requestState, target *serverState) bool {
 	limits := &r.settings.SiteLimits
 	if len(request.attempts) >= limits.MaxAttempts || r.now >= request.Deadline || request.streaming {
--- a/routing/settings.go
+++ b/routing/settings.go
@@ -9,7 +9,9 @@
 	IdempotencyNone     = "non_idempotent"  // may be repeated only if no attempt can have executed
 )
 
-// Values of Class.DedupScope: the servers that recognise a repeat of a keyed request.
+// Values of Class.DedupScope: the servers that recognise a repeat of a keyed request. With any other value, the
+// Router may repeat a keyed request at any server, as with DedupScopeAll; but it rejects a keyed request only if
+// no attempt can have executed, as with DedupScopeZone and DedupScopeCell.
 const (
 	DedupScopeAll  = "all"
 	DedupScopeZone = "zone" // those of the same zone
@@ -24,7 +26,8 @@
 	SiblingFillsAny      = "any"      // also caches of other zones
 )
 
-// Values of TierSettings.FillStatusReported: the answers that carry a FillStatus.
+// Values of TierSettings.FillStatusReported: the answers that carry a FillStatus. The Router relies on the
+// statuses only with FillStatusReportedAll and treats all other values alike.
 const (
 	FillStatusReportedAll = "all"
 	FillStatusReportedHit = "hit"
@@ -68,7 +71,7 @@
 	Streaming bool `json:"streaming"`
 }
 
-// SiteLimits holds the limits and permissions that the site sets for a director.
+// SiteLimits holds the limits and permissions that the deployment sets for a director.
 type SiteLimits struct {
 	CancelAllowed bool          `json:"cancel"`
 	MaxAttempts   int           `json:"maxAttempts"` // attempts for one request, hedges included; at least 1
@@ -110,7 +113,7 @@
 	OriginTolerance        time.Duration `json:"originBears"`
 	// OriginKind is the Endpoint.Kind of origins.
 	OriginKind int `json:"masterKind"`
-	// ParentKind is the Endpoint.Kind of parents; -1: the site has no parents.
+	// ParentKind is the Endpoint.Kind of parents; -1: the deployment has no parents.
 	ParentKind int `json:"secondTierKind"`
 	// ParentSlowStartFraction, ParentSlowStartDuration and ParentOverloadMultiple replace SlowStartFraction,
 	// SlowStartDuration and OverloadMultiple of Guarantees for parents.
@@ -132,7 +135,7 @@
 	HubByZone []int `json:"hubByZone"`
 }
 
-// Guarantees holds the time and load bounds that the site's rules set.
+// Guarantees holds the time and load bounds that the deployment's rules set.
 type Guarantees struct {
 	// PollWithin is the time within which the endpoint list must be requested again after a failure.
 	PollWithin time.Duration `json:"askWithin"`
@@ -160,14 +163,14 @@
 
 // Settings holds the configuration of a Router. In JSON, durations are integers in nanoseconds.
 type Settings struct {
-	Directors     int                `json:"balancers"` // number of directors of the site
+	Directors     int                `json:"balancers"` // number of directors of the deployment
 	Classes       []Class            `json:"services"`
 	SiteLimits    SiteLimits         `json:"ceilings"`
 	Tiers         TierSettings       `json:"familyInfo"`
 	Guarantees    Guarantees         `json:"guarantees"`
-	Kinds         []string           `json:"kinds"` // names of the kinds of servers, by Endpoint.Kind
-	ID            uint32             `json:"me"`    // ID of this director, unique among its peers
-	Quantum       time.Duration      `json:"quantum"`
+	Kinds         []string           `json:"kinds"`        // names of the kinds of servers, by Endpoint.Kind
+	ID            uint32             `json:"me"`           // ID of this director, unique among its peers
+	Quantum       time.Duration      `json:"quantum"`      // the simulator's time step; the Router does not use it
 	DiscoveryMode string             `json:"registryMode"` // automatic or DiscoverySubscribe
 	LoadReport    LoadReportSettings `json:"report"`
 	WeightMode    string             `json:"weights"` // WeightMode constant; others, such as live, count as Off
--- a/routing/state.go
+++ b/routing/state.go
@@ -145,14 +145,19 @@
 	waiting       bool // postponed, or waiting for a reply from peers
 	postponements int
 
-	minSourceTier     tier           // lowest tier that may be the source; a miss or rejection raises it
-	avoidTargets      []*serverState // targets at which an attempt has failed
-	triedOnlyIfCached bool           // a cached copy was the last resort, or a cache reported a fill in progress
-	onlyIfCachedCount int            // 0, or overload.MaxProbes after a miss with no fill in progress: no more probes
-	shieldDecided     bool           // shielded has been decided
-	shielded          bool           // no fill from the origin
-	askedPeers        bool           // a location query has been sent
-	remoteSource      Host           // cache of another zone, named by a peer; 0: none
+	minSourceTier tier           // lowest tier that may be the source; a miss or rejection raises it
+	avoidTargets  []*serverState // targets at which an attempt has failed
+	// triedOnlyIfCached is set by the request for a cached copy that is sent as a last resort (fetchOnlyIfCached),
+	// and by a miss of a request for a cached copy if the cache reported that a fill is in progress. Once it is
+	// set, no further request is sent as a last resort: the search ends at the first cache that cannot fill.
+	triedOnlyIfCached bool
+	// onlyIfCachedCount is 0, or overload.MaxProbes after a miss without a fill in progress. MaxProbes forbids
+	// further probes before a fill, because there is no fill of another request to wait for.
+	onlyIfCachedCount int
+	shieldDecided     bool // shielded has been decided
+	shielded          bool // no fill from the origin
+	askedPeers        bool // a location query has been sent
+	remoteSource      Host // cache of another zone, named by a peer; 0: none
 
 	idempotencyWindowEnd Time // time by which the next attempt must have been written; 0: no bound
 }
--- a/routing/validate.go
+++ b/routing/validate.go
@@ -16,8 +16,8 @@
 }
 
 // validate returns a *SettingError for the first invalid setting, or nil. Settings that it does not check may
-// have any value: an unknown word is treated as the most conservative one, and an index out of range as no
-// index.
+// have any value. The constants in settings.go say how an unknown string is treated, and an index that is out
+// of range is treated as no index.
 func (s *Settings) validate() error {
 	for _, check := range []func() error{
 		s.checkRequired,
