--- a/internal/director/attempts.go
+++ b/internal/director/attempts.go
@@ -124,8 +124,8 @@
 }
 
 // cancelAffected cancels each attempt that a discovery event affects and of which nothing has been written. Such an
-// attempt may be waiting for a connection, and could otherwise be written later than the site's rules allow after the
-// event. The router makes a new decision for the attempt's request.
+// attempt may be waiting for a connection, and could otherwise be written later than the deployment's rules allow after
+// the event. The router makes a new decision for the attempt's request.
 func (d *Director) cancelAffected(affected func(*activeAttempt, *openRequest) bool) {
 	var handles []handle.Handle
 	d.attempts.All(func(attemptHandle handle.Handle, attempt *activeAttempt) bool {
--- a/internal/director/discovery_test.go
+++ b/internal/director/discovery_test.go
@@ -8,8 +8,8 @@
 )
 
 // A discovery event must cancel the attempts that it affects and of which nothing has been written, so that the router
-// makes a new decision. Otherwise, an attempt that waits for its connection could be written later than the site's
-// rules allow after the event. An attempt that has been written continues.
+// makes a new decision. Otherwise, an attempt that waits for its connection could be written later than the
+// deployment's rules allow after the event. An attempt that has been written continues.
 func TestDiscoveryEventCancelsAffectedAttempts(t *testing.T) {
 	update := func(endpoint Endpoint) func(*harness) {
 		return func(h *harness) { h.director.UpdateEndpoints(false, 2, []Endpoint{endpoint}) }
--- a/internal/director/requests.go
+++ b/internal/director/requests.go
@@ -118,8 +118,8 @@
 	return d.admission.Admit(now, otherRequests)
 }
 
-// retryAfter returns the time after which a rejected client is advised to retry: the given wait, limited to the site's
-// MaxRetryAfter. It returns 0, which means no advice, if the site does not allow such advice.
+// retryAfter returns the time after which a rejected client is advised to retry: the given wait, limited to
+// SiteLimits.MaxRetryAfter. It returns 0, which means no advice, if the deployment does not allow such advice.
 func (d *Director) retryAfter(wait time.Duration) time.Duration {
 	site := &d.settings.SiteLimits
 	if !site.RetryAfterAllowed {
@@ -226,8 +226,8 @@
 }
 
 // releaseRequest frees the slot and the body of a request after the router has handled the request's end. The router
-// has cancelled the request's attempts by then, but only if the site allows cancellation; releaseRequest cancels the
-// attempts that are still in flight.
+// has cancelled the request's attempts by then, but only if the deployment allows cancellation; releaseRequest cancels
+// the attempts that are still in flight.
 func (d *Director) releaseRequest(request *openRequest) {
 	for number := range request.inFlight {
 		d.cancelAttempt(request, number)
--- a/internal/failover/topology.go
+++ b/internal/failover/topology.go
@@ -227,7 +227,9 @@
 	return slices.IndexFunc(t.Sites, func(s Site) bool { return s.Name == name })
 }
 
-// validate returns an error for the first class or site with values for which no plan can be computed.
+// validate returns an error for the first value for which no plan can be computed. For each class, LoadShare must be
+// between 0 and 1, ServiceTime above 0 and PriorityWeight at least 0; the sum of the LoadShares must be 1 within
+// shareTolerance. For each site, Capacity and IngressCapacity must be at least 0. NaN is always invalid.
 func (t *Topology) validate() error {
 	sum := 0.0
 	for _, class := range t.Classes {
--- a/internal/sitehealth/monitor_test.go
+++ b/internal/sitehealth/monitor_test.go
@@ -223,13 +223,14 @@
 	}
 	// Two sites time out, our hub (w0) and the caches of our branch, while a third site, the other hub (e0), answers or
 	// refuses connections: at the end of the script the director is not isolated, and our branch is unreachable.
-	for _, otherHubStep := range []string{"e0 answers", "e0 refuses"} {
+	// Before the last answer, the director may count as isolated.
+	for _, eastStep := range []string{"e0 answers", "e0 refuses"} {
 		branchSilent := stepsFor("silent", "c0", "c1", "c2", "c3", "c4", "c0", "c1")
 		f := newFleet(t)
-		f.runScript("w0 silent, c0 silent, 500, " + otherHubStep + ", " + branchSilent + ", 1200, " + otherHubStep + ", 100")
+		f.runScript("w0 silent, c0 silent, 500, " + eastStep + ", " + branchSilent + ", 1200, " + eastStep + ", 100")
 		if f.monitor.Isolated() || f.state(2) != Unreachable {
 			t.Errorf("%s: got isolated %v and own branch %v, want false and %v",
-				otherHubStep, f.monitor.Isolated(), f.state(2), Unreachable)
+				eastStep, f.monitor.Isolated(), f.state(2), Unreachable)
 		}
 	}
 }
--- a/routing/idempotency.go
+++ b/routing/idempotency.go
@@ -38,7 +38,8 @@
 	return sentAt + c.DedupWindow - min(windowSafetyMargin, c.DedupWindow/4)
 }
 
-// shareDedup reports whether server b recognises a repeat of a keyed request that server a has executed.
+// shareDedup reports whether server b recognises a repeat of a keyed request that server a has executed. A
+// DedupScope other than DedupScopeZone and DedupScopeCell counts as DedupScopeAll.
 func (c *Class) shareDedup(a, b *serverState) bool {
 	switch c.DedupScope {
 	case DedupScopeZone:
--- a/routing/settings.go
+++ b/routing/settings.go
@@ -26,8 +26,9 @@
 	SiblingFillsAny      = "any"      // also caches of other zones
 )
 
-// Values of TierSettings.FillStatusReported: the answers that carry a FillStatus. The Router relies on the
-// statuses only with FillStatusReportedAll and treats all other values alike.
+// Values of TierSettings.FillStatusReported: the answers that carry a FillStatus. With any
+// value except FillStatusReportedAll, the Router allows for answers without a FillStatus, and it does not probe
+// caches before fills.
 const (
 	FillStatusReportedAll = "all"
 	FillStatusReportedHit = "hit"
--- a/routing/state.go
+++ b/routing/state.go
@@ -152,7 +152,8 @@
 	// set, no further request is sent as a last resort: the search ends at the first cache that cannot fill.
 	triedOnlyIfCached bool
 	// onlyIfCachedCount is 0, or overload.MaxProbes after a miss without a fill in progress. MaxProbes forbids
-	// further probes before a fill, because there is no fill of another request to wait for.
+	// further probes before a fill, because there is no fill of another request to wait for. It also forbids a
+	// request for a cached copy as a last resort, unless a stale copy may be served.
 	onlyIfCachedCount int
 	shieldDecided     bool // shielded has been decided
 	shielded          bool // no fill from the origin
