--- a/routing/settings.go
+++ b/routing/settings.go
@@ -26,9 +26,9 @@
 	SiblingFillsAny      = "any"      // also caches of other zones
 )
 
-// Values of TierSettings.FillStatusReported: the answers that carry a FillStatus. With any
-// value except FillStatusReportedAll, the Router allows for answers without a FillStatus, and it does not probe
-// caches before fills.
+// Values of TierSettings.FillStatusReported: the answers that carry a FillStatus. With any value
+// except FillStatusReportedAll, the Router allows for answers without a FillStatus and does not probe caches
+// before fills.
 const (
 	FillStatusReportedAll = "all"
 	FillStatusReportedHit = "hit"
