--- a/cmd/shaleyard/connections_test.go
+++ b/cmd/shaleyard/connections_test.go
@@ -70,8 +70,9 @@
 	}
 }
 
-// TestAddressInUseIsAnError checks that a second program can't listen on an address in use. The event loop listens with
-// SO_REUSEPORT, which alone would let two programs share an address without an error.
+// TestAddressInUseIsAnError checks that a second program can't listen on an address in use. SO_REUSEPORT would let two
+// programs share an address without an error. The event loop's TCP listener is opened without it: gnet.WithReusePort
+// applies only to gnet's own UDP socket.
 func TestAddressInUseIsAnError(t *testing.T) {
 	env := startProgram(t)
 	err := env.program.eventLoop.Run(env.program.eventLoop.Address())
@@ -103,9 +104,10 @@
 	env.wantReply(waiting.ReadReply(), nettest.Reply{Seq: 1, Body: "x", Good: true})
 }
 
-// TestConnectionBurstDoesNotExhaustDescriptors checks that a burst of connections in the backlog does not use up the
-// descriptors, as gnet ends its engine when an accept fails for lack of one. The program runs in a separate process,
-// with a descriptor limit of its own.
+// TestConnectionBurstDoesNotExhaustDescriptors checks that the program survives a burst of 200 connections in the
+// accept queue while it may open only 66 descriptors: a connection that was open before is still served, and the
+// program stops gracefully. The event loop accepts through package listener, which retries an accept that fails for
+// lack of a descriptor. The program runs in a separate process, with a descriptor limit of its own.
 func TestConnectionBurstDoesNotExhaustDescriptors(t *testing.T) {
 	env := newHarness(t)
 	child := startProcess(t, env.configJSON(66), 66)
--- a/cmd/shaleyard/faults_test.go
+++ b/cmd/shaleyard/faults_test.go
@@ -95,8 +95,10 @@
 	load.stopAndCheck()
 }
 
-// Interrupted and partial system calls must neither lose a request nor corrupt an answer. The process gets hundreds of
-// signals, every second epoll_wait fails with EINTR, and a write accepts at most 100 bytes.
+// Interrupted and partial system calls must not lose a request: each request must get an answer of the length that the
+// answer's frame header gives, except for the race that loadClient.request describes. The content of the answers is not
+// compared, so a rejection is an answer as well. The process gets hundreds of signals, every second epoll_wait fails
+// with EINTR, and a write accepts at most 100 bytes.
 func TestInterruptedSystemCallsLoseNoRequest(t *testing.T) {
 	proc := startWithFaults(t, map[string]func(text string) string{
 		"unix/zsyscall_linux.go": func(text string) string {
@@ -122,8 +124,9 @@
 	proc.waitExit()
 }
 
-// When the kernel cannot register a new connection with epoll, no request may be lost and no failure may be attributed
-// to a cache. After the first ten, every seventh EPOLL_CTL_ADD fails with ENOMEM.
+// When the kernel cannot register a new connection with epoll, no request may be lost: each request must get an answer,
+// of any content, except for the race that loadClient.request describes. The test does not check whether a failed
+// registration is attributed to a cache. After the first ten, every seventh EPOLL_CTL_ADD fails with ENOMEM.
 func TestFailedEpollRegistrationsLoseNoRequest(t *testing.T) {
 	proc := startWithFaults(t, map[string]func(text string) string{
 		"unix/zsyscall_linux.go": func(text string) string {
--- a/cmd/shaleyard/interface_process_test.go
+++ b/cmd/shaleyard/interface_process_test.go
@@ -109,9 +109,9 @@
 func (p *recordingProcess) takeCalls() []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	told := p.calls
+	calls := p.calls
 	p.calls = nil
-	return told
+	return calls
 }
 
 // Ready implements admin.Process with the configured result.
--- a/cmd/shaleyard/upgrade_test.go
+++ b/cmd/shaleyard/upgrade_test.go
@@ -14,7 +14,8 @@
 	// readyAfterStart is the maximum time from the start of a process beside another one until the new one is ready.
 	readyAfterStart = 6 * time.Second
 	// idleCloseRace is the maximum time from the end of a request's transmission until the end of its connection for
-	// which clients assume that the two have crossed, and send a request on a new connection.
+	// which clients assume that the request crossed with the close of an idle connection, and send a request on a new
+	// connection.
 	idleCloseRace = 50 * time.Millisecond
 	// clientTimeout is the time after which a client gives up waiting for an answer.
 	clientTimeout = 10 * time.Second
--- a/cmd/simhost/golden_actions_test.go
+++ b/cmd/simhost/golden_actions_test.go
@@ -249,6 +249,7 @@
 	networkDelay := sim.randomBetween(millisecond, 5*millisecond)
 	switch {
 	case sim.chance(sim.lossPercent):
+		// The deadline is an absolute time, which startAttempt shortens, as in unresponsiveTimeout.
 		return simOutcome{result: resultTimedOut, elapsed: q.deadline}
 	case target.health == serverDown:
 		return simOutcome{result: resultConnectFailed, elapsed: networkDelay}
@@ -318,8 +319,9 @@
 }
 
 // unresponsiveTimeout returns how long an attempt at an unresponsive server lasts. Half of the attempts last 200 to
-// 900 ms, until a timeout of some server on the path. For the others it returns the time of the request's deadline,
-// which is longer than any duration; startAttempt shortens it to the time that remains until the deadline.
+// 900 ms, until a timeout of some server on the path. The others last until the request's deadline. For these attempts
+// unresponsiveTimeout returns q.deadline, an absolute time, as if it were a duration. q.deadline is never less than the
+// time that remains until the deadline, so startAttempt shortens it to that time or to the attempt's timeout.
 func (sim *simulation) unresponsiveTimeout(q *simRequest) int64 {
 	if sim.chance(50) {
 		return q.deadline
--- a/examples/toy/main.go
+++ b/examples/toy/main.go
@@ -31,7 +31,7 @@
 		err = serveAll([]service{
 			{name: "cache", address: *cache, serve: newCache().serve},
 			{name: "origin", address: *origin, serve: newOrigin().serve},
-			{name: "feed", address: *feed, serve: serveEndpointList},
+			{name: "feed", address: *feed, serve: serveEndpointList}, // the discovery service
 		})
 	}
 	if err != nil {
--- a/examples/toy/thrift.go
+++ b/examples/toy/thrift.go
@@ -35,7 +35,9 @@
 	fieldHeaderSize   = 1 + 2                                  // type, id
 )
 
-// encodeSubmit encodes a call of submit as a frame.
+// encodeSubmit encodes a call of submit as a frame. The fields of the request are the id of the request (ref), its
+// service, its timeout in milliseconds (allow), the id of the object (lookup), the number of the object's part (chunk),
+// the object's purge group (tag) and its size in KB (room).
 func encodeSubmit(id string, req request) []byte {
 	fields := []string{
 		"ref", id,
--- a/internal/checker/notification.go
+++ b/internal/checker/notification.go
@@ -5,12 +5,16 @@
 	"strings"
 )
 
-// Times in milliseconds after which a director counts as notified of an event of the discovery service at the latest.
+// Times in milliseconds that determine when a director counts as notified of an event of the discovery service. The
+// first three are the times after which the director counts as notified at the latest.
 const (
 	notifyLimit        = 7000.0 // after the event, in all cases
 	notifyAfterBreak   = 2000.0 // after the service reset the director's stream
 	notifyAfterSilence = 4000.0 // after the service stopped writing to the director's stream and left it open
-	inFlightWindow     = 100.0  // a stream that ends this soon after an event may not have delivered the event
+
+	// inFlightWindow is the longest time from an event to the end of a stream for which the stream counts as not having
+	// delivered the event.
+	inFlightWindow = 100.0
 
 	streamEventsShown = 7 // number of a director's latest stream events that a violation lists
 )
--- a/internal/checker/sitemetrics.go
+++ b/internal/checker/sitemetrics.go
@@ -328,8 +328,9 @@
 }
 
 // alarmMetrics counts false alarms, which are reports of a site as unavailable without a loss that covers it. It also
-// computes how often directors move load per loss that they detect, and counts the directors that reported themselves
-// as isolated from the sites.
+// computes how often directors move load per loss that they detect. It sets cut_off_told to the number of directors
+// that reported themselves as isolated from the sites (stateIsolated); reports that a site is "cut off" are not counted
+// there.
 func (h *history) alarmMetrics(metrics map[string]float64, losses []siteLoss) {
 	losses = slices.Concat(losses, h.linkLosses())
 	// Reporting a site as lost while at least half of its servers are available is a false alarm as well.
@@ -361,7 +362,7 @@
 		}
 	}
 	metrics["moves_per_event"] = ratio(loadMoves, detected)
-	metrics["cut_off_told"] = float64(len(isolated))
+	metrics["cut_off_told"] = float64(len(isolated)) // directors that reported stateIsolated, not the state "cut off"
 }
 
 // linkLosses returns the faults of the links to caches that can lose answers, as losses of all sites, because a
--- a/internal/checker/sitemetrics_test.go
+++ b/internal/checker/sitemetrics_test.go
@@ -107,7 +107,9 @@
 		t.Errorf("got survivor_peak %v and detect_ms_p95 %v, want 14.9 to 15.1 and at least 99%% of undetectedMS",
 			metrics["survivor_peak"], metrics["detect_ms_p95"])
 	}
-	// A loss that never ends lasts until the end of the load, and the served share never recovers.
+	// A loss without a "back" event counts up to the end of the load. From 2 s on, all requests of both branches are
+	// refused. The served share and its share of the bound must be 0, and because repayments and other requests are
+	// refused alike, so must be the difference of their refused shares.
 	endless := strings.ReplaceAll(siteLossHistory(func(ms float64, branch string) string {
 		if ms >= 2000 {
 			return "refused"
@@ -133,8 +135,11 @@
 	}
 }
 
-// TestLinkFaultMetricsWithoutSiteLoss checks that a history without a site loss has no loss metrics, and that a
-// director which reports a site as lost during a fault of the links to its caches raises no false alarm.
+// TestLinkFaultMetricsWithoutSiteLoss checks the metrics of a history with a fault of the links to the caches, from 100
+// to 900 ms, and without a site loss. The report "cut off" at 200 ms is no false alarm, because it comes during the
+// fault. The report "lost" at 20000 ms is the one false alarm, because it comes later than alarmGrace (6 s) after the
+// fault's end. The two reports "alone" of one director count once in cut_off_told. The loss metrics served_share_loss
+// and detect_ms_p95 must be 0.
 func TestLinkFaultMetricsWithoutSiteLoss(t *testing.T) {
 	linkFault := strings.Join([]string{
 		`{"ms":0,"kind":"load","what":"begin"}`,
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -16,7 +16,7 @@
 	epoch routing.Time // Unix time at start
 }
 
-// New returns a clock that starts now.
+// New returns a Clock that starts at the current Unix time and then advances with the monotonic clock.
 func New() *Clock {
 	start := time.Now()
 	return &Clock{start: start, epoch: routing.Time(start.UnixNano())}
--- a/internal/discovery/backoff.go
+++ b/internal/discovery/backoff.go
@@ -87,7 +87,7 @@
 	failures      int          // consecutive calls or watches that ended, without a stable watch between them
 	unservedCalls int          // consecutive calls that were refused or timed out, without a usable line between them
 	unusableEnds  int          // consecutive EndUnusable ends, without a usable line between them
-	breaks        int          // ended usable watches and redirects; each one moves this director's slot in the window
+	breaks        int          // number of moves of this director's slot in the window, see slot
 	usableSince   routing.Time // time of the current watch's first usable line
 	usable        bool         // the current watch has received a usable line
 }
@@ -238,8 +238,10 @@
 // slot returns the wait until this director's slot in the window. Windows are aligned to the clock and follow each
 // other without gaps, and each director has its own slot in each window. Calls that become due on all directors at
 // about the same time are therefore evenly spread, however long each process takes to start or to detect the loss. The
-// time within the slot is random, so that two directors with the same index do not always collide. The slot moves with
-// each ended usable watch and each redirect, by the golden ratio, so that no director always has the last slot.
+// time within the slot is random, so that two directors with the same index do not always collide. The slot moves by
+// 0.618 of the window (goldenRatioConjugate) with each increment of breaks, so that no director always has the last
+// slot. breaks is incremented by a redirect, by the end of a stable watch, and by the end of a short usable watch if
+// the next call is made in the return window.
 func (b *Backoff) slot(now routing.Time, window time.Duration) time.Duration {
 	if window <= 0 {
 		return 0
--- a/internal/discovery/flapping_test.go
+++ b/internal/discovery/flapping_test.go
@@ -43,8 +43,10 @@
 	slowDial       = 500 * time.Millisecond  // additional time of a slow dial
 )
 
-// breakBound returns the longest time by which a purge may miss its deadline, for each interpretation, if up-to-date
-// watches break and up to interruptedReplays consecutive replays are interrupted after each break.
+// breakBound returns the longest time by which a purge may miss its deadline if up-to-date watches, which have received
+// all missed events, break, and up to interruptedReplays consecutive replays are interrupted after each break. The
+// result has one bound for each of the four interpretations of the rule on when a purge counts as notified (type
+// interpretation). interruptedReplays is a count; its type is time.Duration only because it multiplies durations.
 func breakBound(interruptedReplays time.Duration) [interpretationCount]time.Duration {
 	const call = waitWhileDown + dialTime
 	return worstCaseBound(
--- a/internal/downstream/capacity.go
+++ b/internal/downstream/capacity.go
@@ -75,8 +75,9 @@
 }
 
 // enforceTotalOutboundLimit closes the connections with the most unread output until the total is at most
-// Limits.TotalBacklogBytes. The caller writes its own output first: closing a connection cancels its requests, and the
-// cancellation can cause answers to other requests.
+// Limits.TotalBacklogBytes. Closing a connection cancels its requests, and the cancellation can cause answers to other
+// requests. These answers are encoded in the buffers that all connections share, such as Server.replyWriter, so the
+// caller must write its own message first: the answers would overwrite it.
 func (s *Server) enforceTotalOutboundLimit() {
 	for s.outboundEstimate > s.limits.TotalBacklogBytes {
 		s.outboundEstimate = s.OutboundBuffered()
--- a/internal/simwire/reader.go
+++ b/internal/simwire/reader.go
@@ -50,8 +50,8 @@
 }
 
 // Next returns the next batch. It returns io.EOF when the input ends between two batches, and another error for a
-// truncated or malformed batch. An endpoint update refers to an endpoint list by the index of the list. Next replaces
-// the index by the list that the last record before the update stored under it.
+// truncated or malformed batch. On the wire, an endpoint update holds only the index of an endpoint list. Next sets the
+// update's Endpoints to the list that was most recently stored under this index, possibly in an earlier batch.
 func (r *Reader) Next() (*Batch, error) {
 	header, err := r.readHeader()
 	if err != nil {
--- a/internal/strictconfig/strict.go
+++ b/internal/strictconfig/strict.go
@@ -17,7 +17,7 @@
 
 // Error is an error of one key of a configuration.
 type Error struct {
-	File string // name of the file; empty if the context tells it
+	File string // name of the file; empty if not known, see Locate
 	Line int    // line number from 1; 0 if no line sets the key
 	Key  string // full key with dots and indices, such as step[2].do
 	Err  error
@@ -34,8 +34,9 @@
 // Unwrap returns Err, the error without file, line and key.
 func (e *Error) Unwrap() error { return e.Err }
 
-// Locate returns an Error that has no file with the name of the file, and the line that sets its key in the text. It
-// returns other errors unchanged.
+// Locate adds the name of the file, and the number of the line that sets the key in the text, to an Error that has no
+// file yet. The number is 0 if no line sets the key. Errors that wrap the Error are dropped. Locate returns any other
+// error unchanged.
 func Locate(err error, file string, text []byte) error {
 	var keyErr *Error
 	if !errors.As(err, &keyErr) || keyErr.File != "" {
--- a/internal/testbed/clientconn.go
+++ b/internal/testbed/clientconn.go
@@ -94,8 +94,8 @@
 	return true
 }
 
-// readFrame reads a message that is prefixed with its length (32 bits, big-endian). It fails if the message is longer
-// than maxFrameBytes.
+// readFrame reads a message that is prefixed with its length (32 bits, big-endian). It returns errTruncated, whose text
+// does not fit this case, if the message is longer than maxFrameBytes.
 func readFrame(r io.Reader) ([]byte, error) {
 	var size [4]byte
 	if _, err := io.ReadFull(r, size[:]); err != nil {
--- a/internal/testbed/discovery.go
+++ b/internal/testbed/discovery.go
@@ -92,8 +92,9 @@
 }
 
 // setMode changes how the service behaves and records the change. modeDown closes the listeners, so that the kernel
-// refuses connections; leaving modeDown opens them again. All modes but modeWell and modeSlow also reset all open
-// streams. forgottenEvents counts in modeRolledBack only.
+// refuses connections; leaving modeDown opens them again. Every mode that is set, except modeWell, also resets all open
+// streams and queued calls. The argument forgottenEvents, the number of latest events that the service no longer has,
+// takes effect only in modeRolledBack.
 func (s *discoveryService) setMode(mode string, capacityFactor float64, forgottenEvents int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -145,9 +146,10 @@
 	s.resetStreams()
 }
 
-// publish appends an event under the next revision, which build renders as a line, and wakes the streams that write it.
-// It records the event in the history. If the service is not in modeWell, the record's What gets the suffix " unheard":
-// the checker then counts a director as notified when the event is written to it, not when it is published.
+// publish calls build with the next revision to get the line of a new event, appends the line to the service's events
+// and wakes the stream writers, which write the line. It records the event in the history. If the service is not in
+// modeWell, the record's What gets the suffix " unheard": the checker then counts a director as notified when the event
+// is written to the director's stream, not when the event is published.
 func (s *discoveryService) publish(build func(revision int) string, event Event) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/testbed/discovery_test.go
+++ b/internal/testbed/discovery_test.go
@@ -87,8 +87,9 @@
 	return events
 }
 
-// awaitStreamEnd waits until one end of a stream has been recorded, and checks that it is the end of d0's stream before
-// its first event, in the way that what names.
+// awaitStreamEnd waits up to 10 s until the history holds exactly one event of kind "stream", the end of a stream. It
+// checks that the event's What is the argument, that its director is d0 and that its Number is 1, which means that the
+// stream ended before its first event was written.
 func awaitStreamEnd(t *testing.T, service *discoveryService, what string) {
 	t.Helper()
 	for until := time.Now().Add(10 * time.Second); time.Now().Before(until); time.Sleep(time.Millisecond) {
@@ -160,9 +161,10 @@
 	}
 }
 
-// The way and the age at which a flap ends a stream depend on nothing but the seed, the director's number and the
-// stream's number. They must differ between these, and be the same whenever they are drawn again: otherwise a run
-// couldn't be repeated by its seed, or all streams would end at once.
+// Drawing the end of a stream again with the same seed, director and stream number must give the same way of ending and
+// the same age: otherwise a run couldn't be repeated by its seed. The ages of 60 streams (3 seeds, 4 directors, 5
+// numbers) must all differ, because otherwise all streams would end at once, and all 3 ways of ending must occur. The
+// age of a stream that was opened before the flap counts from the flap's begin.
 func TestEndsOfStreamsAreDrawnBySeed(t *testing.T) {
 	begin := time.Now()
 	ages := map[time.Duration]bool{}
--- a/internal/testbed/discoverystream.go
+++ b/internal/testbed/discoverystream.go
@@ -96,9 +96,9 @@
 	return s.nextFree.Sub(now)
 }
 
-// awaitTurn waits until a queued call has been served. It returns false if the director disconnects before that. The
-// call of a disconnected director still takes its server time, because the service does not notice that its caller has
-// gone.
+// awaitTurn waits until a queued call has been served or its director disconnects, and then frees the call's place in
+// the queue. It returns false if the director disconnects first. The server time that enqueueCall reserved for the call
+// (nextFree) stays spent, because the simulated service does not notice that its caller has gone.
 func (s *discoveryService) awaitTurn(wait time.Duration, disconnected chan struct{}) bool {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
@@ -140,7 +140,7 @@
 	opened      time.Time
 	lastWritten int       // revision of the latest event written, or known to the director when it called
 	lastWrite   time.Time // of events or a heartbeat
-	flap        *flap     // that end was drawn from; nil: none
+	flap        *flap     // flap from which the field end was drawn; nil if no flap applies
 	end         streamEnd
 	endTimers   []*time.Timer // wake the writer when end is due
 }
@@ -290,7 +290,7 @@
 	minAge, maxAge time.Duration
 }
 
-// streamEnd is how and when a flap ends a stream. The zero value means that no flap ends it.
+// streamEnd is how and when a flap ends a stream. The zero value means that no flap ends the stream.
 type streamEnd struct {
 	mode string
 	at   time.Time
@@ -298,9 +298,11 @@
 
 func (e streamEnd) due() bool { return e.mode != "" && !time.Now().Before(e.at) }
 
-// drawEnd returns the end of a director's nth stream. It depends on the flap's seed, the director and nth alone, apart
-// from the start of the stream's age: when the stream was opened, or the flap's begin if that is later. A stream with
-// endTruncated ends at the first event that is due at or after this age. A nil flap ends no stream.
+// drawEnd returns the end of a director's nth stream. It draws one of the flap's modes and an age between minAge and
+// maxAge from a random generator that is seeded with the flap's seed, the director and nth, so flaps with the same
+// fields give the same mode and age for the same director and nth. The age counts from the opening of the stream or from
+// the flap's begin, whichever is later, and the end's time is that start plus the age. A stream with endTruncated ends
+// within the first event that is to be written at or after that time. A nil flap ends no stream.
 func (f *flap) drawEnd(director, nth int, opened time.Time) streamEnd {
 	if f == nil {
 		return streamEnd{}
--- a/internal/testbed/history.go
+++ b/internal/testbed/history.go
@@ -70,7 +70,8 @@
 	return float64(unixMS - w.started.UnixMilli())
 }
 
-// record writes an event with the present time. close returns an error of the write.
+// record writes an event with the present time. The first error of encoding or writing an event is kept, and close
+// returns it.
 func (w *historyWriter) record(event Event) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/upstream/conn_test.go
+++ b/internal/upstream/conn_test.go
@@ -12,8 +12,10 @@
 	"shaleyard/routing"
 )
 
-// Connections to a process that has ended may never report a close. After the endpoint has restarted or a new endpoint
-// has taken its address, attempts must use new connections, and the old connections must be closed.
+// Connections to a process that has ended may never report a close. When an update reports that an endpoint has
+// restarted (same name and address, later start), its old connection must be closed, the attempt in flight on it must
+// end with Reset, and the next attempt must dial a new connection. After the endpoint is then removed, the attempt in
+// flight must still end with OK, and no connection may stay open.
 func TestRestartedEndpointGetsNewConnections(t *testing.T) {
 	h := newHarness()
 	h.send(1, "r1")
--- a/internal/upstream/response.go
+++ b/internal/upstream/response.go
@@ -178,8 +178,8 @@
 }
 
 // decodeLoadReport returns the figures of a load report in the order of the settings, or nil if the settings name none.
-// A figure that is absent or not a number is 0: load reports are hints, so a bad figure does not invalidate the
-// response.
+// Load reports are hints, so a bad figure does not invalidate the response: a figure that is absent or malformed is 0,
+// "nan" is NaN, and "inf" or a number out of the range of float32 is infinite.
 func (p *Pools) decodeLoadReport(text string) []float32 {
 	if len(p.loadReportFields) == 0 {
 		return nil
@@ -191,7 +191,7 @@
 			if key != field && key != loadReportKeys[field] {
 				continue
 			}
-			figure, _ := strconv.ParseFloat(value, 32) // 0 if value is not a number, infinite if out of range
+			figure, _ := strconv.ParseFloat(value, 32) // 0 if malformed, infinite if out of range
 			report[i] = float32(figure)
 		}
 	}
