--- a/internal/testbed/discoverystream.go
+++ b/internal/testbed/discoverystream.go
@@ -300,9 +300,9 @@
 
 // drawEnd returns the end of a director's nth stream. It draws one of the flap's modes and an age between minAge and
 // maxAge from a random generator that is seeded with the flap's seed, the director and nth, so flaps with the same
-// fields give the same mode and age for the same director and nth. The age counts from the opening of the stream or from
-// the flap's begin, whichever is later, and the end's time is that start plus the age. A stream with endTruncated ends
-// within the first event that is to be written at or after that time. A nil flap ends no stream.
+// fields give the same mode and age for the same director and nth. The age counts from the opening of the stream or
+// from the flap's begin, whichever is later, and the end's time is that start plus the age. A stream with endTruncated
+// ends within the first event that is to be written at or after that time. A nil flap ends no stream.
 func (f *flap) drawEnd(director, nth int, opened time.Time) streamEnd {
 	if f == nil {
 		return streamEnd{}
