--- a/cmd/shaleyard/interface_process_test.go
+++ b/cmd/shaleyard/interface_process_test.go
@@ -126,8 +126,8 @@
 	return p.canResume
 }
 
-// Called implements admin.Process. It records the call with its method, path and status.
-func (p *recordingProcess) Called(method, path string, status int) {
+// RecordCall implements admin.Process. It records the call with its method, path and status.
+func (p *recordingProcess) RecordCall(method, path string, status int) {
 	p.record("logged %s %s %d", method, path, status)
 }
 
--- a/cmd/shaleyard/operatorapi.go
+++ b/cmd/shaleyard/operatorapi.go
@@ -48,8 +48,8 @@
 	}
 }
 
-// Called implements admin.Process. It logs an operators' call.
-func (o *operatorAPI) Called(method, path string, status int) {
+// RecordCall implements admin.Process. It logs an operators' call.
+func (o *operatorAPI) RecordCall(method, path string, status int) {
 	o.program.log.Info(
 		"operator call",
 		zap.String("method", method),
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -40,8 +40,8 @@
 	Drain()
 	// Resume cancels a drain. It returns false if the drain can no longer be cancelled.
 	Resume() bool
-	// Called is called for each drain and each resume, with the status of the answer.
-	Called(method, path string, status int)
+	// RecordCall is called for each drain and each resume, with the status of the answer.
+	RecordCall(method, path string, status int)
 }
 
 // Server is the HTTP server for operators' calls. Its methods may be called from any goroutine.
@@ -146,6 +146,6 @@
 }
 
 func (s *Server) respond(response http.ResponseWriter, request *http.Request, status int) {
-	s.process.Called(request.Method, request.URL.Path, status)
+	s.process.RecordCall(request.Method, request.URL.Path, status)
 	response.WriteHeader(status)
 }
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -24,7 +24,7 @@
 
 func (p *fakeProcess) Drain() { p.drained.Store(true) }
 
-func (p *fakeProcess) Called(string, string, int) { p.called.Add(1) }
+func (p *fakeProcess) RecordCall(string, string, int) { p.called.Add(1) }
 
 func (p *fakeProcess) Resume() bool {
 	p.drained.Store(p.stopping.Load())
--- a/internal/sitehealth/member.go
+++ b/internal/sitehealth/member.go
@@ -80,9 +80,9 @@
 	}
 }
 
-// RecordRefusal records that a connection to the server failed, usually because its machine reports that nothing
+// RecordConnectFailure records that a connection to the server failed, usually because its machine reports that nothing
 // listens there, or that a cache failed at once to reach the server as a source.
-func (mem *Member) RecordRefusal(now Time) {
+func (mem *Member) RecordConnectFailure(now Time) {
 	if mem == nil {
 		return
 	}
@@ -94,7 +94,7 @@
 // time sent. A failure that came quickly counts as a refusal, a failure after a wait as a timeout.
 func (mem *Member) RecordSourceFailure(now, sent Time, quickly bool) {
 	if quickly {
-		mem.RecordRefusal(now)
+		mem.RecordConnectFailure(now)
 		return
 	}
 	mem.RecordTimeout(now, sent)
--- a/internal/sitehealth/monitor.go
+++ b/internal/sitehealth/monitor.go
@@ -155,20 +155,20 @@
 	return 1
 }
 
-// ProbeInterval returns the upper bound of the time between two probes of a server. While our branch is unavailable,
+// MaxProbeInterval returns the upper bound of the time between two probes of a server. While our branch is unavailable,
 // the bound is short: the response of one server is evidence about all servers of the branch, so that frequent probes
 // are worth their cost. Otherwise the bound is the largest possible time.
-func (m *Monitor) ProbeInterval() time.Duration {
+func (m *Monitor) MaxProbeInterval() time.Duration {
 	if m.OwnBranchUnavailable() {
 		return probeInterval
 	}
 	return math.MaxInt64
 }
 
-// NextProbeIn returns the time after which a client that was rejected because a site is lost should retry at the
-// earliest. This is the rest of the site's holdoff, in which no recovery starts, but at least probeInterval/2. The
+// MinTimeUntilRecovery returns the time after which a client that was rejected because a site is lost should retry at
+// the earliest. This is the rest of the site's holdoff, in which no recovery starts, but at least probeInterval/2. The
 // result is 0 for a site that is not lost.
-func (m *Monitor) NextProbeIn(now Time, zone int) time.Duration {
+func (m *Monitor) MinTimeUntilRecovery(now Time, zone int) time.Duration {
 	site := &m.sites[zone]
 	if !site.state.unavailable() {
 		return 0
--- a/internal/sitehealth/monitor_test.go
+++ b/internal/sitehealth/monitor_test.go
@@ -65,7 +65,7 @@
 		case "answers":
 			f.members[server].RecordResponse(f.now)
 		case "refuses":
-			f.members[server].RecordRefusal(f.now)
+			f.members[server].RecordConnectFailure(f.now)
 		case "silent":
 			f.members[server].RecordTimeout(f.now, f.now-300*ms)
 		case "gone":
@@ -330,9 +330,9 @@
 					rt.Fatalf("zone %d has the weight factor %v, want between 0 and 2", zone, factor)
 				}
 			}
-			wait := f.monitor.NextProbeIn(f.now, 2)
+			wait := f.monitor.MinTimeUntilRecovery(f.now, 2)
 			if wait < 0 || wait > maxHoldoff || (wait > 0) != f.state(2).unavailable() {
-				rt.Fatalf("own branch is %v, but NextProbeIn is %v", f.state(2), wait)
+				rt.Fatalf("own branch is %v, but MinTimeUntilRecovery is %v", f.state(2), wait)
 			}
 		}
 		if c := f.monitor.Counters; c.Relapses > c.RecoveriesStarted || c.Recoveries > c.RecoveriesStarted {
--- a/routing/ejection.go
+++ b/routing/ejection.go
@@ -25,8 +25,8 @@
 // eject ejects a server until a half-open probe is answered, and cancels the attempts that cancelRetriable
 // selects. The first probe is allowed after initialEjection. Each failed probe doubles the time to the next
 // one, up to maxEjection and, while the director's branch is unavailable, up to the shorter
-// sitehealth.Monitor.ProbeInterval. A failure before the next probe is allowed has no effect. The origin is
-// never ejected, because no other server can replace it.
+// sitehealth.Monitor.MaxProbeInterval. A failure before the next probe is allowed has no effect. The origin
+// is never ejected, because no other server can replace it.
 func (r *Router) eject(server *serverState, cause string) {
 	if server.tier == originTier {
 		return
@@ -41,7 +41,7 @@
 		inFlight := len(server.asTarget.inFlight)
 		r.logf("eject server %x: %s, %d attempts in flight", uint64(server.Host), cause, inFlight)
 	}
-	server.ejectionBackoff = min(2*server.ejectionBackoff, maxEjection, r.sites.ProbeInterval())
+	server.ejectionBackoff = min(2*server.ejectionBackoff, maxEjection, r.sites.MaxProbeInterval())
 	server.probeAfter = r.now + server.ejectionBackoff
 	r.cancelRetriable(server)
 }
--- a/routing/ending.go
+++ b/routing/ending.go
@@ -35,14 +35,14 @@
 // retryAfter returns the time after which the client of a rejected request should retry, or 0 if the
 // deployment does not allow such a hint. The time is random, to spread the retries: it lies between a base time
 // and twice that base, and is at most SiteLimits.MaxRetryAfter. The base is minPostponement or, while the
-// director's own branch is lost, NextProbeIn of the branch if that is longer: the rest of the time in which no
-// recovery of the branch starts. The base is at most 3/4 of MaxRetryAfter.
+// director's own branch is lost, MinTimeUntilRecovery of the branch if that is longer: the rest of the time
+// in which no recovery of the branch starts. The base is at most 3/4 of MaxRetryAfter.
 func (r *Router) retryAfter() time.Duration {
 	limits := &r.settings.SiteLimits
 	if !limits.RetryAfterAllowed {
 		return 0
 	}
-	wait := max(minPostponement, r.sites.NextProbeIn(r.now, r.settings.Zone))
+	wait := max(minPostponement, r.sites.MinTimeUntilRecovery(r.now, r.settings.Zone))
 	wait = min(wait, limits.MaxRetryAfter*3/4)
 	jitter := min(wait, limits.MaxRetryAfter-wait)
 	return wait + time.Duration(r.rng.Int64N(int64(jitter)+1))
--- a/routing/health.go
+++ b/routing/health.go
@@ -27,7 +27,7 @@
 			r.readmit(target)
 		}
 	case ConnectFailed:
-		target.siteMember.RecordRefusal(r.now)
+		target.siteMember.RecordConnectFailure(r.now)
 		r.eject(target, "connect failed")
 	case TimedOut:
 		target.siteMember.RecordTimeout(r.now, attempt.sentAt)
