--- a/cmd/shaleyard/connections_test.go
+++ b/cmd/shaleyard/connections_test.go
@@ -70,14 +70,14 @@
 	}
 }
 
-// TestAddressInUseIsAnError checks that a second program can't listen on an address in use. SO_REUSEPORT would let two
-// programs share an address without an error. The event loop's TCP listener is opened without it: gnet.WithReusePort
-// applies only to gnet's own UDP socket.
+// TestAddressInUseIsAnError checks that a second call of Run in the same process can't listen on an address in use.
+// SO_REUSEPORT would let two programs share an address without an error. The event loop's TCP listener is opened
+// without it: gnet.WithReusePort applies only to gnet's own UDP socket.
 func TestAddressInUseIsAnError(t *testing.T) {
 	env := startProgram(t)
 	err := env.program.eventLoop.Run(env.program.eventLoop.Address())
 	if err == nil || !strings.Contains(err.Error(), "in use") {
-		t.Errorf("second program on the address: got error %v, want \"in use\"", err)
+		t.Errorf("second Run on the address: got error %v, want \"in use\"", err)
 	}
 }
 
--- a/cmd/shaleyard/drain_test.go
+++ b/cmd/shaleyard/drain_test.go
@@ -55,7 +55,8 @@
 }
 
 // wantDrained waits until drainLimit has passed since the request for a drain. The process must then hold no client
-// connection and must not be ready.
+// connection and must not be ready. wantDrained reads the number of connections for up to 1 s more, because the first
+// counters line that it reads may be old.
 func (p *operatedProcess) wantDrained(since time.Time) {
 	p.process.t.Helper()
 	time.Sleep(time.Until(since.Add(drainLimit)))
--- a/cmd/shaleyard/interface_process_test.go
+++ b/cmd/shaleyard/interface_process_test.go
@@ -91,7 +91,7 @@
 	}
 }
 
-// recordingProcess implements admin.Process. It records the calls of its methods.
+// recordingProcess implements admin.Process. It records the calls of all methods except Ready.
 type recordingProcess struct {
 	mu               sync.Mutex
 	ready, canResume bool
@@ -152,7 +152,7 @@
 }
 
 // TestHTTPCalls compares all HTTP calls of the operators' address with a golden file: for each method and path, the
-// status, the body, and the methods of the process that were called.
+// status, the body, and the calls of all methods of the process except Ready.
 func TestHTTPCalls(t *testing.T) {
 	var rows strings.Builder
 	for _, ready := range []bool{true, false} {
--- a/cmd/testbed/run.go
+++ b/cmd/testbed/run.go
@@ -129,7 +129,8 @@
 	return checkHistory(filepath.Join(dir, "record.jsonl"))
 }
 
-// report is the result of a run or a check. result.json holds it.
+// report is the result of a run or a check. A run writes it to result.json and prints it. A check only prints it, and
+// leaves Seed and Directors 0.
 type report struct {
 	Experiment string              `json:"experiment"`
 	Seed       uint64              `json:"seed"`
--- a/internal/checker/detection.go
+++ b/internal/checker/detection.go
@@ -3,8 +3,9 @@
 import "slices"
 
 // detectionTime returns the 95th percentile of the time, in milliseconds, that directors take to detect the loss of a
-// whole site. It counts the directors that use the site and answered a request during the loss. A director that never
-// detects the loss counts as undetectedMS.
+// whole site. It counts the directors that use the site and had a request during the loss with an outcome other than
+// "unreached" or "lost"; a timeout ("none") is sufficient. A director that does not report the site as unavailable
+// during the loss counts as undetectedMS.
 func (h *history) detectionTime(losses []siteLoss) float64 {
 	sitesByDirector, times := h.sitesOfDirectors(), newHistogram()
 	for _, loss := range losses {
@@ -42,9 +43,11 @@
 }
 
 // detectionDelay returns the time in milliseconds from a loss until a director reported the site as unavailable, and
-// whether the director answered a request during the loss. The delay is 0 if the director's latest report of the site
-// before the loss was unavailable and no event of the director's process followed until the end of the loss. The delay
-// is at most undetectedMS, which also stands for a director that never reported the site.
+// whether the director counts as having answered during the loss: the history then records an outcome other than
+// "unreached" or "lost" for one of its requests, which may be a timeout ("none"). The delay is 0 if the director's
+// latest report of the site before the loss was unavailable and no event of the director's process followed until the
+// end of the loss. The delay is at most undetectedMS, which also stands for a director that did not report the site as
+// unavailable during the loss.
 func (h *history) detectionDelay(director string, loss siteLoss) (delay float64, answered bool) {
 	delay = undetectedMS
 	alreadyUnavailable := false // the director's report before this loss, for example because of an earlier loss
--- a/internal/checker/history.go
+++ b/internal/checker/history.go
@@ -261,8 +261,9 @@
 }
 
 // unavailable reports whether a director need not answer a request that came at from and is due at to, because its
-// process was down, ended unexpectedly, was killed or was suspended during a part of that period. During a graceful
-// shutdown, requests that come within shutdownGrace of SIGTERM must still be answered.
+// process was down, ended unexpectedly, was killed or was suspended during a part of that period. Requests that come
+// within shutdownGrace of SIGTERM must still be answered if the process still runs at to. If it has exited by then, the
+// director counts as unavailable.
 func (h *history) unavailable(director string, from, to float64) bool {
 	state := processState{shutdownEnd: forever}
 	for _, ev := range h.processEvents[director] {
--- a/internal/checker/notification.go
+++ b/internal/checker/notification.go
@@ -9,7 +9,7 @@
 // first three are the times after which the director counts as notified at the latest.
 const (
 	notifyLimit        = 7000.0 // after the event, in all cases
-	notifyAfterBreak   = 2000.0 // after the service reset the director's stream
+	notifyAfterBreak   = 2000.0 // after the director's stream ended in any way other than "silent"
 	notifyAfterSilence = 4000.0 // after the service stopped writing to the director's stream and left it open
 
 	// inFlightWindow is the longest time from an event to the end of a stream for which the stream counts as not having
--- a/internal/checker/rules.go
+++ b/internal/checker/rules.go
@@ -2,7 +2,7 @@
 
 import "strings"
 
-// Limits of the rules, in milliseconds (protocol page).
+// Limits of the rules (protocol page), in milliseconds except for allowedDepartures, which is a number.
 const (
 	slack         = 50.0    // extension of the answer, drain and purge limits, for delays of real sockets
 	drainLimit    = 2000.0  // after notification: the last new request to a draining server
@@ -11,7 +11,7 @@
 	shutdownGrace = 700.0   // after SIGTERM: the last request that must still be answered
 
 	departureGrace    = 100.0 // after a client left: the last attempt for its request that is not late
-	departureLate     = 300.0 // after a client left: any later attempt for its request counts as sent on regardless
+	departureLate     = 300.0 // after a client left: with any later attempt, its request counts as sent late
 	allowedDepartures = 2     // number of late attempts that are tolerated
 )
 
--- a/internal/checker/sitemetrics_test.go
+++ b/internal/checker/sitemetrics_test.go
@@ -109,7 +109,7 @@
 	}
 	// A loss without a "back" event counts up to the end of the load. From 2 s on, all requests of both branches are
 	// refused. The served share and its share of the bound must be 0, and because repayments and other requests are
-	// refused alike, so must be the difference of their refused shares.
+	// refused alike, the difference between their refused shares must be 0 too.
 	endless := strings.ReplaceAll(siteLossHistory(func(ms float64, branch string) string {
 		if ms >= 2000 {
 			return "refused"
--- a/internal/config/limits.go
+++ b/internal/config/limits.go
@@ -66,7 +66,7 @@
 	// WatchCallTime is the longest duration of a call to a healthy service: connect, subscribe, read the missed events.
 	WatchCallTime    time.Duration
 	DrainApplyWithin time.Duration // from when the service has a drain until the drain must be applied
-	PurgeApplyWithin time.Duration // from when the service has a purge until the purge must be applied
+	PurgeApplyWithin time.Duration // from when a purge counts as notified until the purge must be applied
 	// InitialJitterWindow is the time over which the fleet spreads its first calls to the discovery service. If it is
 	// 0, the calls are spread over at most four fifths of PurgeApplyWithin, and the director accepts requests from its
 	// start. Otherwise the director accepts requests only once it has reached the service, or InitialListTimeout has
--- a/internal/discovery/backoff.go
+++ b/internal/discovery/backoff.go
@@ -42,8 +42,8 @@
 	// minStableTime is the time for which a watch must have been usable to count as stable. A shorter watch counts as a
 	// failure, because the service may be flapping.
 	minStableTime = 3 * time.Second
-	// maxTokens is the capacity of the token bucket of calls. It allows a burst of calls after a quiet time, for a
-	// broken watch and the calls that replace it.
+	// maxTokens is the capacity of the token bucket of calls. It allows a burst of calls after a quiet time, for the
+	// calls that replace a broken watch.
 	maxTokens = 4
 	// backoffFactor is the growth of the backoff window with each consecutive call that was refused or timed out.
 	backoffFactor = 2.0
@@ -134,7 +134,8 @@
 	return b.takeToken(now, b.slot(now, b.returnWindow))
 }
 
-// RecordUsableLine records that the current watch received a usable line at the time now.
+// RecordUsableLine records that the current watch received a usable line at the time now. The first usable line resets
+// unservedCalls and unusableEnds. A line minStableTime after the first one, or later, resets failures.
 func (b *Backoff) RecordUsableLine(now routing.Time) {
 	if !b.usable {
 		b.usable = true
--- a/internal/discovery/backoff_test.go
+++ b/internal/discovery/backoff_test.go
@@ -10,8 +10,9 @@
 	"shaleyard/routing"
 )
 
-// platformConfig returns the backoff parameters that the platform's documentation specifies, for one director of a
-// fleet.
+// platformConfig returns backoff parameters for one director of a fleet. ApplyWithin, ApplyPurgeWithin and
+// NotifiedAfter are those that the platform's documentation specifies. SilenceTimeout, CallDuration and MinWait are the
+// director's own limits. StartWindow is a value for the tests; in operation it is 0 unless the operator sets start_ms.
 func platformConfig(directors, index int) BackoffConfig {
 	return BackoffConfig{
 		Directors:        directors,
--- a/internal/discovery/flapping_test.go
+++ b/internal/discovery/flapping_test.go
@@ -36,17 +36,18 @@
 const (
 	waitAfterBreak = 400 * time.Millisecond  // longest wait after a break while tokens are left
 	waitWhileDown  = 1500 * time.Millisecond // longest wait after a break or a refusal
-	longestWait    = 7 * time.Second         // longest time from a call that timed out to the next one
+	longestWait    = 7 * time.Second         // longest time from one call to the next
 	silenceTime    = 1300 * time.Millisecond // SilenceTimeout
 	dialTimeout    = time.Second             // ConnectTimeout
-	dialTime       = 2 * time.Millisecond    // twice the time of a dial that is not slow, which is 1 ms
+	dialTime       = 2 * time.Millisecond    // twice the 1 ms that a dial takes if it is not slow
 	slowDial       = 500 * time.Millisecond  // additional time of a slow dial
 )
 
 // breakBound returns the longest time by which a purge may miss its deadline if up-to-date watches, which have received
-// all missed events, break, and up to interruptedReplays consecutive replays are interrupted after each break. The
-// result has one bound for each of the four interpretations of the rule on when a purge counts as notified (type
-// interpretation). interruptedReplays is a count; its type is time.Duration only because it multiplies durations.
+// all missed events, break, and up to interruptedReplays consecutive replays are interrupted after each break. The call
+// budget is assumed to be spent, so each wait takes up to waitWhileDown. The result has one bound for each of the four
+// interpretations of the rule on when a purge counts as notified (type interpretation). interruptedReplays is a count;
+// its type is time.Duration only because it multiplies durations.
 func breakBound(interruptedReplays time.Duration) [interpretationCount]time.Duration {
 	const call = waitWhileDown + dialTime
 	return worstCaseBound(
--- a/internal/downstream/connection.go
+++ b/internal/downstream/connection.go
@@ -91,7 +91,8 @@
 }
 
 // discardFrame discards a partly received frame: it releases the buffers, and forgets the length prefix and the length.
-// It also clears messageStarted, so that no message timeout applies until the next message begins.
+// It also clears messageStarted: the connection is draining, lingering or closed, so it discards all further input, and
+// the message timeout must not apply any more.
 func (c *Connection) discardFrame() {
 	c.partialFrame.Release()
 	c.messageStarted = 0
--- a/internal/downstream/connection_test.go
+++ b/internal/downstream/connection_test.go
@@ -7,8 +7,8 @@
 )
 
 // Requests that were received before a malformed frame or a message timeout must still be answered. Closing the
-// connection at once loses their answers. The connection must read nothing more, and half-close once the client has
-// read the answers.
+// connection at once loses their answers. The connection must read nothing more, and half-close once its socket
+// has accepted all output.
 func TestPendingAnswersAreSentBeforeMalformedStreamCloses(t *testing.T) {
 	for _, test := range []struct {
 		name        string
--- a/internal/downstream/fields.go
+++ b/internal/downstream/fields.go
@@ -127,7 +127,7 @@
 }
 
 // parseNumber parses a decimal number from minimum to maximum. It rejects a plus sign and leading zeros, because the
-// text is forwarded to caches, which may not accept other forms.
+// text of a part number is forwarded to caches, which may not accept other forms.
 func parseNumber(field, value string, minimum, maximum int) (int, error) {
 	number, err := strconv.Atoi(value)
 	if err != nil || number < minimum || number > maximum || strconv.Itoa(number) != value {
--- a/internal/downstream/timeouts_test.go
+++ b/internal/downstream/timeouts_test.go
@@ -60,8 +60,9 @@
 	}
 }
 
-// A connection with a partly received message must not be closed by the idle timeout, by a new connection or by a
-// graceful close. Its client is still writing, and a request that is complete only after our half-close is lost.
+// A connection with a partly received message must not be closed by the idle timeout, by a graceful close, or by a new
+// connection at the limit, which evicts an idle connection. Its client is still writing, and a request that is complete
+// only after our half-close is lost.
 func TestPartlyReceivedMessageIsNotInterrupted(t *testing.T) {
 	begin := func(t *testing.T) (*testHarness, *testClient) {
 		t.Helper()
--- a/internal/failover/bruteforce_test.go
+++ b/internal/failover/bruteforce_test.go
@@ -59,7 +59,8 @@
 	}
 }
 
-// addOriginLimit sets the origin's capacity. If no hub has capacity, it adds fromOrigin to the hubs.
+// addOriginLimit sets the largest flow of fills that the origin can support. If no hub has capacity, caches fill from
+// the origin: it then adds fromOrigin, which stands for the origin in place of a hub's index, to the hubs.
 func (b *bruteForce) addOriginLimit() {
 	topology, hubCapacity := b.planner.topology, 0.0
 	for _, hub := range b.hubs {
--- a/internal/failover/fillflow.go
+++ b/internal/failover/fillflow.go
@@ -120,8 +120,9 @@
 	return f
 }
 
-// originLimit returns the largest flow of fills that the origin can support, in transfers. It exceeds the origin's free
-// capacity where parents serve a fraction of the fills themselves.
+// originLimit returns the largest flow of fills that the origin can support, in transfers. The origin's free
+// capacity is its capacity less the demand for uncacheable objects. The limit exceeds the free capacity if a hub is
+// usable and parents serve a fraction of the fills themselves.
 func (f *fillNetwork) originLimit() float64 {
 	topology := f.topology
 	if topology.OriginCapacity <= 0 {
--- a/internal/failover/local.go
+++ b/internal/failover/local.go
@@ -7,7 +7,8 @@
 	"shaleyard/routing"
 )
 
-// placeholderCapacity is the capacity, in transfers, assumed for each site while its servers are unknown.
+// placeholderCapacity is the capacity, in transfers, that NewLocalPlanner assumes for each site to validate the
+// overrides before any capacity is known. No plan is computed with it.
 const placeholderCapacity = 1e6
 
 // LocalPlanner computes the failover shares of one director's branch, for its sitehealth.Monitor. It keeps a Planner
@@ -25,9 +26,10 @@
 // NewLocalPlanner returns a planner for the director's settings. It validates the overrides as far as that is possible
 // before the capacities of the sites are known; the error is an *OverrideError if an override is invalid.
 //
-// Whether pins fit the capacities is known later, at a call of Shares. If one doesn't fit, reportError is called once
-// for each change of the capacities, and Shares returns no shares. As without a plan, the remaining hubs then share the
-// load of lost hubs evenly, and all fills are made.
+// Whether pins fit the capacities is known later, at a call of Shares. If no planner can be made for the capacities,
+// for this or any other reason, reportError (if not nil) is called once for each change of the capacities, and Shares
+// returns no shares. As without a plan, the remaining hubs then share the load of lost hubs evenly, and all fills are
+// made.
 func NewLocalPlanner(settings *routing.Settings, overrides Overrides, reportError func(error)) (*LocalPlanner, error) {
 	l := &LocalPlanner{settings: settings, overrides: overrides, reportError: reportError}
 	placeholders := make([]float64, len(settings.Zones))
--- a/internal/nettest/nettest.go
+++ b/internal/nettest/nettest.go
@@ -1,6 +1,6 @@
 // Package nettest provides helpers for the tests of the client, cache and discovery protocols: scripted peers
-// on loopback sockets, which a test drives step by step, and a fake connection without a socket. A step that
-// fails or times out ends the test.
+// on loopback sockets, which a test drives step by step, and a fake connection without a socket. A step of
+// a scripted peer that fails or times out ends the test.
 //
 // The Thrift and RESP codecs in this package are independent of the program's codecs and import nothing from
 // the program, so that an error in one codec does not go unnoticed in the other.
--- a/internal/overload/statistics.go
+++ b/internal/overload/statistics.go
@@ -67,9 +67,10 @@
 // meanMinWeight is the lower bound of the weight of a sample in a Mean.
 const meanMinWeight = 1.0 / 32
 
-// Mean is a running mean. The first samples have equal weights; once a weight would fall below meanMinWeight, the mean
-// becomes exponentially weighted. The initial estimate counts as one sample, so that the mean of a director that has
-// just started follows its first few answers and not only its first hundred.
+// Mean is a running mean. The first samples have equal weights. Once the number of samples has reached 1/meanMinWeight,
+// each new sample has the weight meanMinWeight, and the mean is exponentially weighted. The initial estimate counts as
+// one sample, so that the mean of a director that has just started follows its first few answers and not only its first
+// hundred.
 type Mean struct {
 	Value   float64
 	samples float64 // number of samples, the initial estimate included, up to 1/meanMinWeight
--- a/internal/sitehealth/member.go
+++ b/internal/sitehealth/member.go
@@ -61,7 +61,9 @@
 	}
 }
 
-// RecordResponse records that the server has sent a response, whatever the response was.
+// RecordResponse records that the server has sent a response, whatever the response was. It clears the failures of the
+// server and ends an isolation of the director. If the server's site is lost and its holdoff has passed, it starts the
+// site's recovery.
 func (mem *Member) RecordResponse(now Time) {
 	if mem == nil {
 		return
@@ -91,7 +93,7 @@
 }
 
 // RecordSourceFailure records that a cache could not reach the server as the source of a fill that was requested at
-// time sent. A failure that came quickly counts as a refusal, a failure after a wait as a timeout.
+// time sent. A failure that came quickly counts as a failed connect, a failure after a wait as a timeout.
 func (mem *Member) RecordSourceFailure(now, sent Time, quickly bool) {
 	if quickly {
 		mem.RecordConnectFailure(now)
--- a/internal/sitehealth/shares.go
+++ b/internal/sitehealth/shares.go
@@ -73,8 +73,8 @@
 }
 
 // FillShare returns the share of a class's fills that may go on to the origin. FillShares of the plan limits this
-// share. While our hub is lost, ShiftRate limits it as well: the objects of the hub move to other hubs, which hold none
-// of them yet and have to fill them.
+// share. If ShiftRate is positive and our hub is lost, the share is also at most ShiftRate times the seconds since the
+// hub's last transition: the objects of the hub move to other hubs, which hold none of them yet and have to fill them.
 func (m *Monitor) FillShare(now Time, class int) float64 {
 	share := 1.0
 	if class < len(m.shares.FillShares) {
@@ -88,7 +88,7 @@
 }
 
 // CapacityShare returns the share of its usual load, from 0 to 1, that a site may get now. A recovering site gets the
-// share of its servers that are ready and have not refused a connection lately, but at least initialRecoveryShare. If
+// share of its servers that are ready and have had no failed connect lately, but at least initialRecoveryShare. If
 // servers of the site started during the loss or the recovery, recoveryShare limits that share further.
 func (m *Monitor) CapacityShare(now Time, zone int) float64 {
 	if zone < 0 || zone >= len(m.sites) {
--- a/internal/sitehealth/site.go
+++ b/internal/sitehealth/site.go
@@ -57,7 +57,7 @@
 	return sum
 }
 
-// refusedSince reports whether a connection to any server of the site was refused after time from.
+// refusedSince reports whether a connect to any server of the site failed after time from.
 func (s *site) refusedSince(from Time) bool {
 	for _, member := range s.members {
 		if member.lastRefusal > from {
@@ -89,7 +89,7 @@
 	return sum
 }
 
-// availableShare returns the share of the site's servers, by weight, that are ready and have not refused a connection
+// availableShare returns the share of the site's servers, by weight, that are ready and have had no failed connect
 // within failureMaxAge. It returns 0 for a site without weight.
 func (s *site) availableShare(now Time) float64 {
 	available, total := 0.0, 0.0
--- a/internal/sitehealth/transitions.go
+++ b/internal/sitehealth/transitions.go
@@ -36,7 +36,7 @@
 }
 
 // detectIsolation marks the director as isolated if the director itself is cut off: no server has responded for
-// isolationDelay, attempts at servers of several sites have timed out, and no connection was refused meanwhile. An
+// isolationDelay, attempts at servers of several sites have timed out, and no connect failed meanwhile. An
 // isolated director declares no site lost because of failed servers: without any responses it must not move all of its
 // load elsewhere, nor ramp up all sites afterwards.
 func (m *Monitor) detectIsolation(now Time) {
--- a/internal/testbed/clientconn.go
+++ b/internal/testbed/clientconn.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// Outcomes of an attempt as the client observes them. The history records them.
+// Outcomes of a client's attempt at a director, as the client observes them. The history records them.
 const (
 	outcomeServed      = "served"
 	outcomeRefused     = "refused"
--- a/internal/testbed/discovery.go
+++ b/internal/testbed/discovery.go
@@ -92,9 +92,9 @@
 }
 
 // setMode changes how the service behaves and records the change. modeDown closes the listeners, so that the kernel
-// refuses connections; leaving modeDown opens them again. Every mode that is set, except modeWell, also resets all open
-// streams and queued calls. The argument forgottenEvents, the number of latest events that the service no longer has,
-// takes effect only in modeRolledBack.
+// refuses connections; leaving modeDown opens them again. Every mode except modeWell and modeSlow, which is never set,
+// also resets all open streams and queued calls. The argument forgottenEvents, the number of latest events that the
+// service no longer has, takes effect only in modeRolledBack.
 func (s *discoveryService) setMode(mode string, capacityFactor float64, forgottenEvents int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/testbed/discovery_test.go
+++ b/internal/testbed/discovery_test.go
@@ -163,8 +163,8 @@
 
 // Drawing the end of a stream again with the same seed, director and stream number must give the same way of ending and
 // the same age: otherwise a run couldn't be repeated by its seed. The ages of 60 streams (3 seeds, 4 directors, 5
-// numbers) must all differ, because otherwise all streams would end at once, and all 3 ways of ending must occur. The
-// age of a stream that was opened before the flap counts from the flap's begin.
+// numbers) must all differ: they depend on all three values so that streams do not end together. All 3 ways of ending
+// must occur. The age of a stream that was opened before the flap counts from the flap's begin.
 func TestEndsOfStreamsAreDrawnBySeed(t *testing.T) {
 	begin := time.Now()
 	ages := map[time.Duration]bool{}
--- a/internal/testbed/discoverystream.go
+++ b/internal/testbed/discoverystream.go
@@ -135,7 +135,7 @@
 	director     int
 	number       int // among the director's streams, from 1
 	conn         *faultyConn
-	disconnected chan struct{} // closed when the director has closed the connection
+	disconnected chan struct{} // closed when either side has ended the connection
 
 	opened      time.Time
 	lastWritten int       // revision of the latest event written, or known to the director when it called
@@ -188,7 +188,7 @@
 	}
 }
 
-// isDisconnected reports whether the director has closed the connection.
+// isDisconnected reports whether the connection has ended, whichever side ended it.
 func (st *stream) isDisconnected() bool {
 	select {
 	case <-st.disconnected:
--- a/internal/testbed/validate.go
+++ b/internal/testbed/validate.go
@@ -74,7 +74,8 @@
 	return slices.Concat(ranges, x.Caches.ranges("caches"), x.Parents.ranges("parents"))
 }
 
-// ranges returns the ranges of the keys of a group of servers; table is the group's table in the file.
+// ranges returns the values and the ranges of valid values of the keys in the table of a group of servers; table is the
+// table's name in the file.
 func (s ServerSpec) ranges(table string) []valueRange {
 	return []valueRange{
 		{table + ".count", float64(s.Count), 1, 200},
--- a/internal/upstream/conn_test.go
+++ b/internal/upstream/conn_test.go
@@ -67,8 +67,10 @@
 	}
 }
 
-// connect(2) on Linux documents many errors. Shortages on the director's own side must be reported as such, so that
-// they neither eject the endpoint nor limit its connections. The attempt was never executed in any of these cases.
+// connect(2) on Linux documents many errors. Shortages, missing routes and missing permissions on the director's own
+// side must be reported as local failures, so that they neither eject the endpoint nor limit its connections. Failures
+// of the peer (ECONNREFUSED, ECONNRESET, ETIMEDOUT) must count against the endpoint. The attempt was never executed in
+// any of these cases.
 func TestLocalDialErrorsDoNotCountAgainstEndpoint(t *testing.T) {
 	for errno, want := range map[syscall.Errno]routing.Result{
 		syscall.EMFILE:        routing.LocalResourcesExhausted,
--- a/routing/slowstart.go
+++ b/routing/slowstart.go
@@ -19,7 +19,7 @@
 }
 
 // slowStartRate returns the rate of work that this director may send to a server that is warming up, in
-// seconds of transfer time per second: the director's share of the load that the server can handle, reduced
+// seconds of transfer time per second: the director's share of the load that the server can handle, multiplied
 // by slowStartBudgetFraction.
 func (r *Router) slowStartRate(server *serverState) float64 {
 	capacity := r.meanRecentWork(server)
@@ -43,8 +43,8 @@
 }
 
 // meanRecentWork returns a low estimate of the capacity that a server has for this director, in simultaneous
-// transfers: the mean of the recent work of the warm servers of its tier for this director, and at least this
-// director's part of unknownCapacityTransfers.
+// transfers: the mean of the recent work of the warm servers of its tier for this director, without ejected
+// servers, and at least this director's part of unknownCapacityTransfers.
 func (r *Router) meanRecentWork(server *serverState) float64 {
 	sum, count := 0.0, 0.0
 	for _, other := range r.sameTier(server) {
--- a/routing/slowstart_test.go
+++ b/routing/slowstart_test.go
@@ -10,7 +10,8 @@
 // Directors that restart learn from the endpoint list that a cache warms up, but know neither what they sent to it
 // before nor how long a transfer takes. If each of them began with its full share of the cache's slow-start budget
 // again, the cache would be overloaded. The attempts that reach the cache within any overload window must not exceed
-// its budget of N attempts by more than chance explains (2*sqrt(N) + 2). N is far smaller than the number of directors.
+// its budget of N attempts by more than chance explains (2*sqrt(N) + 2). In the case with 300 directors, N is far
+// smaller than the number of directors.
 func TestRestartedRoutersStayWithinSlowStartBudget(t *testing.T) {
 	for _, directors := range []int{30, 300} {
 		for seed := range uint64(5) {
--- a/routing/tuning.go
+++ b/routing/tuning.go
@@ -7,16 +7,16 @@
 // Object location and purges.
 const (
 	siblingHintLifetime = 5 * time.Second  // maximum age of a hint that makes a cache the source of a fill
-	hintLifetime        = 15 * time.Second // of a hint or table generation: about that of an unused copy
+	hintLifetime        = 15 * time.Second // maximum age of a hint or table generation: about that of an unused copy
 	maxTableEntries     = 1 << 14          // entries in a table generation, and purges: bounds memory
-	purgeMargin         = time.Second      // for which a purge is kept after it has reached all caches
+	purgeMargin         = time.Second      // time for which a purge is kept after it has reached all caches
 	maxRetentionRank    = 2                // an object requested once must not displace objects requested again
 )
 
 // Timers and retries.
 const (
 	tickInterval             = 50 * time.Millisecond // between two checks: well below any latency objective
-	minPostponement          = 50 * time.Millisecond // until a request that no server accepts is tried again
+	minPostponement          = 50 * time.Millisecond // shortest time until a request that no server accepts is tried again
 	maxPostponementDoublings = 5                     // of minPostponement
 	windowSafetyMargin       = 50 * time.Millisecond // part of an idempotency window kept for network delay
 	logInterval              = time.Second           // minimum time between two messages of logf
@@ -34,7 +34,7 @@
 // Hedging: a read-like attempt whose answer is likely lost is sent to the same cache again.
 const (
 	hedgeObjectiveFraction = 0.15 // an attempt is overdue after this fraction of its latency objective
-	hedgeLatencyFactor     = 1.5  // plus this multiple of its expected latency
+	hedgeLatencyFactor     = 1.5  // multiple of the expected latency that is added to that fraction
 	hedgeTokensPerRequest  = 0.02 // few, so that hedges do not double an overload
 	hedgeTokensPerWin      = 2.0  // for a hedge that got the answer: pays for the hedge and for another one
 	maxHedgeTokens         = 8.0
@@ -44,7 +44,7 @@
 // Concurrency limits.
 const (
 	initialLimitTransfers = 24.0 // highest starting point of a decrease, in transfers of all directors
-	maxLimitLoadFactor    = 2.0  // or this multiple of the present load, if that is more
+	maxLimitLoadFactor    = 2.0  // highest starting point, as a multiple of the present load, if that is more
 	minLimitTransfers     = 2.0  // lowest limit, in mean transfers of the largest class, of all directors
 	limitFitFraction      = 0.3  // fraction of the load with timely answers that a decreased limit leaves
 	hitLimitHeadroom      = 3.0  // multiple of a cache's limit by which likely hits may exceed it
