--- a/internal/discovery/apply.go
+++ b/internal/discovery/apply.go
@@ -84,11 +84,11 @@
 	return nil
 }
 
-// checkRevision reports whether the event must be applied: if its revision is higher than the last applied one, or if it
-// is the first event after a request for all events, even if revision 1 has been applied before. For an event of a
-// watch (source is not nil), it returns an error if events between the last applied event and this one are missing, or
-// if the first event after a request for all events is not a snapshot with revision 1. Events of the configuration
-// (source is nil) may have gaps.
+// checkRevision reports whether the event must be applied. This is so if its revision is higher than the last applied
+// one, or if it is the first event after a request for all events, even if revision 1 has been applied before. For an
+// event of a watch (source is not nil), it returns an error if events between the last applied event and this one are
+// missing, or if the first event after a request for all events is not a snapshot with revision 1. Events of the
+// configuration (source is nil) may have gaps.
 func (w *Watcher) checkRevision(received *event, source *watch) (isNew bool, err error) {
 	revision := *received.Revision
 	if source != nil && source.fullResync {
--- a/internal/upstream/pools.go
+++ b/internal/upstream/pools.go
@@ -35,7 +35,7 @@
 	Dials               uint64
 	DialFailures        uint64
 	Redials             uint64 // additional dials after a dial was reset
-	LocalResourceErrors uint64 // dials that failed for lack of the director's own descriptors, ports, routes or permissions
+	LocalResourceErrors uint64 // dials that failed for lack of local descriptors, ports, routes or permissions
 	DescriptorLimitHits uint64 // attempts that ended unsent because all file descriptors were in use
 	ConnectLimited      uint64 // attempts that share a connection because the connect limiter allowed no further one
 
--- a/routing/tuning.go
+++ b/routing/tuning.go
@@ -16,7 +16,7 @@
 // Timers and retries.
 const (
 	tickInterval             = 50 * time.Millisecond // between two checks: well below any latency objective
-	minPostponement          = 50 * time.Millisecond // shortest time until a request that no server accepts is tried again
+	minPostponement          = 50 * time.Millisecond // shortest wait before a request that no server accepts is retried
 	maxPostponementDoublings = 5                     // of minPostponement
 	windowSafetyMargin       = 50 * time.Millisecond // part of an idempotency window kept for network delay
 	logInterval              = time.Second           // minimum time between two messages of logf
