--- a/cmd/shaleyard/shutdown_test.go
+++ b/cmd/shaleyard/shutdown_test.go
@@ -130,8 +130,9 @@
 }
 
 // Lingering and new connections together must not exceed the clients' share of descriptors during shutdown. Otherwise,
-// when idle clients do not close their half and many new clients connect, accept finds no free descriptor and ends the
-// program while a request has no answer yet.
+// when idle clients do not close their half and many new clients connect, no descriptor is free. A failed accept is
+// retried (see TestConnectionBurstDoesNotExhaustDescriptors), but a dial to a cache fails with EMFILE, so that an
+// accepted request that needs a new connection waits and is refused if no descriptor becomes free in time.
 func TestConnectionFloodDuringShutdown(t *testing.T) {
 	env := newHarness(t)
 	child := startProcess(t, env.configJSON(66), 66)
--- a/internal/overload/idle_timeout.go
+++ b/internal/overload/idle_timeout.go
@@ -17,9 +17,10 @@
 // IdleTimeout bounds how long a connection may have been idle before it is used again. A peer, or a device between the
 // director and the peer, may close idle connections earlier than its settings say, and a request that is sent while the
 // connection is being closed is lost. A shorter timeout causes more connections to be opened: at the minimum, almost
-// every attempt needs a new one. The timeout therefore grows again with time, and only evidence about idle times
-// shortens it. Connections that break because a peer crashed are no such evidence: if they counted, the timeout would
-// fall to the minimum, and new connections would add to the load of the remaining peers just when it is highest.
+// every attempt of each director needs a new connection and thus a handshake with the peer. The timeout therefore grows
+// again with time, and only evidence about idle times shortens it. Connections that break because a peer crashed are no
+// such evidence: if they counted, the timeout would fall to the minimum, and the handshakes would add to the load of
+// the remaining peers just when it is highest, because the number of peers has just fallen.
 type IdleTimeout struct {
 	minimum, maximum time.Duration
 	timeout          time.Duration // as of updatedAt
--- a/internal/overload/statistics_test.go
+++ b/internal/overload/statistics_test.go
@@ -80,7 +80,7 @@
 	for range 200 {
 		mean.Observe(1)
 	}
-	mean.Observe(33)
+	mean.Observe(33) // moves the mean a thirty-second (meanMinWeight) of the way from 1 to 33, to about 2
 	if mean.Value > 2.01 || mean.Value < 1.9 {
 		t.Errorf("mean after one sample of 33 behind many of 1: got %v, want about 2", mean.Value)
 	}
--- a/internal/upstream/conn_test.go
+++ b/internal/upstream/conn_test.go
@@ -37,7 +37,8 @@
 
 // The endpoint list may report a restart only after connections to the new process were opened. UpdateEndpoint must
 // then close neither the connection that was opened after the restart nor the one that is still being dialled: both
-// lead to the new process, and closing them would end their attempts in flight.
+// lead to the new process, and closing them would end their attempts in flight. A non-idempotent request among these
+// attempts, such as a payment, would then fail, because it cannot be retried.
 func TestLateRestartUpdateKeepsNewConnections(t *testing.T) {
 	h := newHarness()
 	h.send(1, "r1")
--- a/internal/upstream/pick_test.go
+++ b/internal/upstream/pick_test.go
@@ -131,8 +131,9 @@
 	}
 }
 
-// If file descriptors run out, accept fails and ends the event loop's engine. The number of dials must therefore be
-// bounded by the descriptors they hold: two each until the event loop has taken over the connection.
+// If file descriptors run out, accept fails and is retried (package listener), so that new clients wait in the accept
+// queue, and a dial to any endpoint fails with EMFILE. The number of dials must therefore be bounded by the descriptors
+// they hold: two each until the event loop has taken over the connection.
 func TestDescriptorsAreBounded(t *testing.T) {
 	h := newHarness()
 	for attemptID := handle.Handle(1); attemptID <= 9; attemptID++ {
--- a/routing/actions.go
+++ b/routing/actions.go
@@ -90,5 +90,5 @@
 // action.
 type PollEndpoints struct{}
 
-// Log writes a message to the director's log.
+// Log writes a message for the people on call to the director's log.
 type Log struct{ Message string }
--- a/routing/ejection_test.go
+++ b/routing/ejection_test.go
@@ -12,7 +12,9 @@
 	env.answer = always(OK, FillStatusHit, 400*ms)
 	for id := uint32(1); id <= 400; id++ {
 		env.submitObject(id, uint64(id), classBig)
-		if id%40 == 0 { // 40 requests at once; from the second batch on, all are answered after 700 ms
+		// 40 requests are sent at once. From the second batch on, all are answered after 700 ms, and no answer arrives
+		// before, so that for 700 ms the cache looks unresponsive.
+		if id%40 == 0 {
 			env.answer = always(OK, FillStatusFilled, 700*ms)
 			env.run(800 * ms)
 		}
--- a/routing/router.go
+++ b/routing/router.go
@@ -101,7 +101,8 @@
 
 func (r *Router) emit(action Action) { r.actions = append(r.actions, action) }
 
-// logf emits a log message, at most one in logInterval so that messages do not flood the log.
+// logf emits a log message, at most one in logInterval: enough messages to follow what happens, without flooding the
+// log.
 func (r *Router) logf(format string, args ...any) {
 	if r.now < r.nextLogAt {
 		return
