--- a/internal/buffer/chain.go
+++ b/internal/buffer/chain.go
@@ -15,8 +15,8 @@
 func (c *Chain) Len() int { return c.length }
 
 // Append copies data to the end of the chain. It returns ErrExhausted if the pool has no buffer left. The chain then
-// remains valid, but holds only as much of data as fitted into the buffers that were available; its length before and
-// after the call tells how much. A caller that needs the data whole must release the chain.
+// remains valid, but holds only the first part of data, which fitted into the available buffers. The difference of Len
+// before and after the call is the size of that part. A caller that cannot use a part of data must call Release.
 func (c *Chain) Append(data []byte) error {
 	for len(data) > 0 {
 		last := len(c.buffers) - 1
--- a/internal/checker/discoverymetrics.go
+++ b/internal/checker/discoverymetrics.go
@@ -58,7 +58,8 @@
 			if ev.What == "timed out" {
 				metrics["list_timeouts"]++
 			}
-			// A call is recorded when it ends; Value is its duration in milliseconds.
+			// A call is recorded when its stream starts or when it fails, and Value is the time since its arrival in
+			// milliseconds. A call that hangs is recorded at once, with the value 0.
 			calls[ev.Director] = append(calls[ev.Director], ev.AtMS-ev.Value)
 		}
 	}
--- a/internal/checker/history.go
+++ b/internal/checker/history.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// Kinds of events that the rules and metrics use (docs/testbed.md lists all).
+// Kinds of events that the rules and metrics use (docs/testbed.md lists the kinds).
 const (
 	kindAnswer   = "answer"
 	kindAsk      = "ask"
@@ -43,13 +43,13 @@
 
 const (
 	classRepayment = "repayment" // class of the non-idempotent requests
-	faultCleared   = "well"      // event that ends a fault of a link or of the discovery service
+	faultCleared   = "well"      // What of an event that ends a fault of a link or of the discovery service
 
 	forever = 1e15 // ms; a time later than any event, for periods that have not ended
 )
 
-// event is one line of a history. Which fields are set depends on the kind. Times are in milliseconds since the start
-// of the run.
+// event is one line of a history. The kind determines which fields are set; docs/testbed.md lists the kinds. Times are
+// in milliseconds since the start of the run.
 type event struct {
 	AtMS      float64 `json:"ms"`
 	Kind      string  `json:"kind"`
--- a/internal/checker/metrics.go
+++ b/internal/checker/metrics.go
@@ -53,9 +53,11 @@
 	_ = histogram.RecordValue(int64(max(1, ms)))
 }
 
-// requestMetrics computes the metrics of requests, their outcomes and their attempts. Served shares divide all served
-// requests, including clients' retries, by the clients' first tries, and are at most 1. requestMetrics returns the
-// requests by ref.
+// requestMetrics computes the metrics of requests, their outcomes and their attempts. Served shares divide the served
+// requests, including clients' retries, by the clients' first tries, and are at most 1. served_share_all counts the
+// requests of the whole run. served_share counts only those sent within initialPeriod (20 s) after the start of the
+// load. Its first tries also include those of the whole run for which the load generator found no director
+// (kindNowhere). requestMetrics returns the requests by ref.
 func (h *history) requestMetrics(metrics map[string]float64) (requests map[string]event) {
 	requests = map[string]event{}
 	var initialFirstTries, initialServed, firstTries, served, refused, attemptCount, requestCount float64
--- a/internal/checker/notification.go
+++ b/internal/checker/notification.go
@@ -12,8 +12,9 @@
 	notifyAfterBreak   = 2000.0 // after the director's stream ended in any way other than "silent"
 	notifyAfterSilence = 4000.0 // after the service stopped writing to the director's stream and left it open
 
-	// inFlightWindow is the longest time from an event to the end of a stream for which the stream counts as not having
-	// delivered the event.
+	// inFlightWindow is the time that a stream needs to deliver an event. If a stream ends at most this long after an
+	// event without having delivered it, the director counts as disconnected. If the stream ends later, it had time to
+	// deliver the event, and the director counts as notified at the time of the event.
 	inFlightWindow = 100.0
 
 	streamEventsShown = 7 // number of a director's latest stream events that a violation lists
--- a/internal/discovery/apply.go
+++ b/internal/discovery/apply.go
@@ -249,12 +249,13 @@
 
 // heartbeat handles a line with only the service's latest revision. It ignores heartbeats in the configuration (source
 // is nil) and heartbeats before the first event of a full resync. A revision after the last applied one is an error,
-// because events are missing. A revision before the last applied one means that the service lags or was restored from a
-// backup. A restored service will use revisions again that were applied here already, and checkRevision ignores the
-// events with these revisions although they may differ from the applied ones. heartbeat therefore counts each watch on
-// which the service's revision is behind, once until the service catches up: in Counters.RevisionBehind, and in
-// watchesBehind, the number of consecutive watches of this kind. When watchesBehind has reached maxWatchesBehind, the
-// next subscription requests all events.
+// because events are missing. The last applied revision itself ends a resync and resets watchesBehind. A revision
+// before the last applied one means that the service lags or was restored from a backup. A restored service will use
+// revisions again that were applied here already, and checkRevision ignores the events with these revisions although
+// they may differ from the applied ones. heartbeat therefore counts each watch on which the service's revision is
+// behind, once until the service catches up: in Counters.RevisionBehind, and in watchesBehind, the number of
+// consecutive watches of this kind. When watchesBehind has reached maxWatchesBehind, the next subscription requests
+// all events.
 func (w *Watcher) heartbeat(revision uint64, source *watch) error {
 	if source == nil || source.fullResync {
 		return nil
--- a/internal/discovery/backoff.go
+++ b/internal/discovery/backoff.go
@@ -19,8 +19,11 @@
 	// ApplyPurgeWithin is the time within which a purge must be applied after it counts as notified (settings:
 	// familyInfo.purgeSlack; 0.5 s).
 	ApplyPurgeWithin time.Duration
-	// StartWindow is the time over which the fleet spreads its first calls; 0 means the return window. Only a director
-	// that accepts no requests before it has reached the service may have a start window longer than the return window.
+	// StartWindow is the time over which the fleet spreads its first calls. It is bounded by maxWaitWhileDown, and is
+	// shorter in fleets of fewer than 8 directors (minFullWindowFleet). 0 means the return window: the time over which
+	// the fleet spreads its reconnects after healthy watches broke, at most 4/5 of ApplyPurgeWithin, and shorter by the
+	// same fraction in small fleets. Only a director that accepts no requests before it has reached the service may
+	// have a start window longer than the return window.
 	StartWindow time.Duration
 	// NotifiedAfter is the time after which a published event counts as notified even if the director has not received
 	// it (protocol page: 7 s).
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -13,8 +13,9 @@
 	"shaleyard/routing"
 )
 
-// maxWatchesBehind is the number of consecutive watches with a service revision before the last applied event after
-// which the service counts as having begun again at revision 1. Each watch has WatchSilenceTimeout to catch up.
+// maxWatchesBehind is a number of consecutive watches. If the service's revision stays behind the last applied one on
+// that many watches, the director assumes that the service restarted its revisions at 1, and the next subscription
+// requests all events. Each watch has WatchSilenceTimeout to catch up.
 // Together with the waits after EndUnusable between them, this takes well over the time after which events count as
 // notified. Waiting that long loses no event, and a lagging replica is not mistaken for a service that began again at
 // revision 1.
--- a/internal/downstream/capacity_test.go
+++ b/internal/downstream/capacity_test.go
@@ -48,9 +48,9 @@
 }
 
 // When the connection table is full, a new connection evicts another one: first one that has been idle for longer than
-// Limits.ClientKeepAlive, then one that has sent no message yet, then the one that has been idle longest. A connection
-// with an open request or with buffered output is never evicted; if only such connections are left, the new one is
-// rejected.
+// Limits.ClientKeepAlive, then one that has sent no message yet, then the one that has been idle longest, and last one
+// that has sent a part of a message (not tested here). A connection with an open request or with buffered output is
+// never evicted; if only such connections are left, the new one is rejected.
 func TestFullTableEvictionOrder(t *testing.T) {
 	harness := newHarness(t)
 	connect := func() *testClient {
--- a/internal/lifecycle/lifecycle.go
+++ b/internal/lifecycle/lifecycle.go
@@ -74,8 +74,9 @@
 	DrainNoticePeriod routing.Time
 	// DrainGracePeriod is the time for which requests are accepted on open connections during a drain.
 	DrainGracePeriod routing.Time
-	// DrainDeadline is the time by which requests are answered whose clients keep sending requests, and from which
-	// connections are closed whose clients read no responses. DeadlineLimit.Deadline is computed from it.
+	// DrainDeadline is the time by which all requests of a client that still sends messages after DrainGracePeriod are
+	// answered. From DrainDeadline on, a client that reads no responses is disconnected. DeadlineLimit.Deadline is
+	// computed from DrainDeadline.
 	DrainDeadline routing.Time
 	// StopGracePeriod is the time for which requests are accepted after the request for a stop.
 	StopGracePeriod routing.Time
--- a/internal/testbed/discovery.go
+++ b/internal/testbed/discovery.go
@@ -37,13 +37,13 @@
 	queuedCalls     int
 	nextFree        time.Time // when the server has served all queued calls
 	listeners       map[int]*net.TCPListener
-	streams         map[net.Conn]bool
-	flaps           map[int]*flap // flap that ends a director's streams, by director
-	streamCount     map[int]int   // number of streams opened so far, by director
+	streams         map[net.Conn]bool // open connections: of event streams, and of queued and hung calls
+	flaps           map[int]*flap     // flap that ends a director's streams, by director
+	streamCount     map[int]int       // number of streams opened so far, by director
 }
 
-// newDiscoveryService returns a discovery service with the capacity that the experiment sets. By default it serves one
-// call of every director in 1.5 s, and its queue holds the calls of one second.
+// newDiscoveryService returns a discovery service with the capacity that the experiment sets. By default its rate
+// lets every director call once within 1.5 s, and its queue holds the calls of one second.
 func newDiscoveryService(testbed *Testbed) *discoveryService {
 	rate := testbed.experiment.Discovery.CallsPerSecond
 	if rate == 0 {
--- a/internal/testbed/history.go
+++ b/internal/testbed/history.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// Event is one line of a history. The kind determines which fields are set; docs/testbed.md lists them. Times are in
-// milliseconds since the start of the run.
+// Event is one line of a history. The kind determines which fields are set; docs/testbed.md lists the kinds. Times
+// are in milliseconds since the start of the run.
 type Event struct {
 	AtMS      float64 `json:"ms"`
 	Kind      string  `json:"kind"`
--- a/routing/ending_test.go
+++ b/routing/ending_test.go
@@ -5,8 +5,9 @@
 	"time"
 )
 
-// A client that is rejected without a Retry-After retries at once, into the same overload. When the director's whole
-// site is lost, no retry can succeed before the next probe of the site, so Retry-After must reach to that probe.
+// A client that is rejected without a Retry-After retries at once, into the same overload. While the director's whole
+// site is lost, no recovery starts before the end of the branch's holdoff. Retry-After must then be at least the rest
+// of the holdoff and at least half of sitehealth's probeInterval (250 ms). The case "site lost" wants 250 to 500 ms.
 func TestRejectCarriesRetryAfter(t *testing.T) {
 	for name, tc := range map[string]struct {
 		siteLost        bool
--- a/routing/endpoints.go
+++ b/routing/endpoints.go
@@ -69,8 +69,8 @@
 
 // startWarmingUp begins the slow start of a server. All directors learn of the server at the same time, so
 // each begins with a random part of one transfer already spent from its own slow-start budget for the server,
-// which spreads their first attempts. A director that has just started does not yet know how long a transfer
-// takes, so the transfer counts as at least longestObjective.
+// which spreads their first attempts. On every director the transfer counts as at least longestObjective,
+// because a director that has just started does not yet know how long a transfer takes.
 func (r *Router) startWarmingUp(server *serverState, started Time) {
 	server.warmingUpSince = started
 	longestTransfer := max(r.largestMeanWork(), r.longestObjective)
--- a/routing/tuning.go
+++ b/routing/tuning.go
@@ -25,30 +25,41 @@
 
 // Outlier ejection.
 const (
-	fastFailureThreshold = 200 * time.Millisecond // a faster failure: down; a slower one: perhaps overloaded
-	slowFailureLimit     = 3                      // failures in a row that eject a slowly failing source
-	initialEjection      = 500 * time.Millisecond // doubles up to maxEjection while half-open probes fail
-	maxEjection          = 4 * time.Second        // bounds the delay until a recovery is noticed
+	// fastFailureThreshold is the time within which a failure suggests that the server is down. A slower failure
+	// suggests that the server is perhaps only overloaded.
+	fastFailureThreshold = 200 * time.Millisecond
+
+	slowFailureLimit = 3                      // failures in a row that eject a slowly failing source
+	initialEjection  = 500 * time.Millisecond // doubles up to maxEjection while half-open probes fail
+	maxEjection      = 4 * time.Second        // bounds the delay until a recovery is noticed
 )
 
-// Hedging: a read-like attempt whose answer is likely lost is sent to the same cache again.
+// Hedging: if the answer to a read-like attempt is likely lost, another attempt is sent to the same cache. The new
+// attempt asks only for a cached copy.
 const (
-	hedgeObjectiveFraction = 0.15 // an attempt is overdue after this fraction of its latency objective
-	hedgeLatencyFactor     = 1.5  // multiple of the expected latency that is added to that fraction
-	hedgeTokensPerRequest  = 0.02 // few, so that hedges do not double an overload
-	hedgeTokensPerWin      = 2.0  // for a hedge that got the answer: pays for the hedge and for another one
-	maxHedgeTokens         = 8.0
-	maxHedgesPerRequest    = 2
+	// An attempt is overdue after hedgeObjectiveFraction of its latency objective plus hedgeLatencyFactor times its
+	// expected latency.
+	hedgeObjectiveFraction = 0.15
+	hedgeLatencyFactor     = 1.5
+
+	hedgeTokensPerRequest = 0.02 // few, so that hedges do not double an overload
+	hedgeTokensPerWin     = 2.0  // for a hedge that got the answer: pays for the hedge and for another one
+	maxHedgeTokens        = 8.0
+	maxHedgesPerRequest   = 2
 )
 
 // Concurrency limits.
 const (
-	initialLimitTransfers = 24.0 // highest starting point of a decrease, in transfers of all directors
-	maxLimitLoadFactor    = 2.0  // highest starting point, as a multiple of the present load, if that is more
-	minLimitTransfers     = 2.0  // lowest limit, in mean transfers of the largest class, of all directors
-	limitFitFraction      = 0.3  // fraction of the load with timely answers that a decreased limit leaves
-	hitLimitHeadroom      = 3.0  // multiple of a cache's limit by which likely hits may exceed it
-	spilloverLoadFraction = 0.6  // fraction of its limits up to which a cache accepts spillover
+	// A decrease lowers the present limit or, if that is lower, a ceiling. The ceiling is the larger of
+	// initialLimitTransfers times the attempt's work, divided by the number of directors that share the server, and
+	// maxLimitLoadFactor times the present load.
+	initialLimitTransfers = 24.0
+	maxLimitLoadFactor    = 2.0
+
+	minLimitTransfers     = 2.0 // lowest limit, in mean transfers of the largest class, of all directors
+	limitFitFraction      = 0.3 // fraction of the load with timely answers that a decreased limit leaves
+	hitLimitHeadroom      = 3.0 // multiple of a cache's limit by which likely hits may exceed it
+	spilloverLoadFraction = 0.6 // fraction of its limits up to which a cache accepts spillover
 )
 
 // Slow start.
@@ -62,7 +73,7 @@
 const (
 	initialWorkFraction      = 0.25    // fraction of the objective that a transfer is assumed to take at first
 	latencyRatioSampleWeight = 1.0 / 6 // of a new sample: the mean covers some seconds of traffic
-	latencyRatioDecay        = 0.9     // factor of a ratio in each sweep: an avoided cache is tried again
+	latencyRatioDecay        = 0.9     // per sweep, of a cache's log ratio, so that a slow cache gets attempts again
 	latencyRatioTolerance    = 0.7     // excess over the baseline log ratio that counts as random variation
 	latencyRatioPenalty      = 2.0     // exponent with which the excess ratio lowers a weight
 	minLatencySample         = 1e-3    // seconds: lower bound of a latency sample
