--- a/internal/checker/detection.go
+++ b/internal/checker/detection.go
@@ -3,9 +3,9 @@
 import "slices"
 
 // detectionTime returns the 95th percentile of the time, in milliseconds, that directors take to detect the loss of a
-// whole site. It counts the directors that use the site and had a request during the loss with an outcome other than
-// "unreached" or "lost"; a timeout ("none") is sufficient. A director that does not report the site as unavailable
-// during the loss counts as undetectedMS.
+// whole site. It leaves out losses by site-busy. It counts the directors that use the site and had a request during the
+// loss with an outcome other than "unreached" or "lost"; a timeout ("none") is sufficient. A director that does not
+// report the site as unavailable during the loss counts as undetectedMS.
 func (h *history) detectionTime(losses []siteLoss) float64 {
 	sitesByDirector, times := h.sitesOfDirectors(), newHistogram()
 	for _, loss := range losses {
--- a/internal/testbed/validate.go
+++ b/internal/testbed/validate.go
@@ -112,8 +112,9 @@
 	}
 }
 
-// validateAction returns an error if the action of the fault event with index i is unknown, or if its link or site is
-// missing, unknown or not valid for the action.
+// validateAction returns an error if the action of the fault event with index i is unknown, if the action needs a link
+// and the link is missing or unknown, or if the site is missing, unknown or not valid for the action. It does not check
+// the link of an action that needs no link.
 func (x *Experiment) validateAction(i int, event FaultEvent) *keyError {
 	target, known := faultTargets[event.Action]
 	if !known {
--- a/routing/actions.go
+++ b/routing/actions.go
@@ -24,7 +24,7 @@
 const (
 	CoalesceFill         FetchFlags = 1 << iota // a miss may wait for a fill that is in progress
 	OnlyIfCached                                // the source answers from its cache only (RFC 9111)
-	ParentNoStore                               // the parent does not store the object
+	ParentNoStore                               // the parent does not store the object; the Router never sets it
 	StaleWhileRevalidate                        // serve a stale copy and revalidate it meanwhile (RFC 5861)
 )
 
@@ -34,7 +34,7 @@
 	Host   Host
 	Source Host // same as Host: the cache answers with a cached copy or a miss, without a fill
 	// RetentionRank is a hint to the cache how valuable the object is, from 0 to 2: the number of recent
-	// requests for the object at this director, at most 2.
+	// requests for the same part of the object at this director, at most 2.
 	RetentionRank uint8
 	Flags         FetchFlags
 	Timeout       time.Duration // 0: until the request's deadline
@@ -83,7 +83,8 @@
 	Data []byte
 }
 
-// Subscribe starts or ends the subscription to the endpoint list.
+// Subscribe starts the subscription to the endpoint list if Enabled is set, and ends it otherwise. The Router
+// currently does not end the subscription.
 type Subscribe struct{ Enabled bool }
 
 // PollEndpoints requests the full endpoint list from discovery once. The Router currently does not emit this
--- a/routing/doc.go
+++ b/routing/doc.go
@@ -26,13 +26,13 @@
 //   - route tries the local caches in the order of a weighted rendezvous hash of the object, and skips caches
 //     that are ejected, saturated or at their concurrency limit. fetchThrough picks the source for a cache;
 //     bypass sends the request to a parent or to the origin without a cache.
-//   - send is the only function that emits attempts. It checks the rules that hold for every attempt: the
+//   - send is the only function that starts attempts. It checks the rules that hold for every attempt: the
 //     number of attempts, idempotency, hedging, draining, and the slow-start budgets of target and source.
 //   - handleOutcome handles the end of an attempt. It updates what is known about the servers (limits,
 //     latency, outlier ejection, content location), and then ends the request, retries it at once or
 //     postpones it.
 //   - endRequest rejects or fails a request that no server will answer. Each request ends with exactly one
-//     answer.
+//     answer, unless the caller closes the request first.
 //
 // # Files
 //
--- a/routing/ejection.go
+++ b/routing/ejection.go
@@ -14,7 +14,8 @@
 	return server.ejected && r.now >= server.probeAfter && !server.probing
 }
 
-// probedServer returns the ejected server that a half-open probe tests: its target or its source.
+// probedServer returns the ejected server that a half-open probe tests: the target or the source of the
+// attempt.
 func probedServer(attempt *attemptState) *serverState {
 	if attempt.target.ejected || attempt.source == nil {
 		return attempt.target
--- a/routing/ending.go
+++ b/routing/ending.go
@@ -32,12 +32,11 @@
 	return !slices.ContainsFunc(request.attempts, mayHaveExecuted)
 }
 
-// retryAfter returns the time after which the client of a rejected request should retry, or 0 if the
-// deployment does not allow such a hint. The time is random, to spread the retries: it lies between a base time
-// and twice that base, and is at most SiteLimits.MaxRetryAfter. The base is minPostponement or, while the
-// director's own branch is lost, what sitehealth.Monitor.MinTimeUntilRecovery returns for the branch: the rest
-// of the branch's holdoff, but at least half of sitehealth's probeInterval (250 ms). The base is at most 3/4 of
-// MaxRetryAfter.
+// retryAfter returns the time after which the client of a rejected request should retry, or 0 if the deployment
+// does not allow such a hint. The time is random, to spread the retries: it lies between a base time and twice
+// that base, and is at most SiteLimits.MaxRetryAfter. The base is minPostponement or, while the director's own
+// branch is lost, what sitehealth.Monitor.MinTimeUntilRecovery returns for the branch: the rest of the branch's
+// holdoff, but at least 250 ms, half of sitehealth's probeInterval. The base is at most 3/4 of MaxRetryAfter.
 func (r *Router) retryAfter() time.Duration {
 	limits := &r.settings.SiteLimits
 	if !limits.RetryAfterAllowed {
--- a/routing/ending_test.go
+++ b/routing/ending_test.go
@@ -7,7 +7,7 @@
 
 // A client that is rejected without a Retry-After retries at once, into the same overload. While the director's whole
 // site is lost, no recovery starts before the end of the branch's holdoff. Retry-After must then be at least the rest
-// of the holdoff and at least half of sitehealth's probeInterval (250 ms). The case "site lost" wants 250 to 500 ms.
+// of the holdoff and at least 250 ms, half of sitehealth's probeInterval. The case "site lost" wants 250 to 500 ms.
 func TestRejectCarriesRetryAfter(t *testing.T) {
 	for name, tc := range map[string]struct {
 		siteLost        bool
--- a/routing/endpoint.go
+++ b/routing/endpoint.go
@@ -5,7 +5,8 @@
 // Time is a reading of the caller's monotonic clock. Zero means "long ago" or "not set".
 type Time = time.Duration
 
-// Host is the address of a server in the low 48 bits: an IPv4 address (32 bits) and a port (16 bits).
+// Host identifies a server. The caller chooses the value and uses only the low 48 bits. The Router compares and
+// sorts hosts and hashes them to rank servers, but does not interpret them. 0 means no server.
 type Host uint64
 
 // State is the state of an endpoint as discovery reports it.
--- a/routing/endpoints.go
+++ b/routing/endpoints.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// The endpoint list. Draining and gone servers receive no new attempts from the update on, neither as targets
-// nor as sources.
+// The endpoint list. A server that the list reports as draining or gone receives no new attempts, neither as
+// target nor as source.
 
 func (r *Router) handleEndpointUpdate(update EndpointUpdate) {
 	if update.Kind == UpdateFailed {
@@ -78,7 +78,8 @@
 	server.slowStartBucket.Spend(initial - server.slowStartBucket.Spent(r.now, 0))
 }
 
-// assignTier sets the tier of a server and the parameters that depend on the tier and on its entry.
+// assignTier sets the tier of a server, and the parameters that follow from the tier, the settings and the
+// server's entry in the endpoint list.
 func (r *Router) assignTier(server *serverState) {
 	tiers, guarantees := &r.settings.Tiers, &r.settings.Guarantees
 	mode := r.settings.WeightMode
@@ -100,7 +101,7 @@
 	}
 }
 
-// regroupServers sorts all servers by address, and removes the servers that are no longer listed and have no
+// regroupServers sorts all servers by Host, and removes the servers that are no longer listed and have no
 // attempts in flight. It then rebuilds localCaches and upstreams from the servers that are listed as ready.
 func (r *Router) regroupServers() {
 	slices.SortFunc(r.orderedServers, func(a, b *serverState) int { return cmp.Compare(a.Host, b.Host) })
--- a/routing/events.go
+++ b/routing/events.go
@@ -18,13 +18,13 @@
 type Request struct {
 	ID          uint32
 	Class       int // index of Settings.Classes; an index out of range is replaced by the nearest valid one
-	Tenant      int
+	Tenant      int // the Router does not use it
 	Object      uint64
 	Part        int     // number of the part of the object
 	Group       int     // index of a group of objects that are purged together
 	Deadline    Time    // time by which the client must have an answer
 	SizeKB      float64 // size of the answer; 0: not known
-	ClientRetry bool    // the client has sent the request before
+	ClientRetry bool    // the client has sent the request before; the Router does not use it
 	Write       bool    // the answer must not be stored
 }
 
@@ -35,8 +35,8 @@
 	Deadline Time
 }
 
-// StreamStarted reports that a streamed answer to the client has begun. The Router makes no further attempt
-// for the request.
+// StreamStarted reports that a streamed answer to the client has begun. The Router makes no further attempt for
+// the request, and uses only the ID of this event.
 type StreamStarted struct {
 	ID      uint32 // ID of the request
 	Attempt int    // number of the attempt within its request, from 0
--- a/routing/failure.go
+++ b/routing/failure.go
@@ -27,8 +27,9 @@
 		(outcome.FillStatus == FillStatusUnknown || outcome.FillStatus == FillStatusNoFillSlot)
 }
 
-// raiseSourceTier rules out the tier of a source that has missed, rejected the fill or let it time out: after
-// a sibling, the request is filled from a parent or the origin; after a parent, from the origin.
+// raiseSourceTier rules out the tier of a source that has missed or rejected the fill, or that may have caused
+// a timeout: after a sibling, the request is filled from a parent or the origin; after a parent, from the
+// origin. If the parent is ejected or the attempt is a half-open probe, no parent is ruled out.
 func (r *Router) raiseSourceTier(request *requestState, attempt *attemptState, outcome Outcome) {
 	source := attempt.source
 	if source == nil || !r.sourceMayBeCause(outcome) {
--- a/routing/limits.go
+++ b/routing/limits.go
@@ -4,13 +4,14 @@
 
 // Concurrency limits: how much work may be in flight at a server.
 
-// transferWork returns the work that a request counts towards budgets and limits, in seconds of transfer
-// time: the mean of its class or the transfer time of its declared size, whichever is larger.
+// transferWork returns the work with which a request counts towards budgets and limits, in seconds of transfer
+// time: the mean of the request's class or the transfer time of the request's declared size, whichever is
+// larger.
 func (r *Router) transferWork(request *requestState) float64 {
 	return max(r.classes[request.Class].work.Value, request.declaredWork)
 }
 
-// largestMeanWork returns the mean transfer time of the class with the largest objects, in seconds.
+// largestMeanWork returns the largest of the mean transfer times of the classes, in seconds.
 func (r *Router) largestMeanWork() float64 {
 	largest := math.Inf(-1)
 	for i := range r.classes {
@@ -19,14 +20,15 @@
 	return largest
 }
 
-// atLimit reports whether a server's concurrency limit in a role leaves no room for additional work. It may
-// draw a random number: a limit that is smaller than one request admits requests at random.
+// atLimit reports whether a server's concurrency limit in one role leaves no room for additional work. It may
+// draw a random number, because work that is larger than the whole limit is admitted at random.
 func (r *Router) atLimit(load *roleLoad, work float64) bool {
 	return load.concurrencyLimit.Full(r.now, load.inFlightWork, work, r.rng.Float64)
 }
 
-// linkSaturated reports whether the work in flight at a cache, with the request added, exceeds a fraction of
-// the work that the cache's link can transfer within the latency objective.
+// linkSaturated reports whether the work in flight at a cache, including the given request, exceeds a fraction
+// of what the cache's link can transfer for this director within the latency objective. It returns false if the
+// capacity of the cache is not known.
 func (r *Router) linkSaturated(request *requestState, cache *serverState, fraction float64) bool {
 	if !cache.weightIsCapacity {
 		return false
@@ -37,10 +39,12 @@
 	return cache.totalInFlightWork+work > capacity
 }
 
-// adjustLimit lowers the concurrency limit of the server and role that made an attempt late or rejected it,
-// and raises the limit after a timely answer. A late answer does not lower the limit below limitFitFraction of
-// the load at which the answer would have been timely (see lowerLimit), so many late answers of one overload
-// lower the limit no further than that. The drawback is that objects which are large for their class look late.
+// adjustLimit adjusts a concurrency limit after the end of an attempt. After a late answer, a rejection or a
+// timeout, it lowers the limit of the server and role that attributeOutcome names; after a timely answer, it
+// raises that limit. One overload makes many answers late, but these answers do not lower the limit below
+// limitFitFraction of the load at which the answers would have been timely (see lowerLimit). The drawback is
+// that the answers for objects which are large for their class count as late. Half-open probes and timeouts of
+// answers that seem lost change no limit.
 func (r *Router) adjustLimit(attempt *attemptState, outcome Outcome) {
 	if attempt.halfOpenProbe {
 		return
@@ -112,9 +116,9 @@
 	return attributedTo(attempt)
 }
 
-// attributedTo returns the server and the role whose work in flight includes an attempt: the source of a
-// likely fill, or the cache of a likely hit. Attempts sent directly to a parent or the origin count in its
-// role as source. Fills that hang therefore do not keep hits away from a cache.
+// attributedTo returns the server and the role whose work in flight includes an attempt. A likely hit counts at
+// its cache. A likely fill counts at its source, so that fills that hang do not keep hits away from the cache.
+// An attempt sent directly to a parent or the origin counts at that server in the role of a source.
 func attributedTo(attempt *attemptState) (*serverState, *roleLoad) {
 	switch {
 	case attempt.target.tier != edgeTier:
--- a/routing/locations.go
+++ b/routing/locations.go
@@ -5,7 +5,8 @@
 // Content location: which caches likely hold a copy of an object. The location table has two generations: an
 // entry that is used moves to the current generation, and each rotation drops the previous generation.
 
-// recordUse counts a request for a part of an object and returns its entry in the location table.
+// recordUse counts a request or a location query for a part of an object, and returns the part's entry in the
+// location table.
 func (r *Router) recordUse(key objectKey) *contentLocation {
 	location := cmp.Or(r.currentLocations[key], r.previousLocations[key])
 	if location == nil {
--- a/routing/outcome.go
+++ b/routing/outcome.go
@@ -74,7 +74,8 @@
 }
 
 // recordOutcome updates the statistics of servers and classes, the origin shield, the retry budget and the
-// content locations. The request is nil if it has already ended.
+// content locations with the outcome of an attempt. The parameter request is nil if the request has already
+// ended.
 func (r *Router) recordOutcome(attempt *attemptState, request *requestState, outcome Outcome) {
 	if attempt.halfOpenProbe {
 		probedServer(attempt).probing = false
@@ -116,8 +117,9 @@
 	r.originShield.RecordAnswer(r.now, attempt.sentAt, late || failed)
 }
 
-// refundSource returns the work of an attempt to the slow-start budget of its source if the attempt was a
-// hit, which has not used the source. It returns only the part that the budget has not regained since.
+// refundSource returns the work of an attempt to the slow-start budget of the attempt's source if the attempt
+// was a hit, because a hit does not use the source. It returns only the part that the budget has not regained
+// since the attempt was sent.
 func (r *Router) refundSource(attempt *attemptState, outcome Outcome) {
 	source := attempt.source
 	if outcome.FillStatus != FillStatusHit || source == nil || source.warmingUpSince == 0 {
@@ -143,8 +145,8 @@
 	}
 }
 
-// recordRecentWork adds an attempt to the recent work of its target for this director, an exponentially
-// decaying sum.
+// recordRecentWork adds the work of an attempt to recentWork of its target: an exponentially decaying sum of
+// the work that the target has done for this director.
 func (r *Router) recordRecentWork(attempt *attemptState) {
 	target := attempt.target
 	decay := math.Exp(-float64(r.now-target.recentWorkAt) / float64(recentWorkTimeConstant))
--- a/routing/peers.go
+++ b/routing/peers.go
@@ -4,9 +4,9 @@
 
 // Location queries to directors of other zones, where the settings allow them.
 
-// askPeers asks all other directors which cache holds the object, and reports whether it did. The first
-// director of each other zone replies. A request causes at most one query, and only while no parent is
-// usable. The request then waits for a reply for at most the latency objective of its class.
+// askPeers asks all other directors which cache holds the requested part of an object, and reports whether it
+// did. In each other zone, the director with the lowest ID replies. A request causes at most one query, and only
+// while no parent is usable. The request then waits for a reply for at most the latency objective of its class.
 func (r *Router) askPeers(request *requestState) bool {
 	if request.askedPeers || request.uncacheable || !r.settings.SiteLimits.PeerMessagesAllowed ||
 		r.settings.Tiers.SiblingFills != SiblingFillsAny {
@@ -69,8 +69,8 @@
 	r.emit(SendPeerMessage{To: from, Data: reply.encode()})
 }
 
-// handleLocationReply resumes all requests that wait for a reply about the object, with the named cache as
-// their source. A reply that names no cache is ignored.
+// handleLocationReply resumes all requests that wait for a reply about the part of an object that the reply
+// names, with the cache that the reply names as their source. A reply that names no cache is ignored.
 func (r *Router) handleLocationReply(reply locationMessage) {
 	if reply.holder == 0 {
 		return
--- a/routing/purge.go
+++ b/routing/purge.go
@@ -4,7 +4,8 @@
 
 // Purges: copies that are older than a purge of their object must not be served.
 
-// handlePurge records a purge, which invalidates the earlier location hints for the purged objects.
+// handlePurge records a purge, which invalidates the earlier location hints for the purged objects. If the
+// table of purges is full, it replaces the table by one purge of all objects.
 func (r *Router) handlePurge(purge Purge) {
 	key := purgeKey{object: purge.Object}
 	if purge.Object == 0 {
@@ -34,8 +35,9 @@
 	return latest, purged
 }
 
-// expirePurges removes purges that have reached all caches and are older than siblingHintLifetime, so that no
-// hint from before the purge can make a cache the source of a fill.
+// expirePurges removes a purge after the longer of PurgePropagation and siblingHintLifetime, plus purgeMargin,
+// since the director was notified of the purge. By then the purge has reached all caches, and hints from before
+// the purge are too old to make a cache the source of a fill.
 func (r *Router) expirePurges() {
 	lifetime := max(r.settings.Tiers.PurgePropagation, siblingHintLifetime) + purgeMargin
 	maps.DeleteFunc(r.purges, func(_ purgeKey, record purgeRecord) bool {
--- a/routing/rank.go
+++ b/routing/rank.go
@@ -53,8 +53,8 @@
 	return -1 / score // negative, and increasing with score
 }
 
-// effectiveWeight returns the present weight of a server relative to other servers of its tier. The weight of
-// a cache decreases with the excess of its latency over that of the fastest third of the local caches. A
+// effectiveWeight returns the present weight of a server relative to other servers of its tier. The weight of a
+// cache decreases with the excess of its latency ratio over that of the fastest third of the local caches. A
 // cause that slows all caches down, such as a slow origin or a full link, therefore moves no objects.
 func (r *Router) effectiveWeight(server *serverState) float64 {
 	weight := r.slowStartShare(server)
--- a/routing/reason.go
+++ b/routing/reason.go
@@ -12,7 +12,7 @@
 	ReasonSiteLost                    // the director's site is lost, or the director is cut off
 	ReasonNoServerInTime              // no server accepted the request within half its latency objective
 	ReasonRetryBudgetExhausted        // too many attempts fail: the retry budget is empty
-	ReasonOriginShielded              // only the origin can serve the request, and the origin is overloaded
+	ReasonOriginShielded              // only the origin can serve the request, and the request is shielded
 )
 
 // reasonTexts holds the texts of Reason.String, for logs and tests. The flight recorder has its own names for
@@ -28,7 +28,7 @@
 	ReasonOriginShielded:       "origin shielded",
 }
 
-// String returns the reason as text; it is empty for ReasonNone.
+// String returns the reason as text: an empty string for ReasonNone, and "unknown" for an undefined reason.
 func (r Reason) String() string {
 	if int(r) < len(reasonTexts) {
 		return reasonTexts[r]
--- a/routing/request.go
+++ b/routing/request.go
@@ -40,8 +40,8 @@
 }
 
 // handleRequestTimer resumes a request that was postponed, or whose location query had no reply in time.
-// Servers that failed before may work again, so earlier targets and parents are allowed again and shielding
-// is decided anew. Siblings stay ruled out as sources after one of them has missed.
+// Servers that failed before may work again, so earlier targets and parents are allowed again and shielding is
+// decided anew. Siblings stay ruled out as sources once raiseSourceTier has ruled them out.
 func (r *Router) handleRequestTimer(id uint32) {
 	request := r.requests[id]
 	if request == nil || !request.waiting {
@@ -92,10 +92,10 @@
 	return ReasonNone
 }
 
-// postpone schedules the next try of a request. The wait doubles with each postponement, and its jitter
-// spreads requests that were postponed together. The wait ends at the latest half the latency
-// objective after the request's arrival, or after minPostponement if that is later: the request is then
-// ended, and a longer wait would only delay the rejection.
+// postpone schedules the next try of a request. The wait doubles with each postponement, at most
+// maxPostponementDoublings times, and its jitter spreads requests that were postponed together. The wait ends
+// at the latest half the latency objective after the request's arrival, or after minPostponement if that is
+// later: a request that no server accepts then is ended, so a longer wait would only delay the rejection.
 func (r *Router) postpone(request *requestState) {
 	wait := minPostponement << min(request.postponements, maxPostponementDoublings)
 	wait += time.Duration(r.rng.Int64N(int64(wait)))
--- a/routing/route.go
+++ b/routing/route.go
@@ -4,9 +4,10 @@
 
 // The choice of the target of an attempt, and of the source that a miss is filled from.
 
-// route looks for a target and a source for the request's next attempt, and reports whether an attempt was
-// sent. Caches are tried in the order of their rank for the object. If a cache is full, the request spills
-// over to the next cache that is not slow and has room, at the cost of an additional fill there.
+// route looks for a target and a source for the request's next attempt, and reports whether an attempt was sent
+// or the request waits for a reply from peers. Caches are tried in the order of their rank for the object. If a
+// cache is full, the request spills over to the next cache that is not slow and has room, at the cost of an
+// additional fill there.
 func (r *Router) route(request *requestState) bool {
 	r.rank(r.localCaches, request.Object)
 	r.rank(r.upstreams, request.Object)
@@ -70,7 +71,8 @@
 }
 
 // hasRoomForSpillover reports whether a cache could accept requests that spill over from a cache of higher
-// rank: it is neither ejected nor slow, and its link has room.
+// rank: it is neither ejected nor slow, and the load of its link is at most spilloverLoadFraction of the link's
+// capacity.
 func (r *Router) hasRoomForSpillover(request *requestState, cache *serverState) bool {
 	return !cache.ejected && !r.isSlow(cache) && !r.linkSaturated(request, cache, spilloverLoadFraction)
 }
@@ -85,9 +87,11 @@
 	return load.inFlightWork <= spilloverLoadFraction*load.concurrencyLimit.Value(r.now)
 }
 
-// fetchThrough sends the request to a cache with the first permitted source: a sibling, a parent or the
-// origin. If all sources are at their limits, it sends the request once for a cached copy only. It reports
-// whether an attempt was sent or the request waits for a reply from peers.
+// fetchThrough sends the request to a cache with the first permitted source: a sibling, a parent or the origin.
+// Before a fill from a parent or the origin, it may probe the cache for a cached copy (shouldProbeBeforeFill).
+// If it sends no fill because a parent or the origin is at its limit or the request is shielded, it sends the
+// request once for a cached copy only. It reports whether an attempt was sent or the request waits for a reply
+// from peers.
 func (r *Router) fetchThrough(request *requestState, cache *serverState) bool {
 	if source := r.siblingSource(request, cache); source != nil && r.send(request, cache, source) {
 		return true
@@ -177,8 +181,8 @@
 }
 
 // bypass sends the request directly to a parent or to the origin if the settings and the limits allow it, and
-// reports whether it did. highestTier is originTier if no cache may be asked, and parentTier if caches are
-// full. The trade-off is that no cache stores the answer.
+// reports whether it did. highestTier is the highest tier that it may use: parentTier if a cache was full,
+// otherwise originTier. The trade-off is that no cache stores the answer.
 func (r *Router) bypass(request *requestState, highestTier tier) bool {
 	if !r.settings.Tiers.BypassAllowed || (request.shielded && !request.uncacheable) {
 		return false
--- a/routing/router.go
+++ b/routing/router.go
@@ -9,8 +9,8 @@
 	"shaleyard/internal/sitehealth"
 )
 
-// New returns a Router for the settings. The seed initialises its random number generator. If a setting is
-// invalid, the error is a *SettingError.
+// New returns a Router for the settings. The seed initialises the Router's random number generator. If a
+// setting is invalid, the error is a *SettingError.
 func New(settings Settings, seed uint64) (*Router, error) {
 	if err := settings.validate(); err != nil {
 		return nil, err
--- a/routing/send.go
+++ b/routing/send.go
@@ -87,8 +87,8 @@
 	}
 }
 
-// trackAttempt adds an attempt to its request and to the attempts, the work in flight and the slow-start
-// budget of its servers.
+// trackAttempt adds an attempt to its request and to the attempts and the work in flight of its servers, and
+// charges the attempt to the slow-start budget of its source.
 func (r *Router) trackAttempt(request *requestState, attempt *attemptState) {
 	request.attempts = append(request.attempts, attempt)
 	request.inFlight++
--- a/routing/settings.go
+++ b/routing/settings.go
@@ -50,17 +50,18 @@
 
 // Class holds the properties of a class of requests.
 type Class struct {
-	Name string `json:"name"`
+	Name string `json:"name"` // the Router does not use it
 	// LatencyObjective is the latency up to which an answer is worth the full PriorityWeight.
 	LatencyObjective time.Duration `json:"aim"`
 	// LatencyObjectivePerSize is the number of seconds by which the objective grows for each second of
 	// transfer time.
 	LatencyObjectivePerSize float64 `json:"aimStretch"`
-	// Timeout is how long a client waits for an answer.
+	// Timeout is how long a client waits for an answer. The Router only validates this setting.
 	Timeout time.Duration `json:"deadline"`
-	// PriorityWeight is the value of an answer within the objective, relative to other classes.
+	// PriorityWeight is the value of an answer within the objective, relative to other classes. The Router only
+	// validates this setting.
 	PriorityWeight float64 `json:"worth"`
-	// LatePriorityWeight is the value of an answer after the objective.
+	// LatePriorityWeight is the value of an answer after the objective. The Router only validates this setting.
 	LatePriorityWeight float64 `json:"lateWorth"`
 	// Idempotency is one of the Idempotency constants.
 	Idempotency string `json:"effect"`
@@ -68,7 +69,7 @@
 	DedupScope string `json:"group"`
 	// DedupWindow is the time after a keyed request within which servers recognise its repeats.
 	DedupWindow time.Duration `json:"dedupWindow"`
-	// Streaming reports whether answers are streamed.
+	// Streaming reports whether answers are streamed. The Router does not use this setting.
 	Streaming bool `json:"streaming"`
 }
 
@@ -77,10 +78,11 @@
 	CancelAllowed bool          `json:"cancel"`
 	MaxAttempts   int           `json:"maxAttempts"` // attempts for one request, hedges included; at least 1
 	MaxRetryAfter time.Duration `json:"maxRetryAfter"`
-	// MaxOpenRequests is the maximum number of open requests of a director; 0: no bound.
+	// MaxOpenRequests is the maximum number of open requests of a director; 0: no bound. The Router only
+	// validates this setting.
 	MaxOpenRequests     int  `json:"openCap"`
 	PeerMessagesAllowed bool `json:"peerMessages"`
-	ProbesAllowed       bool `json:"probes"`
+	ProbesAllowed       bool `json:"probes"`     // the Router does not use it
 	RetryAfterAllowed   bool `json:"retryAfter"` // rejections may carry a time to retry after
 	HedgingAllowed      bool `json:"secondCopies"`
 }
@@ -95,15 +97,17 @@
 	FreshnessLifetime []time.Duration `json:"classFresh"`
 	// StaleWindow is the time after its FreshnessLifetime for which a copy may still be served, by class.
 	StaleWindow []time.Duration `json:"staleFor"`
-	// StaleValue is the fraction of PriorityWeight that a stale answer is worth, by class.
+	// StaleValue is the fraction of PriorityWeight that a stale answer is worth, by class. The Router only
+	// validates this setting.
 	StaleValue []float64 `json:"staleEarns"`
 	// Uncacheable reports whether answers must not be stored, by class.
 	Uncacheable []bool `json:"passOn"`
 	// TransferKBPerSecond is the rate of one transfer in KB/s; 0: not known.
 	TransferKBPerSecond float64 `json:"flowKbPerS"`
-	// InboundLinkKBPerSecond is the capacity of the inbound link in KB/s, by zone; 0: not known.
+	// InboundLinkKBPerSecond is the capacity of the inbound link in KB/s, by zone; 0: not known. The Router
+	// does not use this setting.
 	InboundLinkKBPerSecond []float64 `json:"feedKbPerS"`
-	// TransitCost is the relative cost of traffic between zones.
+	// TransitCost is the relative cost of traffic between zones. The Router does not use this setting.
 	TransitCost float64 `json:"transitPrice"`
 	// CoalescesFills reports whether caches coalesce fills: a miss waits for a fill of the same object that
 	// is in progress.
@@ -124,7 +128,7 @@
 	// PurgePropagation is the time that a purge takes to reach every cache.
 	PurgePropagation time.Duration `json:"purgeTakes"`
 	// PurgeSlack is the time after the notification of a purge for which a director may still accept copies
-	// that are older than the purge.
+	// that are older than the purge. The Router only validates this setting.
 	PurgeSlack time.Duration `json:"purgeSlack"`
 	// SiblingFills is one of the SiblingFills constants.
 	SiblingFills string `json:"lateral"`
@@ -144,19 +148,21 @@
 	SlowStartDuration time.Duration `json:"cold"`
 	// SlowStartFraction is the fraction of its capacity that an edge cache has at its start.
 	SlowStartFraction float64 `json:"coldFrom"`
-	// DrainGrace is the time for which a draining server still answers.
+	// DrainGrace is the time for which a draining server still answers. The Router only validates this setting.
 	DrainGrace time.Duration `json:"drainGrace"`
 	// OverloadWindow is the time after which a load of OverloadMultiple makes a server that is warming up
 	// break down.
 	OverloadWindow time.Duration `json:"fall"`
-	// AnswerGrace is the time after its deadline for which a request may still be answered.
+	// AnswerGrace is the time after its deadline for which a request may still be answered. The Router only
+	// validates this setting.
 	AnswerGrace time.Duration `json:"graceToAnswer"`
 	// OverloadMultiple is the multiple of its present capacity at which an edge cache that is warming up
 	// breaks down.
 	OverloadMultiple float64 `json:"tipMultiple"`
 }
 
-// LoadReportSettings describes which load figures servers report, and how.
+// LoadReportSettings describes which load figures servers report, and how. The Router does not use these
+// settings.
 type LoadReportSettings struct {
 	Fields []string `json:"fields"`
 	Via    string   `json:"via"` // how the figures are reported: inline, on_probe or off
@@ -169,7 +175,7 @@
 	SiteLimits    SiteLimits         `json:"ceilings"`
 	Tiers         TierSettings       `json:"familyInfo"`
 	Guarantees    Guarantees         `json:"guarantees"`
-	Kinds         []string           `json:"kinds"`        // names of the kinds of servers, by Endpoint.Kind
+	Kinds         []string           `json:"kinds"`        // names of server kinds; the Router does not use them
 	ID            uint32             `json:"me"`           // ID of this director, unique among its peers
 	Quantum       time.Duration      `json:"quantum"`      // the simulator's time step; the Router does not use it
 	DiscoveryMode string             `json:"registryMode"` // automatic or DiscoverySubscribe
--- a/routing/slowstart.go
+++ b/routing/slowstart.go
@@ -30,8 +30,8 @@
 }
 
 // fitsSlowStart reports whether the slow-start budget of a server, as target or as source, has room for
-// additional work. Warm servers and the origin have no such budget, so it returns true for them, and also for
-// nil.
+// additional work. A budget of which nothing is spent has room for any work. Warm servers and the origin have
+// no such budget, so fitsSlowStart returns true for them, and also for nil.
 func (r *Router) fitsSlowStart(server *serverState, work float64) bool {
 	if server == nil || server.warmingUpSince == 0 || server.tier == originTier {
 		return true
--- a/routing/state.go
+++ b/routing/state.go
@@ -19,7 +19,7 @@
 	started  bool     // the first event has been handled
 
 	servers        map[Host]*serverState
-	orderedServers []*serverState // all servers by address, for loops: the order of a map is random
+	orderedServers []*serverState // all servers sorted by Host, for loops: the order of a map is random
 	localCaches    []*serverState // the ready caches of the director's own zone
 	upstreams      []*serverState // the ready parents and the origin
 
@@ -36,7 +36,7 @@
 
 	classes                 []classStats
 	longestObjective        float64       // of all classes, seconds; minimum transfer time in startWarmingUp
-	baselineLogLatencyRatio float64       // logLatencyRatio at the end of the fastest third of local caches
+	baselineLogLatencyRatio float64       // 1/3 quantile of logLatencyRatio of the local caches
 	originFillWait          overload.Mean // wait of fills by the origin for the first byte, seconds
 
 	originShield    *overload.OriginShield
@@ -119,7 +119,7 @@
 	source             *serverState // server that a miss is filled from; nil: none
 	sentAt             Time
 	work               float64       // seconds of transfer time that count towards budgets and limits
-	declaredWork       float64       // transfer time of the size declared by the client; else work
+	declaredWork       float64       // transfer time of the declared size; equal to work if no size is declared
 	inFlightWorkAtSend float64       // inFlightWork of the role after this attempt was added
 	expectedLatency    time.Duration // typical latency of an attempt with this work
 	latencyObjective   time.Duration // maximum latency of a timely answer
@@ -145,7 +145,7 @@
 	waiting       bool // postponed, or waiting for a reply from peers
 	postponements int
 
-	minSourceTier tier           // lowest tier that may be the source; a miss or rejection raises it
+	minSourceTier tier           // lowest tier that may be the source; raiseSourceTier raises it
 	avoidTargets  []*serverState // targets at which an attempt has failed
 	// triedOnlyIfCached is set by the request for a cached copy that is sent as a last resort (fetchOnlyIfCached),
 	// and by a miss of a request for a cached copy if the cache reported that a fill is in progress. Once it is
@@ -172,7 +172,7 @@
 // contentLocation is the entry of the location table for one part of an object.
 type contentLocation struct {
 	hints [2]locationHint // latest first
-	uses  int             // number of requests for the part
+	uses  int             // number of requests and location queries for the part
 }
 
 // locationHint records that a cache has answered a request for an object and so likely holds a copy.
--- a/routing/upkeep.go
+++ b/routing/upkeep.go
@@ -2,8 +2,8 @@
 
 // Periodic checks and the expiry of stored state.
 
-// handleTick runs every tickInterval. It updates the health of sites and checks the attempts in flight at the
-// local caches.
+// handleTick runs every tickInterval. It updates the health of sites, ejects the local caches while the
+// director's branch is unavailable, checks the attempts in flight at the local caches, and calls sweep.
 func (r *Router) handleTick() {
 	r.emit(SetTimer{Token: tickTimer, At: r.now + tickInterval})
 	r.sites.Tick(r.now, r.originShield.AdmitFraction(r.now), r.logSiteChange)
--- a/routing/validate.go
+++ b/routing/validate.go
@@ -16,8 +16,8 @@
 }
 
 // validate returns a *SettingError for the first invalid setting, or nil. Settings that it does not check may
-// have any value. The constants in settings.go say how an unknown string is treated, and an index that is out
-// of range is treated as no index.
+// have any value. The constants in settings.go say how an unknown string is treated, and a kind that is out of
+// range matches no server.
 func (s *Settings) validate() error {
 	for _, check := range []func() error{
 		s.checkRequired,
@@ -61,7 +61,7 @@
 
 func classKey(index int, key string) string { return fmt.Sprintf("services[%d].%s", index, key) }
 
-// numericSetting is the JSON key and the value of a setting that must not be negative.
+// numericSetting holds the JSON key and the value of a setting that must not be negative.
 type numericSetting struct {
 	key   string
 	value float64
@@ -126,8 +126,8 @@
 	return nil
 }
 
-// checkListLengths returns an error for the first list by class or by zone that is neither empty nor
-// complete.
+// checkListLengths returns an error for the first list by class or by zone that is neither empty nor complete.
+// It does not check InboundLinkKBPerSecond.
 func (s *Settings) checkListLengths() error {
 	tiers, classes, zones := &s.Tiers, len(s.Classes), len(s.Zones)
 	for _, list := range []struct {
@@ -162,7 +162,7 @@
 	return nil
 }
 
-// applyDefaults fills empty lists by class or by zone with zero values.
+// applyDefaults fills those empty lists by class or by zone that the Router uses with zero values.
 func (s *Settings) applyDefaults() {
 	tiers, classes, zones := &s.Tiers, len(s.Classes), max(len(s.Zones), 1)
 	tiers.FreshnessLifetime = padded(tiers.FreshnessLifetime, classes)
@@ -172,7 +172,7 @@
 	tiers.HubByZone = padded(tiers.HubByZone, zones)
 }
 
-// padded returns the list, extended to a length with zero values.
+// padded returns the list, extended to the given length with zero values.
 func padded[T any](list []T, length int) []T {
 	return append(list, make([]T, length-len(list))...)
 }
