--- a/internal/flightrecorder/reason.go
+++ b/internal/flightrecorder/reason.go
@@ -47,7 +47,7 @@
 	ReasonSiteLost             // our own site is lost
 	ReasonNoServerInTime       // no server could take the request early enough for its deadline
 	ReasonRetryBudgetExhausted // the budget for further attempts is spent
-	ReasonOriginShielded       // the origin is overloaded and is sent no more fills
+	ReasonOriginShielded       // the origin is shielded: it is overloaded, or our hub is lost or recovering
 
 	// Results of attempts.
 	ReasonOK
--- a/routing/ejection.go
+++ b/routing/ejection.go
@@ -6,16 +6,16 @@
 	"shaleyard/internal/overload"
 )
 
-// Outlier ejection: a server that has failed receives no requests until a single request, the half-open
-// probe, is answered.
+// Outlier ejection: a server that has failed is ejected, as is a local cache while the director's branch is
+// unavailable. Until its ejection ends, it receives only half-open probes, which are requests that test it.
 
 // mayProbe reports whether a server is ejected and the next request may be its half-open probe.
 func (r *Router) mayProbe(server *serverState) bool {
 	return server.ejected && r.now >= server.probeAfter && !server.probing
 }
 
-// probedServer returns the ejected server that a half-open probe tests: the target or the source of the
-// attempt.
+// probedServer returns the server that a half-open probe is taken to test: the target if it is ejected now or
+// the attempt has no source, otherwise the source. The result may change while the probe is in flight.
 func probedServer(attempt *attemptState) *serverState {
 	if attempt.target.ejected || attempt.source == nil {
 		return attempt.target
@@ -23,11 +23,14 @@
 	return attempt.source
 }
 
-// eject ejects a server until a half-open probe is answered, and cancels the attempts that cancelRetriable
-// selects. The first probe is allowed after initialEjection. Each failed probe doubles the time to the next
-// one, up to maxEjection and, while the director's branch is unavailable, up to the shorter
-// sitehealth.Monitor.MaxProbeInterval. A failure before the next probe is allowed has no effect. The origin
-// is never ejected, because no other server can replace it.
+// eject ejects a server or extends its ejection, and cancels the attempts that cancelRetriable selects. The
+// ejection ends when the server answers a half-open probe as the target, when any attempt with it as the
+// target ends with OK, when it answers as a source (see recordSourceHealth), or when it restarts. The first
+// probe is allowed after initialEjection, unless readmit allows it earlier. A failure of an ejected server
+// before the next probe is allowed has no effect. Each later failure, of a probe or of another attempt,
+// doubles the time to the next probe, up to maxEjection and, while the director's branch is unavailable, up to
+// the shorter sitehealth.Monitor.MaxProbeInterval. The origin is never ejected, because no other server can
+// replace it.
 func (r *Router) eject(server *serverState, cause string) {
 	if server.tier == originTier {
 		return
@@ -48,8 +51,8 @@
 }
 
 // cancelRetriable cancels the attempts in flight that have the server as target or source and whose requests
-// may be retried: the class of the request is read-like, the request has attempts left, and its answer is not
-// being streamed.
+// may be retried: the request has not ended, its class is read-like, it has attempts left, and its answer is
+// not being streamed.
 func (r *Router) cancelRetriable(server *serverState) {
 	for _, attempt := range slices.Concat(server.asTarget.inFlight, server.asSource.inFlight) {
 		request := r.requests[attempt.requestID]
@@ -63,7 +66,7 @@
 }
 
 // readmit ends the ejection of a server. Servers that failed together often recover together, so the other
-// ejected servers of its tier may be probed at once.
+// ejected servers that sameTier returns may be probed at once, unless a probe of them is in flight.
 func (r *Router) readmit(server *serverState) {
 	r.logf("readmit server %x after %v", uint64(server.Host), r.now-server.ejectedAt)
 	server.ejected = false
--- a/routing/failure.go
+++ b/routing/failure.go
@@ -6,8 +6,8 @@
 
 // applyFailure records which servers a failed attempt rules out for its request, and reports whether the
 // request must wait before its retry. After a rejection for lack of capacity the request waits: the server
-// will still lack capacity a moment later, and an immediate retry at another server would double an overload.
-// The trade-off is that a request sometimes waits although another server has capacity.
+// probably still lacks capacity a moment later, and an immediate retry at another server could double an
+// overload. The trade-off is that a request sometimes waits although another server has capacity.
 func (r *Router) applyFailure(request *requestState, attempt *attemptState, outcome Outcome) (wait bool) {
 	r.raiseSourceTier(request, attempt, outcome)
 	switch outcome.Result {
@@ -21,15 +21,17 @@
 	return rejectedForCapacity(outcome)
 }
 
-// rejectedForCapacity reports whether a cache rejected an attempt without naming its source as the reason.
+// rejectedForCapacity reports whether a server rejected an attempt without a fill status, or because it had no
+// capacity for another fill.
 func rejectedForCapacity(outcome Outcome) bool {
 	return outcome.Result == Rejected &&
 		(outcome.FillStatus == FillStatusUnknown || outcome.FillStatus == FillStatusNoFillSlot)
 }
 
-// raiseSourceTier rules out the tier of a source that has missed or rejected the fill, or that may have caused
-// a timeout: after a sibling, the request is filled from a parent or the origin; after a parent, from the
-// origin. If the parent is ejected or the attempt is a half-open probe, no parent is ruled out.
+// raiseSourceTier rules out tiers of sources if the source of a failed attempt may have caused the failure
+// (see sourceMayBeCause): after a sibling, the request is filled from a parent or the origin; after a parent
+// or the origin, from the origin. If a parent that is the source is ejected or the attempt is a half-open
+// probe, no parent is ruled out.
 func (r *Router) raiseSourceTier(request *requestState, attempt *attemptState, outcome Outcome) {
 	source := attempt.source
 	if source == nil || !r.sourceMayBeCause(outcome) {
@@ -62,8 +64,10 @@
 	return false
 }
 
-// applyMiss records that a cache has no copy, and reports whether the request must wait before its retry:
-// either another request's fill is in progress, or all sources are at their limits.
+// applyMiss records that a cache has no copy, and reports whether the request must wait before its retry. It
+// must wait after an attempt without a source if triedOnlyIfCached is set: another request's fill was in
+// progress, a parent or the origin was at its limit, or the request was shielded earlier. It need not wait if
+// the attempt was a half-open probe or the request is shielded now.
 func applyMiss(request *requestState, attempt *attemptState, outcome Outcome) (wait bool) {
 	fillInProgress := outcome.FillStatus == FillStatusCoalesced
 	if attempt.source == nil && fillInProgress {
--- a/routing/health.go
+++ b/routing/health.go
@@ -7,8 +7,8 @@
 // recordHealth updates the health of the target and the source of an attempt from its outcome.
 func (r *Router) recordHealth(attempt *attemptState, outcome Outcome) {
 	r.recordTargetHealth(attempt, outcome)
-	// A reset of any other attempt is no evidence of a failure: a server that is down refuses the next
-	// connection.
+	// A timeout or a reset of any other attempt does not eject a server: if the server is down, the next
+	// connection to it fails.
 	if attempt.halfOpenProbe && (outcome.Result == TimedOut || outcome.Result == Reset) {
 		r.eject(probedServer(attempt), "half-open probe failed")
 	}
@@ -54,9 +54,10 @@
 }
 
 // recordSourceUnreachable ejects a source that failed within fastFailureThreshold, because the source is
-// down. A source that failed later may be overloaded, and its ejection would overload other sources in a
-// cascade. Such a source is ejected only after slowFailureLimit failures in a row, and only if another server
-// of its site is healthy. A failure of a source that is already ejected extends its ejection.
+// probably down. A source that failed later may be overloaded, and its ejection would overload other sources
+// in a cascade. Such a source is ejected only after slowFailureLimit failures in a row, and only if another
+// server of its site is healthy. A failure of a source that is already ejected extends its ejection once the
+// next probe is allowed.
 func (r *Router) recordSourceUnreachable(attempt *attemptState, outcome Outcome) {
 	source := attempt.source
 	failures := source.failedFills.Add(r.now)
--- a/routing/limits.go
+++ b/routing/limits.go
@@ -27,8 +27,8 @@
 }
 
 // linkSaturated reports whether the work in flight at a cache, including the given request, exceeds a fraction
-// of what the cache's link can transfer for this director within the latency objective. It returns false if the
-// capacity of the cache is not known.
+// of what the cache's link can transfer for this director within the latency objective, according to
+// effectiveWeight. It returns false if the capacity of the cache is not known.
 func (r *Router) linkSaturated(request *requestState, cache *serverState, fraction float64) bool {
 	if !cache.weightIsCapacity {
 		return false
@@ -39,12 +39,13 @@
 	return cache.totalInFlightWork+work > capacity
 }
 
-// adjustLimit adjusts a concurrency limit after the end of an attempt. After a late answer, a rejection or a
-// timeout, it lowers the limit of the server and role that attributeOutcome names; after a timely answer, it
-// raises that limit. One overload makes many answers late, but these answers do not lower the limit below
-// limitFitFraction of the load at which the answers would have been timely (see lowerLimit). The drawback is
-// that the answers for objects which are large for their class count as late. Half-open probes and timeouts of
-// answers that seem lost change no limit.
+// adjustLimit adjusts a concurrency limit after the end of an attempt. After a late OK, a rejection or a
+// timeout, it lowers the limit of the server and role that attributeOutcome names (see lowerLimit). After a
+// timely OK, it raises that limit if the work in flight, including the attempt, exceeds half the limit. One
+// overload makes many answers late, but these answers do not lower the limit below limitFitFraction of the
+// load at which the answers would have been timely. The drawback is that the answers for objects which are
+// large for their class may count as late. Half-open probes and timeouts of answers that seem lost change no
+// limit.
 func (r *Router) adjustLimit(attempt *attemptState, outcome Outcome) {
 	if attempt.halfOpenProbe {
 		return
@@ -69,9 +70,11 @@
 }
 
 // lowerLimit lowers the concurrency limit of a server in a role after an attempt that was late, rejected or
-// timed out. It does not lower the limit below limitFitFraction * load * objective / elapsed, where load is the
-// larger of the work in flight at the send and now, objective is the latency objective of the attempt, and
-// elapsed is the time that the attempt took, at least the objective. minLimitTransfers is a further lower bound.
+// timed out. It does not lower the limit below limitFitFraction * load * objective / elapsed, where load is
+// the larger of the work in flight at the send, in the role that attributedTo names, and the work in flight
+// now in the given role, both with the attempt; objective is the latency objective of the attempt; and elapsed
+// is the time that the attempt took, at least the objective. A limit below the minimum that minLimitTransfers
+// defines is raised to that minimum.
 func (r *Router) lowerLimit(server *serverState, load *roleLoad, attempt *attemptState, outcome Outcome) {
 	current := load.inFlightWork + attempt.work
 	ceiling := max(initialLimitTransfers*attempt.work/server.sharingDirectors, maxLimitLoadFactor*current)
@@ -82,8 +85,9 @@
 	load.concurrencyLimit.Decrease(r.now, ceiling, timelyWork, floor)
 }
 
-// attributeOutcome returns the server and the role whose concurrency limit an outcome adjusts. It also
-// records whether the latest hit at the target was late or failed.
+// attributeOutcome returns the server and the role whose concurrency limit an outcome adjusts, if it adjusts
+// one. It also records whether the latest hit at the target was late or failed; a rejection or a timeout that
+// respondingServer attributes to the target in that role counts as a failed hit.
 func (r *Router) attributeOutcome(attempt *attemptState, outcome Outcome) (*serverState, *roleLoad) {
 	server, load := respondingServer(attempt, outcome)
 	target := attempt.target
@@ -99,8 +103,10 @@
 	return server, load
 }
 
-// respondingServer returns the server and the role that gave the answer to an attempt or, after a timeout,
-// should have given it.
+// respondingServer returns the server and the role to which an outcome is attributed. For an attempt at a
+// cache, this is the cache after a reported hit; after a timeout, it is the cache if the cache has answered
+// nothing since the attempt was sent, otherwise its source if there is one. In all other cases, it is what
+// attributedTo returns, even if the cache reports a fill that was not expected.
 func respondingServer(attempt *attemptState, outcome Outcome) (*serverState, *roleLoad) {
 	target, source := attempt.target, attempt.source
 	timedOut := outcome.Result == TimedOut
@@ -116,9 +122,10 @@
 	return attributedTo(attempt)
 }
 
-// attributedTo returns the server and the role whose work in flight includes an attempt. A likely hit counts at
-// its cache. A likely fill counts at its source, so that fills that hang do not keep hits away from the cache.
-// An attempt sent directly to a parent or the origin counts at that server in the role of a source.
+// attributedTo returns the server and the role whose work in flight includes an attempt. An attempt at a cache
+// counts at the cache unless it is a likely fill. A likely fill counts at its source, so that fills that hang
+// do not keep hits away from the cache. An attempt sent directly to a parent or the origin counts at that
+// server in the role of a source.
 func attributedTo(attempt *attemptState) (*serverState, *roleLoad) {
 	switch {
 	case attempt.target.tier != edgeTier:
--- a/routing/outcome.go
+++ b/routing/outcome.go
@@ -73,9 +73,10 @@
 	r.advance(request)
 }
 
-// recordOutcome updates the statistics of servers and classes, the origin shield, the retry budget and the
-// content locations with the outcome of an attempt. The parameter request is nil if the request has already
-// ended.
+// recordOutcome updates the statistics, limits and health of servers, the statistics of classes, the origin
+// shield, the retry budget and the content locations with the outcome of an attempt. An outcome that is no
+// evidence about the servers only ends a half-open probe. The parameter request is nil if the request has
+// already ended.
 func (r *Router) recordOutcome(attempt *attemptState, request *requestState, outcome Outcome) {
 	if attempt.halfOpenProbe {
 		probedServer(attempt).probing = false
@@ -117,9 +118,9 @@
 	r.originShield.RecordAnswer(r.now, attempt.sentAt, late || failed)
 }
 
-// refundSource returns the work of an attempt to the slow-start budget of the attempt's source if the attempt
-// was a hit, because a hit does not use the source. It returns only the part that the budget has not regained
-// since the attempt was sent.
+// refundSource returns the work of an attempt to the slow-start budget of the attempt's source, if the source
+// is warming up and the attempt was a reported hit, because a hit does not use the source. It returns only the
+// part that the budget has not regained since the attempt was sent, at the present rate.
 func (r *Router) refundSource(attempt *attemptState, outcome Outcome) {
 	source := attempt.source
 	if outcome.FillStatus != FillStatusHit || source == nil || source.warmingUpSince == 0 {
@@ -129,8 +130,9 @@
 	source.slowStartBucket.Spend(-max(0, attempt.work-refilled))
 }
 
-// recordClassStats updates the mean transfer time and latency of a class, and the mean wait for fills by the
-// origin, from an answer.
+// recordClassStats updates the mean latency and transfer time of a class, and the mean wait for fills by the
+// origin, from an OK. The sample of the transfer time is that of the declared size, if the request has one and
+// has not ended; otherwise the time elapsed, if the answer was a hit or has no fill status.
 func (r *Router) recordClassStats(attempt *attemptState, request *requestState, outcome Outcome) {
 	stats := &r.classes[attempt.class]
 	stats.latency.Observe(outcome.Elapsed.Seconds())
--- a/routing/send.go
+++ b/routing/send.go
@@ -36,7 +36,8 @@
 }
 
 // hasCapacityFor reports whether target and source are ready and their slow-start budgets have room for the
-// request. A nil source has no capacity to check.
+// request. At the target, the work is multiplied by sitehealth.Monitor.AdmissionCost. A nil source has no
+// capacity to check.
 func (r *Router) hasCapacityFor(request *requestState, target, source *serverState) bool {
 	work := r.transferWork(request)
 	cost := r.sites.AdmissionCost(request.location.uses, request.uncacheable)
@@ -49,9 +50,10 @@
 	return source.takesAttempts() && r.fitsSlowStart(source, work)
 }
 
-// maxAge returns the maximum age of a copy that may answer the request; 0 stands for the freshness lifetime
-// of its class. Where the origin shield rules out a fill, the stale window is added, because a stale answer
-// is worth more than a rejection. A copy must never be older than the latest purge of its object.
+// maxAge returns the maximum age of a copy that may answer the request; 0 stands for the freshness lifetime of
+// its class. If the request is shielded and only the origin may be its source, the stale window is added to a
+// lifetime that is set, because a stale answer is worth more than a rejection. A copy must never be older than
+// the latest purge of its object.
 func (r *Router) maxAge(request *requestState) time.Duration {
 	tiers := &r.settings.Tiers
 	lifetime := tiers.FreshnessLifetime[request.Class]
@@ -87,8 +89,9 @@
 	}
 }
 
-// trackAttempt adds an attempt to its request and to the attempts and the work in flight of its servers, and
-// charges the attempt to the slow-start budget of its source.
+// trackAttempt adds an attempt to its request and to the attempts and the work in flight of its servers,
+// charges the attempt to the slow-start budget of its source, and marks the server that a half-open probe
+// tests.
 func (r *Router) trackAttempt(request *requestState, attempt *attemptState) {
 	request.attempts = append(request.attempts, attempt)
 	request.inFlight++
