--- a/routing/limits.go
+++ b/routing/limits.go
@@ -4,13 +4,14 @@
 
 // Concurrency limits: how much work may be in flight at a server.
 
-// transferWork returns the work that a request counts towards budgets and limits, in seconds of transfer
-// time: the mean of its class or the transfer time of its declared size, whichever is larger.
+// transferWork returns the work with which a request counts towards budgets and limits, in seconds of transfer
+// time: the mean of the request's class or the transfer time of the request's declared size, whichever is
+// larger.
 func (r *Router) transferWork(request *requestState) float64 {
 	return max(r.classes[request.Class].work.Value, request.declaredWork)
 }
 
-// largestMeanWork returns the mean transfer time of the class with the largest objects, in seconds.
+// largestMeanWork returns the largest of the mean transfer times of the classes, in seconds.
 func (r *Router) largestMeanWork() float64 {
 	largest := math.Inf(-1)
 	for i := range r.classes {
@@ -19,14 +20,15 @@
 	return largest
 }
 
-// atLimit reports whether a server's concurrency limit in a role leaves no room for additional work. It may
-// draw a random number: a limit that is smaller than one request admits requests at random.
+// atLimit reports whether a server's concurrency limit in one role leaves no room for additional work. It may
+// draw a random number, because work that is larger than the whole limit is admitted at random.
 func (r *Router) atLimit(load *roleLoad, work float64) bool {
 	return load.concurrencyLimit.Full(r.now, load.inFlightWork, work, r.rng.Float64)
 }
 
-// linkSaturated reports whether the work in flight at a cache, with the request added, exceeds a fraction of
-// the work that the cache's link can transfer within the latency objective.
+// linkSaturated reports whether the work in flight at a cache, including the given request, exceeds a fraction
+// of what the cache's link can transfer for this director within the latency objective, according to
+// effectiveWeight. It returns false if the capacity of the cache is not known.
 func (r *Router) linkSaturated(request *requestState, cache *serverState, fraction float64) bool {
 	if !cache.weightIsCapacity {
 		return false
@@ -37,10 +39,13 @@
 	return cache.totalInFlightWork+work > capacity
 }
 
-// adjustLimit lowers the concurrency limit of the server and role that made an attempt late or rejected it,
-// and raises the limit after a timely answer. A late answer does not lower the limit below limitFitFraction of
-// the load at which the answer would have been timely (see lowerLimit), so many late answers of one overload
-// lower the limit no further than that. The drawback is that objects which are large for their class look late.
+// adjustLimit adjusts a concurrency limit after the end of an attempt. After a late OK, a rejection or a
+// timeout, it lowers the limit of the server and role that attributeOutcome names (see lowerLimit). After a
+// timely OK, it raises that limit if the work in flight, including the attempt, exceeds half the limit. One
+// overload makes many answers late, but these answers do not lower the limit below limitFitFraction of the
+// load at which the answers would have been timely. The drawback is that the answers for objects which are
+// large for their class may count as late. Half-open probes and timeouts of answers that seem lost change no
+// limit.
 func (r *Router) adjustLimit(attempt *attemptState, outcome Outcome) {
 	if attempt.halfOpenProbe {
 		return
@@ -65,9 +70,11 @@
 }
 
 // lowerLimit lowers the concurrency limit of a server in a role after an attempt that was late, rejected or
-// timed out. It does not lower the limit below limitFitFraction * load * objective / elapsed, where load is the
-// larger of the work in flight at the send and now, objective is the latency objective of the attempt, and
-// elapsed is the time that the attempt took, at least the objective. minLimitTransfers is a further lower bound.
+// timed out. It does not lower the limit below limitFitFraction * load * objective / elapsed, where load is
+// the larger of the work in flight at the send, in the role that attributedTo names, and the work in flight
+// now in the given role, both with the attempt; objective is the latency objective of the attempt; and elapsed
+// is the time that the attempt took, at least the objective. A limit below the minimum that minLimitTransfers
+// defines is raised to that minimum.
 func (r *Router) lowerLimit(server *serverState, load *roleLoad, attempt *attemptState, outcome Outcome) {
 	current := load.inFlightWork + attempt.work
 	ceiling := max(initialLimitTransfers*attempt.work/server.sharingDirectors, maxLimitLoadFactor*current)
@@ -78,8 +85,9 @@
 	load.concurrencyLimit.Decrease(r.now, ceiling, timelyWork, floor)
 }
 
-// attributeOutcome returns the server and the role whose concurrency limit an outcome adjusts. It also
-// records whether the latest hit at the target was late or failed.
+// attributeOutcome returns the server and the role whose concurrency limit an outcome adjusts, if it adjusts
+// one. It also records whether the latest hit at the target was late or failed; a rejection or a timeout that
+// respondingServer attributes to the target in that role counts as a failed hit.
 func (r *Router) attributeOutcome(attempt *attemptState, outcome Outcome) (*serverState, *roleLoad) {
 	server, load := respondingServer(attempt, outcome)
 	target := attempt.target
@@ -95,8 +103,10 @@
 	return server, load
 }
 
-// respondingServer returns the server and the role that gave the answer to an attempt or, after a timeout,
-// should have given it.
+// respondingServer returns the server and the role to which an outcome is attributed. For an attempt at a
+// cache, this is the cache after a reported hit; after a timeout, it is the cache if the cache has answered
+// nothing since the attempt was sent, otherwise its source if there is one. In all other cases, it is what
+// attributedTo returns, even if the cache reports a fill that was not expected.
 func respondingServer(attempt *attemptState, outcome Outcome) (*serverState, *roleLoad) {
 	target, source := attempt.target, attempt.source
 	timedOut := outcome.Result == TimedOut
@@ -112,9 +122,10 @@
 	return attributedTo(attempt)
 }
 
-// attributedTo returns the server and the role whose work in flight includes an attempt: the source of a
-// likely fill, or the cache of a likely hit. Attempts sent directly to a parent or the origin count in its
-// role as source. Fills that hang therefore do not keep hits away from a cache.
+// attributedTo returns the server and the role whose work in flight includes an attempt. An attempt at a cache
+// counts at the cache unless it is a likely fill. A likely fill counts at its source, so that fills that hang
+// do not keep hits away from the cache. An attempt sent directly to a parent or the origin counts at that
+// server in the role of a source.
 func attributedTo(attempt *attemptState) (*serverState, *roleLoad) {
 	switch {
 	case attempt.target.tier != edgeTier:
