--- a/internal/flightrecorder/reason.go
+++ b/internal/flightrecorder/reason.go
@@ -47,7 +47,9 @@
 	ReasonSiteLost             // our own site is lost
 	ReasonNoServerInTime       // no server could take the request early enough for its deadline
 	ReasonRetryBudgetExhausted // the budget for further attempts is spent
-	ReasonOriginShielded       // the origin is shielded: it is overloaded, or our hub is lost or recovering
+	// The origin is shielded, so no more fills are sent to it: it is overloaded, or our hub is lost or
+	// recovering.
+	ReasonOriginShielded
 
 	// Results of attempts.
 	ReasonOK
--- a/routing/failure.go
+++ b/routing/failure.go
@@ -28,10 +28,10 @@
 		(outcome.FillStatus == FillStatusUnknown || outcome.FillStatus == FillStatusNoFillSlot)
 }
 
-// raiseSourceTier rules out tiers of sources if the source of a failed attempt may have caused the failure
-// (see sourceMayBeCause): after a sibling, the request is filled from a parent or the origin; after a parent
-// or the origin, from the origin. If a parent that is the source is ejected or the attempt is a half-open
-// probe, no parent is ruled out.
+// raiseSourceTier rules out tiers of sources if the source of a failed attempt may have caused the failure: it
+// may have missed, rejected the fill or let it time out, as sourceMayBeCause decides. After a sibling, the
+// request is filled from a parent or the origin; after a parent or the origin, from the origin. If a parent
+// that is the source is ejected or the attempt is a half-open probe, no parent is ruled out.
 func (r *Router) raiseSourceTier(request *requestState, attempt *attemptState, outcome Outcome) {
 	source := attempt.source
 	if source == nil || !r.sourceMayBeCause(outcome) {
--- a/routing/reason.go
+++ b/routing/reason.go
@@ -12,7 +12,9 @@
 	ReasonSiteLost                    // the director's site is lost, or the director is cut off
 	ReasonNoServerInTime              // no server accepted the request within half its latency objective
 	ReasonRetryBudgetExhausted        // too many attempts fail: the retry budget is empty
-	ReasonOriginShielded              // only the origin can serve the request, and the request is shielded
+	// Only the origin can serve the request, and the request is shielded: the origin is overloaded, or the
+	// director's hub is lost or recovering.
+	ReasonOriginShielded
 )
 
 // reasonTexts holds the texts of Reason.String, for logs and tests. The flight recorder has its own names for
--- a/routing/settings.go
+++ b/routing/settings.go
@@ -169,6 +169,7 @@
 }
 
 // Settings holds the configuration of a Router. In JSON, durations are integers in nanoseconds.
+// Kinds is indexed by Endpoint.Kind.
 type Settings struct {
 	Directors     int                `json:"balancers"` // number of directors of the deployment
 	Classes       []Class            `json:"services"`
